--- /dev/null
+++ b/crates/release/tests/encoding.rs
@@ -0,0 +1,72 @@
+//! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
+//! line, its key and its JSON.
+use release::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, PLAN, STATE, UNDER};
+use release::{Build, Gate, Release, Sample, State, Wave};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+const FIXTURE: &str = include_str!("fixtures/encoding.txt");
+
+fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(key: &str, value: &T) {
+    let written = serde_json::to_string(value).expect("a value without maps of odd keys");
+    let line = format!("{key} {written}");
+    assert!(FIXTURE.lines().any(|known| known == line), "{line}");
+    assert_eq!(&serde_json::from_str::<T>(&written).expect("reads what it wrote"), value, "{key}");
+}
+
+fn plan() -> Plan {
+    let release = Release {
+        number: 3,
+        old: Build("old".into()),
+        new: Build("new".into()),
+        waves: vec![Wave::Count(1), Wave::Share(0.25)],
+        bake_ms: 5000,
+        look_ms: 1000,
+        cap_ms: 9000,
+        gate: Gate::default(),
+        returns: true,
+        by: "ana".into(),
+        why: "fix".into(),
+    };
+    let paths = |folder: &str| Paths { old: format!("{folder}/old"), new: format!("{folder}/new") };
+    Plan { release, paths: paths("/opt"), machines: BTreeMap::from([("m1".to_string(), paths("/srv"))]) }
+}
+
+#[test]
+fn stored_values_keep_their_keys_and_encoding() {
+    assert_eq!(UNDER, "release/");
+    assert_encoding(PLAN, &plan());
+    let states = [
+        State::Going { wave: 1, since_ms: Some(7), looks: 2, suspected: true },
+        State::Going { wave: 0, since_ms: None, looks: 0, suspected: false },
+        State::Halted { wave: Some(1), why: "harm".into() },
+        State::Halted { wave: None, why: "ana".into() },
+        State::Returning { why: "harm".into() },
+        State::Whole,
+        State::Back { why: "harm".into() },
+    ];
+    for state in states {
+        assert_encoding(STATE, &state);
+    }
+    for broken in [None, Some("crashes".to_string())] {
+        assert_encoding(&place_key("n1"), &Place { number: 3, build: Build("new".into()), broken });
+    }
+    let sample = Sample { asked: 100, served: 99, late: 3, memory: 7.5 };
+    assert_encoding(&sample_key("n1"), &Window { since: 12, sample });
+}
+
+/// All stored values are taken in from the keys that earlier builds wrote, none left unread.
+#[test]
+fn a_stored_release_is_read() {
+    let mut board = Board::default();
+    for (line, version) in FIXTURE.lines().zip(1..) {
+        let (key, value) = line.split_once(' ').expect("key and value");
+        board.put(key, Some(value), version);
+        assert_eq!(board.unread, BTreeMap::new());
+    }
+    assert_eq!(board.plan.as_ref().map(|p| &p.value), Some(&plan()));
+    assert_eq!(board.state.map(|s| s.value), Some(State::Back { why: "harm".into() }));
+    assert_eq!((board.places.len(), board.samples.len()), (1, 1));
+}
