--- a/crates/council-node/src/callers.rs
+++ b/crates/control-plane/coordination-server/src/callers.rs
@@ -2,7 +2,7 @@
 //! whose messages are passed on.
 use crate::frames::{json, meet, parsed, read, write, Met};
 use crate::transport::{Door, Stream};
-use council::wire::{Call, Hello, Reply, CALL_MOST, MESSAGE_MOST};
+use coordination::wire::{Call, Hello, Reply, CALL_MOST, MESSAGE_MOST};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/council-node/src/client.rs
+++ b/crates/control-plane/coordination-server/src/client.rs
@@ -3,9 +3,9 @@
 use crate::draw;
 use crate::frames::{json, meet, parsed, read, write};
 use crate::transport::connect;
-use council::client::{self as machine, Action, Ask, Event, News, SessionSettings, Told};
-use council::record::{Change, Condition, Revision, SessionId};
-use council::wire::{Answer, Hello, Reply, Select, CALL_MOST, VERSION};
+use coordination::client::{self as machine, Action, Ask, Event, News, SessionSettings, Told};
+use coordination::record::{Change, Condition, Revision, SessionId};
+use coordination::wire::{Answer, Hello, Reply, Select, CALL_MOST, VERSION};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -56,7 +56,7 @@
 const PRESENT: Duration = Duration::from_secs(10);
 
 /// Begins a client for a process of this kind and name, which reads and watches only: it has no session yet.
-pub fn reader(file: &oakflow_settings::council::Client, kind: &str, name: &str) -> Council {
+pub fn reader(file: &config::council::Client, kind: &str, name: &str) -> Council {
     Council::begin(Settings {
         voters: file.voters.iter().map(ToString::to_string).collect(),
         session: None,
@@ -67,7 +67,7 @@
 
 /// Gives such a client a session, which tells its process from all others, also of the same name, and says in the record
 /// that it is there: `present/KIND/NAME` holds its process's number and ends with its session.
-pub fn appear(council: &Council, file: &oakflow_settings::council::Client, kind: &str, name: &str) {
+pub fn appear(council: &Council, file: &config::council::Client, kind: &str, name: &str) {
     let name = format!("{kind}/{name}");
     let (says, mut standing) = (council.downgrade(), council.standing());
     let session = SessionSettings { name: name.clone(), ttl: file.ttl, take_over: true };
@@ -96,7 +96,7 @@
 }
 
 /// Both at once.
-pub fn present(file: &oakflow_settings::council::Client, kind: &str, name: &str) -> Council {
+pub fn present(file: &config::council::Client, kind: &str, name: &str) -> Council {
     let council = reader(file, kind, name);
     appear(&council, file, kind, name);
     council
--- a/crates/council-node/src/command.rs
+++ b/crates/control-plane/coordination-server/src/command.rs
@@ -1,14 +1,14 @@
 //! What an operator's commands do: `herondock council status|members|get|put|watch|backup|restore|form|remove|transfer`.
 use crate::client::{Council, Settings};
 use crate::node;
-use council::client::{Ask, Told};
-use council::record::Outcome;
-use council::wire::{Answer, Request, Select, Status};
-use oakflow_settings::council::{read, Council as File};
+use config::council::{read, Council as File};
+use coordination::client::{Ask, Told};
+use coordination::record::Outcome;
+use coordination::wire::{Answer, Request, Select, Status};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use store::Store;
+use storage::Store;
 
 /// How long a command may take.
 const WITHIN: Duration = Duration::from_secs(10);
--- a/crates/council-node/src/disk.rs
+++ b/crates/control-plane/coordination-server/src/disk.rs
@@ -1,11 +1,11 @@
 //! The thread that writes a voter's journal. What waits is written together and synced once.
 use crate::halt::{Halt, Halting};
-use council::voter::Save;
+use coordination::voter::Save;
 use std::path::Path;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::time::{Duration, Instant};
-use store::files::Folder;
-use store::journal::{Fault, Form, Journal};
+use storage::files::Folder;
+use storage::journal::{Fault, Form, Journal};
 use tokio::sync::mpsc::UnboundedSender;
 
 /// The journal in a voter's folder. Its bound is far above what the log may hold before it is folded (16 MiB) and the
--- a/crates/council-node/src/frames.rs
+++ b/crates/control-plane/coordination-server/src/frames.rs
@@ -1,7 +1,7 @@
 //! Frames over a connection: a length in four bytes, the low one first, and so many bytes. The first one each way is a
 //! [`Hello`].
 use crate::transport::Stream;
-use council::wire::Hello;
+use coordination::wire::Hello;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, ErrorKind};
--- a/crates/council-node/src/halt.rs
+++ b/crates/control-plane/coordination-server/src/halt.rs
@@ -1,6 +1,6 @@
 //! For tests: a process that is killed at a step of its disk that they name, or whose disk is slow.
 use std::io;
-use store::files::Files;
+use storage::files::Files;
 
 /// At which step: its kind (`read`, `open`, `write`, `cut`, `sync`, `rename`, `names`), and how many of these go well before.
 /// `slow`: none, and each sync takes so many milliseconds longer.
--- a/crates/council-node/src/lib.rs
+++ b/crates/control-plane/coordination-server/src/lib.rs
@@ -23,7 +23,7 @@
 pub use halt::Halt;
 pub use node::{run, Options};
 
-use council::bounds::Bounds;
+use coordination::bounds::Bounds;
 use rand::Rng;
 
 /// A number that no other has: drawn, never 0.
--- a/crates/council-node/src/node.rs
+++ b/crates/control-plane/coordination-server/src/node.rs
@@ -6,13 +6,13 @@
 use crate::peers::Peers;
 use crate::transport::Door;
 use crate::{bounds, draw};
-use council::client::{Ask, Told as Answered};
-use council::voter::{self, Action, Event, Faulty, Identity, Kept, Note, Settings, Voter};
-use council::wire::{Answer, Hello, Member, Reply, Request, Status, VERSION};
+use config::council::Council as File;
+use coordination::client::{Ask, Told as Answered};
+use coordination::voter::{self, Action, Event, Faulty, Identity, Kept, Note, Settings, Voter};
+use coordination::wire::{Answer, Hello, Member, Reply, Request, Status, VERSION};
 use daemon::manager::Manager;
 use daemon::pidfile::PidFile;
 use daemon::signals::{Signals, Told};
-use oakflow_settings::council::Council as File;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::SyncSender;
@@ -45,7 +45,7 @@
 /// Another process has it.
 pub fn lock(folder: &Path) -> Result<PidFile, String> {
     let named = |e: std::io::Error| format!("{}: {e}", folder.display());
-    store::files::Folder::new(folder).map_err(named)?;
+    storage::files::Folder::new(folder).map_err(named)?;
     PidFile::take(&folder.join("lock"))
 }
 
@@ -95,7 +95,7 @@
 
 async fn serve(path: PathBuf, options: Options) -> Result<(), String> {
     let mut signals = Signals::caught()?;
-    let file = oakflow_settings::council::read(&path)?;
+    let file = config::council::read(&path)?;
     let manager = Manager::of_environment();
     let lock = lock(&file.folder)?;
     if let Some(why) = lock.unwritten() {
@@ -433,7 +433,7 @@
     /// Names of voters may be added; all else stays as it is while the process runs.
     fn reload(&mut self) {
         self.manager.reloading();
-        let next = oakflow_settings::council::read(&self.path);
+        let next = config::council::read(&self.path);
         let told = match next {
             Err(why) => Err(why),
             Ok(next) if next.folder != self.file.folder => {
--- a/crates/council-node/src/peers.rs
+++ b/crates/control-plane/coordination-server/src/peers.rs
@@ -2,7 +2,7 @@
 use crate::frames::{meet, write};
 use crate::transport::connect;
 use backoff::Backoff;
-use council::wire::Hello;
+use coordination::wire::Hello;
 use rand::Rng;
 use std::cell::Cell;
 use std::collections::BTreeMap;
--- a/crates/council/tests/encoding.rs
+++ b/crates/control-plane/coordination/tests/encoding.rs
@@ -1,8 +1,8 @@
 //! The bytes of what is stored and sent, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
 //! line, its name and its JSON.
-use council::bounds::Bounds;
-use council::record::{Change, Changed, Command, Condition, End, Item, Outcome, Record, Refusal, Write};
-use council::wire::{Answer, Call, Hello, Member, Reply, Request, Select, Status};
+use coordination::bounds::Bounds;
+use coordination::record::{Change, Changed, Command, Condition, End, Item, Outcome, Record, Refusal, Write};
+use coordination::wire::{Answer, Call, Hello, Member, Reply, Request, Select, Status};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
--- a/crates/council/tests/record.rs
+++ b/crates/control-plane/coordination/tests/record.rs
@@ -1,6 +1,6 @@
 //! The record by itself: what each command does, what is refused, and that it is the same after it was written and read.
-use council::bounds::Bounds;
-use council::record::{Change, Command, Condition, End, Outcome, Record, Refusal, SessionId, Write};
+use coordination::bounds::Bounds;
+use coordination::record::{Change, Command, Condition, End, Outcome, Record, Refusal, SessionId, Write};
 use proptest::prelude::*;
 
 fn open(record: &mut Record, name: &str, nonce: u64, take_over: bool) -> Outcome {
--- a/crates/outage-node/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -1,10 +1,10 @@
-//! A supervisor's agent on the real record: what `outage::agent` wants is written and read here.
+//! A supervisor's agent on the real record: what `disruption::agent` wants is written and read here.
 use crate::follow::{write, Follow, Wrote};
-use council::record::SessionId;
-use council_node::client::{now, Council};
-pub use outage::agent::Given;
-use outage::agent::{Agent as Machine, Step};
-use outage::{Act, Board, Unit};
+use coordination::record::SessionId;
+use coordination_server::client::{now, Council};
+pub use disruption::agent::Given;
+use disruption::agent::{Agent as Machine, Step};
+use disruption::{Act, Board, Unit};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -37,7 +37,7 @@
         let (wishes, wished) = mpsc::channel(WAITING);
         let (tell, given) = mpsc::channel(WAITING);
         let (show, board) = watch::channel(Board::default());
-        let machine = Machine::new(owner, council_node::draw());
+        let machine = Machine::new(owner, coordination_server::draw());
         let follow = Follow::new(council.clone());
         let task = Task { follow, council: council.clone(), machine, tell, show };
         tokio::task::spawn_local(task.run(wished));
--- a/crates/outage-node/src/command.rs
+++ b/crates/control-plane/disruption-agent/src/command.rs
@@ -1,12 +1,12 @@
 //! What an operator's commands do: `herondock outage apply|status`, `herondock drain`, `undrain`, `drains`.
 use crate::follow::{write, Follow, Wrote};
-use council::client::SessionSettings;
-use council::record::{Change, Condition, SessionId};
-use council_node::client::{Council, Settings, Standing};
+use config::outages::Outages;
+use coordination::client::SessionSettings;
+use coordination::record::{Change, Condition, SessionId};
+use coordination_server::client::{Council, Settings, Standing};
 use daemon::table::lines;
-use oakflow_settings::outages::Outages;
-use outage::board::{ask_key, leave_key, BUDGETS, UNDER};
-use outage::{Act, Ask, Board, Id, Kind, Plan, Verdict};
+use disruption::board::{ask_key, leave_key, BUDGETS, UNDER};
+use disruption::{Act, Ask, Board, Id, Kind, Plan, Verdict};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
@@ -288,8 +288,8 @@
         return Err(format!("the supervisor of {} is there, and would name it again", unit.value.machine));
     }
     let id = Id::balancer(name);
-    let when = vec![Condition::Version(outage::board::unit_key(name), unit.version)];
-    let then = vec![Change::Delete(outage::board::unit_key(name)), Change::Delete(leave_key(&id))];
+    let when = vec![Condition::Version(disruption::board::unit_key(name), unit.version)];
+    let then = vec![Change::Delete(disruption::board::unit_key(name)), Change::Delete(leave_key(&id))];
     match write(council, Plan { when, then }).await {
         Wrote::Done(_) => print(&format!("{name} is forgotten, and with it its leave")),
         Wrote::Differs => Err("it changed meanwhile".into()),
--- a/crates/outage-node/src/follow.rs
+++ b/crates/control-plane/disruption-agent/src/follow.rs
@@ -1,10 +1,10 @@
 //! The record's part as it stands: read once, and watched from there.
-use council::client::Told;
-use council::record::{Item, Revision};
-use council::wire::{Answer, Select};
-use council_node::client::Council;
-use outage::board::UNDER;
-use outage::{Board, Plan};
+use coordination::client::Told;
+use coordination::record::{Item, Revision};
+use coordination::wire::{Answer, Select};
+use coordination_server::client::Council;
+use disruption::board::UNDER;
+use disruption::{Board, Plan};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -132,7 +132,7 @@
 
 /// Makes a write of the record.
 pub async fn write(council: &Council, plan: Plan) -> Wrote {
-    use council::record::Outcome;
+    use coordination::record::Outcome;
     match council.write(plan.when, plan.then, WITHIN).await {
         Told::Answer(Answer::Outcome(Outcome::Written(revision))) => Wrote::Done(revision),
         Told::Answer(Answer::Outcome(Outcome::Differs { .. })) => Wrote::Differs,
--- a/crates/outage-node/src/reporter.rs
+++ b/crates/control-plane/disruption-agent/src/reporter.rs
@@ -1,12 +1,12 @@
 //! A balancer's part: it says how it stands and how it sees its upstreams, obeys drains that were agreed on, and confirms
 //! each once nothing is in flight there. Nothing that it serves waits for any of this.
 use crate::follow::{write, Follow, Wrote};
-use council::client::SessionSettings;
-use council::record::{Change, Condition, SessionId};
-use council_node::client::{appear, Council, Settings, Standing};
-use oakflow_settings::council::Client as File;
-use outage::board::{leaving_key, list_key, quiet_key, said_key, sight_key, List, Quiet, DRAINS};
-use outage::{Board, Plan, Said, Sight, Stand, State};
+use config::council::Client as File;
+use coordination::client::SessionSettings;
+use coordination::record::{Change, Condition, SessionId};
+use coordination_server::client::{appear, Council, Settings, Standing};
+use disruption::board::{leaving_key, list_key, quiet_key, said_key, sight_key, List, Quiet, DRAINS};
+use disruption::{Board, Plan, Said, Sight, Stand, State};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/outage/src/agent.rs
+++ b/crates/control-plane/disruption/src/agent.rs
@@ -6,7 +6,7 @@
 use crate::board::{ask_key, holder_key, leave_key, Act, Ask, Board, Leave, Unit};
 use crate::decide::{json, put, TOGETHER};
 use crate::{Id, Kind, Plan};
-use council::record::{Change, Condition, SessionId};
+use coordination::record::{Change, Condition, SessionId};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/outage/src/board.rs
+++ b/crates/control-plane/disruption/src/board.rs
@@ -15,7 +15,7 @@
 //! | `outage/leaving/NAME/PID` | [`Quiet`] of a process that passed its sockets on | itself | with its session |
 use crate::budget::{Budgets, Label};
 use crate::{Id, Kind};
-use council::record::{Item, Revision, SessionId};
+use coordination::record::{Item, Revision, SessionId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/outage/src/decide.rs
+++ b/crates/control-plane/disruption/src/decide.rs
@@ -5,7 +5,7 @@
 };
 use crate::budget::{Budget, Label};
 use crate::{Id, Kind, Plan};
-use council::record::{Change, Condition, SessionId};
+use coordination::record::{Change, Condition, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/outage/src/lib.rs
+++ b/crates/control-plane/disruption/src/lib.rs
@@ -24,7 +24,7 @@
 pub use budget::{Budget, Budgets, Of};
 pub use decide::{Count, Reason, Verdict};
 
-use council::record::{Change, Condition};
+use coordination::record::{Change, Condition};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/outage/tests/encoding.rs
+++ b/crates/control-plane/disruption/tests/encoding.rs
@@ -1,10 +1,10 @@
 //! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
 //! line, its key and its JSON.
-use outage::board::{
+use disruption::board::{
     ask_key, holder_key, leave_key, leaving_key, list_key, quiet_key, said_key, sight_key, unit_key, Quiet,
     BUDGETS, DRAINS, LEDGER, UNDER,
 };
-use outage::{
+use disruption::{
     Act, Ask, Board, Budget, Budgets, Id, Kind, Leave, List, Of, Place, Said, Sight, Stand, State, Unit,
 };
 use serde::de::DeserializeOwned;
--- a/crates/outage/tests/rule.rs
+++ b/crates/control-plane/disruption/tests/rule.rs
@@ -1,13 +1,13 @@
 //! The rule by which leaves are given, case by case, over a record as it stands.
-use council::bounds::Bounds;
-use council::record::{Change, Command, Item, Outcome, Record, Write};
-use outage::board::{
+use coordination::bounds::Bounds;
+use coordination::record::{Change, Command, Item, Outcome, Record, Write};
+use disruption::board::{
     ask_key, leave_key, list_key, quiet_key, said_key, sight_key, unit_key, Quiet, BUDGETS, UNDER,
 };
-use outage::{
+use disruption::{
     Act, Ask, Board, Budget, Budgets, Id, Kind, Leave, List, Of, Place, Plan, Said, Sight, Stand, State, Unit,
 };
-use outage::{Reason, Verdict};
+use disruption::{Reason, Verdict};
 use std::collections::BTreeMap;
 
 /// The real record, with a session for each who writes.
--- a/crates/release-node/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -1,13 +1,13 @@
 //! A supervisor's part on the real record: it says what it starts its instances from, and writes the state that follows where
 //! nobody else has.
 use crate::{follow, unix_ms, Record};
-use council::record::{Change, Condition, SessionId};
-use council_node::client::Council;
-use council_node::draw;
-use outage::{Board as Fleet, Plan};
-use outage_node::agent::Given;
-use outage_node::follow::{write, Follow, Wrote};
-use release::board::{place_key, Board, Place};
+use coordination::record::{Change, Condition, SessionId};
+use coordination_server::client::Council;
+use coordination_server::draw;
+use disruption::{Board as Fleet, Plan};
+use disruption_agent::agent::Given;
+use disruption_agent::follow::{write, Follow, Wrote};
+use rollout::board::{place_key, Board, Place};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
--- a/crates/release-node/src/build.rs
+++ b/crates/control-plane/rollout-agent/src/build.rs
@@ -1,5 +1,5 @@
 //! What tells one build from another: the SHA-256 (FIPS 180-4) of the file that its processes are started from.
-use release::Build;
+use rollout::Build;
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 use std::fs::File;
--- a/crates/release-node/src/command.rs
+++ b/crates/control-plane/rollout-agent/src/command.rs
@@ -1,15 +1,15 @@
 //! What an operator's commands do: `herondock release start|status|halt|resume|back`.
 use crate::{build, unix_ms, Record};
-use council::client::SessionSettings;
-use council_node::client::{Council, Settings};
+use config::release::Release as File;
+use coordination::client::SessionSettings;
+use coordination_server::client::{Council, Settings};
 use daemon::table::lines;
-use oakflow_settings::release::Release as File;
-use outage::Board as Fleet;
-use outage_node::command::{operator, print};
-use outage_node::follow::{write, Follow, Wrote};
-use release::board::{Board, Plan};
-use release::course::Instance;
-use release::{Order, Release};
+use disruption::Board as Fleet;
+use disruption_agent::command::{operator, print};
+use disruption_agent::follow::{write, Follow, Wrote};
+use rollout::board::{Board, Plan};
+use rollout::course::Instance;
+use rollout::{Order, Release};
 use std::path::Path;
 use std::time::Duration;
 
@@ -157,7 +157,7 @@
             None => "-".into(),
         };
         let figure =
-            |of: fn(&release::Sample) -> u64| i.sample.as_ref().map_or("-".into(), |s| of(s).to_string());
+            |of: fn(&rollout::Sample) -> u64| i.sample.as_ref().map_or("-".into(), |s| of(s).to_string());
         let ready = if i.ready { "yes" } else { "no" };
         let text = |t: &str| if t.is_empty() { "-".to_string() } else { t.to_string() };
         rows.push(vec![
--- a/crates/release-node/src/lib.rs
+++ b/crates/control-plane/rollout-agent/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod command;
 pub mod sampler;
 
-use council::record::{Item, Revision};
-use outage_node::follow::{Follow, Part};
-use release::board::Board;
+use coordination::record::{Item, Revision};
+use disruption_agent::follow::{Follow, Part};
+use rollout::board::Board;
 
 /// [`Board`] as a part of the record that can be followed.
 #[derive(Clone, Debug, Default)]
@@ -35,8 +35,8 @@
 }
 
 /// Follows what the record has of releases.
-pub fn follow(council: council_node::client::Council) -> Follow<Record> {
-    Follow::under(council, release::board::UNDER)
+pub fn follow(council: coordination_server::client::Council) -> Follow<Record> {
+    Follow::under(council, rollout::board::UNDER)
 }
 
 /// The time, in Unix milliseconds.
--- a/crates/release-node/src/sampler.rs
+++ b/crates/control-plane/rollout-agent/src/sampler.rs
@@ -1,12 +1,12 @@
 //! What a balancer did while a release goes, written a few times a look. Nothing that it serves waits for this.
 use crate::follow;
-use council::record::{Change, Condition};
-use council_node::client::Council;
-use outage::Plan;
-use outage_node::follow::{write, Wrote};
-use release::board::{sample_key, Window};
-use release::course::State;
-use release::Sample;
+use coordination::record::{Change, Condition};
+use coordination_server::client::Council;
+use disruption::Plan;
+use disruption_agent::follow::{write, Wrote};
+use rollout::board::{sample_key, Window};
+use rollout::course::State;
+use rollout::Sample;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 use tracing::info;
--- a/crates/release/src/board.rs
+++ b/crates/control-plane/rollout/src/board.rs
@@ -9,9 +9,9 @@
 use crate::course::{Instance, State};
 use crate::gate::Sample;
 use crate::{Build, Release};
-use council::record::{Change, Condition, Item, Revision};
-use outage::board::At;
-use outage::{Board as Fleet, Plan as Write};
+use coordination::record::{Change, Condition, Item, Revision};
+use disruption::board::At;
+use disruption::{Board as Fleet, Plan as Write};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -164,7 +164,7 @@
     /// How the fleet's instances are seen, for [`Release::step`].
     pub fn seen(&self, fleet: &Fleet) -> Vec<Instance> {
         let Some((plan, state)) = self.current() else { return Vec::new() };
-        let one = |(name, unit): (&String, &At<outage::Unit>)| {
+        let one = |(name, unit): (&String, &At<disruption::Unit>)| {
             let said = fleet.said.get(name).map(|s| &s.value);
             let place = self.places.get(name).map(|p| &p.value).filter(|p| p.number == plan.release.number);
             let says = said.map(|s| s.build.clone()).filter(|b| !b.is_empty()).map(Build);
@@ -176,7 +176,7 @@
                 name: name.clone(),
                 zone: unit.value.zone.clone(),
                 machine: unit.value.machine.clone(),
-                ready: said.is_some_and(|s| s.state == outage::State::Ready) && says == runs,
+                ready: said.is_some_and(|s| s.state == disruption::State::Ready) && says == runs,
                 runs,
                 broken: place.and_then(|p| p.broken.clone()),
                 sample: self
@@ -241,7 +241,7 @@
 mod tests {
     use super::*;
     use crate::{Gate, Order, Wave};
-    use outage::{Said, Unit};
+    use disruption::{Said, Unit};
 
     fn plan(number: u64) -> Plan {
         let (old, new) = (Build("old".into()), Build("new".into()));
@@ -307,7 +307,7 @@
         let unit = Unit { machine: "m1".into(), ..Unit::default() };
         fleet.units.insert("b".into(), At { version: 1, value: unit });
         let said =
-            |build: &str| Said { state: outage::State::Ready, session: 1, pid: 1, build: build.into() };
+            |build: &str| Said { state: disruption::State::Ready, session: 1, pid: 1, build: build.into() };
         fleet.said.insert("b".into(), at(said("old")));
         let seen = |board: &Board, fleet: &Fleet| {
             let all = board.seen(fleet);
--- a/crates/release/src/mover.rs
+++ b/crates/control-plane/rollout/src/mover.rs
@@ -6,8 +6,8 @@
 //! council holds no session, and so begins nothing either.
 use crate::board::{Board, Place, Plan};
 use crate::{Build, Release, State};
-use council::record::SessionId;
-use outage::{Board as Fleet, Id};
+use coordination::record::SessionId;
+use disruption::{Board as Fleet, Id};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many crashes of an instance since it was moved, and it is broken.
--- a/crates/release/tests/encoding.rs
+++ b/crates/control-plane/rollout/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
 //! line, its key and its JSON.
-use release::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, PLAN, STATE, UNDER};
-use release::{Build, Gate, Release, Sample, State, Wave};
+use rollout::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, PLAN, STATE, UNDER};
+use rollout::{Build, Gate, Release, Sample, State, Wave};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/release/tests/release.rs
+++ b/crates/control-plane/rollout/tests/release.rs
@@ -1,8 +1,8 @@
 //! Releases over a fleet that is drawn: every one ends whole or back, good ones are not halted, and bad ones touch few.
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use release::waves::{order, Place};
-use release::*;
+use rollout::waves::{order, Place};
+use rollout::*;
 use std::collections::BTreeSet;
 
 /// Good releases that are played; 1,000 with optimisation.
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/control-plane/supervisor/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The supervisor's decisions, path by path, and what holds on every path.
-use fleet::{Action, Command, Event, Figures, Fleet, Process, Roll, Signal, State};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+use supervisor::{Action, Command, Event, Figures, Fleet, Process, Roll, Signal, State};
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/oakflow/src/lib.rs
+++ b/crates/data-plane/balancer/src/lib.rs
@@ -4,7 +4,7 @@
 //! socket, reads no clock and shares nothing with other instances.
 //!
 //! ```
-//! use oakflow::*;
+//! use balancer::*;
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("settings");
 //! let mut actions = Vec::new();
@@ -31,5 +31,5 @@
 
 /// Runs the README's example with the documentation tests.
 #[cfg(doctest)]
-#[doc = include_str!("../../../README.md")]
+#[doc = include_str!("../../../../README.md")]
 struct Readme;
--- a/crates/oakflow/tests/budgets.rs
+++ b/crates/data-plane/balancer/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! What a request may still use, as the module obeys it: repeats, worth, time, and a tenant's repeats.
 mod common;
+use balancer::*;
 use common::*;
-use oakflow::*;
 
 fn settings(effect: Effect) -> Settings {
     Settings { classes: vec![class(effect)], tenants: tenants(&[0.5, 0.5], 100.0), ..Settings::default() }
--- a/crates/oakflow/tests/common/mod.rs
+++ b/crates/data-plane/balancer/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A world for one balancer: it answers what the balancer sends and checks the rules on its own account.
 #![allow(dead_code)] // each test file uses its own part
-use oakflow::*;
+use balancer::*;
 use std::collections::BTreeMap;
 
 pub fn member(id: u64) -> Member {
--- a/crates/oakflow/tests/failures.rs
+++ b/crates/data-plane/balancer/tests/failures.rs
@@ -1,8 +1,8 @@
 //! One test for each failure met: it fails without the guard that policy.rs names it at.
 mod common;
 
+use balancer::*;
 use common::*;
-use oakflow::*;
 use std::collections::BTreeMap;
 
 fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
--- a/crates/oakflow/tests/limits.rs
+++ b/crates/data-plane/balancer/tests/limits.rs
@@ -1,5 +1,5 @@
 //! The published rule as a pure function: the post's worked table, edges, and what always holds.
-use oakflow::limits;
+use balancer::limits;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/oakflow/tests/rules.rs
+++ b/crates/data-plane/balancer/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The four rules under random events (fixed seeds), by a checker that knows nothing of the decisions.
 mod common;
 
+use balancer::*;
 use common::*;
-use oakflow::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/registry/tests/consul.rs
+++ b/crates/data-plane/discovery/tests/consul.rs
@@ -1,7 +1,7 @@
 //! What answers of Consul count as: lists entry by entry, and the watch answer by answer.
-use registry::consul::list::{Kind, List, Reading};
-use registry::consul::watch::{Ask, Consistency, Figures, Head, Next, Target, Watch};
-use registry::report::{News, Report, Standing};
+use discovery::consul::list::{Kind, List, Reading};
+use discovery::consul::watch::{Ask, Consistency, Figures, Head, Next, Target, Watch};
+use discovery::report::{News, Report, Standing};
 use std::time::Duration;
 
 const fn ms(n: u64) -> Duration {
--- a/crates/registry/tests/encoding.rs
+++ b/crates/data-plane/discovery/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! The bytes of a saved list of endpoints, against those that earlier builds wrote.
-use registry::report::{Report, Speaks, Standing};
-use registry::saved::{Saved, VERSION};
-use registry::view::Source;
+use discovery::report::{Report, Speaks, Standing};
+use discovery::saved::{Saved, VERSION};
+use discovery::view::Source;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/registry/tests/view.rs
+++ b/crates/data-plane/discovery/tests/view.rs
@@ -1,8 +1,8 @@
 //! The view, case by case, and what holds whatever the sources tell in whatever order.
+use discovery::report::{Meta, News, Report, Speaks, Standing};
+use discovery::view::{Change, Merged, Source, View};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use registry::report::{Meta, News, Report, Speaks, Standing};
-use registry::view::{Change, Merged, Source, View};
 use std::net::SocketAddr;
 
 fn source(rank: u16) -> Source {
--- a/crates/registry/tests/watch.rs
+++ b/crates/data-plane/discovery/tests/watch.rs
@@ -1,11 +1,11 @@
 //! Many watches on one discovery that falls silent, resets, is down and has too many callers: no list is held past the moment
 //! up to which the platform's protocol lets it be, as a model of that protocol counts it, and plans that are wrong are found.
+use discovery::platform::told::{Terms, GAP, SILENT, SLACK, WAITED};
+use discovery::platform::watch::{Next, Watch};
+use discovery::watch::{Kind, Plan};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
-use registry::platform::told::{Terms, GAP, SILENT, SLACK, WAITED};
-use registry::platform::watch::{Next, Watch};
-use registry::watch::{Kind, Plan};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -1,13 +1,13 @@
 //! Budgets against what callers send and what gets lost.
-use budget::causes::Causes;
-use budget::grammar::Used;
-use budget::grammar::{read_budget, read_used, write_budget, write_used, Bad, Offer, Stop};
-use budget::hearing::Hearing;
-use budget::path::{Mark, Path, Refused};
-use budget::purse::{Purse, Told};
-use budget::{Bounds, Budget, Given, Untaken};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use request_budget::causes::Causes;
+use request_budget::grammar::Used;
+use request_budget::grammar::{read_budget, read_used, write_budget, write_used, Bad, Offer, Stop};
+use request_budget::hearing::Hearing;
+use request_budget::path::{Mark, Path, Refused};
+use request_budget::purse::{Purse, Told};
+use request_budget::{Bounds, Budget, Given, Untaken};
 
 const BOUNDS: Bounds = Bounds { retries: 2, hops: 4, repeat_worth: 0.25 };
 
--- a/crates/routes/tests/routes.rs
+++ b/crates/data-plane/route-table/tests/routes.rs
@@ -1,14 +1,14 @@
 //! Tables against a plain reading of them, and proofs against brute force.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use routes::cube::{Cube, Query};
-use routes::diff::diff;
-use routes::expect::prove;
-use routes::path::{segments, Unclear};
-use routes::pattern::Pattern;
-use routes::spec::*;
-use routes::split::choose;
-use routes::table::{cube, Table};
+use route_table::cube::{Cube, Query};
+use route_table::diff::diff;
+use route_table::expect::prove;
+use route_table::path::{segments, Unclear};
+use route_table::pattern::Pattern;
+use route_table::spec::*;
+use route_table::split::choose;
+use route_table::table::{cube, Table};
 
 fn place(line: usize) -> Place {
     Place { file: "routes.toml".into(), line }
@@ -436,7 +436,7 @@
         for q in queries() {
             ask(&q, |q| {
                 let (fast, plain) = (table.route(q), table.route_plainly(q));
-                let name = |c: Option<&routes::table::Compiled>| c.map(|c| c.route.name.clone());
+                let name = |c: Option<&route_table::table::Compiled>| c.map(|c| c.route.name.clone());
                 assert_eq!(name(fast), name(plain));
                 if inside.has(q) {
                     gap |= plain.is_none();
--- a/crates/settings/src/fleet.rs
+++ b/crates/foundations/config/src/fleet.rs
@@ -267,7 +267,7 @@
 
     #[test]
     fn the_example_is_good_and_shows_every_key() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.example.toml");
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/fleet.example.toml");
         let text = std::fs::read_to_string(&path).expect("the example");
         let all = parse(text.as_bytes()).expect("good");
         let least =
--- a/crates/settings/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use values::duration;
 
-use oakflow::{Class, DedupScope, Effect, Settings, Tenant};
+use balancer::{Class, DedupScope, Effect, Settings, Tenant};
 use serde::Deserialize;
 
 /// The settings with what the module has no use for but sockets do. Names stand at the position that the
--- a/crates/settings/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -325,7 +325,7 @@
     /// Guards against a key that the example leaves out, and against a default that it states wrongly.
     #[test]
     fn the_example_documents_every_key_with_its_default() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/herondock.example.toml");
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/herondock.example.toml");
         assert_eq!(read(&path).expect("the example is good"), Operator::default());
         let text = std::fs::read_to_string(path).expect("the example");
         for (key, default) in [Limits::defaults(), Daemon::defaults()].concat() {
@@ -341,7 +341,7 @@
     /// Guards against tables of the example that nobody could use: all that is commented out is read too.
     #[test]
     fn what_the_example_shows_behind_marks_can_be_used() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/herondock.example.toml");
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/herondock.example.toml");
         let text = std::fs::read_to_string(path).expect("the example");
         // Keys and tables stand right behind their mark, words behind a space.
         let shown = |line: &str| match line.strip_prefix('#') {
--- a/crates/settings/src/outages.rs
+++ b/crates/foundations/config/src/outages.rs
@@ -1,8 +1,8 @@
 //! The file of agreed outages: budgets, and the council that they are agreed in. `deploy/outages.example.toml` documents it.
 use crate::council::{Client, RawClient};
 use crate::values::{fault_at, read_text, Fault};
-use outage::budget::{Budget, Budgets, Of, NAME_MOST};
-use outage::Kind;
+use disruption::budget::{Budget, Budgets, Of, NAME_MOST};
+use disruption::Kind;
 use serde::Deserialize;
 use std::path::Path;
 use toml::Spanned;
@@ -166,7 +166,7 @@
 
     #[test]
     fn the_example_is_good() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/outages.example.toml");
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/outages.example.toml");
         let all = read(&path).expect("good");
         assert!(all.budgets.all.len() >= 4 && is_outages(&path));
     }
--- a/crates/settings/src/release.rs
+++ b/crates/foundations/config/src/release.rs
@@ -3,9 +3,9 @@
 use crate::council::{Client, RawClient};
 use crate::outages::share;
 use crate::values::{fault_at, quantity, read_text, Fault};
-use ::release::board::Paths;
-use ::release::gate::Measure;
-use ::release::{Gate, Wave, WAVES_MOST};
+use rollout::board::Paths;
+use rollout::gate::Measure;
+use rollout::{Gate, Wave, WAVES_MOST};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -227,7 +227,7 @@
 
     #[test]
     fn the_example_is_good() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/release.example.toml");
+        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/release.example.toml");
         assert!(read(&path).expect("good").waves.len() > 2 && is_release(&path));
     }
 }
--- a/crates/settings/src/routing.rs
+++ b/crates/foundations/config/src/routing.rs
@@ -1,10 +1,10 @@
 //! Routing files: pools, routes and expectations in TOML. `deploy/routes.example.toml` documents every key.
 use crate::values::{fault_at, read_text, read_whole, Fault, Quantity, FILE_MOST};
 use crate::Deployment;
-use oakflow::Effect;
-use routes::expect::prove;
-use routes::spec::{By, Claim, Expect, HeaderIs, Place, Pool, Route, To, When, World, Wrong};
-use routes::table::Table;
+use balancer::Effect;
+use route_table::expect::prove;
+use route_table::spec::{By, Claim, Expect, HeaderIs, Place, Pool, Route, To, When, World, Wrong};
+use route_table::table::Table;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -259,13 +259,15 @@
         ];
         let at_most = match e.at_most {
             None => None,
-            Some(a) => match u32::try_from(*a.part.get_ref()).ok().filter(|&p| p <= routes::split::WHOLE) {
-                Some(part) => Some(Claim::AtMost(a.pool, part)),
-                None => {
-                    let what = format!("is not between 0 and {}", routes::split::WHOLE);
-                    return Err(fault_at(text, a.part.span().start, "expect.at_most.part", what));
+            Some(a) => {
+                match u32::try_from(*a.part.get_ref()).ok().filter(|&p| p <= route_table::split::WHOLE) {
+                    Some(part) => Some(Claim::AtMost(a.pool, part)),
+                    None => {
+                        let what = format!("is not between 0 and {}", route_table::split::WHOLE);
+                        return Err(fault_at(text, a.part.span().start, "expect.at_most.part", what));
+                    }
                 }
-            },
+            }
         };
         let mut claims = claims.into_iter().flatten().chain(at_most);
         let (Some(claim), None) = (claims.next(), claims.next()) else {
--- a/crates/herondock/benches/budget.rs
+++ b/crates/herondock/benches/budget.rs
@@ -1,8 +1,8 @@
 //! What a budget costs a request: reading its fields, and writing them for an attempt; nanoseconds, and bytes of head.
-use budget::grammar::{write_budget, write_used, Used};
-use budget::path::Mark;
-use budget::purse::{Purse, Told};
-use budget::{Bounds, Budget, Given};
+use request_budget::grammar::{write_budget, write_used, Used};
+use request_budget::path::Mark;
+use request_budget::purse::{Purse, Told};
+use request_budget::{Bounds, Budget, Given};
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/herondock/benches/council.rs
+++ b/crates/herondock/benches/council.rs
@@ -2,10 +2,10 @@
 //!
 //! `cargo bench -p herondock --bench council [-- PART ...]`; parts: `disk`, `writes`, `leaderless`, `memory`, `log`, `cost`
 //! (all of them). Voters have the tick that they have without a file that says otherwise (100 ms).
-use council::client::SessionSettings;
-use council::record::Change;
-use council::wire::Status;
-use council_node::client::{Council, Settings};
+use coordination::client::SessionSettings;
+use coordination::record::Change;
+use coordination::wire::Status;
+use coordination_server::client::{Council, Settings};
 use hdrhistogram::Histogram;
 use std::cell::Cell;
 use std::io::Write as _;
--- a/crates/herondock/benches/decision.rs
+++ b/crates/herondock/benches/decision.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench -p herondock --bench decision`. Requests come at 1,600 a second of the module's clock and are answered
 //! 100 ms later, so that the books hold as many open calls as in service; timers fire as they are asked for.
-use oakflow::{
+use balancer::{
     Action, Availability, Balancer, Class, Effect, Ending, Event, Member, Membership, Request, RequestId,
     Settings, Tenant, UpstreamId,
 };
--- a/crates/herondock/benches/routes.rs
+++ b/crates/herondock/benches/routes.rs
@@ -1,11 +1,11 @@
 //! What routes cost: a match, a proof, a canary that grows, and a change of the table under load.
 //!
 //! `cargo bench -p herondock --bench routes`.
-use routes::cube::Query;
-use routes::expect::prove;
-use routes::spec::{Claim, Expect, Place, Pool, Route, To, When, World};
-use routes::split::choose;
-use routes::table::Table;
+use route_table::cube::Query;
+use route_table::expect::prove;
+use route_table::spec::{Claim, Expect, Place, Pool, Route, To, When, World};
+use route_table::split::choose;
+use route_table::table::Table;
 use std::hint::black_box;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/herondock/src/budget.rs
+++ b/crates/herondock/src/budget.rs
@@ -1,9 +1,9 @@
 //! Budgets as this program reads them: what the operator's file allows, the pool's mark, and what is said of loops.
 use crate::exchange::Carried;
-use budget::causes::Causes;
-use budget::path::{Mark, Path};
-use budget::{Bounds, Budget, Given, Untaken};
-use oakflow_settings::budget::{BudgetTable, FieldNames};
+use config::budget::{BudgetTable, FieldNames};
+use request_budget::causes::Causes;
+use request_budget::path::{Mark, Path};
+use request_budget::{Bounds, Budget, Given, Untaken};
 use std::cell::RefCell;
 use std::fs::File;
 use std::io::Read;
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -1,9 +1,9 @@
 //! `herondock check`: reads files as `run` would, and opens no socket.
-use crate::config;
+use crate::node_config;
 use crate::run::read_table;
-use oakflow::Balancer;
-use oakflow_settings::{council, fleet, operator, outages, release, routing};
-use routes::spec::World;
+use balancer::Balancer;
+use config::{council, fleet, operator, outages, release, routing};
+use route_table::spec::World;
 use std::path::{Path, PathBuf};
 use tracing::info;
 
@@ -18,8 +18,8 @@
     let mut bad = 0;
     let is_config = |p: &&PathBuf| p.extension().is_some_and(|e| e == "json");
     let config = match files.iter().find(is_config) {
-        Some(path) => config::read(path).ok(),
-        None => config::load().ok(),
+        Some(path) => node_config::read(path).ok(),
+        None => node_config::load().ok(),
     };
     let world = config.map(|config| routing::world(&config.deployment));
     for path in files {
@@ -68,7 +68,7 @@
         for instance in &fleet.instances {
             one(&instance.config, None)?;
             if let Some(operator) = &instance.operator {
-                let config = config::read(&instance.config)?;
+                let config = node_config::read(&instance.config)?;
                 one(operator, Some(&routing::world(&config.deployment)))?;
             }
         }
@@ -83,7 +83,7 @@
         let world = world.ok_or_else(|| format!("{}: {what}", path.display()))?;
         return read_table(Some(path), &operator, world).map(|_| ());
     }
-    let config = config::read(path)?;
+    let config = node_config::read(path)?;
     let settings = Balancer::new(config.deployment.policy, config.seed, 0.0);
     settings.map(|_| ()).map_err(|e| format!("{}: settings: {e}", path.display()))
 }
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -2,10 +2,10 @@
 //! usage).
 use crate::members::show;
 use crate::routing::show as routes;
-use crate::{check, config, demo, fleet, run};
+use crate::{check, demo, fleet, node_config, run};
 use clap::{Args, Parser, Subcommand};
-use council_node::Halt;
-use oakflow_settings::fleet as settings;
+use config::fleet as settings;
+use coordination_server::Halt;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -258,10 +258,10 @@
 
 impl Council {
     fn run(self) -> Result<(), String> {
-        use council_node::command::{run, Command};
+        use coordination_server::command::{run, Command};
         let (file, command) = match self {
             Council::Run { file, halt_at } => {
-                return council_node::run(file, council_node::Options { halt: halt_at });
+                return coordination_server::run(file, coordination_server::Options { halt: halt_at });
             }
             Council::Form { file } => (file, Command::Form),
             Council::Status { file, json } => (file, Command::Status { json }),
@@ -341,8 +341,8 @@
 
 impl Release {
     fn run(self) -> Result<(), String> {
-        use release::Order;
-        use release_node::command::{run, Command};
+        use rollout::Order;
+        use rollout_agent::command::{run, Command};
         let (file, command) = match self {
             Release::Start { file } => (file, Command::Start),
             Release::Status { file, json } => (file, Command::Status { json }),
@@ -350,7 +350,7 @@
             Release::Resume { file } => (file, Command::Order(Order::Resume)),
             Release::Back { file, why } => (file, Command::Order(Order::Back(why))),
         };
-        run(&oakflow_settings::release::read(&file)?, command)
+        run(&config::release::read(&file)?, command)
     }
 }
 
@@ -378,16 +378,16 @@
 }
 
 fn span(text: &str) -> Result<Duration, String> {
-    oakflow_settings::duration(text)
+    config::duration(text)
 }
 
-fn outage(file: &Path, command: outage_node::command::Command) -> Result<(), String> {
-    outage_node::command::run(&oakflow_settings::outages::read(file)?, command)
+fn outage(file: &Path, command: disruption_agent::command::Command) -> Result<(), String> {
+    disruption_agent::command::run(&config::outages::read(file)?, command)
 }
 
 impl Outage {
     fn run(self) -> Result<(), String> {
-        use outage_node::command::Command;
+        use disruption_agent::command::Command;
         match self {
             Outage::Apply { file } => outage(&file, Command::Apply),
             Outage::Status { file, json } => outage(&file, Command::Status { json }),
@@ -402,7 +402,7 @@
         let for_ms = ends.map(|e| u64::try_from(e.as_millis()).unwrap_or(u64::MAX));
         outage(
             &file,
-            outage_node::command::Command::Drain { unit, for_ms, why, wait, until_drained, overrides },
+            disruption_agent::command::Command::Drain { unit, for_ms, why, wait, until_drained, overrides },
         )
     }
 }
@@ -500,7 +500,7 @@
     let operator = run::read_operator(operator.as_deref())?;
     let view =
         match takeover.or_else(|| operator.daemon.takeover.clone()) {
-            _ if once => show::of_sources(config::load()?, &operator)?,
+            _ if once => show::of_sources(node_config::load()?, &operator)?,
             Some(path) => show::of_instance(&path)?,
             None => return Err(
                 "members: name the instance's socket with --takeover or in --operator, or ask with --once"
@@ -533,8 +533,10 @@
         Command::Outage(outage) => outage.run(),
         Command::Release(release) => release.run(),
         Command::Drain(drain) => drain.run(),
-        Command::Undrain { file, unit } => outage(&file, outage_node::command::Command::Undrain { unit }),
-        Command::Drains { file, json } => outage(&file, outage_node::command::Command::Drains { json }),
+        Command::Undrain { file, unit } => {
+            outage(&file, disruption_agent::command::Command::Undrain { unit })
+        }
+        Command::Drains { file, json } => outage(&file, disruption_agent::command::Command::Drains { json }),
         Command::Members { operator, takeover, once, json } => members(operator, takeover, once, json),
         Command::Demo { seconds, json } => demo::demo(&demo::Options { seconds, json }),
         Command::Routes(routes) => routes.run(),
--- a/crates/herondock/src/clock.rs
+++ b/crates/herondock/src/clock.rs
@@ -1,5 +1,5 @@
 //! The wall clock.
-use oakflow::Millis;
+use balancer::Millis;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Milliseconds since 1970, the module's clock, so that start times of upstreams need no conversion.
--- a/crates/herondock/src/driver.rs
+++ b/crates/herondock/src/driver.rs
@@ -4,13 +4,13 @@
 use crate::exchange::{Answer, Attempt, Final, Gate, Hop, Request, Upstream};
 use crate::members::{Audience, Entry, Listing};
 use crate::sockets::Sockets;
-use budget::grammar::Used;
-use budget::hearing::Hearing;
-use budget::purse::{Purse, Told};
-use bytes::Bytes;
-use oakflow::{
+use balancer::{
     Action, Availability, Balancer, Ending, Event, Learned, Membership, Millis, RequestId, UpstreamId,
 };
+use bytes::Bytes;
+use request_budget::grammar::Used;
+use request_budget::hearing::Hearing;
+use request_budget::purse::{Purse, Told};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -376,7 +376,7 @@
             (id, deadline, given)
         };
         let (retries, worth) = given;
-        self.feed(Event::Request(oakflow::Request { id, class, tenant, deadline, retries, worth }));
+        self.feed(Event::Request(balancer::Request { id, class, tenant, deadline, retries, worth }));
         Ok(Waiting { handle: self.clone(), id, answer, done: false })
     }
 
--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -3,12 +3,12 @@
 //! Nothing here belongs to a protocol, and nothing here is decided: a front turns its protocol's messages into a
 //! [`Request`] and an [`Answer`] back into them, the driver numbers and times, and a transport carries one
 //! [`Attempt`] out in the protocol of its upstream.
-use budget::grammar;
-use budget::grammar::Used;
-use budget::Budget;
+use balancer::{Ending, Millis};
 use bytes::{BufMut, Bytes, BytesMut};
-use oakflow::{Ending, Millis};
-use oakflow_settings::budget::FieldNames;
+use config::budget::FieldNames;
+use request_budget::grammar;
+use request_budget::grammar::Used;
+use request_budget::Budget;
 use std::borrow::Cow;
 use std::cell::Cell;
 use std::future::Future;
--- a/crates/herondock/src/fleet/control.rs
+++ b/crates/herondock/src/fleet/control.rs
@@ -1,9 +1,9 @@
 //! Commands to a supervisor.
 use super::Paths;
+use config::fleet::Fleet;
 use daemon::control::{self, Failure};
 use daemon::pidfile;
 use daemon::table::lines;
-use oakflow_settings::fleet::Fleet;
 use std::fmt::Write as _;
 use std::time::Duration;
 
--- a/crates/herondock/src/fleet/mod.rs
+++ b/crates/herondock/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 pub use control::{ask, status};
 pub use supervisor::run;
 
-use oakflow_settings::fleet::{Fleet, Instance};
+use config::fleet::{Fleet, Instance};
 use std::path::PathBuf;
 
 /// Where the files of a fleet are.
--- a/crates/herondock/src/fleet/process.rs
+++ b/crates/herondock/src/fleet/process.rs
@@ -1,8 +1,7 @@
 //! Processes of instances: started here or found running, watched until they end, and heard by the notify socket.
 use super::Paths;
-use fleet::Signal;
-use oakflow_settings::fleet::{Fleet, Instance};
-use release::Build;
+use config::fleet::{Fleet, Instance};
+use rollout::Build;
 use rustix::event::{poll, PollFd, PollFlags};
 use rustix::io::Errno;
 use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -14,6 +13,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
+use supervisor::Signal;
 use tokio::io::Interest;
 use tokio::net::UnixDatagram;
 
--- a/crates/herondock/src/fleet/releases.rs
+++ b/crates/herondock/src/fleet/releases.rs
@@ -1,18 +1,18 @@
 //! Releases at a supervisor: which build each of its instances is started from, kept on its disk, and what it does for a
-//! release that goes on. What is decided is `release::mover`'s matter.
-use council::record::SessionId;
-use oakflow_settings::fleet::Fleet as File;
-use outage::Board as Fleet;
-use outage_node::agent::Given;
-use release::board::Plan;
-use release::mover::{Act, Local, Mover};
-use release::Build;
-use release_node::agent::{Agent, News};
-use release_node::{build, unix_ms};
+//! release that goes on. What is decided is `rollout::mover`'s matter.
+use config::fleet::Fleet as File;
+use coordination::record::SessionId;
+use disruption::Board as Fleet;
+use disruption_agent::agent::Given;
+use rollout::board::Plan;
+use rollout::mover::{Act, Local, Mover};
+use rollout::Build;
+use rollout_agent::agent::{Agent, News};
+use rollout_agent::{build, unix_ms};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
-use store::Store;
+use storage::Store;
 use tokio::sync::mpsc;
 use tracing::info;
 
@@ -127,7 +127,7 @@
     pub fn bars(&self) -> Option<String> {
         let board = self.agent.board();
         match board.unfinished() {
-            Some((plan, state)) if !matches!(state.value, release::State::Halted { .. }) => {
+            Some((plan, state)) if !matches!(state.value, rollout::State::Halted { .. }) => {
                 Some(format!("release {} goes on; halt it first", plan.release.number))
             }
             _ if self.mover.busy() => Some("a release is moving instances here".into()),
--- a/crates/herondock/src/fleet/supervisor.rs
+++ b/crates/herondock/src/fleet/supervisor.rs
@@ -2,18 +2,18 @@
 use super::process::{Notify, Running};
 use super::releases::Releases;
 use super::Paths;
-use crate::config;
+use crate::node_config;
+use config::fleet::Fleet as File;
 use daemon::control::{Asked, Control};
 use daemon::pidfile::{self, PidFile};
 use daemon::signals::{Signals, Told};
-use fleet::{Action, Command, Event, Figures, Process, Roll};
-use oakflow_settings::fleet::Fleet as File;
-use outage::{Act, Unit};
-use outage_node::agent::{Agent, Given};
-use release::mover::{Act as Move, Local};
+use disruption::{Act, Unit};
+use disruption_agent::agent::{Agent, Given};
+use rollout::mover::{Act as Move, Local};
 use std::collections::{BTreeMap, HashMap};
 use std::os::unix::fs::DirBuilderExt;
 use std::time::Duration;
+use supervisor::{Action, Command, Event, Figures, Process, Roll};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tracing::info;
@@ -33,7 +33,7 @@
 
 struct Supervisor<'a> {
     file: &'a File,
-    fleet: fleet::Fleet,
+    fleet: supervisor::Fleet,
     began: Instant,
     processes: HashMap<Process, Running>,
     /// What each process last said of itself.
@@ -79,21 +79,21 @@
         leaving_within: file.leaving_within,
         asks: file.council.is_some(),
     };
-    let fleet = fleet::Fleet::new(file.instances.len(), figures);
+    let fleet = supervisor::Fleet::new(file.instances.len(), figures);
     let council = file.council.as_ref().zip(file.machine.as_deref());
     let client =
-        council.map(|(c, machine)| (council_node::client::present(c, "supervisor", machine), machine));
+        council.map(|(c, machine)| (coordination_server::client::present(c, "supervisor", machine), machine));
     let agent = client.as_ref().map(|(client, machine)| Agent::begin(client.clone(), machine));
     let releases = match client.zip(agent.as_ref()) {
         Some(((client, machine), agent)) => {
-            let of_releases = release_node::agent::Agent::begin(client, agent.follows());
+            let of_releases = rollout_agent::agent::Agent::begin(client, agent.follows());
             Some(Releases::new(file, machine, of_releases)?)
         }
         None => None,
     };
     // In the council an instance has the name that its own configuration gives it.
-    let named = |i: &oakflow_settings::fleet::Instance| {
-        config::read(&i.config).map_or_else(|_| i.name.clone(), |config| config.name)
+    let named = |i: &config::fleet::Instance| {
+        node_config::read(&i.config).map_or_else(|_| i.name.clone(), |config| config.name)
     };
     let units = match agent {
         Some(_) => file.instances.iter().map(named).collect(),
@@ -171,7 +171,7 @@
                 Ok(running) => {
                     // Where its address is known it can be asked; elsewhere what serves counts as ready.
                     let listen =
-                        config::read(&instance.config).ok().map(|c| c.listen).filter(|l| l.port() != 0);
+                        node_config::read(&instance.config).ok().map(|c| c.listen).filter(|l| l.port() != 0);
                     let ready = listen.is_none_or(ready);
                     let process = self.fleet.adopt(self.began.elapsed(), k, ready);
                     self.watch(process, running);
@@ -196,8 +196,9 @@
     /// Says which balancers this machine has, where that has changed.
     fn declare(&mut self) {
         let Some(agent) = &self.agent else { return };
-        let down = |i: &fleet::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
-        let unit = |i: &fleet::Instance| Unit {
+        let down =
+            |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
+        let unit = |i: &supervisor::Instance| Unit {
             machine: self.file.machine.clone().unwrap_or_default(),
             zone: self.file.zone.clone(),
             tier: self.file.tier.clone(),
@@ -219,18 +220,17 @@
             return;
         }
         let now = self.began.elapsed();
-        let one =
-            |((file, unit), i): ((&oakflow_settings::fleet::Instance, &String), &fleet::Instance)| Local {
-                unit: unit.clone(),
-                build: releases.build(&file.name).clone(),
-                ready: i.state == fleet::State::Ready && i.successor.is_none(),
-                given_up: match &i.state {
-                    fleet::State::GivenUp(why) => Some(why.clone()),
-                    _ => None,
-                },
-                slow: i.slow(),
-                crashes: i.crashes(now, self.file.window),
-            };
+        let one = |((file, unit), i): ((&config::fleet::Instance, &String), &supervisor::Instance)| Local {
+            unit: unit.clone(),
+            build: releases.build(&file.name).clone(),
+            ready: i.state == supervisor::State::Ready && i.successor.is_none(),
+            given_up: match &i.state {
+                supervisor::State::GivenUp(why) => Some(why.clone()),
+                _ => None,
+            },
+            slow: i.slow(),
+            crashes: i.crashes(now, self.file.window),
+        };
         let all = self.file.instances.iter().zip(&self.units).zip(self.fleet.instances());
         let all: Vec<Local> = all.map(one).collect();
         let at_once = if self.fleet.rolling().is_some() { 0 } else { self.file.at_once };
@@ -254,7 +254,7 @@
                 };
                 match releases.moved(&file.name, &unit, &build) {
                     Ok(()) => {
-                        info!(unit, "release: goes over to build {}", release_node::build::short(&build));
+                        info!(unit, "release: goes over to build {}", rollout_agent::build::short(&build));
                         return Event::Command(Command::Replace(k));
                     }
                     Err(Some(Move::GiveBack { unit, acted })) => agent.give_back(&unit, acted),
@@ -379,7 +379,8 @@
         match (news.ready, refused) {
             (true, Some(why)) => Event::NotReloaded(process, why),
             (true, None) => {
-                let of = |i: &fleet::Instance| i.process == Some(process) || i.successor == Some(process);
+                let of =
+                    |i: &supervisor::Instance| i.process == Some(process) || i.successor == Some(process);
                 let instance = self.fleet.instances().iter().position(of);
                 for answer in &self.waiting {
                     let _ = answer.try_send(format!("{} is ready", instance.map_or("?", |k| self.name(k))));
@@ -454,14 +455,14 @@
     }
 
     fn state(&self) -> serde_json::Value {
-        let one = |(file, i): (&oakflow_settings::fleet::Instance, &fleet::Instance)| {
+        let one = |(file, i): (&config::fleet::Instance, &supervisor::Instance)| {
             let running = i.process.and_then(|p| self.processes.get(&p));
             let (memory, descriptors) = running.map_or((None, None), |r| {
                 let (memory, descriptors) = r.holds();
                 (Some(memory), Some(descriptors))
             });
             let says = match &i.state {
-                fleet::State::GivenUp(why) => Some(why),
+                supervisor::State::GivenUp(why) => Some(why),
                 _ => i.process.and_then(|p| self.says.get(&p)),
             };
             serde_json::json!({"name": file.name, "state": i.state.to_string(), "pid": running.map(|r| r.pid),
--- a/crates/herondock/src/front/classify.rs
+++ b/crates/herondock/src/front/classify.rs
@@ -1,7 +1,7 @@
 //! What a request is, by what its caller says of it: the same for every front.
 use crate::exchange::Method;
-use oakflow::{Effect, Millis};
-use oakflow_settings::Deployment;
+use balancer::{Effect, Millis};
+use config::Deployment;
 
 /// What a caller says of a request.
 pub struct Field {
--- a/crates/herondock/src/handover/along.rs
+++ b/crates/herondock/src/handover/along.rs
@@ -1,8 +1,8 @@
 //! What goes along with the sockets to a successor: the view of members with its ages, and what the module has learned
 //! of capacity and demand. It is taken only by a process with the same settings; see `docs/design/fleet.md` for what is
 //! left behind, and why.
-use oakflow::Learned;
-use registry::saved::Saved;
+use balancer::Learned;
+use discovery::saved::Saved;
 use serde::{Deserialize, Serialize};
 
 /// What a source told longer ago, in milliseconds, is not taken: asking anew is better than going by it.
@@ -60,13 +60,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use registry::report::News;
-    use registry::view::{Source, View};
+    use discovery::report::News;
+    use discovery::view::{Source, View};
 
     fn view() -> Saved {
         let list =
             r#"{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","state":"leaving"}]}"#;
-        let answer = registry::platform::read(list.as_bytes()).expect("good");
+        let answer = discovery::platform::read(list.as_bytes()).expect("good");
         let source = Source { rank: 0, label: "discovery".into() };
         let mut view = View::new(true);
         assert!(matches!(answer.news, News::Whole(_)));
--- a/crates/herondock/src/members/client.rs
+++ b/crates/herondock/src/members/client.rs
@@ -1,12 +1,12 @@
 //! Calls to registries: HTTP/1.1 over one kept connection, with bounds on time and size.
 use crate::live::Live;
 use bytes::Bytes;
+use config::operator::Limits;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use oakflow_settings::operator::Limits;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
--- a/crates/herondock/src/members/consul.rs
+++ b/crates/herondock/src/members/consul.rs
@@ -1,15 +1,15 @@
-//! Consul's services as sources of members: makes the queries that `registry::consul::watch` wants, and passes on what
+//! Consul's services as sources of members: makes the queries that `discovery::consul::watch` wants, and passes on what
 //! it says of their answers.
 use super::client::{Call, Client};
 use super::gather::Teller;
 use super::Audience;
 use crate::live::Live;
+use config::operator::Limits;
+use config::registry::{Consistency, Consul, Datacentres};
+use discovery::consul::list::{Kind, Reading};
+use discovery::consul::watch::{self, Figures, Head, Next, Target, Watch};
+use discovery::report::{News, Speaks};
 use hyper::StatusCode;
-use oakflow_settings::operator::Limits;
-use oakflow_settings::registry::{Consistency, Consul, Datacentres};
-use registry::consul::list::{Kind, Reading};
-use registry::consul::watch::{self, Figures, Head, Next, Target, Watch};
-use registry::report::{News, Speaks};
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::path::{Path, PathBuf};
--- a/crates/herondock/src/members/discovery.rs
+++ b/crates/herondock/src/members/discovery.rs
@@ -1,15 +1,15 @@
 //! The platform's discovery as a source of members: the watch that keeps the list fresh.
 //!
-//! When to ask is decided by [`registry::platform::watch`], whose calls are carried out here. The module's own wish for the
-//! list ([`oakflow::Action::Subscribe`]) is granted by that: its pauses know nothing of what counts as told.
+//! When to ask is decided by [`discovery::platform::watch`], whose calls are carried out here. The module's own wish for the
+//! list ([`balancer::Action::Subscribe`]) is granted by that: its pauses know nothing of what counts as told.
 use super::client::{Call, Client};
 use super::gather::Teller;
 use super::Audience;
 use crate::live::Live;
-use oakflow_settings::operator::Limits;
-use registry::platform::told::Terms;
-use registry::platform::watch::{Ask, Next, Verdict, Watch};
-use registry::report::{News, Speaks};
+use config::operator::Limits;
+use discovery::platform::told::Terms;
+use discovery::platform::watch::{Ask, Next, Verdict, Watch};
+use discovery::report::{News, Speaks};
 use std::net::SocketAddr;
 use tokio::sync::watch::Receiver;
 use tokio::time::Instant;
--- a/crates/herondock/src/members/gather.rs
+++ b/crates/herondock/src/members/gather.rs
@@ -1,13 +1,13 @@
 //! All sources in one view: what each tells goes in, and what changes in the view goes to the audience.
 use super::{Audience, Entry, Listing, Protocol, Told};
 use crate::clock::unix_ms;
-use oakflow::{Availability, Member, UpstreamId};
-use oakflow_settings::Deployment;
+use balancer::{Availability, Member, UpstreamId};
+use config::Deployment;
+use discovery::report::{News, Report, Speaks};
+use discovery::saved::Saved;
+use discovery::view::{Change, Merged, Source, View};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use registry::report::{News, Report, Speaks};
-use registry::saved::Saved;
-use registry::view::{Change, Merged, Source, View};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/herondock/src/members/keep.rs
+++ b/crates/herondock/src/members/keep.rs
@@ -2,10 +2,10 @@
 use super::gather::Gather;
 use super::Audience;
 use crate::clock::unix_ms;
-use registry::saved::{self, Saved};
+use discovery::saved::{self, Saved};
 use std::path::Path;
 use std::time::Duration;
-use store::Store;
+use storage::Store;
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
--- a/crates/herondock/src/members/mod.rs
+++ b/crates/herondock/src/members/mod.rs
@@ -3,7 +3,7 @@
 //! | file | its job |
 //! | --- | --- |
 //! | `discovery.rs` | the platform's discovery as a source |
-//! | `consul.rs` | Consul's services as sources: carries out what `registry::consul::watch` asks |
+//! | `consul.rs` | Consul's services as sources: carries out what `discovery::consul::watch` asks |
 //! | `registration.rs` | this instance at its Consul agent |
 //! | `gather.rs` | all sources in one view; tells the [`Audience`] of what changes in it |
 //! | `keep.rs` | the last view on disk |
@@ -21,8 +21,8 @@
 pub mod show;
 pub mod sources;
 
-use oakflow::Member;
-use registry::report::Meta;
+use ::discovery::report::Meta;
+use balancer::Member;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/herondock/src/members/registration.rs
+++ b/crates/herondock/src/members/registration.rs
@@ -1,14 +1,14 @@
-//! This instance as a service at its Consul agent: makes the calls that `registry::consul::register` wants.
+//! This instance as a service at its Consul agent: makes the calls that `discovery::consul::register` wants.
 use super::client::{Call, Client};
 use super::consul::Token;
 use crate::live::Live;
 use bytes::Bytes;
+use config::operator::Limits;
+use config::registry::Consul;
+use discovery::consul::register::{Next, Register, Registration, Wish};
 use hyper::Method;
-use oakflow_settings::operator::Limits;
-use oakflow_settings::registry::Consul;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use registry::consul::register::{Next, Register, Registration, Wish};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::watch;
--- a/crates/herondock/src/members/show.rs
+++ b/crates/herondock/src/members/show.rs
@@ -2,11 +2,11 @@
 use super::gather::{Gather, Names};
 use super::sources::Sources;
 use super::{Audience, Listing};
-use crate::config::{self, Config};
 use crate::handover::takeover;
 use crate::live::Live;
+use crate::node_config::{self, Config};
+use config::operator::Operator;
 use daemon::table::lines;
-use oakflow_settings::operator::Operator;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -49,7 +49,7 @@
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = Live::new(operator.limits.clone());
-        let terms = config::terms(&config.deployment);
+        let terms = node_config::terms(&config.deployment);
         Sources::of(&gather, operator, &limits).begin(addresses, &limits, &terms);
         // Until each has said something, good or bad.
         let said = async {
--- a/crates/herondock/src/members/sources.rs
+++ b/crates/herondock/src/members/sources.rs
@@ -4,10 +4,10 @@
 use super::gather::{Gather, Teller};
 use super::Audience;
 use crate::live::Live;
-use oakflow_settings::operator::{Limits, Operator};
-use oakflow_settings::registry::Static;
-use registry::platform::told::Terms;
-use registry::report::{Meta, News, Report, Speaks, Standing};
+use config::operator::{Limits, Operator};
+use config::registry::Static;
+use discovery::platform::told::Terms;
+use discovery::report::{Meta, News, Report, Speaks, Standing};
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
--- a/crates/herondock/src/config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -1,8 +1,8 @@
 //! The configuration file as typed values. Whatever is wrong with it is named with the field at fault.
-use oakflow_settings::operator::read_whole;
-use oakflow_settings::Deployment;
-use registry::platform::told::Terms;
-use registry::platform::{self, Answer};
+use config::operator::read_whole;
+use config::Deployment;
+use discovery::platform::told::Terms;
+use discovery::platform::{self, Answer};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -76,8 +76,8 @@
                 path => format!("{path}: {}", e.inner()),
             })?;
         json.end().map_err(|e| e.to_string())?;
-        let deployment = oakflow_settings::deployment(file.settings.get().as_bytes())
-            .map_err(|e| format!("settings: {e}"))?;
+        let deployment =
+            config::deployment(file.settings.get().as_bytes()).map_err(|e| format!("settings: {e}"))?;
         if let Some(i) = deployment.classes.iter().position(String::is_empty) {
             return Err(format!("settings.classes[{i}].name: missing"));
         }
--- a/crates/herondock/src/routing/ask.rs
+++ b/crates/herondock/src/routing/ask.rs
@@ -1,9 +1,9 @@
 //! What the table is asked of a request, by either front; and why one is turned away.
 use crate::driver::Untaken;
-use routes::cube;
-use routes::path::segments;
-use routes::spec::{Route, To};
-use routes::table::{Compiled, Table};
+use route_table::cube;
+use route_table::path::segments;
+use route_table::spec::{Route, To};
+use route_table::table::{Compiled, Table};
 use std::borrow::Cow;
 use std::time::Duration;
 
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -15,11 +15,11 @@
 use crate::exchange::{Answer, Final, Request};
 use crate::members::{Audience, Entry, Listing};
 use ask::{Asked, Turned};
-use oakflow::{Availability, Effect, Learned, Millis, UpstreamId};
-use oakflow_settings::Deployment;
+use balancer::{Availability, Effect, Learned, Millis, UpstreamId};
+use config::Deployment;
 use pool::Pool;
-use routes::spec::Pool as Spec;
-use routes::table::Table;
+use route_table::spec::Pool as Spec;
+use route_table::table::Table;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
@@ -246,7 +246,7 @@
             former.iter().flat_map(|c| &c.pools).map(|pool| (pool.name.clone(), pool.clone())).collect();
         match table {
             Some(table) => {
-                let one = |spec: &routes::spec::Pool| match kept.remove(&spec.name) {
+                let one = |spec: &route_table::spec::Pool| match kept.remove(&spec.name) {
                     Some(pool) => {
                         pool.change(spec.clone(), &inner.view.borrow());
                         pool
--- a/crates/herondock/src/routing/pool.rs
+++ b/crates/herondock/src/routing/pool.rs
@@ -2,8 +2,8 @@
 use super::Maker;
 use crate::driver::Handle;
 use crate::members::{Audience, Entry, Listing, Protocol};
-use oakflow::{Availability, UpstreamId};
-use routes::spec::{Pool as Spec, Traits};
+use balancer::{Availability, UpstreamId};
+use route_table::spec::{Pool as Spec, Traits};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/herondock/src/routing/show.rs
+++ b/crates/herondock/src/routing/show.rs
@@ -1,11 +1,11 @@
 //! `herondock routes`: which way a request takes and why, and who moves between two tables.
 use super::ask::{Asked, Query, Turned};
-use crate::config;
-use oakflow_settings::{operator, routing};
-use routes::diff::diff;
-use routes::expect::prove;
-use routes::spec::{Expect, World};
-use routes::table::{Compiled, Leads, Table};
+use crate::node_config;
+use config::{operator, routing};
+use route_table::diff::diff;
+use route_table::expect::prove;
+use route_table::spec::{Expect, World};
+use route_table::table::{Compiled, Leads, Table};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -50,12 +50,12 @@
 /// # Errors
 /// The files can't be used, or it names what is not there.
 pub fn explain(file: &Path, d: &Described) -> Result<String, String> {
-    let world = routing::world(&config::load()?.deployment);
+    let world = routing::world(&node_config::load()?.deployment);
     let (table, _) = table(file, &world)?;
     let class = position("class", &world.classes, d.class.as_deref())?;
     let club = position("club", &world.clubs, d.club.as_deref())?;
-    let fronts = routes::cube::FRONTS.map(String::from);
-    let methods = routes::cube::METHODS.map(String::from);
+    let fronts = route_table::cube::FRONTS.map(String::from);
+    let methods = route_table::cube::METHODS.map(String::from);
     let headers = |name: &str| -> Vec<&[u8]> {
         d.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_bytes()).collect()
     };
@@ -114,7 +114,7 @@
 /// # Errors
 /// The files can't be used.
 pub fn difference(old: &Path, new: &Path) -> Result<String, String> {
-    let world = routing::world(&config::load()?.deployment);
+    let world = routing::world(&node_config::load()?.deployment);
     let ((before, old_expects), (after, new_expects)) = (table(old, &world)?, table(new, &world)?);
     let (moves, whole) = diff(&before, &after, MOVES_MOST);
     let mut text = String::new();
--- a/crates/herondock/src/run/changes.rs
+++ b/crates/herondock/src/run/changes.rs
@@ -1,11 +1,11 @@
 //! What can change while an instance runs, read again on SIGHUP.
-use crate::config;
 use crate::live::Live;
+use crate::node_config;
 use crate::routing::Pools;
-use oakflow_settings::operator::{self, Operator};
-use oakflow_settings::routing;
-use routes::spec::World;
-use routes::table::Table;
+use config::operator::{self, Operator};
+use config::routing;
+use route_table::spec::World;
+use route_table::table::Table;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
@@ -54,7 +54,7 @@
         if !fixed.is_empty() {
             return Err(format!("{}: can't change while the program runs", fixed.join(", ")));
         }
-        let config = config::load()?;
+        let config = node_config::load()?;
         // Proved before anything is applied.
         let (path, world, asked) = (self.path.clone(), self.world.clone(), next.clone());
         // In a thread of its own: a large table takes its time, and requests go on meanwhile.
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -8,12 +8,12 @@
 use crate::members::registration::Registrations;
 use crate::routing::Pools;
 use crate::sockets::Sockets;
-use council_node::client::Council;
+use config::operator::Daemon;
+use coordination_server::client::Council;
 use daemon::manager::Manager;
 use daemon::pidfile::PidFile;
+use discovery::consul::register::Wish;
 use lifecycle::{Action, Event, Exit, Figures, Lifecycle, State, Successor};
-use oakflow_settings::operator::Daemon;
-use registry::consul::register::Wish;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -67,7 +67,7 @@
     /// Its part in the council, if it has one.
     pub council: Option<Council>,
     /// How it stands, as others in the council are told.
-    pub stands: watch::Sender<outage::State>,
+    pub stands: watch::Sender<disruption::State>,
 }
 
 /// A running instance.
@@ -88,7 +88,7 @@
     changes: Changes,
     tell: Tell,
     council: Option<Council>,
-    stands: watch::Sender<outage::State>,
+    stands: watch::Sender<disruption::State>,
     life: Lifecycle,
     /// One to pass on, besides the one that is accepted on.
     listener: Option<std::net::TcpListener>,
@@ -323,7 +323,7 @@
     }
 
     fn tell_ready(&self) {
-        self.stands.send_replace(outage::State::Ready);
+        self.stands.send_replace(disruption::State::Ready);
         self.registrations.wish(Wish::Passing);
         self.manager.ready(match &self.refused {
             None => format!("serving on {}", self.address),
@@ -333,7 +333,7 @@
 
     fn tell_stopping(&self, because: Event) {
         self.manager.stopping();
-        self.stands.send_replace(outage::State::Leaving);
+        self.stands.send_replace(disruption::State::Leaving);
         // Whoever asks whether it is ready hears that it is not.
         self.comes_to(Phase::Leaving);
         // After a hand-over the successor is what is registered here.
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -13,7 +13,6 @@
 
 use crate::budget::Budgets;
 use crate::clock;
-use crate::config::{self, Config};
 use crate::counts::Counts;
 use crate::driver::{self, Handle, Parts};
 use crate::front::{fastcgi, http, Course};
@@ -24,26 +23,27 @@
 use crate::members::keep;
 use crate::members::registration::Registrations;
 use crate::members::sources::{speaks, Sources, DISCOVERY};
+use crate::node_config::{self, Config};
 use crate::routing::Pools;
 use crate::sockets::Sockets;
 use crate::station::Station;
 use crate::transport;
+use balancer::Balancer;
 use changes::Changes;
 pub use changes::{read_operator, read_table};
+use config::operator::Daemon;
+use config::routing;
 use daemon::manager::Manager;
 use daemon::signals::Signals;
+use discovery::platform::Answer;
+use discovery::report::{Report, Speaks};
+use discovery::saved::Saved;
+use discovery::view::Source;
 use inbox::Inbox;
 use instance::{Instance, Wiring};
-use oakflow::Balancer;
-use oakflow_settings::operator::Daemon;
-use oakflow_settings::routing;
 use origin::{origin, Origin};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use registry::platform::Answer;
-use registry::report::{Report, Speaks};
-use registry::saved::Saved;
-use registry::view::Source;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -89,7 +89,7 @@
     // Before anything else: a signal that is not caught ends the program.
     let signals = Signals::caught()?;
     let (start, start_ms) = (Instant::now(), clock::unix_ms());
-    let config = config::load()?;
+    let config = node_config::load()?;
     let path = options.operator;
     let operator = read_operator(path.as_deref())?;
     let mut daemon = operator.daemon.clone();
@@ -127,15 +127,15 @@
     let made = (deployment.clone(), budget.clone(), counts.clone());
     let maker = move |pool: &str| {
         let (deployment, sockets, counts) = &made;
-        let window = |c: &oakflow::Class| match c.effect {
-            oakflow::Effect::Guarded { window, .. } => {
+        let window = |c: &balancer::Class| match c.effect {
+            balancer::Effect::Guarded { window, .. } => {
                 Some(Duration::from_secs_f64(window.clamp(0.0, 86_400_000.0) / 1000.0))
             }
-            oakflow::Effect::Free | oakflow::Effect::SingleShot => None,
+            balancer::Effect::Free | balancer::Effect::SingleShot => None,
         };
         // Settings that were found good: objectives are bounded by deadlines.
         let objective =
-            |c: &oakflow::Class| Duration::from_secs_f64(c.objective.clamp(0.0, 86_400_000.0) / 1000.0);
+            |c: &balancer::Class| Duration::from_secs_f64(c.objective.clamp(0.0, 86_400_000.0) / 1000.0);
         // Each pool draws for itself, and the pool of all members as it always did.
         let seed = if pool.is_empty() { seed } else { seed ^ hashing::stable(pool.as_bytes()) };
         let now = start_ms + start.elapsed().as_secs_f64() * 1000.0;
@@ -174,14 +174,14 @@
         .or_else(|| known.map(|known| platform_knows(known, speaks(operator.registry.fastcgi), start_ms)));
     handle.cached(&members.recall(kept.unwrap_or_default()));
     let (address_of_discovery, addresses) = watch::channel(discovery);
-    sources.begin(addresses, &limits, &config::terms(&deployment));
+    sources.begin(addresses, &limits, &node_config::terms(&deployment));
     if let Some(store) = store {
         tokio::task::spawn_local(keep::run(members.clone(), store, operator.registry.saved_every));
     }
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     let registrations = Registrations::begin(&operator.registry.consul, &name, address, &limits, &random);
     // Nothing that serves waits for it; while it is away nothing changes.
-    let (stands, standing) = watch::channel(outage::State::Starting);
+    let (stands, standing) = watch::channel(disruption::State::Starting);
     let council = match &operator.council {
         Some(file) => {
             let station = Station {
--- a/crates/herondock/src/run/origin.rs
+++ b/crates/herondock/src/run/origin.rs
@@ -1,10 +1,10 @@
 //! Where an instance's listener comes from.
-use crate::config::Config;
 use crate::handover::along::Along;
 use crate::handover::takeover::{self, Taken};
+use crate::node_config::Config;
+use config::operator::Daemon;
 use daemon::manager;
 use daemon::pidfile::PidFile;
-use oakflow_settings::operator::Daemon;
 use std::os::fd::OwnedFd;
 use tokio::net::TcpListener;
 use tracing::info;
--- a/crates/herondock/src/station.rs
+++ b/crates/herondock/src/station.rs
@@ -3,12 +3,12 @@
 use crate::counts::{self, Counts};
 use crate::members::gather::{self, Gather};
 use crate::routing::Pools;
-use council_node::client::{reader, Council};
-use oakflow::UpstreamId;
-use oakflow_settings::council::Client;
-use outage::{List, Place, Stand, State};
-use outage_node::reporter::{begin as report, Setup};
-use registry::report::Standing;
+use balancer::UpstreamId;
+use config::council::Client;
+use coordination_server::client::{reader, Council};
+use discovery::report::Standing;
+use disruption::{List, Place, Stand, State};
+use disruption_agent::reporter::{begin as report, Setup};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,13 +41,13 @@
     // Whoever started this process knows what it started.
     let build = std::env::var(BUILD).unwrap_or_default();
     let counts = station.counts.clone();
-    let totals = move || release::Sample {
+    let totals = move || rollout::Sample {
         asked: counts.asked.get(),
         served: counts.served.get(),
         late: counts.late.get(),
         memory: counts::memory(),
     };
-    tokio::task::spawn_local(release_node::sampler::run(council.clone(), name.into(), totals));
+    tokio::task::spawn_local(rollout_agent::sampler::run(council.clone(), name.into(), totals));
     let setup = Setup { file: file.clone(), name: name.into(), warm: file.warm, build };
     let mut known = report(council.clone(), setup, Rc::new(station), states);
     if tokio::time::timeout(DRAINS_WITHIN, known.wait_for(|known| *known)).await.is_err() {
@@ -56,7 +56,7 @@
     council
 }
 
-impl outage_node::reporter::Station for Station {
+impl disruption_agent::reporter::Station for Station {
     fn drained(&self, upstreams: &BTreeMap<String, String>) {
         self.members.hold(upstreams);
     }
--- a/crates/herondock/src/transport/fastcgi/mod.rs
+++ b/crates/herondock/src/transport/fastcgi/mod.rs
@@ -34,11 +34,11 @@
 use crate::http::{belongs_to_a_hop, DEADLINE};
 use alone::Alone;
 use asked::Asked;
+use balancer::Ending;
 use bytes::Bytes;
 use fastcgi::cgi::Head;
 use fastcgi::client::{Client, Outcome};
 use fastcgi::Limits;
-use oakflow::Ending;
 use shared::{Held, Links};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -1,11 +1,11 @@
 //! The council as real processes, with faults under and between them; judged by what its clients were told.
 mod common;
 use common::program;
-use council::client::Told;
-use council::record::{Change, Condition, Outcome, SessionId};
-use council::wire::{Answer, Status};
-use council_node::client::{now, Council, Settings, Standing};
-use councilsim::workload::{judge, Histories, Worker};
+use coordination::client::Told;
+use coordination::record::{Change, Condition, Outcome, SessionId};
+use coordination::wire::{Answer, Status};
+use coordination_server::client::{now, Council, Settings, Standing};
+use coordination_simulation::workload::{judge, Histories, Worker};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
--- a/crates/councilsim/src/disk.rs
+++ b/crates/verification/coordination-simulation/src/disk.rs
@@ -1,5 +1,5 @@
 //! The model of a voter's disk: what was synced outlives a crash; of what was not, the first saves may have come to it.
-use council::voter::Save;
+use coordination::voter::Save;
 use std::collections::VecDeque;
 
 /// A disk.
--- a/crates/councilsim/src/main.rs
+++ b/crates/verification/coordination-simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays the council in simulation, from the command line.
 use clap::{Parser, Subcommand};
-use councilsim::plan::{Plan, Variant, END};
-use councilsim::search::{played, search, shrink};
+use coordination_simulation::plan::{Plan, Variant, END};
+use coordination_simulation::search::{played, search, shrink};
 use std::process::ExitCode;
 
 /// The council in simulation: many seeds, or one of them.
--- a/crates/councilsim/src/plan.rs
+++ b/crates/verification/coordination-simulation/src/plan.rs
@@ -1,5 +1,5 @@
 //! What a seed decides.
-use fleetsim::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{ms, Nanos};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/councilsim/src/workload.rs
+++ b/crates/verification/coordination-simulation/src/workload.rs
@@ -1,10 +1,10 @@
 //! What clients do, and what they were told: reads, writes, conditional writes over two keys at once, and locks that end
 //! with their holder's session. Every value is written once, so that what is read says who wrote it.
-use council::client::{Ask, Told as ClientTold};
-use council::record::{Change, Condition, Outcome, Revision, SessionId};
-use council::wire::{Answer, Select};
-use fleetsim::agenda::Nanos;
-use history::{Call, Holding, Operation, Told};
+use coordination::client::{Ask, Told as ClientTold};
+use coordination::record::{Change, Condition, Outcome, Revision, SessionId};
+use coordination::wire::{Answer, Select};
+use fleet_simulation::agenda::Nanos;
+use linearizability::{Call, Holding, Operation, Told};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -269,8 +269,9 @@
 
 /// What is wrong with what was told.
 pub fn judge(all: &Histories) -> Vec<String> {
-    let mut wrong: Vec<String> = history::check(&all.operations).iter().map(ToString::to_string).collect();
-    wrong.extend(history::check_holdings(&all.holdings).iter().map(ToString::to_string));
+    let mut wrong: Vec<String> =
+        linearizability::check(&all.operations).iter().map(ToString::to_string).collect();
+    wrong.extend(linearizability::check_holdings(&all.holdings).iter().map(ToString::to_string));
     // Who wrote as a holder last is the last who took it, or one who took it since, or may have.
     for (guard, from, to, seen) in &all.looks {
         let of = |t: &&Taken| t.guard == *guard;
--- a/crates/councilsim/src/world.rs
+++ b/crates/verification/coordination-simulation/src/world.rs
@@ -2,11 +2,11 @@
 use crate::disk::Disk;
 use crate::plan::{Fault, Plan, Trouble, Variant, END, HEALED, LAST_CALL};
 use crate::workload::{judge, Histories, Worker};
-use council::bounds::Bounds;
-use council::client::{self, Ask, Client, News, Told};
-use council::voter::{self, Action, Event, Faulty, Identity, Kept, Note, Voter};
-use council::wire::{Answer, Call, Member, Reply, Request};
-use fleetsim::agenda::{ms, Agenda, Nanos};
+use coordination::bounds::Bounds;
+use coordination::client::{self, Ask, Client, News, Told};
+use coordination::voter::{self, Action, Event, Faulty, Identity, Kept, Note, Voter};
+use coordination::wire::{Answer, Call, Member, Reply, Request};
+use fleet_simulation::agenda::{ms, Agenda, Nanos};
 use hashing::Digest;
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
--- a/crates/councilsim/tests/histories.rs
+++ b/crates/verification/coordination-simulation/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Histories under faults from seeds: none that is wrong, and each faulty variant is found. `.ci/run` plays many more.
-use councilsim::plan::{Plan, Variant};
-use councilsim::search::{played, search, shrink};
+use coordination_simulation::plan::{Plan, Variant};
+use coordination_simulation::search::{played, search, shrink};
 
 fn threads() -> usize {
     std::thread::available_parallelism().map_or(1, Into::into)
--- a/crates/outagesim/src/judge.rs
+++ b/crates/verification/disruption-simulation/src/judge.rs
@@ -1,7 +1,7 @@
 //! What must hold, judged by what really serves and not by the record's books.
-use fleetsim::agenda::Nanos;
-use outage::budget::{Budgets, Label};
-use outage::Kind;
+use disruption::budget::{Budgets, Label};
+use disruption::Kind;
+use fleet_simulation::agenda::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a unit really stands.
--- a/crates/outagesim/src/main.rs
+++ b/crates/verification/disruption-simulation/src/main.rs
@@ -1,8 +1,8 @@
 //! Plays agreed outages in simulation, from the command line.
 use clap::{Parser, Subcommand};
-use outagesim::plan::{Plan, Variant};
-use outagesim::search::{search, shrink};
-use outagesim::world::play;
+use disruption_simulation::plan::{Plan, Variant};
+use disruption_simulation::search::{search, shrink};
+use disruption_simulation::world::play;
 use std::process::ExitCode;
 
 /// Agreed outages in simulation: many seeds, or one of them.
--- a/crates/outagesim/src/plan.rs
+++ b/crates/verification/disruption-simulation/src/plan.rs
@@ -1,9 +1,9 @@
 //! A run: drawn from one seed.
-use fleet::Roll;
-use fleetsim::agenda::{ms, Nanos};
-use fleetsim::draw::Draws;
-use outage::{Budget, Budgets, Kind, Of};
-use release::Order;
+use disruption::{Budget, Budgets, Kind, Of};
+use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::draw::Draws;
+use rollout::Order;
+use supervisor::Roll;
 
 /// Troubles begin before this.
 pub const TROUBLES: f64 = 60_000.0;
--- a/crates/outagesim/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -3,18 +3,18 @@
 
 use crate::judge::{self, Truth};
 use crate::plan::{Kindred, Plan, Quality, Variant, AWAY, TROUBLES};
-use council::bounds::Bounds;
-use council::record::{Change, Command, Outcome, Record, SessionId, Write};
-use council::DRIFT;
-use fleet::{Action, Event, Figures, Fleet, Process, Roll, Signal, State as Stands};
-use fleetsim::agenda::{ms, Agenda, Nanos};
-use fleetsim::draw::Draws;
-use outage::agent::{Agent, Given, Step};
-use outage::board::{said_key, BUDGETS, UNDER};
-use outage::{Act, Board, Id, Plan as Writes, Said, State, Unit};
-use release::Build;
+use coordination::bounds::Bounds;
+use coordination::record::{Change, Command, Outcome, Record, SessionId, Write};
+use coordination::DRIFT;
+use disruption::agent::{Agent, Given, Step};
+use disruption::board::{said_key, BUDGETS, UNDER};
+use disruption::{Act, Board, Id, Plan as Writes, Said, State, Unit};
+use fleet_simulation::agenda::{ms, Agenda, Nanos};
+use fleet_simulation::draw::Draws;
+use rollout::Build;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
+use supervisor::{Action, Event, Figures, Fleet, Process, Roll, Signal, State as Stands};
 
 /// Sessions' time to live.
 const TTL: Nanos = 5_000_000_000;
@@ -90,7 +90,7 @@
     /// What it writes for them.
     Says(usize, u64, Writes, releases::Said),
     /// The record was read after leave had been given; `None`: it could not be.
-    Confirmed(usize, u64, Given, Option<Box<release::board::Board>>),
+    Confirmed(usize, u64, Given, Option<Box<rollout::board::Board>>),
     /// A machine's balancers say what they did.
     Samples(usize),
     /// The operator begins a release.
@@ -307,7 +307,7 @@
     }
 
     fn board(&self) -> Board {
-        let items: Vec<(String, council::record::Item)> =
+        let items: Vec<(String, coordination::record::Item)> =
             self.record.under(UNDER).map(|(key, item)| (key.to_string(), item.clone())).collect();
         Board::read(self.record.revision(), &items)
     }
@@ -509,7 +509,8 @@
     fn declare(&mut self, m: usize) {
         let each = self.plan.each;
         let Some(sup) = &mut self.machines[m].sup else { return };
-        let down = |i: &fleet::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
+        let down =
+            |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
         let unit = |k: usize| Unit {
             machine: format!("m{m}"),
             zone: zone(m).into(),
@@ -523,7 +524,7 @@
     /// Tells the supervisor's machine and does what it wants.
     fn feed(&mut self, m: usize, event: Event) {
         let now = self.agenda.now();
-        let given = matches!(event, Event::Leave(_) | Event::Command(fleet::Command::Replace(_)));
+        let given = matches!(event, Event::Leave(_) | Event::Command(supervisor::Command::Replace(_)));
         let mut actions = Vec::new();
         let Some(sup) = &mut self.machines[m].sup else { return };
         sup.fleet.handle(span(now), event, &mut actions);
@@ -957,7 +958,7 @@
             self.feed(m, Event::Leave(k));
         }
         if self.variant == Variant::ReturnedUnseen {
-            let key = outage::board::leave_key(&Id::balancer(name(m, k)));
+            let key = disruption::board::leave_key(&Id::balancer(name(m, k)));
             let session = self.open("faulty");
             let write = Write { session, number: 1, when: vec![], then: vec![Change::Delete(key)] };
             self.record.apply(&Command::Write(write));
@@ -973,7 +974,7 @@
         if sup.fleet.rolling().is_some() || sup.fleet.instances().iter().any(|i| i.state != Stands::Ready) {
             return self.agenda.after(ms(2_000.0), What::Roll(m, roll));
         }
-        self.feed(m, Event::Command(fleet::Command::Roll(roll)));
+        self.feed(m, Event::Command(supervisor::Command::Roll(roll)));
     }
 
     fn trouble(&mut self, k: usize) {
--- a/crates/outagesim/src/world/releases.rs
+++ b/crates/verification/disruption-simulation/src/world/releases.rs
@@ -1,18 +1,18 @@
-//! Releases in a run: what supervisors do by `release::mover` and `release::board`, what balancers say of their work, and what
+//! Releases in a run: what supervisors do by `rollout::mover` and `rollout::board`, what balancers say of their work, and what
 //! operators say.
 use super::{ms, name, Act, Holder, Proc, Process, Stage, What, World};
 use crate::plan::{Quality, Variant};
-use council::record::{Change, Command, Condition, Outcome, SessionId, Write};
-use fleet::{Event, State as Stands};
-use fleetsim::agenda::Nanos;
-use outage::agent::Given;
-use outage::Plan as Writes;
-use release::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, STATE, UNDER};
-use release::course::State;
-use release::mover::{Act as Move, Local, Mover};
-use release::{Build, Gate, Order, Release, Sample, Wave};
+use coordination::record::{Change, Command, Condition, Outcome, SessionId, Write};
+use disruption::agent::Given;
+use disruption::Plan as Writes;
+use fleet_simulation::agenda::Nanos;
+use rollout::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, STATE, UNDER};
+use rollout::course::State;
+use rollout::mover::{Act as Move, Local, Mover};
+use rollout::{Build, Gate, Order, Release, Sample, Wave};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use supervisor::{Event, State as Stands};
 
 /// How often a supervisor looks after releases, and how long it leaves to others what they could write as well.
 const LOOK: f64 = 300.0;
@@ -237,7 +237,7 @@
         let machine = &self.machines[m];
         let Some(sup) = &machine.sup else { return Vec::new() };
         let now = super::span(self.agenda.now());
-        let one = |(k, i): (usize, &fleet::Instance)| Local {
+        let one = |(k, i): (usize, &supervisor::Instance)| Local {
             unit: name(m, k),
             build: machine.kept[k].clone(),
             ready: i.state == Stands::Ready && i.successor.is_none(),
@@ -334,7 +334,7 @@
                 sup.releases.mover.done(&unit, &build);
                 let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == unit) else { return };
                 self.machines[m].kept[k] = build;
-                self.feed(m, Event::Command(fleet::Command::Replace(k)));
+                self.feed(m, Event::Command(supervisor::Command::Replace(k)));
             }
         }
     }
@@ -436,8 +436,8 @@
             State::Whole => {
                 self.report.whole += 1;
                 let limits = self.plan.budgets.all.iter().map(|b| match b.per {
-                    outage::Of::Fleet => b.limit((self.plan.machines * self.plan.each) as u32),
-                    outage::Of::Machine => b.limit(self.plan.each as u32) * self.plan.machines as u32,
+                    disruption::Of::Fleet => b.limit((self.plan.machines * self.plan.each) as u32),
+                    disruption::Of::Machine => b.limit(self.plan.each as u32) * self.plan.machines as u32,
                     _ => u32::MAX,
                 });
                 let limit = u64::from(limits.min().unwrap_or(1).clamp(1, 1 << 20));
--- a/crates/fleetsim/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -2,14 +2,14 @@
 //! requests, attempts, gates and kept connections. It does nothing itself: what it wants comes out as [`Does`].
 use crate::agenda::{ms, Nanos};
 use crate::mutant::Mutant;
-use fnv::FnvHashMap;
-use lifecycle::{Event as Life, Figures, Lifecycle};
-use oakflow::{
+use balancer::{
     Action, Availability, Balancer, Ending, Event, Member, Membership, Millis, RequestId, Settings,
     UpstreamId,
 };
-use registry::report::{News, Report, Standing};
-use registry::view::{Change, Merged, Source, View};
+use discovery::report::{News, Report, Standing};
+use discovery::view::{Change, Merged, Source, View};
+use fnv::FnvHashMap;
+use lifecycle::{Event as Life, Figures, Lifecycle};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -269,10 +269,10 @@
         let id = self.next;
         self.next = self.next.wrapping_add(1);
         let deadline = (self.clock(now) + (patience - MARGIN).max(0.0)).min(self.last);
-        let once = self.settings.classes[class].effect == oakflow::Effect::SingleShot;
+        let once = self.settings.classes[class].effect == balancer::Effect::SingleShot;
         self.open.insert(id, Open { request, answered: false, once, deadline, sends: 0, out: Vec::new() });
         let request =
-            oakflow::Request { worth, ..oakflow::Request::plain(RequestId(id), class, club, deadline) };
+            balancer::Request { worth, ..balancer::Request::plain(RequestId(id), class, club, deadline) };
         self.feed(now, Event::Request(request), does);
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// The registry tells it; what it was told of each upstream, as the rules count it.
-    pub fn told(&mut self, now: Nanos, news: News, does: &mut Vec<Does>) -> Vec<(usize, rules::State)> {
+    pub fn told(&mut self, now: Nanos, news: News, does: &mut Vec<Does>) -> Vec<(usize, invariants::State)> {
         let failed = matches!(news, News::None(_));
         let changes = self.view.take(self.clock(now), &self.source, news);
         if failed {
@@ -317,7 +317,10 @@
             };
             let member = self.member(m, server, gone);
             let open = member.availability == Availability::Ready;
-            states.push((server, if m.takes && !gone { rules::State::Ready } else { rules::State::Closed }));
+            states.push((
+                server,
+                if m.takes && !gone { invariants::State::Ready } else { invariants::State::Closed },
+            ));
             self.known |= open;
             self.names.insert(member.id, server);
             if self.mutant == Mutant::ColdPreferred && member.since > 0.0 {
--- a/crates/fleetsim/src/judge.rs
+++ b/crates/verification/fleet-simulation/src/judge.rs
@@ -1,7 +1,7 @@
 //! The four rules on every event, and the books of what each instance was told.
 use crate::agenda::Nanos;
 use fnv::FnvHashMap;
-use rules::{Cold, Effect, Fault, Figures, News, State, Story, Warming};
+use invariants::{Cold, Effect, Fault, Figures, News, State, Story, Warming};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/fleetsim/src/main.rs
+++ b/crates/verification/fleet-simulation/src/main.rs
@@ -1,16 +1,16 @@
-//! `fleetsim`: plays runs of the whole fleet, searches for bad ones, and shrinks them.
+//! `fleet-simulation`: plays runs of the whole fleet, searches for bad ones, and shrinks them.
 use clap::{Args, Parser, Subcommand};
-use fleetsim::mutant::Mutant;
-use fleetsim::scenario::{Scenario, Size};
-use fleetsim::search::{search, shrink, Case};
-use fleetsim::world::{play, Report};
+use fleet_simulation::mutant::Mutant;
+use fleet_simulation::scenario::{Scenario, Size};
+use fleet_simulation::search::{search, shrink, Case};
+use fleet_simulation::world::{play, Report};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
 /// The whole fleet on one virtual clock.
 #[derive(Parser)]
-#[command(name = "fleetsim")]
+#[command(name = "fleet-simulation")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
--- a/crates/fleetsim/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -8,11 +8,11 @@
 use crate::scenario::{Scenario, Trouble, What, TIER_WORK};
 use crate::score::{Counted, End, Score};
 use crate::server::{Place, Server};
+use balancer::{Class, DedupScope, Effect, Ending, Settings, Tenant};
+use discovery::report::{News, Standing};
 use fnv::FnvHashMap;
 use hashing::Digest;
 use lifecycle::{Action as Act, Event as Life, State as Lives};
-use oakflow::{Class, DedupScope, Effect, Ending, Settings, Tenant};
-use registry::report::{News, Standing};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -531,7 +531,7 @@
         let fresh = Request { caller, class, club, key, work, instance, until, over: false };
         self.requests.insert(request, fresh);
         let keyed = self.scenario.classes[class].keyed;
-        let effect = if keyed { rules::Effect::Keyed } else { rules::Effect::Unsafe };
+        let effect = if keyed { invariants::Effect::Keyed } else { invariants::Effect::Unsafe };
         self.judge.sent(now, request, effect, patience);
         self.agenda.at(until, Happening::Patience(request));
         self.agenda.at(until + AFTER, Happening::Judge(request));
@@ -1124,7 +1124,7 @@
         self.servers[server].starts(now);
         let b = &self.servers[server].build;
         let ramp = Duration::from_nanos(b.cold_for);
-        let cold = rules::Cold { cores: b.capacity(), from: b.cold_from, ramp };
+        let cold = invariants::Cold { cores: b.capacity(), from: b.cold_from, ramp };
         self.judge.started(now, server, cold);
         self.lines[server].standing = Some(Standing::Ready);
         self.lines[server].started = BEGAN + now as f64 / 1e6;
--- a/crates/fleetsim/tests/rules.rs
+++ b/crates/verification/fleet-simulation/tests/rules.rs
@@ -1,9 +1,9 @@
 //! Hundreds of seeds, and what shows that the invariants catch what they are there for.
-use fleetsim::mutant::Mutant;
-use fleetsim::scenario::{Scenario, Size};
-use fleetsim::search::{search, shrink, Case};
-use fleetsim::world::play;
-use rules::Fault;
+use fleet_simulation::mutant::Mutant;
+use fleet_simulation::scenario::{Scenario, Size};
+use fleet_simulation::search::{search, shrink, Case};
+use fleet_simulation::world::play;
+use invariants::Fault;
 use std::time::Duration;
 
 const THREADS: usize = 4;
@@ -54,7 +54,8 @@
 /// What breaks is shrunk to fewer troubles and less load, and still breaks.
 #[test]
 fn what_breaks_is_shrunk_to_the_least_that_still_breaks() {
-    let lost = |r: &fleetsim::world::Report| r.violations.iter().any(|v| v.fault == Fault::AnswerLost);
+    let lost =
+        |r: &fleet_simulation::world::Report| r.violations.iter().any(|v| v.fault == Fault::AnswerLost);
     let mutant = Mutant::AnswersForgotten;
     let found = search(Size::SMALL, mutant, 1, 40, Duration::MAX, THREADS);
     let many = |seed: u64| Scenario::draw(seed, Size::SMALL).troubles.len() > 1;
--- a/crates/simhost/src/main.rs
+++ b/crates/verification/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Hosts oakflow balancers on the simulator's wire: frames in on standard input, replies out.
+//! Hosts balancers on the simulator's wire: frames in on standard input, replies out.
 mod wire;
 
-use oakflow::{Action, Balancer, Event};
+use balancer::{Action, Balancer, Event};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
             }
             Record::Configure { seed, setup } => {
                 let id = instance()?;
-                let settings = oakflow_settings::parse(&batch.tail[setup.clone()])
+                let settings = config::parse(&batch.tail[setup.clone()])
                     .map_err(|e| format!("settings of instance {id}: {e}"))?;
                 let balancer = Balancer::new(settings, *seed, now).map_err(|e| e.to_string())?;
                 self.balancers.insert(id, balancer);
@@ -91,7 +91,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("oakflow-simhost: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/verification/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
 //! The frame codec: batches in, replies out. Every read is bounds-checked; errors say what and where.
-use oakflow::{
+use balancer::{
     Action, Availability, Ending, Event, Member, Membership, Millis, Request, RequestId, UpstreamId,
 };
 use std::fmt;
--- a/crates/simhost/tests/bad_input.rs
+++ b/crates/verification/simulator-adapter/tests/bad_input.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Stdio};
 
 fn run(input: &[u8]) -> (bool, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_oakflow-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -21,8 +21,8 @@
 //! let found = ledger.check(&Figures::default());
 //! assert_eq!(found[0].fault, Fault::RefusedAfterRunning);
 //! ```
-pub use rules::{Cold, Effect, Fault, Figures, Rule, Scope, State};
-use rules::{News, Story, Warming};
+pub use invariants::{Cold, Effect, Fault, Figures, Rule, Scope, State};
+use invariants::{News, Story, Warming};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
