--- a/crates/control-plane/coordination-server/src/client.rs
+++ b/crates/control-plane/coordination-server/src/client.rs
@@ -1,11 +1,13 @@
 //! A client of the council inside another process: a task of its own, and a handle that any task may use. Nothing that
 //! serves requests waits for it.
-use crate::draw;
-use crate::frames::{json, meet, parsed, read, write};
+use crate::framing::{from_json, handshake, read, to_json, write};
+use crate::random_id;
 use crate::transport::connect;
-use coordination::client::{self as machine, Action, Ask, Event, News, SessionSettings, Told};
-use coordination::record::{Change, Condition, Revision, SessionId};
-use coordination::wire::{Answer, Hello, Reply, Select, CALL_MOST, VERSION};
+use coordination::client::{
+    self as machine, Action, ClientRequest, Event, RequestOutcome, SessionConfig, SessionEvent,
+};
+use coordination::protocol::{Answer, Handshake, Reply, Select, MAX_CALL_BYTES, PROTOCOL_VERSION};
+use coordination::state_machine::{Compare, Op, Revision, SessionId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -22,11 +24,11 @@
 
 /// How a client is set up.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ClientConfig {
     /// Where the voters listen.
     pub voters: Vec<String>,
     /// Its session; `None`: it only reads, watches and administers.
-    pub session: Option<SessionSettings>,
+    pub session: Option<SessionConfig>,
     /// What it calls itself.
     pub name: String,
     /// How long an answer may take before the connection counts as dead.
@@ -35,20 +37,20 @@
 
 /// A client's session, as others in its process see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum SessionState {
     /// None, or one of which it is not certain that it has not ended.
     #[default]
     None,
     /// This one is held.
-    Held(SessionId),
+    Active(SessionId),
     /// Another process has its name: this one's time is over.
     Fenced(SessionId),
 }
 
-enum Wish {
-    Ask(Ask, Duration, oneshot::Sender<Told>),
+enum HandleCommand {
+    Ask(ClientRequest, Duration, oneshot::Sender<RequestOutcome>),
     Watch(String, Option<Revision>, mpsc::Sender<Answer>),
-    Open(SessionSettings),
+    Open(SessionConfig),
     Close,
 }
 
@@ -56,8 +58,12 @@
 const PRESENT: Duration = Duration::from_secs(10);
 
 /// Begins a client for a process of this kind and name, which reads and watches only: it has no session yet.
-pub fn reader(file: &config::council::Client, kind: &str, name: &str) -> Council {
-    Council::begin(Settings {
+pub fn spawn_reader(
+    file: &config::coordination::CoordinationClientConfig,
+    kind: &str,
+    name: &str,
+) -> ClientHandle {
+    ClientHandle::begin(ClientConfig {
         voters: file.voters.iter().map(ToString::to_string).collect(),
         session: None,
         name: format!("{kind}/{name}"),
@@ -67,10 +73,15 @@
 
 /// Gives such a client a session, which tells its process from all others, also of the same name, and says in the record
 /// that it is there: `present/KIND/NAME` holds its process's number and ends with its session.
-pub fn appear(council: &Council, file: &config::council::Client, kind: &str, name: &str) {
+pub fn announce_presence(
+    council: &ClientHandle,
+    file: &config::coordination::CoordinationClientConfig,
+    kind: &str,
+    name: &str,
+) {
     let name = format!("{kind}/{name}");
     let (says, mut standing) = (council.downgrade(), council.standing());
-    let session = SessionSettings { name: name.clone(), ttl: file.ttl, take_over: true };
+    let session = SessionConfig { name: name.clone(), ttl: file.ttl, take_over: true };
     tokio::task::spawn_local(async move {
         match says.upgrade() {
             Some(council) => council.open(session).await,
@@ -79,11 +90,11 @@
         let mut said = None;
         loop {
             let now = *standing.borrow_and_update();
-            if let (Standing::Held(id), true) = (now, said != Some(now)) {
+            if let (SessionState::Active(id), true) = (now, said != Some(now)) {
                 let value = serde_json::json!({"session": id, "pid": std::process::id()}).to_string();
-                let put = Change::Put { key: format!("present/{name}"), value, bound: true };
+                let put = Op::Put { key: format!("present/{name}"), value, bound: true };
                 let Some(council) = says.upgrade() else { return };
-                if let Told::Answer(_) = council.write(vec![], vec![put], PRESENT).await {
+                if let RequestOutcome::Answered(_) = council.write(vec![], vec![put], PRESENT).await {
                     said = Some(now);
                     continue;
                 }
@@ -96,46 +107,50 @@
 }
 
 /// Both at once.
-pub fn present(file: &config::council::Client, kind: &str, name: &str) -> Council {
-    let council = reader(file, kind, name);
-    appear(&council, file, kind, name);
+pub fn spawn_with_presence(
+    file: &config::coordination::CoordinationClientConfig,
+    kind: &str,
+    name: &str,
+) -> ClientHandle {
+    let council = spawn_reader(file, kind, name);
+    announce_presence(&council, file, kind, name);
     council
 }
 
 /// A handle to a client that does not keep it.
-pub struct Weak {
-    wishes: mpsc::WeakSender<Wish>,
-    standing: watch::Receiver<Standing>,
+pub struct WeakClientHandle {
+    wishes: mpsc::WeakSender<HandleCommand>,
+    standing: watch::Receiver<SessionState>,
     held: watch::Receiver<Option<(SessionId, Duration)>>,
 }
 
-impl Weak {
+impl WeakClientHandle {
     /// The handle, if there is another.
-    pub fn upgrade(&self) -> Option<Council> {
+    pub fn upgrade(&self) -> Option<ClientHandle> {
         let wishes = self.wishes.upgrade()?;
-        Some(Council { wishes, standing: self.standing.clone(), held: self.held.clone() })
+        Some(ClientHandle { wishes, standing: self.standing.clone(), held: self.held.clone() })
     }
 }
 
 /// A handle to a client. The client ends with its last handle.
 #[derive(Clone)]
-pub struct Council {
-    wishes: mpsc::Sender<Wish>,
-    standing: watch::Receiver<Standing>,
+pub struct ClientHandle {
+    wishes: mpsc::Sender<HandleCommand>,
+    standing: watch::Receiver<SessionState>,
     held: watch::Receiver<Option<(SessionId, Duration)>>,
 }
 
-impl Council {
+impl ClientHandle {
     /// Begins a client, in a local set of tasks.
-    pub fn begin(settings: Settings) -> Council {
+    pub fn begin(settings: ClientConfig) -> ClientHandle {
         let (wishes, wished) = mpsc::channel(WAITING);
-        let (tell, standing) = watch::channel(Standing::None);
+        let (tell, standing) = watch::channel(SessionState::None);
         let (until, held) = watch::channel(None);
-        let machine = machine::Client::new(machine::Settings {
+        let machine = machine::Client::new(machine::ClientConfig {
             voters: settings.voters.clone(),
             session: settings.session.clone(),
             patience: settings.patience,
-            seed: draw(),
+            seed: random_id(),
         });
         let (frames, _) = mpsc::channel(1);
         let (heard, hearing) = mpsc::channel(WAITING);
@@ -153,50 +168,54 @@
             heard,
         };
         tokio::task::spawn_local(task.run(wished, hearing));
-        Council { wishes, standing, held }
+        ClientHandle { wishes, standing, held }
     }
 
     /// A handle that does not keep the client.
-    pub fn downgrade(&self) -> Weak {
-        Weak { wishes: self.wishes.downgrade(), standing: self.standing.clone(), held: self.held.clone() }
+    pub fn downgrade(&self) -> WeakClientHandle {
+        WeakClientHandle {
+            wishes: self.wishes.downgrade(),
+            standing: self.standing.clone(),
+            held: self.held.clone(),
+        }
     }
 
     /// Asks for something; how long it may take.
-    pub async fn ask(&self, ask: Ask, within: Duration) -> Told {
+    pub async fn ask(&self, ask: ClientRequest, within: Duration) -> RequestOutcome {
         let (tell, told) = oneshot::channel();
-        let ended = || Told::NotDone("the client has ended".into());
-        if self.wishes.send(Wish::Ask(ask, within, tell)).await.is_err() {
+        let ended = || RequestOutcome::NotExecuted("the client has ended".into());
+        if self.wishes.send(HandleCommand::Ask(ask, within, tell)).await.is_err() {
             return ended();
         }
         told.await.unwrap_or_else(|_| ended())
     }
 
     /// Changes keys, all or none, under the client's session.
-    pub async fn write(&self, when: Vec<Condition>, then: Vec<Change>, within: Duration) -> Told {
-        self.ask(Ask::Write { when, then }, within).await
+    pub async fn write(&self, when: Vec<Compare>, then: Vec<Op>, within: Duration) -> RequestOutcome {
+        self.ask(ClientRequest::Transact { when, then }, within).await
     }
 
     /// Reads keys as they are now.
-    pub async fn read(&self, select: Select, within: Duration) -> Told {
-        self.ask(Ask::Read(select), within).await
+    pub async fn read(&self, select: Select, within: Duration) -> RequestOutcome {
+        self.ask(ClientRequest::Read(select), within).await
     }
 
     /// Changes of keys that begin so, after a revision or from now on. Ends with `Lost`, or when the receiver is too slow
     /// or dropped.
     pub async fn watch(&self, under: &str, after: Option<Revision>) -> mpsc::Receiver<Answer> {
         let (tell, told) = mpsc::channel(CHANGES);
-        let _ = self.wishes.send(Wish::Watch(under.into(), after, tell)).await;
+        let _ = self.wishes.send(HandleCommand::Watch(under.into(), after, tell)).await;
         told
     }
 
     /// Its session, as it changes.
-    pub fn standing(&self) -> watch::Receiver<Standing> {
+    pub fn standing(&self) -> watch::Receiver<SessionState> {
         self.standing.clone()
     }
 
-    /// The session that is held now, by this machine's clock, and until when ([`now`]) unless it is renewed before.
+    /// The session that is held now, by this machine's clock, and until when ([`boottime_now`]) unless it is renewed before.
     pub fn held(&self) -> Option<(SessionId, Duration)> {
-        self.held.borrow().filter(|&(_, until)| now() < until)
+        self.held.borrow().filter(|&(_, until)| boottime_now() < until)
     }
 
     /// The session that was held last, and until when: an end that has passed is the end.
@@ -205,13 +224,13 @@
     }
 
     /// Opens a session, if the client has none.
-    pub async fn open(&self, session: SessionSettings) {
-        let _ = self.wishes.send(Wish::Open(session)).await;
+    pub async fn open(&self, session: SessionConfig) {
+        let _ = self.wishes.send(HandleCommand::Open(session)).await;
     }
 
     /// Ends the session by its own will; returns once that is told, or the time is up.
     pub async fn close(&self, within: Duration) {
-        if self.wishes.send(Wish::Close).await.is_ok() {
+        if self.wishes.send(HandleCommand::Close).await.is_ok() {
             let _ = tokio::time::timeout(within, self.wishes.closed()).await;
         }
     }
@@ -224,11 +243,11 @@
 }
 
 struct Task {
-    settings: Settings,
+    settings: ClientConfig,
     machine: machine::Client,
-    tell: watch::Sender<Standing>,
+    tell: watch::Sender<SessionState>,
     until: watch::Sender<Option<(SessionId, Duration)>>,
-    asks: BTreeMap<u64, oneshot::Sender<Told>>,
+    asks: BTreeMap<u64, oneshot::Sender<RequestOutcome>>,
     watches: BTreeMap<u64, mpsc::Sender<Answer>>,
     tickets: u64,
     link: Option<AbortHandle>,
@@ -239,43 +258,47 @@
 }
 
 /// The time since the machine began, which goes on while it sleeps: sessions do not wait for it.
-pub fn now() -> Duration {
+pub fn boottime_now() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
 impl Task {
-    async fn run(mut self, mut wished: mpsc::Receiver<Wish>, mut hearing: mpsc::Receiver<(u64, Heard)>) {
+    async fn run(
+        mut self,
+        mut wished: mpsc::Receiver<HandleCommand>,
+        mut hearing: mpsc::Receiver<(u64, Heard)>,
+    ) {
         let mut closing = false;
-        self.handle(Event::Time);
+        self.handle(Event::Timeout);
         loop {
             if closing && self.machine.over() {
                 return;
             }
-            let wake = self.machine.wake().map(|at| at.saturating_sub(now()));
+            let wake = self.machine.wake().map(|at| at.saturating_sub(boottime_now()));
             let event = tokio::select! {
                 wish = wished.recv(), if !closing => match wish {
-                    Some(Wish::Ask(ask, within, tell)) => {
+                    Some(HandleCommand::Ask(ask, within, tell)) => {
                         self.tickets += 1;
                         self.asks.insert(self.tickets, tell);
-                        Event::Ask { ticket: self.tickets, ask, within }
+                        Event::Submit { ticket: self.tickets, ask, within }
                     }
-                    Some(Wish::Watch(under, after, tell)) => {
+                    Some(HandleCommand::Watch(under, after, tell)) => {
                         self.tickets += 1;
                         self.watches.insert(self.tickets, tell);
-                        let ask = Ask::Watch { under, after };
-                        Event::Ask { ticket: self.tickets, ask, within: Duration::MAX }
+                        let ask = ClientRequest::Watch { under, after };
+                        Event::Submit { ticket: self.tickets, ask, within: Duration::MAX }
                     }
-                    Some(Wish::Open(session)) => {
+                    Some(HandleCommand::Open(session)) => {
                         self.settings.session.get_or_insert_with(|| session.clone());
-                        Event::Open(session)
+                        Event::OpenSession(session)
                     }
-                    Some(Wish::Close) => {
+                    Some(HandleCommand::Close) => {
                         closing = true;
                         if self.settings.session.is_none() {
                             return;
                         }
-                        Event::Close
+                        Event::CloseSession
                     }
                     None => return,
                 },
@@ -295,7 +318,7 @@
                         }
                     }
                 }
-                () = async { sleep(wake.unwrap_or_default()).await }, if wake.is_some() => Event::Time,
+                () = async { sleep(wake.unwrap_or_default()).await }, if wake.is_some() => Event::Timeout,
             };
             self.handle(event);
         }
@@ -305,7 +328,7 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
-            self.machine.handle(now(), event, &mut out);
+            self.machine.handle(boottime_now(), event, &mut out);
             if let Some(held) = self.machine.session().zip(self.machine.held_until()) {
                 self.until.send_if_modified(|last| last.replace(held) != Some(held));
             }
@@ -326,23 +349,23 @@
             }
             Action::Send(call) => {
                 // A connection that takes nothing is given up by the machine's own patience.
-                let _ = self.frames.try_send(json(&call));
+                let _ = self.frames.try_send(to_json(&call));
             }
-            Action::Tell { ticket, told } => return self.told(ticket, told),
-            Action::Session(news) => self.session(news),
+            Action::Complete { ticket, told } => return self.told(ticket, told),
+            Action::SessionChanged(news) => self.session(news),
         }
         None
     }
 
-    fn told(&mut self, ticket: u64, told: Told) -> Option<Event> {
+    fn told(&mut self, ticket: u64, told: RequestOutcome) -> Option<Event> {
         if let Some(tell) = self.asks.remove(&ticket) {
             let _ = tell.send(told);
             return None;
         }
         let watch = self.watches.get(&ticket)?;
         let (last, kept) = match told {
-            Told::Answer(answer) => {
-                let last = !matches!(answer, Answer::Watching { .. } | Answer::Changes { .. });
+            RequestOutcome::Answered(answer) => {
+                let last = !matches!(answer, Answer::Watching { .. } | Answer::Events { .. });
                 (last, watch.try_send(answer).is_ok())
             }
             _ => (true, true),
@@ -350,35 +373,35 @@
         if last || !kept {
             self.watches.remove(&ticket);
         }
-        (!kept && !last).then_some(Event::GiveUp(ticket))
+        (!kept && !last).then_some(Event::Cancel(ticket))
     }
 
-    fn session(&mut self, news: News) {
+    fn session(&mut self, news: SessionEvent) {
         let name = &self.settings.name;
         let standing = match news {
-            News::Held(id) => {
+            SessionEvent::Established(id) => {
                 info!(session = id, "council: {name} holds its session");
-                Standing::Held(id)
+                SessionState::Active(id)
             }
-            News::Doubtful(id) => {
+            SessionEvent::Suspect(id) => {
                 info!(session = id, "council: {name} could not renew its session in time");
-                Standing::None
+                SessionState::None
             }
-            News::Ended(id) => {
+            SessionEvent::Ended(id) => {
                 info!(session = id, "council: the session of {name} has ended");
-                Standing::None
+                SessionState::None
             }
-            News::Fenced { session, by } => {
+            SessionEvent::Fenced { session, by } => {
                 info!(session, by, "council: another process has the name {name}");
-                Standing::Fenced(by)
+                SessionState::Fenced(by)
             }
-            News::Waits(by) => {
+            SessionEvent::WaitingForName(by) => {
                 info!(by, "council: {name} waits: another session has its name");
-                Standing::None
+                SessionState::None
             }
-            News::Refused(why) => {
+            SessionEvent::Rejected(why) => {
                 info!("council: {name} got no session: {why}");
-                Standing::None
+                SessionState::None
             }
         };
         self.tell.send_if_modified(|now| std::mem::replace(now, standing) != standing);
@@ -392,12 +415,13 @@
         let (frames, mut waiting) = mpsc::channel::<Vec<u8>>(FRAMES);
         self.frames = frames;
         let (link, heard, name) = (self.links, self.heard.clone(), self.settings.name.clone());
-        let own = Hello { version: VERSION, cluster: None, name, voter: None, addr: None, to: None };
+        let own =
+            Handshake { version: PROTOCOL_VERSION, cluster: None, name, voter: None, addr: None, to: None };
         let task = tokio::task::spawn_local(async move {
             let came = async {
                 let to = addr.parse().map_err(|_| Some(format!("{addr:?} is no address")))?;
                 let stream = connect(to).await.map_err(|_| None)?;
-                meet(stream, &own).await.map_err(|why| Some(format!("{addr}: {why}")))
+                handshake(stream, &own).await.map_err(|why| Some(format!("{addr}: {why}")))
             };
             let met = match came.await {
                 Ok(met) if met.other.voter.is_some() => met,
@@ -414,8 +438,8 @@
             let _ = heard.send((link, Heard::Up)).await;
             let (mut from, mut to) = (met.read, met.write);
             let reading = async {
-                while let Ok(bytes) = read(&mut from, CALL_MOST).await {
-                    let Ok(reply) = parsed::<Reply>(&bytes) else { return };
+                while let Ok(bytes) = read(&mut from, MAX_CALL_BYTES).await {
+                    let Ok(reply) = from_json::<Reply>(&bytes) else { return };
                     if heard.send((link, Heard::Reply(Box::new(reply)))).await.is_err() {
                         return;
                     }
--- a/crates/control-plane/coordination-server/src/callers.rs
+++ b/crates/control-plane/coordination-server/src/client_connections.rs
@@ -1,8 +1,8 @@
 //! Connections that come in: of clients, whose calls are passed on and whose replies are brought, and of other voters,
 //! whose messages are passed on.
-use crate::frames::{json, meet, parsed, read, write, Met};
-use crate::transport::{Door, Stream};
-use coordination::wire::{Call, Hello, Reply, CALL_MOST, MESSAGE_MOST};
+use crate::framing::{from_json, handshake, read, to_json, write, Connection};
+use crate::transport::{Listener, Stream};
+use coordination::protocol::{Call, Handshake, Reply, MAX_CALL_BYTES, MAX_RAFT_MESSAGE_BYTES};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// What came in.
-pub enum Came {
+pub enum ConnectionEvent {
     /// A voter is here, with this number and address.
     Voter(u64, Option<String>),
     /// A message of a voter.
@@ -33,21 +33,21 @@
 }
 
 struct Inside {
-    own: RefCell<Hello>,
+    own: RefCell<Handshake>,
     most: usize,
     clients: RefCell<BTreeMap<u64, (mpsc::Sender<Reply>, AbortHandle)>>,
     voters: RefCell<usize>,
     count: RefCell<u64>,
-    came: mpsc::Sender<Came>,
+    came: mpsc::Sender<ConnectionEvent>,
 }
 
 /// All connections that came in.
 #[derive(Clone)]
-pub struct Callers(Rc<Inside>);
+pub struct ClientConnections(Rc<Inside>);
 
-impl Callers {
+impl ClientConnections {
     /// None yet; `clients` at most. What comes is told to the receiver.
-    pub fn new(own: Hello, clients: usize) -> (Callers, mpsc::Receiver<Came>) {
+    pub fn new(own: Handshake, clients: usize) -> (ClientConnections, mpsc::Receiver<ConnectionEvent>) {
         let (came, coming) = mpsc::channel(WAITING);
         let inside = Inside {
             own: RefCell::new(own),
@@ -57,16 +57,16 @@
             count: RefCell::new(0),
             came,
         };
-        (Callers(Rc::new(inside)), coming)
+        (ClientConnections(Rc::new(inside)), coming)
     }
 
     /// Says this to those that come from now on.
-    pub fn says(&self, own: Hello) {
+    pub fn says(&self, own: Handshake) {
         self.0.own.replace(own);
     }
 
     /// Takes connections for ever.
-    pub async fn run(self, door: Door) {
+    pub async fn run(self, door: Listener) {
         loop {
             match door.next().await {
                 Ok(stream) => {
@@ -80,7 +80,7 @@
 
     async fn serve(self, stream: Stream) {
         let own = self.0.own.borrow().clone();
-        match meet(stream, &own).await {
+        match handshake(stream, &own).await {
             Ok(met) if met.other.voter.is_some() => self.serve_voter(met).await,
             Ok(met) => self.serve_client(met).await,
             // A port that is looked at says nothing, and is no news.
@@ -89,25 +89,25 @@
         }
     }
 
-    async fn serve_voter(&self, mut met: Met) {
+    async fn serve_voter(&self, mut met: Connection) {
         if *self.0.voters.borrow() >= VOTERS {
             return;
         }
         *self.0.voters.borrow_mut() += 1;
         let came = &self.0.came;
         if let Some(id) = met.other.voter {
-            let _ = came.send(Came::Voter(id, met.other.addr.take())).await;
+            let _ = came.send(ConnectionEvent::Voter(id, met.other.addr.take())).await;
         }
-        while let Ok(message) = read(&mut met.read, MESSAGE_MOST).await {
-            if came.send(Came::Message(message)).await.is_err() {
+        while let Ok(message) = read(&mut met.read, MAX_RAFT_MESSAGE_BYTES).await {
+            if came.send(ConnectionEvent::Message(message)).await.is_err() {
                 break;
             }
         }
         *self.0.voters.borrow_mut() -= 1;
     }
 
-    async fn serve_client(&self, met: Met) {
-        let Met { read: mut from, write: mut to, .. } = met;
+    async fn serve_client(&self, met: Connection) {
+        let Connection { read: mut from, write: mut to, .. } = met;
         if self.0.clients.borrow().len() >= self.0.most {
             return info!("council: {} clients are connected, no more are taken", self.0.most);
         }
@@ -119,7 +119,7 @@
         let (replies, mut waiting) = mpsc::channel::<Reply>(REPLIES);
         let writer = tokio::task::spawn_local(async move {
             while let Some(reply) = waiting.recv().await {
-                if write(&mut to, &json(&reply)).await.is_err() {
+                if write(&mut to, &to_json(&reply)).await.is_err() {
                     return;
                 }
             }
@@ -127,13 +127,13 @@
         let (came, callers) = (self.0.came.clone(), self.clone());
         let reader = tokio::task::spawn_local(async move {
             loop {
-                let call = match read(&mut from, CALL_MOST).await {
-                    Ok(bytes) => parsed::<Call>(&bytes),
+                let call = match read(&mut from, MAX_CALL_BYTES).await {
+                    Ok(bytes) => from_json::<Call>(&bytes),
                     Err(_) => break,
                 };
                 match call {
                     Ok(call) => {
-                        if came.send(Came::Call(client, call)).await.is_err() {
+                        if came.send(ConnectionEvent::Call(client, call)).await.is_err() {
                             break;
                         }
                     }
@@ -148,7 +148,7 @@
         let _ = reader.await;
         callers.0.clients.borrow_mut().remove(&client);
         writer.abort();
-        let _ = callers.0.came.send(Came::Gone(client)).await;
+        let _ = callers.0.came.send(ConnectionEvent::Gone(client)).await;
     }
 
     /// Brings a reply to a client, if it is still there.
--- a/crates/control-plane/coordination-server/src/command.rs
+++ b/crates/control-plane/coordination-server/src/command.rs
@@ -1,14 +1,14 @@
 //! What an operator's commands do: `herondock council status|members|get|put|watch|backup|restore|form|remove|transfer`.
-use crate::client::{Council, Settings};
-use crate::node;
-use config::council::{read, Council as File};
-use coordination::client::{Ask, Told};
-use coordination::record::Outcome;
-use coordination::wire::{Answer, Request, Select, Status};
+use crate::client::{ClientConfig, ClientHandle};
+use crate::server;
+use config::coordination::{read, CoordinationConfig as File};
+use coordination::client::{ClientRequest, RequestOutcome};
+use coordination::protocol::{Answer, Request, Select, Status};
+use coordination::state_machine::Outcome;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use storage::Store;
+use storage::AtomicFile;
 
 /// How long a command may take.
 const WITHIN: Duration = Duration::from_secs(10);
@@ -87,34 +87,34 @@
 }
 
 fn form(file: &File, backup: Option<&[u8]>) -> Result<(), String> {
-    let cluster = node::form(file, backup)?;
+    let cluster = server::bootstrap(file, backup)?;
     print(&format!(
         "council {cluster:016x} is formed; {} is its first voter, and the others join once they run",
         file.name
     ))
 }
 
-fn backup(path: &Path) -> Store {
-    Store::new(path, "council-backup", 1, BACKUP_MOST)
+fn backup(path: &Path) -> AtomicFile {
+    AtomicFile::new(path, "council-backup", 1, BACKUP_MOST)
 }
 
 fn print(line: &str) -> Result<(), String> {
     writeln!(std::io::stdout(), "{line}").map_err(|e| format!("standard output: {e}"))
 }
 
-fn client(file: &File, voters: Vec<String>) -> Council {
+fn client(file: &File, voters: Vec<String>) -> ClientHandle {
     let name = format!("command-{}", std::process::id());
     let patience = (file.tick * 20).max(Duration::from_millis(500));
     let _ = file;
-    Council::begin(Settings { voters, session: None, name, patience })
+    ClientHandle::begin(ClientConfig { voters, session: None, name, patience })
 }
 
-fn answer(told: Told) -> Result<Answer, String> {
+fn answer(told: RequestOutcome) -> Result<Answer, String> {
     match told {
-        Told::Answer(Answer::Failed(why)) => Err(why),
-        Told::Answer(answer) => Ok(answer),
-        Told::Unclear(why) => Err(format!("{why}; it may have been done")),
-        Told::NotDone(why) => Err(format!("{why}; is there a majority of voters?")),
+        RequestOutcome::Answered(Answer::Failed(why)) => Err(why),
+        RequestOutcome::Answered(answer) => Ok(answer),
+        RequestOutcome::Indeterminate(why) => Err(format!("{why}; it may have been done")),
+        RequestOutcome::NotExecuted(why) => Err(format!("{why}; is there a majority of voters?")),
     }
 }
 
@@ -126,7 +126,7 @@
     let all: Vec<String> = file.voters.iter().map(|(_, addr)| addr.to_string()).collect();
     let call = |request| {
         let council = client(file, all.clone());
-        async move { answer(council.ask(Ask::Call(request), WITHIN).await) }
+        async move { answer(council.ask(ClientRequest::Call(request), WITHIN).await) }
     };
     match command {
         Command::Status { json } => status(file, json).await,
@@ -143,7 +143,7 @@
             members(&last.ok_or("no voter answers")?, json)
         }
         Command::Get { key, under } => {
-            let select = if under { Select::Under(key.clone()) } else { Select::Key(key.clone()) };
+            let select = if under { Select::Prefix(key.clone()) } else { Select::Key(key.clone()) };
             match answer(client(file, all.clone()).read(select, WITHIN).await)? {
                 Answer::Values { items, .. } if items.is_empty() && !under => {
                     Err(format!("{key}: there is none"))
@@ -165,7 +165,7 @@
             let mut changes = council.watch(&under, None).await;
             while let Some(answer) = changes.recv().await {
                 match answer {
-                    Answer::Changes { changes, .. } => {
+                    Answer::Events { changes, .. } => {
                         for c in changes {
                             print(&format!(
                                 "{} {} {}",
@@ -176,7 +176,7 @@
                         }
                     }
                     Answer::Watching { revision } => print(&format!("{revision} watching"))?,
-                    Answer::Lost { oldest } => {
+                    Answer::Compacted { oldest } => {
                         return Err(format!("changes before {oldest} are not known any more"))
                     }
                     _ => {}
@@ -191,11 +191,11 @@
             }
             other => Err(unexpected(&other)),
         },
-        Command::Remove { name } => match call(Request::Remove { name: name.clone() }).await? {
+        Command::Remove { name } => match call(Request::RemoveMember { name: name.clone() }).await? {
             Answer::Done => print(&format!("{name} is a member no more")),
             other => Err(unexpected(&other)),
         },
-        Command::Transfer { name } => match call(Request::Transfer { name: name.clone() }).await? {
+        Command::Transfer { name } => match call(Request::TransferLeadership { name: name.clone() }).await? {
             Answer::Done => print(&format!("{name} is asked to lead")),
             other => Err(unexpected(&other)),
         },
@@ -205,9 +205,9 @@
 
 async fn one_status(file: &File, addr: &str) -> Result<Status, String> {
     let council = client(file, vec![addr.into()]);
-    match answer(council.ask(Ask::Call(Request::Status), STATUS_WITHIN).await)? {
+    match answer(council.ask(ClientRequest::Call(Request::Status), STATUS_WITHIN).await)? {
         Answer::Status(status) => Ok(*status),
-        Answer::Outcome(Outcome::Refused(why)) => Err(why.to_string()),
+        Answer::Outcome(Outcome::Rejected(why)) => Err(why.to_string()),
         other => Err(unexpected(&other)),
     }
 }
--- a/crates/control-plane/coordination-server/src/halt.rs
+++ b/crates/control-plane/coordination-server/src/crash_points.rs
@@ -5,32 +5,32 @@
 /// At which step: its kind (`read`, `open`, `write`, `cut`, `sync`, `rename`, `names`), and how many of these go well before.
 /// `slow`: none, and each sync takes so many milliseconds longer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Halt {
+pub struct CrashPoint {
     kind: String,
     left: u64,
 }
 
-impl std::str::FromStr for Halt {
+impl std::str::FromStr for CrashPoint {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Halt, String> {
+    fn from_str(text: &str) -> Result<CrashPoint, String> {
         let (kind, left) = text.split_once(':').ok_or("is no KIND:COUNT")?;
         let left = left.parse().map_err(|_| "is no KIND:COUNT")?;
-        Ok(Halt { kind: kind.into(), left })
+        Ok(CrashPoint { kind: kind.into(), left })
     }
 }
 
 const SLOW: &str = "slow";
 
 /// Files whose process is killed at a step.
-pub struct Halting<F> {
+pub struct CrashingFiles<F> {
     files: F,
-    halt: Option<Halt>,
+    halt: Option<CrashPoint>,
 }
 
-impl<F> Halting<F> {
-    pub fn new(files: F, halt: Option<Halt>) -> Halting<F> {
-        Halting { files, halt }
+impl<F> CrashingFiles<F> {
+    pub fn new(files: F, halt: Option<CrashPoint>) -> CrashingFiles<F> {
+        CrashingFiles { files, halt }
     }
 
     fn now(&mut self, kind: &str) -> bool {
@@ -55,7 +55,7 @@
     let _ = rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::KILL);
 }
 
-impl<F: Files> Files for Halting<F> {
+impl<F: Files> Files for CrashingFiles<F> {
     type Open = F::Open;
 
     fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
@@ -84,7 +84,7 @@
 
     fn sync(&mut self, file: &mut Self::Open) -> io::Result<()> {
         self.step("sync");
-        if let Some(Halt { kind, left }) = &self.halt {
+        if let Some(CrashPoint { kind, left }) = &self.halt {
             if kind == SLOW {
                 std::thread::sleep(std::time::Duration::from_millis(*left));
             }
--- a/crates/control-plane/coordination-server/src/frames.rs
+++ b/crates/control-plane/coordination-server/src/framing.rs
@@ -1,7 +1,7 @@
 //! Frames over a connection: a length in four bytes, the low one first, and so many bytes. The first one each way is a
-//! [`Hello`].
+//! [`Handshake`].
 use crate::transport::Stream;
-use coordination::wire::Hello;
+use coordination::protocol::Handshake;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, ErrorKind};
@@ -61,7 +61,7 @@
 }
 
 /// As JSON.
-pub fn json(value: &impl Serialize) -> Vec<u8> {
+pub fn to_json(value: &impl Serialize) -> Vec<u8> {
     // Texts and numbers only: this can't fail.
     serde_json::to_vec(value).unwrap_or_default()
 }
@@ -70,33 +70,33 @@
 ///
 /// # Errors
 /// It is none, or says something else.
-pub fn parsed<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
+pub fn from_json<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
     serde_json::from_slice(bytes).map_err(|e| io::Error::new(ErrorKind::InvalidData, e.to_string()))
 }
 
 /// A connection on which both have said who they are.
-pub struct Met {
+pub struct Connection {
     /// From the other.
     pub read: BufReader<OwnedReadHalf>,
     /// To the other.
     pub write: OwnedWriteHalf,
     /// Who it is.
-    pub other: Hello,
+    pub other: Handshake,
 }
 
 /// Says who this is, and hears who the other is.
 ///
 /// # Errors
 /// It says nothing, or does not fit; one line for the log.
-pub async fn meet(stream: Stream, own: &Hello) -> Result<Met, String> {
+pub async fn handshake(stream: Stream, own: &Handshake) -> Result<Connection, String> {
     let (read_half, mut write_half) = stream.into_split();
     let mut from = BufReader::new(read_half);
     let met = async {
-        write(&mut write_half, &json(own)).await?;
-        parsed::<Hello>(&read(&mut from, HELLO_MOST).await?)
+        write(&mut write_half, &to_json(own)).await?;
+        from_json::<Handshake>(&read(&mut from, HELLO_MOST).await?)
     };
     let other = timeout(HELLO_WAIT, met).await.map_err(|_| "says nothing".to_string())?;
     let other = other.map_err(|e| e.to_string())?;
     other.fits(own)?;
-    Ok(Met { read: from, write: write_half, other })
+    Ok(Connection { read: from, write: write_half, other })
 }
--- a/crates/control-plane/coordination-server/src/disk.rs
+++ b/crates/control-plane/coordination-server/src/journal_writer.rs
@@ -1,16 +1,17 @@
 //! The thread that writes a voter's journal. What waits is written together and synced once.
-use crate::halt::{Halt, Halting};
-use coordination::voter::Save;
+use crate::crash_points::{CrashPoint, CrashingFiles};
+use coordination::voter::PersistRequest;
 use std::path::Path;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::time::{Duration, Instant};
 use storage::files::Folder;
-use storage::journal::{Fault, Form, Journal};
+use storage::journal::{Journal, JournalError, JournalFormat};
 use tokio::sync::mpsc::UnboundedSender;
 
 /// The journal in a voter's folder. Its bound is far above what the log may hold before it is folded (16 MiB) and the
 /// record with it (32 MiB).
-pub const FORM: Form = Form { name: "journal", kind: "council", version: 1, most: 256 << 20 };
+pub const FORM: JournalFormat =
+    JournalFormat { name: "journal", kind: "council", version: 1, most: 256 << 20 };
 /// Saves that are written together, at most.
 const TOGETHER: usize = 256;
 /// Room that has to be there before a voter comes back from a full disk, in bytes.
@@ -19,17 +20,17 @@
 const SLOW: Duration = Duration::from_millis(500);
 
 /// A journal in a folder.
-pub type OnDisk = Journal<Halting<Folder>>;
+pub type OnDisk = Journal<CrashingFiles<Folder>>;
 
 /// Opens a voter's journal.
 ///
 /// # Errors
 /// One line that names the file.
-pub fn open(folder: &Path, halt: Option<Halt>) -> Result<(OnDisk, Vec<Vec<u8>>), String> {
+pub fn open(folder: &Path, halt: Option<CrashPoint>) -> Result<(OnDisk, Vec<Vec<u8>>), String> {
     let fault = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
     let files = Folder::new(folder).map_err(|e| fault(&e))?;
-    Journal::open(Halting::new(files, halt), FORM).map_err(|e| match e {
-        Fault::Damaged { .. } => format!(
+    Journal::open(CrashingFiles::new(files, halt), FORM).map_err(|e| match e {
+        JournalError::Damaged { .. } => format!(
             "{}; what this voter promised is lost: remove it from the council, empty the folder, and it joins anew",
             fault(&e)
         ),
@@ -40,7 +41,7 @@
 /// What the thread is to do.
 pub enum Job {
     /// Save this.
-    Save(Save),
+    Save(PersistRequest),
     /// See whether there is room again.
     Try,
 }
--- a/crates/control-plane/coordination-server/src/lib.rs
+++ b/crates/control-plane/coordination-server/src/lib.rs
@@ -10,28 +10,28 @@
 //! | `node.rs` | a voter's process, from its start to its end |
 //! | [`client`] | a client inside another process |
 //! | [`command`] | what an operator's commands do |
-mod callers;
 pub mod client;
+mod client_connections;
 pub mod command;
-mod disk;
-mod frames;
-mod halt;
-mod node;
-mod peers;
+mod crash_points;
+mod framing;
+mod journal_writer;
+mod peer_connections;
+mod server;
 mod transport;
 
-pub use halt::Halt;
-pub use node::{run, Options};
+pub use crash_points::CrashPoint;
+pub use server::{run, ServerOptions};
 
-use coordination::bounds::Bounds;
+use coordination::limits::Limits;
 use rand::Rng;
 
 /// A number that no other has: drawn, never 0.
-pub fn draw() -> u64 {
+pub fn random_id() -> u64 {
     rand::rngs::OsRng.gen_range(1..u64::MAX)
 }
 
 /// The bounds of a new council's record.
-fn bounds() -> Bounds {
-    Bounds::default()
+fn bounds() -> Limits {
+    Limits::default()
 }
--- a/crates/control-plane/coordination-server/src/peers.rs
+++ b/crates/control-plane/coordination-server/src/peer_connections.rs
@@ -1,8 +1,8 @@
 //! Connections to other voters: one to each, for what this one sends. What can't be sent is lost, and the voter told.
-use crate::frames::{meet, write};
+use crate::framing::{handshake, write};
 use crate::transport::connect;
 use backoff::Backoff;
-use coordination::wire::Hello;
+use coordination::protocol::Handshake;
 use rand::Rng;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -32,23 +32,23 @@
 }
 
 /// All of them.
-pub struct Peers {
-    own: Hello,
+pub struct PeerConnections {
+    own: Handshake,
     peers: BTreeMap<u64, Peer>,
     unreachable: mpsc::Sender<u64>,
 }
 
-impl Peers {
+impl PeerConnections {
     /// None yet. `unreachable` hears of voters to which a connection failed.
-    pub fn new(own: Hello, unreachable: mpsc::Sender<u64>) -> Peers {
-        Peers { own, peers: BTreeMap::new(), unreachable }
+    pub fn new(own: Handshake, unreachable: mpsc::Sender<u64>) -> PeerConnections {
+        PeerConnections { own, peers: BTreeMap::new(), unreachable }
     }
 
     /// Sends a message to the voter with this number at this address.
     pub fn send(&mut self, id: u64, addr: &str, message: Vec<u8>) {
         if self.peers.get(&id).is_none_or(|p| p.addr != addr) {
             let (messages, queue) = mpsc::channel(WAITING);
-            let own = Hello { to: Some(id), ..self.own.clone() };
+            let own = Handshake { to: Some(id), ..self.own.clone() };
             let large = Rc::<Cell<bool>>::default();
             let (lost, at) = (self.unreachable.clone(), addr.to_string());
             let task = tokio::task::spawn_local(bring(own, id, at, queue, large.clone(), lost));
@@ -83,14 +83,14 @@
     }
 }
 
-impl Drop for Peers {
+impl Drop for PeerConnections {
     fn drop(&mut self) {
         self.peers.values().for_each(|p| p.task.abort());
     }
 }
 
 async fn bring(
-    own: Hello,
+    own: Handshake,
     id: u64,
     addr: String,
     mut queue: mpsc::Receiver<Vec<u8>>,
@@ -103,7 +103,7 @@
         let came = async {
             let to = addr.parse().map_err(|_| format!("{addr:?} is no address"))?;
             let stream = connect(to).await.map_err(|e| e.to_string())?;
-            meet(stream, &own).await
+            handshake(stream, &own).await
         };
         match came.await {
             Ok(mut met) => {
--- a/crates/control-plane/coordination-server/src/node.rs
+++ b/crates/control-plane/coordination-server/src/server.rs
@@ -1,18 +1,20 @@
 //! A voter's process.
-use crate::callers::{Callers, Came};
-use crate::client::{self, Council};
-use crate::disk::{self, Done, Job, OnDisk};
-use crate::halt::Halt;
-use crate::peers::Peers;
-use crate::transport::Door;
-use crate::{bounds, draw};
-use config::council::Council as File;
-use coordination::client::{Ask, Told as Answered};
-use coordination::voter::{self, Action, Event, Faulty, Identity, Kept, Note, Settings, Voter};
-use coordination::wire::{Answer, Hello, Member, Reply, Request, Status, VERSION};
-use daemon::manager::Manager;
-use daemon::pidfile::PidFile;
-use daemon::signals::{Signals, Told};
+use crate::client::{self, ClientHandle};
+use crate::client_connections::{ClientConnections, ConnectionEvent};
+use crate::crash_points::CrashPoint;
+use crate::journal_writer::{self, Done, Job, OnDisk};
+use crate::peer_connections::PeerConnections;
+use crate::transport::Listener;
+use crate::{bounds, random_id};
+use config::coordination::CoordinationConfig as File;
+use coordination::client::{ClientRequest, RequestOutcome as Answered};
+use coordination::protocol::{Answer, Handshake, Member, Reply, Request, Status, PROTOCOL_VERSION};
+use coordination::voter::{
+    self, Action, Event, Identity, InjectedDefects, PersistedState, Settings, Voter, VoterEvent,
+};
+use daemon::pid_file::PidFile;
+use daemon::service_manager::ServiceManager;
+use daemon::signals::{ProcessSignal, Signals};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::SyncSender;
@@ -34,9 +36,9 @@
 
 /// What the command line says.
 #[derive(Default)]
-pub struct Options {
+pub struct ServerOptions {
     /// For tests: the step of its disk at which it is killed.
-    pub halt: Option<Halt>,
+    pub halt: Option<CrashPoint>,
 }
 
 /// The lock of a voter's folder.
@@ -53,7 +55,7 @@
 ///
 /// # Errors
 /// One line: the folder is another's, its disk is damaged, the address can't be listened on.
-pub fn run(path: PathBuf, options: Options) -> Result<(), String> {
+pub fn run(path: PathBuf, options: ServerOptions) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(path, options))
@@ -63,28 +65,32 @@
 ///
 /// # Errors
 /// The folder holds a voter already.
-pub fn form(file: &File, backup: Option<&[u8]>) -> Result<u64, String> {
+pub fn bootstrap(file: &File, backup: Option<&[u8]>) -> Result<u64, String> {
     let _lock = lock(&file.folder)?;
-    let (mut journal, frames) = disk::open(&file.folder, None)?;
+    let (mut journal, frames) = journal_writer::open(&file.folder, None)?;
     if !frames.is_empty() {
         return Err(format!("{}: holds a voter already", file.folder.display()));
     }
-    let cluster = draw();
-    let first =
-        Member { id: draw(), name: file.name.clone(), addr: file.addr().to_string(), ..Member::default() };
+    let cluster = random_id();
+    let first = Member {
+        id: random_id(),
+        name: file.name.clone(),
+        addr: file.addr().to_string(),
+        ..Member::default()
+    };
     // More changes than anybody makes between a backup and the loss behind it: no number is given twice.
     const GAP: u64 = 1 << 40;
     let frames = match backup {
-        None => voter::form(cluster, &first, bounds()),
+        None => voter::bootstrap(cluster, &first, bounds()),
         Some(backup) => voter::restore(cluster, &first, backup, GAP)?,
     };
     journal.replace(&frames).map_err(|e| format!("{}: {e}", file.folder.display()))?;
     Ok(cluster)
 }
 
-fn hello(file: &File, own: &Identity) -> Hello {
-    Hello {
-        version: VERSION,
+fn hello(file: &File, own: &Identity) -> Handshake {
+    Handshake {
+        version: PROTOCOL_VERSION,
         cluster: own.cluster,
         name: file.name.clone(),
         voter: Some(own.voter),
@@ -93,17 +99,17 @@
     }
 }
 
-async fn serve(path: PathBuf, options: Options) -> Result<(), String> {
+async fn serve(path: PathBuf, options: ServerOptions) -> Result<(), String> {
     let mut signals = Signals::caught()?;
-    let file = config::council::read(&path)?;
-    let manager = Manager::of_environment();
+    let file = config::coordination::read(&path)?;
+    let manager = ServiceManager::of_environment();
     let lock = lock(&file.folder)?;
     if let Some(why) = lock.unwritten() {
         info!("council: {why}");
     }
-    let (mut journal, mut frames) = disk::open(&file.folder, options.halt)?;
-    let door = Door::open(file.listen()).await.map_err(|e| format!("listen: {}: {e}", file.listen()))?;
-    let mut kept = Kept::read(&frames).map_err(|e| format!("{}: {e}", file.folder.display()))?;
+    let (mut journal, mut frames) = journal_writer::open(&file.folder, options.halt)?;
+    let door = Listener::open(file.listen()).await.map_err(|e| format!("listen: {}: {e}", file.listen()))?;
+    let mut kept = PersistedState::read(&frames).map_err(|e| format!("{}: {e}", file.folder.display()))?;
     let own = match kept.identity.clone() {
         Some(own) if own.name != file.name => {
             return Err(format!(
@@ -115,12 +121,12 @@
         }
         Some(own) => own,
         None => {
-            let own = Identity { cluster: None, voter: draw(), name: file.name.clone() };
+            let own = Identity { cluster: None, voter: random_id(), name: file.name.clone() };
             write_identity(&mut journal, &own, &file)?;
             own
         }
     };
-    let (callers, mut coming) = Callers::new(hello(&file, &own), file.clients);
+    let (callers, mut coming) = ClientConnections::new(hello(&file, &own), file.clients);
     tokio::task::spawn_local(callers.clone().run(door));
     info!("council: {} listens on {}", file.name, file.listen());
     let mut met = BTreeMap::new();
@@ -133,10 +139,10 @@
             let cluster = loop {
                 tokio::select! {
                     cluster = &mut joining => break cluster,
-                    told = signals.next() => if told == Told::Stop { return Ok(()) },
+                    told = signals.next() => if told == ProcessSignal::Stop { return Ok(()) },
                     Some(came) = coming.recv() => match came {
                         // The leader comes as soon as it is agreed, which may be before this one hears of it.
-                        Came::Voter(id, addr) => meets(&mut met, id, addr),
+                        ConnectionEvent::Voter(id, addr) => meets(&mut met, id, addr),
                         came => unjoined(&callers, &file, &own, came),
                     },
                 }
@@ -145,7 +151,7 @@
             write_identity(&mut journal, &own, &file)?;
             info!("council: {} has joined council {cluster:016x}", file.name);
             frames = vec![voter::identity(&own)];
-            kept = Kept::read(&frames)?;
+            kept = PersistedState::read(&frames)?;
             callers.says(hello(&file, &own));
             own
         }
@@ -153,17 +159,17 @@
     let settings = Settings {
         expected: file.voters.iter().map(|(name, _)| name.clone()).collect(),
         tick: file.tick,
-        seed: draw(),
+        seed: random_id(),
         log_entries: voter::LOG_ENTRIES,
-        faulty: Faulty::default(),
+        faulty: InjectedDefects::default(),
     };
     let start = Instant::now();
     let voter =
         Voter::new(Duration::ZERO, settings, kept).map_err(|e| format!("{}: {e}", file.folder.display()))?;
     let (done, saved) = mpsc::unbounded_channel();
-    let jobs = disk::begin(journal, done).map_err(|e| e.to_string())?;
+    let jobs = journal_writer::begin(journal, done).map_err(|e| e.to_string())?;
     let (unreachable, lost) = mpsc::channel(UNREACHABLE);
-    let peers = Peers::new(hello(&file, &own), unreachable);
+    let peers = PeerConnections::new(hello(&file, &own), unreachable);
     let node = Node {
         path,
         file,
@@ -189,7 +195,7 @@
 async fn join(file: &File, voter: u64) -> u64 {
     let others: Vec<String> =
         file.voters.iter().filter(|(name, _)| *name != file.name).map(|(_, addr)| addr.to_string()).collect();
-    let council = Council::begin(client::Settings {
+    let council = ClientHandle::begin(client::ClientConfig {
         voters: others,
         session: None,
         name: file.name.clone(),
@@ -198,11 +204,11 @@
     let mut said = None;
     loop {
         let request = Request::Join { name: file.name.clone(), addr: file.addr().to_string(), voter };
-        let why = match council.ask(Ask::Call(request), Duration::from_secs(5)).await {
-            Answered::Answer(Answer::Joined { cluster }) => return cluster,
-            Answered::Answer(Answer::Failed(why)) => why,
-            Answered::Answer(other) => format!("{other:?}"),
-            Answered::Unclear(why) | Answered::NotDone(why) => why,
+        let why = match council.ask(ClientRequest::Call(request), Duration::from_secs(5)).await {
+            Answered::Answered(Answer::Joined { cluster }) => return cluster,
+            Answered::Answered(Answer::Failed(why)) => why,
+            Answered::Answered(other) => format!("{other:?}"),
+            Answered::Indeterminate(why) | Answered::NotExecuted(why) => why,
         };
         if said.as_ref() != Some(&why) {
             info!("council: {} has not joined: {why}", file.name);
@@ -222,8 +228,8 @@
 }
 
 /// What a process that has not joined answers.
-fn unjoined(callers: &Callers, file: &File, own: &Identity, came: Came) {
-    let Came::Call(client, call) = came else { return };
+fn unjoined(callers: &ClientConnections, file: &File, own: &Identity, came: ConnectionEvent) {
+    let ConnectionEvent::Call(client, call) = came else { return };
     let answer = match call.request {
         Request::Status => {
             let (name, role) = (file.name.clone(), "unjoined".to_string());
@@ -237,12 +243,12 @@
 struct Node {
     path: PathBuf,
     file: File,
-    manager: Manager,
+    manager: ServiceManager,
     start: Instant,
     voter: Voter,
     jobs: SyncSender<Job>,
-    peers: Peers,
-    callers: Callers,
+    peers: PeerConnections,
+    callers: ClientConnections,
     /// Addresses of voters that came here, for those that the record does not name yet.
     met: BTreeMap<u64, String>,
     removed: bool,
@@ -254,7 +260,7 @@
     async fn live(
         mut self,
         mut signals: Signals,
-        mut coming: mpsc::Receiver<Came>,
+        mut coming: mpsc::Receiver<ConnectionEvent>,
         mut saved: mpsc::UnboundedReceiver<Done>,
         mut lost: mpsc::Receiver<u64>,
     ) -> Result<(), String> {
@@ -281,13 +287,13 @@
                 // What is saved first: messages wait for it.
                 biased;
                 told = signals.next() => match told {
-                    Told::Stop if ends.is_some() => continue,
-                    Told::Stop => {
+                    ProcessSignal::Stop if ends.is_some() => continue,
+                    ProcessSignal::Stop => {
                         info!("council: {} is told to end", self.file.name);
                         ends = Some(Instant::now() + HAND_OVER);
-                        Event::HandOver
+                        Event::TransferLeadership
                     }
-                    Told::Reload => {
+                    ProcessSignal::Reload => {
                         self.reload();
                         continue;
                     }
@@ -298,13 +304,13 @@
                 },
                 _ = ticks.tick() => Event::Tick,
                 Some(came) = coming.recv() => match came {
-                    Came::Voter(id, addr) => {
+                    ConnectionEvent::Voter(id, addr) => {
                         meets(&mut self.met, id, addr);
                         continue;
                     }
-                    Came::Message(message) => Event::Message(message),
-                    Came::Call(client, call) => Event::Call { client, call },
-                    Came::Gone(client) => Event::Gone(client),
+                    ConnectionEvent::Message(message) => Event::Message(message),
+                    ConnectionEvent::Call(client, call) => Event::Call { client, call },
+                    ConnectionEvent::Gone(client) => Event::ClientDisconnected(client),
                 },
                 Some(id) = lost.recv() => Event::Unreachable(id),
                 Some(()) = is_gone.recv() => {
@@ -339,9 +345,9 @@
             return;
         }
         tokio::task::spawn_local(async move {
-            let council = Council::begin(client::Settings { voters, session: None, name, patience });
-            let asked = council.ask(Ask::Call(Request::Member { voter }), LEADERLESS).await;
-            if asked == Answered::Answer(Answer::NoMember) {
+            let council = ClientHandle::begin(client::ClientConfig { voters, session: None, name, patience });
+            let asked = council.ask(ClientRequest::Call(Request::IsMember { voter }), LEADERLESS).await;
+            if asked == Answered::Answered(Answer::NotMember) {
                 let _ = gone.send(()).await;
             }
         });
@@ -349,9 +355,9 @@
 
     fn disk_done(&mut self, done: Done) -> Option<Event> {
         match done {
-            Done::Saved(number) => Some(Event::Saved(number)),
-            Done::NotSaved { number, why, intact } => Some(Event::NotSaved { number, why, intact }),
-            Done::Recovered(frames) => match Kept::read(&frames) {
+            Done::Saved(number) => Some(Event::Persisted(number)),
+            Done::NotSaved { number, why, intact } => Some(Event::PersistFailed { number, why, intact }),
+            Done::Recovered(frames) => match PersistedState::read(&frames) {
                 Ok(kept) => Some(Event::Recovered(kept)),
                 Err(e) => {
                     info!("council: {}: {e}", self.file.folder.display());
@@ -383,57 +389,59 @@
                         self.peers.send(to, &addr, message);
                     }
                 }
-                Action::Save(save) => {
+                Action::Persist(save) => {
                     // Bounded by what the voter has under way; the thread ends with this process only.
                     self.jobs.send(Job::Save(save)).map_err(|_| "the disk's thread has ended".to_string())?;
                 }
                 Action::Reply { client, reply } => self.callers.reply(client, reply),
-                Action::Note(note) => self.note(note),
+                Action::Report(note) => self.note(note),
             }
         }
         Ok(())
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: VoterEvent) {
         let name = &self.file.name;
         match note {
-            Note::Leads(_) | Note::Follows(_) => self.leaderless = None,
-            Note::Leaderless => self.leaderless = Some(Instant::now()),
+            VoterEvent::BecameLeader(_) | VoterEvent::FollowsLeader(_) => self.leaderless = None,
+            VoterEvent::Leaderless => self.leaderless = Some(Instant::now()),
             _ => {}
         }
         match note {
-            Note::Leads(term) => {
+            VoterEvent::BecameLeader(term) => {
                 info!(term, "council: {name} leads");
                 self.manager.ready("leads".into());
             }
-            Note::Follows(leader) => {
+            VoterEvent::FollowsLeader(leader) => {
                 info!("council: {name} follows {leader}");
                 self.manager.ready(format!("follows {leader}"));
             }
-            Note::Leaderless => info!("council: {name} knows no leader"),
-            Note::Aside(why) => {
+            VoterEvent::Leaderless => info!("council: {name} knows no leader"),
+            VoterEvent::StorageFailed(why) => {
                 let why = format!("{}: {why}", self.file.folder.display());
                 info!("council: {name} stands aside and does not vote: {why}");
                 self.manager.ready(format!("stands aside: {why}"));
             }
-            Note::Back => info!("council: {name} is back"),
-            Note::Removed => self.removed = true,
-            Note::NotFolded(why) => {
+            VoterEvent::StorageRecovered => info!("council: {name} is back"),
+            VoterEvent::Removed => self.removed = true,
+            VoterEvent::SnapshotFailed(why) => {
                 info!("council: {}: the log was not folded: {why}", self.file.folder.display())
             }
-            Note::Members(what) => {
+            VoterEvent::MembershipChanged(what) => {
                 info!("council: {what}");
                 let ids: Vec<u64> = self.voter.status().members.iter().map(|m| m.id).collect();
                 self.peers.retain(&ids);
             }
-            Note::Expired(whose) => info!("council: the session of {whose} has ended, it was not renewed"),
+            VoterEvent::SessionExpired(whose) => {
+                info!("council: the session of {whose} has ended, it was not renewed")
+            }
         }
     }
 
     /// Names of voters may be added; all else stays as it is while the process runs.
     fn reload(&mut self) {
         self.manager.reloading();
-        let next = config::council::read(&self.path);
+        let next = config::coordination::read(&self.path);
         let told = match next {
             Err(why) => Err(why),
             Ok(next) if next.folder != self.file.folder => {
--- a/crates/control-plane/coordination-server/src/transport.rs
+++ b/crates/control-plane/coordination-server/src/transport.rs
@@ -14,15 +14,15 @@
 pub type Stream = TcpStream;
 
 /// Where connections come in.
-pub struct Door(TcpListener);
+pub struct Listener(TcpListener);
 
-impl Door {
+impl Listener {
     /// Listens at this address.
     ///
     /// # Errors
     /// The system's.
-    pub async fn open(addr: SocketAddr) -> io::Result<Door> {
-        Ok(Door(TcpListener::bind(addr).await?))
+    pub async fn open(addr: SocketAddr) -> io::Result<Listener> {
+        Ok(Listener(TcpListener::bind(addr).await?))
     }
 
     /// The next connection.
--- a/crates/control-plane/coordination/src/client.rs
+++ b/crates/control-plane/coordination/src/client.rs
@@ -5,12 +5,12 @@
 //! up first, or its session ended meanwhile.
 //!
 //! **A session is held** until its time to live has passed since the last renewal that was answered *was sent*, by this
-//! process's own clock and a little less ([`crate::DRIFT`]). From then on the holder has to count as ended, whatever it
+//! process's own clock and a little less ([`crate::CLOCK_DRIFT_FRACTION`]). From then on the holder has to count as ended, whatever it
 //! hears later; the voters wait longer than that. A session that was fenced is not opened again: another process has its
 //! name.
-use crate::record::{Change, Condition, End, Outcome, Refusal, Revision, SessionId, Write};
-use crate::wire::{Answer, Call, Reply, Request, Select};
-use crate::DRIFT;
+use crate::protocol::{Answer, Call, Reply, Request, Select};
+use crate::state_machine::{Compare, Op, Outcome, Rejection, Revision, SessionEnd, SessionId, Transaction};
+use crate::CLOCK_DRIFT_FRACTION;
 use backoff::Backoff;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -18,19 +18,19 @@
 use std::time::Duration;
 
 /// Asks that may wait; one more is not taken.
-pub const ASKS_MOST: usize = 1_024;
+pub const MAX_PENDING_REQUESTS: usize = 1_024;
 /// First pause after a failure.
-const PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest.
-const PAUSE_MOST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// How a client is set up.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ClientConfig {
     /// Where voters listen.
     pub voters: Vec<String>,
     /// Its session; `None`: it only reads, watches and administers.
-    pub session: Option<SessionSettings>,
+    pub session: Option<SessionConfig>,
     /// How long an answer may take before the connection counts as dead.
     pub patience: Duration,
     /// For its draws, and the number that tells its opening from others'.
@@ -39,7 +39,7 @@
 
 /// A client's session.
 #[derive(Clone, Debug)]
-pub struct SessionSettings {
+pub struct SessionConfig {
     /// The name.
     pub name: String,
     /// It ends when it is not renewed for so long.
@@ -50,13 +50,13 @@
 
 /// What it is asked for by the process that it is part of.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum ClientRequest {
     /// Changes of keys under its session.
-    Write {
+    Transact {
         /// What has to be so.
-        when: Vec<Condition>,
+        when: Vec<Compare>,
         /// What is changed then.
-        then: Vec<Change>,
+        then: Vec<Op>,
     },
     /// Keys as they are now.
     Read(Select),
@@ -81,22 +81,22 @@
     /// A reply came.
     Reply(Reply),
     /// Something is asked for, and how long it may take.
-    Ask {
+    Submit {
         /// Who asks; told with the answer.
         ticket: u64,
         /// What.
-        ask: Ask,
+        ask: ClientRequest,
         /// Its time; a watch has none.
         within: Duration,
     },
     /// What was asked for is not wanted any more.
-    GiveUp(u64),
+    Cancel(u64),
     /// A session is wanted from now on, by a client that had none.
-    Open(SessionSettings),
+    OpenSession(SessionConfig),
     /// The session is to end.
-    Close,
+    CloseSession,
     /// It is time; see [`Client::wake`].
-    Time,
+    Timeout,
 }
 
 /// What is wanted.
@@ -109,34 +109,34 @@
     /// A call over it.
     Send(Call),
     /// What came of something that was asked for.
-    Tell {
+    Complete {
         /// Who asked.
         ticket: u64,
         /// What came of it.
-        told: Told,
+        told: RequestOutcome,
     },
     /// What became of the session.
-    Session(News),
+    SessionChanged(SessionEvent),
 }
 
 /// What came of something that was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum RequestOutcome {
     /// The leader's answer. To a watch more than one: `Watching`, `Changes`, `Lost` (then nothing more comes).
-    Answer(Answer),
+    Answered(Answer),
     /// It may have been done or not, and why it is not known.
-    Unclear(String),
+    Indeterminate(String),
     /// It was not done, and why.
-    NotDone(String),
+    NotExecuted(String),
 }
 
 /// What became of the session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum SessionEvent {
     /// It is held.
-    Held(SessionId),
+    Established(SessionId),
     /// By its own clock it may have ended: nothing may rest on it until it is held again.
-    Doubtful(SessionId),
+    Suspect(SessionId),
     /// It has ended, and another is opened.
     Ended(SessionId),
     /// Another process has its name. It is not opened again.
@@ -147,9 +147,9 @@
         by: SessionId,
     },
     /// Another one has the name, and it waits until that one ends.
-    Waits(SessionId),
+    WaitingForName(SessionId),
     /// The council refuses it, and why; it tries again.
-    Refused(String),
+    Rejected(String),
 }
 
 #[derive(Debug)]
@@ -161,8 +161,8 @@
 }
 
 #[derive(Debug)]
-struct Asked {
-    ask: Ask,
+struct PendingRequest {
+    ask: ClientRequest,
     until: Option<Duration>,
     /// The call that it went out as last, on this connection, and when.
     call: Option<(u64, Duration)>,
@@ -203,7 +203,7 @@
 
 /// A client.
 pub struct Client {
-    settings: Settings,
+    settings: ClientConfig,
     random: Pcg64Mcg,
     link: Link,
     /// The voter that is tried next.
@@ -212,7 +212,7 @@
     hint: Option<String>,
     pauses: Backoff,
     calls: u64,
-    asks: BTreeMap<u64, Asked>,
+    asks: BTreeMap<u64, PendingRequest>,
     /// Writes in order: one at a time is under way.
     writes: VecDeque<u64>,
     session: Session,
@@ -224,7 +224,7 @@
 
 impl Client {
     /// A client that has not begun.
-    pub fn new(settings: Settings) -> Client {
+    pub fn new(settings: ClientConfig) -> Client {
         let mut random = Pcg64Mcg::seed_from_u64(settings.seed);
         let session = match &settings.session {
             Some(s) => Session::Opening {
@@ -236,7 +236,7 @@
             None => Session::None,
         };
         let next = random.gen_range(0..settings.voters.len().max(1));
-        let pauses = Backoff::new(PAUSE, PAUSE_MOST);
+        let pauses = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         Client {
             settings,
             random,
@@ -315,7 +315,7 @@
             if let Some(until) = asked.until {
                 sooner(until);
             }
-            let is_write = matches!(asked.ask, Ask::Write { .. });
+            let is_write = matches!(asked.ask, ClientRequest::Transact { .. });
             if up
                 && asked.call.is_none()
                 && (!is_write || first_write == Some(ticket))
@@ -339,7 +339,8 @@
     /// has, would be taken for one with nothing to tell.
     fn only_watches(&self) -> bool {
         let session = !matches!(self.session, Session::None | Session::Over);
-        !session && self.asks.values().any(|a| matches!(a.ask, Ask::Watch { .. }) && a.call.is_some())
+        !session
+            && self.asks.values().any(|a| matches!(a.ask, ClientRequest::Watch { .. }) && a.call.is_some())
     }
 
     fn wants_link(&self) -> bool {
@@ -358,34 +359,43 @@
             Event::Connected => {}
             Event::Disconnected => self.lost(now, None),
             Event::Reply(reply) => self.reply(now, reply, out),
-            Event::Ask { ticket, ask, within } => self.ask(now, ticket, ask, within, out),
-            Event::GiveUp(ticket) => self.give_up(ticket, out),
-            Event::Open(session) => self.open(now, session),
-            Event::Close => self.close(),
-            Event::Time => {}
+            Event::Submit { ticket, ask, within } => self.ask(now, ticket, ask, within, out),
+            Event::Cancel(ticket) => self.give_up(ticket, out),
+            Event::OpenSession(session) => self.open(now, session),
+            Event::CloseSession => self.close(),
+            Event::Timeout => {}
         }
         self.time(now, out);
         self.go_on(now, out);
     }
 
-    fn ask(&mut self, now: Duration, ticket: u64, ask: Ask, within: Duration, out: &mut Vec<Action>) {
+    fn ask(
+        &mut self,
+        now: Duration,
+        ticket: u64,
+        ask: ClientRequest,
+        within: Duration,
+        out: &mut Vec<Action>,
+    ) {
         let why = match &ask {
-            _ if self.asks.len() >= ASKS_MOST => Some(format!("{ASKS_MOST} asks wait")),
-            Ask::Write { .. } if matches!(self.session, Session::None) => Some("there is no session".into()),
-            Ask::Write { .. } if self.over() => Some("the session is over".into()),
+            _ if self.asks.len() >= MAX_PENDING_REQUESTS => Some(format!("{MAX_PENDING_REQUESTS} asks wait")),
+            ClientRequest::Transact { .. } if matches!(self.session, Session::None) => {
+                Some("there is no session".into())
+            }
+            ClientRequest::Transact { .. } if self.over() => Some("the session is over".into()),
             _ => None,
         };
         if let Some(why) = why {
-            out.push(Action::Tell { ticket, told: Told::NotDone(why) });
+            out.push(Action::Complete { ticket, told: RequestOutcome::NotExecuted(why) });
             return;
         }
-        let watch = matches!(ask, Ask::Watch { .. });
-        if matches!(ask, Ask::Write { .. }) {
+        let watch = matches!(ask, ClientRequest::Watch { .. });
+        if matches!(ask, ClientRequest::Transact { .. }) {
             self.writes.push_back(ticket);
         }
         let until = (!watch).then(|| now + within);
-        let busy = Backoff::new(PAUSE, PAUSE_MOST);
-        let asked = Asked {
+        let busy = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
+        let asked = PendingRequest {
             ask,
             until,
             call: None,
@@ -400,13 +410,15 @@
 
     fn give_up(&mut self, ticket: u64, out: &mut Vec<Action>) {
         let Some(asked) = self.forget(ticket) else { return };
-        if let (Link::Up, Ask::Watch { .. }, Some((watch, _))) = (&self.link, &asked.ask, asked.call) {
+        if let (Link::Up, ClientRequest::Watch { .. }, Some((watch, _))) =
+            (&self.link, &asked.ask, asked.call)
+        {
             self.calls += 1;
             out.push(Action::Send(Call { id: self.calls, request: Request::Unwatch { watch } }));
         }
     }
 
-    fn open(&mut self, now: Duration, session: SessionSettings) {
+    fn open(&mut self, now: Duration, session: SessionConfig) {
         if self.settings.session.is_some() {
             return;
         }
@@ -424,14 +436,14 @@
         };
     }
 
-    fn forget(&mut self, ticket: u64) -> Option<Asked> {
+    fn forget(&mut self, ticket: u64) -> Option<PendingRequest> {
         self.writes.retain(|&t| t != ticket);
         self.asks.remove(&ticket)
     }
 
-    fn tell(&mut self, ticket: u64, told: Told, out: &mut Vec<Action>) {
+    fn tell(&mut self, ticket: u64, told: RequestOutcome, out: &mut Vec<Action>) {
         self.forget(ticket);
-        out.push(Action::Tell { ticket, told });
+        out.push(Action::Complete { ticket, told });
     }
 
     /// The connection is gone: what went out on it goes out again on the next.
@@ -473,7 +485,7 @@
                 out.push(Action::Disconnect);
                 return self.lost(now, leader);
             }
-            Answer::Unclear => {
+            Answer::Indeterminate => {
                 out.push(Action::Disconnect);
                 return self.lost(now, None);
             }
@@ -492,41 +504,52 @@
                 asked.not_before = now + asked.busy.failed(self.random.gen());
             }
             (
-                Ask::Watch { .. },
-                answer @ (Answer::Watching { revision } | Answer::Changes { revision, .. }),
+                ClientRequest::Watch { .. },
+                answer @ (Answer::Watching { revision } | Answer::Events { revision, .. }),
             ) => {
                 let begins = matches!(answer, Answer::Watching { .. });
                 let again = begins && asked.revision.is_some();
                 asked.revision = Some(revision);
                 // That it stands again after a change of leader is nobody's concern.
                 if !again {
-                    out.push(Action::Tell { ticket, told: Told::Answer(answer) });
+                    out.push(Action::Complete { ticket, told: RequestOutcome::Answered(answer) });
                 }
             }
-            (Ask::Write { .. }, Answer::Outcome(Outcome::Refused(Refusal::Ended(how)))) => {
+            (
+                ClientRequest::Transact { .. },
+                Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(how))),
+            ) => {
                 let (once, number) = (asked.sent == 1, asked.number);
                 if once {
                     // It went out this one time, and this says that it was not done.
-                    self.tell(ticket, Told::NotDone(format!("the session has ended: {how}")), out);
+                    self.tell(
+                        ticket,
+                        RequestOutcome::NotExecuted(format!("the session has ended: {how}")),
+                        out,
+                    );
                 }
                 self.session_ended(now, number.map_or(0, |(session, _)| session), how, out);
                 if self.asks.contains_key(&ticket) {
-                    self.tell(ticket, Told::Unclear(format!("the session has ended: {how}")), out);
+                    self.tell(
+                        ticket,
+                        RequestOutcome::Indeterminate(format!("the session has ended: {how}")),
+                        out,
+                    );
                 }
             }
-            (_, answer) => self.tell(ticket, Told::Answer(answer), out),
+            (_, answer) => self.tell(ticket, RequestOutcome::Answered(answer), out),
         }
     }
 
     /// Whether the reply was the session's.
     fn session_reply(&mut self, now: Duration, id: u64, answer: &Answer, out: &mut Vec<Action>) -> bool {
         let Some(s) = &self.settings.session else { return false };
-        let (ttl, least) = (s.ttl, s.ttl - s.ttl / DRIFT);
+        let (ttl, least) = (s.ttl, s.ttl - s.ttl / CLOCK_DRIFT_FRACTION);
         match &mut self.session {
             Session::Opening { call: Some((call, at)), not_before, .. } if *call == id => {
                 let at = *at;
                 match answer {
-                    Answer::Outcome(Outcome::Opened(session)) => {
+                    Answer::Outcome(Outcome::SessionOpened(session)) => {
                         let id = *session;
                         self.session_pauses.worked();
                         self.session = Session::Open {
@@ -537,7 +560,7 @@
                             doubtful: false,
                             numbers: 0,
                         };
-                        out.push(Action::Session(News::Held(id)));
+                        out.push(Action::SessionChanged(SessionEvent::Established(id)));
                     }
                     other => {
                         *not_before = now + self.session_pauses.failed(self.random.gen());
@@ -545,13 +568,15 @@
                             *call = None;
                         }
                         match other {
-                            Answer::Outcome(Outcome::Refused(Refusal::Held(by))) => {
-                                out.push(Action::Session(News::Waits(*by)));
+                            Answer::Outcome(Outcome::Rejected(Rejection::NameTaken(by))) => {
+                                out.push(Action::SessionChanged(SessionEvent::WaitingForName(*by)));
+                            }
+                            Answer::Outcome(Outcome::Rejected(why)) => {
+                                out.push(Action::SessionChanged(SessionEvent::Rejected(why.to_string())));
                             }
-                            Answer::Outcome(Outcome::Refused(why)) => {
-                                out.push(Action::Session(News::Refused(why.to_string())));
+                            Answer::Failed(why) => {
+                                out.push(Action::SessionChanged(SessionEvent::Rejected(why.clone())))
                             }
-                            Answer::Failed(why) => out.push(Action::Session(News::Refused(why.clone()))),
                             _ => {}
                         }
                     }
@@ -563,21 +588,21 @@
             {
                 let (session, at) = (*session, *at);
                 match answer {
-                    Answer::Renewed => {
+                    Answer::SessionRenewed => {
                         *until = at + least;
                         *renewed = at;
                         // An answer that came after its own time is none.
                         let held = now < *until;
                         if held && std::mem::take(doubtful) {
-                            out.push(Action::Session(News::Held(session)));
+                            out.push(Action::SessionChanged(SessionEvent::Established(session)));
                         }
                     }
-                    Answer::Outcome(Outcome::Refused(Refusal::Ended(how))) => {
+                    Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(how))) => {
                         self.session_ended(now, session, *how, out);
                         return true;
                     }
                     // Busy: soon again.
-                    _ => *renewed = now.saturating_sub(ttl / 3) + PAUSE,
+                    _ => *renewed = now.saturating_sub(ttl / 3) + INITIAL_BACKOFF,
                 }
                 if let Session::Open { call, .. } = &mut self.session {
                     *call = None;
@@ -600,7 +625,7 @@
     }
 
     /// The council says that the session has ended. Its writes end with it: those that went out may have been done.
-    fn session_ended(&mut self, now: Duration, session: SessionId, how: End, out: &mut Vec<Action>) {
+    fn session_ended(&mut self, now: Duration, session: SessionId, how: SessionEnd, out: &mut Vec<Action>) {
         match self.session {
             Session::Open { id, .. } | Session::Closing { id, .. } if id == session => {}
             _ => return,
@@ -609,25 +634,25 @@
             let Some(asked) = self.asks.get(&ticket) else { continue };
             if asked.number.is_some_and(|(s, _)| s == session) {
                 let why = format!("the session has ended: {how}");
-                self.tell(ticket, Told::Unclear(why), out);
+                self.tell(ticket, RequestOutcome::Indeterminate(why), out);
             }
         }
         match how {
-            End::Fenced(by) => {
+            SessionEnd::Fenced(by) => {
                 self.session = Session::Over;
-                out.push(Action::Session(News::Fenced { session, by }));
+                out.push(Action::SessionChanged(SessionEvent::Fenced { session, by }));
                 for ticket in std::mem::take(&mut self.writes) {
-                    self.tell(ticket, Told::NotDone("the session is over".into()), out);
+                    self.tell(ticket, RequestOutcome::NotExecuted("the session is over".into()), out);
                 }
             }
-            End::Closed | End::Expired => {
+            SessionEnd::Closed | SessionEnd::Expired => {
                 if matches!(self.session, Session::Closing { .. }) {
                     self.session = Session::Over;
                     return;
                 }
                 let nonce = self.random.gen();
                 self.session = Session::Opening { nonce, take_over: false, call: None, not_before: now };
-                out.push(Action::Session(News::Ended(session)));
+                out.push(Action::SessionChanged(SessionEvent::Ended(session)));
             }
         }
     }
@@ -637,7 +662,7 @@
         if let Session::Open { id, until, doubtful, .. } = &mut self.session {
             if now >= *until && !*doubtful {
                 *doubtful = true;
-                out.push(Action::Session(News::Doubtful(*id)));
+                out.push(Action::SessionChanged(SessionEvent::Suspect(*id)));
             }
         }
         let over: Vec<u64> =
@@ -646,8 +671,10 @@
             let Some(asked) = self.asks.get(&ticket) else { continue };
             let why = "no answer in time".to_string();
             let told = match (&asked.ask, asked.sent > 0) {
-                (Ask::Write { .. } | Ask::Call(_), true) => Told::Unclear(why),
-                _ => Told::NotDone(why),
+                (ClientRequest::Transact { .. } | ClientRequest::Call(_), true) => {
+                    RequestOutcome::Indeterminate(why)
+                }
+                _ => RequestOutcome::NotExecuted(why),
             };
             self.tell(ticket, told, out);
         }
@@ -694,21 +721,26 @@
                 continue;
             }
             let request = match &asked.ask {
-                Ask::Write { when, then } => {
+                ClientRequest::Transact { when, then } => {
                     let (Some(id), true) = (session, first == Some(ticket)) else { continue };
                     let Session::Open { numbers, .. } = &mut self.session else { continue };
                     let (session, number) = *asked.number.get_or_insert_with(|| {
                         *numbers += 1;
                         (id, *numbers)
                     });
-                    Request::Write(Write { session, number, when: when.clone(), then: then.clone() })
+                    Request::Transaction(Transaction {
+                        session,
+                        number,
+                        when: when.clone(),
+                        then: then.clone(),
+                    })
                 }
-                Ask::Read(select) => Request::Read(select.clone()),
-                Ask::Watch { under, after } => {
+                ClientRequest::Read(select) => Request::Read(select.clone()),
+                ClientRequest::Watch { under, after } => {
                     let after = asked.revision.or(*after);
                     Request::Watch { under: under.clone(), after }
                 }
-                Ask::Call(request) => request.clone(),
+                ClientRequest::Call(request) => request.clone(),
             };
             self.calls += 1;
             asked.call = Some((self.calls, now));
@@ -731,16 +763,20 @@
         let ttl_ms = u64::try_from(s.ttl.as_millis()).unwrap_or(u64::MAX);
         let (call, request) = match &mut self.session {
             Session::Opening { nonce, take_over, call: call @ None, not_before } if *not_before <= now => {
-                let request =
-                    Request::Open { name: s.name.clone(), nonce: *nonce, ttl_ms, take_over: *take_over };
+                let request = Request::OpenSession {
+                    name: s.name.clone(),
+                    nonce: *nonce,
+                    ttl_ms,
+                    take_over: *take_over,
+                };
                 (call, request)
             }
             Session::Open { id, renewed, call: call @ None, doubtful, .. }
                 if *doubtful || now >= *renewed + every =>
             {
-                (call, Request::Renew { session: *id })
+                (call, Request::RenewSession { session: *id })
             }
-            Session::Closing { id, call: call @ None } => (call, Request::Close { session: *id }),
+            Session::Closing { id, call: call @ None } => (call, Request::CloseSession { session: *id }),
             _ => return,
         };
         self.calls += 1;
--- a/crates/control-plane/coordination/src/lib.rs
+++ b/crates/control-plane/coordination/src/lib.rs
@@ -5,18 +5,18 @@
 //!
 //! | module | what it has |
 //! | --- | --- |
-//! | [`record`] | the record: keys, sessions, conditional writes, what changed |
-//! | [`bounds`] | how large it may become |
-//! | [`wire`] | what voters and clients say to one another |
+//! | [`state_machine`] | the record: keys, sessions, conditional writes, what changed |
+//! | [`limits`] | how large it may become |
+//! | [`protocol`] | what voters and clients say to one another |
 //! | [`voter`] | one voter: agreement (by the crate `raft`), sessions' time, reads, watches, members |
 //! | [`client`] | one client: follows the leader, renews its session, sends again what may be sent again |
-pub mod bounds;
 pub mod client;
-mod log;
-pub mod record;
+pub mod limits;
+pub mod protocol;
+mod raft_log;
+pub mod state_machine;
 pub mod voter;
-pub mod wire;
 
 /// By how much two clocks that count the same time may differ, as one in so many. Sessions are counted longer by this at
 /// the voters, and shorter by it at their holders.
-pub const DRIFT: u32 = 50;
+pub const CLOCK_DRIFT_FRACTION: u32 = 50;
--- a/crates/control-plane/coordination/src/bounds.rs
+++ b/crates/control-plane/coordination/src/limits.rs
@@ -5,7 +5,7 @@
 /// Most of everything; each is refused by name when it is reached.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Bounds {
+pub struct Limits {
     /// Bytes of a key.
     pub key: u64,
     /// Bytes of a value.
@@ -34,9 +34,9 @@
     pub changes_bytes: u64,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
             key: 256,
             value: 512 << 10,
             keys: 65_536,
--- a/crates/control-plane/coordination/src/wire.rs
+++ b/crates/control-plane/coordination/src/protocol.rs
@@ -1,22 +1,22 @@
-//! What voters and clients say to one another. Each connection begins with a [`Hello`] from either side; then voters send
+//! What voters and clients say to one another. Each connection begins with a [`Handshake`] from either side; then voters send
 //! messages of the agreement, and clients [`Call`]s, which are answered by [`Reply`]s in any order. All but the messages of
 //! the agreement is JSON.
-use crate::record::{Changed, Item, Outcome, Revision, SessionId, Write};
+use crate::state_machine::{Outcome, Revision, SessionId, Transaction, VersionedValue, WatchEvent};
 use serde::{Deserialize, Serialize};
 
 /// The version of what is said; both sides have to have the same.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// Longest frame between a client and a voter, in bytes.
-pub const CALL_MOST: usize = 64 << 20;
+pub const MAX_CALL_BYTES: usize = 64 << 20;
 /// Longest frame between voters, in bytes: a snapshot.
-pub const MESSAGE_MOST: usize = 96 << 20;
+pub const MAX_RAFT_MESSAGE_BYTES: usize = 96 << 20;
 /// Most bytes of keys and values in the answer to one read.
-pub const READ_MOST: u64 = 4 << 20;
+pub const MAX_READ_BYTES: u64 = 4 << 20;
 
 /// The first thing that is said on a connection, by both sides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
-    /// [`VERSION`].
+pub struct Handshake {
+    /// [`PROTOCOL_VERSION`].
     pub version: u32,
     /// The council's own number, drawn when it was formed; `None`: not known yet.
     pub cluster: Option<u64>,
@@ -30,12 +30,12 @@
     pub to: Option<u64>,
 }
 
-impl Hello {
+impl Handshake {
     /// Why one who said this is not talked to by `own`.
     ///
     /// # Errors
     /// One line for both logs.
-    pub fn fits(&self, own: &Hello) -> Result<(), String> {
+    pub fn fits(&self, own: &Handshake) -> Result<(), String> {
         if self.version != own.version {
             return Err(format!(
                 "{} speaks version {}, and this is version {}",
@@ -72,7 +72,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// A session.
-    Open {
+    #[serde(rename = "Open")]
+    OpenSession {
         /// Whose.
         name: String,
         /// Drawn once for it.
@@ -83,17 +84,20 @@
         take_over: bool,
     },
     /// The session's time to live begins anew.
-    Renew {
+    #[serde(rename = "Renew")]
+    RenewSession {
         /// Which.
         session: SessionId,
     },
     /// The session ends.
-    Close {
+    #[serde(rename = "Close")]
+    CloseSession {
         /// Which.
         session: SessionId,
     },
     /// Keys are changed.
-    Write(Write),
+    #[serde(rename = "Write")]
+    Transaction(Transaction),
     /// Keys as they are when this is answered, or later.
     Read(Select),
     /// Changes of keys as they happen; answered more than once.
@@ -120,17 +124,20 @@
         voter: u64,
     },
     /// Whether the process with this number is still a member.
-    Member {
+    #[serde(rename = "Member")]
+    IsMember {
         /// Its number.
         voter: u64,
     },
     /// A voter is to be one no more.
-    Remove {
+    #[serde(rename = "Remove")]
+    RemoveMember {
         /// Its name.
         name: String,
     },
     /// Another voter is to lead.
-    Transfer {
+    #[serde(rename = "Transfer")]
+    TransferLeadership {
         /// Its name.
         name: String,
     },
@@ -144,7 +151,8 @@
     /// This one.
     Key(String),
     /// All that begin so.
-    Under(String),
+    #[serde(rename = "Under")]
+    Prefix(String),
 }
 
 /// The answer to a call.
@@ -162,13 +170,14 @@
     /// Of a command.
     Outcome(Outcome),
     /// The session lives on.
-    Renewed,
+    #[serde(rename = "Renewed")]
+    SessionRenewed,
     /// Keys, by name, at this revision.
     Values {
         /// Of the record.
         revision: Revision,
         /// In order.
-        items: Vec<(String, Item)>,
+        items: Vec<(String, VersionedValue)>,
     },
     /// The watch stands, and has told all up to this revision.
     Watching {
@@ -176,14 +185,16 @@
         revision: Revision,
     },
     /// What changed, up to this revision.
-    Changes {
+    #[serde(rename = "Changes")]
+    Events {
         /// Of the record.
         revision: Revision,
         /// In order.
-        changes: Vec<Changed>,
+        changes: Vec<WatchEvent>,
     },
     /// What changed after the revision that was named is not known any more: read, and watch from there.
-    Lost {
+    #[serde(rename = "Lost")]
+    Compacted {
         /// From here on watches can resume.
         oldest: Revision,
     },
@@ -193,7 +204,8 @@
         leader: Option<String>,
     },
     /// It may have been done or not: the voter leads no more.
-    Unclear,
+    #[serde(rename = "Unclear")]
+    Indeterminate,
     /// Too much is waiting already: `what`. Nothing was done.
     Busy(String),
     /// As this voter sees it.
@@ -204,7 +216,8 @@
         cluster: u64,
     },
     /// The process that was asked for is no member, or no more.
-    NoMember,
+    #[serde(rename = "NoMember")]
+    NotMember,
     /// All of it, as JSON.
     Backup(String),
     /// Done.
--- a/crates/control-plane/coordination/src/record.rs
+++ b/crates/control-plane/coordination/src/state_machine.rs
@@ -5,7 +5,7 @@
 //! last. Whoever writes has a **session**: a name and a time to live, numbered by the revision that opened it. That
 //! number grows with every opening and is never given twice, so it tells a second process under the same name apart, and
 //! serves as a fencing number for what is done outside of the record. Keys may be bound to a session and end with it.
-use crate::bounds::Bounds;
+use crate::limits::Limits;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -19,7 +19,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// A session for this name.
-    Open {
+    #[serde(rename = "Open")]
+    OpenSession {
         /// Who: an instance, a supervisor, a person at a command line.
         name: String,
         /// Drawn by who opens it: sent again, it finds the session that it opened.
@@ -30,14 +31,17 @@
         take_over: bool,
     },
     /// Changes of keys, all or none.
-    Write(Write),
+    #[serde(rename = "Write")]
+    Transaction(Transaction),
     /// The session ends by its own will.
-    Close {
+    #[serde(rename = "Close")]
+    CloseSession {
         /// Which.
         session: SessionId,
     },
     /// The session ends since it was not renewed in time.
-    Expire {
+    #[serde(rename = "Expire")]
+    ExpireSession {
         /// Which.
         session: SessionId,
     },
@@ -45,21 +49,21 @@
 
 /// Changes of keys, all or none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Write {
+pub struct Transaction {
     /// Whose.
     pub session: SessionId,
     /// Counted by the session, from 1. Sent again with its number, it happens once, and answers as it did.
     pub number: u64,
     /// What has to be so.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub when: Vec<Condition>,
+    pub when: Vec<Compare>,
     /// What is changed then.
-    pub then: Vec<Change>,
+    pub then: Vec<Op>,
 }
 
 /// What has to be so for a write to happen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Condition {
+pub enum Compare {
     /// There is no such key.
     Absent(String),
     /// There is.
@@ -67,14 +71,16 @@
     /// The key was written last at this revision.
     Version(String, Revision),
     /// This session has not ended.
-    Alive(SessionId),
+    #[serde(rename = "Alive")]
+    SessionAlive(SessionId),
     /// This session has ended.
-    Ended(SessionId),
+    #[serde(rename = "Ended")]
+    SessionEnded(SessionId),
 }
 
 /// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum Op {
     /// The key holds this from now on.
     Put {
         /// Which.
@@ -89,11 +95,11 @@
     Delete(String),
 }
 
-impl Change {
+impl Op {
     /// Which key.
     pub fn key(&self) -> &str {
         match self {
-            Change::Put { key, .. } | Change::Delete(key) => key,
+            Op::Put { key, .. } | Op::Delete(key) => key,
         }
     }
 }
@@ -102,52 +108,61 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The session is open.
-    Opened(SessionId),
+    #[serde(rename = "Opened")]
+    SessionOpened(SessionId),
     /// All changes were made, as this revision.
-    Written(Revision),
+    #[serde(rename = "Written")]
+    Committed(Revision),
     /// None was made: this condition, counted from 0, does not hold.
-    Differs {
+    #[serde(rename = "Differs")]
+    CompareFailed {
         /// Which.
         condition: usize,
         /// The version of the key that it names; 0: there is none.
         found: Revision,
     },
     /// The session is closed, or was before.
-    Closed,
+    #[serde(rename = "Closed")]
+    SessionClosed,
     /// Nothing was done, and why.
-    Refused(Refusal),
+    #[serde(rename = "Refused")]
+    Rejected(Rejection),
 }
 
 /// Why nothing was done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum Rejection {
     /// A bound is reached: what is bounded, and the most.
-    Bound(String, u64),
+    #[serde(rename = "Bound")]
+    LimitExceeded(String, u64),
     /// Another session has the name.
-    Held(SessionId),
+    #[serde(rename = "Held")]
+    NameTaken(SessionId),
     /// The session has ended, and how.
-    Ended(End),
+    #[serde(rename = "Ended")]
+    SessionEnded(SessionEnd),
     /// A later write of the same session was made.
     Superseded,
     /// It can't be done as it is put.
-    Malformed(String),
+    #[serde(rename = "Malformed")]
+    Invalid(String),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Bound(what, most) => write!(f, "{what}: {most} at most"),
-            Refusal::Held(by) => write!(f, "session {by} has the name"),
-            Refusal::Ended(how) => write!(f, "the session has ended: {how}"),
-            Refusal::Superseded => f.write_str("a later write of the session was made"),
-            Refusal::Malformed(why) => f.write_str(why),
+            Rejection::LimitExceeded(what, most) => write!(f, "{what}: {most} at most"),
+            Rejection::NameTaken(by) => write!(f, "session {by} has the name"),
+            Rejection::SessionEnded(how) => write!(f, "the session has ended: {how}"),
+            Rejection::Superseded => f.write_str("a later write of the session was made"),
+            Rejection::Invalid(why) => f.write_str(why),
         }
     }
 }
 
 /// How a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum SessionEnd {
     /// It was closed.
     Closed,
     /// It was not renewed in time, or is not known any more.
@@ -156,19 +171,19 @@
     Fenced(SessionId),
 }
 
-impl fmt::Display for End {
+impl fmt::Display for SessionEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Closed => f.write_str("closed"),
-            End::Expired => f.write_str("expired"),
-            End::Fenced(by) => write!(f, "session {by} has its name now"),
+            SessionEnd::Closed => f.write_str("closed"),
+            SessionEnd::Expired => f.write_str("expired"),
+            SessionEnd::Fenced(by) => write!(f, "session {by} has its name now"),
         }
     }
 }
 
 /// A key as it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct VersionedValue {
     /// What it holds.
     pub value: String,
     /// The revision that wrote it last.
@@ -194,7 +209,7 @@
 
 /// One key's change, as watches tell it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct WatchEvent {
     /// The revision that it is part of.
     pub revision: Revision,
     /// Which key.
@@ -206,23 +221,23 @@
 
 /// The record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct StateMachine {
     /// Of this size at most.
-    pub bounds: Bounds,
+    pub bounds: Limits,
     revision: Revision,
-    keys: BTreeMap<String, Item>,
+    keys: BTreeMap<String, VersionedValue>,
     /// Of keys and values.
     bytes: u64,
     sessions: BTreeMap<SessionId, Session>,
     /// Sessions that ended last, with how; of older ones it is not known any more.
-    ended: VecDeque<(SessionId, End)>,
+    ended: VecDeque<(SessionId, SessionEnd)>,
     #[serde(skip)]
     names: BTreeMap<String, SessionId>,
     #[serde(skip)]
     bound: BTreeMap<SessionId, BTreeSet<String>>,
     /// What changed last, for watches that resume; not kept over a snapshot.
     #[serde(skip)]
-    changes: VecDeque<Changed>,
+    changes: VecDeque<WatchEvent>,
     #[serde(skip)]
     changes_bytes: u64,
     /// Changes after this revision are all in `changes`.
@@ -230,10 +245,10 @@
     since: Revision,
 }
 
-impl Record {
+impl StateMachine {
     /// An empty one.
-    pub fn new(bounds: Bounds) -> Record {
-        Record {
+    pub fn new(bounds: Limits) -> StateMachine {
+        StateMachine {
             bounds,
             revision: 0,
             keys: BTreeMap::new(),
@@ -248,16 +263,16 @@
         }
     }
 
-    /// What [`Record::write`] wrote.
+    /// What [`StateMachine::write`] wrote.
     ///
     /// # Errors
     /// It is no record.
-    pub fn read(bytes: &[u8]) -> Result<Record, String> {
-        serde_json::from_slice(bytes).map(Record::rebuilt).map_err(|e| e.to_string())
+    pub fn read(bytes: &[u8]) -> Result<StateMachine, String> {
+        serde_json::from_slice(bytes).map(StateMachine::rebuilt).map_err(|e| e.to_string())
     }
 
     /// With what follows from the rest, after it was read.
-    pub(crate) fn rebuilt(mut self) -> Record {
+    pub(crate) fn rebuilt(mut self) -> StateMachine {
         let record = &mut self;
         record.since = record.revision;
         record.bytes = record.keys.iter().map(|(k, i)| size(k, &i.value)).sum();
@@ -287,12 +302,12 @@
     }
 
     /// A key.
-    pub fn get(&self, key: &str) -> Option<&Item> {
+    pub fn get(&self, key: &str) -> Option<&VersionedValue> {
         self.keys.get(key)
     }
 
     /// The keys that begin so, in order.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Item)> {
+    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a VersionedValue)> {
         let from = (std::ops::Bound::Included(prefix), std::ops::Bound::Unbounded);
         let all = self.keys.range::<str, _>(from).take_while(move |(key, _)| key.starts_with(prefix));
         all.map(|(key, item)| (key.as_str(), item))
@@ -309,12 +324,12 @@
     }
 
     /// How a session ended, as far as it is known.
-    pub fn end(&self, id: SessionId) -> End {
-        self.ended.iter().rev().find(|(ended, _)| *ended == id).map_or(End::Expired, |(_, end)| *end)
+    pub fn end(&self, id: SessionId) -> SessionEnd {
+        self.ended.iter().rev().find(|(ended, _)| *ended == id).map_or(SessionEnd::Expired, |(_, end)| *end)
     }
 
     /// What changed after this revision, oldest first; `None`: that is not known any more, and a watch has to begin anew.
-    pub fn since(&self, revision: Revision) -> Option<impl Iterator<Item = &Changed>> {
+    pub fn since(&self, revision: Revision) -> Option<impl Iterator<Item = &WatchEvent>> {
         (revision >= self.since).then(|| {
             let from = self.changes.partition_point(|c| c.revision <= revision);
             self.changes.range(from..)
@@ -330,7 +345,7 @@
     /// made that it does not know. All sessions end.
     pub fn restored(&mut self, gap: u64) {
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
-            self.end_session(id, End::Expired);
+            self.end_session(id, SessionEnd::Expired);
         }
         self.revision = self.revision.saturating_add(gap);
         self.changes.clear();
@@ -338,12 +353,12 @@
     }
 
     /// Why a write can't be made, whatever the record holds.
-    pub fn malformed(&self, write: &Write) -> Option<Refusal> {
+    pub fn malformed(&self, write: &Transaction) -> Option<Rejection> {
         malformed(&self.bounds, &write.when, &write.then)
     }
 
     /// A fault for the simulation to find: a session that has ended writes as if it had not.
-    pub(crate) fn apply_unfenced(&mut self, write: &Write) -> Outcome {
+    pub(crate) fn apply_unfenced(&mut self, write: &Transaction) -> Outcome {
         match self.sessions.contains_key(&write.session) {
             true => self.write_keys(write),
             false => self.try_write(write),
@@ -358,15 +373,17 @@
     /// Carries a command out.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         match command {
-            Command::Open { name, nonce, ttl_ms, take_over } => self.open(name, *nonce, *ttl_ms, *take_over),
-            Command::Write(write) => self.write_keys(write),
-            Command::Close { session } => {
-                self.end_session(*session, End::Closed);
-                Outcome::Closed
+            Command::OpenSession { name, nonce, ttl_ms, take_over } => {
+                self.open(name, *nonce, *ttl_ms, *take_over)
+            }
+            Command::Transaction(write) => self.write_keys(write),
+            Command::CloseSession { session } => {
+                self.end_session(*session, SessionEnd::Closed);
+                Outcome::SessionClosed
             }
-            Command::Expire { session } => {
-                self.end_session(*session, End::Expired);
-                Outcome::Closed
+            Command::ExpireSession { session } => {
+                self.end_session(*session, SessionEnd::Expired);
+                Outcome::SessionClosed
             }
         }
     }
@@ -378,16 +395,16 @@
         }
         if ttl_ms < b.ttl_least_ms || ttl_ms > b.ttl_most_ms {
             let why = format!("a session lives {} to {} ms unrenewed", b.ttl_least_ms, b.ttl_most_ms);
-            return Outcome::Refused(Refusal::Malformed(why));
+            return Outcome::Rejected(Rejection::Invalid(why));
         }
         match self.names.get(name).copied() {
             Some(held) if self.sessions.get(&held).is_some_and(|s| s.nonce == nonce) => {
-                return Outcome::Opened(held);
+                return Outcome::SessionOpened(held);
             }
-            Some(held) if !take_over => return Outcome::Refused(Refusal::Held(held)),
+            Some(held) if !take_over => return Outcome::Rejected(Rejection::NameTaken(held)),
             Some(held) => {
                 let next = self.revision + 2;
-                self.end_session(held, End::Fenced(next));
+                self.end_session(held, SessionEnd::Fenced(next));
             }
             None if self.sessions.len() as u64 >= b.sessions => return refused("sessions", b.sessions),
             None => {}
@@ -396,11 +413,11 @@
         let id = self.revision;
         self.names.insert(name.into(), id);
         self.sessions.insert(id, Session { name: name.into(), nonce, ttl_ms, last: None });
-        Outcome::Opened(id)
+        Outcome::SessionOpened(id)
     }
 
     /// Ends a session, if it has not ended, and its keys with it.
-    fn end_session(&mut self, id: SessionId, end: End) {
+    fn end_session(&mut self, id: SessionId, end: SessionEnd) {
         let Some(session) = self.sessions.remove(&id) else { return };
         self.names.remove(&session.name);
         self.revision += 1;
@@ -413,13 +430,13 @@
         }
     }
 
-    fn write_keys(&mut self, write: &Write) -> Outcome {
+    fn write_keys(&mut self, write: &Transaction) -> Outcome {
         let Some(session) = self.sessions.get(&write.session) else {
-            return Outcome::Refused(Refusal::Ended(self.end(write.session)));
+            return Outcome::Rejected(Rejection::SessionEnded(self.end(write.session)));
         };
         match &session.last {
             Some((number, outcome)) if *number == write.number => return outcome.clone(),
-            Some((number, _)) if *number > write.number => return Outcome::Refused(Refusal::Superseded),
+            Some((number, _)) if *number > write.number => return Outcome::Rejected(Rejection::Superseded),
             _ => {}
         }
         let outcome = self.try_write(write);
@@ -429,14 +446,14 @@
         outcome
     }
 
-    fn holds(&self, condition: &Condition) -> Result<(), Revision> {
+    fn holds(&self, condition: &Compare) -> Result<(), Revision> {
         let version = |key: &str| self.keys.get(key).map_or(0, |i| i.version);
         let (holds, found) = match condition {
-            Condition::Absent(key) => (version(key) == 0, version(key)),
-            Condition::Exists(key) => (version(key) != 0, version(key)),
-            Condition::Version(key, wanted) => (version(key) == *wanted, version(key)),
-            Condition::Alive(id) => (self.sessions.contains_key(id), 0),
-            Condition::Ended(id) => (!self.sessions.contains_key(id), 0),
+            Compare::Absent(key) => (version(key) == 0, version(key)),
+            Compare::Exists(key) => (version(key) != 0, version(key)),
+            Compare::Version(key, wanted) => (version(key) == *wanted, version(key)),
+            Compare::SessionAlive(id) => (self.sessions.contains_key(id), 0),
+            Compare::SessionEnded(id) => (!self.sessions.contains_key(id), 0),
         };
         if holds {
             Ok(())
@@ -445,13 +462,13 @@
         }
     }
 
-    fn try_write(&mut self, write: &Write) -> Outcome {
+    fn try_write(&mut self, write: &Transaction) -> Outcome {
         if let Some(refusal) = malformed(&self.bounds, &write.when, &write.then) {
-            return Outcome::Refused(refusal);
+            return Outcome::Rejected(refusal);
         }
         for (condition, wanted) in write.when.iter().enumerate() {
             if let Err(found) = self.holds(wanted) {
-                return Outcome::Differs { condition, found };
+                return Outcome::CompareFailed { condition, found };
             }
         }
         // What it would come to, before anything is done.
@@ -459,8 +476,8 @@
         for change in &write.then {
             let old = self.keys.get(change.key()).map(|i| size(change.key(), &i.value));
             let new = match change {
-                Change::Put { key, value, .. } => Some(size(key, value)),
-                Change::Delete(_) => None,
+                Op::Put { key, value, .. } => Some(size(key, value)),
+                Op::Delete(_) => None,
             };
             bytes = bytes - old.unwrap_or(0) + new.unwrap_or(0);
             keys = keys - u64::from(old.is_some()) + u64::from(new.is_some());
@@ -474,14 +491,14 @@
         self.revision += 1;
         for change in &write.then {
             match change {
-                Change::Put { key, value, bound } => self.put(key, value, bound.then_some(write.session)),
-                Change::Delete(key) => {
+                Op::Put { key, value, bound } => self.put(key, value, bound.then_some(write.session)),
+                Op::Delete(key) => {
                     self.unbind(key);
                     self.delete(key);
                 }
             }
         }
-        Outcome::Written(self.revision)
+        Outcome::Committed(self.revision)
     }
 
     fn unbind(&mut self, key: &str) {
@@ -497,7 +514,7 @@
         if let Some(session) = bound {
             self.bound.entry(session).or_default().insert(key.into());
         }
-        let item = Item { value: value.into(), version: self.revision, bound };
+        let item = VersionedValue { value: value.into(), version: self.revision, bound };
         self.bytes += size(key, value);
         if let Some(old) = self.keys.insert(key.into(), item) {
             self.bytes -= size(key, &old.value);
@@ -513,7 +530,7 @@
     }
 
     fn tell(&mut self, key: &str, value: Option<&str>) {
-        let changed = Changed { revision: self.revision, key: key.into(), value: value.map(String::from) };
+        let changed = WatchEvent { revision: self.revision, key: key.into(), value: value.map(String::from) };
         self.changes_bytes += size(key, value.unwrap_or(""));
         self.changes.push_back(changed);
         let b = &self.bounds;
@@ -530,12 +547,12 @@
 }
 
 fn refused(what: &str, most: u64) -> Outcome {
-    Outcome::Refused(Refusal::Bound(what.into(), most))
+    Outcome::Rejected(Rejection::LimitExceeded(what.into(), most))
 }
 
 /// What can't be done as it is put, whatever the record holds.
-fn malformed(b: &Bounds, when: &[Condition], then: &[Change]) -> Option<Refusal> {
-    let bound = |what: &str, most: u64| Some(Refusal::Bound(what.into(), most));
+fn malformed(b: &Limits, when: &[Compare], then: &[Op]) -> Option<Rejection> {
+    let bound = |what: &str, most: u64| Some(Rejection::LimitExceeded(what.into(), most));
     if (when.len() + then.len()) as u64 > b.parts {
         return bound("conditions and changes of a write", b.parts);
     }
@@ -546,9 +563,9 @@
             return bound("bytes of a key", b.key);
         }
         if !seen.insert(key) {
-            return Some(Refusal::Malformed(format!("{key} is changed twice in one write")));
+            return Some(Rejection::Invalid(format!("{key} is changed twice in one write")));
         }
-        if let Change::Put { value, .. } = change {
+        if let Op::Put { value, .. } = change {
             if value.len() as u64 > b.value {
                 return bound("bytes of a value", b.value);
             }
@@ -558,11 +575,9 @@
     if bytes > b.write {
         return bound("bytes of a write's values", b.write);
     }
-    let long = |c: &Condition| match c {
-        Condition::Absent(key) | Condition::Exists(key) | Condition::Version(key, _) => {
-            key.len() as u64 > b.key
-        }
-        Condition::Alive(_) | Condition::Ended(_) => false,
+    let long = |c: &Compare| match c {
+        Compare::Absent(key) | Compare::Exists(key) | Compare::Version(key, _) => key.len() as u64 > b.key,
+        Compare::SessionAlive(_) | Compare::SessionEnded(_) => false,
     };
     if when.iter().any(long) {
         return bound("bytes of a key", b.key);
--- a/crates/control-plane/coordination/src/voter/leading.rs
+++ b/crates/control-plane/coordination/src/voter/leader.rs
@@ -5,18 +5,18 @@
 //!
 //! **Sessions' time** is counted here, by this process's clock, from when it began to lead: each session gets its time to
 //! live in full then, whatever it had left. Its holder counts from before it asked, so it gives up first.
-use super::{reply, Action, Deadlines, Note, Voter, ELECTION_TICKS};
-use crate::record::{Command, End, Outcome, Refusal, Revision, SessionId};
-use crate::wire::{Answer, Call, Request, Select, READ_MOST};
-use crate::DRIFT;
+use super::{reply, Action, Deadlines, Voter, VoterEvent, ELECTION_TICKS};
+use crate::protocol::{Answer, Call, Request, Select, MAX_READ_BYTES};
+use crate::state_machine::{Command, Outcome, Rejection, Revision, SessionEnd, SessionId};
+use crate::CLOCK_DRIFT_FRACTION;
 use raft::{ProgressState, SnapshotStatus, StateRole};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Calls that may wait at one voter.
-pub const CALLS_MOST: usize = 8_192;
+pub const MAX_PENDING_CALLS: usize = 8_192;
 /// Watches that one voter serves.
-pub const WATCHES_MOST: usize = 4_096;
+pub const MAX_WATCHES: usize = 4_096;
 /// Ticks after which a round that got no answer is asked for again.
 const ROUND_TICKS: u32 = 3;
 /// Ticks after which a snapshot that a member was sent, and of which nothing is heard, is sent again.
@@ -45,7 +45,7 @@
     sent: Revision,
 }
 
-pub(super) struct Leading {
+pub(super) struct Leader {
     /// Tells proposals of this process from those of others, and of those before it.
     nonce: u64,
     count: u64,
@@ -70,12 +70,12 @@
 
 fn full(ttl_ms: u64) -> Duration {
     let ttl = Duration::from_millis(ttl_ms);
-    ttl + ttl / DRIFT
+    ttl + ttl / CLOCK_DRIFT_FRACTION
 }
 
-impl Leading {
-    pub(super) fn new(nonce: u64) -> Leading {
-        Leading {
+impl Leader {
+    pub(super) fn new(nonce: u64) -> Leader {
+        Leader {
             nonce,
             count: 0,
             serving: None,
@@ -140,7 +140,7 @@
     pub(super) fn ends(&mut self, leader: Option<String>, out: &mut Vec<Action>) {
         self.serving = None;
         for (_, w) in std::mem::take(&mut self.waiting) {
-            reply(w.client, w.id, Answer::Unclear, out);
+            reply(w.client, w.id, Answer::Indeterminate, out);
         }
         let rounds = self.round.take().map(|r| r.calls).into_iter();
         let calls = rounds.chain(std::mem::take(&mut self.confirmed).into_iter().map(|(_, calls)| calls));
@@ -191,7 +191,7 @@
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        if let (Command::Open { ttl_ms, .. }, Outcome::Opened(session), true) =
+        if let (Command::OpenSession { ttl_ms, .. }, Outcome::SessionOpened(session), true) =
             (command, &outcome, self.serves())
         {
             self.deadlines.insert(*session, now + full(*ttl_ms));
@@ -237,16 +237,16 @@
             l.deadlines = state.record.sessions().map(|(id, s)| (id, until(id, s.ttl_ms))).collect();
         }
         let note = match (&self.state, leader) {
-            _ if self.leading.serves() => Note::Leads(term),
+            _ if self.leading.serves() => VoterEvent::BecameLeader(term),
             (Some(state), id) if id != 0 && !leads => match state.members.get(&id) {
-                Some(known) => Note::Follows(known.name.clone()),
+                Some(known) => VoterEvent::FollowsLeader(known.name.clone()),
                 None => return,
             },
-            (_, 0) => Note::Leaderless,
+            (_, 0) => VoterEvent::Leaderless,
             _ => return,
         };
         if self.noted.as_ref() != Some(&note) {
-            out.push(Action::Note(note.clone()));
+            out.push(Action::Report(note.clone()));
             self.noted = Some(note);
         }
     }
@@ -269,24 +269,24 @@
             self.leading.watches.remove(&(client, watch));
             return reply(client, id, Answer::Done, out);
         }
-        if self.leading.calls() >= CALLS_MOST {
-            return reply(client, id, Answer::Busy(format!("{CALLS_MOST} calls wait")), out);
+        if self.leading.calls() >= MAX_PENDING_CALLS {
+            return reply(client, id, Answer::Busy(format!("{MAX_PENDING_CALLS} calls wait")), out);
         }
         let command = match call.request {
-            Request::Open { name, nonce, ttl_ms, take_over } => {
-                Command::Open { name, nonce, ttl_ms, take_over }
+            Request::OpenSession { name, nonce, ttl_ms, take_over } => {
+                Command::OpenSession { name, nonce, ttl_ms, take_over }
             }
-            Request::Close { session } => Command::Close { session },
-            Request::Write(write) => {
+            Request::CloseSession { session } => Command::CloseSession { session },
+            Request::Transaction(write) => {
                 let refusal = self.state.as_ref().and_then(|s| s.record.malformed(&write));
                 if let Some(refusal) = refusal {
-                    return reply(client, id, Answer::Outcome(Outcome::Refused(refusal)), out);
+                    return reply(client, id, Answer::Outcome(Outcome::Rejected(refusal)), out);
                 }
-                Command::Write(write)
+                Command::Transaction(write)
             }
             Request::Join { name, addr, voter } => return self.join(client, id, &name, &addr, voter, out),
-            Request::Remove { name } => return self.remove(client, id, &name, out),
-            Request::Transfer { name } => return self.transfer(client, id, &name, out),
+            Request::RemoveMember { name } => return self.remove(client, id, &name, out),
+            Request::TransferLeadership { name } => return self.transfer(client, id, &name, out),
             _ => {
                 self.leading.queue.push((client, call));
                 return;
@@ -325,7 +325,7 @@
             l.queue.splice(0..0, round.calls);
         }
         for session in over {
-            if self.propose(Vec::new(), &Command::Expire { session }) {
+            if self.propose(Vec::new(), &Command::ExpireSession { session }) {
                 self.leading.expiring.insert(session);
             }
         }
@@ -361,7 +361,7 @@
         let faulty = self.settings.faulty;
         if faulty.stale_reads || faulty.stale_renewals {
             let unasked = |call: &Call| match call.request {
-                Request::Renew { .. } => faulty.stale_renewals,
+                Request::RenewSession { .. } => faulty.stale_renewals,
                 _ => faulty.stale_reads,
             };
             let (at_once, rest) = calls.into_iter().partition(|(_, call)| unasked(call));
@@ -395,23 +395,23 @@
         let record = &state.record;
         let l = &mut self.leading;
         match &call.request {
-            Request::Renew { session } => match record.session(*session) {
+            Request::RenewSession { session } => match record.session(*session) {
                 Some(s) if !l.expiring.contains(session) => {
                     l.deadlines.insert(*session, now + full(s.ttl_ms));
-                    Answer::Renewed
+                    Answer::SessionRenewed
                 }
-                Some(_) => Answer::Outcome(Outcome::Refused(Refusal::Ended(End::Expired))),
-                None => Answer::Outcome(Outcome::Refused(Refusal::Ended(record.end(*session)))),
+                Some(_) => Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(SessionEnd::Expired))),
+                None => Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(record.end(*session)))),
             },
             Request::Read(select) => {
                 let found: Vec<_> = match select {
                     Select::Key(key) => record.get(key).map(|i| (key.as_str(), i)).into_iter().collect(),
-                    Select::Under(prefix) => record.under(prefix).collect(),
+                    Select::Prefix(prefix) => record.under(prefix).collect(),
                 };
                 let bytes: u64 = found.iter().map(|(k, i)| (k.len() + i.value.len()) as u64).sum();
-                if bytes > READ_MOST {
+                if bytes > MAX_READ_BYTES {
                     return Answer::Failed(format!(
-                        "{bytes} bytes, and {READ_MOST} at most are read at once"
+                        "{bytes} bytes, and {MAX_READ_BYTES} at most are read at once"
                     ));
                 }
                 let items = found.into_iter().map(|(k, i)| (k.to_string(), i.clone())).collect();
@@ -420,19 +420,19 @@
             Request::Watch { under, after } => {
                 let sent = after.unwrap_or(record.revision());
                 if sent > record.revision() || record.since(sent).is_none() {
-                    return Answer::Lost { oldest: record.resumes_from() };
+                    return Answer::Compacted { oldest: record.resumes_from() };
                 }
-                if l.watches.len() >= WATCHES_MOST {
-                    return Answer::Busy(format!("{WATCHES_MOST} watches"));
+                if l.watches.len() >= MAX_WATCHES {
+                    return Answer::Busy(format!("{MAX_WATCHES} watches"));
                 }
                 // What it has missed is told next.
                 l.told = l.told.min(sent);
                 l.watches.insert((client, call.id), Watch { under: under.clone(), sent });
                 Answer::Watching { revision: sent }
             }
-            Request::Member { voter } => match state.members.contains_key(voter) {
+            Request::IsMember { voter } => match state.members.contains_key(voter) {
                 true => Answer::Done,
-                false => Answer::NoMember,
+                false => Answer::NotMember,
             },
             Request::Backup => match String::from_utf8(state.write()) {
                 Ok(text) => Answer::Backup(text),
@@ -453,13 +453,13 @@
         l.told = revision;
         l.watches.retain(|&(client, id), watch| {
             let Some(since) = record.since(watch.sent) else {
-                reply(client, id, Answer::Lost { oldest: record.resumes_from() }, out);
+                reply(client, id, Answer::Compacted { oldest: record.resumes_from() }, out);
                 return false;
             };
             let changes: Vec<_> = since.filter(|c| c.key.starts_with(&watch.under)).cloned().collect();
             if !changes.is_empty() || revision - watch.sent >= PROGRESS {
                 watch.sent = revision;
-                reply(client, id, Answer::Changes { revision, changes }, out);
+                reply(client, id, Answer::Events { revision, changes }, out);
             }
             true
         });
--- a/crates/control-plane/coordination/src/voter/members.rs
+++ b/crates/control-plane/coordination/src/voter/membership.rs
@@ -2,17 +2,17 @@
 //! an empty disk and a number of its own; it learns first, and votes once it has what the others have. A number stands
 //! for a disk: what comes back under an old name with another disk is another member, and is not taken before the old one
 //! was removed by an operator's word.
-use super::leading::ORIGIN;
-use super::state::Known;
-use super::{reply, Action, Note, Voter};
-use crate::log::Log;
-use crate::wire::{Answer, Member};
+use super::leader::ORIGIN;
+use super::replicated_state::Known;
+use super::{reply, Action, Voter, VoterEvent};
+use crate::protocol::{Answer, Member};
+use crate::raft_log::Log;
 use raft::eraftpb::{ConfChange, ConfChangeType};
 use raft::{RawNode, StateRole};
 use std::collections::BTreeSet;
 
 /// Most members, voters and learners.
-pub const MEMBERS_MOST: usize = 9;
+pub const MAX_MEMBERS: usize = 9;
 /// A learner votes once it lags by no more entries.
 const LAG: u64 = 64;
 
@@ -90,8 +90,8 @@
             (None, None) if !self.settings.expected.iter().any(|e| e == name) => {
                 failed(format!("{name} is not among the voters of this one's file"))
             }
-            (None, None) if state.members.len() >= MEMBERS_MOST => {
-                failed(format!("{MEMBERS_MOST} members at most"))
+            (None, None) if state.members.len() >= MAX_MEMBERS => {
+                failed(format!("{MAX_MEMBERS} members at most"))
             }
             (None, None) => {
                 let origin = self.leading.origin(client, id, Some(joined));
@@ -202,10 +202,10 @@
         };
         let origin = origin.to_vec();
         self.leading.tell(&origin, Answer::Done, out);
-        out.push(Action::Note(Note::Members(note)));
+        out.push(Action::Report(VoterEvent::MembershipChanged(note)));
         if id == self.own.voter && change.get_change_type() == ConfChangeType::RemoveNode {
             self.removed = true;
-            out.push(Action::Note(Note::Removed));
+            out.push(Action::Report(VoterEvent::Removed));
         }
         Ok(())
     }
--- a/crates/control-plane/coordination/src/voter/mod.rs
+++ b/crates/control-plane/coordination/src/voter/mod.rs
@@ -1,6 +1,6 @@
 //! One voter. It is told what happens ([`Event`]) and says what it wants done ([`Action`]); agreement itself is the crate
 //! `raft`'s. Nothing leaves that rests on what the disk does not have yet: a vote or an acknowledgement waits for
-//! [`Event::Saved`].
+//! [`Event::Persisted`].
 //!
 //! | file | its job |
 //! | --- | --- |
@@ -9,21 +9,21 @@
 //! | `members.rs` | voters that join, learn, vote and leave |
 //! | `disk.rs` | what is kept on the disk |
 //! | `state.rs` | what is agreed on |
-mod disk;
-mod leading;
-mod members;
-mod state;
+mod leader;
+mod membership;
+mod persistence;
+mod replicated_state;
 
-pub use disk::{form, identity, restore, Identity, Kept};
+pub use persistence::{bootstrap, identity, restore, Identity, PersistedState};
 
-use crate::log::Log;
-use crate::record::Command;
-use crate::wire::{Answer, Call, Reply, Status};
-use leading::Leading;
+use crate::protocol::{Answer, Call, Reply, Status};
+use crate::raft_log::Log;
+use crate::state_machine::Command;
+use leader::Leader;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, Entry, EntryType, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, Ready, StateRole};
-use state::State;
+use replicated_state::State;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -52,12 +52,12 @@
     /// Entries that are held before they are folded into a snapshot; see [`LOG_ENTRIES`].
     pub log_entries: u64,
     /// What it does wrong, on purpose.
-    pub faulty: Faulty,
+    pub faulty: InjectedDefects,
 }
 
 /// Faults for the simulation to find; none in service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Faulty {
+pub struct InjectedDefects {
     /// Reads are answered without asking whether it still leads.
     pub stale_reads: bool,
     /// Sessions are renewed without asking whether it still leads.
@@ -80,9 +80,9 @@
     /// A message could not be brought to this voter.
     Unreachable(u64),
     /// The disk has what was to be saved with this number, and all before it.
-    Saved(u64),
+    Persisted(u64),
     /// It has not, and why. `intact`: the journal is as it was before, and only a folding failed.
-    NotSaved {
+    PersistFailed {
         /// Which.
         number: u64,
         /// The system's word.
@@ -91,7 +91,7 @@
         intact: bool,
     },
     /// After that: the disk works again, and holds this.
-    Recovered(Kept),
+    Recovered(PersistedState),
     /// A client's call.
     Call {
         /// Its connection.
@@ -100,9 +100,9 @@
         call: Call,
     },
     /// A client's connection is gone.
-    Gone(u64),
+    ClientDisconnected(u64),
     /// The process is to end: another voter leads from now on, if one can.
-    HandOver,
+    TransferLeadership,
 }
 
 /// What is wanted.
@@ -115,8 +115,8 @@
         /// What.
         message: Vec<u8>,
     },
-    /// To be saved, in order; answered by [`Event::Saved`] or [`Event::NotSaved`].
-    Save(Save),
+    /// To be saved, in order; answered by [`Event::Persisted`] or [`Event::PersistFailed`].
+    Persist(PersistRequest),
     /// For a client; dropped if it has gone.
     Reply {
         /// Its connection.
@@ -125,12 +125,12 @@
         reply: Reply,
     },
     /// Something that its operator wants to know.
-    Note(Note),
+    Report(VoterEvent),
 }
 
 /// What is to be saved.
 #[derive(Debug)]
-pub struct Save {
+pub struct PersistRequest {
     /// Counted from 1.
     pub number: u64,
     /// Frames of the journal.
@@ -143,25 +143,25 @@
 
 /// Something that an operator wants to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum VoterEvent {
     /// It leads from now on, in this term.
-    Leads(u64),
+    BecameLeader(u64),
     /// Another one does, by name.
-    Follows(String),
+    FollowsLeader(String),
     /// Nobody does, as far as it knows.
     Leaderless,
     /// It stands aside, and why: it neither votes nor acknowledges.
-    Aside(String),
+    StorageFailed(String),
     /// It is back.
-    Back,
+    StorageRecovered,
     /// It has been removed, and takes no part any more.
     Removed,
     /// The log could not be folded, and why.
-    NotFolded(String),
+    SnapshotFailed(String),
     /// A member joined, votes from now on, or left.
-    Members(String),
+    MembershipChanged(String),
     /// A session ended since it was not renewed: its name.
-    Expired(String),
+    SessionExpired(String),
 }
 
 /// A voter.
@@ -183,10 +183,10 @@
     /// A snapshot that is being saved, with its save and the messages that wait for it. Nothing else is done meanwhile:
     /// the agreement can't go on from a log that it does not have yet.
     installing: Option<(u64, Ready, Vec<Message>)>,
-    leading: Leading,
+    leading: Leader,
     /// The time of the last tick.
     ticked: Duration,
-    noted: Option<Note>,
+    noted: Option<VoterEvent>,
 }
 
 impl Voter {
@@ -194,9 +194,9 @@
     ///
     /// # Errors
     /// The disk holds what this build can't read.
-    pub fn new(now: Duration, settings: Settings, kept: Kept) -> Result<Voter, String> {
+    pub fn new(now: Duration, settings: Settings, kept: PersistedState) -> Result<Voter, String> {
         let own = kept.identity.clone().ok_or("the disk is new")?;
-        let leading = Leading::new(settings.seed);
+        let leading = Leader::new(settings.seed);
         let mut voter = Voter {
             settings,
             own,
@@ -220,8 +220,8 @@
     }
 
     /// Takes part from what the disk holds.
-    fn begin(&mut self, kept: Kept) -> Result<(), String> {
-        let Kept { snapshot, hard, entries, .. } = kept;
+    fn begin(&mut self, kept: PersistedState) -> Result<(), String> {
+        let PersistedState { snapshot, hard, entries, .. } = kept;
         let applied = snapshot.get_metadata().index;
         self.state = match applied {
             0 => None,
@@ -294,14 +294,14 @@
                     raft.report_snapshot(id, raft::SnapshotStatus::Failure);
                 }
             }
-            Event::Saved(number) => self.saved(number, out),
-            Event::NotSaved { number, why, intact } => self.not_saved(number, why, intact, out),
+            Event::Persisted(number) => self.saved(number, out),
+            Event::PersistFailed { number, why, intact } => self.not_saved(number, why, intact, out),
             Event::Recovered(kept) => self.recovered(kept, out),
             Event::Call { client, call } => self.call(now, client, call, out),
-            Event::Gone(client) => self.leading.gone(client),
-            Event::HandOver => {
+            Event::ClientDisconnected(client) => self.leading.gone(client),
+            Event::TransferLeadership => {
                 if let (Some(raft), true) = (&mut self.raft, self.leading.serves()) {
-                    if let Some(to) = members::successor(raft) {
+                    if let Some(to) = membership::successor(raft) {
                         raft.transfer_leader(to);
                     }
                 }
@@ -379,7 +379,7 @@
     fn not_saved(&mut self, number: u64, why: String, intact: bool, out: &mut Vec<Action>) {
         if intact && self.folding == Some(number) {
             self.folding = None;
-            out.push(Action::Note(Note::NotFolded(why)));
+            out.push(Action::Report(VoterEvent::SnapshotFailed(why)));
             return;
         }
         self.stand_aside(why, out);
@@ -390,7 +390,7 @@
         if let Some(mut raft) = self.raft.take() {
             // Whoever has all of its log may lead at once; it costs nothing to ask.
             if raft.raft.state == StateRole::Leader {
-                if let Some(to) = members::successor(&raft) {
+                if let Some(to) = membership::successor(&raft) {
                     raft.transfer_leader(to);
                     let asks = raft.raft.msgs.drain(..);
                     let asks = asks.filter(|m| m.get_msg_type() == MessageType::MsgTimeoutNow);
@@ -403,20 +403,20 @@
         self.installing = None;
         self.leading.ends(None, out);
         if self.aside.is_none() {
-            out.push(Action::Note(Note::Aside(why.clone())));
+            out.push(Action::Report(VoterEvent::StorageFailed(why.clone())));
         }
         self.aside = Some(why);
         self.noted = None;
     }
 
-    fn recovered(&mut self, kept: Kept, out: &mut Vec<Action>) {
+    fn recovered(&mut self, kept: PersistedState, out: &mut Vec<Action>) {
         if !self.waits_for_room() {
             return;
         }
         match self.begin(kept) {
             Ok(()) => {
                 self.aside = None;
-                out.push(Action::Note(Note::Back));
+                out.push(Action::Report(VoterEvent::StorageRecovered));
             }
             Err(why) => self.stand_aside(why, out),
         }
@@ -460,8 +460,8 @@
                 raft.advance_append_async(ready);
             }
             if must_sync || !entries.is_empty() {
-                let mut frames = vec![disk::hard(&self.log.hard())];
-                frames.extend(entries.iter().map(disk::entry));
+                let mut frames = vec![persistence::hard(&self.log.hard())];
+                frames.extend(entries.iter().map(persistence::entry));
                 let save = self.save(frames, false, false, out);
                 self.saves.push_back((save, Some(number), held));
             } else {
@@ -502,16 +502,19 @@
     fn save(&mut self, frames: Vec<Vec<u8>>, replace: bool, folding: bool, out: &mut Vec<Action>) -> u64 {
         self.saves_begun += 1;
         let number = self.saves_begun;
-        out.push(Action::Save(Save { number, frames, replace, folding }));
+        out.push(Action::Persist(PersistRequest { number, frames, replace, folding }));
         number
     }
 
     /// All that the disk is to hold.
     fn whole(&self) -> Vec<Vec<u8>> {
         let snapshot = self.log.snapshot_kept();
-        let mut frames =
-            vec![disk::identity(&self.own), disk::snapshot(&snapshot), disk::hard(&self.log.hard())];
-        frames.extend(self.log.behind(snapshot.get_metadata().index).iter().map(disk::entry));
+        let mut frames = vec![
+            persistence::identity(&self.own),
+            persistence::snapshot(&snapshot),
+            persistence::hard(&self.log.hard()),
+        ];
+        frames.extend(self.log.behind(snapshot.get_metadata().index).iter().map(persistence::entry));
         frames
     }
 
@@ -539,15 +542,17 @@
                         .map_err(|e| format!("entry {} is of a newer build: {e}", entry.index))?;
                     let Some(state) = &mut self.state else { return Err("commands without a record".into()) };
                     let ending = match &command {
-                        Command::Expire { session } => state.record.session(*session).map(|s| s.name.clone()),
+                        Command::ExpireSession { session } => {
+                            state.record.session(*session).map(|s| s.name.clone())
+                        }
                         _ => None,
                     };
                     let outcome = match (&command, self.settings.faulty.unfenced) {
-                        (Command::Write(write), true) => state.record.apply_unfenced(write),
+                        (Command::Transaction(write), true) => state.record.apply_unfenced(write),
                         _ => state.record.apply(&command),
                     };
                     if let (Some(name), true) = (ending, self.leading.serves()) {
-                        out.push(Action::Note(Note::Expired(name)));
+                        out.push(Action::Report(VoterEvent::SessionExpired(name)));
                     }
                     self.leading.done(now, &entry.context, &command, outcome, out);
                 }
@@ -673,4 +678,4 @@
 }
 
 /// Sessions and their ends, by number.
-type Deadlines = BTreeMap<crate::record::SessionId, Duration>;
+type Deadlines = BTreeMap<crate::state_machine::SessionId, Duration>;
--- a/crates/control-plane/coordination/src/voter/disk.rs
+++ b/crates/control-plane/coordination/src/voter/persistence.rs
@@ -1,7 +1,7 @@
 //! What a voter keeps on its disk: a journal of frames, each a letter and its content.
-use super::state::State;
-use crate::bounds::Bounds;
-use crate::wire::Member;
+use super::replicated_state::State;
+use crate::limits::Limits;
+use crate::protocol::Member;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 /// What a disk holds.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PersistedState {
     /// `None`: nothing at all, the disk is new.
     pub identity: Option<Identity>,
     pub(super) snapshot: Snapshot,
@@ -58,13 +58,13 @@
     frame(ENTRY, e)
 }
 
-impl Kept {
+impl PersistedState {
     /// What these frames say.
     ///
     /// # Errors
     /// One of them says nothing that is known: it is of a newer build.
-    pub fn read(frames: &[Vec<u8>]) -> Result<Kept, String> {
-        let mut kept = Kept::default();
+    pub fn read(frames: &[Vec<u8>]) -> Result<PersistedState, String> {
+        let mut kept = PersistedState::default();
         for (at, frame) in frames.iter().enumerate() {
             let unknown = |why: String| format!("record {at}: {why}");
             let (letter, content) = frame.split_first().ok_or_else(|| unknown("is empty".into()))?;
@@ -97,8 +97,8 @@
 }
 
 /// The first frames of a new council's first voter.
-pub fn form(cluster: u64, first: &Member, bounds: Bounds) -> Vec<Vec<u8>> {
-    formed(State::new(cluster, first, crate::record::Record::new(bounds)), first)
+pub fn bootstrap(cluster: u64, first: &Member, bounds: Limits) -> Vec<Vec<u8>> {
+    formed(State::new(cluster, first, crate::state_machine::StateMachine::new(bounds)), first)
 }
 
 /// The first frames of a council that is formed anew with the record of a backup. All sessions have ended, and no number
--- a/crates/control-plane/coordination/src/voter/state.rs
+++ b/crates/control-plane/coordination/src/voter/replicated_state.rs
@@ -1,6 +1,6 @@
 //! What the voters agree on: the record, and who they are.
-use crate::record::Record;
-use crate::wire::Member;
+use crate::protocol::Member;
+use crate::state_machine::StateMachine;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     pub cluster: u64,
     /// By number.
     pub members: BTreeMap<u64, Known>,
-    pub record: Record,
+    pub record: StateMachine,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 }
 
 impl State {
-    pub fn new(cluster: u64, first: &Member, record: Record) -> State {
+    pub fn new(cluster: u64, first: &Member, record: StateMachine) -> State {
         let known = Known { name: first.name.clone(), addr: first.addr.clone() };
         State { cluster, members: BTreeMap::from([(first.id, known)]), record }
     }
--- a/crates/control-plane/coordination/tests/record.rs
+++ b/crates/control-plane/coordination/tests/record.rs
@@ -1,72 +1,72 @@
 //! The record by itself: what each command does, what is refused, and that it is the same after it was written and read.
-use coordination::bounds::Bounds;
-use coordination::record::{Change, Command, Condition, End, Outcome, Record, Refusal, SessionId, Write};
+use coordination::limits::Limits;
+use coordination::state_machine::{
+    Command, Compare, Op, Outcome, Rejection, SessionEnd, SessionId, StateMachine, Transaction,
+};
 use proptest::prelude::*;
 
-fn open(record: &mut Record, name: &str, nonce: u64, take_over: bool) -> Outcome {
-    record.apply(&Command::Open { name: name.into(), nonce, ttl_ms: 1000, take_over })
+fn open(record: &mut StateMachine, name: &str, nonce: u64, take_over: bool) -> Outcome {
+    record.apply(&Command::OpenSession { name: name.into(), nonce, ttl_ms: 1000, take_over })
 }
 
-fn session(record: &mut Record, name: &str) -> SessionId {
+fn session(record: &mut StateMachine, name: &str) -> SessionId {
     match open(record, name, 1, true) {
-        Outcome::Opened(id) => id,
+        Outcome::SessionOpened(id) => id,
         other => panic!("{other:?}"),
     }
 }
 
-fn put(key: &str, value: &str, bound: bool) -> Change {
-    Change::Put { key: key.into(), value: value.into(), bound }
+fn put(key: &str, value: &str, bound: bool) -> Op {
+    Op::Put { key: key.into(), value: value.into(), bound }
 }
 
-fn write(session: SessionId, number: u64, when: Vec<Condition>, then: Vec<Change>) -> Command {
-    Command::Write(Write { session, number, when, then })
+fn write(session: SessionId, number: u64, when: Vec<Compare>, then: Vec<Op>) -> Command {
+    Command::Transaction(Transaction { session, number, when, then })
 }
 
 #[test]
 fn a_write_happens_whole_once_and_only_if_its_conditions_hold() {
-    let mut r = Record::new(Bounds::default());
+    let mut r = StateMachine::new(Limits::default());
     let s = session(&mut r, "a");
     let both = vec![put("x", "1", false), put("y", "1", false)];
-    let first = write(s, 1, vec![Condition::Absent("x".into())], both.clone());
-    let Outcome::Written(at) = r.apply(&first) else { panic!("absent") };
+    let first = write(s, 1, vec![Compare::Absent("x".into())], both.clone());
+    let Outcome::Committed(at) = r.apply(&first) else { panic!("absent") };
     // Sent again it is answered as before, though the condition holds no more.
-    assert_eq!(r.apply(&first), Outcome::Written(at));
+    assert_eq!(r.apply(&first), Outcome::Committed(at));
     assert_eq!(r.revision(), at);
-    let differs =
-        r.apply(&write(s, 2, vec![Condition::Exists("x".into()), Condition::Absent("y".into())], both));
-    assert_eq!(differs, Outcome::Differs { condition: 1, found: at });
+    let differs = r.apply(&write(s, 2, vec![Compare::Exists("x".into()), Compare::Absent("y".into())], both));
+    assert_eq!(differs, Outcome::CompareFailed { condition: 1, found: at });
     let older = r.apply(&write(s, 1, vec![], vec![put("x", "late", false)]));
-    assert_eq!(older, Outcome::Refused(Refusal::Superseded), "a later one was made");
-    let same =
-        r.apply(&write(s, 3, vec![Condition::Version("x".into(), at)], vec![Change::Delete("x".into())]));
-    assert!(matches!(same, Outcome::Written(_)) && r.get("x").is_none() && r.get("y").is_some());
+    assert_eq!(older, Outcome::Rejected(Rejection::Superseded), "a later one was made");
+    let same = r.apply(&write(s, 3, vec![Compare::Version("x".into(), at)], vec![Op::Delete("x".into())]));
+    assert!(matches!(same, Outcome::Committed(_)) && r.get("x").is_none() && r.get("y").is_some());
 }
 
 #[test]
 fn a_session_ends_with_its_keys_and_says_how() {
-    let mut r = Record::new(Bounds::default());
+    let mut r = StateMachine::new(Limits::default());
     let (a, b) = (session(&mut r, "a"), session(&mut r, "b"));
     r.apply(&write(a, 1, vec![], vec![put("k", "a", true), put("stays", "a", false)]));
     // A key that another writes is that one's.
     r.apply(&write(b, 1, vec![], vec![put("k2", "b", true)]));
-    assert_eq!(open(&mut r, "a", 1, true), Outcome::Opened(a), "the same opening sent again");
-    assert_eq!(open(&mut r, "a", 2, false), Outcome::Refused(Refusal::Held(a)));
-    let Outcome::Opened(next) = open(&mut r, "a", 2, true) else { panic!("takes over") };
+    assert_eq!(open(&mut r, "a", 1, true), Outcome::SessionOpened(a), "the same opening sent again");
+    assert_eq!(open(&mut r, "a", 2, false), Outcome::Rejected(Rejection::NameTaken(a)));
+    let Outcome::SessionOpened(next) = open(&mut r, "a", 2, true) else { panic!("takes over") };
     assert!(next > a && r.get("k").is_none() && r.get("stays").is_some() && r.get("k2").is_some());
     let late = r.apply(&write(a, 2, vec![], vec![put("k", "late", false)]));
-    assert_eq!(late, Outcome::Refused(Refusal::Ended(End::Fenced(next))));
-    r.apply(&Command::Expire { session: b });
+    assert_eq!(late, Outcome::Rejected(Rejection::SessionEnded(SessionEnd::Fenced(next))));
+    r.apply(&Command::ExpireSession { session: b });
     assert!(r.get("k2").is_none());
-    assert_eq!(r.end(b), End::Expired);
-    let alive = r.apply(&write(next, 1, vec![Condition::Ended(b), Condition::Alive(next)], vec![]));
-    assert!(matches!(alive, Outcome::Written(_)));
-    assert_eq!(r.apply(&Command::Close { session: next }), Outcome::Closed);
-    assert_eq!(r.end(next), End::Closed);
+    assert_eq!(r.end(b), SessionEnd::Expired);
+    let alive = r.apply(&write(next, 1, vec![Compare::SessionEnded(b), Compare::SessionAlive(next)], vec![]));
+    assert!(matches!(alive, Outcome::Committed(_)));
+    assert_eq!(r.apply(&Command::CloseSession { session: next }), Outcome::SessionClosed);
+    assert_eq!(r.end(next), SessionEnd::Closed);
 }
 
 #[test]
 fn every_bound_is_refused_by_name_and_changes_nothing() {
-    let bounds = Bounds {
+    let bounds = Limits {
         key: 4,
         value: 8,
         keys: 3,
@@ -75,84 +75,85 @@
         write: 12,
         name: 3,
         sessions: 2,
-        ..Bounds::default()
+        ..Limits::default()
     };
-    let mut r = Record::new(bounds);
+    let mut r = StateMachine::new(bounds);
     let s = session(&mut r, "a");
     let mut number = 0;
-    let mut refused = |r: &mut Record, when: Vec<Condition>, then: Vec<Change>, wanted: &str| {
+    let mut refused = |r: &mut StateMachine, when: Vec<Compare>, then: Vec<Op>, wanted: &str| {
         number += 1;
         let before = r.revision();
         match r.apply(&write(s, number, when, then)) {
-            Outcome::Refused(why) => assert!(why.to_string().contains(wanted), "{why}"),
+            Outcome::Rejected(why) => assert!(why.to_string().contains(wanted), "{why}"),
             other => panic!("{wanted}: {other:?}"),
         }
         assert_eq!((r.revision(), r.size()), (before, (0, 0)), "{wanted}");
     };
     refused(&mut r, vec![], vec![put("long!", "", false)], "bytes of a key: 4");
     refused(&mut r, vec![], vec![put("", "", false)], "bytes of a key");
-    refused(&mut r, vec![Condition::Absent("long!".into())], vec![], "bytes of a key");
+    refused(&mut r, vec![Compare::Absent("long!".into())], vec![], "bytes of a key");
     refused(&mut r, vec![], vec![put("k", "123456789", false)], "bytes of a value: 8");
     refused(&mut r, vec![], vec![put("k", "12345678", false), put("l", "12345678", false)], "values: 12");
-    refused(&mut r, vec![Condition::Alive(1); 5], vec![], "conditions and changes of a write: 4");
+    refused(&mut r, vec![Compare::SessionAlive(1); 5], vec![], "conditions and changes of a write: 4");
     let four = ["a", "b", "c", "d"].map(|k| put(k, "", false)).to_vec();
     refused(&mut r, vec![], four, "keys: 3");
-    refused(&mut r, vec![], vec![put("k", "1", false), Change::Delete("k".into())], "changed twice");
-    assert!(matches!(open(&mut r, "long", 1, true), Outcome::Refused(Refusal::Bound(..))));
+    refused(&mut r, vec![], vec![put("k", "1", false), Op::Delete("k".into())], "changed twice");
+    assert!(matches!(open(&mut r, "long", 1, true), Outcome::Rejected(Rejection::LimitExceeded(..))));
     session(&mut r, "b");
-    assert!(matches!(open(&mut r, "c", 1, true), Outcome::Refused(Refusal::Bound(..))));
-    let short = r.apply(&Command::Open { name: "a".into(), nonce: 9, ttl_ms: 1, take_over: true });
-    assert!(matches!(short, Outcome::Refused(Refusal::Malformed(_))));
+    assert!(matches!(open(&mut r, "c", 1, true), Outcome::Rejected(Rejection::LimitExceeded(..))));
+    let short = r.apply(&Command::OpenSession { name: "a".into(), nonce: 9, ttl_ms: 1, take_over: true });
+    assert!(matches!(short, Outcome::Rejected(Rejection::Invalid(_))));
 }
 
 #[test]
 fn watches_resume_while_what_changed_is_known_and_say_when_it_is_not() {
-    let mut r = Record::new(Bounds { changes: 4, ..Bounds::default() });
+    let mut r = StateMachine::new(Limits { changes: 4, ..Limits::default() });
     let s = session(&mut r, "a");
     let begin = r.revision();
     for n in 1..=4 {
         r.apply(&write(s, n, vec![], vec![put("k", &n.to_string(), false)]));
     }
-    let seen =
-        |r: &Record, from| r.since(from).map(|all| all.filter_map(|c| c.value.clone()).collect::<Vec<_>>());
+    let seen = |r: &StateMachine, from| {
+        r.since(from).map(|all| all.filter_map(|c| c.value.clone()).collect::<Vec<_>>())
+    };
     assert_eq!(seen(&r, begin + 2), Some(vec!["3".into(), "4".into()]));
     assert_eq!(seen(&r, begin), Some(["1", "2", "3", "4"].map(String::from).to_vec()));
     r.apply(&write(s, 5, vec![], vec![put("k", "5", false)]));
     assert_eq!((seen(&r, begin), r.resumes_from()), (None, begin + 1));
-    let again = Record::read(&r.write()).expect("whole");
+    let again = StateMachine::read(&r.write()).expect("whole");
     assert_eq!((seen(&again, r.revision()), seen(&again, begin + 2)), (Some(vec![]), None));
 }
 
 /// Guards against numbers that are given twice after a council was formed anew from a backup.
 #[test]
 fn a_restored_record_has_no_sessions_and_numbers_far_above() {
-    let mut r = Record::new(Bounds::default());
+    let mut r = StateMachine::new(Limits::default());
     let s = session(&mut r, "a");
     r.apply(&write(s, 1, vec![], vec![put("bound", "", true), put("free", "1", false)]));
     let backup = r.write();
     let later = session(&mut r, "later");
-    let mut restored = Record::read(&backup).expect("whole");
+    let mut restored = StateMachine::read(&backup).expect("whole");
     restored.restored(1 << 40);
     assert!(restored.get("bound").is_none() && restored.get("free").is_some());
     assert!(session(&mut restored, "new") > later + (1 << 39));
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn change() -> impl Strategy<Value = Op> {
     let key = "[ab]{1,2}";
     prop_oneof![
-        (key, "[a-z]{0,3}", any::<bool>()).prop_map(|(key, value, bound)| Change::Put { key, value, bound }),
-        key.prop_map(Change::Delete),
+        (key, "[a-z]{0,3}", any::<bool>()).prop_map(|(key, value, bound)| Op::Put { key, value, bound }),
+        key.prop_map(Op::Delete),
     ]
 }
 
 fn command() -> impl Strategy<Value = Command> {
     let condition = prop_oneof![
-        "[ab]{1,2}".prop_map(Condition::Absent),
-        "[ab]{1,2}".prop_map(Condition::Exists),
-        (1u64..20).prop_map(Condition::Alive),
+        "[ab]{1,2}".prop_map(Compare::Absent),
+        "[ab]{1,2}".prop_map(Compare::Exists),
+        (1u64..20).prop_map(Compare::SessionAlive),
     ];
     prop_oneof![
-        ("[a-c]", 1u64..3, any::<bool>()).prop_map(|(name, nonce, take_over)| Command::Open {
+        ("[a-c]", 1u64..3, any::<bool>()).prop_map(|(name, nonce, take_over)| Command::OpenSession {
             name,
             nonce,
             ttl_ms: 1000,
@@ -160,8 +161,8 @@
         }),
         (1u64..20, 1u64..9, prop::collection::vec(condition, 0..2), prop::collection::vec(change(), 0..3))
             .prop_map(|(session, number, when, then)| write(session, number, when, then)),
-        (1u64..20).prop_map(|session| Command::Close { session }),
-        (1u64..20).prop_map(|session| Command::Expire { session }),
+        (1u64..20).prop_map(|session| Command::CloseSession { session }),
+        (1u64..20).prop_map(|session| Command::ExpireSession { session }),
     ]
 }
 
@@ -173,11 +174,11 @@
         commands in prop::collection::vec(command(), 1..60),
         at in 0usize..60,
     ) {
-        let mut one = Record::new(Bounds { ended: 3, ..Bounds::default() });
+        let mut one = StateMachine::new(Limits { ended: 3, ..Limits::default() });
         let mut other = None;
         for (k, command) in commands.iter().enumerate() {
             if k == at {
-                other = Some(Record::read(&one.write()).expect("whole"));
+                other = Some(StateMachine::read(&one.write()).expect("whole"));
             }
             let outcome = one.apply(command);
             if let Some(other) = &mut other {
--- a/crates/control-plane/disruption-agent/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -1,10 +1,10 @@
 //! A supervisor's agent on the real record: what `disruption::agent` wants is written and read here.
-use crate::follow::{write, Follow, Wrote};
-use coordination::record::SessionId;
-use coordination_server::client::{now, Council};
-pub use disruption::agent::Given;
-use disruption::agent::{Agent as Machine, Step};
-use disruption::{Act, Board, Unit};
+use crate::informer::{write, Informer, WriteOutcome};
+use coordination::state_machine::SessionId;
+use coordination_server::client::{boottime_now, ClientHandle};
+pub use disruption::lease_agent::GrantedLease;
+use disruption::lease_agent::{LeaseAgent as Machine, Step};
+use disruption::{BalancerEntry, DisruptionKind, FleetSnapshot};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -16,35 +16,35 @@
 
 /// What the supervisor wants.
 #[derive(Clone, Debug)]
-enum Wish {
-    Ask { unit: String, act: Act, why: String, overrides: Option<String> },
+enum AgentCommand {
+    Ask { unit: String, act: DisruptionKind, why: String, overrides: Option<String> },
     Unused { unit: String },
     GiveBack { unit: String, acted: bool },
-    Units(BTreeMap<String, Unit>),
+    Units(BTreeMap<String, BalancerEntry>),
 }
 
 /// A handle to the agent.
 pub struct Agent {
-    wishes: mpsc::Sender<Wish>,
-    given: mpsc::Receiver<Given>,
-    council: Council,
-    board: watch::Receiver<Board>,
+    wishes: mpsc::Sender<AgentCommand>,
+    given: mpsc::Receiver<GrantedLease>,
+    council: ClientHandle,
+    board: watch::Receiver<FleetSnapshot>,
 }
 
 impl Agent {
     /// Begins one for a supervisor, which is known by this name, in a local set of tasks.
-    pub fn begin(council: Council, owner: &str) -> Agent {
+    pub fn begin(council: ClientHandle, owner: &str) -> Agent {
         let (wishes, wished) = mpsc::channel(WAITING);
         let (tell, given) = mpsc::channel(WAITING);
-        let (show, board) = watch::channel(Board::default());
-        let machine = Machine::new(owner, coordination_server::draw());
-        let follow = Follow::new(council.clone());
+        let (show, board) = watch::channel(FleetSnapshot::default());
+        let machine = Machine::new(owner, coordination_server::random_id());
+        let follow = Informer::new(council.clone());
         let task = Task { follow, council: council.clone(), machine, tell, show };
         tokio::task::spawn_local(task.run(wished));
         Agent { wishes, given, council, board }
     }
 
-    fn wish(&self, wish: Wish) {
+    fn wish(&self, wish: AgentCommand) {
         if let Err(e) = self.wishes.try_send(wish) {
             info!("outage: {e}");
         }
@@ -52,8 +52,8 @@
 
     /// Asks for leave. Told by [`Agent::next`], perhaps much later. `overrides`: an operator's reason to go over what budgets
     /// allow.
-    pub fn ask(&self, unit: &str, act: Act, why: &str, overrides: Option<&str>) {
-        self.wish(Wish::Ask {
+    pub fn ask(&self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<&str>) {
+        self.wish(AgentCommand::Ask {
             unit: unit.into(),
             act,
             why: why.into(),
@@ -63,21 +63,21 @@
 
     /// Nothing was done by this leave: it came too late. It is told of again if it is still good.
     pub fn unused(&self, unit: &str) {
-        self.wish(Wish::Unused { unit: unit.into() });
+        self.wish(AgentCommand::Unused { unit: unit.into() });
     }
 
     /// The leave is not wanted any more. `acted`: another process is to come, and the leave ends once that was seen.
     pub fn give_back(&self, unit: &str, acted: bool) {
-        self.wish(Wish::GiveBack { unit: unit.into(), acted });
+        self.wish(AgentCommand::GiveBack { unit: unit.into(), acted });
     }
 
     /// The balancers that this machine has, all of them.
-    pub fn units(&self, units: BTreeMap<String, Unit>) {
-        self.wish(Wish::Units(units));
+    pub fn units(&self, units: BTreeMap<String, BalancerEntry>) {
+        self.wish(AgentCommand::Units(units));
     }
 
     /// Waits for the next leave. May be dropped and called again.
-    pub async fn next(&mut self) -> Given {
+    pub async fn next(&mut self) -> GrantedLease {
         match self.given.recv().await {
             Some(given) => given,
             // The task never ends before this handle.
@@ -87,7 +87,7 @@
 
     /// Whether something may be done by this leave at this moment: its session is held, by this machine's own clock, and so
     /// nobody else can have been given what it allows.
-    pub fn may(&self, given: &Given) -> bool {
+    pub fn may(&self, given: &GrantedLease) -> bool {
         self.council.held().is_some_and(|(session, _)| session == given.session)
     }
 
@@ -102,26 +102,26 @@
     }
 
     /// The record's part as it is heard of, to be looked at without a copy.
-    pub fn follows(&self) -> watch::Receiver<Board> {
+    pub fn follows(&self) -> watch::Receiver<FleetSnapshot> {
         self.board.clone()
     }
 
     /// The record's part, as it was last heard of.
-    pub fn board(&self) -> Board {
+    pub fn board(&self) -> FleetSnapshot {
         self.board.borrow().clone()
     }
 }
 
 struct Task {
-    follow: Follow,
-    council: Council,
+    follow: Informer,
+    council: ClientHandle,
     machine: Machine,
-    tell: mpsc::Sender<Given>,
-    show: watch::Sender<Board>,
+    tell: mpsc::Sender<GrantedLease>,
+    show: watch::Sender<FleetSnapshot>,
 }
 
 impl Task {
-    async fn run(mut self, mut wished: mpsc::Receiver<Wish>) {
+    async fn run(mut self, mut wished: mpsc::Receiver<AgentCommand>) {
         let mut standing = self.council.standing();
         loop {
             // All that waits, before anything is written.
@@ -129,7 +129,7 @@
                 self.take(wish);
             }
             let wake = match self.act().await {
-                Some(wake) => wake.map(|at| at.saturating_sub(now())),
+                Some(wake) => wake.map(|at| at.saturating_sub(boottime_now())),
                 None => continue,
             };
             tokio::select! {
@@ -146,12 +146,12 @@
         }
     }
 
-    fn take(&mut self, wish: Wish) {
+    fn take(&mut self, wish: AgentCommand) {
         match wish {
-            Wish::Ask { unit, act, why, overrides } => self.machine.ask(&unit, act, &why, overrides),
-            Wish::Unused { unit } => self.machine.unused(&unit),
-            Wish::GiveBack { unit, acted } => self.machine.give_back(&unit, acted),
-            Wish::Units(units) => self.machine.units(units),
+            AgentCommand::Ask { unit, act, why, overrides } => self.machine.ask(&unit, act, &why, overrides),
+            AgentCommand::Unused { unit } => self.machine.unused(&unit),
+            AgentCommand::GiveBack { unit, acted } => self.machine.give_back(&unit, acted),
+            AgentCommand::Units(units) => self.machine.units(units),
         }
     }
 
@@ -159,17 +159,17 @@
     async fn act(&mut self) -> Option<Option<Duration>> {
         let session = self.council.held().map(|(session, _)| session);
         let mut given = Vec::new();
-        let mut step = self.machine.next(now(), session, self.follow.board(), &mut given);
+        let mut step = self.machine.next(boottime_now(), session, self.follow.board(), &mut given);
         for given in given {
             // There is room: each leave is told once, and one that its supervisor does not take is told with the next session.
             let _ = self.tell.try_send(given);
         }
         if step == Step::Fresh {
             step = match self.follow.fresh().await {
-                Ok(board) => self.machine.decided(now(), board),
+                Ok(board) => self.machine.decided(boottime_now(), board),
                 Err(why) => {
                     info!("outage: not read: {why}");
-                    self.machine.failed(now());
+                    self.machine.failed(boottime_now());
                     return None;
                 }
             };
@@ -183,9 +183,9 @@
                 }
                 let wrote = write(&self.council, plan).await;
                 let fresh = self.follow.fresh().await.map(|_| ());
-                if let (Wrote::No(why), _) | (_, Err(why)) = (wrote, fresh) {
+                if let (WriteOutcome::Failed(why), _) | (_, Err(why)) = (wrote, fresh) {
                     info!("outage: not written: {why}");
-                    self.machine.failed(now());
+                    self.machine.failed(boottime_now());
                 }
                 self.show.send_replace(self.follow.board().clone());
                 None
--- a/crates/control-plane/disruption-agent/src/command.rs
+++ b/crates/control-plane/disruption-agent/src/command.rs
@@ -1,12 +1,14 @@
 //! What an operator's commands do: `herondock outage apply|status`, `herondock drain`, `undrain`, `drains`.
-use crate::follow::{write, Follow, Wrote};
-use config::outages::Outages;
-use coordination::client::SessionSettings;
-use coordination::record::{Change, Condition, SessionId};
-use coordination_server::client::{Council, Settings, Standing};
+use crate::informer::{write, Informer, WriteOutcome};
+use config::disruption::DisruptionConfig;
+use coordination::client::SessionConfig;
+use coordination::state_machine::{Compare, Op, SessionId};
+use coordination_server::client::{ClientConfig, ClientHandle, SessionState};
 use daemon::table::lines;
-use disruption::board::{ask_key, leave_key, BUDGETS, UNDER};
-use disruption::{Act, Ask, Board, Id, Kind, Plan, Verdict};
+use disruption::snapshot::{lease_key, request_key, BUDGETS, KEY_PREFIX};
+use disruption::{
+    ConditionalWrite, DisruptionKind, FleetSnapshot, LeaseDecision, LeaseRequest, ResourceId, ResourceKind,
+};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
@@ -61,7 +63,7 @@
 ///
 /// # Errors
 /// One line.
-pub fn run(file: &Outages, command: Command) -> Result<(), String> {
+pub fn run(file: &DisruptionConfig, command: Command) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, carry_out(file, command))
@@ -82,36 +84,36 @@
     user.chars().filter(|&c| plain(c)).take(32).collect()
 }
 
-fn client(file: &Outages, held: bool) -> Council {
+fn client(file: &DisruptionConfig, held: bool) -> ClientHandle {
     let name = format!("command/{}/{}", operator(), std::process::id());
-    let session = held.then(|| SessionSettings { name: name.clone(), ttl: TTL, take_over: true });
+    let session = held.then(|| SessionConfig { name: name.clone(), ttl: TTL, take_over: true });
     let voters = file.council.voters.iter().map(ToString::to_string).collect();
-    Council::begin(Settings { voters, session, name, patience: file.council.patience })
+    ClientHandle::begin(ClientConfig { voters, session, name, patience: file.council.patience })
 }
 
-async fn session(council: &Council) -> Result<SessionId, String> {
+async fn session(council: &ClientHandle) -> Result<SessionId, String> {
     let mut standing = council.standing();
-    let held = standing.wait_for(|s| matches!(s, Standing::Held(_)));
+    let held = standing.wait_for(|s| matches!(s, SessionState::Active(_)));
     match tokio::time::timeout(WITHIN, held).await.map(|s| s.map(|s| *s)) {
-        Ok(Ok(Standing::Held(session))) => Ok(session),
+        Ok(Ok(SessionState::Active(session))) => Ok(session),
         _ => Err(format!("the council does not answer within {WITHIN:?}: is there a majority of voters?")),
     }
 }
 
-async fn board(follow: &mut Follow) -> Result<Board, String> {
+async fn board(follow: &mut Informer) -> Result<FleetSnapshot, String> {
     follow.fresh().await.cloned().map_err(|why| format!("the council: {why}"))
 }
 
-async fn carry_out(file: &Outages, command: Command) -> Result<(), String> {
+async fn carry_out(file: &DisruptionConfig, command: Command) -> Result<(), String> {
     let reads = matches!(command, Command::Status { .. } | Command::Drains { .. });
     let council = client(file, !reads);
-    let mut follow = Follow::<Board>::under(council.clone(), UNDER);
+    let mut follow = Informer::<FleetSnapshot>::under(council.clone(), KEY_PREFIX);
     let done = match command {
         Command::Apply => apply(file, &council, &mut follow).await,
         Command::Status { json } => status(&board(&mut follow).await?, json),
         Command::Drains { json } => drains(&board(&mut follow).await?, json),
         Command::Drain { unit, for_ms, why, wait, until_drained, overrides } => {
-            let wish = Wish { for_ms, why, wait, until_drained, overrides };
+            let wish = DrainOptions { for_ms, why, wait, until_drained, overrides };
             drain(&council, &mut follow, &unit, wish).await
         }
         Command::Undrain { unit } => undrain(&council, &mut follow, &unit).await,
@@ -123,14 +125,14 @@
     done
 }
 
-async fn apply(file: &Outages, council: &Council, follow: &mut Follow) -> Result<(), String> {
+async fn apply(file: &DisruptionConfig, council: &ClientHandle, follow: &mut Informer) -> Result<(), String> {
     session(council).await?;
     let value = serde_json::to_string(&file.budgets).map_err(|e| e.to_string())?;
-    let then = vec![Change::Put { key: BUDGETS.into(), value, bound: false }];
-    match write(council, Plan { when: Vec::new(), then }).await {
-        Wrote::Done(_) => {}
-        Wrote::Differs => return Err("the record differs".into()),
-        Wrote::No(why) => return Err(why),
+    let then = vec![Op::Put { key: BUDGETS.into(), value, bound: false }];
+    match write(council, ConditionalWrite { when: Vec::new(), then }).await {
+        WriteOutcome::Committed(_) => {}
+        WriteOutcome::Conflict => return Err("the record differs".into()),
+        WriteOutcome::Failed(why) => return Err(why),
     }
     print(&format!("{} budgets hold from now on", file.budgets.all.len()))?;
     let board = board(follow).await?;
@@ -150,7 +152,7 @@
 }
 
 /// The upstream that is meant.
-fn upstream(board: &Board, text: &str) -> Result<Id, String> {
+fn upstream(board: &FleetSnapshot, text: &str) -> Result<ResourceId, String> {
     let (pool, name) = named(text);
     let all = board.upstreams();
     let Some((labels, _)) = all.get(name) else {
@@ -162,11 +164,11 @@
                 labels.iter().filter(|(n, _)| n == "pool").map(|(_, v)| v.as_str()).collect();
             Err(format!("{name} is not in pool {pool:?} but in {}", pools.join(", ")))
         }
-        _ => Ok(Id::upstream(name)),
+        _ => Ok(ResourceId::upstream(name)),
     }
 }
 
-struct Wish {
+struct DrainOptions {
     for_ms: Option<u64>,
     why: String,
     wait: Option<Duration>,
@@ -174,26 +176,33 @@
     overrides: Option<String>,
 }
 
-async fn drain(council: &Council, follow: &mut Follow, text: &str, wish: Wish) -> Result<(), String> {
+async fn drain(
+    council: &ClientHandle,
+    follow: &mut Informer,
+    text: &str,
+    wish: DrainOptions,
+) -> Result<(), String> {
     let session = session(council).await?;
     let unit = upstream(&board(follow).await?, text)?;
     let id = format!("{}-{}/{}", operator(), std::process::id(), unit.name);
-    let ask = Ask {
+    let ask = LeaseRequest {
         unit: unit.clone(),
         owner: operator(),
         session,
-        act: Act::Drain,
+        act: DisruptionKind::Drain,
         priority: u8::from(wish.overrides.is_some()),
         why: wish.why.clone(),
         overrides: wish.overrides.clone(),
         for_ms: wish.for_ms,
     };
     let value = serde_json::to_string(&ask).map_err(|e| e.to_string())?;
-    let put = Change::Put { key: ask_key(&id), value, bound: true };
-    match write(council, Plan { when: vec![Condition::Alive(session)], then: vec![put] }).await {
-        Wrote::Done(_) => {}
-        Wrote::Differs => return Err("its session has ended".into()),
-        Wrote::No(why) => return Err(why),
+    let put = Op::Put { key: request_key(&id), value, bound: true };
+    match write(council, ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] })
+        .await
+    {
+        WriteOutcome::Committed(_) => {}
+        WriteOutcome::Conflict => return Err("its session has ended".into()),
+        WriteOutcome::Failed(why) => return Err(why),
     }
     let started = Instant::now();
     let mut said = String::new();
@@ -207,15 +216,15 @@
             }
         };
         match verdict {
-            Verdict::Given => {
+            LeaseDecision::Granted => {
                 if let Some((plan, _)) = board.gives() {
-                    if let Wrote::No(why) = write(council, plan).await {
+                    if let WriteOutcome::Failed(why) = write(council, plan).await {
                         return Err(why);
                     }
                 }
                 continue;
             }
-            Verdict::Refused(why) => return withdraw(council, &id, why).await,
+            LeaseDecision::Rejected(why) => return withdraw(council, &id, why).await,
             waits => {
                 if wish.wait.is_none_or(|wait| started.elapsed() >= wait) {
                     return withdraw(council, &id, waits.to_string()).await;
@@ -252,32 +261,34 @@
     }
 }
 
-async fn withdraw(council: &Council, id: &str, why: String) -> Result<(), String> {
-    let then = vec![Change::Delete(ask_key(id))];
+async fn withdraw(council: &ClientHandle, id: &str, why: String) -> Result<(), String> {
+    let then = vec![Op::Delete(request_key(id))];
     // It ends with its session as well.
-    let _ = write(council, Plan { when: Vec::new(), then }).await;
+    let _ = write(council, ConditionalWrite { when: Vec::new(), then }).await;
     Err(why)
 }
 
-async fn undrain(council: &Council, follow: &mut Follow, text: &str) -> Result<(), String> {
+async fn undrain(council: &ClientHandle, follow: &mut Informer, text: &str) -> Result<(), String> {
     session(council).await?;
     let (_, name) = named(text);
-    let unit = Id::upstream(name);
+    let unit = ResourceId::upstream(name);
     loop {
         let board = board(follow).await?;
         let Some(leave) = board.leaves.get(&unit) else {
             return Err(format!("{unit} is not drained by agreement"));
         };
-        let when = vec![Condition::Version(leave_key(&unit), leave.version)];
-        match write(council, Plan { when, then: vec![Change::Delete(leave_key(&unit))] }).await {
-            Wrote::Done(_) => return print(&format!("{unit} may take work again; it begins cold")),
-            Wrote::Differs => {}
-            Wrote::No(why) => return Err(why),
+        let when = vec![Compare::Version(lease_key(&unit), leave.version)];
+        match write(council, ConditionalWrite { when, then: vec![Op::Delete(lease_key(&unit))] }).await {
+            WriteOutcome::Committed(_) => {
+                return print(&format!("{unit} may take work again; it begins cold"))
+            }
+            WriteOutcome::Conflict => {}
+            WriteOutcome::Failed(why) => return Err(why),
         }
     }
 }
 
-async fn forget(council: &Council, follow: &mut Follow, name: &str) -> Result<(), String> {
+async fn forget(council: &ClientHandle, follow: &mut Informer, name: &str) -> Result<(), String> {
     session(council).await?;
     let board = board(follow).await?;
     let Some(unit) = board.units.get(name) else { return Err(format!("no balancer {name:?} is known")) };
@@ -287,18 +298,18 @@
     if board.holders.contains_key(&unit.value.machine) {
         return Err(format!("the supervisor of {} is there, and would name it again", unit.value.machine));
     }
-    let id = Id::balancer(name);
-    let when = vec![Condition::Version(disruption::board::unit_key(name), unit.version)];
-    let then = vec![Change::Delete(disruption::board::unit_key(name)), Change::Delete(leave_key(&id))];
-    match write(council, Plan { when, then }).await {
-        Wrote::Done(_) => print(&format!("{name} is forgotten, and with it its leave")),
-        Wrote::Differs => Err("it changed meanwhile".into()),
-        Wrote::No(why) => Err(why),
+    let id = ResourceId::balancer(name);
+    let when = vec![Compare::Version(disruption::snapshot::balancer_key(name), unit.version)];
+    let then = vec![Op::Delete(disruption::snapshot::balancer_key(name)), Op::Delete(lease_key(&id))];
+    match write(council, ConditionalWrite { when, then }).await {
+        WriteOutcome::Committed(_) => print(&format!("{name} is forgotten, and with it its leave")),
+        WriteOutcome::Conflict => Err("it changed meanwhile".into()),
+        WriteOutcome::Failed(why) => Err(why),
     }
 }
 
 /// The whole state for an operator.
-pub fn state(board: &Board) -> serde_json::Value {
+pub fn state(board: &FleetSnapshot) -> serde_json::Value {
     let out: Vec<serde_json::Value> = board
         .out()
         .into_iter()
@@ -307,7 +318,7 @@
             let why: Vec<String> = why.iter().map(ToString::to_string).collect();
             serde_json::json!({"unit": id.to_string(), "why": why, "owner": leave.map(|l| &l.owner),
                 "number": leave.map(|l| l.number), "reason": leave.map(|l| &l.why), "overrides": leave.and_then(|l| l.overrides.as_ref()),
-                "held": leave.filter(|_| id.kind == Kind::Balancer).map(|l| board.held(l))})
+                "held": leave.filter(|_| id.kind == ResourceKind::Balancer).map(|l| board.held(l))})
         })
         .collect();
     let counts: Vec<serde_json::Value> = board
@@ -333,7 +344,7 @@
     cells.iter().map(|c| if c.is_empty() { "-".into() } else { (*c).to_string() }).collect()
 }
 
-fn status(board: &Board, json: bool) -> Result<(), String> {
+fn status(board: &FleetSnapshot, json: bool) -> Result<(), String> {
     if json {
         return print(&state(board).to_string());
     }
@@ -362,8 +373,8 @@
     print(text.trim_end())
 }
 
-fn drains(board: &Board, json: bool) -> Result<(), String> {
-    let all: Vec<_> = board.leaves.iter().filter(|(id, _)| id.kind == Kind::Upstream).collect();
+fn drains(board: &FleetSnapshot, json: bool) -> Result<(), String> {
+    let all: Vec<_> = board.leaves.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream).collect();
     if json {
         let all: Vec<serde_json::Value> = all
             .iter()
--- a/crates/control-plane/disruption-agent/src/follow.rs
+++ b/crates/control-plane/disruption-agent/src/informer.rs
@@ -1,36 +1,36 @@
 //! The record's part as it stands: read once, and watched from there.
-use coordination::client::Told;
-use coordination::record::{Item, Revision};
-use coordination::wire::{Answer, Select};
-use coordination_server::client::Council;
-use disruption::board::UNDER;
-use disruption::{Board, Plan};
+use coordination::client::RequestOutcome;
+use coordination::protocol::{Answer, Select};
+use coordination::state_machine::{Revision, VersionedValue};
+use coordination_server::client::ClientHandle;
+use disruption::snapshot::KEY_PREFIX;
+use disruption::{ConditionalWrite, FleetSnapshot};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
 /// How long a read or write of the record may take.
-pub const WITHIN: Duration = Duration::from_secs(5);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause before the record is read again where it could not be.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A part of the record as values.
-pub trait Part: Default {
+pub trait Projection: Default {
     /// From a read of all its keys at this revision.
-    fn read(revision: Revision, items: &[(String, Item)]) -> Self;
+    fn read(revision: Revision, items: &[(String, VersionedValue)]) -> Self;
     /// Takes in one key as it stands since this revision; `None`: it is no more.
     fn put(&mut self, key: &str, value: Option<&str>, revision: Revision);
     /// The revision that it stands at; can be set to a later one.
     fn revision(&mut self) -> &mut Revision;
 }
 
-impl Part for Board {
-    fn read(revision: Revision, items: &[(String, Item)]) -> Board {
-        Board::read(revision, items)
+impl Projection for FleetSnapshot {
+    fn read(revision: Revision, items: &[(String, VersionedValue)]) -> FleetSnapshot {
+        FleetSnapshot::read(revision, items)
     }
 
     fn put(&mut self, key: &str, value: Option<&str>, revision: Revision) {
-        Board::put(self, key, value, revision);
+        FleetSnapshot::put(self, key, value, revision);
     }
 
     fn revision(&mut self) -> &mut Revision {
@@ -39,24 +39,24 @@
 }
 
 /// A board that follows the record.
-pub struct Follow<B = Board> {
-    council: Council,
+pub struct Informer<B = FleetSnapshot> {
+    council: ClientHandle,
     under: &'static str,
     board: B,
     watch: Option<mpsc::Receiver<Answer>>,
 }
 
-impl Follow {
-    /// Of all that is agreed on outages; empty until [`Follow::next`] returned.
-    pub fn new(council: Council) -> Follow {
-        Follow::under(council, UNDER)
+impl Informer {
+    /// Of all that is agreed on outages; empty until [`Informer::next`] returned.
+    pub fn new(council: ClientHandle) -> Informer {
+        Informer::under(council, KEY_PREFIX)
     }
 }
 
-impl<B: Part> Follow<B> {
+impl<B: Projection> Informer<B> {
     /// Of the keys that begin so.
-    pub fn under(council: Council, under: &'static str) -> Follow<B> {
-        Follow { council, under, board: B::default(), watch: None }
+    pub fn under(council: ClientHandle, under: &'static str) -> Informer<B> {
+        Informer { council, under, board: B::default(), watch: None }
     }
 
     /// As it was last heard of.
@@ -74,13 +74,13 @@
                         self.board = board;
                         return;
                     }
-                    Err(_) => sleep(PAUSE).await,
+                    Err(_) => sleep(RETRY_DELAY).await,
                 }
                 continue;
             };
             match watch.recv().await {
                 Some(Answer::Watching { .. }) => {}
-                Some(Answer::Changes { revision, changes }) => {
+                Some(Answer::Events { revision, changes }) => {
                     for c in changes {
                         self.board.put(&c.key, c.value.as_deref(), c.revision);
                     }
@@ -111,33 +111,41 @@
 ///
 /// # Errors
 /// Why it can't be had.
-async fn read<B: Part>(council: &Council, under: &str) -> Result<B, String> {
-    match council.read(Select::Under(under.into()), WITHIN).await {
-        Told::Answer(Answer::Values { revision, items }) => Ok(B::read(revision, &items)),
-        Told::Answer(Answer::Failed(why)) | Told::NotDone(why) | Told::Unclear(why) => Err(why),
-        Told::Answer(other) => Err(format!("{other:?}")),
+async fn read<B: Projection>(council: &ClientHandle, under: &str) -> Result<B, String> {
+    match council.read(Select::Prefix(under.into()), REQUEST_TIMEOUT).await {
+        RequestOutcome::Answered(Answer::Values { revision, items }) => Ok(B::read(revision, &items)),
+        RequestOutcome::Answered(Answer::Failed(why))
+        | RequestOutcome::NotExecuted(why)
+        | RequestOutcome::Indeterminate(why) => Err(why),
+        RequestOutcome::Answered(other) => Err(format!("{other:?}")),
     }
 }
 
 /// What came of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrote {
+pub enum WriteOutcome {
     /// It is done, as this revision.
-    Done(u64),
+    Committed(u64),
     /// Something else was written before: it is to be decided anew.
-    Differs,
+    Conflict,
     /// It is not known whether it was done, or it was not, and why.
-    No(String),
+    Failed(String),
 }
 
 /// Makes a write of the record.
-pub async fn write(council: &Council, plan: Plan) -> Wrote {
-    use coordination::record::Outcome;
-    match council.write(plan.when, plan.then, WITHIN).await {
-        Told::Answer(Answer::Outcome(Outcome::Written(revision))) => Wrote::Done(revision),
-        Told::Answer(Answer::Outcome(Outcome::Differs { .. })) => Wrote::Differs,
-        Told::Answer(Answer::Outcome(Outcome::Refused(why))) => Wrote::No(why.to_string()),
-        Told::Answer(Answer::Failed(why)) | Told::NotDone(why) | Told::Unclear(why) => Wrote::No(why),
-        Told::Answer(other) => Wrote::No(format!("{other:?}")),
+pub async fn write(council: &ClientHandle, plan: ConditionalWrite) -> WriteOutcome {
+    use coordination::state_machine::Outcome;
+    match council.write(plan.when, plan.then, REQUEST_TIMEOUT).await {
+        RequestOutcome::Answered(Answer::Outcome(Outcome::Committed(revision))) => {
+            WriteOutcome::Committed(revision)
+        }
+        RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { .. })) => WriteOutcome::Conflict,
+        RequestOutcome::Answered(Answer::Outcome(Outcome::Rejected(why))) => {
+            WriteOutcome::Failed(why.to_string())
+        }
+        RequestOutcome::Answered(Answer::Failed(why))
+        | RequestOutcome::NotExecuted(why)
+        | RequestOutcome::Indeterminate(why) => WriteOutcome::Failed(why),
+        RequestOutcome::Answered(other) => WriteOutcome::Failed(format!("{other:?}")),
     }
 }
--- a/crates/control-plane/disruption-agent/src/lib.rs
+++ b/crates/control-plane/disruption-agent/src/lib.rs
@@ -3,11 +3,11 @@
 //!
 //! | module | whose |
 //! | --- | --- |
-//! | [`follow`] | the record's part as it stands, kept up to date |
+//! | [`informer`] | the record's part as it stands, kept up to date |
 //! | [`agent`] | a supervisor's: asks before it takes a balancer out, and helps the rule along |
 //! | [`reporter`] | a balancer's: says how it stands, and which drains it obeys |
 //! | [`command`] | an operator's |
 pub mod agent;
 pub mod command;
-pub mod follow;
+pub mod informer;
 pub mod reporter;
--- a/crates/control-plane/disruption-agent/src/reporter.rs
+++ b/crates/control-plane/disruption-agent/src/reporter.rs
@@ -1,12 +1,17 @@
 //! A balancer's part: it says how it stands and how it sees its upstreams, obeys drains that were agreed on, and confirms
 //! each once nothing is in flight there. Nothing that it serves waits for any of this.
-use crate::follow::{write, Follow, Wrote};
-use config::council::Client as File;
-use coordination::client::SessionSettings;
-use coordination::record::{Change, Condition, SessionId};
-use coordination_server::client::{appear, Council, Settings, Standing};
-use disruption::board::{leaving_key, list_key, quiet_key, said_key, sight_key, List, Quiet, DRAINS};
-use disruption::{Board, Plan, Said, Sight, Stand, State};
+use crate::informer::{write, Informer, WriteOutcome};
+use config::coordination::CoordinationClientConfig as File;
+use coordination::client::SessionConfig;
+use coordination::state_machine::{Compare, Op, SessionId};
+use coordination_server::client::{announce_presence, ClientConfig, ClientHandle, SessionState};
+use disruption::snapshot::{
+    drained_key, endpoint_list_key, observations_key, predecessor_drained_key, status_key, DrainedEndpoints,
+    EndpointList, DRAINS,
+};
+use disruption::{
+    ConditionalWrite, EndpointCondition, EndpointObservations, FleetSnapshot, InstanceState, InstanceStatus,
+};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,17 +27,17 @@
 const PAUSE: Duration = Duration::from_millis(500);
 
 /// What a balancer does for its reporter.
-pub trait Station {
+pub trait BalancerView {
     /// These upstreams are drained by agreement, and no others, for these reasons: nothing new goes there when this returns.
     fn drained(&self, upstreams: &BTreeMap<String, String>);
     /// Attempts that are open at an upstream.
     fn in_flight(&self, upstream: &str) -> usize;
     /// The upstreams that it has, and those that it does not see as standing in.
-    fn sight(&self) -> (List, BTreeMap<String, Stand>);
+    fn sight(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>);
 }
 
 /// How a reporter is set up.
-pub struct Setup {
+pub struct ReporterConfig {
     /// `[council]` of the operator's file.
     pub file: File,
     /// The balancer's name.
@@ -45,15 +50,15 @@
 
 /// Begins a reporter. It reads at once, so that it knows of drains before it serves; it appears in the record when
 /// `states` first says anything but starting. The other end that is returned says whether the drains are known.
-pub fn begin(
-    council: Council,
-    setup: Setup,
-    station: Rc<dyn Station>,
-    states: watch::Receiver<State>,
+pub fn spawn(
+    council: ClientHandle,
+    setup: ReporterConfig,
+    station: Rc<dyn BalancerView>,
+    states: watch::Receiver<InstanceState>,
 ) -> watch::Receiver<bool> {
     let (known, knows) = watch::channel(false);
-    let (show, board) = watch::channel(Board::default());
-    let (mut follow, obeys) = (Follow::under(council.clone(), DRAINS), station.clone());
+    let (show, board) = watch::channel(FleetSnapshot::default());
+    let (mut follow, obeys) = (Informer::under(council.clone(), DRAINS), station.clone());
     // By itself: what is written to the record may take its time.
     tokio::task::spawn_local(async move {
         loop {
@@ -86,28 +91,28 @@
 }
 
 struct Task {
-    board: watch::Receiver<Board>,
-    council: Council,
-    setup: Setup,
-    station: Rc<dyn Station>,
-    states: watch::Receiver<State>,
+    board: watch::Receiver<FleetSnapshot>,
+    council: ClientHandle,
+    setup: ReporterConfig,
+    station: Rc<dyn BalancerView>,
+    states: watch::Receiver<InstanceState>,
     appeared: bool,
     /// Since when it serves.
     ready_at: Option<Instant>,
     /// What was written last, under which session.
-    said: Option<(SessionId, State)>,
-    sight: Option<(SessionId, Sight)>,
-    quiet: Option<(SessionId, Quiet)>,
+    said: Option<(SessionId, InstanceState)>,
+    sight: Option<(SessionId, EndpointObservations)>,
+    quiet: Option<(SessionId, DrainedEndpoints)>,
     /// The list that was seen to be in the record last.
     list: Option<(SessionId, String)>,
     /// Its own session once another process has its name.
-    leaving: Option<Council>,
+    leaving: Option<ClientHandle>,
     /// How upstreams were seen last, and when.
-    looked: Option<(Instant, List, BTreeMap<String, Stand>)>,
+    looked: Option<(Instant, EndpointList, BTreeMap<String, EndpointCondition>)>,
     not_before: Option<Instant>,
 }
 
-fn obey(board: &Board, station: &dyn Station) {
+fn obey(board: &FleetSnapshot, station: &dyn BalancerView) {
     let drains = board.leaves.iter().map(|(id, leave)| {
         let why = match leave.value.why.as_str() {
             "" => format!("drained by {}", leave.value.owner),
@@ -139,32 +144,32 @@
     }
 
     /// How it stands, and when that changes by itself.
-    fn state(&mut self) -> (State, Option<Instant>) {
+    fn state(&mut self) -> (InstanceState, Option<Instant>) {
         let state = *self.states.borrow_and_update();
-        if state != State::Ready {
+        if state != InstanceState::Ready {
             self.ready_at = None;
             return (state, None);
         }
         let warm_at = *self.ready_at.get_or_insert_with(Instant::now) + self.setup.warm;
         match Instant::now() < warm_at {
-            true => (State::Cold, Some(warm_at)),
-            false => (State::Ready, None),
+            true => (InstanceState::WarmingUp, Some(warm_at)),
+            false => (InstanceState::Ready, None),
         }
     }
 
     /// The drains that it obeys and has nothing in flight for.
-    fn quiet(&self) -> Quiet {
+    fn quiet(&self) -> DrainedEndpoints {
         let board = self.board.borrow();
         let quiet = board.leaves.iter().filter(|(id, _)| self.station.in_flight(&id.name) == 0);
-        Quiet { drains: quiet.map(|(id, leave)| (id.name.clone(), leave.value.number)).collect() }
+        DrainedEndpoints { drains: quiet.map(|(id, leave)| (id.name.clone(), leave.value.number)).collect() }
     }
 
     /// Writes what is not in the record as it is; when to look again.
     async fn act(&mut self) -> Instant {
         let (state, warm_at) = self.state();
-        if state != State::Starting && !self.appeared {
+        if state != InstanceState::Starting && !self.appeared {
             self.appeared = true;
-            appear(&self.council, &self.setup.file, "balancer", &self.setup.name);
+            announce_presence(&self.council, &self.setup.file, "balancer", &self.setup.name);
         }
         let now = Instant::now();
         let drains = !self.board.borrow().leaves.is_empty();
@@ -176,9 +181,9 @@
         self.not_before = None;
         let standing = *self.council.standing().borrow();
         let wrote = match standing {
-            Standing::Held(session) => self.say(session, state).await,
-            Standing::Fenced(_) => self.leave().await,
-            Standing::None => true,
+            SessionState::Active(session) => self.say(session, state).await,
+            SessionState::Fenced(_) => self.leave().await,
+            SessionState::None => true,
         };
         if !wrote {
             let at = Instant::now() + PAUSE;
@@ -189,17 +194,18 @@
     }
 
     /// Says how it stands, where that is not what it said last. Whether that went well.
-    async fn say(&mut self, session: SessionId, state: State) -> bool {
+    async fn say(&mut self, session: SessionId, state: InstanceState) -> bool {
         let name = self.setup.name.clone();
-        let mut plan = Plan { when: vec![Condition::Alive(session)], then: Vec::new() };
-        let mut put = |key: String, value: String| plan.then.push(Change::Put { key, value, bound: true });
+        let mut plan = ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: Vec::new() };
+        let mut put = |key: String, value: String| plan.then.push(Op::Put { key, value, bound: true });
         if self.said != Some((session, state)) {
-            let said = Said { state, session, pid: std::process::id(), build: self.setup.build.clone() };
-            put(said_key(&name), serde_json::to_string(&said).unwrap_or_default());
+            let said =
+                InstanceStatus { state, session, pid: std::process::id(), build: self.setup.build.clone() };
+            put(status_key(&name), serde_json::to_string(&said).unwrap_or_default());
         }
         let quiet = self.quiet();
         if self.quiet.as_ref() != Some(&(session, quiet.clone())) {
-            put(quiet_key(&name), serde_json::to_string(&quiet).unwrap_or_default());
+            put(drained_key(&name), serde_json::to_string(&quiet).unwrap_or_default());
         }
         let now = Instant::now();
         if self.looked.as_ref().is_none_or(|(at, ..)| now.duration_since(*at) >= SIGHT) {
@@ -212,19 +218,19 @@
         };
         let text = serde_json::to_string(list).unwrap_or_default();
         let hash = format!("{:016x}", hashing::stable(text.as_bytes()));
-        let sight = Sight { list: hash.clone(), out };
+        let sight = EndpointObservations { list: hash.clone(), out };
         if self.sight.as_ref() != Some(&(session, sight.clone())) {
-            put(sight_key(&name), serde_json::to_string(&sight).unwrap_or_default());
+            put(observations_key(&name), serde_json::to_string(&sight).unwrap_or_default());
         }
         if self.list.as_ref() != Some(&(session, hash.clone())) {
             // Others with the same upstreams have written the same.
-            plan.then.push(Change::Put { key: list_key(&hash), value: text, bound: false });
+            plan.then.push(Op::Put { key: endpoint_list_key(&hash), value: text, bound: false });
         }
         if plan.then.is_empty() {
             return true;
         }
         match write(&self.council, plan).await {
-            Wrote::Done(_) => {
+            WriteOutcome::Committed(_) => {
                 self.said = Some((session, state));
                 self.quiet = Some((session, quiet));
                 self.sight = Some((session, sight));
@@ -232,8 +238,8 @@
                 true
             }
             // Its session has ended meanwhile; what becomes of it is heard soon.
-            Wrote::Differs => true,
-            Wrote::No(why) => {
+            WriteOutcome::Conflict => true,
+            WriteOutcome::Failed(why) => {
                 info!("outage: {name} is not heard: {why}");
                 false
             }
@@ -246,22 +252,29 @@
         let file = &self.setup.file;
         let own = self.leaving.get_or_insert_with(|| {
             let name = format!("leaving/{}/{pid}", self.setup.name);
-            let session = SessionSettings { name: name.clone(), ttl: file.ttl, take_over: true };
+            let session = SessionConfig { name: name.clone(), ttl: file.ttl, take_over: true };
             let voters = file.voters.iter().map(ToString::to_string).collect();
-            Council::begin(Settings { voters, session: Some(session), name, patience: file.patience })
+            ClientHandle::begin(ClientConfig {
+                voters,
+                session: Some(session),
+                name,
+                patience: file.patience,
+            })
         });
         let own = own.clone();
-        let Standing::Held(session) = *own.standing().borrow() else { return true };
+        let SessionState::Active(session) = *own.standing().borrow() else { return true };
         let quiet = self.quiet();
         if self.quiet.as_ref() == Some(&(session, quiet.clone())) {
             return true;
         }
         let value = serde_json::to_string(&quiet).unwrap_or_default();
-        let put = Change::Put { key: leaving_key(&self.setup.name, pid), value, bound: true };
-        let wrote = write(&own, Plan { when: vec![Condition::Alive(session)], then: vec![put] }).await;
-        if let Wrote::Done(_) = wrote {
+        let put = Op::Put { key: predecessor_drained_key(&self.setup.name, pid), value, bound: true };
+        let wrote =
+            write(&own, ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] })
+                .await;
+        if let WriteOutcome::Committed(_) = wrote {
             self.quiet = Some((session, quiet));
         }
-        !matches!(wrote, Wrote::No(_))
+        !matches!(wrote, WriteOutcome::Failed(_))
     }
 }
