--- a/crates/control-plane/disruption/src/budget.rs
+++ b/crates/control-plane/disruption/src/budget.rs
@@ -1,12 +1,12 @@
 //! Budgets: how many units of a group may be out at one time.
-use crate::{Id, Kind};
+use crate::{ResourceId, ResourceKind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 /// Most budgets.
-pub const BUDGETS_MOST: usize = 64;
+pub const MAX_BUDGETS: usize = 64;
 /// Longest name of a budget or value of a label, in bytes.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// A label of a unit: what it is, and its value, such as `("zone", "a")`. A unit has several values of one label where it
 /// is in several pools.
@@ -15,7 +15,7 @@
 /// By which label units are grouped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Of {
+pub enum GroupBy {
     /// All units of the kind are one group.
     Fleet,
     /// Those on one machine.
@@ -28,28 +28,28 @@
     Pool,
 }
 
-impl Of {
+impl GroupBy {
     /// The label's name.
     pub fn label(self) -> &'static str {
         match self {
-            Of::Fleet => "fleet",
-            Of::Machine => "machine",
-            Of::Zone => "zone",
-            Of::Tier => "tier",
-            Of::Pool => "pool",
+            GroupBy::Fleet => "fleet",
+            GroupBy::Machine => "machine",
+            GroupBy::Zone => "zone",
+            GroupBy::Tier => "tier",
+            GroupBy::Pool => "pool",
         }
     }
 }
 
 /// One budget. It holds for each group by itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Budget {
+pub struct DisruptionBudget {
     /// What it is called; no other is.
     pub name: String,
     /// Which units.
-    pub kind: Kind,
+    pub kind: ResourceKind,
     /// How they are grouped.
-    pub per: Of,
+    pub per: GroupBy,
     /// Only the group with this value; `None`: each.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub only: Option<String>,
@@ -64,13 +64,17 @@
     pub floor: u32,
 }
 
-impl Budget {
+impl DisruptionBudget {
     /// Whether a unit with these labels is in one of its groups, and in which.
-    pub fn groups<'a>(&'a self, kind: Kind, labels: &'a BTreeSet<Label>) -> impl Iterator<Item = &'a str> {
-        let whole = (self.per == Of::Fleet && kind == self.kind).then_some("");
+    pub fn groups<'a>(
+        &'a self,
+        kind: ResourceKind,
+        labels: &'a BTreeSet<Label>,
+    ) -> impl Iterator<Item = &'a str> {
+        let whole = (self.per == GroupBy::Fleet && kind == self.kind).then_some("");
         let of = labels.iter().filter(move |(name, value)| {
             kind == self.kind
-                && self.per != Of::Fleet
+                && self.per != GroupBy::Fleet
                 && name == self.per.label()
                 && self.only.as_ref().is_none_or(|only| only == value)
         });
@@ -102,36 +106,36 @@
 
 /// All budgets of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Budgets {
+pub struct DisruptionBudgets {
     /// In no order that matters: all have to hold.
-    pub all: Vec<Budget>,
+    pub all: Vec<DisruptionBudget>,
 }
 
-impl Budgets {
+impl DisruptionBudgets {
     /// Checks each by itself, and all together.
     ///
     /// # Errors
     /// Which budget, which field, and what is wrong.
     pub fn validate(&self) -> Result<(), (usize, &'static str, String)> {
-        if self.all.len() > BUDGETS_MOST {
-            return Err((BUDGETS_MOST, "name", format!("there are more than {BUDGETS_MOST} budgets")));
+        if self.all.len() > MAX_BUDGETS {
+            return Err((MAX_BUDGETS, "name", format!("there are more than {MAX_BUDGETS} budgets")));
         }
         let mut names = BTreeSet::new();
         for (k, b) in self.all.iter().enumerate() {
-            if b.name.is_empty() || b.name.len() > NAME_MOST {
-                return Err((k, "name", format!("is no name of 1 to {NAME_MOST} bytes")));
+            if b.name.is_empty() || b.name.len() > MAX_NAME_BYTES {
+                return Err((k, "name", format!("is no name of 1 to {MAX_NAME_BYTES} bytes")));
             }
             if !names.insert(&b.name) {
                 return Err((k, "name", format!("another budget is called {:?}", b.name)));
             }
             let fits = match b.kind {
-                Kind::Balancer => b.per != Of::Pool,
-                Kind::Upstream => matches!(b.per, Of::Fleet | Of::Pool | Of::Zone),
+                ResourceKind::Balancer => b.per != GroupBy::Pool,
+                ResourceKind::Upstream => matches!(b.per, GroupBy::Fleet | GroupBy::Pool | GroupBy::Zone),
             };
             if !fits {
                 return Err((k, "per", format!("{}s have no {}", b.kind.word(), b.per.label())));
             }
-            if b.only.is_some() && b.per == Of::Fleet {
+            if b.only.is_some() && b.per == GroupBy::Fleet {
                 return Err((k, "only", "the whole fleet is one group".into()));
             }
             if b.most.is_none() && b.per_mille.is_none() && b.floor == 0 {
@@ -154,7 +158,7 @@
     /// group, its size, and why.
     pub fn never<'a>(
         &self,
-        units: impl Iterator<Item = (&'a Id, &'a BTreeSet<Label>)> + Clone,
+        units: impl Iterator<Item = (&'a ResourceId, &'a BTreeSet<Label>)> + Clone,
     ) -> Vec<(String, String, u32, String)> {
         let mut found = Vec::new();
         for b in &self.all {
@@ -183,8 +187,16 @@
 mod tests {
     use super::*;
 
-    fn budget(most: Option<u32>, per_mille: Option<u32>, floor: u32) -> Budget {
-        Budget { name: "b".into(), kind: Kind::Balancer, per: Of::Zone, only: None, most, per_mille, floor }
+    fn budget(most: Option<u32>, per_mille: Option<u32>, floor: u32) -> DisruptionBudget {
+        DisruptionBudget {
+            name: "b".into(),
+            kind: ResourceKind::Balancer,
+            per: GroupBy::Zone,
+            only: None,
+            most,
+            per_mille,
+            floor,
+        }
     }
 
     #[test]
@@ -199,24 +211,28 @@
 
     #[test]
     fn what_can_never_be_kept_is_found() {
-        let bad = |b: Budget| Budgets { all: vec![b] }.validate().expect_err("bad");
+        let bad = |b: DisruptionBudget| DisruptionBudgets { all: vec![b] }.validate().expect_err("bad");
         assert_eq!(bad(budget(Some(0), None, 0)).1, "most");
         assert_eq!(bad(budget(None, Some(0), 0)).1, "share");
         assert_eq!(bad(budget(None, None, 0)).1, "most");
-        assert_eq!(bad(Budget { per: Of::Pool, ..budget(Some(1), None, 0) }).1, "per");
+        assert_eq!(bad(DisruptionBudget { per: GroupBy::Pool, ..budget(Some(1), None, 0) }).1, "per");
         assert_eq!(
-            bad(Budget { only: Some("a".into()), per: Of::Fleet, ..budget(Some(1), None, 0) }).1,
+            bad(DisruptionBudget { only: Some("a".into()), per: GroupBy::Fleet, ..budget(Some(1), None, 0) })
+                .1,
             "only"
         );
-        let twice = Budgets { all: vec![budget(Some(1), None, 0), budget(Some(2), None, 0)] };
+        let twice = DisruptionBudgets { all: vec![budget(Some(1), None, 0), budget(Some(2), None, 0)] };
         assert_eq!(twice.validate().expect_err("twice").0, 1);
         // One of one, and never out: each budget is good by itself.
-        let all = Budgets {
-            all: vec![budget(Some(1), None, 0), Budget { name: "c".into(), ..budget(None, None, 1) }],
+        let all = DisruptionBudgets {
+            all: vec![
+                budget(Some(1), None, 0),
+                DisruptionBudget { name: "c".into(), ..budget(None, None, 1) },
+            ],
         };
         assert_eq!(all.validate(), Ok(()));
         let labels = BTreeSet::from([("zone".to_string(), "a".to_string())]);
-        let id = Id::balancer("n1");
+        let id = ResourceId::balancer("n1");
         let found = all.never([(&id, &labels)].into_iter());
         assert_eq!(found.len(), 1, "{found:?}");
         assert!(found[0].3.contains("floor of 1 is all of its 1"), "{found:?}");
@@ -224,12 +240,13 @@
 
     #[test]
     fn a_unit_is_in_a_group_for_each_of_its_pools() {
-        let b = Budget { kind: Kind::Upstream, per: Of::Pool, ..budget(Some(1), None, 0) };
+        let b =
+            DisruptionBudget { kind: ResourceKind::Upstream, per: GroupBy::Pool, ..budget(Some(1), None, 0) };
         let of = |pool: &str| ("pool".to_string(), pool.to_string());
         let labels = BTreeSet::from([of("dues"), of("web"), ("zone".into(), "a".into())]);
-        assert_eq!(b.groups(Kind::Upstream, &labels).collect::<Vec<_>>(), ["dues", "web"]);
-        assert_eq!(b.groups(Kind::Balancer, &labels).count(), 0);
-        let only = Budget { only: Some("web".into()), ..b };
-        assert_eq!(only.groups(Kind::Upstream, &labels).collect::<Vec<_>>(), ["web"]);
+        assert_eq!(b.groups(ResourceKind::Upstream, &labels).collect::<Vec<_>>(), ["dues", "web"]);
+        assert_eq!(b.groups(ResourceKind::Balancer, &labels).count(), 0);
+        let only = DisruptionBudget { only: Some("web".into()), ..b };
+        assert_eq!(only.groups(ResourceKind::Upstream, &labels).collect::<Vec<_>>(), ["web"]);
     }
 }
--- a/crates/control-plane/disruption/src/agent.rs
+++ b/crates/control-plane/disruption/src/lease_agent.rs
@@ -3,10 +3,13 @@
 //!
 //! A write is made only if the record is still as it was when it was decided on. What another agent could do as well is done
 //! a little later, so that usually one does it.
-use crate::board::{ask_key, holder_key, leave_key, Act, Ask, Board, Leave, Unit};
-use crate::decide::{json, put, TOGETHER};
-use crate::{Id, Kind, Plan};
-use coordination::record::{Change, Condition, SessionId};
+use crate::scheduler::{json, put, MAX_GRANTS_PER_WRITE};
+use crate::snapshot::{
+    lease_key, owner_key, request_key, BalancerEntry, DisruptionKind, DisruptionLease, FleetSnapshot,
+    LeaseRequest,
+};
+use crate::{ConditionalWrite, ResourceId, ResourceKind};
+use coordination::state_machine::{Compare, Op, SessionId};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -24,11 +27,11 @@
 
 /// Leave that was given.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct GrantedLease {
     /// For this balancer.
     pub unit: String,
     /// To do this.
-    pub act: Act,
+    pub act: DisruptionKind,
     /// The leave's number: of two for one unit the later has the greater.
     pub number: u64,
     /// The session that has to be held at the moment at which something is done by it.
@@ -38,9 +41,9 @@
 /// What is to be done now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// This write; then the board is to be read anew, and [`Agent::next`] called.
-    Write(Plan, Option<String>),
-    /// The board is to be read anew from a majority, and [`Agent::decided`] called with it.
+    /// This write; then the board is to be read anew, and [`LeaseAgent::next`] called.
+    Write(ConditionalWrite, Option<String>),
+    /// The board is to be read anew from a majority, and [`LeaseAgent::decided`] called with it.
     Fresh,
     /// Nothing, until something changes, or until then.
     Wait(Option<Duration>),
@@ -49,32 +52,32 @@
 /// What is wanted for one balancer.
 #[derive(Clone, Debug)]
 enum Want {
-    Leave { act: Act, why: String, overrides: Option<String>, told: Option<(u64, SessionId)> },
+    Leave { act: DisruptionKind, why: String, overrides: Option<String>, told: Option<(u64, SessionId)> },
     Back { acted: bool },
 }
 
 /// The machine.
-pub struct Agent {
+pub struct LeaseAgent {
     owner: String,
     random: Pcg64Mcg,
     wants: BTreeMap<String, Want>,
-    units: Option<BTreeMap<String, Unit>>,
+    units: Option<BTreeMap<String, BalancerEntry>>,
     /// Leaves of an earlier process, and since when they are this one's.
     adopted: BTreeMap<String, Duration>,
     /// When something that another could do as well is done here.
     help: Option<Duration>,
     /// Drains that end by themselves, and when they were first seen.
-    drains: BTreeMap<(Id, u64), Duration>,
+    drains: BTreeMap<(ResourceId, u64), Duration>,
     /// Drains for which nothing is waited for any more, and since when.
-    quiet: BTreeMap<(Id, u64), Duration>,
+    quiet: BTreeMap<(ResourceId, u64), Duration>,
     /// After a write that failed.
     not_before: Duration,
 }
 
-impl Agent {
+impl LeaseAgent {
     /// One for a supervisor that is known by this name.
-    pub fn new(owner: &str, seed: u64) -> Agent {
-        Agent {
+    pub fn new(owner: &str, seed: u64) -> LeaseAgent {
+        LeaseAgent {
             owner: owner.into(),
             random: Pcg64Mcg::seed_from_u64(seed),
             wants: BTreeMap::new(),
@@ -88,7 +91,7 @@
     }
 
     /// Leave is wanted. `overrides`: an operator's reason to go over what budgets allow.
-    pub fn ask(&mut self, unit: &str, act: Act, why: &str, overrides: Option<String>) {
+    pub fn ask(&mut self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<String>) {
         self.wants.insert(unit.into(), Want::Leave { act, why: why.into(), overrides, told: None });
     }
 
@@ -106,7 +109,7 @@
     }
 
     /// The balancers that its machine has, all of them.
-    pub fn units(&mut self, units: BTreeMap<String, Unit>) {
+    pub fn units(&mut self, units: BTreeMap<String, BalancerEntry>) {
         self.units = Some(units);
     }
 
@@ -126,8 +129,8 @@
         &mut self,
         now: Duration,
         session: Option<SessionId>,
-        board: &Board,
-        given: &mut Vec<Given>,
+        board: &FleetSnapshot,
+        given: &mut Vec<GrantedLease>,
     ) -> Step {
         let Some(session) = session.filter(|_| board.revision > 0) else { return Step::Wait(None) };
         if now < self.not_before {
@@ -141,7 +144,7 @@
     }
 
     /// The same, with a board that was read from a majority just now, where [`Step::Fresh`] asked for it.
-    pub fn decided(&mut self, now: Duration, board: &Board) -> Step {
+    pub fn decided(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
         match board.gives() {
             Some((plan, ids)) => Step::Write(plan, Some(format!("leave is given: {}", ids.join(", ")))),
             // Others were faster, or it does not hold any more.
@@ -150,10 +153,10 @@
     }
 
     /// The next write that is this supervisor's own affair.
-    fn own(&mut self, now: Duration, session: SessionId, board: &Board) -> Option<Plan> {
+    fn own(&mut self, now: Duration, session: SessionId, board: &FleetSnapshot) -> Option<ConditionalWrite> {
         if board.holders.get(&self.owner).is_none_or(|h| h.value != session) {
-            let put = Change::Put { key: holder_key(&self.owner), value: session.to_string(), bound: true };
-            return Some(Plan { when: vec![Condition::Alive(session)], then: vec![put] });
+            let put = Op::Put { key: owner_key(&self.owner), value: session.to_string(), bound: true };
+            return Some(ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] });
         }
         if let Some(plan) = self.units.as_ref().and_then(|units| board.declares(&self.owner, units)) {
             return Some(plan);
@@ -161,7 +164,7 @@
         let mine: Vec<_> = board
             .leaves
             .iter()
-            .filter(|(id, leave)| id.kind == Kind::Balancer && leave.value.owner == self.owner)
+            .filter(|(id, leave)| id.kind == ResourceKind::Balancer && leave.value.owner == self.owner)
             .collect();
         if let Some((id, _)) = mine.iter().find(|(_, leave)| leave.value.session != session) {
             self.adopted.insert(id.name.clone(), now);
@@ -184,18 +187,20 @@
         }
         let asked = |unit: &str| board.asks.contains_key(&self.ask_id(unit));
         let has = |unit: &str| mine.iter().any(|(id, _)| id.name == unit);
-        let mut plan = Plan::default();
+        let mut plan = ConditionalWrite::default();
         for (id, ask) in &board.asks {
             let own = ask.value.owner == self.owner && ask.value.session == session;
             if own && !matches!(self.wants.get(&ask.value.unit.name), Some(Want::Leave { .. })) {
-                plan.when.push(Condition::Version(ask_key(id), ask.version));
-                plan.then.push(Change::Delete(ask_key(id)));
+                plan.when.push(Compare::Version(request_key(id), ask.version));
+                plan.then.push(Op::Delete(request_key(id)));
             }
         }
-        for (unit, want) in self.wants.iter().filter(|(unit, _)| !asked(unit) && !has(unit)).take(TOGETHER) {
+        for (unit, want) in
+            self.wants.iter().filter(|(unit, _)| !asked(unit) && !has(unit)).take(MAX_GRANTS_PER_WRITE)
+        {
             let Want::Leave { act, why, overrides, .. } = want else { continue };
-            let ask = Ask {
-                unit: Id::balancer(unit),
+            let ask = LeaseRequest {
+                unit: ResourceId::balancer(unit),
                 owner: self.owner.clone(),
                 session,
                 act: *act,
@@ -205,7 +210,7 @@
                 overrides: overrides.clone(),
                 for_ms: None,
             };
-            plan.then.push(Change::Put { key: ask_key(&self.ask_id(unit)), value: json(&ask), bound: true });
+            plan.then.push(Op::Put { key: request_key(&self.ask_id(unit)), value: json(&ask), bound: true });
         }
         // What is back, or was never given, is not wanted any more.
         let over =
@@ -220,20 +225,27 @@
     }
 
     /// Leaves that its supervisor was not told of.
-    fn tell(&mut self, session: SessionId, board: &Board, given: &mut Vec<Given>) {
+    fn tell(&mut self, session: SessionId, board: &FleetSnapshot, given: &mut Vec<GrantedLease>) {
         for (unit, want) in &mut self.wants {
             let Want::Leave { told, .. } = want else { continue };
-            let Some(leave) = board.leaves.get(&Id::balancer(unit)).map(|l| &l.value) else { continue };
+            let Some(leave) = board.leaves.get(&ResourceId::balancer(unit)).map(|l| &l.value) else {
+                continue;
+            };
             let this = (leave.number, session);
             if leave.owner == self.owner && leave.session == session && *told != Some(this) {
                 *told = Some(this);
-                given.push(Given { unit: unit.clone(), act: leave.act, number: leave.number, session });
+                given.push(GrantedLease {
+                    unit: unit.clone(),
+                    act: leave.act,
+                    number: leave.number,
+                    session,
+                });
             }
         }
     }
 
     /// What anybody may do: at once, if it gives this supervisor leave, and else if nobody does it for a while.
-    fn common(&mut self, now: Duration, board: &Board) -> Step {
+    fn common(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
         let given = board.gives();
         let own = |id: &String| board.asks.get(id).is_some_and(|a| a.value.owner == self.owner);
         if given.as_ref().is_some_and(|(_, ids)| ids.iter().any(own)) {
@@ -258,7 +270,7 @@
     }
 
     /// When the next drain ends by itself, or is over, or an earlier process's leave is given back.
-    fn next_end(&self, now: Duration, board: &Board) -> Option<Duration> {
+    fn next_end(&self, now: Duration, board: &FleetSnapshot) -> Option<Duration> {
         let ends = self.drains.iter().filter_map(|((id, number), seen)| {
             let leave = board.leaves.get(id).filter(|l| l.value.number == *number)?;
             Some(*seen + Duration::from_millis(leave.value.for_ms?))
@@ -271,11 +283,13 @@
             .min()
     }
 
-    fn due(&mut self, now: Duration, board: &Board) -> Option<(String, Plan)> {
-        let is = |(id, number): &(Id, u64)| board.leaves.get(id).is_some_and(|l| l.value.number == *number);
+    fn due(&mut self, now: Duration, board: &FleetSnapshot) -> Option<(String, ConditionalWrite)> {
+        let is = |(id, number): &(ResourceId, u64)| {
+            board.leaves.get(id).is_some_and(|l| l.value.number == *number)
+        };
         self.drains.retain(|key, _| is(key));
         self.quiet.retain(|key, _| is(key));
-        self.adopted.retain(|unit, _| board.leaves.contains_key(&Id::balancer(unit)));
+        self.adopted.retain(|unit, _| board.leaves.contains_key(&ResourceId::balancer(unit)));
         for (id, leave) in board.leaves.iter().filter(|(_, l)| l.value.for_ms.is_some()) {
             self.drains.entry((id.clone(), leave.value.number)).or_insert(now);
         }
@@ -289,15 +303,18 @@
         if let Some(plan) = board.lists_unused() {
             return Some(("lists that nobody has are removed".into(), plan));
         }
-        for (id, leave) in board.leaves.iter().filter(|(id, _)| id.kind == Kind::Upstream) {
+        for (id, leave) in board.leaves.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream) {
             let key = (id.clone(), leave.value.number);
-            let when = vec![Condition::Version(leave_key(id), leave.version)];
+            let when = vec![Compare::Version(lease_key(id), leave.version)];
             let over = |seen: &Duration| {
                 leave.value.for_ms.is_some_and(|ms| now >= *seen + Duration::from_millis(ms))
             };
             if self.drains.get(&key).is_some_and(over) {
-                let then = vec![Change::Delete(leave_key(id))];
-                return Some((format!("the drain of {id} has ended by itself"), Plan { when, then }));
+                let then = vec![Op::Delete(lease_key(id))];
+                return Some((
+                    format!("the drain of {id} has ended by itself"),
+                    ConditionalWrite { when, then },
+                ));
             }
             if leave.value.drained || !board.waits_for(id).is_empty() {
                 self.quiet.remove(&key);
@@ -306,8 +323,9 @@
             // A process that has just passed its sockets on is heard of a moment later.
             let since = *self.quiet.entry(key.clone()).or_insert(now);
             if now >= since + QUIET {
-                let then = vec![put(leave_key(id), json(&Leave { drained: true, ..leave.value.clone() }))];
-                return Some((format!("{id} is drained"), Plan { when, then }));
+                let then =
+                    vec![put(lease_key(id), json(&DisruptionLease { drained: true, ..leave.value.clone() }))];
+                return Some((format!("{id} is drained"), ConditionalWrite { when, then }));
             }
         }
         None
--- a/crates/control-plane/disruption/src/lib.rs
+++ b/crates/control-plane/disruption/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A **unit** is a balancer or an upstream. A **budget** says how many units of a group (a machine, a zone, a tier, a pool,
 //! all) may be out at once, as a count, a share or both. Whoever wants to take a unit out **asks**, and does it only with a
-//! **leave**. Leaves are given by a rule that is a function of the record alone ([`Board::decide`]), so that there is no
+//! **leave**. Leaves are given by a rule that is a function of the record alone ([`FleetSnapshot::decide`]), so that there is no
 //! process whose loss stops them: whoever sees that the rule gives leaves writes them, and of two only one succeeds.
 //!
 //! **Everything that is out counts**, whoever caused it: leave given, no session, not ready, cold, drained by a registry,
@@ -12,64 +12,67 @@
 //! | module | what it has |
 //! | --- | --- |
 //! | [`budget`] | budgets, their groups, and what contradicts itself |
-//! | [`board`] | the record's part that this crate reads and writes, as values |
-//! | [`agent`] | what a supervisor does with it |
-//! | [`decide`] | who is out and why, which leaves are given, what waits for what |
-pub mod agent;
-pub mod board;
+//! | [`snapshot`] | the record's part that this crate reads and writes, as values |
+//! | [`lease_agent`] | what a supervisor does with it |
+//! | [`scheduler`] | who is out and why, which leaves are given, what waits for what |
 pub mod budget;
-pub mod decide;
+pub mod lease_agent;
+pub mod scheduler;
+pub mod snapshot;
 
-pub use board::{Act, Ask, Board, Leave, List, Place, Said, Sight, Stand, State, Unit};
-pub use budget::{Budget, Budgets, Of};
-pub use decide::{Count, Reason, Verdict};
+pub use budget::{DisruptionBudget, DisruptionBudgets, GroupBy};
+pub use scheduler::{BudgetUsage, LeaseDecision, UnavailableReason};
+pub use snapshot::{
+    BalancerEntry, DisruptionKind, DisruptionLease, EndpointCondition, EndpointLabels, EndpointList,
+    EndpointObservations, FleetSnapshot, InstanceState, InstanceStatus, LeaseRequest,
+};
 
-use coordination::record::{Change, Condition};
+use coordination::state_machine::{Compare, Op};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// What a unit is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum ResourceKind {
     /// A balancer: an instance of the program.
     Balancer,
     /// An upstream: a member of some pool.
     Upstream,
 }
 
-impl Kind {
+impl ResourceKind {
     /// Its word in keys and files.
     pub fn word(self) -> &'static str {
         match self {
-            Kind::Balancer => "balancer",
-            Kind::Upstream => "upstream",
+            ResourceKind::Balancer => "balancer",
+            ResourceKind::Upstream => "upstream",
         }
     }
 }
 
 /// A unit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct ResourceId {
     /// What it is.
-    pub kind: Kind,
+    pub kind: ResourceKind,
     /// Its name; no other of its kind has it.
     pub name: String,
 }
 
-impl Id {
+impl ResourceId {
     /// A balancer.
-    pub fn balancer(name: impl Into<String>) -> Id {
-        Id { kind: Kind::Balancer, name: name.into() }
+    pub fn balancer(name: impl Into<String>) -> ResourceId {
+        ResourceId { kind: ResourceKind::Balancer, name: name.into() }
     }
 
     /// An upstream.
-    pub fn upstream(name: impl Into<String>) -> Id {
-        Id { kind: Kind::Upstream, name: name.into() }
+    pub fn upstream(name: impl Into<String>) -> ResourceId {
+        ResourceId { kind: ResourceKind::Upstream, name: name.into() }
     }
 }
 
-impl fmt::Display for Id {
+impl fmt::Display for ResourceId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.kind.word(), self.name)
     }
@@ -77,9 +80,9 @@
 
 /// A write of the record: what has to be so, and what is changed then.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct ConditionalWrite {
     /// What has to be so.
-    pub when: Vec<Condition>,
+    pub when: Vec<Compare>,
     /// What is changed.
-    pub then: Vec<Change>,
+    pub then: Vec<Op>,
 }
--- a/crates/control-plane/disruption/src/decide.rs
+++ b/crates/control-plane/disruption/src/scheduler.rs
@@ -1,59 +1,69 @@
 //! Who is out and why, which leaves are given, and what waits for what: a function of the board.
-use crate::board::{
-    ask_key, leave_key, list_key, said_key, unit_key, Act, Ask, Board, Leave, Quiet, Stand, State, Unit,
+use crate::budget::{DisruptionBudget, Label};
+use crate::snapshot::{
+    balancer_key, endpoint_list_key, lease_key, request_key, status_key, BalancerEntry, DisruptionKind,
+    DisruptionLease, DrainedEndpoints, EndpointCondition, FleetSnapshot, InstanceState, LeaseRequest,
     BUDGETS, LEDGER,
 };
-use crate::budget::{Budget, Label};
-use crate::{Id, Kind, Plan};
-use coordination::record::{Change, Condition, SessionId};
+use crate::{ConditionalWrite, ResourceId, ResourceKind};
+use coordination::state_machine::{Compare, Op, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// Most leaves that one write gives.
-pub const TOGETHER: usize = 32;
+pub const MAX_GRANTS_PER_WRITE: usize = 32;
 
 /// Why a unit counts as out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum UnavailableReason {
     /// Somebody has leave for it.
-    Leave(String, Act),
+    Leased(String, DisruptionKind),
     /// It has no session: it is down, stopped or cut off, and may be serving.
     Missing,
     /// Its supervisor says that no process of it runs.
     Down,
     /// By its own word it does not serve, or not yet in full.
-    Says(State),
+    ReportedState(InstanceState),
     /// A registry says that it takes nothing.
-    Registry(Stand),
+    ReportedByDiscovery(EndpointCondition),
     /// So many of so many balancers see it so.
-    Seen(Stand, usize, usize),
+    ObservedByBalancers(EndpointCondition, usize, usize),
 }
 
-impl Reason {
+impl UnavailableReason {
     /// Whether a unit that counts as out for this may be serving all the same.
     fn may_serve(&self) -> bool {
-        matches!(self, Reason::Missing | Reason::Says(State::Cold) | Reason::Seen(Stand::Cold, ..))
+        matches!(
+            self,
+            UnavailableReason::Missing
+                | UnavailableReason::ReportedState(InstanceState::WarmingUp)
+                | UnavailableReason::ObservedByBalancers(EndpointCondition::WarmingUp, ..)
+        )
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for UnavailableReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Leave(owner, act) => write!(f, "{} by {owner}", act.word()),
-            Reason::Missing => f.write_str("not heard of"),
-            Reason::Down => f.write_str("down"),
-            Reason::Says(state) => f.write_str(state.word()),
-            Reason::Registry(Stand::Critical) => f.write_str("its checks fail"),
-            Reason::Registry(_) => f.write_str("drained by a registry"),
-            Reason::Seen(Stand::Cold, n, of) => write!(f, "cold at {n} of {of}"),
-            Reason::Seen(_, n, of) => write!(f, "ejected by {n} of {of}"),
+            UnavailableReason::Leased(owner, act) => write!(f, "{} by {owner}", act.word()),
+            UnavailableReason::Missing => f.write_str("not heard of"),
+            UnavailableReason::Down => f.write_str("down"),
+            UnavailableReason::ReportedState(state) => f.write_str(state.word()),
+            UnavailableReason::ReportedByDiscovery(EndpointCondition::Unhealthy) => {
+                f.write_str("its checks fail")
+            }
+            UnavailableReason::ReportedByDiscovery(_) => f.write_str("drained by a registry"),
+            UnavailableReason::ObservedByBalancers(EndpointCondition::WarmingUp, n, of) => {
+                write!(f, "cold at {n} of {of}")
+            }
+            UnavailableReason::ObservedByBalancers(_, n, of) => write!(f, "ejected by {n} of {of}"),
         }
     }
 }
 
 /// How a group stands against a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct BudgetUsage {
     /// Its units.
     pub size: u32,
     /// Those that are out.
@@ -66,29 +76,29 @@
 
 /// What becomes of an ask now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LeaseDecision {
     /// Leave is given.
-    Given,
+    Granted,
     /// It waits.
-    Waits {
+    WaitsForBudget {
         /// For which budget.
         budget: String,
         /// In which group.
         group: String,
         /// How that stands.
-        count: Count,
+        count: BudgetUsage,
     },
     /// It waits until somebody else's leave for the unit has ended.
-    Taken(String),
+    HeldByOther(String),
     /// It can't be: why.
-    Refused(String),
+    Rejected(String),
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for LeaseDecision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Verdict::Given => f.write_str("given"),
-            Verdict::Waits { budget, group, count } => {
+            LeaseDecision::Granted => f.write_str("given"),
+            LeaseDecision::WaitsForBudget { budget, group, count } => {
                 let group = if group.is_empty() { "the fleet" } else { group };
                 write!(
                     f,
@@ -96,54 +106,55 @@
                     count.out, count.size, count.limit
                 )
             }
-            Verdict::Taken(owner) => write!(f, "waits: {owner} has leave for it"),
-            Verdict::Refused(why) => write!(f, "refused: {why}"),
+            LeaseDecision::HeldByOther(owner) => write!(f, "waits: {owner} has leave for it"),
+            LeaseDecision::Rejected(why) => write!(f, "refused: {why}"),
         }
     }
 }
 
-type Groups<'a> = BTreeMap<(usize, &'a str), Count>;
+type Groups<'a> = BTreeMap<(usize, &'a str), BudgetUsage>;
 
 /// All that follows from a board, worked out once.
 struct View<'a> {
-    board: &'a Board,
-    budgets: &'a [Budget],
-    labels: BTreeMap<Id, BTreeSet<Label>>,
-    out: BTreeMap<Id, Vec<Reason>>,
+    board: &'a FleetSnapshot,
+    budgets: &'a [DisruptionBudget],
+    labels: BTreeMap<ResourceId, BTreeSet<Label>>,
+    out: BTreeMap<ResourceId, Vec<UnavailableReason>>,
 }
 
 impl<'a> View<'a> {
-    fn of(board: &'a Board) -> View<'a> {
-        let mut labels: BTreeMap<Id, BTreeSet<Label>> = BTreeMap::new();
-        let mut out: BTreeMap<Id, Vec<Reason>> = BTreeMap::new();
-        let mut is_out = |id: &Id, why: Reason| out.entry(id.clone()).or_default().push(why);
+    fn of(board: &'a FleetSnapshot) -> View<'a> {
+        let mut labels: BTreeMap<ResourceId, BTreeSet<Label>> = BTreeMap::new();
+        let mut out: BTreeMap<ResourceId, Vec<UnavailableReason>> = BTreeMap::new();
+        let mut is_out =
+            |id: &ResourceId, why: UnavailableReason| out.entry(id.clone()).or_default().push(why);
         for (name, unit) in &board.units {
-            let id = Id::balancer(name);
+            let id = ResourceId::balancer(name);
             match board.said.get(name).map(|s| s.value.state) {
-                Some(State::Ready) => {}
-                Some(state) => is_out(&id, Reason::Says(state)),
-                None if unit.value.down => is_out(&id, Reason::Down),
-                None => is_out(&id, Reason::Missing),
+                Some(InstanceState::Ready) => {}
+                Some(state) => is_out(&id, UnavailableReason::ReportedState(state)),
+                None if unit.value.down => is_out(&id, UnavailableReason::Down),
+                None => is_out(&id, UnavailableReason::Missing),
             }
             labels.insert(id, unit.value.labels());
         }
         for (name, (of, stands)) in board.upstreams() {
-            let id = Id::upstream(name);
+            let id = ResourceId::upstream(name);
             let all = stands.len();
-            let count = |stand: Stand| stands.iter().filter(|&&s| s == stand).count();
+            let count = |stand: EndpointCondition| stands.iter().filter(|&&s| s == stand).count();
             // What a registry says binds, whoever has heard it; what balancers find out for themselves needs most of them.
-            if let Some(worst) = stands.iter().copied().filter(|s| *s >= Stand::Critical).max() {
-                is_out(&id, Reason::Registry(worst));
+            if let Some(worst) = stands.iter().copied().filter(|s| *s >= EndpointCondition::Unhealthy).max() {
+                is_out(&id, UnavailableReason::ReportedByDiscovery(worst));
             }
-            for stand in [Stand::Ejected, Stand::Cold] {
+            for stand in [EndpointCondition::Ejected, EndpointCondition::WarmingUp] {
                 if count(stand) * 2 > all {
-                    is_out(&id, Reason::Seen(stand, count(stand), all));
+                    is_out(&id, UnavailableReason::ObservedByBalancers(stand, count(stand), all));
                 }
             }
             labels.insert(id, of);
         }
         for (id, leave) in &board.leaves {
-            is_out(id, Reason::Leave(leave.value.owner.clone(), leave.value.act));
+            is_out(id, UnavailableReason::Leased(leave.value.owner.clone(), leave.value.act));
         }
         let budgets = board.budgets.as_ref().map_or(&[][..], |b| &b.value.all);
         View { board, budgets, labels, out }
@@ -168,23 +179,24 @@
     }
 
     /// The asks in their order.
-    fn asks(&self) -> Vec<(&'a str, &'a crate::board::At<Ask>)> {
+    fn asks(&self) -> Vec<(&'a str, &'a crate::snapshot::Versioned<LeaseRequest>)> {
         let mut asks: Vec<_> = self.board.asks.iter().map(|(id, ask)| (id.as_str(), ask)).collect();
         asks.sort_by_key(|(id, ask)| (std::cmp::Reverse(ask.value.priority), ask.version, *id));
         asks
     }
 
-    fn verdicts(&self) -> Vec<(&'a str, Verdict)> {
+    fn verdicts(&self) -> Vec<(&'a str, LeaseDecision)> {
         let mut groups = self.counts();
-        let mut given: BTreeSet<&Id> = BTreeSet::new();
+        let mut given: BTreeSet<&ResourceId> = BTreeSet::new();
         let mut reserved = false;
         let mut all = Vec::new();
         for (id, ask) in self.asks() {
             let (unit, ask) = (&ask.value.unit, &ask.value);
             let verdict = self.verdict(ask, &groups, &given);
-            let takes = verdict == Verdict::Given && given.insert(unit);
+            let takes = verdict == LeaseDecision::Granted && given.insert(unit);
             // The first that waits for a budget keeps its place in all its groups: those behind it do not starve it.
-            let keeps = matches!(verdict, Verdict::Waits { .. }) && !std::mem::replace(&mut reserved, true);
+            let keeps = matches!(verdict, LeaseDecision::WaitsForBudget { .. })
+                && !std::mem::replace(&mut reserved, true);
             if (takes || keeps) && !self.out.contains_key(unit) {
                 self.each_group(unit, |k, group| {
                     if let Some(count) = groups.get_mut(&(k, group)) {
@@ -197,101 +209,101 @@
         all
     }
 
-    fn each_group<'b>(&'b self, unit: &Id, mut each: impl FnMut(usize, &'b str)) {
+    fn each_group<'b>(&'b self, unit: &ResourceId, mut each: impl FnMut(usize, &'b str)) {
         let Some(labels) = self.labels.get(unit) else { return };
         for (k, budget) in self.budgets.iter().enumerate() {
             budget.groups(unit.kind, labels).for_each(|group| each(k, group));
         }
     }
 
-    fn verdict(&self, ask: &Ask, groups: &Groups, given: &BTreeSet<&Id>) -> Verdict {
+    fn verdict(&self, ask: &LeaseRequest, groups: &Groups, given: &BTreeSet<&ResourceId>) -> LeaseDecision {
         let unit = &ask.unit;
         if !self.labels.contains_key(unit) {
-            return Verdict::Refused(format!("{unit} is not known"));
+            return LeaseDecision::Rejected(format!("{unit} is not known"));
         }
-        if (ask.act == Act::Drain) != (unit.kind == Kind::Upstream) {
-            return Verdict::Refused(format!("{} is nothing that is done to {unit}", ask.act.word()));
+        if (ask.act == DisruptionKind::Drain) != (unit.kind == ResourceKind::Upstream) {
+            return LeaseDecision::Rejected(format!("{} is nothing that is done to {unit}", ask.act.word()));
         }
         if let Some(leave) = self.board.leaves.get(unit) {
-            return Verdict::Taken(leave.value.owner.clone());
+            return LeaseDecision::HeldByOther(leave.value.owner.clone());
         }
         if given.contains(unit) {
-            return Verdict::Taken("who asked before".into());
+            return LeaseDecision::HeldByOther("who asked before".into());
         }
         // What is known to be out is not taken out by this: mending it must not wait for room that only mending makes. What is
         // not heard of, or cold, may well be serving: it counts already, and is given where that is within bounds.
         let why = self.out.get(unit);
-        if why.is_some_and(|why| !why.iter().all(Reason::may_serve)) {
-            return Verdict::Given;
+        if why.is_some_and(|why| !why.iter().all(UnavailableReason::may_serve)) {
+            return LeaseDecision::Granted;
         }
         let adds = u32::from(why.is_none());
-        let mut verdict = Verdict::Given;
+        let mut verdict = LeaseDecision::Granted;
         self.each_group(unit, |k, group| {
             let Some(&count) = groups.get(&(k, group)) else { return };
             let budget = &self.budgets[k];
             let over_floor = count.size.saturating_sub(count.out + adds) < count.floor;
             let over = count.out + adds > count.limit;
-            if verdict != Verdict::Given || !(over_floor || over && ask.overrides.is_none()) {
+            if verdict != LeaseDecision::Granted || !(over_floor || over && ask.overrides.is_none()) {
                 return;
             }
             verdict = if count.limit == 0 && ask.overrides.is_none() || count.size <= count.floor {
                 let group = if group.is_empty() { "the fleet" } else { group };
-                Verdict::Refused(format!(
+                LeaseDecision::Rejected(format!(
                     "budget {} lets nothing out of {group}, which has {}: {}",
                     budget.name,
                     count.size,
                     budget.words()
                 ))
             } else {
-                Verdict::Waits { budget: budget.name.clone(), group: group.into(), count }
+                LeaseDecision::WaitsForBudget { budget: budget.name.clone(), group: group.into(), count }
             };
         });
         verdict
     }
 }
 
-impl Board {
+impl FleetSnapshot {
     /// Who is out, and why.
-    pub fn out(&self) -> BTreeMap<Id, Vec<Reason>> {
+    pub fn out(&self) -> BTreeMap<ResourceId, Vec<UnavailableReason>> {
         View::of(self).out
     }
 
     /// All units that are known, with what they are grouped by.
-    pub fn all(&self) -> BTreeMap<Id, BTreeSet<Label>> {
+    pub fn all(&self) -> BTreeMap<ResourceId, BTreeSet<Label>> {
         View::of(self).labels
     }
 
     /// How each group stands, by budget and group.
-    pub fn counts(&self) -> Vec<(String, String, Count)> {
+    pub fn counts(&self) -> Vec<(String, String, BudgetUsage)> {
         let view = View::of(self);
         let counts = view.counts();
         counts.into_iter().map(|((k, g), c)| (view.budgets[k].name.clone(), g.to_string(), c)).collect()
     }
 
     /// What becomes of each ask now, in their order.
-    pub fn decide(&self) -> Vec<(String, Verdict)> {
+    pub fn decide(&self) -> Vec<(String, LeaseDecision)> {
         View::of(self).verdicts().into_iter().map(|(id, verdict)| (id.to_string(), verdict)).collect()
     }
 
     /// The write that gives the leaves that are to be given now, and the asks that get them.
-    pub fn gives(&self) -> Option<(Plan, Vec<String>)> {
+    pub fn gives(&self) -> Option<(ConditionalWrite, Vec<String>)> {
         let given: Vec<String> = self
             .decide()
             .into_iter()
-            .filter_map(|(id, verdict)| (verdict == Verdict::Given).then_some(id))
-            .take(TOGETHER)
+            .filter_map(|(id, verdict)| (verdict == LeaseDecision::Granted).then_some(id))
+            .take(MAX_GRANTS_PER_WRITE)
             .collect();
         if given.is_empty() {
             return None;
         }
-        let mut plan = Plan { when: vec![version(LEDGER, self.ledger)], then: Vec::new() };
+        let mut plan = ConditionalWrite { when: vec![version(LEDGER, self.ledger)], then: Vec::new() };
         plan.when.push(version(BUDGETS, self.budgets.as_ref().map_or(0, |b| b.version)));
         plan.then.push(put(LEDGER.into(), "0".into()));
         for id in &given {
             let Some(ask) = self.asks.get(id) else { continue };
-            let Ask { unit, owner, session, act, why, overrides, for_ms, .. } = ask.value.clone();
+            let LeaseRequest { unit, owner, session, act, why, overrides, for_ms, .. } = ask.value.clone();
             let was = self.session_of(&unit);
-            let leave = Leave {
+            let leave = DisruptionLease {
                 owner,
                 session,
                 number: self.ledger,
@@ -304,94 +316,98 @@
                 recalled: None,
             };
             // An ask ends with its session: it is there only while that is.
-            plan.when.push(Condition::Version(ask_key(id), ask.version));
-            plan.when.push(Condition::Absent(leave_key(&unit)));
-            plan.then.push(put(leave_key(&unit), json(&leave)));
-            plan.then.push(Change::Delete(ask_key(id)));
+            plan.when.push(Compare::Version(request_key(id), ask.version));
+            plan.when.push(Compare::Absent(lease_key(&unit)));
+            plan.then.push(put(lease_key(&unit), json(&leave)));
+            plan.then.push(Op::Delete(request_key(id)));
         }
         Some((plan, given))
     }
 
     /// The session of a balancer's process; 0: none.
-    pub fn session_of(&self, unit: &Id) -> SessionId {
+    pub fn session_of(&self, unit: &ResourceId) -> SessionId {
         match unit.kind {
-            Kind::Balancer => self.said.get(&unit.name).map_or(0, |s| s.value.session),
-            Kind::Upstream => 0,
+            ResourceKind::Balancer => self.said.get(&unit.name).map_or(0, |s| s.value.session),
+            ResourceKind::Upstream => 0,
         }
     }
 
     /// Whether a balancer was seen to be in again since this leave was given: it says that it serves in full, and it is
     /// another process where another was to come.
-    pub fn seen_in(&self, unit: &Id, leave: &Leave) -> bool {
+    pub fn seen_in(&self, unit: &ResourceId, leave: &DisruptionLease) -> bool {
         let Some(said) = self.said.get(&unit.name) else { return false };
-        unit.kind == Kind::Balancer
-            && said.value.state == State::Ready
+        unit.kind == ResourceKind::Balancer
+            && said.value.state == InstanceState::Ready
             && (!leave.act.renews() || said.value.session > leave.was)
     }
 
     /// The write that ends a balancer's leave: once it was seen to be in. `undone`: its owner says that it has not acted by
     /// the leave and will not.
-    pub fn returns(&self, unit: &Id, undone: bool) -> Option<Plan> {
+    pub fn returns(&self, unit: &ResourceId, undone: bool) -> Option<ConditionalWrite> {
         let leave = self.leaves.get(unit)?;
         let said = self.said.get(&unit.name);
-        let in_now =
-            self.seen_in(unit, &leave.value) || undone && said.is_some_and(|s| s.value.state == State::Ready);
+        let in_now = self.seen_in(unit, &leave.value)
+            || undone && said.is_some_and(|s| s.value.state == InstanceState::Ready);
         // A reload is over only when its owner says so: nothing else tells it from one that has not begun.
         let over = in_now && (leave.value.act.renews() || undone);
         let said = said.filter(|_| over)?;
-        Some(Plan {
+        Some(ConditionalWrite {
             when: vec![
-                Condition::Version(leave_key(unit), leave.version),
-                Condition::Version(said_key(&unit.name), said.version),
+                Compare::Version(lease_key(unit), leave.version),
+                Compare::Version(status_key(&unit.name), said.version),
             ],
-            then: vec![Change::Delete(leave_key(unit))],
+            then: vec![Op::Delete(lease_key(unit))],
         })
     }
 
     /// Leaves whose owners are gone for good, of units that are in: nobody can act by them any more.
-    pub fn orphans(&self) -> Vec<(Id, Plan)> {
+    pub fn orphans(&self) -> Vec<(ResourceId, ConditionalWrite)> {
         let mut all = Vec::new();
         for (id, leave) in &self.leaves {
-            if id.kind != Kind::Balancer || self.held(&leave.value) {
+            if id.kind != ResourceKind::Balancer || self.held(&leave.value) {
                 continue;
             }
-            let Some(said) = self.said.get(&id.name).filter(|s| s.value.state == State::Ready) else {
+            let Some(said) = self.said.get(&id.name).filter(|s| s.value.state == InstanceState::Ready) else {
                 continue;
             };
             let when = vec![
-                Condition::Version(leave_key(id), leave.version),
-                Condition::Version(said_key(&id.name), said.version),
-                Condition::Ended(leave.value.session),
+                Compare::Version(lease_key(id), leave.version),
+                Compare::Version(status_key(&id.name), said.version),
+                Compare::SessionEnded(leave.value.session),
             ];
-            all.push((id.clone(), Plan { when, then: vec![Change::Delete(leave_key(id))] }));
+            all.push((id.clone(), ConditionalWrite { when, then: vec![Op::Delete(lease_key(id))] }));
         }
         all
     }
 
     /// The write by which a later process of an owner makes a leave its own.
-    pub fn adopts(&self, unit: &Id, owner: &str, session: SessionId) -> Option<Plan> {
+    pub fn adopts(&self, unit: &ResourceId, owner: &str, session: SessionId) -> Option<ConditionalWrite> {
         let leave = self.leaves.get(unit).filter(|l| l.value.owner == owner && l.value.session != session)?;
-        let own = Leave { session, ..leave.value.clone() };
-        Some(Plan {
-            when: vec![Condition::Version(leave_key(unit), leave.version), Condition::Alive(session)],
-            then: vec![put(leave_key(unit), json(&own))],
+        let own = DisruptionLease { session, ..leave.value.clone() };
+        Some(ConditionalWrite {
+            when: vec![Compare::Version(lease_key(unit), leave.version), Compare::SessionAlive(session)],
+            then: vec![put(lease_key(unit), json(&own))],
         })
     }
 
     /// The write that says which balancers a machine has: those that it has no more are forgotten, unless a leave for them
     /// goes on.
-    pub fn declares(&self, machine: &str, units: &BTreeMap<String, Unit>) -> Option<Plan> {
-        let mut plan = Plan::default();
+    pub fn declares(
+        &self,
+        machine: &str,
+        units: &BTreeMap<String, BalancerEntry>,
+    ) -> Option<ConditionalWrite> {
+        let mut plan = ConditionalWrite::default();
         for (name, unit) in units {
             if self.units.get(name).is_none_or(|u| u.value != *unit) {
-                plan.then.push(put(unit_key(name), json(unit)));
+                plan.then.push(put(balancer_key(name), json(unit)));
             }
         }
         for (name, unit) in &self.units {
             let gone = unit.value.machine == machine && !units.contains_key(name);
-            if gone && !self.leaves.contains_key(&Id::balancer(name)) {
-                plan.when.push(Condition::Version(unit_key(name), unit.version));
-                plan.then.push(Change::Delete(unit_key(name)));
+            if gone && !self.leaves.contains_key(&ResourceId::balancer(name)) {
+                plan.when.push(Compare::Version(balancer_key(name), unit.version));
+                plan.then.push(Op::Delete(balancer_key(name)));
             }
         }
         (!plan.then.is_empty()).then_some(plan)
@@ -399,7 +415,7 @@
 
     /// Drains that are asked to return, since an upstream's group is below its floor: the newest first, as many as are
     /// missing. Those that nobody was told are drained yet end at once; of the others it is only asked.
-    pub fn recalls(&self) -> Option<(Plan, Vec<(Id, String)>)> {
+    pub fn recalls(&self) -> Option<(ConditionalWrite, Vec<(ResourceId, String)>)> {
         let view = View::of(self);
         let counts = view.counts();
         let mut missing: BTreeMap<(usize, &str), u32> = BTreeMap::new();
@@ -409,10 +425,11 @@
                 missing.insert(key, short);
             }
         }
-        let mut drains: Vec<_> = self.leaves.iter().filter(|(id, _)| id.kind == Kind::Upstream).collect();
+        let mut drains: Vec<_> =
+            self.leaves.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream).collect();
         // By when they were given: that one is over is written later, and makes it no newer.
         drains.sort_by_key(|(_, leave)| std::cmp::Reverse(leave.value.number));
-        let (mut plan, mut named) = (Plan::default(), Vec::new());
+        let (mut plan, mut named) = (ConditionalWrite::default(), Vec::new());
         for (id, leave) in drains {
             let mut helps = None;
             // One that is out for another reason as well would not be in if it returned.
@@ -423,7 +440,7 @@
                     helps = Some((k, group));
                 }
             });
-            let Some((k, group)) = helps.filter(|_| named.len() < TOGETHER) else { continue };
+            let Some((k, group)) = helps.filter(|_| named.len() < MAX_GRANTS_PER_WRITE) else { continue };
             if leave.value.recalled.is_some() {
                 continue;
             }
@@ -431,11 +448,14 @@
                 "{group} is below the floor of {} of budget {}",
                 view.budgets[k].floor, view.budgets[k].name
             );
-            plan.when.push(Condition::Version(leave_key(id), leave.version));
+            plan.when.push(Compare::Version(lease_key(id), leave.version));
             plan.then.push(if leave.value.drained {
-                put(leave_key(id), json(&Leave { recalled: Some(why.clone()), ..leave.value.clone() }))
+                put(
+                    lease_key(id),
+                    json(&DisruptionLease { recalled: Some(why.clone()), ..leave.value.clone() }),
+                )
             } else {
-                Change::Delete(leave_key(id))
+                Op::Delete(lease_key(id))
             });
             named.push((id.clone(), why));
         }
@@ -443,22 +463,24 @@
     }
 
     /// The write that removes lists of upstreams that no balancer names.
-    pub fn lists_unused(&self) -> Option<Plan> {
+    pub fn lists_unused(&self) -> Option<ConditionalWrite> {
         let used: BTreeSet<&str> = self.sights.values().map(|s| s.value.list.as_str()).collect();
-        let mut plan = Plan::default();
-        for (hash, list) in self.lists.iter().filter(|(hash, _)| !used.contains(hash.as_str())).take(TOGETHER)
+        let mut plan = ConditionalWrite::default();
+        for (hash, list) in
+            self.lists.iter().filter(|(hash, _)| !used.contains(hash.as_str())).take(MAX_GRANTS_PER_WRITE)
         {
-            plan.when.push(Condition::Version(list_key(hash), list.version));
-            plan.then.push(Change::Delete(list_key(hash)));
+            plan.when.push(Compare::Version(endpoint_list_key(hash), list.version));
+            plan.then.push(Op::Delete(endpoint_list_key(hash)));
         }
         (!plan.then.is_empty()).then_some(plan)
     }
 
     /// What keeps a drain from being over: balancers that have not confirmed that nothing is in flight there. Empty: the
     /// upstream is drained.
-    pub fn waits_for(&self, upstream: &Id) -> Vec<String> {
+    pub fn waits_for(&self, upstream: &ResourceId) -> Vec<String> {
         let Some(leave) = self.leaves.get(upstream) else { return Vec::new() };
-        let confirms = |quiet: &Quiet| quiet.drains.get(&upstream.name) == Some(&leave.value.number);
+        let confirms =
+            |quiet: &DrainedEndpoints| quiet.drains.get(&upstream.name) == Some(&leave.value.number);
         let mut all = Vec::new();
         for (name, unit) in &self.units {
             // A process that has ended has nothing in flight, and its supervisor says so; one that is not heard of may.
@@ -477,16 +499,16 @@
     }
 }
 
-fn version(key: &str, version: u64) -> Condition {
+fn version(key: &str, version: u64) -> Compare {
     match version {
-        0 => Condition::Absent(key.into()),
-        version => Condition::Version(key.into(), version),
+        0 => Compare::Absent(key.into()),
+        version => Compare::Version(key.into(), version),
     }
 }
 
 /// A key that outlives the session that writes it.
-pub(crate) fn put(key: String, value: String) -> Change {
-    Change::Put { key, value, bound: false }
+pub(crate) fn put(key: String, value: String) -> Op {
+    Op::Put { key, value, bound: false }
 }
 
 /// Texts and numbers only: this can't fail.
--- a/crates/control-plane/disruption/src/board.rs
+++ b/crates/control-plane/disruption/src/snapshot.rs
@@ -2,25 +2,25 @@
 //!
 //! | key | what it holds | written by | ends |
 //! | --- | --- | --- | --- |
-//! | `outage/budgets` | [`Budgets`] | an operator | - |
+//! | `outage/budgets` | [`DisruptionBudgets`] | an operator | - |
 //! | `outage/ledger` | nothing; each write that gives leaves changes it, so that of two one fails | whoever gives | - |
-//! | `outage/unit/balancer/NAME` | [`Unit`] | its supervisor | when an operator forgets it |
-//! | `outage/said/NAME` | [`Said`] | the balancer itself | with its session |
-//! | `outage/sight/NAME` | [`Sight`] | a balancer, of its upstreams | with its session |
-//! | `outage/quiet/NAME` | [`Quiet`] | a balancer, of drains | with its session |
-//! | `outage/ask/NUMBER` | [`Ask`] | whoever wants to take a unit out | with its session, or when leave is given |
-//! | `outage/leave/KIND/NAME` | [`Leave`] | whoever gives | when the unit was seen to be in |
+//! | `outage/unit/balancer/NAME` | [`BalancerEntry`] | its supervisor | when an operator forgets it |
+//! | `outage/said/NAME` | [`InstanceStatus`] | the balancer itself | with its session |
+//! | `outage/sight/NAME` | [`EndpointObservations`] | a balancer, of its upstreams | with its session |
+//! | `outage/quiet/NAME` | [`DrainedEndpoints`] | a balancer, of drains | with its session |
+//! | `outage/ask/NUMBER` | [`LeaseRequest`] | whoever wants to take a unit out | with its session, or when leave is given |
+//! | `outage/leave/KIND/NAME` | [`DisruptionLease`] | whoever gives | when the unit was seen to be in |
 //! | `outage/holder/NAME` | the session of one that has leaves | itself | with its session |
-//! | `outage/list/HASH` | [`List`] | the first balancer that sees these upstreams | when no sight names it |
-//! | `outage/leaving/NAME/PID` | [`Quiet`] of a process that passed its sockets on | itself | with its session |
-use crate::budget::{Budgets, Label};
-use crate::{Id, Kind};
-use coordination::record::{Item, Revision, SessionId};
+//! | `outage/list/HASH` | [`EndpointList`] | the first balancer that sees these upstreams | when no sight names it |
+//! | `outage/leaving/NAME/PID` | [`DrainedEndpoints`] of a process that passed its sockets on | itself | with its session |
+use crate::budget::{DisruptionBudgets, Label};
+use crate::{ResourceId, ResourceKind};
+use coordination::state_machine::{Revision, SessionId, VersionedValue};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where all that is this crate's stands.
-pub const UNDER: &str = "outage/";
+pub const KEY_PREFIX: &str = "outage/";
 /// The budgets.
 pub const BUDGETS: &str = "outage/budgets";
 /// What each giving of leaves changes.
@@ -38,53 +38,53 @@
 pub const DRAINS: &str = "outage/leave/upstream/";
 
 /// Key of a balancer's entry.
-pub fn unit_key(name: &str) -> String {
+pub fn balancer_key(name: &str) -> String {
     format!("{UNIT}{name}")
 }
 
 /// Key of what a balancer says of itself.
-pub fn said_key(name: &str) -> String {
+pub fn status_key(name: &str) -> String {
     format!("{SAID}{name}")
 }
 
 /// Key of what a balancer says of its upstreams.
-pub fn sight_key(name: &str) -> String {
+pub fn observations_key(name: &str) -> String {
     format!("{SIGHT}{name}")
 }
 
 /// Key of the drains that a balancer has nothing in flight for.
-pub fn quiet_key(name: &str) -> String {
+pub fn drained_key(name: &str) -> String {
     format!("{QUIET}{name}")
 }
 
 /// Key of the same for a process of it that has passed its sockets on and still ends what it has.
-pub fn leaving_key(name: &str, pid: u32) -> String {
+pub fn predecessor_drained_key(name: &str, pid: u32) -> String {
     format!("{LEAVING}{name}/{pid}")
 }
 
 /// Key of the session of one that has leaves.
-pub fn holder_key(owner: &str) -> String {
+pub fn owner_key(owner: &str) -> String {
     format!("{HOLDER}{owner}")
 }
 
 /// Key of a list of upstreams.
-pub fn list_key(hash: &str) -> String {
+pub fn endpoint_list_key(hash: &str) -> String {
     format!("{LIST}{hash}")
 }
 
 /// Key of an ask.
-pub fn ask_key(id: &str) -> String {
+pub fn request_key(id: &str) -> String {
     format!("{ASK}{id}")
 }
 
 /// Key of a leave.
-pub fn leave_key(id: &Id) -> String {
+pub fn lease_key(id: &ResourceId) -> String {
     format!("{LEAVE}{id}")
 }
 
 /// A balancer that the fleet has, whether it runs or not.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Unit {
+pub struct BalancerEntry {
     /// The machine that it runs on.
     pub machine: String,
     /// Its zone; empty: none.
@@ -98,7 +98,7 @@
     pub down: bool,
 }
 
-impl Unit {
+impl BalancerEntry {
     /// What it is grouped by.
     pub fn labels(&self) -> BTreeSet<Label> {
         let all = [("machine", &self.machine), ("zone", &self.zone), ("tier", &self.tier)];
@@ -109,34 +109,36 @@
 /// How a balancer says that it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum InstanceState {
     /// It does not serve yet.
     Starting,
     /// It serves, and has not done so for long enough to count as warm.
-    Cold,
+    #[serde(rename = "cold")]
+    WarmingUp,
     /// It serves.
     Ready,
     /// It was told to end.
-    Leaving,
+    #[serde(rename = "leaving")]
+    ShuttingDown,
 }
 
-impl State {
+impl InstanceState {
     /// In a word.
     pub fn word(self) -> &'static str {
         match self {
-            State::Starting => "starting",
-            State::Cold => "cold",
-            State::Ready => "ready",
-            State::Leaving => "leaving",
+            InstanceState::Starting => "starting",
+            InstanceState::WarmingUp => "cold",
+            InstanceState::Ready => "ready",
+            InstanceState::ShuttingDown => "leaving",
         }
     }
 }
 
 /// What a balancer says of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct InstanceStatus {
     /// How it stands.
-    pub state: State,
+    pub state: InstanceState,
     /// Its session: of a later process of the same name it is greater.
     pub session: SessionId,
     /// Its process's number.
@@ -149,22 +151,25 @@
 /// How a balancer sees an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stand {
+pub enum EndpointCondition {
     /// It takes work.
-    In,
+    #[serde(rename = "in")]
+    InService,
     /// It has started lately.
-    Cold,
+    #[serde(rename = "cold")]
+    WarmingUp,
     /// It fails, by this balancer's own calls.
     Ejected,
     /// Its checks fail, by a source.
-    Critical,
+    #[serde(rename = "critical")]
+    Unhealthy,
     /// A source says that it drains.
     Draining,
 }
 
 /// What an upstream is grouped by.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct EndpointLabels {
     /// The pools that it is in.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub pools: Vec<String>,
@@ -175,24 +180,24 @@
 
 /// The upstreams that some balancers have; those with the same ones name the same list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// By name.
-    pub upstreams: BTreeMap<String, Place>,
+    pub upstreams: BTreeMap<String, EndpointLabels>,
 }
 
 /// How one balancer sees its upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct EndpointObservations {
     /// Its list's hash.
     pub list: String,
     /// Those that do not stand in.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub out: BTreeMap<String, Stand>,
+    pub out: BTreeMap<String, EndpointCondition>,
 }
 
 /// The drains that a balancer obeys and has nothing in flight for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Quiet {
+pub struct DrainedEndpoints {
     /// The number of the leave, by the upstream's name.
     pub drains: BTreeMap<String, u64>,
 }
@@ -200,45 +205,46 @@
 /// What is to be done to a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum DisruptionKind {
     /// Its process is ended and another started.
     Restart,
     /// Another process takes over from it.
-    TakeOver,
+    #[serde(rename = "take-over")]
+    Handoff,
     /// It reads its files again.
     Reload,
     /// An upstream takes nothing new.
     Drain,
 }
 
-impl Act {
+impl DisruptionKind {
     /// Whether another process stands for the unit afterwards.
     pub fn renews(self) -> bool {
-        matches!(self, Act::Restart | Act::TakeOver)
+        matches!(self, DisruptionKind::Restart | DisruptionKind::Handoff)
     }
 
     /// In a word.
     pub fn word(self) -> &'static str {
         match self {
-            Act::Restart => "restart",
-            Act::TakeOver => "take-over",
-            Act::Reload => "reload",
-            Act::Drain => "drain",
+            DisruptionKind::Restart => "restart",
+            DisruptionKind::Handoff => "take-over",
+            DisruptionKind::Reload => "reload",
+            DisruptionKind::Drain => "drain",
         }
     }
 }
 
 /// A wish to take a unit out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Which.
-    pub unit: Id,
+    pub unit: ResourceId,
     /// Who: a supervisor by its machine, or an operator.
     pub owner: String,
     /// The owner's session.
     pub session: SessionId,
     /// What for.
-    pub act: Act,
+    pub act: DisruptionKind,
     /// Greater goes first; those of one priority go in the order in which they asked.
     #[serde(default)]
     pub priority: u8,
@@ -255,7 +261,7 @@
 
 /// The leave to have a unit out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Leave {
+pub struct DisruptionLease {
     /// Who has it.
     pub owner: String,
     /// The owner's session; only while this is held may anything be done by it.
@@ -263,7 +269,7 @@
     /// Grows with each giving: of two leaves for one unit the later has the greater, and an act by the earlier is refused.
     pub number: u64,
     /// What for.
-    pub act: Act,
+    pub act: DisruptionKind,
     /// The unit's own session when it was given; 0: it had none.
     #[serde(default)]
     pub was: SessionId,
@@ -286,7 +292,7 @@
 
 /// A value with the revision that wrote it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At<T> {
+pub struct Versioned<T> {
     /// The revision.
     pub version: Revision,
     /// The value.
@@ -295,45 +301,45 @@
 
 /// The record's part, as it stands at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Board {
+pub struct FleetSnapshot {
     /// At this revision.
     pub revision: Revision,
     /// Of the ledger's key; 0: there is none.
     pub ledger: Revision,
     /// The budgets; without any, nothing is bounded.
-    pub budgets: Option<At<Budgets>>,
+    pub budgets: Option<Versioned<DisruptionBudgets>>,
     /// Balancers that the fleet has.
-    pub units: BTreeMap<String, At<Unit>>,
+    pub units: BTreeMap<String, Versioned<BalancerEntry>>,
     /// What balancers say of themselves.
-    pub said: BTreeMap<String, At<Said>>,
+    pub said: BTreeMap<String, Versioned<InstanceStatus>>,
     /// What they say of upstreams.
-    pub sights: BTreeMap<String, At<Sight>>,
+    pub sights: BTreeMap<String, Versioned<EndpointObservations>>,
     /// Which drains they have nothing in flight for.
-    pub quiet: BTreeMap<String, At<Quiet>>,
+    pub quiet: BTreeMap<String, Versioned<DrainedEndpoints>>,
     /// Who asks.
-    pub asks: BTreeMap<String, At<Ask>>,
+    pub asks: BTreeMap<String, Versioned<LeaseRequest>>,
     /// Who has leave.
-    pub leaves: BTreeMap<Id, At<Leave>>,
+    pub leaves: BTreeMap<ResourceId, Versioned<DisruptionLease>>,
     /// Sessions of those that have leaves, by name.
-    pub holders: BTreeMap<String, At<SessionId>>,
+    pub holders: BTreeMap<String, Versioned<SessionId>>,
     /// Lists of upstreams, by hash.
-    pub lists: BTreeMap<String, At<List>>,
+    pub lists: BTreeMap<String, Versioned<EndpointList>>,
     /// Drains for which processes that have passed their sockets on have nothing in flight.
-    pub leaving: BTreeMap<String, At<Quiet>>,
+    pub leaving: BTreeMap<String, Versioned<DrainedEndpoints>>,
     /// Keys that hold nothing that could be read, with why: whoever wrote them is of another version.
     pub unread: BTreeMap<String, String>,
 }
 
-fn leave_id(rest: &str) -> Option<Id> {
+fn leave_id(rest: &str) -> Option<ResourceId> {
     let (kind, name) = rest.split_once('/')?;
-    let kind = [Kind::Balancer, Kind::Upstream].into_iter().find(|k| k.word() == kind)?;
-    Some(Id { kind, name: name.into() })
+    let kind = [ResourceKind::Balancer, ResourceKind::Upstream].into_iter().find(|k| k.word() == kind)?;
+    Some(ResourceId { kind, name: name.into() })
 }
 
-impl Board {
-    /// The record's part from a read of all keys under [`UNDER`] at this revision.
-    pub fn read(revision: Revision, items: &[(String, Item)]) -> Board {
-        let mut board = Board { revision, ..Board::default() };
+impl FleetSnapshot {
+    /// The record's part from a read of all keys under [`KEY_PREFIX`] at this revision.
+    pub fn read(revision: Revision, items: &[(String, VersionedValue)]) -> FleetSnapshot {
+        let mut board = FleetSnapshot { revision, ..FleetSnapshot::default() };
         for (key, item) in items {
             board.put(key, Some(&item.value), item.version);
         }
@@ -353,14 +359,14 @@
         fn at<T: for<'a> Deserialize<'a>>(
             value: Option<&str>,
             version: Revision,
-        ) -> Result<Option<At<T>>, String> {
+        ) -> Result<Option<Versioned<T>>, String> {
             let parsed = value.map(serde_json::from_str).transpose().map_err(|e| e.to_string())?;
-            Ok(parsed.map(|value| At { version, value }))
+            Ok(parsed.map(|value| Versioned { version, value }))
         }
         fn set<K: Ord, T>(
-            map: &mut BTreeMap<K, At<T>>,
+            map: &mut BTreeMap<K, Versioned<T>>,
             key: K,
-            value: Result<Option<At<T>>, String>,
+            value: Result<Option<Versioned<T>>, String>,
         ) -> Result<(), String> {
             match value {
                 Ok(Some(value)) => drop(map.insert(key, value)),
@@ -400,8 +406,8 @@
     }
 
     /// All upstreams that any balancer has, with what they are grouped by, and how each balancer sees them.
-    pub fn upstreams(&self) -> BTreeMap<&str, (BTreeSet<Label>, Vec<Stand>)> {
-        let mut all: BTreeMap<&str, (BTreeSet<Label>, Vec<Stand>)> = BTreeMap::new();
+    pub fn upstreams(&self) -> BTreeMap<&str, (BTreeSet<Label>, Vec<EndpointCondition>)> {
+        let mut all: BTreeMap<&str, (BTreeSet<Label>, Vec<EndpointCondition>)> = BTreeMap::new();
         for sight in self.sights.values() {
             let Some(list) = self.lists.get(&sight.value.list) else { continue };
             for (name, place) in &list.value.upstreams {
@@ -410,14 +416,14 @@
                 if !place.zone.is_empty() {
                     labels.insert(("zone".into(), place.zone.clone()));
                 }
-                stands.push(sight.value.out.get(name).copied().unwrap_or(Stand::In));
+                stands.push(sight.value.out.get(name).copied().unwrap_or(EndpointCondition::InService));
             }
         }
         all
     }
 
     /// Whether the owner of a leave may still act by it, as the record has it: its session is the owner's now.
-    pub fn held(&self, leave: &Leave) -> bool {
+    pub fn held(&self, leave: &DisruptionLease) -> bool {
         self.holders.get(&leave.owner).is_some_and(|h| h.value == leave.session)
     }
 }
--- a/crates/control-plane/disruption/tests/encoding.rs
+++ b/crates/control-plane/disruption/tests/encoding.rs
@@ -1,11 +1,13 @@
 //! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
 //! line, its key and its JSON.
-use disruption::board::{
-    ask_key, holder_key, leave_key, leaving_key, list_key, quiet_key, said_key, sight_key, unit_key, Quiet,
-    BUDGETS, DRAINS, LEDGER, UNDER,
+use disruption::snapshot::{
+    balancer_key, drained_key, endpoint_list_key, lease_key, observations_key, owner_key,
+    predecessor_drained_key, request_key, status_key, DrainedEndpoints, BUDGETS, DRAINS, KEY_PREFIX, LEDGER,
 };
 use disruption::{
-    Act, Ask, Board, Budget, Budgets, Id, Kind, Leave, List, Of, Place, Said, Sight, Stand, State, Unit,
+    BalancerEntry, DisruptionBudget, DisruptionBudgets, DisruptionKind, DisruptionLease, EndpointCondition,
+    EndpointLabels, EndpointList, EndpointObservations, FleetSnapshot, GroupBy, InstanceState,
+    InstanceStatus, LeaseRequest, ResourceId, ResourceKind,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -21,8 +23,8 @@
     assert_eq!(&serde_json::from_str::<T>(&written).expect("reads what it wrote"), value, "{key}");
 }
 
-fn budgets() -> Budgets {
-    let budget = |kind, per, only: Option<&str>, most, per_mille| Budget {
+fn budgets() -> DisruptionBudgets {
+    let budget = |kind, per, only: Option<&str>, most, per_mille| DisruptionBudget {
         name: "b".into(),
         kind,
         per,
@@ -31,47 +33,58 @@
         per_mille,
         floor: 2,
     };
-    Budgets {
+    DisruptionBudgets {
         all: vec![
-            budget(Kind::Balancer, Of::Fleet, None, Some(3), None),
-            budget(Kind::Balancer, Of::Machine, None, None, Some(100)),
-            budget(Kind::Balancer, Of::Zone, Some("a"), Some(1), Some(5)),
-            budget(Kind::Balancer, Of::Tier, None, Some(1), None),
-            budget(Kind::Upstream, Of::Pool, None, Some(1), None),
+            budget(ResourceKind::Balancer, GroupBy::Fleet, None, Some(3), None),
+            budget(ResourceKind::Balancer, GroupBy::Machine, None, None, Some(100)),
+            budget(ResourceKind::Balancer, GroupBy::Zone, Some("a"), Some(1), Some(5)),
+            budget(ResourceKind::Balancer, GroupBy::Tier, None, Some(1), None),
+            budget(ResourceKind::Upstream, GroupBy::Pool, None, Some(1), None),
         ],
     }
 }
 
 #[test]
 fn stored_values_keep_their_keys_and_encoding() {
-    assert_eq!((UNDER, LEDGER, DRAINS), ("outage/", "outage/ledger", "outage/leave/upstream/"));
+    assert_eq!((KEY_PREFIX, LEDGER, DRAINS), ("outage/", "outage/ledger", "outage/leave/upstream/"));
     assert_encoding(BUDGETS, &budgets());
-    let unit = Unit { machine: "m1".into(), zone: "a".into(), tier: "front".into(), down: true };
-    assert_encoding(&unit_key("n1"), &unit);
-    assert_encoding(&unit_key("n2"), &Unit { down: false, ..Unit::default() });
-    for state in [State::Starting, State::Cold, State::Ready, State::Leaving] {
-        let said = Said { state, session: 4, pid: 99, build: "ab".into() };
-        assert_encoding(&said_key("n1"), &said);
+    let unit = BalancerEntry { machine: "m1".into(), zone: "a".into(), tier: "front".into(), down: true };
+    assert_encoding(&balancer_key("n1"), &unit);
+    assert_encoding(&balancer_key("n2"), &BalancerEntry { down: false, ..BalancerEntry::default() });
+    for state in
+        [InstanceState::Starting, InstanceState::WarmingUp, InstanceState::Ready, InstanceState::ShuttingDown]
+    {
+        let said = InstanceStatus { state, session: 4, pid: 99, build: "ab".into() };
+        assert_encoding(&status_key("n1"), &said);
     }
-    let out = [Stand::In, Stand::Cold, Stand::Ejected, Stand::Critical, Stand::Draining];
-    let out: BTreeMap<String, Stand> =
+    let out = [
+        EndpointCondition::InService,
+        EndpointCondition::WarmingUp,
+        EndpointCondition::Ejected,
+        EndpointCondition::Unhealthy,
+        EndpointCondition::Draining,
+    ];
+    let out: BTreeMap<String, EndpointCondition> =
         out.into_iter().enumerate().map(|(k, stand)| (format!("u{k}"), stand)).collect();
-    assert_encoding(&sight_key("n1"), &Sight { list: "ff".into(), out });
-    assert_encoding(&sight_key("n2"), &Sight::default());
-    let quiet = Quiet { drains: BTreeMap::from([("u1".to_string(), 7)]) };
-    assert_encoding(&quiet_key("n1"), &quiet);
-    assert_encoding(&leaving_key("n1", 99), &quiet);
-    assert_encoding(&holder_key("m1"), &4_u64);
-    let place = Place { pools: vec!["dues".into()], zone: "a".into() };
-    let upstreams = BTreeMap::from([("u1".to_string(), place), ("u2".to_string(), Place::default())]);
-    assert_encoding(&list_key("ff"), &List { upstreams });
+    assert_encoding(&observations_key("n1"), &EndpointObservations { list: "ff".into(), out });
+    assert_encoding(&observations_key("n2"), &EndpointObservations::default());
+    let quiet = DrainedEndpoints { drains: BTreeMap::from([("u1".to_string(), 7)]) };
+    assert_encoding(&drained_key("n1"), &quiet);
+    assert_encoding(&predecessor_drained_key("n1", 99), &quiet);
+    assert_encoding(&owner_key("m1"), &4_u64);
+    let place = EndpointLabels { pools: vec!["dues".into()], zone: "a".into() };
+    let upstreams =
+        BTreeMap::from([("u1".to_string(), place), ("u2".to_string(), EndpointLabels::default())]);
+    assert_encoding(&endpoint_list_key("ff"), &EndpointList { upstreams });
 }
 
 #[test]
 fn requests_and_leases_keep_their_keys_and_encoding() {
-    for act in [Act::Restart, Act::TakeOver, Act::Reload, Act::Drain] {
-        let ask = Ask {
-            unit: Id::balancer("n1"),
+    for act in
+        [DisruptionKind::Restart, DisruptionKind::Handoff, DisruptionKind::Reload, DisruptionKind::Drain]
+    {
+        let ask = LeaseRequest {
+            unit: ResourceId::balancer("n1"),
             owner: "m1".into(),
             session: 4,
             act,
@@ -80,13 +93,13 @@
             overrides: Some("fire".into()),
             for_ms: Some(9),
         };
-        assert_encoding(&ask_key("4-1"), &ask);
+        assert_encoding(&request_key("4-1"), &ask);
     }
-    let leave = Leave {
+    let leave = DisruptionLease {
         owner: "m1".into(),
         session: 4,
         number: 12,
-        act: Act::Drain,
+        act: DisruptionKind::Drain,
         was: 3,
         why: "roll".into(),
         overrides: None,
@@ -94,15 +107,16 @@
         drained: true,
         recalled: Some("floor".into()),
     };
-    assert_encoding(&leave_key(&Id::upstream("u1")), &leave);
-    let short = Leave { why: String::new(), for_ms: None, drained: false, recalled: None, was: 0, ..leave };
-    assert_encoding(&leave_key(&Id::balancer("n1")), &short);
+    assert_encoding(&lease_key(&ResourceId::upstream("u1")), &leave);
+    let short =
+        DisruptionLease { why: String::new(), for_ms: None, drained: false, recalled: None, was: 0, ..leave };
+    assert_encoding(&lease_key(&ResourceId::balancer("n1")), &short);
 }
 
 /// All stored values are taken in from the keys that earlier builds wrote, none left unread.
 #[test]
 fn a_stored_fleet_is_read() {
-    let mut board = Board::default();
+    let mut board = FleetSnapshot::default();
     for (line, version) in FIXTURE.lines().zip(1..) {
         let (key, value) = line.split_once(' ').expect("key and value");
         board.put(key, Some(value), version);
--- a/crates/control-plane/rollout-agent/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -1,13 +1,13 @@
 //! A supervisor's part on the real record: it says what it starts its instances from, and writes the state that follows where
 //! nobody else has.
-use crate::{follow, unix_ms, Record};
-use coordination::record::{Change, Condition, SessionId};
-use coordination_server::client::Council;
-use coordination_server::draw;
-use disruption::{Board as Fleet, Plan};
-use disruption_agent::agent::Given;
-use disruption_agent::follow::{write, Follow, Wrote};
-use rollout::board::{place_key, Board, Place};
+use crate::{follow, unix_ms, RolloutProjection};
+use coordination::state_machine::{Compare, Op, SessionId};
+use coordination_server::client::ClientHandle;
+use coordination_server::random_id;
+use disruption::{ConditionalWrite, FleetSnapshot as Fleet};
+use disruption_agent::agent::GrantedLease;
+use disruption_agent::informer::{write, Informer, WriteOutcome};
+use rollout::snapshot::{report_key, InstanceReport, RolloutSnapshot};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -24,29 +24,29 @@
 const TOGETHER: usize = 64;
 
 /// A handle to the agent.
-pub struct Agent {
-    board: watch::Receiver<Board>,
-    places: watch::Sender<BTreeMap<String, Place>>,
-    confirms: mpsc::Sender<Given>,
-    confirmed: mpsc::Receiver<(Given, bool)>,
+pub struct RolloutAgent {
+    board: watch::Receiver<RolloutSnapshot>,
+    places: watch::Sender<BTreeMap<String, InstanceReport>>,
+    confirms: mpsc::Sender<GrantedLease>,
+    confirmed: mpsc::Receiver<(GrantedLease, bool)>,
 }
 
 /// News for a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum AgentEvent {
     /// The record's part has changed.
-    Changed,
+    SnapshotChanged,
     /// The record was read from a majority after this leave had been given; `false`: it could not be.
-    Confirmed(Given, bool),
+    LeaseConfirmed(GrantedLease, bool),
 }
 
 /// Leaves that wait to be confirmed; one that finds no room is told of again.
 const WAITING: usize = 1_024;
 
-impl Agent {
+impl RolloutAgent {
     /// Begins one, in a local set of tasks. `fleet` is the record's part of outages, as its agent follows it.
-    pub fn begin(council: Council, fleet: watch::Receiver<Fleet>) -> Agent {
-        let (show, board) = watch::channel(Board::default());
+    pub fn begin(council: ClientHandle, fleet: watch::Receiver<Fleet>) -> RolloutAgent {
+        let (show, board) = watch::channel(RolloutSnapshot::default());
         let (places, said) = watch::channel(BTreeMap::new());
         let (confirms, asked) = mpsc::channel(WAITING);
         let (tell, confirmed) = mpsc::channel(WAITING);
@@ -64,31 +64,31 @@
             not_before: None,
         };
         tokio::task::spawn_local(task.run());
-        Agent { board, places, confirms, confirmed }
+        RolloutAgent { board, places, confirms, confirmed }
     }
 
     /// The record's part, as it was last heard of; not to be held while anything is waited for.
-    pub fn board(&self) -> watch::Ref<'_, Board> {
+    pub fn board(&self) -> watch::Ref<'_, RolloutSnapshot> {
         self.board.borrow()
     }
 
     /// Has the record read before this leave is used. `false`: it can't be now.
-    pub fn confirm(&self, given: &Given) -> bool {
+    pub fn confirm(&self, given: &GrantedLease) -> bool {
         self.confirms.try_send(given.clone()).is_ok()
     }
 
     /// Waits for news. May be dropped and called again.
-    pub async fn news(&mut self) -> News {
+    pub async fn news(&mut self) -> AgentEvent {
         tokio::select! {
             // The task ends with this handle, and not before.
-            Ok(()) = self.board.changed() => News::Changed,
-            Some((given, done)) = self.confirmed.recv() => News::Confirmed(given, done),
+            Ok(()) = self.board.changed() => AgentEvent::SnapshotChanged,
+            Some((given, done)) = self.confirmed.recv() => AgentEvent::LeaseConfirmed(given, done),
             else => std::future::pending().await,
         }
     }
 
     /// What is to be said of this machine's instances; empty: nothing.
-    pub fn says(&self, places: BTreeMap<String, Place>) {
+    pub fn says(&self, places: BTreeMap<String, InstanceReport>) {
         self.places.send_if_modified(|now| {
             let differs = *now != places;
             if differs {
@@ -100,15 +100,15 @@
 }
 
 struct Task {
-    follow: Follow<Record>,
-    council: Council,
+    follow: Informer<RolloutProjection>,
+    council: ClientHandle,
     fleet: watch::Receiver<Fleet>,
-    said: watch::Receiver<BTreeMap<String, Place>>,
-    show: watch::Sender<Board>,
-    asked: mpsc::Receiver<Given>,
-    tell: mpsc::Sender<(Given, bool)>,
+    said: watch::Receiver<BTreeMap<String, InstanceReport>>,
+    show: watch::Sender<RolloutSnapshot>,
+    asked: mpsc::Receiver<GrantedLease>,
+    tell: mpsc::Sender<(GrantedLease, bool)>,
     /// What this session has written.
-    written: BTreeMap<String, Place>,
+    written: BTreeMap<String, InstanceReport>,
     session: Option<SessionId>,
     help: Option<Instant>,
     not_before: Option<Instant>,
@@ -134,7 +134,7 @@
     }
 
     /// Reads the record, so that what was written before a leave was given is known when it is used.
-    async fn confirm(&mut self, given: Given) {
+    async fn confirm(&mut self, given: GrantedLease) {
         let read = self.follow.fresh().await.map(|_| ());
         if let Err(why) = &read {
             info!("release: not read: {why}");
@@ -157,9 +157,9 @@
         }
         if let Some((plan, then)) = self.places(session) {
             match write(&self.council, plan).await {
-                Wrote::Done(_) => self.written.extend(then),
-                Wrote::Differs => {}
-                Wrote::No(why) => self.failed(&why),
+                WriteOutcome::Committed(_) => self.written.extend(then),
+                WriteOutcome::Conflict => {}
+                WriteOutcome::Failed(why) => self.failed(&why),
             }
             return true;
         }
@@ -172,30 +172,33 @@
     }
 
     /// The next write of what is not in the record as it is.
-    fn places(&mut self, session: SessionId) -> Option<(Plan, BTreeMap<String, Place>)> {
+    fn places(&mut self, session: SessionId) -> Option<(ConditionalWrite, BTreeMap<String, InstanceReport>)> {
         let said = self.said.borrow_and_update().clone();
         if said.is_empty() {
             return None;
         }
-        let differs = |(unit, place): &(&String, &Place)| self.written.get(*unit) != Some(place);
-        let then: BTreeMap<String, Place> =
+        let differs = |(unit, place): &(&String, &InstanceReport)| self.written.get(*unit) != Some(place);
+        let then: BTreeMap<String, InstanceReport> =
             said.iter().filter(differs).take(TOGETHER).map(|(u, p)| (u.clone(), p.clone())).collect();
-        let put = |(unit, place): (&String, &Place)| {
+        let put = |(unit, place): (&String, &InstanceReport)| {
             let value = serde_json::to_string(place).unwrap_or_default();
-            Change::Put { key: place_key(unit), value, bound: true }
+            Op::Put { key: report_key(unit), value, bound: true }
+        };
+        let plan = ConditionalWrite {
+            when: vec![Compare::SessionAlive(session)],
+            then: then.iter().map(put).collect(),
         };
-        let plan = Plan { when: vec![Condition::Alive(session)], then: then.iter().map(put).collect() };
         (!then.is_empty()).then_some((plan, then))
     }
 
     /// Writes the state that follows, unless somebody else does in time.
     async fn state(&mut self, now: Instant) -> bool {
-        let follows = |board: &Board, fleet: &Fleet| board.follows(fleet, unix_ms());
+        let follows = |board: &RolloutSnapshot, fleet: &Fleet| board.follows(fleet, unix_ms());
         if follows(&self.follow.board().0, &self.fleet.borrow()).is_none() {
             self.help = None;
             return false;
         }
-        let spread = HELP.mul_f64((draw() % 1024) as f64 / 1024.0);
+        let spread = HELP.mul_f64((random_id() % 1024) as f64 / 1024.0);
         if now < *self.help.get_or_insert(now + HELP + spread) {
             return false;
         }
@@ -211,12 +214,12 @@
         let next = follows(&board, &self.fleet.borrow());
         if let Some((state, plan)) = next {
             match write(&self.council, plan).await {
-                Wrote::Done(_) => {
+                WriteOutcome::Committed(_) => {
                     let number = board.plan.as_ref().map_or(0, |p| p.value.release.number);
                     info!(release = number, "release: {}", state.words());
                 }
-                Wrote::Differs => {}
-                Wrote::No(why) => self.failed(&why),
+                WriteOutcome::Conflict => {}
+                WriteOutcome::Failed(why) => self.failed(&why),
             }
         }
         let _ = self.follow.fresh().await;
--- a/crates/control-plane/rollout-agent/src/build.rs
+++ b/crates/control-plane/rollout-agent/src/build_id.rs
@@ -1,5 +1,5 @@
 //! What tells one build from another: the SHA-256 (FIPS 180-4) of the file that its processes are started from.
-use rollout::Build;
+use rollout::BuildId;
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 use std::fs::File;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// It can't be read, or is no file that can be run.
-pub fn at(path: &Path) -> Result<Build, String> {
+pub fn at(path: &Path) -> Result<BuildId, String> {
     let named = |e: io::Error| format!("{}: {e}", path.display());
     let kind = std::fs::metadata(path).map_err(named)?;
     if !kind.is_file() {
@@ -38,14 +38,14 @@
         // Writing to a string can't fail.
         let _ = write!(text, "{byte:02x}");
     }
-    Ok(Build(text))
+    Ok(BuildId(text))
 }
 
 /// Whether this build lies at a path.
 ///
 /// # Errors
 /// It can't be read, or is another.
-pub fn is(path: &Path, build: &Build) -> Result<(), String> {
+pub fn is(path: &Path, build: &BuildId) -> Result<(), String> {
     match at(path)? {
         found if found == *build => Ok(()),
         found => Err(format!("{}: is build {}, and not {}", path.display(), short(&found), short(build))),
@@ -53,7 +53,7 @@
 }
 
 /// A build in a few letters.
-pub fn short(build: &Build) -> &str {
+pub fn short(build: &BuildId) -> &str {
     build.0.get(..12).unwrap_or(&build.0)
 }
 
@@ -74,7 +74,7 @@
         // The example of FIPS 180-4.
         assert_eq!(build.0, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
         assert_eq!(is(&path, &build), Ok(()));
-        assert!(is(&path, &Build("00".into())).is_err() && at(&folder).is_err());
+        assert!(is(&path, &BuildId("00".into())).is_err() && at(&folder).is_err());
         std::fs::remove_dir_all(&folder).expect("removes");
     }
 }
--- a/crates/control-plane/rollout-agent/src/command.rs
+++ b/crates/control-plane/rollout-agent/src/command.rs
@@ -1,15 +1,15 @@
 //! What an operator's commands do: `herondock release start|status|halt|resume|back`.
-use crate::{build, unix_ms, Record};
-use config::release::Release as File;
-use coordination::client::SessionSettings;
-use coordination_server::client::{Council, Settings};
+use crate::{build_id, unix_ms, RolloutProjection};
+use config::rollout::RolloutConfig as File;
+use coordination::client::SessionConfig;
+use coordination_server::client::{ClientConfig, ClientHandle};
 use daemon::table::lines;
-use disruption::Board as Fleet;
+use disruption::FleetSnapshot as Fleet;
 use disruption_agent::command::{operator, print};
-use disruption_agent::follow::{write, Follow, Wrote};
-use rollout::board::{Board, Plan};
-use rollout::course::Instance;
-use rollout::{Order, Release};
+use disruption_agent::informer::{write, Informer, WriteOutcome};
+use rollout::snapshot::{RolloutPlan, RolloutSnapshot};
+use rollout::state_machine::InstanceObservation;
+use rollout::{OperatorCommand, RolloutSpec};
 use std::path::Path;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
         json: bool,
     },
     /// What an operator says of it.
-    Order(Order),
+    Order(OperatorCommand),
 }
 
 /// Carries a command out.
@@ -43,15 +43,16 @@
 async fn carry_out(file: &File, command: Command) -> Result<(), String> {
     let name = format!("command/{}/{}", operator(), std::process::id());
     let reads = matches!(command, Command::Status { .. });
-    let session = (!reads).then(|| SessionSettings { name: name.clone(), ttl: TTL, take_over: true });
+    let session = (!reads).then(|| SessionConfig { name: name.clone(), ttl: TTL, take_over: true });
     let voters = file.council.voters.iter().map(ToString::to_string).collect();
-    let council = Council::begin(Settings { voters, session, name, patience: file.council.patience });
+    let council =
+        ClientHandle::begin(ClientConfig { voters, session, name, patience: file.council.patience });
     let mut follow = crate::follow(council.clone());
     let done = match command {
         Command::Start => start(file, &council, &mut follow).await,
         Command::Status { json } => {
             let board = board(&mut follow).await?;
-            let mut outages = Follow::new(council.clone());
+            let mut outages = Informer::new(council.clone());
             let fleet = outages.fresh().await.map_err(|why| format!("the council: {why}"))?;
             status(&board, fleet, json)
         }
@@ -63,19 +64,24 @@
     done
 }
 
-async fn board(follow: &mut Follow<Record>) -> Result<Board, String> {
+async fn board(follow: &mut Informer<RolloutProjection>) -> Result<RolloutSnapshot, String> {
     follow.fresh().await.map(|record| record.0.clone()).map_err(|why| format!("the council: {why}"))
 }
 
-async fn start(file: &File, council: &Council, follow: &mut Follow<Record>) -> Result<(), String> {
-    let of =
-        |which: &str, path: &str| build::at(Path::new(path)).map_err(|why| format!("release.{which}: {why}"));
+async fn start(
+    file: &File,
+    council: &ClientHandle,
+    follow: &mut Informer<RolloutProjection>,
+) -> Result<(), String> {
+    let of = |which: &str, path: &str| {
+        build_id::at(Path::new(path)).map_err(|why| format!("release.{which}: {why}"))
+    };
     let (old, new) = (of("old", &file.paths.old)?, of("new", &file.paths.new)?);
     let ms = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
     loop {
         let board = board(follow).await?;
         let number = board.plan.as_ref().map_or(0, |p| p.value.release.number) + 1;
-        let release = Release {
+        let release = RolloutSpec {
             number,
             old: old.clone(),
             new: new.clone(),
@@ -88,41 +94,47 @@
             by: operator(),
             why: file.why.clone(),
         };
-        let plan = Plan { release, paths: file.paths.clone(), machines: file.machines.clone() };
+        let plan = RolloutPlan { release, paths: file.paths.clone(), machines: file.machines.clone() };
         match write(council, board.starts(&plan)?).await {
-            Wrote::Done(_) => {
-                let (old, new) = (build::short(&old), build::short(&new));
+            WriteOutcome::Committed(_) => {
+                let (old, new) = (build_id::short(&old), build_id::short(&new));
                 return print(&format!("release {number} begins, from build {old} to {new}"));
             }
             // Another was faster.
-            Wrote::Differs => {}
-            Wrote::No(why) => return Err(why),
+            WriteOutcome::Conflict => {}
+            WriteOutcome::Failed(why) => return Err(why),
         }
     }
 }
 
-async fn say(council: &Council, follow: &mut Follow<Record>, order: &Order) -> Result<(), String> {
+async fn say(
+    council: &ClientHandle,
+    follow: &mut Informer<RolloutProjection>,
+    order: &OperatorCommand,
+) -> Result<(), String> {
     loop {
         let board = board(follow).await?;
         let Some((plan, state)) = board.current() else { return Err("there was no release yet".into()) };
         let next = plan.release.ordered(&state.value, order)?;
         let Some(change) = board.moves_to(&next) else { return Err("the state can't be written".into()) };
         match write(council, change).await {
-            Wrote::Done(_) => return print(&format!("release {}: {}", plan.release.number, next.words())),
+            WriteOutcome::Committed(_) => {
+                return print(&format!("release {}: {}", plan.release.number, next.words()))
+            }
             // It went on meanwhile: what was said holds for where it is now.
-            Wrote::Differs => {}
-            Wrote::No(why) => return Err(why),
+            WriteOutcome::Conflict => {}
+            WriteOutcome::Failed(why) => return Err(why),
         }
     }
 }
 
 /// The release for an operator.
-pub fn state(board: &Board, fleet: &Fleet) -> serde_json::Value {
+pub fn state(board: &RolloutSnapshot, fleet: &Fleet) -> serde_json::Value {
     let Some((plan, state)) = board.current() else { return serde_json::json!({"release": null}) };
     let r = &plan.release;
     let seen = board.seen(fleet);
     let step = r.step(&state.value, &seen, unix_ms());
-    let one = |i: &Instance| {
+    let one = |i: &InstanceObservation| {
         serde_json::json!({"name": i.name, "machine": i.machine, "zone": i.zone, "ready": i.ready, "broken": i.broken,
             "runs": i.runs.as_ref().map(|b| &b.0), "sample": i.sample})
     };
@@ -133,14 +145,14 @@
         "instances": seen.iter().map(one).collect::<Vec<_>>(), "unread": board.unread}})
 }
 
-fn status(board: &Board, fleet: &Fleet, json: bool) -> Result<(), String> {
+fn status(board: &RolloutSnapshot, fleet: &Fleet, json: bool) -> Result<(), String> {
     if json {
         return print(&state(board, fleet).to_string());
     }
     let Some((plan, at)) = board.current() else { return print("there was no release yet") };
     let r = &plan.release;
     let seen = board.seen(fleet);
-    let (old, new) = (build::short(&r.old), build::short(&r.new));
+    let (old, new) = (build_id::short(&r.old), build_id::short(&r.new));
     print(&format!("release {} from {old} to {new}, by {}: {}", r.number, r.by, at.value.words()))?;
     if let Some(waits) = r.step(&at.value, &seen, unix_ms()).waits {
         print(&waits)?;
@@ -153,11 +165,12 @@
         let build = match &i.runs {
             Some(b) if *b == r.new => "new".to_string(),
             Some(b) if *b == r.old => "old".into(),
-            Some(b) => build::short(b).into(),
+            Some(b) => build_id::short(b).into(),
             None => "-".into(),
         };
-        let figure =
-            |of: fn(&rollout::Sample) -> u64| i.sample.as_ref().map_or("-".into(), |s| of(s).to_string());
+        let figure = |of: fn(&rollout::MetricsSample) -> u64| {
+            i.sample.as_ref().map_or("-".into(), |s| of(s).to_string())
+        };
         let ready = if i.ready { "yes" } else { "no" };
         let text = |t: &str| if t.is_empty() { "-".to_string() } else { t.to_string() };
         rows.push(vec![
--- a/crates/control-plane/rollout-agent/src/lib.rs
+++ b/crates/control-plane/rollout-agent/src/lib.rs
@@ -3,26 +3,26 @@
 //!
 //! | module | whose |
 //! | --- | --- |
-//! | [`build`] | everyone's: what tells one build from another |
+//! | [`build_id`] | everyone's: what tells one build from another |
 //! | [`agent`] | a supervisor's: what it says of its instances, and the state that follows |
 //! | [`sampler`] | a balancer's: what it did since the last look |
 //! | [`command`] | an operator's |
 pub mod agent;
-pub mod build;
+pub mod build_id;
 pub mod command;
 pub mod sampler;
 
-use coordination::record::{Item, Revision};
-use disruption_agent::follow::{Follow, Part};
-use rollout::board::Board;
+use coordination::state_machine::{Revision, VersionedValue};
+use disruption_agent::informer::{Informer, Projection};
+use rollout::snapshot::RolloutSnapshot;
 
-/// [`Board`] as a part of the record that can be followed.
+/// [`RolloutSnapshot`] as a part of the record that can be followed.
 #[derive(Clone, Debug, Default)]
-pub struct Record(pub Board);
+pub struct RolloutProjection(pub RolloutSnapshot);
 
-impl Part for Record {
-    fn read(revision: Revision, items: &[(String, Item)]) -> Record {
-        Record(Board::read(revision, items))
+impl Projection for RolloutProjection {
+    fn read(revision: Revision, items: &[(String, VersionedValue)]) -> RolloutProjection {
+        RolloutProjection(RolloutSnapshot::read(revision, items))
     }
 
     fn put(&mut self, key: &str, value: Option<&str>, revision: Revision) {
@@ -35,8 +35,8 @@
 }
 
 /// Follows what the record has of releases.
-pub fn follow(council: coordination_server::client::Council) -> Follow<Record> {
-    Follow::under(council, rollout::board::UNDER)
+pub fn follow(council: coordination_server::client::ClientHandle) -> Informer<RolloutProjection> {
+    Informer::under(council, rollout::snapshot::KEY_PREFIX)
 }
 
 /// The time, in Unix milliseconds.
--- a/crates/control-plane/rollout-agent/src/sampler.rs
+++ b/crates/control-plane/rollout-agent/src/sampler.rs
@@ -1,12 +1,12 @@
 //! What a balancer did while a release goes, written a few times a look. Nothing that it serves waits for this.
 use crate::follow;
-use coordination::record::{Change, Condition};
-use coordination_server::client::Council;
-use disruption::Plan;
-use disruption_agent::follow::{write, Wrote};
-use rollout::board::{sample_key, Window};
-use rollout::course::State;
-use rollout::Sample;
+use coordination::state_machine::{Compare, Op};
+use coordination_server::client::ClientHandle;
+use disruption::ConditionalWrite;
+use disruption_agent::informer::{write, WriteOutcome};
+use rollout::snapshot::{metrics_key, MetricsWindow};
+use rollout::state_machine::RolloutState;
+use rollout::MetricsSample;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 use tracing::info;
@@ -18,14 +18,14 @@
 const SELDOM: Duration = Duration::from_secs(10);
 
 /// Follows releases for ever; `totals` says what was asked, served and late since the process began, and what memory it holds now.
-pub async fn run(council: Council, name: String, totals: impl Fn() -> Sample) {
+pub async fn run(council: ClientHandle, name: String, totals: impl Fn() -> MetricsSample) {
     let mut follow = follow(council.clone());
     // The state that the present window belongs to, and the totals at its beginning.
-    let mut window: Option<(u64, Sample)> = None;
+    let mut window: Option<(u64, MetricsSample)> = None;
     let mut written: Option<Instant> = None;
     loop {
         let board = &follow.board().0;
-        let watched = board.unfinished().filter(|(_, s)| matches!(s.value, State::Going { .. }));
+        let watched = board.unfinished().filter(|(_, s)| matches!(s.value, RolloutState::InStage { .. }));
         let Some((plan, state)) = watched else {
             window = None;
             follow.next().await;
@@ -38,15 +38,15 @@
         }
         let due = written.map_or_else(Instant::now, |at| at + pause);
         if Instant::now() >= due {
-            let (now, from) = (totals(), window.as_ref().map_or(Sample::default(), |(_, from)| *from));
-            let sample = Sample {
+            let (now, from) = (totals(), window.as_ref().map_or(MetricsSample::default(), |(_, from)| *from));
+            let sample = MetricsSample {
                 asked: now.asked.saturating_sub(from.asked),
                 served: now.served.saturating_sub(from.served),
                 late: now.late.saturating_sub(from.late),
                 memory: now.memory,
             };
             written = Some(Instant::now());
-            say(&council, &name, Window { since, sample }).await;
+            say(&council, &name, MetricsWindow { since, sample }).await;
             continue;
         }
         tokio::select! {
@@ -56,12 +56,12 @@
     }
 }
 
-async fn say(council: &Council, name: &str, window: Window) {
+async fn say(council: &ClientHandle, name: &str, window: MetricsWindow) {
     let Some((session, _)) = council.held() else { return };
     let value = serde_json::to_string(&window).unwrap_or_default();
-    let put = Change::Put { key: sample_key(name), value, bound: true };
-    let plan = Plan { when: vec![Condition::Alive(session)], then: vec![put] };
-    if let Wrote::No(why) = write(council, plan).await {
+    let put = Op::Put { key: metrics_key(name), value, bound: true };
+    let plan = ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] };
+    if let WriteOutcome::Failed(why) = write(council, plan).await {
         info!("release: {name} is not heard: {why}");
     }
 }
--- a/crates/control-plane/rollout/src/gate.rs
+++ b/crates/control-plane/rollout/src/canary.rs
@@ -3,13 +3,13 @@
 //! Requests at one instance fail together (an upstream hangs, a zone is cut off), so requests are no independent draws and a
 //! test by requests would halt good releases. The unit is the **instance**: each has one figure for a measure, and the mean of the
 //! new is compared with that of the old by a one-sided t test (Student, pooled by the old ones' spread: of one or two new ones
-//! no spread is known). The chance of a false halt is given for a whole release ([`Gate::false_halts`]) and divided by its looks and
-//! measures (Bonferroni), so that looking often costs power and not truth. A difference below [`Measure::least`] is no harm,
+//! no spread is known). The chance of a false halt is given for a whole release ([`CanaryAnalysis::false_halts`]) and divided by its looks and
+//! measures (Bonferroni), so that looking often costs power and not truth. A difference below [`MetricThreshold::least`] is no harm,
 //! however certain.
 //!
 //! Figures of instances have heavier tails than the test supposes, and a wave of one has no mean to even that out: 79 of 1,000 good
 //! releases were halted in the search where one instance in twenty fails five times as much for a look. So harm has to be seen at
-//! two looks in a row, of which each counts what came since the one before ([`crate::course`]). Where few were asked the old
+//! two looks in a row, of which each counts what came since the one before ([`crate::state_machine`]). Where few were asked the old
 //! ones may by chance have no spread at all, so it counts for what independent requests would have at the least: without that
 //! 33 of 600 good releases of small fleets were halted in the search. An instance that is always worse
 //! than the others, by where it stands, is not told from a bad build by that.
@@ -21,20 +21,20 @@
 
 /// What is compared of one measure.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Measure {
+pub struct MetricThreshold {
     /// The least difference of means that counts as harm, in the measure's own unit.
     pub least: f64,
 }
 
 /// What releases are compared by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Gate {
+pub struct CanaryAnalysis {
     /// The part of requests that were asked and not served, 0 to 1.
-    pub unserved: Measure,
+    pub unserved: MetricThreshold,
     /// The part of served requests that were late, 0 to 1.
-    pub late: Measure,
+    pub late: MetricThreshold,
     /// Memory, in MB.
-    pub memory: Measure,
+    pub memory: MetricThreshold,
     /// The chance that a release that changes nothing is halted, over all of it.
     pub false_halts: f64,
     /// Looks that a release may take; beyond them it goes by what stopped it before.
@@ -43,13 +43,13 @@
     pub requests: u64,
 }
 
-impl Default for Gate {
+impl Default for CanaryAnalysis {
     /// 2 points of service, 5 of lateness, 8 MB, one false halt in 100 releases, 40 looks, 200 requests.
-    fn default() -> Gate {
-        Gate {
-            unserved: Measure { least: 0.02 },
-            late: Measure { least: 0.05 },
-            memory: Measure { least: 8.0 },
+    fn default() -> CanaryAnalysis {
+        CanaryAnalysis {
+            unserved: MetricThreshold { least: 0.02 },
+            late: MetricThreshold { least: 0.05 },
+            memory: MetricThreshold { least: 8.0 },
             false_halts: 0.01,
             looks: 40,
             requests: 200,
@@ -59,7 +59,7 @@
 
 /// What one instance did since the last look: looks that overlap would say the same twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sample {
+pub struct MetricsSample {
     /// Requests asked.
     pub asked: u64,
     /// Of them served.
@@ -72,16 +72,16 @@
 
 /// What a look says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AnalysisVerdict {
     /// The new build does harm, and how much.
-    Harm(String),
+    Regression(String),
     /// No harm of the least size is likely: the difference is below it with the same certainty.
-    Good,
+    Healthy,
     /// It can't be told yet, and why.
-    Unclear(String),
+    Inconclusive(String),
 }
 
-impl Gate {
+impl CanaryAnalysis {
     pub(crate) fn check(&self) -> Result<(), String> {
         let measures = [("unserved", self.unserved), ("late", self.late), ("memory", self.memory)];
         if let Some((name, _)) = measures.iter().find(|(_, m)| !(m.least > 0.0 && m.least.is_finite())) {
@@ -97,13 +97,13 @@
     }
 
     /// Compares the new with the old.
-    pub fn look(&self, new: &[Sample], old: &[Sample]) -> Verdict {
-        let counts = |all: &[Sample]| -> Vec<Sample> {
+    pub fn look(&self, new: &[MetricsSample], old: &[MetricsSample]) -> AnalysisVerdict {
+        let counts = |all: &[MetricsSample]| -> Vec<MetricsSample> {
             all.iter().filter(|s| s.asked >= self.requests.max(1)).copied().collect()
         };
         let (new, old) = (counts(new), counts(old));
         if new.is_empty() || old.len() < OLD_LEAST {
-            return Verdict::Unclear(format!(
+            return AnalysisVerdict::Inconclusive(format!(
                 "{} of the new and {} of the old were asked {} requests, and 1 and {OLD_LEAST} are needed",
                 new.len(),
                 old.len(),
@@ -111,10 +111,10 @@
             ));
         }
         let part = |k: u64, n: u64| if n == 0 { 0.0 } else { k as f64 / n as f64 };
-        type Figure = fn(&Sample, &dyn Fn(u64, u64) -> f64) -> f64;
+        type Figure = fn(&MetricsSample, &dyn Fn(u64, u64) -> f64) -> f64;
         // What a part is of, where it is one: so many, of so many.
-        type Of = fn(&Sample) -> Option<(u64, u64)>;
-        let measures: [(&str, Measure, Figure, Of); 3] = [
+        type Of = fn(&MetricsSample) -> Option<(u64, u64)>;
+        let measures: [(&str, MetricThreshold, Figure, Of); 3] = [
             (
                 "requests not served",
                 self.unserved,
@@ -127,7 +127,7 @@
         let chance = self.false_halts / f64::from(self.looks) / measures.len() as f64;
         // The gate may come from a record that nobody has checked here.
         if !(chance > 0.0 && chance < 0.5) {
-            return Verdict::Unclear("the chance of a false halt is none".into());
+            return AnalysisVerdict::Inconclusive("the chance of a false halt is none".into());
         }
         let mut unclear = None;
         for (name, measure, figure, of) in measures {
@@ -139,7 +139,8 @@
             let chances = (some as f64 + 1.0) / (all as f64 + 2.0);
             let each = all as f64 / (new.len() + old.len()) as f64;
             let least = if all == 0 { 0.0 } else { chances * (1.0 - chances) / each };
-            let figures = |all: &[Sample]| -> Vec<f64> { all.iter().map(|s| figure(s, &part)).collect() };
+            let figures =
+                |all: &[MetricsSample]| -> Vec<f64> { all.iter().map(|s| figure(s, &part)).collect() };
             let (new, old) = (figures(&new), figures(&old));
             let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
             let (by_new, by_old, degrees) = (mean(&new), mean(&old), old.len() as f64 - 1.0);
@@ -149,7 +150,7 @@
             let bound = student.inverse_cdf(1.0 - chance) * error;
             let difference = by_new - by_old;
             if difference >= measure.least && difference > bound {
-                return Verdict::Harm(format!(
+                return AnalysisVerdict::Regression(format!(
                     "{name}: {by_new:.3} by the new build, {by_old:.3} by the old at the same time"
                 ));
             }
@@ -159,6 +160,6 @@
                     Some(format!("{name}: {difference:+.3}, and {bound:.3} either way could be chance"));
             }
         }
-        unclear.map_or(Verdict::Good, Verdict::Unclear)
+        unclear.map_or(AnalysisVerdict::Healthy, AnalysisVerdict::Inconclusive)
     }
 }
--- a/crates/control-plane/rollout/src/mover.rs
+++ b/crates/control-plane/rollout/src/executor.rs
@@ -1,25 +1,25 @@
 //! What one supervisor does for a release: which of its instances it asks leave for, what each is to be started from, and what
 //! it says of them. Without I/O; whoever drives it asks, signals and writes.
 //!
-//! What is to be moved is reckoned anew each time from the record as it was last heard of ([`Release::step`]), also in the
+//! What is to be moved is reckoned anew each time from the record as it was last heard of ([`RolloutSpec::step`]), also in the
 //! moment in which leave is used, on a record that was read from a majority after it was given: after a halt nothing is begun. A supervisor that does not hear the
 //! council holds no session, and so begins nothing either.
-use crate::board::{Board, Place, Plan};
-use crate::{Build, Release, State};
-use coordination::record::SessionId;
-use disruption::{Board as Fleet, Id};
+use crate::snapshot::{InstanceReport, RolloutPlan, RolloutSnapshot};
+use crate::{BuildId, RolloutSpec, RolloutState};
+use coordination::state_machine::SessionId;
+use disruption::{FleetSnapshot as Fleet, ResourceId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many crashes of an instance since it was moved, and it is broken.
-pub const CRASHES: usize = 2;
+pub const CRASH_LIMIT: usize = 2;
 
 /// How an instance stands at its supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Local {
+pub struct LocalInstance {
     /// Its name in the council.
     pub unit: String,
     /// What its next process is started from.
-    pub build: Build,
+    pub build: BuildId,
     /// It serves, and nothing of it is about to change.
     pub ready: bool,
     /// Why it is not started any more.
@@ -32,16 +32,16 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ExecutorAction {
     /// Ask for leave to restart this instance.
-    Ask {
+    RequestLease {
         /// Which.
         unit: String,
         /// Why, for the record.
         why: String,
     },
     /// The leave for it is not wanted any more. `acted`: another process of it is to come.
-    GiveBack {
+    ReleaseLease {
         /// Which.
         unit: String,
         /// Whether something was done by it.
@@ -52,24 +52,24 @@
         /// Which.
         unit: String,
         /// By what.
-        build: Build,
+        build: BuildId,
     },
 }
 
 /// An instance that is being moved.
 struct Moving {
     number: u64,
-    build: Build,
+    build: BuildId,
     acted: bool,
 }
 
 /// See the module's page.
 #[derive(Default)]
-pub struct Mover {
+pub struct RolloutExecutor {
     moving: BTreeMap<String, Moving>,
 }
 
-impl Mover {
+impl RolloutExecutor {
     /// Whether leave is asked for to move this instance.
     pub fn asks(&self, unit: &str) -> bool {
         self.moving.get(unit).is_some_and(|m| !m.acted)
@@ -81,7 +81,7 @@
     }
 
     /// The instances of this machine that are to run another build now, in order.
-    fn wanted(machine: &str, fleet: &Fleet, board: &Board, now_ms: u64) -> Vec<(String, Build)> {
+    fn wanted(machine: &str, fleet: &Fleet, board: &RolloutSnapshot, now_ms: u64) -> Vec<(String, BuildId)> {
         let Some((plan, state)) = board.unfinished() else { return Vec::new() };
         let step = plan.release.step(&state.value, &board.seen(fleet), now_ms);
         let own = |unit: &str| fleet.units.get(unit).is_some_and(|u| u.value.machine == machine);
@@ -93,12 +93,12 @@
     pub fn next(
         &mut self,
         machine: &str,
-        all: &[Local],
-        (fleet, board): (&Fleet, &Board),
-        (at_once, faults, session): (usize, &BTreeMap<Build, String>, SessionId),
+        all: &[LocalInstance],
+        (fleet, board): (&Fleet, &RolloutSnapshot),
+        (at_once, faults, session): (usize, &BTreeMap<BuildId, String>, SessionId),
         now_ms: u64,
-    ) -> Vec<Act> {
-        let mut wanted = Mover::wanted(machine, fleet, board, now_ms);
+    ) -> Vec<ExecutorAction> {
+        let mut wanted = RolloutExecutor::wanted(machine, fleet, board, now_ms);
         wanted.retain(|(_, build)| !faults.contains_key(build));
         let number = board.plan.as_ref().map_or(0, |p| p.value.release.number);
         let mut acts = Vec::new();
@@ -111,24 +111,25 @@
                 None => true,
             };
             if over {
-                acts.push(Act::GiveBack { unit: unit.clone(), acted: m.acted });
+                acts.push(ExecutorAction::ReleaseLease { unit: unit.clone(), acted: m.acted });
             }
             !over
         });
         // One that was on its way to the one build and is to run the other: it is out by this supervisor's leave already.
         let has = |unit: &str| {
-            let leave = fleet.leaves.get(&Id::balancer(unit)).map(|l| &l.value);
+            let leave = fleet.leaves.get(&ResourceId::balancer(unit)).map(|l| &l.value);
             leave.is_some_and(|l| l.owner == machine && l.session == session)
         };
         for (unit, build) in &wanted {
             if self.moving.get(unit).is_some_and(|m| m.acted && m.build != *build) && has(unit) {
-                acts.push(Act::Replace { unit: unit.clone(), build: build.clone() });
+                acts.push(ExecutorAction::Replace { unit: unit.clone(), build: build.clone() });
             }
         }
         let free = at_once.saturating_sub(self.moving.len());
-        let missing =
-            |unit: &str, build: &Build| all.iter().any(|l| l.unit == unit && (l.build != *build || !l.ready));
-        let next: Vec<&(String, Build)> = wanted
+        let missing = |unit: &str, build: &BuildId| {
+            all.iter().any(|l| l.unit == unit && (l.build != *build || !l.ready))
+        };
+        let next: Vec<&(String, BuildId)> = wanted
             .iter()
             .filter(|(unit, build)| !self.moving.contains_key(unit) && missing(unit, build))
             .take(free)
@@ -137,7 +138,7 @@
             let moving = Moving { number, build: build.clone(), acted: false };
             self.moving.insert(unit.clone(), moving);
             let why = format!("release {number}");
-            acts.push(Act::Ask { unit: unit.clone(), why });
+            acts.push(ExecutorAction::RequestLease { unit: unit.clone(), why });
         }
         acts
     }
@@ -148,22 +149,22 @@
         &mut self,
         machine: &str,
         unit: &str,
-        (fleet, board): (&Fleet, &Board),
+        (fleet, board): (&Fleet, &RolloutSnapshot),
         now_ms: u64,
-    ) -> Option<Act> {
+    ) -> Option<ExecutorAction> {
         let m = self.moving.get(unit)?;
-        let wanted = Mover::wanted(machine, fleet, board, now_ms);
+        let wanted = RolloutExecutor::wanted(machine, fleet, board, now_ms);
         if m.acted {
             return None;
         }
         if !wanted.iter().any(|(u, b)| u == unit && *b == m.build) {
             return self.undone(unit);
         }
-        Some(Act::Replace { unit: unit.into(), build: m.build.clone() })
+        Some(ExecutorAction::Replace { unit: unit.into(), build: m.build.clone() })
     }
 
     /// A replacement was done.
-    pub fn done(&mut self, unit: &str, build: &Build) {
+    pub fn done(&mut self, unit: &str, build: &BuildId) {
         if let Some(m) = self.moving.get_mut(unit) {
             (m.acted, m.build) = (true, build.clone());
         }
@@ -171,35 +172,39 @@
 
     /// A replacement could not be done. What was asked for it is not wanted for now; an instance that is out by an earlier one
     /// stays so.
-    pub fn undone(&mut self, unit: &str) -> Option<Act> {
+    pub fn undone(&mut self, unit: &str) -> Option<ExecutorAction> {
         self.moving.get(unit).filter(|m| !m.acted)?;
         self.moving.remove(unit);
-        Some(Act::GiveBack { unit: unit.into(), acted: false })
+        Some(ExecutorAction::ReleaseLease { unit: unit.into(), acted: false })
     }
 
     /// What this supervisor says of its instances, for the last release that there was. `faults`: builds that can't be
     /// started here, and why.
-    pub fn places(all: &[Local], board: &Board, faults: &BTreeMap<Build, String>) -> BTreeMap<String, Place> {
+    pub fn places(
+        all: &[LocalInstance],
+        board: &RolloutSnapshot,
+        faults: &BTreeMap<BuildId, String>,
+    ) -> BTreeMap<String, InstanceReport> {
         let Some((plan, state)) = board.current() else { return BTreeMap::new() };
         let release = &plan.release;
-        let returning = matches!(state.value, State::Returning { .. });
-        let one = |l: &Local| {
+        let returning = matches!(state.value, RolloutState::RollingBack { .. });
+        let one = |l: &LocalInstance| {
             let build = l.build.clone();
-            let crashed = (l.crashes >= CRASHES).then(|| format!("crashed {} times", l.crashes));
+            let crashed = (l.crashes >= CRASH_LIMIT).then(|| format!("crashed {} times", l.crashes));
             let slow = l.slow.then(|| "is not ready in time".to_string());
             let own_fault = l.given_up.clone().or(slow).or(crashed).filter(|_| build == release.new);
             let which = if returning { (&release.old, "old") } else { (&release.new, "new") };
             let broken =
                 own_fault.or_else(|| Some(format!("the {} build: {}", which.1, faults.get(which.0)?)));
-            (l.unit.clone(), Place { number: release.number, build, broken })
+            (l.unit.clone(), InstanceReport { number: release.number, build, broken })
         };
         all.iter().map(one).collect()
     }
 
     /// The builds of a release that have to lie on a machine, and where.
-    pub fn files(plan: &Plan, machine: &str) -> BTreeMap<Build, String> {
-        let Release { old, new, .. } = &plan.release;
-        let all: BTreeSet<&Build> = [old, new].into();
+    pub fn files(plan: &RolloutPlan, machine: &str) -> BTreeMap<BuildId, String> {
+        let RolloutSpec { old, new, .. } = &plan.release;
+        let all: BTreeSet<&BuildId> = [old, new].into();
         all.into_iter().filter_map(|b| Some((b.clone(), plan.path(machine, b)?.to_string()))).collect()
     }
 }
--- a/crates/control-plane/rollout/src/lib.rs
+++ b/crates/control-plane/rollout/src/lib.rs
@@ -3,41 +3,41 @@
 //!
 //! | module | what it has |
 //! | --- | --- |
-//! | [`waves`] | which instances come first: one, then shares, spread over zones and machines |
-//! | [`gate`] | whether the new build does harm, against the old one at the same time |
-//! | [`course`] | how far a release is: waves, a halt, the way back |
-//! | [`board`] | the part of the council's record that a release is kept in, and how instances are seen by it |
-//! | [`mover`] | what one supervisor does for it |
+//! | [`stages`] | which instances come first: one, then shares, spread over zones and machines |
+//! | [`canary`] | whether the new build does harm, against the old one at the same time |
+//! | [`state_machine`] | how far a release is: waves, a halt, the way back |
+//! | [`snapshot`] | the part of the council's record that a release is kept in, and how instances are seen by it |
+//! | [`executor`] | what one supervisor does for it |
 //!
-//! A release is a value ([`Release`]) with a [`State`]; both are kept where all supervisors read them. What follows from
+//! A release is a value ([`RolloutSpec`]) with a [`RolloutState`]; both are kept where all supervisors read them. What follows from
 //! them is a function of these and of what is seen of the instances, so any supervisor can go on where another stopped.
-pub mod board;
-pub mod course;
-pub mod gate;
-pub mod mover;
-pub mod waves;
+pub mod canary;
+pub mod executor;
+pub mod snapshot;
+pub mod stages;
+pub mod state_machine;
 
-pub use course::{Instance, Order, State, Step};
-pub use gate::{Gate, Sample, Verdict};
-pub use waves::Wave;
+pub use canary::{AnalysisVerdict, CanaryAnalysis, MetricsSample};
+pub use stages::Stage;
+pub use state_machine::{InstanceObservation, OperatorCommand, RolloutState, Step};
 
 use serde::{Deserialize, Serialize};
 
 /// A build, by the hash of its content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Build(pub String);
+pub struct BuildId(pub String);
 
 /// What was decided on; it does not change while the release goes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Release {
+pub struct RolloutSpec {
     /// Counts releases; the order of instances is drawn by it.
     pub number: u64,
     /// What runs before.
-    pub old: Build,
+    pub old: BuildId,
     /// What is to run.
-    pub new: Build,
+    pub new: BuildId,
     /// The waves, each with all before it. The last one is followed by the rest of the fleet.
-    pub waves: Vec<Wave>,
+    pub waves: Vec<Stage>,
     /// How long a wave is watched at the least, in milliseconds, from when all of it are ready.
     pub bake_ms: u64,
     /// How often the gate looks meanwhile, in milliseconds.
@@ -45,7 +45,7 @@
     /// How long it is watched at the most where the gate can't tell.
     pub cap_ms: u64,
     /// What the new build is compared by.
-    pub gate: Gate,
+    pub gate: CanaryAnalysis,
     /// Whether a release that halts by itself goes back by itself.
     pub returns: bool,
     /// Who approved it.
@@ -55,9 +55,9 @@
 }
 
 /// Most waves of a release.
-pub const WAVES_MOST: usize = 32;
+pub const MAX_STAGES: usize = 32;
 
-impl Release {
+impl RolloutSpec {
     /// What of it contradicts itself, with the field's name.
     ///
     /// # Errors
@@ -66,8 +66,8 @@
         if self.old == self.new {
             return Err("new: is the build that runs already".into());
         }
-        if self.waves.is_empty() || self.waves.len() > WAVES_MOST {
-            return Err(format!("waves: there are {}, and not 1 to {WAVES_MOST}", self.waves.len()));
+        if self.waves.is_empty() || self.waves.len() > MAX_STAGES {
+            return Err(format!("waves: there are {}, and not 1 to {MAX_STAGES}", self.waves.len()));
         }
         if let Some(k) = self.waves.iter().position(|w| !w.sound()) {
             return Err(format!("waves[{k}]: is no count above 0 and no share between 0 and 1"));
--- a/crates/control-plane/rollout/src/waves.rs
+++ b/crates/control-plane/rollout/src/stages.rs
@@ -6,33 +6,33 @@
 /// How many instances have the new build after a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wave {
+pub enum Stage {
     /// So many.
     Count(u32),
     /// This part of all, at least one.
     Share(f64),
 }
 
-impl Wave {
+impl Stage {
     pub(crate) fn sound(self) -> bool {
         match self {
-            Wave::Count(n) => n > 0,
-            Wave::Share(s) => s > 0.0 && s <= 1.0,
+            Stage::Count(n) => n > 0,
+            Stage::Share(s) => s > 0.0 && s <= 1.0,
         }
     }
 
     /// Of so many instances.
     pub fn of(self, all: usize) -> usize {
         match self {
-            Wave::Count(n) => usize::try_from(n).unwrap_or(usize::MAX).min(all),
-            Wave::Share(s) => ((all as f64 * s).ceil() as usize).clamp(1, all.max(1)).min(all),
+            Stage::Count(n) => usize::try_from(n).unwrap_or(usize::MAX).min(all),
+            Stage::Share(s) => ((all as f64 * s).ceil() as usize).clamp(1, all.max(1)).min(all),
         }
     }
 }
 
 /// Where an instance is.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct Placement<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its zone.
@@ -45,7 +45,7 @@
 type Machines<'a> = BTreeMap<(u64, &'a str), Vec<&'a str>>;
 
 /// The order in which a release of this number takes them.
-pub fn order<'a>(number: u64, places: &[Place<'a>]) -> Vec<&'a str> {
+pub fn order<'a>(number: u64, places: &[Placement<'a>]) -> Vec<&'a str> {
     let drawn = |text: &str| hashing::stable(format!("{number}/{text}").as_bytes());
     let mut zones: BTreeMap<(u64, &str), Machines<'a>> = BTreeMap::new();
     for p in places {
--- a/crates/control-plane/rollout/tests/encoding.rs
+++ b/crates/control-plane/rollout/tests/encoding.rs
@@ -1,7 +1,10 @@
 //! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
 //! line, its key and its JSON.
-use rollout::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, PLAN, STATE, UNDER};
-use rollout::{Build, Gate, Release, Sample, State, Wave};
+use rollout::snapshot::{
+    metrics_key, report_key, BuildPaths, InstanceReport, MetricsWindow, RolloutPlan, RolloutSnapshot,
+    KEY_PREFIX, PLAN_KEY, STATE_KEY,
+};
+use rollout::{BuildId, CanaryAnalysis, MetricsSample, RolloutSpec, RolloutState, Stage};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -16,57 +19,64 @@
     assert_eq!(&serde_json::from_str::<T>(&written).expect("reads what it wrote"), value, "{key}");
 }
 
-fn plan() -> Plan {
-    let release = Release {
+fn plan() -> RolloutPlan {
+    let release = RolloutSpec {
         number: 3,
-        old: Build("old".into()),
-        new: Build("new".into()),
-        waves: vec![Wave::Count(1), Wave::Share(0.25)],
+        old: BuildId("old".into()),
+        new: BuildId("new".into()),
+        waves: vec![Stage::Count(1), Stage::Share(0.25)],
         bake_ms: 5000,
         look_ms: 1000,
         cap_ms: 9000,
-        gate: Gate::default(),
+        gate: CanaryAnalysis::default(),
         returns: true,
         by: "ana".into(),
         why: "fix".into(),
     };
-    let paths = |folder: &str| Paths { old: format!("{folder}/old"), new: format!("{folder}/new") };
-    Plan { release, paths: paths("/opt"), machines: BTreeMap::from([("m1".to_string(), paths("/srv"))]) }
+    let paths = |folder: &str| BuildPaths { old: format!("{folder}/old"), new: format!("{folder}/new") };
+    RolloutPlan {
+        release,
+        paths: paths("/opt"),
+        machines: BTreeMap::from([("m1".to_string(), paths("/srv"))]),
+    }
 }
 
 #[test]
 fn stored_values_keep_their_keys_and_encoding() {
-    assert_eq!(UNDER, "release/");
-    assert_encoding(PLAN, &plan());
+    assert_eq!(KEY_PREFIX, "release/");
+    assert_encoding(PLAN_KEY, &plan());
     let states = [
-        State::Going { wave: 1, since_ms: Some(7), looks: 2, suspected: true },
-        State::Going { wave: 0, since_ms: None, looks: 0, suspected: false },
-        State::Halted { wave: Some(1), why: "harm".into() },
-        State::Halted { wave: None, why: "ana".into() },
-        State::Returning { why: "harm".into() },
-        State::Whole,
-        State::Back { why: "harm".into() },
+        RolloutState::InStage { wave: 1, since_ms: Some(7), looks: 2, suspected: true },
+        RolloutState::InStage { wave: 0, since_ms: None, looks: 0, suspected: false },
+        RolloutState::Paused { wave: Some(1), why: "harm".into() },
+        RolloutState::Paused { wave: None, why: "ana".into() },
+        RolloutState::RollingBack { why: "harm".into() },
+        RolloutState::Complete,
+        RolloutState::RolledBack { why: "harm".into() },
     ];
     for state in states {
-        assert_encoding(STATE, &state);
+        assert_encoding(STATE_KEY, &state);
     }
     for broken in [None, Some("crashes".to_string())] {
-        assert_encoding(&place_key("n1"), &Place { number: 3, build: Build("new".into()), broken });
+        assert_encoding(
+            &report_key("n1"),
+            &InstanceReport { number: 3, build: BuildId("new".into()), broken },
+        );
     }
-    let sample = Sample { asked: 100, served: 99, late: 3, memory: 7.5 };
-    assert_encoding(&sample_key("n1"), &Window { since: 12, sample });
+    let sample = MetricsSample { asked: 100, served: 99, late: 3, memory: 7.5 };
+    assert_encoding(&metrics_key("n1"), &MetricsWindow { since: 12, sample });
 }
 
 /// All stored values are taken in from the keys that earlier builds wrote, none left unread.
 #[test]
 fn a_stored_release_is_read() {
-    let mut board = Board::default();
+    let mut board = RolloutSnapshot::default();
     for (line, version) in FIXTURE.lines().zip(1..) {
         let (key, value) = line.split_once(' ').expect("key and value");
         board.put(key, Some(value), version);
         assert_eq!(board.unread, BTreeMap::new());
     }
     assert_eq!(board.plan.as_ref().map(|p| &p.value), Some(&plan()));
-    assert_eq!(board.state.map(|s| s.value), Some(State::Back { why: "harm".into() }));
+    assert_eq!(board.state.map(|s| s.value), Some(RolloutState::RolledBack { why: "harm".into() }));
     assert_eq!((board.places.len(), board.samples.len()), (1, 1));
 }
--- a/crates/control-plane/rollout/tests/release.rs
+++ b/crates/control-plane/rollout/tests/release.rs
@@ -1,7 +1,7 @@
 //! Releases over a fleet that is drawn: every one ends whole or back, good ones are not halted, and bad ones touch few.
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rollout::waves::{order, Place};
+use rollout::stages::{order, Placement};
 use rollout::*;
 use std::collections::BTreeSet;
 
@@ -19,34 +19,34 @@
     (mean + spread * normal).round().clamp(0.0, n as f64) as u64
 }
 
-fn build(name: &str) -> Build {
-    Build(name.into())
+fn build(name: &str) -> BuildId {
+    BuildId(name.into())
 }
 
-fn release(number: u64) -> Release {
-    Release {
+fn release(number: u64) -> RolloutSpec {
+    RolloutSpec {
         number,
         old: build("old"),
         new: build("new"),
-        waves: vec![Wave::Count(1), Wave::Share(0.05), Wave::Share(0.3)],
+        waves: vec![Stage::Count(1), Stage::Share(0.05), Stage::Share(0.3)],
         bake_ms: 120_000,
         look_ms: 60_000,
         cap_ms: 240_000,
-        gate: Gate::default(),
+        gate: CanaryAnalysis::default(),
         returns: true,
         by: "ana".into(),
         why: "the first of the month".into(),
     }
 }
 
-fn fleet(size: usize) -> Vec<Instance> {
-    let of = |k: usize| Instance {
+fn fleet(size: usize) -> Vec<InstanceObservation> {
+    let of = |k: usize| InstanceObservation {
         name: format!("m{}b{k}", k % 20),
         zone: ["a", "b", "c"][k % 20 % 3].into(),
         machine: format!("m{}", k % 20),
         runs: Some(build("old")),
         ready: true,
-        ..Instance::default()
+        ..InstanceObservation::default()
     };
     (0..size).map(of).collect()
 }
@@ -54,18 +54,18 @@
 /// Plays a release, ten seconds a step, twenty moves at a time; what new ones fail more is `harm`, and how unlike instances are
 /// anyway is drawn: one in twenty fails five times as much. Returns the end, instances that ever ran the new, and steps.
 fn play(
-    release: &Release,
+    release: &RolloutSpec,
     harm: f64,
     seed: u64,
-    mut meddle: impl FnMut(u64, &mut Vec<Instance>),
-) -> (State, usize, u64) {
+    mut meddle: impl FnMut(u64, &mut Vec<InstanceObservation>),
+) -> (RolloutState, usize, u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (mut seen, mut state) = (fleet(300), release.begin());
     let mut touched = BTreeSet::new();
     for second in (0..20_000u64).step_by(10) {
         let now = second * 1000;
         meddle(second, &mut seen);
-        if let State::Going { since_ms: Some(since), .. } = state {
+        if let RolloutState::InStage { since_ms: Some(since), .. } = state {
             let asked = release.look_ms / 1000 * 14;
             if (now - since) % release.look_ms == 0 {
                 for i in &mut seen {
@@ -73,7 +73,7 @@
                     let fails = own + if i.runs.as_ref() == Some(&release.new) { harm } else { 0.0 };
                     let served = asked - binomial(&mut random, asked, fails);
                     let (late, memory) = (served / 50, 6.0 + unit(&mut random));
-                    i.sample = Some(Sample { asked, served, late, memory });
+                    i.sample = Some(MetricsSample { asked, served, late, memory });
                 }
             }
         }
@@ -84,8 +84,8 @@
             touched.extend((*to == release.new).then(|| name.clone()));
         }
         state = step.state.unwrap_or(state);
-        if matches!(state, State::Whole | State::Back { .. }) {
-            let wanted = if state == State::Whole { &release.new } else { &release.old };
+        if matches!(state, RolloutState::Complete | RolloutState::RolledBack { .. }) {
+            let wanted = if state == RolloutState::Complete { &release.new } else { &release.old };
             assert!(seen.iter().all(|i| i.runs.as_ref() == Some(wanted)), "never in between");
             return (state, touched.len(), second);
         }
@@ -96,8 +96,9 @@
 /// Guards against gates that halt good releases: instances that are unlike each other anyway are no harm.
 #[test]
 fn of_good_releases_hardly_any_is_halted() {
-    let halted =
-        (1..=1000).filter(|&seed| play(&release(seed), 0.0, seed, |_, _| {}).0 != State::Whole).count();
+    let halted = (1..=1000)
+        .filter(|&seed| play(&release(seed), 0.0, seed, |_, _| {}).0 != RolloutState::Complete)
+        .count();
     println!("{halted} of {RELEASES} good releases halted");
     assert!(halted * 100 <= RELEASES as usize, "{halted}, and 1 in 100 is the chance that is allowed");
 }
@@ -107,7 +108,7 @@
 fn bad_builds_are_halted_and_taken_back_and_few_had_them() {
     for (harm, most) in [(0.3, 1), (0.1, 15), (0.05, 90)] {
         let plays: Vec<_> = (1..=100).map(|seed| play(&release(seed), harm, seed, |_, _| {})).collect();
-        let back = plays.iter().filter(|(end, ..)| matches!(end, State::Back { .. })).count();
+        let back = plays.iter().filter(|(end, ..)| matches!(end, RolloutState::RolledBack { .. })).count();
         let mut touched: Vec<usize> = plays.iter().map(|p| p.1).collect();
         touched.sort_unstable();
         println!("{harm}: {back} of 100 taken back; {} (median), {} (most) had it", touched[50], touched[99]);
@@ -118,9 +119,9 @@
 #[test]
 fn the_first_waves_are_spread_over_zones_and_machines_whoever_reckons() {
     let mut seen = fleet(300);
-    let named = |seen: &[Instance]| -> Vec<String> {
+    let named = |seen: &[InstanceObservation]| -> Vec<String> {
         let places: Vec<_> =
-            seen.iter().map(|i| Place { name: &i.name, zone: &i.zone, machine: &i.machine }).collect();
+            seen.iter().map(|i| Placement { name: &i.name, zone: &i.zone, machine: &i.machine }).collect();
         order(7, &places).into_iter().map(String::from).collect()
     };
     let first = named(&seen);
@@ -136,7 +137,7 @@
 /// operator's halt moves nothing until he says on; and who joins meanwhile does not take the new build from another.
 #[test]
 fn what_is_broken_halts_and_a_halt_moves_nothing() {
-    let r = Release { returns: false, ..release(1) };
+    let r = RolloutSpec { returns: false, ..release(1) };
     let mut seen = fleet(30);
     let first = r.step(&r.begin(), &seen, 0).moves;
     assert_eq!(first.len(), 1);
@@ -146,39 +147,48 @@
     assert_eq!(r.step(&r.begin(), &seen, 0).moves, first);
     seen[k].broken = Some("the build is missing".into());
     let halted = r.step(&r.begin(), &seen, 0).state.expect("halted");
-    assert!(matches!(&halted, State::Halted { wave: Some(0), why } if why.contains("missing")), "{halted:?}");
+    assert!(
+        matches!(&halted, RolloutState::Paused { wave: Some(0), why } if why.contains("missing")),
+        "{halted:?}"
+    );
     let step = r.step(&halted, &seen, 1);
     assert!(step.moves.is_empty() && step.state.is_none(), "{step:?}");
-    assert!(r.ordered(&halted, &Order::Halt("again".into())).is_err());
+    assert!(r.ordered(&halted, &OperatorCommand::Pause("again".into())).is_err());
     seen[k].broken = None;
     seen[k].runs = Some(build("new"));
-    let going = r.ordered(&halted, &Order::Resume).expect("goes on");
+    let going = r.ordered(&halted, &OperatorCommand::Resume).expect("goes on");
     // Others join, before it in the order or behind: it keeps what it runs.
     seen.extend(fleet(60).split_off(30));
     let moves = r.step(&going, &seen, 2).moves;
     assert!(moves.iter().all(|(name, to)| *name != seen[k].name && *to == r.new), "{moves:?}");
-    let back = r.ordered(&going, &Order::Back("no".into())).expect("goes back");
+    let back = r.ordered(&going, &OperatorCommand::RollBack("no".into())).expect("goes back");
     // Halted on its way back and resumed, it goes on back.
-    let held = r.ordered(&back, &Order::Halt("wait".into())).expect("held");
-    assert!(matches!(r.ordered(&held, &Order::Resume), Ok(State::Returning { .. })));
+    let held = r.ordered(&back, &OperatorCommand::Pause("wait".into())).expect("held");
+    assert!(matches!(r.ordered(&held, &OperatorCommand::Resume), Ok(RolloutState::RollingBack { .. })));
     assert_eq!(r.step(&back, &seen, 3).moves, [(seen[k].name.clone(), r.old.clone())]);
-    assert_eq!(r.step(&back, &fleet(60), 3).state, Some(State::Back { why: "no".into() }));
+    assert_eq!(r.step(&back, &fleet(60), 3).state, Some(RolloutState::RolledBack { why: "no".into() }));
 }
 
 #[test]
 fn what_contradicts_itself_is_named() {
     let good = release(1);
     assert_eq!(good.check(), Ok(()));
-    let named = |wrong: Release, field: &str| assert!(wrong.check().expect_err(field).starts_with(field));
-    named(Release { new: build("old"), ..good.clone() }, "new:");
-    named(Release { waves: vec![], ..good.clone() }, "waves:");
-    named(Release { waves: vec![Wave::Count(1), Wave::Share(f64::NAN)], ..good.clone() }, "waves[1]:");
-    named(Release { cap_ms: 1, ..good.clone() }, "cap:");
-    named(Release { look_ms: 0, ..good.clone() }, "look:");
-    named(Release { gate: Gate { looks: 3, ..Gate::default() }, ..good.clone() }, "gate.looks:");
+    let named = |wrong: RolloutSpec, field: &str| assert!(wrong.check().expect_err(field).starts_with(field));
+    named(RolloutSpec { new: build("old"), ..good.clone() }, "new:");
+    named(RolloutSpec { waves: vec![], ..good.clone() }, "waves:");
+    named(RolloutSpec { waves: vec![Stage::Count(1), Stage::Share(f64::NAN)], ..good.clone() }, "waves[1]:");
+    named(RolloutSpec { cap_ms: 1, ..good.clone() }, "cap:");
+    named(RolloutSpec { look_ms: 0, ..good.clone() }, "look:");
+    named(
+        RolloutSpec { gate: CanaryAnalysis { looks: 3, ..CanaryAnalysis::default() }, ..good.clone() },
+        "gate.looks:",
+    );
     // And no gate that was not checked panics.
-    let wild = Gate { false_halts: f64::NAN, looks: 0, ..Gate::default() };
-    let sample = Sample { asked: 1000, served: 900, ..Sample::default() };
-    assert!(matches!(wild.look(&[sample], &[sample; 9]), Verdict::Unclear(_)));
-    named(Release { gate: Gate { false_halts: 0.0, ..Gate::default() }, ..good }, "gate.false_halts:");
+    let wild = CanaryAnalysis { false_halts: f64::NAN, looks: 0, ..CanaryAnalysis::default() };
+    let sample = MetricsSample { asked: 1000, served: 900, ..MetricsSample::default() };
+    assert!(matches!(wild.look(&[sample], &[sample; 9]), AnalysisVerdict::Inconclusive(_)));
+    named(
+        RolloutSpec { gate: CanaryAnalysis { false_halts: 0.0, ..CanaryAnalysis::default() }, ..good },
+        "gate.false_halts:",
+    );
 }
--- a/crates/control-plane/supervisor/src/lib.rs
+++ b/crates/control-plane/supervisor/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a supervisor of many balancer processes decides, as a state machine without I/O.
 //!
-//! A [`Fleet`] is told what happens to the processes of its instances ([`Event`]) and answers with what to do
+//! A [`Supervisor`] is told what happens to the processes of its instances ([`Event`]) and answers with what to do
 //! ([`Action`]). Instances are numbered from zero; each process that it starts gets a number of its own, so that news of
 //! an old one is never taken for news of the new. `now` is the time since the supervisor began and never goes back.
 //!
@@ -13,7 +13,7 @@
 
 /// The supervisor's figures.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct SupervisorPolicy {
     /// The pause between two starts at the beginning.
     pub spread: Duration,
     /// How long a process may take until it is ready, and a reload until it is done.
@@ -32,13 +32,13 @@
     pub at_once: usize,
     /// How long a take-over waits while too many old processes of its instance have not ended.
     pub leaving_within: Duration,
-    /// Whether each step of a roll needs leave; see [`Action::Ask`].
+    /// Whether each step of a roll needs leave; see [`Action::RequestLease`].
     pub asks: bool,
 }
 
-impl Default for Figures {
+impl Default for SupervisorPolicy {
     fn default() -> Self {
-        Figures {
+        SupervisorPolicy {
             spread: Duration::from_millis(100),
             ready_within: Duration::from_secs(30),
             stop_within: Duration::from_secs(10),
@@ -55,15 +55,15 @@
 
 /// A process that the supervisor started or found, numbered over all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Process(pub u64);
+pub struct ProcessId(pub u64);
 
 /// What a roll does to each instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Roll {
+pub enum RollingAction {
     /// Ends the process and starts another.
     Restart,
     /// Starts another that takes the sockets over; the old one ends by itself.
-    TakeOver,
+    Handoff,
     /// Has it read its files again.
     Reload,
 }
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Roll through all instances.
-    Roll(Roll),
+    Roll(RollingAction),
     /// Have this one be started anew, whatever it does now: its next process is to be of another build. One that crashed, or
     /// was given up, is started at once; one that the operator stopped stays so.
     Replace(usize),
@@ -86,24 +86,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A process is ready, at first or after a reload that it took.
-    Ready(Process),
+    Ready(ProcessId),
     /// A process did not take the files that it was told to read again.
-    NotReloaded(Process, String),
+    ReloadFailed(ProcessId, String),
     /// A process has ended; `clean`: by itself, with status 0.
-    Ended {
+    Exited {
         /// Which.
-        process: Process,
+        process: ProcessId,
         /// With status 0.
         clean: bool,
         /// In words.
         how: String,
     },
     /// Leave was given for an instance. It has to be used now or not at all.
-    Leave(usize),
+    LeaseGranted(usize),
     /// The operator's wish.
     Command(Command),
     /// Nothing but time has passed.
-    Time,
+    Timeout,
 }
 
 /// A signal to a process.
@@ -112,7 +112,7 @@
     /// Read the files again (SIGHUP).
     Reload,
     /// End (SIGTERM).
-    End,
+    Terminate,
     /// End at once (SIGKILL).
     Kill,
 }
@@ -125,37 +125,37 @@
         /// For this instance.
         instance: usize,
         /// With this number.
-        process: Process,
+        process: ProcessId,
     },
     /// Send a signal.
-    Signal(Process, Signal),
-    /// Leave is wanted to do this to an instance; [`Event::Leave`] gives it.
-    Ask {
+    Signal(ProcessId, Signal),
+    /// Leave is wanted to do this to an instance; [`Event::LeaseGranted`] gives it.
+    RequestLease {
         /// Which.
         instance: usize,
         /// What is to be done.
-        roll: Roll,
+        roll: RollingAction,
     },
     /// The leave for an instance is not wanted any more, whether it was given or not.
-    GiveBack {
+    ReleaseLease {
         /// Which.
         instance: usize,
         /// Whether something was done by it of which the end is still to be seen: another process is to come.
         acted: bool,
     },
     /// A command was not taken, for this reason.
-    Refused(&'static str),
+    Rejected(&'static str),
     /// A roll has come to its end: all instances took it.
-    Rolled(Roll),
+    RollFinished(RollingAction),
     /// A roll was halted; the instances behind were not touched.
-    Halted {
+    RollAborted {
         /// At which instance.
         instance: usize,
         /// Why.
         why: String,
     },
     /// An instance is given up, for this reason.
-    GivenUp {
+    CrashLoop {
         /// Which.
         instance: usize,
         /// Why.
@@ -167,9 +167,9 @@
 
 /// How an instance stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum InstanceState {
     /// Its next process starts then.
-    Waiting(Duration),
+    BackingOff(Duration),
     /// Its process is not ready yet.
     Starting,
     /// Serving.
@@ -183,7 +183,7 @@
     /// It has none, as the operator wants.
     Stopped,
     /// It is not started any more.
-    GivenUp(String),
+    CrashLoop(String),
 }
 
 impl Instance {
@@ -198,17 +198,17 @@
     }
 }
 
-impl fmt::Display for State {
+impl fmt::Display for InstanceState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            State::Waiting(_) => "waiting",
-            State::Starting => "starting",
-            State::Ready => "ready",
-            State::Reloading => "reloading",
-            State::Restarting => "restarting",
-            State::Stopping => "stopping",
-            State::Stopped => "stopped",
-            State::GivenUp(_) => "given up",
+            InstanceState::BackingOff(_) => "waiting",
+            InstanceState::Starting => "starting",
+            InstanceState::Ready => "ready",
+            InstanceState::Reloading => "reloading",
+            InstanceState::Restarting => "restarting",
+            InstanceState::Stopping => "stopping",
+            InstanceState::Stopped => "stopped",
+            InstanceState::CrashLoop(_) => "given up",
         })
     }
 }
@@ -217,13 +217,13 @@
 #[derive(Clone, Debug)]
 pub struct Instance {
     /// How it stands.
-    pub state: State,
+    pub state: InstanceState,
     /// Its process, if it has one.
-    pub process: Option<Process>,
+    pub process: Option<ProcessId>,
     /// One that is to take over from that, and is not ready yet.
-    pub successor: Option<Process>,
+    pub successor: Option<ProcessId>,
     /// Those that passed their sockets on and have not ended.
-    pub leaving: BTreeSet<Process>,
+    pub leaving: BTreeSet<ProcessId>,
     /// Processes started after the first.
     pub restarts: u64,
     /// How long it last took to be ready: from the signal that ended its process, or else from its start.
@@ -243,7 +243,7 @@
 }
 
 struct Rolling {
-    roll: Roll,
+    roll: RollingAction,
     queue: VecDeque<usize>,
     busy: BTreeSet<usize>,
     /// Those for which leave is asked.
@@ -255,22 +255,24 @@
 }
 
 /// Most processes that may be leaving for one instance before a take-over waits.
-const LEAVING_MOST: usize = 4;
+const MAX_DRAINING_PREDECESSORS: usize = 4;
 
 /// The state machine; see the crate's page.
-pub struct Fleet {
-    figures: Figures,
+pub struct Supervisor {
+    figures: SupervisorPolicy,
     instances: Vec<Instance>,
     rolling: Option<Rolling>,
     next: u64,
     stopping: bool,
 }
 
-impl Fleet {
+impl Supervisor {
     /// So many instances, to be started one after another.
-    pub fn new(instances: usize, figures: Figures) -> Fleet {
+    pub fn new(instances: usize, figures: SupervisorPolicy) -> Supervisor {
         let instance = |k: usize| Instance {
-            state: State::Waiting(figures.spread.saturating_mul(u32::try_from(k).unwrap_or(u32::MAX))),
+            state: InstanceState::BackingOff(
+                figures.spread.saturating_mul(u32::try_from(k).unwrap_or(u32::MAX)),
+            ),
             process: None,
             successor: None,
             leaving: BTreeSet::new(),
@@ -285,16 +287,17 @@
             row: 0,
         };
         let instances = (0..instances).map(instance).collect();
-        Fleet { figures, instances, rolling: None, next: 0, stopping: false }
+        Supervisor { figures, instances, rolling: None, next: 0, stopping: false }
     }
 
     /// Takes a process over that was found running, before anything else happens.
-    pub fn adopt(&mut self, now: Duration, instance: usize, ready: bool) -> Process {
+    pub fn adopt(&mut self, now: Duration, instance: usize, ready: bool) -> ProcessId {
         let process = self.number();
         let due = now + self.figures.ready_within;
         if let Some(i) = self.instances.get_mut(instance) {
             (i.process, i.started) = (Some(process), true);
-            (i.state, i.due) = if ready { (State::Ready, Duration::MAX) } else { (State::Starting, due) };
+            (i.state, i.due) =
+                if ready { (InstanceState::Ready, Duration::MAX) } else { (InstanceState::Starting, due) };
         }
         process
     }
@@ -305,27 +308,27 @@
     }
 
     /// The roll that is going on, and how many instances it has still to take.
-    pub fn rolling(&self) -> Option<(Roll, usize)> {
+    pub fn rolling(&self) -> Option<(RollingAction, usize)> {
         self.rolling.as_ref().map(|r| (r.roll, r.queue.len() + r.busy.len()))
     }
 
     /// When it wants to be told of the time.
     pub fn wake(&self) -> Option<Duration> {
         let of = |i: &Instance| match i.state {
-            State::Waiting(at) => at.min(i.due),
+            InstanceState::BackingOff(at) => at.min(i.due),
             _ => i.due,
         };
         let waits = self.rolling.as_ref().and_then(|r| r.waits);
         self.instances.iter().map(of).chain(waits).min().filter(|&at| at < Duration::MAX)
     }
 
-    fn number(&mut self) -> Process {
+    fn number(&mut self) -> ProcessId {
         self.next += 1;
-        Process(self.next)
+        ProcessId(self.next)
     }
 
     /// The instance of a process, unless it is known to have ended.
-    fn of(&self, p: Process) -> Option<usize> {
+    fn of(&self, p: ProcessId) -> Option<usize> {
         let has = |i: &Instance| i.process == Some(p) || i.successor == Some(p) || i.leaving.contains(&p);
         self.instances.iter().position(has)
     }
@@ -334,26 +337,28 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Ready(process) => self.ready(now, process),
-            Event::NotReloaded(process, why) => {
-                if let Some(i) = self.of(process).filter(|&i| self.instances[i].state == State::Reloading) {
+            Event::ReloadFailed(process, why) => {
+                if let Some(i) =
+                    self.of(process).filter(|&i| self.instances[i].state == InstanceState::Reloading)
+                {
                     // It serves on with what it had.
-                    (self.instances[i].state, self.instances[i].due) = (State::Ready, Duration::MAX);
+                    (self.instances[i].state, self.instances[i].due) = (InstanceState::Ready, Duration::MAX);
                     self.halt_at(i, format!("did not take its files: {why}"), actions);
                 }
             }
-            Event::Ended { process, clean, how } => self.ended(now, process, clean, &how, actions),
-            Event::Leave(instance) => {
+            Event::Exited { process, clean, how } => self.ended(now, process, clean, &how, actions),
+            Event::LeaseGranted(instance) => {
                 let asked = self.rolling.as_mut().is_some_and(|r| {
                     let asked = r.asked.remove(&instance);
                     r.given = r.given.or(asked.then_some(instance));
                     asked
                 });
                 if !asked {
-                    actions.push(Action::GiveBack { instance, acted: false });
+                    actions.push(Action::ReleaseLease { instance, acted: false });
                 }
             }
             Event::Command(command) => self.command(now, command, actions),
-            Event::Time => {}
+            Event::Timeout => {}
         }
         self.overdue(now, actions);
         self.start_due(now, actions);
@@ -361,7 +366,7 @@
         self.stopped(actions);
     }
 
-    fn ready(&mut self, now: Duration, process: Process) {
+    fn ready(&mut self, now: Duration, process: ProcessId) {
         let Some(i) = self.of(process) else { return };
         let i = &mut self.instances[i];
         if !i.leaving.contains(&process) {
@@ -371,13 +376,22 @@
         if i.successor == Some(process) {
             i.leaving.extend(i.process);
             (i.process, i.successor, i.restarts) = (Some(process), None, i.restarts + 1);
-            (i.state, i.due) = (State::Ready, Duration::MAX);
-        } else if i.process == Some(process) && matches!(i.state, State::Starting | State::Reloading) {
-            (i.state, i.due) = (State::Ready, Duration::MAX);
+            (i.state, i.due) = (InstanceState::Ready, Duration::MAX);
+        } else if i.process == Some(process)
+            && matches!(i.state, InstanceState::Starting | InstanceState::Reloading)
+        {
+            (i.state, i.due) = (InstanceState::Ready, Duration::MAX);
         }
     }
 
-    fn ended(&mut self, now: Duration, process: Process, clean: bool, how: &str, actions: &mut Vec<Action>) {
+    fn ended(
+        &mut self,
+        now: Duration,
+        process: ProcessId,
+        clean: bool,
+        how: &str,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(k) = self.of(process) else { return };
         let i = &mut self.instances[k];
         if i.leaving.remove(&process) {
@@ -393,9 +407,13 @@
         }
         if let Some(successor) = i.successor.take() {
             // The sockets are left to the one that was to take over; it starts like any other now.
-            let crashed = !matches!(i.state, State::Stopping | State::Restarting);
+            let crashed = !matches!(i.state, InstanceState::Stopping | InstanceState::Restarting);
             (i.process, i.killed) = (Some(successor), false);
-            i.state = if i.state == State::Stopping { State::Stopping } else { State::Starting };
+            i.state = if i.state == InstanceState::Stopping {
+                InstanceState::Stopping
+            } else {
+                InstanceState::Starting
+            };
             i.due = now + self.figures.ready_within;
             if crashed {
                 self.halt_at(k, format!("crashed: {how}"), actions);
@@ -403,12 +421,12 @@
             return;
         }
         (i.process, i.killed, i.due) = (None, false, Duration::MAX);
-        if i.state != State::Restarting {
+        if i.state != InstanceState::Restarting {
             i.since = None;
         }
         match i.state {
-            State::Stopping => i.state = State::Stopped,
-            State::Restarting => i.state = State::Waiting(now),
+            InstanceState::Stopping => i.state = InstanceState::Stopped,
+            InstanceState::Restarting => i.state = InstanceState::BackingOff(now),
             _ => {
                 let said = if clean { "it ended by itself" } else { how };
                 self.crashed(now, k, said.into(), actions);
@@ -434,12 +452,12 @@
         i.crashes.push_back(now);
         if i.crashes.len() >= f.crashes {
             let why = format!("{} crashes within {:?}, the last: {how}", i.crashes.len(), f.window);
-            i.state = State::GivenUp(why.clone());
-            actions.push(Action::GivenUp { instance: k, why });
+            i.state = InstanceState::CrashLoop(why.clone());
+            actions.push(Action::CrashLoop { instance: k, why });
         } else {
             let pause = backoff::doubled(f.pause, f.pause_most, i.row);
             i.row += 1;
-            i.state = State::Waiting(now + pause);
+            i.state = InstanceState::BackingOff(now + pause);
         }
         self.halt_at(k, format!("crashed: {how}"), actions);
     }
@@ -448,7 +466,7 @@
     fn halt_at(&mut self, k: usize, why: String, actions: &mut Vec<Action>) {
         if self.rolling.as_ref().is_some_and(|r| r.busy.contains(&k)) {
             self.leave_off(actions);
-            actions.push(Action::Halted { instance: k, why });
+            actions.push(Action::RollAborted { instance: k, why });
         }
     }
 
@@ -456,17 +474,20 @@
     fn leave_off(&mut self, actions: &mut Vec<Action>) {
         let Some(r) = self.rolling.take().filter(|_| self.figures.asks) else { return };
         let unused = r.asked.iter().copied().chain(r.given);
-        actions.extend(unused.map(|instance| Action::GiveBack { instance, acted: false }));
+        actions.extend(unused.map(|instance| Action::ReleaseLease { instance, acted: false }));
         for instance in r.busy {
-            let acted = r.roll != Roll::Reload && self.instances[instance].state != State::Ready;
-            actions.push(Action::GiveBack { instance, acted });
+            let acted =
+                r.roll != RollingAction::Reload && self.instances[instance].state != InstanceState::Ready;
+            actions.push(Action::ReleaseLease { instance, acted });
         }
     }
 
     fn command(&mut self, now: Duration, command: Command, actions: &mut Vec<Action>) {
         match command {
-            Command::Roll(_) if self.stopping => actions.push(Action::Refused("the fleet is being stopped")),
-            Command::Roll(_) if self.rolling.is_some() => actions.push(Action::Refused("a roll is going on")),
+            Command::Roll(_) if self.stopping => actions.push(Action::Rejected("the fleet is being stopped")),
+            Command::Roll(_) if self.rolling.is_some() => {
+                actions.push(Action::Rejected("a roll is going on"))
+            }
             Command::Roll(roll) => {
                 let queue = (0..self.instances.len()).collect();
                 self.rolling = Some(Rolling {
@@ -481,8 +502,8 @@
             Command::Replace(k) => self.replace(now, k, actions),
             Command::Start => {
                 for i in &mut self.instances {
-                    if matches!(i.state, State::GivenUp(_) | State::Stopped) {
-                        (i.state, i.row) = (State::Waiting(now), 0);
+                    if matches!(i.state, InstanceState::CrashLoop(_) | InstanceState::Stopped) {
+                        (i.state, i.row) = (InstanceState::BackingOff(now), 0);
                         i.crashes.clear();
                     }
                 }
@@ -493,14 +514,14 @@
                 for i in &mut self.instances {
                     match i.process {
                         Some(process) => {
-                            (i.state, i.due) = (State::Stopping, now + self.figures.stop_within);
-                            actions.push(Action::Signal(process, Signal::End));
+                            (i.state, i.due) = (InstanceState::Stopping, now + self.figures.stop_within);
+                            actions.push(Action::Signal(process, Signal::Terminate));
                         }
-                        None => i.state = State::Stopped,
+                        None => i.state = InstanceState::Stopped,
                     }
                     // Those that passed their sockets on hurry with what they have left.
                     let others = i.leaving.iter().copied().chain(i.successor);
-                    actions.extend(others.map(|p| Action::Signal(p, Signal::End)));
+                    actions.extend(others.map(|p| Action::Signal(p, Signal::Terminate)));
                 }
             }
         }
@@ -518,13 +539,13 @@
             actions.push(Action::Signal(successor, Signal::Kill));
         }
         match (&i.state, i.process) {
-            (State::Stopped | State::Stopping, _) => {}
+            (InstanceState::Stopped | InstanceState::Stopping, _) => {}
             (_, Some(process)) => {
                 i.since = Some(now);
-                (i.state, i.due) = (State::Restarting, now + stop_within);
-                actions.push(Action::Signal(process, Signal::End));
+                (i.state, i.due) = (InstanceState::Restarting, now + stop_within);
+                actions.push(Action::Signal(process, Signal::Terminate));
             }
-            (_, None) => i.state = State::Waiting(now),
+            (_, None) => i.state = InstanceState::BackingOff(now),
         }
     }
 
@@ -537,7 +558,7 @@
                 continue;
             }
             i.due = Duration::MAX;
-            if let (Some(successor), State::Ready) = (i.successor, &i.state) {
+            if let (Some(successor), InstanceState::Ready) = (i.successor, &i.state) {
                 actions.push(Action::Signal(successor, Signal::Kill));
                 let why = format!("the process that was to take over is not ready after {ready_within:?}");
                 self.halt_at(k, why, actions);
@@ -545,17 +566,17 @@
             }
             let Some(process) = i.process else { continue };
             match i.state {
-                State::Starting => {
+                InstanceState::Starting => {
                     i.slow = true;
                     // It ends as a crash does, with a pause before the next: it may need one.
                     actions.push(Action::Signal(process, Signal::Kill));
                     self.halt_at(k, format!("not ready after {ready_within:?}"), actions);
                 }
-                State::Reloading => {
-                    i.state = State::Ready;
+                InstanceState::Reloading => {
+                    i.state = InstanceState::Ready;
                     self.halt_at(k, format!("not ready after a reload and {ready_within:?}"), actions);
                 }
-                State::Stopping | State::Restarting if !i.killed => {
+                InstanceState::Stopping | InstanceState::Restarting if !i.killed => {
                     (i.killed, i.due) = (true, now + stop_within);
                     actions.push(Action::Signal(process, Signal::Kill));
                 }
@@ -566,13 +587,13 @@
 
     fn start_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for instance in 0..self.instances.len() {
-            if matches!(self.instances[instance].state, State::Waiting(at) if now >= at) {
+            if matches!(self.instances[instance].state, InstanceState::BackingOff(at) if now >= at) {
                 let process = self.number();
                 let i = &mut self.instances[instance];
                 i.restarts += u64::from(std::mem::replace(&mut i.started, true));
                 i.since = i.since.or(Some(now));
                 (i.state, i.process, i.due) =
-                    (State::Starting, Some(process), now + self.figures.ready_within);
+                    (InstanceState::Starting, Some(process), now + self.figures.ready_within);
                 actions.push(Action::Start { instance, process });
             }
         }
@@ -582,12 +603,13 @@
     fn roll_on(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(mut r) = self.rolling.take() else { return };
         let asks = self.figures.asks;
-        let over =
-            |k: &usize| self.instances[*k].state == State::Ready && self.instances[*k].successor.is_none();
+        let over = |k: &usize| {
+            self.instances[*k].state == InstanceState::Ready && self.instances[*k].successor.is_none()
+        };
         if asks {
-            let acted = r.roll != Roll::Reload;
+            let acted = r.roll != RollingAction::Reload;
             actions.extend(
-                r.busy.iter().filter(|k| over(k)).map(|&instance| Action::GiveBack { instance, acted }),
+                r.busy.iter().filter(|k| over(k)).map(|&instance| Action::ReleaseLease { instance, acted }),
             );
         }
         r.busy.retain(|k| !over(k));
@@ -595,15 +617,18 @@
         while r.busy.len() < self.figures.at_once.max(1) {
             let others = (0..self.instances.len()).filter(|k| !r.busy.contains(k));
             if let Some(bad) = others.clone().find(|&k| {
-                matches!(self.instances[k].state, State::GivenUp(_) | State::Stopped | State::Stopping)
+                matches!(
+                    self.instances[k].state,
+                    InstanceState::CrashLoop(_) | InstanceState::Stopped | InstanceState::Stopping
+                )
             }) {
                 let why = format!("is {}", self.instances[bad].state);
                 r.given = given;
                 self.rolling = Some(r);
                 self.leave_off(actions);
-                return actions.push(Action::Halted { instance: bad, why });
+                return actions.push(Action::RollAborted { instance: bad, why });
             }
-            if others.clone().any(|k| self.instances[k].state != State::Ready) {
+            if others.clone().any(|k| self.instances[k].state != InstanceState::Ready) {
                 break;
             }
             let Some(k) = given.or(r.queue.front().copied()) else { break };
@@ -614,11 +639,12 @@
                     break;
                 }
                 let within = self.figures.leaving_within;
-                let why = format!("{LEAVING_MOST} old processes have not ended after {within:?}");
+                let why =
+                    format!("{MAX_DRAINING_PREDECESSORS} old processes have not ended after {within:?}");
                 r.given = given;
                 self.rolling = Some(r);
                 self.leave_off(actions);
-                return actions.push(Action::Halted { instance: k, why });
+                return actions.push(Action::RollAborted { instance: k, why });
             }
             r.waits = None;
             if asks && given.take().is_none() {
@@ -630,54 +656,54 @@
         }
         if asks {
             // What can't be used now is somebody else's to use.
-            actions.extend(given.map(|instance| Action::GiveBack { instance, acted: false }));
+            actions.extend(given.map(|instance| Action::ReleaseLease { instance, acted: false }));
             self.ask(&mut r, actions);
         }
         if r.busy.is_empty() && r.queue.is_empty() {
-            return actions.push(Action::Rolled(r.roll));
+            return actions.push(Action::RollFinished(r.roll));
         }
         self.rolling = Some(r);
     }
 
     /// Whether too many old processes of an instance have not ended for another take-over of it.
-    fn is_crowded(&self, k: usize, roll: Roll) -> bool {
-        roll == Roll::TakeOver && self.instances[k].leaving.len() >= LEAVING_MOST
+    fn is_crowded(&self, k: usize, roll: RollingAction) -> bool {
+        roll == RollingAction::Handoff && self.instances[k].leaving.len() >= MAX_DRAINING_PREDECESSORS
     }
 
     /// Asks for leave for those that could be taken next, while all others are ready.
     fn ask(&self, r: &mut Rolling, actions: &mut Vec<Action>) {
         let free = self.figures.at_once.max(1).saturating_sub(r.busy.len());
-        let ready =
-            (0..self.instances.len()).all(|k| r.busy.contains(&k) || self.instances[k].state == State::Ready);
+        let ready = (0..self.instances.len())
+            .all(|k| r.busy.contains(&k) || self.instances[k].state == InstanceState::Ready);
         let wanted: BTreeSet<usize> = match ready {
             true => r.queue.iter().copied().take(free).filter(|&k| !self.is_crowded(k, r.roll)).collect(),
             false => BTreeSet::new(),
         };
         for &instance in r.asked.difference(&wanted) {
-            actions.push(Action::GiveBack { instance, acted: false });
+            actions.push(Action::ReleaseLease { instance, acted: false });
         }
         for &instance in wanted.difference(&r.asked) {
-            actions.push(Action::Ask { instance, roll: r.roll });
+            actions.push(Action::RequestLease { instance, roll: r.roll });
         }
         r.asked = wanted;
     }
 
-    fn take(&mut self, now: Duration, k: usize, roll: Roll, actions: &mut Vec<Action>) {
+    fn take(&mut self, now: Duration, k: usize, roll: RollingAction, actions: &mut Vec<Action>) {
         let (ready_within, stop_within) = (self.figures.ready_within, self.figures.stop_within);
-        let successor = if roll == Roll::TakeOver { Some(self.number()) } else { None };
+        let successor = if roll == RollingAction::Handoff { Some(self.number()) } else { None };
         let i = &mut self.instances[k];
         let Some(process) = i.process else { return };
         i.since = Some(now);
         match roll {
-            Roll::Restart => {
-                (i.state, i.due) = (State::Restarting, now + stop_within);
-                actions.push(Action::Signal(process, Signal::End));
+            RollingAction::Restart => {
+                (i.state, i.due) = (InstanceState::Restarting, now + stop_within);
+                actions.push(Action::Signal(process, Signal::Terminate));
             }
-            Roll::Reload => {
-                (i.state, i.due) = (State::Reloading, now + ready_within);
+            RollingAction::Reload => {
+                (i.state, i.due) = (InstanceState::Reloading, now + ready_within);
                 actions.push(Action::Signal(process, Signal::Reload));
             }
-            Roll::TakeOver => {
+            RollingAction::Handoff => {
                 (i.successor, i.due) = (successor, now + ready_within);
                 actions.extend(successor.map(|process| Action::Start { instance: k, process }));
             }
--- a/crates/data-plane/balancer/src/policy/pick.rs
+++ b/crates/data-plane/balancer/src/policy/endpoint_selection.rs
@@ -1,6 +1,6 @@
 //! The pick: the less busy of two random usable upstreams, by own calls in flight.
-use super::chance::below;
-use super::members::{Fleet, Upstream};
+use super::endpoints::{Fleet, Upstream};
+use super::random::below;
 use crate::interface::*;
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Ordering;
--- a/crates/data-plane/balancer/src/policy/members.rs
+++ b/crates/data-plane/balancer/src/policy/endpoints.rs
@@ -1,5 +1,5 @@
 //! Members and their health: who is listed, who is warm, silent or ejected, and the subset that is used.
-use super::chance::unit;
+use super::random::unit;
 use super::{mean_objective, CYCLE};
 use crate::interface::*;
 use rand_pcg::Pcg64Mcg;
--- a/crates/data-plane/balancer/src/policy/mod.rs
+++ b/crates/data-plane/balancer/src/policy/mod.rs
@@ -4,21 +4,21 @@
 //! or the cycle's capacity is not used up, refuse it otherwise; send it to the less busy of two random ready
 //! upstreams by our own calls in flight. Everything else is an exception, and says what it guards against.
 mod admission;
-mod attempts;
-mod chance;
-mod hopeless;
+mod deadline_admission;
+mod endpoint_selection;
+mod endpoints;
 mod limits;
-mod members;
-mod pick;
+mod random;
+mod retries;
 
 use crate::interface::*;
 use admission::{Admission, RETRY_SAVED, SUCCESS_WANTED};
-use attempts::Pending;
-use chance::unit;
-use hopeless::Fastest;
-use members::Fleet;
+use deadline_admission::Fastest;
+use endpoints::Fleet;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use random::unit;
+use retries::Pending;
 use std::collections::BTreeMap;
 
 pub use limits::limits;
--- a/crates/data-plane/balancer/src/policy/attempts.rs
+++ b/crates/data-plane/balancer/src/policy/retries.rs
@@ -1,7 +1,7 @@
 //! Attempts and retries: what is sent, sent again, given up, and what an ending tells.
 use super::admission::{lateness, LATENESS_MOST, RETRY_SAVED};
-use super::chance::unit;
-use super::pick::PickRequest;
+use super::endpoint_selection::PickRequest;
+use super::random::unit;
 use super::{Balancer, CYCLE};
 use crate::interface::*;
 
--- a/crates/data-plane/discovery/src/consul/mod.rs
+++ b/crates/data-plane/discovery/src/consul/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! | module | what it has |
 //! | --- | --- |
-//! | [`list`] | answers of `/v1/health/service/:name` and `/v1/catalog/service/:name` as reports |
+//! | [`service_list`] | answers of `/v1/health/service/:name` and `/v1/catalog/service/:name` as reports |
 //! | [`watch`] | blocking queries on one service in one datacentre: what to ask next, what counts as being told |
-//! | [`register`] | this instance as a service with a TTL check at its agent |
-pub mod list;
-pub mod register;
+//! | [`registration`] | this instance as a service with a TTL check at its agent |
+pub mod registration;
+pub mod service_list;
 pub mod watch;
 
 /// Escapes what goes into a path segment or a query (RFC 3986, section 2.3: unreserved characters stay).
--- a/crates/data-plane/discovery/src/consul/register.rs
+++ b/crates/data-plane/discovery/src/consul/registration.rs
@@ -48,7 +48,7 @@
 
 /// What the instance wants to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wish {
+pub enum DesiredState {
     /// Not known yet.
     Absent,
     /// To be sent to.
@@ -61,7 +61,7 @@
 
 /// What to do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Make this call, and say how it ended.
     Call(Call),
     /// Wait until then, or until the wish changes.
@@ -98,25 +98,25 @@
 }
 
 /// See the module's page. Times are spans since any fixed moment, and never go back.
-pub struct Register {
+pub struct Registrar {
     registration: Registration,
-    wish: Wish,
+    wish: DesiredState,
     /// What the agent was last told, as far as is known.
-    told: Option<Wish>,
+    told: Option<DesiredState>,
     /// What the call that is out would tell.
-    telling: Option<Wish>,
+    telling: Option<DesiredState>,
     backoff: Backoff,
     due: Duration,
 }
 
-impl Register {
+impl Registrar {
     /// Does nothing until it wants to be sent to.
-    pub fn new(registration: Registration) -> Register {
+    pub fn new(registration: Registration) -> Registrar {
         let most = (registration.ttl / 3).max(Duration::from_millis(500));
-        Register {
+        Registrar {
             backoff: Backoff::new(Duration::from_millis(250).min(most), most),
             registration,
-            wish: Wish::Absent,
+            wish: DesiredState::Absent,
             told: None,
             telling: None,
             due: Duration::ZERO,
@@ -128,7 +128,7 @@
     }
 
     /// What the instance wants to be from now on; it never goes back from leaving.
-    pub fn wish(&mut self, now: Duration, wish: Wish) {
+    pub fn wish(&mut self, now: Duration, wish: DesiredState) {
         if wish > self.wish {
             self.wish = wish;
             // At once, whatever pause there was.
@@ -137,27 +137,28 @@
     }
 
     /// What to do now.
-    pub fn next(&mut self, now: Duration) -> Next {
+    pub fn next(&mut self, now: Duration) -> NextStep {
         match (self.told, self.wish) {
-            (Some(Wish::Gone), _) | (None, Wish::Gone) => return Next::Done,
+            (Some(DesiredState::Gone), _) | (None, DesiredState::Gone) => return NextStep::Done,
             // Whoever never told the agent of itself has nothing to take back.
-            (None, Wish::Leaving | Wish::Absent) | (Some(Wish::Leaving), Wish::Leaving) => {
-                return Next::Wait(Duration::MAX);
+            (None, DesiredState::Leaving | DesiredState::Absent)
+            | (Some(DesiredState::Leaving), DesiredState::Leaving) => {
+                return NextStep::Wait(Duration::MAX);
             }
-            _ if now < self.due => return Next::Wait(self.due),
+            _ if now < self.due => return NextStep::Wait(self.due),
             _ => {}
         }
         let (wish, call) = match (self.told, self.wish) {
-            (None, _) => (Wish::Passing, self.register()),
-            (_, Wish::Passing) => (Wish::Passing, self.state("pass", "")),
-            (_, Wish::Gone) => {
+            (None, _) => (DesiredState::Passing, self.register()),
+            (_, DesiredState::Passing) => (DesiredState::Passing, self.state("pass", "")),
+            (_, DesiredState::Gone) => {
                 let path = format!("/v1/agent/service/deregister/{}", escape(&self.registration.id));
-                (Wish::Gone, Call { path, body: String::new() })
+                (DesiredState::Gone, Call { path, body: String::new() })
             }
             (_, wish) => (wish, self.state("fail", "leaving")),
         };
         self.telling = Some(wish);
-        Next::Call(call)
+        NextStep::Call(call)
     }
 
     fn state(&self, state: &str, note: &str) -> Call {
@@ -196,16 +197,17 @@
                 self.backoff.worked();
                 self.told = Some(telling);
                 // Three renewals in each TTL: two may be lost.
-                self.due = if telling == Wish::Passing { now + self.registration.ttl / 3 } else { now };
+                self.due =
+                    if telling == DesiredState::Passing { now + self.registration.ttl / 3 } else { now };
                 None
             }
             // What it does not know need not be taken back.
-            404 if telling == Wish::Gone => {
-                self.told = Some(Wish::Gone);
+            404 if telling == DesiredState::Gone => {
+                self.told = Some(DesiredState::Gone);
                 None
             }
             // An agent that knows no such check says so with 404, older ones with 500: it began anew.
-            404 | 500 if self.told.is_some() && telling != Wish::Gone => {
+            404 | 500 if self.told.is_some() && telling != DesiredState::Gone => {
                 (self.told, self.due) = (None, now + self.backoff.failed(draw));
                 Some(format!("the agent answered {status}: it is registered again"))
             }
@@ -231,8 +233,8 @@
         Duration::from_secs(n)
     }
 
-    fn register() -> Register {
-        Register::new(Registration {
+    fn register() -> Registrar {
+        Registrar::new(Registration {
             service: "portal".into(),
             id: "n 3".into(),
             addr: SocketAddr::from(([127, 0, 0, 1], 8443)),
@@ -243,9 +245,9 @@
         })
     }
 
-    fn path(next: Next) -> String {
+    fn path(next: NextStep) -> String {
         match next {
-            Next::Call(call) => call.path,
+            NextStep::Call(call) => call.path,
             other => format!("{other:?}"),
         }
     }
@@ -253,16 +255,16 @@
     #[test]
     fn it_is_registered_once_it_is_ready_and_renewed() {
         let mut r = register();
-        assert_eq!(r.next(s(0)), Next::Wait(Duration::MAX), "not ready yet");
-        r.wish(s(2), Wish::Passing);
-        let Next::Call(call) = r.next(s(2)) else { panic!("a call") };
+        assert_eq!(r.next(s(0)), NextStep::Wait(Duration::MAX), "not ready yet");
+        r.wish(s(2), DesiredState::Passing);
+        let NextStep::Call(call) = r.next(s(2)) else { panic!("a call") };
         assert_eq!(call.path, "/v1/agent/service/register?replace-existing-checks=true");
         assert_eq!(
             call.body,
             r#"{"ID":"n 3","Name":"portal","Address":"127.0.0.1","Port":8443,"Meta":{"cell":"4"},"Check":{"CheckID":"service:n 3","TTL":"15000ms","Status":"passing","DeregisterCriticalServiceAfter":"60000ms"}}"#
         );
         assert_eq!(r.answered(s(2), 200, 0.5), None);
-        assert_eq!(r.next(s(3)), Next::Wait(s(7)));
+        assert_eq!(r.next(s(3)), NextStep::Wait(s(7)));
         assert_eq!(path(r.next(s(7))), "/v1/agent/check/pass/service%3An%203");
         // Guards against an agent that began anew: nobody would be sent here again.
         assert!(r.answered(s(7), 404, 0.0).expect("said").contains("again"));
@@ -272,45 +274,45 @@
     #[test]
     fn leaving_is_told_at_once_and_the_end_once() {
         let mut r = register();
-        r.wish(s(1), Wish::Passing);
+        r.wish(s(1), DesiredState::Passing);
         r.next(s(1));
         r.answered(s(1), 200, 0.0);
-        r.wish(s(2), Wish::Leaving);
+        r.wish(s(2), DesiredState::Leaving);
         assert_eq!(path(r.next(s(2))), "/v1/agent/check/fail/service%3An%203?note=leaving");
         r.failed(s(2), 1.0);
-        assert!(matches!(r.next(s(2)), Next::Wait(_)));
-        r.wish(s(2), Wish::Passing);
+        assert!(matches!(r.next(s(2)), NextStep::Wait(_)));
+        r.wish(s(2), DesiredState::Passing);
         assert!(path(r.next(s(3))).starts_with("/v1/agent/check/fail"), "it does not come back");
         r.answered(s(3), 200, 0.0);
-        assert_eq!(r.next(s(3)), Next::Wait(Duration::MAX));
-        r.wish(s(4), Wish::Gone);
+        assert_eq!(r.next(s(3)), NextStep::Wait(Duration::MAX));
+        r.wish(s(4), DesiredState::Gone);
         assert_eq!(path(r.next(s(4))), "/v1/agent/service/deregister/n%203");
         assert_eq!(r.answered(s(4), 404, 0.0), None, "it is not known, which was wanted");
-        assert_eq!(r.next(s(5)), Next::Done);
+        assert_eq!(r.next(s(5)), NextStep::Done);
         // One that could never tell the agent of itself has nothing to take back.
         let mut never = register();
-        never.wish(s(0), Wish::Passing);
+        never.wish(s(0), DesiredState::Passing);
         never.next(s(0));
         never.failed(s(0), 0.5);
-        never.wish(s(1), Wish::Gone);
-        assert_eq!(never.next(s(1)), Next::Done);
+        never.wish(s(1), DesiredState::Gone);
+        assert_eq!(never.next(s(1)), NextStep::Done);
     }
 
     /// Guards against hundreds of instances at an agent that has just come back.
     #[test]
     fn what_fails_is_tried_again_with_growing_pauses() {
         let mut r = register();
-        r.wish(s(0), Wish::Passing);
+        r.wish(s(0), DesiredState::Passing);
         let mut now = Duration::ZERO;
         let mut calls = 0;
         while now < s(60) {
             match r.next(now) {
-                Next::Call(_) => {
+                NextStep::Call(_) => {
                     calls += 1;
                     r.failed(now, 1.0);
                 }
-                Next::Wait(until) => now = until,
-                Next::Done => panic!("it goes on"),
+                NextStep::Wait(until) => now = until,
+                NextStep::Done => panic!("it goes on"),
             }
         }
         assert!((12..=20).contains(&calls), "{calls}");
--- a/crates/data-plane/discovery/src/consul/list.rs
+++ b/crates/data-plane/discovery/src/consul/service_list.rs
@@ -6,7 +6,7 @@
 //! How a service stands: node or service maintenance (`_node_maintenance`, `_service_maintenance:ID`) and a weight of 0
 //! mean that it drains; else the worst of its checks counts, its node's among them, of which `critical` keeps new work
 //! away and `warning` does not, as in Consul's own DNS. A state that Consul does not publish counts as critical.
-use crate::report::{Meta, Name, News, Report, Speaks, Standing};
+use crate::endpoint::{EndpointProtocol, EndpointReport, EndpointState, Meta, Name, SourceUpdate};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -47,7 +47,7 @@
     /// Which tagged address is used; empty: the address itself.
     pub tagged: String,
     /// What its members speak.
-    pub speaks: Speaks,
+    pub speaks: EndpointProtocol,
 }
 
 /// Most keys of a member's metadata, and longest one with its value (Consul's own bounds for a service).
@@ -154,7 +154,7 @@
 struct Line {
     text: Box<str>,
     /// `None`: it can't be used, for this reason.
-    report: Result<Report, String>,
+    report: Result<EndpointReport, String>,
     round: u64,
 }
 
@@ -173,7 +173,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Read {
     /// What has changed since the last one.
-    pub news: News,
+    pub news: SourceUpdate,
     /// Entries that can't be used, named, and why; the others hold.
     pub faults: Vec<String>,
     /// Entries that were read anew.
@@ -187,7 +187,7 @@
     }
 
     /// All that it has.
-    pub fn reports(&self) -> Vec<Report> {
+    pub fn reports(&self) -> Vec<EndpointReport> {
         self.names.values().filter_map(|key| self.lines.get(key)?.report.as_ref().ok().cloned()).collect()
     }
 
@@ -269,12 +269,12 @@
             }
         });
         gone.sort();
-        Ok(Read { news: News::Changes(changed, gone), faults, anew })
+        Ok(Read { news: SourceUpdate::Delta(changed, gone), faults, anew })
     }
 
     /// One entry: structure that is not as published is an error of the whole list; what its owner wrote into it is a
     /// fault of that entry alone.
-    fn entry(&self, text: &str) -> Result<Result<Report, String>, serde_json::Error> {
+    fn entry(&self, text: &str) -> Result<Result<EndpointReport, String>, serde_json::Error> {
         let r = &self.reading;
         match r.kind {
             Kind::Health => {
@@ -312,18 +312,18 @@
 }
 
 /// How a service with these checks and weights stands, and why.
-fn standing(checks: &[Check], weights: Option<&Weights>) -> (Standing, Arc<str>) {
-    let (mut worst, mut why, mut warning) = (Standing::Ready, String::new(), false);
+fn standing(checks: &[Check], weights: Option<&Weights>) -> (EndpointState, Arc<str>) {
+    let (mut worst, mut why, mut warning) = (EndpointState::Ready, String::new(), false);
     for check in checks {
         let maintenance = check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance:");
         let passes = matches!(&*check.status, "passing" | "warning");
         warning |= check.status == "warning";
         let (standing, what) = match (maintenance, passes) {
-            (true, false) => (Standing::Draining, "maintenance".to_string()),
+            (true, false) => (EndpointState::Draining, "maintenance".to_string()),
             (_, true) => continue,
             (false, false) => {
                 let name = if check.id.is_empty() { &check.name } else { &check.id };
-                (Standing::Critical, format!("{name}: {}", check.status))
+                (EndpointState::Unhealthy, format!("{name}: {}", check.status))
             }
         };
         if standing > worst {
@@ -332,8 +332,8 @@
     }
     if let Some(weights) = weights {
         let weight = if warning { weights.warning } else { weights.passing };
-        if weight <= 0 && worst < Standing::Draining {
-            return (Standing::Draining, "a weight of 0".into());
+        if weight <= 0 && worst < EndpointState::Draining {
+            return (EndpointState::Draining, "a weight of 0".into());
         }
     }
     (worst, why.into())
@@ -363,7 +363,7 @@
         Meta::new(all)
     }
 
-    fn report(&self, r: &Reading, standing: Standing, why: Arc<str>) -> Result<Report, String> {
+    fn report(&self, r: &Reading, standing: EndpointState, why: Arc<str>) -> Result<EndpointReport, String> {
         let named = |what: &str| format!("{}/{}: {what}", self.node, self.id);
         let meta = |key: &str| {
             let found = self.metas.iter().flatten().find_map(|m| m.get(key)).map(String::as_str);
@@ -392,7 +392,7 @@
         let started_ms = meta(&r.started).parse::<f64>().ok().filter(|ms| (0.0..1e15).contains(ms));
         let cell = meta(&r.cell).parse().unwrap_or(0);
         let text = |key: &str| -> Arc<str> { meta(key).into() };
-        Ok(Report {
+        Ok(EndpointReport {
             name,
             addr: SocketAddr::new(ip, port),
             zone: text(&r.zone),
