--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -4,8 +4,8 @@
 //! | an answer | counts as |
 //! | --- | --- |
 //! | 200, with a leader, fresh enough, readable whole | being told: obeyed at once, also when short or empty |
-//! | the same, but its index went backwards | being told what it says of members; what it lacks stays for [`Figures::regrow`] |
-//! | 200 without a leader, or older than [`Figures::stale_most`] | no news; the next agent is asked |
+//! | the same, but its index went backwards | being told what it says of members; what it lacks stays for [`WatchIntervals::regrow`] |
+//! | 200 without a leader, or older than [`WatchIntervals::stale_most`] | no news; the next agent is asked |
 //! | 200 that was filtered for want of rights (`X-Consul-Results-Filtered-By-ACLs`) | no news: it may lack any member |
 //! | 200 cut off, unreadable, or no list of services | no news |
 //! | 429 | no news; the same agent again after a pause, `Retry-After` at the least |
@@ -17,9 +17,9 @@
 //! member is as good as ever, and a drain binds; that it does not name one is no statement. After the wait its list
 //! counts whole. A true mass removal moves the index on, and is obeyed.
 use super::escape;
-use super::list::{Kind, List, Reading};
-use crate::report::News;
-use crate::watch::{self, Kind as Call, Plan, Step};
+use super::service_list::{Kind, List, Reading};
+use crate::endpoint::SourceUpdate;
+use crate::watch::{self, CallKind as Call, Step, WatchTiming};
 use std::time::Duration;
 
 /// Consul adds up to this part of a query's wait to it.
@@ -33,7 +33,7 @@
 
 /// What holds for all watches of a source.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct WatchIntervals {
     /// How long a query waits for news: Consul's `wait`.
     pub wait: Duration,
     /// The least time between two answers that bring news: what changes more often is told together.
@@ -48,10 +48,10 @@
     pub regrow: Duration,
 }
 
-impl Default for Figures {
+impl Default for WatchIntervals {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        Figures {
+        WatchIntervals {
             wait: ms(10_000),
             pace: ms(100),
             pause: ms(250),
@@ -62,11 +62,11 @@
     }
 }
 
-impl Figures {
+impl WatchIntervals {
     /// How a watch goes about it. What a watch that fell silent missed is read within `wait` and a sixteenth of it, 2 s
     /// for the answer, a pause, and 2 s for the call after it.
-    fn plan(&self) -> Plan {
-        Plan {
+    fn plan(&self) -> WatchTiming {
+        WatchTiming {
             wait: self.wait,
             answer: ANSWER,
             late: Some(LATE),
@@ -116,7 +116,7 @@
 
 /// A query to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// Of which agent, by position.
     pub agent: usize,
     /// Path and query.
@@ -127,16 +127,16 @@
 
 /// What to do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Make this query, and say how it ended.
-    Ask(Ask),
+    Ask(Request),
     /// Wait until then.
     Wait(Duration),
 }
 
 /// An answer's status and the headers that count.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// `X-Consul-Index`; `None`: absent or no number.
@@ -151,12 +151,12 @@
     pub retry_after: Option<u64>,
 }
 
-impl Head {
+impl ResponseHead {
     /// Of a status and the headers that `get` finds by their names in small letters.
-    pub fn new<'a>(status: u16, get: impl Fn(&str) -> Option<&'a str>) -> Head {
+    pub fn new<'a>(status: u16, get: impl Fn(&str) -> Option<&'a str>) -> ResponseHead {
         let number = |name: &str| get(name).and_then(|v| v.trim().parse().ok());
         let flag = |name: &str| get(name).map(|v| v.trim().eq_ignore_ascii_case("true"));
-        Head {
+        ResponseHead {
             status,
             index: number("x-consul-index"),
             known_leader: flag("x-consul-knownleader"),
@@ -169,9 +169,9 @@
 
 /// What an answer came to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Verdict {
+pub struct ResponseOutcome {
     /// For the view; `Changes` without any: nothing has changed.
-    pub news: News,
+    pub news: SourceUpdate,
     /// Entries that can't be used, and why.
     pub faults: Vec<String>,
 }
@@ -179,7 +179,7 @@
 /// See the module's page. Times are spans since any fixed moment, and never go back.
 pub struct Watch {
     target: Target,
-    figures: Figures,
+    figures: WatchIntervals,
     agents: usize,
     agent: usize,
     list: List,
@@ -201,7 +201,7 @@
     pub fn new(
         target: Target,
         reading: Reading,
-        figures: Figures,
+        figures: WatchIntervals,
         agents: usize,
         index: Option<u64>,
     ) -> Watch {
@@ -242,12 +242,12 @@
     }
 
     /// What to do now. `draw`, from 0 to 1, spreads the waits of many instances.
-    pub fn next(&mut self, now: Duration, draw: f64) -> Next {
+    pub fn next(&mut self, now: Duration, draw: f64) -> NextStep {
         // The list is asked for whole where nothing can be waited on.
         let index = self.index.filter(|&i| self.told && i > 0);
         let (kind, wait, patience) = match self.watch.step(now, draw, index.is_some()) {
             Step::Call { kind, wait, patience } => (kind, wait, patience),
-            Step::Wait(until) => return Next::Wait(until),
+            Step::Wait(until) => return NextStep::Wait(until),
         };
         self.watch.called(now, kind, patience);
         let t = &self.target;
@@ -278,7 +278,7 @@
             Consistency::Stale => add("stale", ""),
             Consistency::Consistent => add("consistent", ""),
         }
-        if let (Some(index), true) = (index, kind != Call::Whole) {
+        if let (Some(index), true) = (index, kind != Call::FullList) {
             // When the list counts whole again it has to be asked for, though nothing changes.
             let wait = match self.regrows {
                 Some(regrows) => wait.min(regrows.saturating_sub(now)).max(Duration::from_millis(1)),
@@ -290,11 +290,17 @@
         if path.ends_with('?') {
             path.pop();
         }
-        Next::Ask(Ask { agent: self.agent, path, patience })
+        NextStep::Ask(Request { agent: self.agent, path, patience })
     }
 
     /// An answer has come whole.
-    pub fn answered(&mut self, now: Duration, head: &Head, body: &[u8], draw: f64) -> Verdict {
+    pub fn answered(
+        &mut self,
+        now: Duration,
+        head: &ResponseHead,
+        body: &[u8],
+        draw: f64,
+    ) -> ResponseOutcome {
         match self.judge(now, head, body) {
             Ok(verdict) => {
                 self.watch.answered(now);
@@ -313,20 +319,20 @@
                 if head.status != 429 {
                     self.agent = (self.agent + 1) % self.agents;
                 }
-                Verdict { news: News::None(why), faults: Vec::new() }
+                ResponseOutcome { news: SourceUpdate::Unavailable(why), faults: Vec::new() }
             }
         }
     }
 
     /// No whole answer has come.
-    pub fn failed(&mut self, now: Duration, why: &str, draw: f64) -> Verdict {
+    pub fn failed(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
         self.told = false;
         self.watch.broke(now, draw);
         self.agent = (self.agent + 1) % self.agents;
-        Verdict { news: News::None(why.into()), faults: Vec::new() }
+        ResponseOutcome { news: SourceUpdate::Unavailable(why.into()), faults: Vec::new() }
     }
 
-    fn judge(&mut self, now: Duration, head: &Head, body: &[u8]) -> Result<Verdict, String> {
+    fn judge(&mut self, now: Duration, head: &ResponseHead, body: &[u8]) -> Result<ResponseOutcome, String> {
         if head.status != 200 {
             let said: String =
                 String::from_utf8_lossy(body).chars().filter(|c| !c.is_control()).take(120).collect();
@@ -354,10 +360,10 @@
         let mut read = self.list.read(body, regrows.is_some())?;
         (self.regrows, self.told) = (regrows, true);
         if regrows.is_none() && !std::mem::replace(&mut self.whole, true) {
-            read.news = News::Whole(self.list.reports());
+            read.news = SourceUpdate::Full(self.list.reports());
         }
         // While a new history grows, the next answer follows it.
         self.index = index;
-        Ok(Verdict { news: read.news, faults: read.faults })
+        Ok(ResponseOutcome { news: read.news, faults: read.faults })
     }
 }
--- a/crates/data-plane/discovery/src/report.rs
+++ b/crates/data-plane/discovery/src/endpoint.rs
@@ -10,12 +10,13 @@
 /// What a source says of a member. The order is that of badness: of several, the worst counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum EndpointState {
     /// It takes new work.
     #[default]
     Ready,
     /// Its checks fail: it takes none, though nobody has said that it drains.
-    Critical,
+    #[serde(rename = "critical")]
+    Unhealthy,
     /// It finishes what it holds: it takes none.
     Draining,
 }
@@ -23,7 +24,7 @@
 /// What a member speaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Speaks {
+pub enum EndpointProtocol {
     /// HTTP/1.1.
     #[default]
     Http,
@@ -33,7 +34,7 @@
 
 /// One member as a source has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct EndpointReport {
     /// Which.
     pub name: Name,
     /// Where it listens, as this instance sees it.
@@ -46,9 +47,9 @@
     pub cell: u16,
     /// What it speaks.
     #[serde(default)]
-    pub speaks: Speaks,
+    pub speaks: EndpointProtocol,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// Why, in a few words, where it does not stand ready.
     pub why: Arc<str>,
     /// When its process last started, in Unix milliseconds; 0: long ago; `None`: the source does not say.
@@ -65,11 +66,11 @@
 
 /// What a source tells of its list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum SourceUpdate {
     /// The whole list: what it lacks is gone. Obeyed at once, also when it is short or empty.
-    Whole(Vec<Report>),
+    Full(Vec<EndpointReport>),
     /// What has changed since: reports that are new or differ, and names that are gone.
-    Changes(Vec<Report>, Vec<Name>),
+    Delta(Vec<EndpointReport>, Vec<Name>),
     /// Nothing that counts, and why: the list stands as it was.
-    None(String),
+    Unavailable(String),
 }
--- a/crates/data-plane/discovery/src/saved.rs
+++ b/crates/data-plane/discovery/src/endpoint_cache.rs
@@ -1,6 +1,6 @@
 //! The last view as it is kept over a restart: what each source told, starts that were heard of, and how far the watches
 //! had come. As JSON; the file around it (checksum, age, version) is the store's.
-use crate::view::{Kept, Source, View};
+use crate::endpoint_set::{CachedReport, EndpointSet, Source};
 use serde::{Deserialize, Serialize};
 
 /// The form of the content.
@@ -8,20 +8,20 @@
 
 /// What is kept.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct EndpointCache {
     /// What each source told.
-    pub reports: Vec<Kept>,
+    pub reports: Vec<CachedReport>,
     /// When each source last told something that counts, in Unix milliseconds.
     pub told: Vec<(Source, f64)>,
     /// The newest index or version that each source was told.
     pub indices: Vec<(Source, u64)>,
 }
 
-impl Saved {
+impl EndpointCache {
     /// Of a view, and how far its sources have come.
-    pub fn of(view: &View, indices: Vec<(Source, u64)>) -> Saved {
+    pub fn of(view: &EndpointSet, indices: Vec<(Source, u64)>) -> EndpointCache {
         let told = view.sources().filter_map(|(s, told)| Some((s.clone(), told.at?))).collect();
-        Saved { reports: view.kept().collect(), told, indices }
+        EndpointCache { reports: view.kept().collect(), told, indices }
     }
 
     /// Leaves out what sources told longer ago than this, and returns them.
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn read(bytes: &[u8]) -> Result<Saved, String> {
+    pub fn read(bytes: &[u8]) -> Result<EndpointCache, String> {
         serde_json::from_slice(bytes).map_err(|e| e.to_string())
     }
 }
--- a/crates/data-plane/discovery/src/view.rs
+++ b/crates/data-plane/discovery/src/endpoint_set.rs
@@ -7,13 +7,13 @@
 //! | one address, two names in one source | the one registered last; the other is gone |
 //! | nothing of a name any more, by all that listed it | it is gone |
 //! | no start time | cold from when this name was first seen at this address, or was registered anew |
-//! | a name that is held out ([`View::hold`]) | it drains; held no more, it starts anew then: cold |
-//! | none that is ready, some whose checks fail | with a last resort ([`View::new`]), those take work: better than none |
+//! | a name that is held out ([`EndpointSet::hold`]) | it drains; held no more, it starts anew then: cold |
+//! | none that is ready, some whose checks fail | with a last resort ([`EndpointSet::new`]), those take work: better than none |
 //!
 //! What it has depends on the last word of each source only, not on the order in which they came or on what was lost on
 //! the way (but for starts that nobody states, which are when this instance heard of them). Its cost grows with what
 //! changes: a member is merged anew when something is told of it, of its address, or of one that shares these.
-use crate::report::{Meta, Name, News, Report, Speaks, Standing};
+use crate::endpoint::{EndpointProtocol, EndpointReport, EndpointState, Meta, Name, SourceUpdate};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 
 /// One member as all sources together have it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Merged {
+pub struct Endpoint {
     /// Which.
     pub name: Name,
     /// Where it listens.
@@ -42,9 +42,9 @@
     /// Its group.
     pub cell: u16,
     /// What it speaks.
-    pub speaks: Speaks,
+    pub speaks: EndpointProtocol,
     /// The worst that a source says of it.
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// Whether it takes new work.
     pub takes: bool,
     /// Why it does not stand ready.
@@ -61,16 +61,16 @@
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum EndpointChange {
     /// It is new, or differs from before.
-    Is(Merged),
+    Updated(Endpoint),
     /// It is gone; this is what it was.
-    Gone(Merged),
+    Removed(Endpoint),
 }
 
 /// How a source stands.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct SourceStatus {
     /// When it last told something that counts, in Unix milliseconds.
     pub at: Option<f64>,
     /// Why what it said last does not count; `None`: it does.
@@ -81,24 +81,24 @@
 
 /// What is remembered of a process whose start nobody states.
 #[derive(Clone, Debug)]
-struct Seen {
+struct FirstSeen {
     since: f64,
     /// Its registration at each source.
     registered: BTreeMap<Source, u64>,
 }
 
 /// A report that is kept over a restart, with the start that was heard of where none is stated.
-pub type Kept = (Source, Report, Option<f64>);
+pub type CachedReport = (Source, EndpointReport, Option<f64>);
 
 /// See the module's page.
 #[derive(Debug, Default)]
-pub struct View {
-    sources: BTreeMap<Source, Told>,
-    reports: BTreeMap<(Name, Source), Report>,
+pub struct EndpointSet {
+    sources: BTreeMap<Source, SourceStatus>,
+    reports: BTreeMap<(Name, Source), EndpointReport>,
     at: BTreeMap<SocketAddr, BTreeSet<(Name, Source)>>,
     /// By name and address.
-    seen: BTreeMap<Name, BTreeMap<SocketAddr, Seen>>,
-    merged: BTreeMap<Name, Merged>,
+    seen: BTreeMap<Name, BTreeMap<SocketAddr, FirstSeen>>,
+    merged: BTreeMap<Name, Endpoint>,
     last_resort: bool,
     /// Names that are held out, and why; names that were, and when that ended, in Unix milliseconds.
     held: BTreeMap<Name, Arc<str>>,
@@ -108,10 +108,10 @@
     critical: BTreeSet<Name>,
 }
 
-impl View {
+impl EndpointSet {
     /// A view of no sources yet. With `last_resort` members whose checks fail take work while none is ready.
-    pub fn new(last_resort: bool) -> View {
-        View { last_resort, ..View::default() }
+    pub fn new(last_resort: bool) -> EndpointSet {
+        EndpointSet { last_resort, ..EndpointSet::default() }
     }
 
     /// Adds a source that has not told anything yet.
@@ -120,12 +120,12 @@
     }
 
     /// How each source stands.
-    pub fn sources(&self) -> impl Iterator<Item = (&Source, &Told)> {
+    pub fn sources(&self) -> impl Iterator<Item = (&Source, &SourceStatus)> {
         self.sources.iter()
     }
 
     /// The members, by name.
-    pub fn members(&self) -> impl Iterator<Item = &Merged> {
+    pub fn members(&self) -> impl Iterator<Item = &Endpoint> {
         self.merged.values()
     }
 
@@ -133,9 +133,9 @@
     /// have are left out. Starts that were heard of hold for the same names at the same addresses.
     pub fn recall(
         &mut self,
-        kept: impl IntoIterator<Item = Kept>,
+        kept: impl IntoIterator<Item = CachedReport>,
         told: impl IntoIterator<Item = (Source, f64)>,
-    ) -> Vec<Change> {
+    ) -> Vec<EndpointChange> {
         for (source, at) in told {
             if let Some(told) = self.sources.get_mut(&source).filter(|_| at.is_finite()) {
                 told.at = Some(at);
@@ -149,15 +149,15 @@
             if let Some(since) = since.filter(|s| s.is_finite() && *s >= 0.0) {
                 let registered = BTreeMap::from([(source.clone(), report.registered)]);
                 let seen = self.seen.entry(report.name.clone()).or_default();
-                seen.insert(report.addr, Seen { since, registered });
+                seen.insert(report.addr, FirstSeen { since, registered });
             }
             self.put(&source, report, &mut touched);
         }
         self.merge(0.0, touched)
     }
 
-    /// Every report with its source, and the start that was heard of where none is stated: what [`View::recall`] takes.
-    pub fn kept(&self) -> impl Iterator<Item = Kept> + '_ {
+    /// Every report with its source, and the start that was heard of where none is stated: what [`EndpointSet::recall`] takes.
+    pub fn kept(&self) -> impl Iterator<Item = CachedReport> + '_ {
         self.reports.iter().map(|((name, source), report)| {
             let seen = self.seen.get(name).and_then(|at| at.get(&report.addr)).map(|s| s.since);
             (source.clone(), report.clone(), seen.filter(|_| report.started_ms.is_none()))
@@ -166,15 +166,15 @@
 
     /// Takes what a source tells, and returns what has changed: those that go before those that come. `now` is Unix
     /// time in milliseconds.
-    pub fn take(&mut self, now: f64, source: &Source, news: News) -> Vec<Change> {
+    pub fn take(&mut self, now: f64, source: &Source, news: SourceUpdate) -> Vec<EndpointChange> {
         let told = self.sources.entry(source.clone()).or_default();
         let (reports, gone) = match news {
-            News::None(why) => {
+            SourceUpdate::Unavailable(why) => {
                 told.trouble = Some(why);
                 return Vec::new();
             }
-            News::Changes(reports, gone) => (reports, gone),
-            News::Whole(reports) => {
+            SourceUpdate::Delta(reports, gone) => (reports, gone),
+            SourceUpdate::Full(reports) => {
                 let named: BTreeSet<&Name> = reports.iter().map(|r| &r.name).collect();
                 let lacks = |(name, s): &&(Name, Source)| s == source && !named.contains(name);
                 let gone = self.reports.keys().filter(lacks).map(|(name, _)| name.clone()).collect();
@@ -199,7 +199,7 @@
 
     /// From now on these names are held out, for these reasons, and no others, whatever sources say of them. Returns what has
     /// changed. A name that is held no more counts as started now, at `now` in Unix milliseconds.
-    pub fn hold(&mut self, now: f64, names: &BTreeMap<String, String>) -> Vec<Change> {
+    pub fn hold(&mut self, now: f64, names: &BTreeMap<String, String>) -> Vec<EndpointChange> {
         let next: BTreeMap<Name, Arc<str>> =
             names.iter().map(|(name, why)| (name.as_str().into(), why.as_str().into())).collect();
         let mut touched = BTreeSet::new();
@@ -214,7 +214,7 @@
         self.merge(now, touched)
     }
 
-    fn put(&mut self, source: &Source, report: Report, touched: &mut BTreeSet<Name>) {
+    fn put(&mut self, source: &Source, report: EndpointReport, touched: &mut BTreeSet<Name>) {
         let key = (report.name.clone(), source.clone());
         match self.reports.get(&key) {
             Some(before) if *before == report => return,
@@ -259,13 +259,13 @@
     }
 
     /// Marks all whose merging depends on this report: its name, and those that share its address.
-    fn touch(&self, report: &Report, touched: &mut BTreeSet<Name>) {
+    fn touch(&self, report: &EndpointReport, touched: &mut BTreeSet<Name>) {
         touched.insert(report.name.clone());
         let here = self.at.get(&report.addr).into_iter().flatten();
         touched.extend(here.map(|(name, _)| name.clone()));
     }
 
-    fn merge(&mut self, now: f64, touched: BTreeSet<Name>) -> Vec<Change> {
+    fn merge(&mut self, now: f64, touched: BTreeSet<Name>) -> Vec<EndpointChange> {
         if touched.is_empty() {
             return Vec::new();
         }
@@ -295,13 +295,13 @@
         for (name, old) in before {
             match self.merged.get_mut(&name) {
                 Some(member) => {
-                    member.takes = member.standing == Standing::Ready
-                        || (resort && member.standing == Standing::Critical);
+                    member.takes = member.standing == EndpointState::Ready
+                        || (resort && member.standing == EndpointState::Unhealthy);
                     if old.as_ref() != Some(member) {
-                        come.push(Change::Is(member.clone()));
+                        come.push(EndpointChange::Updated(member.clone()));
                     }
                 }
-                None => gone.extend(old.map(Change::Gone)),
+                None => gone.extend(old.map(EndpointChange::Removed)),
             }
         }
         gone.append(&mut come);
@@ -309,21 +309,21 @@
     }
 
     /// Puts a member in the place of what there was, which it returns.
-    fn replace(&mut self, name: &Name, next: Option<Merged>) -> Option<Merged> {
+    fn replace(&mut self, name: &Name, next: Option<Endpoint>) -> Option<Endpoint> {
         if let Some(next) = &next {
-            self.ready += usize::from(next.standing == Standing::Ready);
-            if next.standing == Standing::Critical {
+            self.ready += usize::from(next.standing == EndpointState::Ready);
+            if next.standing == EndpointState::Unhealthy {
                 self.critical.insert(name.clone());
             }
         }
-        let critical = next.as_ref().is_some_and(|n| n.standing == Standing::Critical);
+        let critical = next.as_ref().is_some_and(|n| n.standing == EndpointState::Unhealthy);
         let before = match next {
             Some(next) => self.merged.insert(name.clone(), next),
             None => self.merged.remove(name),
         };
         if let Some(before) = &before {
-            self.ready -= usize::from(before.standing == Standing::Ready);
-            if before.standing == Standing::Critical && !critical {
+            self.ready -= usize::from(before.standing == EndpointState::Ready);
+            if before.standing == EndpointState::Unhealthy && !critical {
                 self.critical.remove(name);
             }
         }
@@ -336,7 +336,7 @@
     }
 
     /// The sources' reports of a name.
-    fn of<'a>(&'a self, name: &Name) -> impl Iterator<Item = (&'a Source, &'a Report)> + 'a {
+    fn of<'a>(&'a self, name: &Name) -> impl Iterator<Item = (&'a Source, &'a EndpointReport)> + 'a {
         let first = Source { rank: 0, label: "".into() };
         let name = name.clone();
         let from = self.reports.range((name.clone(), first)..);
@@ -346,9 +346,10 @@
     /// Where a name is: where the process is that started last; of several that say nothing of that, where the first
     /// source has it.
     fn place(&self, name: &Name) -> Option<SocketAddr> {
-        let mut best: Option<&Report> = None;
+        let mut best: Option<&EndpointReport> = None;
         for (_, report) in self.of(name) {
-            let later = |than: &Report| report.started_ms.unwrap_or(0.0) > than.started_ms.unwrap_or(0.0);
+            let later =
+                |than: &EndpointReport| report.started_ms.unwrap_or(0.0) > than.started_ms.unwrap_or(0.0);
             if best.is_none_or(later) {
                 best = Some(report);
             }
@@ -357,17 +358,17 @@
     }
 
     /// A name as it is to be in the view; `None`: it is not.
-    fn one(&mut self, name: &Name, now: f64) -> Option<Merged> {
+    fn one(&mut self, name: &Name, now: f64) -> Option<Endpoint> {
         let addr = self.place(name)?;
         // All that is told of this address under names whose place it is.
         let told =
             self.at.get(&addr)?.iter().filter(|(other, _)| other == name || self.place(other) == Some(addr));
-        let here: Vec<(&Source, &Report)> =
+        let here: Vec<(&Source, &EndpointReport)> =
             told.filter_map(|key| Some((&key.1, self.reports.get(key)?))).collect();
         // Within one source the last registration counts; several that are as new are one process under two names.
         let last =
             |source: &Source| here.iter().filter(|(s, _)| *s == source).map(|(_, r)| r.registered).max();
-        let mut present: Vec<(&Source, &Report)> =
+        let mut present: Vec<(&Source, &EndpointReport)> =
             here.iter().filter(|(s, r)| last(s) == Some(r.registered)).copied().collect();
         present.sort_by(|a, b| (a.0, &a.1.name).cmp(&(b.0, &b.1.name)));
         // Its name is that by which the first source knows it.
@@ -378,14 +379,14 @@
         let standing = present.iter().map(|(_, r)| r.standing).max()?;
         let worst = present.iter().map(|(_, r)| *r).find(|r| r.standing == standing)?;
         let stated = present.iter().filter_map(|(_, r)| r.started_ms).reduce(f64::max);
-        let text = |of: fn(&Report) -> &Arc<str>| {
+        let text = |of: fn(&EndpointReport) -> &Arc<str>| {
             let said = present.iter().map(|(_, r)| of(r)).find(|t| !t.is_empty());
             said.unwrap_or(of(first)).clone()
         };
         let (zone, kind, mut why) = (text(|r| &r.zone), text(|r| &r.kind), worst.why.clone());
         let mut standing = standing;
         if let Some(held) = self.held.get(name) {
-            (standing, why) = (Standing::Draining, held.clone());
+            (standing, why) = (EndpointState::Draining, held.clone());
         }
         let (cell, speaks) = (first.cell, first.speaks);
         let registered: BTreeMap<Source, u64> =
@@ -402,7 +403,7 @@
         };
         let since = self.returned.get(name).map_or(since, |&returned| since.max(returned));
         let (name, stated) = (name.clone(), stated.is_some());
-        Some(Merged {
+        Some(Endpoint {
             name,
             addr,
             zone,
@@ -428,12 +429,12 @@
         now: f64,
     ) -> f64 {
         let known = names.iter().filter_map(|n| self.seen.get(n)?.get(&addr));
-        let same = |seen: &&Seen| {
+        let same = |seen: &&FirstSeen| {
             registered.iter().all(|(s, r)| seen.registered.get(s).is_none_or(|before| before == r))
         };
         let since = known.filter(same).map(|s| s.since).reduce(f64::max).unwrap_or(now);
         for name in names {
-            let seen = Seen { since, registered: registered.clone() };
+            let seen = FirstSeen { since, registered: registered.clone() };
             self.seen.entry(name.clone()).or_default().insert(addr, seen);
         }
         since
--- a/crates/data-plane/discovery/src/platform/mod.rs
+++ b/crates/data-plane/discovery/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! The platform's discovery: its answers as reports, the watch on it, and by when what it has to tell counts as told.
-pub mod told;
+pub mod staleness;
 pub mod watch;
 
-use crate::report::{Meta, Name, News, Report, Speaks, Standing};
+use crate::endpoint::{EndpointProtocol, EndpointReport, EndpointState, Meta, Name, SourceUpdate};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -15,17 +15,17 @@
     /// Whether this is the whole list, or only what changed.
     pub full: bool,
     /// What it tells.
-    pub news: News,
+    pub news: SourceUpdate,
     /// Entries that can't be used, and why.
     pub faults: Vec<String>,
 }
 
 impl Answer {
     /// The reports of a whole list.
-    pub fn reports(&self) -> &[Report] {
+    pub fn reports(&self) -> &[EndpointReport] {
         match &self.news {
-            News::Whole(reports) | News::Changes(reports, _) => reports,
-            News::None(_) => &[],
+            SourceUpdate::Full(reports) | SourceUpdate::Delta(reports, _) => reports,
+            SourceUpdate::Unavailable(_) => &[],
         }
     }
 }
@@ -53,8 +53,8 @@
 }
 
 /// What one entry says.
-enum Said {
-    Is(Report),
+enum EntryUpdate {
+    Is(EndpointReport),
     Gone(Name),
     /// It finishes what it has, and the rest of its entry can't be used.
     Leaves(Name, String),
@@ -66,12 +66,17 @@
 /// It is no list. Entries that can't be used are [`Answer::faults`] and change nothing, but for what says that an upstream
 /// leaves: that binds whatever else is wrong with it.
 pub fn read(json: &[u8]) -> Result<Answer, String> {
-    let mut answer = Answer { version: 0, full: false, news: News::None(String::new()), faults: Vec::new() };
+    let mut answer = Answer {
+        version: 0,
+        full: false,
+        news: SourceUpdate::Unavailable(String::new()),
+        faults: Vec::new(),
+    };
     let (mut reports, mut gone) = (Vec::new(), Vec::new());
-    let mut take = |said: Result<Said, String>| match said {
-        Ok(Said::Is(report)) => reports.push(report),
-        Ok(Said::Gone(name)) => gone.push(name),
-        Ok(Said::Leaves(name, fault)) => {
+    let mut take = |said: Result<EntryUpdate, String>| match said {
+        Ok(EntryUpdate::Is(report)) => reports.push(report),
+        Ok(EntryUpdate::Gone(name)) => gone.push(name),
+        Ok(EntryUpdate::Leaves(name, fault)) => {
             gone.push(name);
             answer.faults.push(fault);
         }
@@ -90,53 +95,57 @@
         }
     };
     (answer.version, answer.full) = (version, full);
-    answer.news = if full { News::Whole(reports) } else { News::Changes(reports, gone) };
+    answer.news = if full { SourceUpdate::Full(reports) } else { SourceUpdate::Delta(reports, gone) };
     Ok(answer)
 }
 
-fn said(line: Line) -> Result<Said, String> {
+fn said(line: Line) -> Result<EntryUpdate, String> {
     if line.id.is_empty() {
         return Err("an upstream without an id".into());
     }
     if line.state == "left" {
-        return Ok(Said::Gone(line.id.into()));
+        return Ok(EntryUpdate::Gone(line.id.into()));
     }
     if !(0.0..1e15).contains(&line.started_ms) {
         let fault = format!("upstream {:?}: started_ms reads {}", line.id, line.started_ms);
-        return if line.state == "leaving" { Ok(Said::Leaves(line.id.into(), fault)) } else { Err(fault) };
+        return if line.state == "leaving" {
+            Ok(EntryUpdate::Leaves(line.id.into(), fault))
+        } else {
+            Err(fault)
+        };
     }
     match line.state.as_str() {
-        "active" => Ok(Said::Is(report(line, Standing::Ready, ""))),
-        "leaving" => Ok(Said::Is(report(line, Standing::Draining, "leaving"))),
+        "active" => Ok(EntryUpdate::Is(report(line, EndpointState::Ready, ""))),
+        "leaving" => Ok(EntryUpdate::Is(report(line, EndpointState::Draining, "leaving"))),
         other => Err(format!("upstream {:?}: unknown state {other:?}", line.id)),
     }
 }
 
 /// What can be had of an entry of a list in which one is broken.
-fn salvaged(entry: Value) -> Result<Said, String> {
+fn salvaged(entry: Value) -> Result<EntryUpdate, String> {
     let text = |field: &str| entry.get(field).and_then(Value::as_str).unwrap_or_default().to_string();
     let (id, state) = (text("id"), text("state"));
     match serde_json::from_value::<Line>(entry) {
         Ok(line) => said(line),
-        Err(_) if !id.is_empty() && state == "left" => Ok(Said::Gone(id.into())),
+        Err(_) if !id.is_empty() && state == "left" => Ok(EntryUpdate::Gone(id.into())),
         Err(e) => {
             let fault = format!("upstream {id:?}: {e}");
             if id.is_empty() || state != "leaving" {
                 return Err(fault);
             }
-            Ok(Said::Leaves(id.into(), fault))
+            Ok(EntryUpdate::Leaves(id.into(), fault))
         }
     }
 }
 
-fn report(line: Line, standing: Standing, why: &str) -> Report {
-    Report {
+fn report(line: Line, standing: EndpointState, why: &str) -> EndpointReport {
+    EndpointReport {
         name: line.id.into(),
         addr: line.addr,
         zone: line.zone.into(),
         kind: line.kind.into(),
         cell: line.cell,
-        speaks: Speaks::Http,
+        speaks: EndpointProtocol::Http,
         standing,
         why: why.into(),
         started_ms: Some(line.started_ms),
@@ -157,11 +166,11 @@
             {"id":"s-2","addr":"127.0.0.1:11","state":"left"}]}"#;
         let told = |text: &str| {
             let answer = read(text.as_bytes()).expect("a list");
-            let News::Changes(reports, gone) = answer.news else { panic!("{:?}", answer.news) };
+            let SourceUpdate::Delta(reports, gone) = answer.news else { panic!("{:?}", answer.news) };
             let stands = reports.iter().map(|r| (r.name.to_string(), r.standing, r.started_ms));
             (stands.collect::<Vec<_>>(), gone, answer.faults.len())
         };
-        let (leaves, left) = ((String::from("s-1"), Standing::Draining, Some(7.0)), Name::from("s-2"));
+        let (leaves, left) = ((String::from("s-1"), EndpointState::Draining, Some(7.0)), Name::from("s-2"));
         assert_eq!(told(text), (vec![leaves.clone()], vec![left.clone()], 0));
         // What `left` needs is enough, and what is left out of an entry of another kind is a fault of its own.
         let bare = text.replace("\"addr\":\"127.0.0.1:11\",", "");
--- a/crates/data-plane/discovery/src/platform/told.rs
+++ b/crates/data-plane/discovery/src/platform/staleness.rs
@@ -8,11 +8,11 @@
 //! | 0 | the call of a standing watch is made, with a wait of 1 to 2 s; the watch falls silent right after |
 //! | 3.0 s | its wait and 1 s for the answer are over: it is given up |
 //! | 3.3 s | it is opened again, after a drawn pause: instances that lost theirs in one moment differ by up to 1.15 s |
-//! | 6.0 s | what it missed counts as told ([`SILENT`]; the wait and [`WAITED`] come to 4 s) |
+//! | 6.0 s | what it missed counts as told ([`SILENT_WATCH_DEADLINE`]; the wait and [`AFTER_WAIT_DEADLINE`] come to 4 s) |
 //! | 7.05 s | nothing more may be sent by the old list: 3.75 s for a dial, the queue and the answer, or for a second call |
 //!
 //! A call that opens a watch waits 100 ms for news, so that it is answered as soon as its turn has come, and has 4 s for the
-//! queue. Whatever calls failed, a change counts as told [`SILENT`] after discovery had it and could be reached, so that the
+//! queue. Whatever calls failed, a change counts as told [`SILENT_WATCH_DEADLINE`] after discovery had it and could be reached, so that the
 //! watch calls again by itself. One that was turned away at once cost discovery nothing: pauses double from 0.3 to 3 s, to 1 s after a move. One
 //! that waited and failed is followed by the next 2 s after its own beginning at the earliest, and at the latest with half a
 //! second left of the 7.05 s (drawn between). Sooner would be worse: discovery works through its queue in turn, calls that have
@@ -22,7 +22,7 @@
 //! Where lists are pushed, to an agent on this machine that answers at once and at no cost, what the agent has counts as
 //! told at once, whether a watch stands or not: wait and answer together stay under the grace, so that a watch that broke
 //! unseen, or an agent that was silent while discovery was down, has been asked again within it.
-use crate::watch::{Plan, Spread};
+use crate::watch::{RetrySpread, WatchTiming};
 use std::time::Duration;
 
 const fn ms(n: u64) -> Duration {
@@ -30,17 +30,17 @@
 }
 
 /// What a silent watch missed counts as told this long after it fell silent.
-pub const SILENT: Duration = ms(6000);
+pub const SILENT_WATCH_DEADLINE: Duration = ms(6000);
 /// But not before the wait that its call asked for is over by this.
-pub const WAITED: Duration = ms(2000);
+pub const AFTER_WAIT_DEADLINE: Duration = ms(2000);
 /// A watch goes on as long as its next call comes within this time of the last answer.
-pub const GAP: Duration = ms(200);
+pub const MAX_WATCH_GAP: Duration = ms(200);
 /// After a change of the configuration that moves discovery, what it has counts as told this much later.
-pub const MOVED: Duration = ms(4000);
+pub const ADDRESS_CHANGE_DEADLINE: Duration = ms(4000);
 /// Each time limit is this much longer on sockets.
-pub const SLACK: Duration = ms(50);
-/// The longest wait that a call asks for where discovery is asked: [`SILENT`] then counts from its beginning, not
-/// [`WAITED`], with time for a second call.
+pub const SOCKET_SLACK: Duration = ms(50);
+/// The longest wait that a call asks for where discovery is asked: [`SILENT_WATCH_DEADLINE`] then counts from its beginning, not
+/// [`AFTER_WAIT_DEADLINE`], with time for a second call.
 const WAIT: Duration = ms(2000);
 /// How late an answer of a standing watch may be where discovery is asked.
 const ANSWER: Duration = ms(1000);
@@ -58,7 +58,7 @@
 /// The longest after calls that discovery turned away at once, where nothing has moved.
 const TURNED_AWAY_MOST: Duration = ms(3000);
 /// A call that opens a watch and fails is followed by the next this long after its own beginning at the earliest, where
-/// discovery is asked, and at the latest when what is left of [`SILENT`] and the grace is this for the answer.
+/// discovery is asked, and at the latest when what is left of [`SILENT_WATCH_DEADLINE`] and the grace is this for the answer.
 const SPREAD: Duration = ms(2000);
 const SPREAD_ANSWER: Duration = ms(500);
 /// The first pause at the agent on this machine.
@@ -66,23 +66,23 @@
 
 /// What the settings say.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct StalenessSettings {
     /// Whether lists are pushed to an agent on this machine.
     pub pushed: bool,
     /// Within this time after the news sends to an upstream that leaves must end.
     pub drain_grace: Duration,
 }
 
-impl Terms {
+impl StalenessSettings {
     /// By when what a silent watch missed must have been read, counted from the beginning of the call that fell silent,
     /// whatever moment after that it did so.
     pub fn silent_read_by(&self, wait: Duration) -> Duration {
-        SILENT.max(wait + WAITED) + self.drain_grace + SLACK
+        SILENT_WATCH_DEADLINE.max(wait + AFTER_WAIT_DEADLINE) + self.drain_grace + SOCKET_SLACK
     }
 
     /// How a watch goes about it.
-    pub fn plan(&self) -> Plan {
-        let asked = Plan {
+    pub fn plan(&self) -> WatchTiming {
+        let asked = WatchTiming {
             wait: WAIT,
             answer: ANSWER,
             late: None,
@@ -94,11 +94,11 @@
             pause_most: PAUSE_MOST,
             turned_away_most: TURNED_AWAY_MOST,
             pace: Duration::ZERO,
-            gap: GAP,
-            spread: Some(Spread {
+            gap: MAX_WATCH_GAP,
+            spread: Some(RetrySpread {
                 least: SPREAD,
-                read_by: SILENT + self.drain_grace + SLACK,
-                moved_by: MOVED + self.drain_grace + SLACK,
+                read_by: SILENT_WATCH_DEADLINE + self.drain_grace + SOCKET_SLACK,
+                moved_by: ADDRESS_CHANGE_DEADLINE + self.drain_grace + SOCKET_SLACK,
                 answer: SPREAD_ANSWER,
             }),
         };
@@ -106,9 +106,9 @@
             return asked;
         }
         // Of the grace one half waits, a quarter is for the answer, and the last for the call after it.
-        let grace = self.drain_grace + SLACK;
+        let grace = self.drain_grace + SOCKET_SLACK;
         let (wait, answer) = ((grace / 2).clamp(ms(100), ms(500)), (grace / 4).clamp(ms(50), ms(250)));
-        Plan {
+        WatchTiming {
             wait,
             answer,
             opening: OPENING.min(wait),
@@ -133,22 +133,25 @@
     #[test]
     fn every_constant_fits_into_what_counts_as_told() {
         for grace in [0, 50, 200, 1000, 5000] {
-            let asked = Terms { pushed: false, drain_grace: ms(grace) };
+            let asked = StalenessSettings { pushed: false, drain_grace: ms(grace) };
             let plan = asked.plan();
             let by = asked.silent_read_by(plan.wait);
-            assert!(plan.wait + WAITED <= SILENT, "the wait does not put off what counts");
+            assert!(
+                plan.wait + AFTER_WAIT_DEADLINE <= SILENT_WATCH_DEADLINE,
+                "the wait does not put off what counts"
+            );
             assert!(plan.wait + plan.answer + plan.pause + plan.open / 2 <= by, "{grace}: {plan:?}");
             assert!(plan.open + plan.pause + plan.open / 2 - ms(500) <= by, "{grace}: {plan:?}");
-            assert!(plan.pause_most <= MOVED / 4);
-            let pushed = Terms { pushed: true, ..asked };
+            assert!(plan.pause_most <= ADDRESS_CHANGE_DEADLINE / 4);
+            let pushed = StalenessSettings { pushed: true, ..asked };
             let plan = pushed.plan();
-            assert!(plan.wait + plan.answer + plan.pause < SILENT + SLACK);
+            assert!(plan.wait + plan.answer + plan.pause < SILENT_WATCH_DEADLINE + SOCKET_SLACK);
             if grace >= 200 {
                 assert!(
-                    plan.wait + plan.answer + plan.pause < asked.drain_grace + SLACK,
+                    plan.wait + plan.answer + plan.pause < asked.drain_grace + SOCKET_SLACK,
                     "{grace}: {plan:?}"
                 );
-                assert!(plan.open + plan.pause_most < asked.drain_grace + SLACK, "{grace}: {plan:?}");
+                assert!(plan.open + plan.pause_most < asked.drain_grace + SOCKET_SLACK, "{grace}: {plan:?}");
             }
         }
     }
--- a/crates/data-plane/discovery/src/platform/watch.rs
+++ b/crates/data-plane/discovery/src/platform/watch.rs
@@ -1,5 +1,5 @@
 //! The platform's discovery as a state machine: what to ask next, and what an answer counts as. When is
-//! [`crate::watch`]'s matter, by the plan that [`super::told`] reckons.
+//! [`crate::watch`]'s matter, by the plan that [`super::staleness`] reckons.
 //!
 //! | an answer | counts as |
 //! | --- | --- |
@@ -8,37 +8,37 @@
 //! | 200 with entries that can't be used | being told what the others say; the version stays, so that the rest is asked for again |
 //! | 200, changes of an older version | no news; the whole list is asked for |
 //! | 200 that is unreadable, any other status, none in time | no news |
-use super::told::Terms;
+use super::staleness::StalenessSettings;
 use super::{read, Answer};
-use crate::report::News;
-use crate::watch::{self, Kind, Plan, Step};
+use crate::endpoint::SourceUpdate;
+use crate::watch::{self, CallKind, Step, WatchTiming};
 use std::time::Duration;
 
 /// A call to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// Path and query.
     pub path: String,
     /// What it is for.
-    pub kind: Kind,
+    pub kind: CallKind,
     /// How long it may take until its answer is whole.
     pub patience: Duration,
 }
 
 /// What to do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Nothing, until then.
     Wait(Duration),
     /// Make this call, and say how it ended.
-    Ask(Ask),
+    Call(Request),
 }
 
 /// What a call came to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Verdict {
+pub struct ResponseOutcome {
     /// For the view; `Changes` without any: nothing has changed.
-    pub news: News,
+    pub news: SourceUpdate,
     /// The version that the view now has.
     pub version: Option<u64>,
     /// This is the first answer of all, with news or without.
@@ -57,12 +57,12 @@
 
 impl Watch {
     /// A watch. `version` is that of the list that is held, if any.
-    pub fn new(terms: &Terms, version: Option<u64>) -> Watch {
+    pub fn new(terms: &StalenessSettings, version: Option<u64>) -> Watch {
         Watch::by(terms.plan(), version)
     }
 
     /// A watch by a plan of one's own.
-    pub fn by(plan: Plan, version: Option<u64>) -> Watch {
+    pub fn by(plan: WatchTiming, version: Option<u64>) -> Watch {
         Watch { watch: watch::Watch::new(plan), version, answers: true }
     }
 
@@ -73,22 +73,22 @@
     }
 
     /// What to do now. `draw`, from 0 to 1, spreads the waits of many instances.
-    pub fn next(&mut self, now: Duration, draw: f64) -> Next {
+    pub fn next(&mut self, now: Duration, draw: f64) -> NextStep {
         match self.watch.step(now, draw, self.version.is_some()) {
-            Step::Wait(until) => Next::Wait(until),
+            Step::Wait(until) => NextStep::Wait(until),
             Step::Call { kind, wait, patience } => {
                 self.watch.called(now, kind, patience);
                 let path = match self.version {
                     Some(v) => format!("/api/targets?since={v}&timeout_ms={}", wait.as_millis()),
                     None => "/api/targets".to_string(),
                 };
-                Next::Ask(Ask { path, kind, patience })
+                NextStep::Call(Request { path, kind, patience })
             }
         }
     }
 
     /// An answer has come whole.
-    pub fn answered(&mut self, now: Duration, status: u16, body: &[u8], draw: f64) -> Verdict {
+    pub fn answered(&mut self, now: Duration, status: u16, body: &[u8], draw: f64) -> ResponseOutcome {
         if status != 200 {
             return self.failed(now, &format!("answered {status}"), draw);
         }
@@ -105,22 +105,22 @@
         if !faults.is_empty() {
             // What can be read binds; that the rest is not there says nothing.
             let news = match news {
-                News::Whole(reports) => News::Changes(reports, Vec::new()),
+                SourceUpdate::Full(reports) => SourceUpdate::Delta(reports, Vec::new()),
                 news => news,
             };
             let failed = self.failed(now, "", draw);
-            return Verdict { news, faults, ..failed };
+            return ResponseOutcome { news, faults, ..failed };
         }
         self.version = Some(version);
         self.watch.answered(now);
         let answers = std::mem::take(&mut self.answers);
-        Verdict { news, version: self.version, answers, faults }
+        ResponseOutcome { news, version: self.version, answers, faults }
     }
 
     /// No whole answer has come.
-    pub fn failed(&mut self, now: Duration, why: &str, draw: f64) -> Verdict {
+    pub fn failed(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
         self.watch.broke(now, draw);
-        let news = News::None(why.into());
-        Verdict { news, version: self.version, answers: false, faults: Vec::new() }
+        let news = SourceUpdate::Unavailable(why.into());
+        ResponseOutcome { news, version: self.version, answers: false, faults: Vec::new() }
     }
 }
--- a/crates/data-plane/discovery/src/watch.rs
+++ b/crates/data-plane/discovery/src/watch.rs
@@ -3,7 +3,7 @@
 //! ([`crate::platform`], [`crate::consul`]). Without I/O: whoever drives it has the clock and draws the numbers.
 //!
 //! A watch that falls silent shows nothing until its wait is over. So waits are short enough that what a silent one
-//! missed has been read before anyone may count it as told ([`crate::platform::told`] has the reckoning), each is drawn
+//! missed has been read before anyone may count it as told ([`crate::platform::staleness`] has the reckoning), each is drawn
 //! anew, and one that broke is opened again by itself, after a drawn pause: instances whose watches break in one moment do
 //! not all come back in one.
 use backoff::Backoff;
@@ -11,7 +11,7 @@
 
 /// How a watch goes about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct WatchTiming {
     /// The longest wait for news that a call of a standing watch asks for; each asks for half of it to all of it.
     pub wait: Duration,
     /// Beyond its wait such a call gets this long until its answer is whole.
@@ -40,14 +40,14 @@
     pub gap: Duration,
     /// Where one registry works through the calls of all instances in turn: how far apart calls are that fail while no
     /// watch stands. `None`: by the pauses above.
-    pub spread: Option<Spread>,
+    pub spread: Option<RetrySpread>,
 }
 
 /// When the next call is made after one that waited and failed while no watch stood, counted from that one's beginning: drawn
 /// between two bounds, and within what is left until the list must have been read. Guards against instances that come back so soon,
 /// and so many of them, that the registry's queue stays full of calls that wait in vain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spread {
+pub struct RetrySpread {
     /// At the earliest, where there is time.
     pub least: Duration,
     /// What a watch missed must have been read so long after it broke, or after its last call if that fell silent.
@@ -61,13 +61,13 @@
 
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CallKind {
     /// The whole list; waits for nothing.
-    Whole,
+    FullList,
     /// What has changed; opens a watch.
-    Opening,
+    OpenWatch,
     /// What changes; goes on with a watch that stands.
-    Standing,
+    LongPoll,
 }
 
 /// What to do now.
@@ -78,7 +78,7 @@
     /// Call, and say how it ended.
     Call {
         /// What for.
-        kind: Kind,
+        kind: CallKind,
         /// How long the call may wait for news.
         wait: Duration,
         /// How long it may take until its answer is whole.
@@ -89,13 +89,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Opening,
-    Standing,
+    Established,
 }
 
 /// See the module's page. Times are spans since any fixed moment, and never go back.
 #[derive(Debug)]
 pub struct Watch {
-    plan: Plan,
+    plan: WatchTiming,
     phase: Phase,
     /// It has moved, and nothing has been answered since.
     moved: bool,
@@ -103,7 +103,7 @@
     read_by: Duration,
     due: Duration,
     /// The last call: its kind, when it was made, and when it is given up.
-    called: Option<(Kind, Duration, Duration)>,
+    called: Option<(CallKind, Duration, Duration)>,
     /// Calls in a row, not of a standing watch, that were not answered in time.
     unanswered: u32,
     /// When the last answer came.
@@ -113,7 +113,7 @@
 
 impl Watch {
     /// A watch that begins at once.
-    pub fn new(plan: Plan) -> Watch {
+    pub fn new(plan: WatchTiming) -> Watch {
         let again = Backoff::new(plan.pause, plan.pause_most.max(plan.turned_away_most));
         let (due, answered) = (Duration::ZERO, Duration::ZERO);
         let read_by = plan.spread.map_or(Duration::ZERO, |spread| spread.read_by);
@@ -151,36 +151,40 @@
         }
         let patient = |least: Duration| backoff::doubled(least, plan.slow.max(least), self.unanswered);
         if !knows {
-            return Step::Call { kind: Kind::Whole, wait: Duration::ZERO, patience: patient(plan.whole) };
+            return Step::Call {
+                kind: CallKind::FullList,
+                wait: Duration::ZERO,
+                patience: patient(plan.whole),
+            };
         }
-        if self.phase == Phase::Standing && now.saturating_sub(self.answered) <= plan.gap {
+        if self.phase == Phase::Established && now.saturating_sub(self.answered) <= plan.gap {
             let wait = backoff::jittered(plan.wait, draw);
             let late = plan.late.map_or(Duration::ZERO, |part| wait / part.max(1));
-            return Step::Call { kind: Kind::Standing, wait, patience: wait + late + plan.answer };
+            return Step::Call { kind: CallKind::LongPoll, wait, patience: wait + late + plan.answer };
         }
-        Step::Call { kind: Kind::Opening, wait: plan.opening, patience: patient(plan.open) }
+        Step::Call { kind: CallKind::OpenWatch, wait: plan.opening, patience: patient(plan.open) }
     }
 
     /// The call that [`Watch::step`] asked for has been made.
-    pub fn called(&mut self, now: Duration, kind: Kind, patience: Duration) {
+    pub fn called(&mut self, now: Duration, kind: CallKind, patience: Duration) {
         self.called = Some((kind, now, now + patience));
     }
 
     /// It was answered, with news or without.
     pub fn answered(&mut self, now: Duration) {
         // A watch that is opened and breaks, again and again, has not worked.
-        if matches!(self.called, Some((Kind::Standing | Kind::Whole, ..))) {
+        if matches!(self.called, Some((CallKind::LongPoll | CallKind::FullList, ..))) {
             self.again.worked();
         }
         self.unanswered = 0;
         self.moved = false;
-        (self.phase, self.answered, self.due) = (Phase::Standing, now, now + self.plan.pace);
+        (self.phase, self.answered, self.due) = (Phase::Established, now, now + self.plan.pace);
     }
 
     /// It brought nothing: no answer in time, a broken connection, or an answer that can't be used.
     pub fn broke(&mut self, now: Duration, draw: f64) {
-        let stood = self.phase == Phase::Standing;
-        if self.called.is_some_and(|(kind, _, until)| kind != Kind::Standing && now >= until) {
+        let stood = self.phase == Phase::Established;
+        if self.called.is_some_and(|(kind, _, until)| kind != CallKind::LongPoll && now >= until) {
             self.unanswered = self.unanswered.saturating_add(1);
         }
         let after = match (self.plan.spread, self.called) {
--- a/crates/data-plane/discovery/tests/consul.rs
+++ b/crates/data-plane/discovery/tests/consul.rs
@@ -1,7 +1,7 @@
 //! What answers of Consul count as: lists entry by entry, and the watch answer by answer.
-use discovery::consul::list::{Kind, List, Reading};
-use discovery::consul::watch::{Ask, Consistency, Figures, Head, Next, Target, Watch};
-use discovery::report::{News, Report, Standing};
+use discovery::consul::service_list::{Kind, List, Reading};
+use discovery::consul::watch::{Consistency, NextStep, Request, ResponseHead, Target, Watch, WatchIntervals};
+use discovery::endpoint::{EndpointReport, EndpointState, SourceUpdate};
 use std::time::Duration;
 
 const fn ms(n: u64) -> Duration {
@@ -37,9 +37,9 @@
     format!("[{}]", entries.join(","))
 }
 
-fn read_one(text: &str) -> Report {
+fn read_one(text: &str) -> EndpointReport {
     let read = List::new(reading()).read(list(&[text.to_string()]).as_bytes(), false).expect("a list");
-    let News::Changes(reports, _) = read.news else { panic!("{read:?}") };
+    let SourceUpdate::Delta(reports, _) = read.news else { panic!("{read:?}") };
     reports.into_iter().next().unwrap_or_else(|| panic!("{:?}", read.faults))
 }
 
@@ -52,10 +52,10 @@
         ("b", "m2", 3),
         "the node's metadata where the service has none"
     );
-    assert_eq!((r.started_ms, r.registered, r.standing), (Some(1.7e12), 10, Standing::Ready));
+    assert_eq!((r.started_ms, r.registered, r.standing), (Some(1.7e12), 10, EndpointState::Ready));
     let with = |reading: Reading, text: &str| {
         let read = List::new(reading).read(list(&[text.to_string()]).as_bytes(), false).expect("a list");
-        let News::Changes(reports, _) = read.news else { panic!() };
+        let SourceUpdate::Delta(reports, _) = read.news else { panic!() };
         reports[0].clone()
     };
     let named = Reading { name: Some("kind".into()), prefix: "dc".into(), tagged: "wan".into(), ..reading() };
@@ -73,19 +73,19 @@
 #[test]
 fn the_worst_check_counts_and_maintenance_and_a_weight_of_nothing_drain() {
     let standing = |checks: &str| read_one(&entry("r", 1, checks, "")).standing;
-    assert_eq!(standing(&check("c1", "passing")), Standing::Ready);
-    assert_eq!(standing(&check("c1", "warning")), Standing::Ready);
-    assert_eq!(standing(&(check("c1", "passing") + &check("c2", "critical"))), Standing::Critical);
-    assert_eq!(standing(&check("c1", "something new")), Standing::Critical);
-    assert_eq!(standing(&check("_service_maintenance:r", "critical")), Standing::Draining);
+    assert_eq!(standing(&check("c1", "passing")), EndpointState::Ready);
+    assert_eq!(standing(&check("c1", "warning")), EndpointState::Ready);
+    assert_eq!(standing(&(check("c1", "passing") + &check("c2", "critical"))), EndpointState::Unhealthy);
+    assert_eq!(standing(&check("c1", "something new")), EndpointState::Unhealthy);
+    assert_eq!(standing(&check("_service_maintenance:r", "critical")), EndpointState::Draining);
     assert_eq!(
         standing(&(check("_node_maintenance", "critical") + &check("c", "critical"))),
-        Standing::Draining
+        EndpointState::Draining
     );
     let weightless = entry("r", 1, "", "").replace("\"Passing\":10", "\"Passing\":0");
-    assert_eq!(read_one(&weightless).standing, Standing::Draining);
+    assert_eq!(read_one(&weightless).standing, EndpointState::Draining);
     let warned = entry("r", 1, &check("c", "warning"), "").replace("\"Warning\":1", "\"Warning\":0");
-    assert_eq!(read_one(&warned).standing, Standing::Draining);
+    assert_eq!(read_one(&warned).standing, EndpointState::Draining);
 }
 
 /// Guards against one badly registered nodo that blinds the balancer to all others, and against a list that is none.
@@ -98,7 +98,7 @@
         (entry("", 1, "", ""), "no name"),
     ] {
         let read = List::new(reading()).read(list(&[bad, good.clone()]).as_bytes(), false).expect("a list");
-        let News::Changes(reports, _) = read.news else { panic!() };
+        let SourceUpdate::Delta(reports, _) = read.news else { panic!() };
         assert!(reports.len() == 1 && read.faults[0].contains(what), "{:?}", read.faults);
     }
     // A start that is none counts as not stated, and that is cold.
@@ -124,7 +124,7 @@
     all[7] = entry("r7", 8, &check("c", "critical"), "");
     let lost = all.remove(9);
     let read = l.read(list(&all).as_bytes(), false).expect("a list");
-    let News::Changes(reports, gone) = &read.news else { panic!() };
+    let SourceUpdate::Delta(reports, gone) = &read.news else { panic!() };
     assert_eq!((read.anew, reports.len(), gone.len()), (1, 1, 1));
     assert_eq!((&*reports[0].name, &*gone[0]), ("foobar/r7", "foobar/r9"));
     all.push(lost);
@@ -132,11 +132,11 @@
     all[0] =
         all[0].replace("\"Name\":\"Serf Health Status\"", "\"Name\":\"Serf Health Status\",\"Output\":\"x\"");
     let read = l.read(list(&all).as_bytes(), false).expect("a list");
-    let News::Changes(reports, gone) = &read.news else { panic!() };
+    let SourceUpdate::Delta(reports, gone) = &read.news else { panic!() };
     assert_eq!((read.anew, reports.len(), gone.len()), (2, 1, 0));
     let catalogue = r#"[{"ID":"","Node":"n","Address":"127.0.0.9","Datacenter":"dc1","NodeMeta":{},"ServiceID":"s","ServiceName":"x","ServiceAddress":"","ServicePort":9,"ServiceMeta":{"zone":"z"},"ServiceWeights":{"Passing":1,"Warning":1},"CreateIndex":4}]"#;
     let mut l = List::new(Reading { kind: Kind::Catalogue, ..reading() });
-    let News::Changes(reports, _) = l.read(catalogue.as_bytes(), false).expect("a list").news else {
+    let SourceUpdate::Delta(reports, _) = l.read(catalogue.as_bytes(), false).expect("a list").news else {
         panic!()
     };
     assert_eq!((&*reports[0].name, reports[0].addr.port(), &*reports[0].zone), ("n/s", 9, "z"));
@@ -145,35 +145,35 @@
 fn watch(consistency: Consistency, index: Option<u64>) -> Watch {
     let target =
         Target { service: "re dis".into(), datacentre: Some("dc1".into()), consistency, ..Target::default() };
-    Watch::new(target, reading(), Figures::default(), 2, index)
+    Watch::new(target, reading(), WatchIntervals::default(), 2, index)
 }
 
-fn head(index: u64) -> Head {
-    Head {
+fn head(index: u64) -> ResponseHead {
+    ResponseHead {
         status: 200,
         index: Some(index),
         known_leader: Some(true),
         last_contact: Some(0),
-        ..Head::default()
+        ..ResponseHead::default()
     }
 }
 
-fn asks(w: &mut Watch, now: u64) -> Ask {
+fn asks(w: &mut Watch, now: u64) -> Request {
     match w.next(ms(now), 1.0) {
-        Next::Ask(ask) => ask,
-        Next::Wait(until) => panic!("it waits until {until:?}"),
+        NextStep::Ask(ask) => ask,
+        NextStep::Wait(until) => panic!("it waits until {until:?}"),
     }
 }
 
-fn tells(w: &mut Watch, now: u64, index: u64, ids: &[&str]) -> News {
+fn tells(w: &mut Watch, now: u64, index: u64, ids: &[&str]) -> SourceUpdate {
     let entries: Vec<String> =
         ids.iter().enumerate().map(|(k, id)| entry(id, 1 + k as u16, "", "")).collect();
     w.answered(ms(now), &head(index), list(&entries).as_bytes(), 0.5).news
 }
 
-fn gone(news: News) -> Vec<String> {
+fn gone(news: SourceUpdate) -> Vec<String> {
     match news {
-        News::Changes(_, gone) => gone.iter().map(|n| n.to_string()).collect(),
+        SourceUpdate::Delta(_, gone) => gone.iter().map(|n| n.to_string()).collect(),
         other => panic!("{other:?}"),
     }
 }
@@ -183,12 +183,12 @@
     let mut w = watch(Consistency::Stale, None);
     assert_eq!(
         asks(&mut w, 0),
-        Ask { agent: 0, path: "/v1/health/service/re%20dis?dc=dc1&stale".into(), patience: ms(2000) }
+        Request { agent: 0, path: "/v1/health/service/re%20dis?dc=dc1&stale".into(), patience: ms(2000) }
     );
-    assert!(matches!(tells(&mut w, 10, 40, &["a", "b"]), News::Whole(r) if r.len() == 2));
+    assert!(matches!(tells(&mut w, 10, 40, &["a", "b"]), SourceUpdate::Full(r) if r.len() == 2));
     assert_eq!(
         w.next(ms(11), 1.0),
-        Next::Wait(ms(110)),
+        NextStep::Wait(ms(110)),
         "changes that come thick and fast are told together"
     );
     let ask = asks(&mut w, 110);
@@ -206,15 +206,17 @@
     let mut now = 1000;
     let good = list(&[entry("a", 1, "", "")]);
     for (head, body, why) in [
-        (Head { known_leader: Some(false), ..head(50) }, "[]", "no leader"),
-        (Head { last_contact: Some(5001), ..head(50) }, "[]", "behind the leader"),
-        (Head { filtered: true, ..head(50) }, "[]", "filtered"),
-        (Head { status: 500, ..head(50) }, "[]", "answered 500"),
-        (Head { status: 403, ..head(50) }, "Permission\r\ndenied", "answered 403: Permissiondenied"),
+        (ResponseHead { known_leader: Some(false), ..head(50) }, "[]", "no leader"),
+        (ResponseHead { last_contact: Some(5001), ..head(50) }, "[]", "behind the leader"),
+        (ResponseHead { filtered: true, ..head(50) }, "[]", "filtered"),
+        (ResponseHead { status: 500, ..head(50) }, "[]", "answered 500"),
+        (ResponseHead { status: 403, ..head(50) }, "Permission\r\ndenied", "answered 403: Permissiondenied"),
         (head(50), &good[..good.len() / 2], "EOF"),
         (head(50), "{}", "invalid type"),
     ] {
-        let News::None(said) = w.answered(ms(now), &head, body.as_bytes(), 0.5).news else { panic!("{why}") };
+        let SourceUpdate::Unavailable(said) = w.answered(ms(now), &head, body.as_bytes(), 0.5).news else {
+            panic!("{why}")
+        };
         assert!(said.contains(why), "{said}");
         assert!(!asks(&mut w, now + 20_000).path.contains("index"), "the list is asked for anew");
         now += 20_000;
@@ -227,17 +229,22 @@
 fn after_a_failure_the_next_agent_is_asked_and_after_429_the_same_one_later() {
     let mut w = watch(Consistency::Default, None);
     w.failed(ms(0), "reset", 1.0);
-    assert_eq!(w.next(ms(0), 1.0), Next::Wait(ms(250)));
+    assert_eq!(w.next(ms(0), 1.0), NextStep::Wait(ms(250)));
     assert_eq!(asks(&mut w, 250).agent, 1);
-    w.answered(ms(300), &Head { status: 429, retry_after: Some(3), ..Head::default() }, b"", 1.0);
-    assert_eq!(w.next(ms(300), 1.0), Next::Wait(ms(300 + 3000 + 500)), "and spread a little");
+    w.answered(
+        ms(300),
+        &ResponseHead { status: 429, retry_after: Some(3), ..ResponseHead::default() },
+        b"",
+        1.0,
+    );
+    assert_eq!(w.next(ms(300), 1.0), NextStep::Wait(ms(300 + 3000 + 500)), "and spread a little");
     assert_eq!(asks(&mut w, 3800).agent, 1);
     // Guards against hundreds that come back at once: the pauses grow, and differ by the draw.
     let pause = |w: &mut Watch, draw| {
         w.failed(ms(10_000), "gone", draw);
         match w.next(ms(10_000), 0.0) {
-            Next::Wait(until) => until - ms(10_000),
-            Next::Ask(_) => Duration::ZERO,
+            NextStep::Wait(until) => until - ms(10_000),
+            NextStep::Ask(_) => Duration::ZERO,
         }
     };
     assert_eq!((pause(&mut w, 0.0), pause(&mut w, 1.0)), (ms(500), ms(2000)));
@@ -253,12 +260,12 @@
     assert_eq!(gone(tells(&mut w, 1000, 5, &[])), [""; 0], "nobody is named, and that is no statement");
     assert_eq!(w.members(), 3);
     let drains = entry("b", 2, &check("_service_maintenance:b", "critical"), "");
-    let News::Changes(reports, gone_now) =
+    let SourceUpdate::Delta(reports, gone_now) =
         w.answered(ms(2000), &head(9), list(std::slice::from_ref(&drains)).as_bytes(), 0.5).news
     else {
         panic!()
     };
-    assert!(reports[0].standing == Standing::Draining && gone_now.is_empty(), "but what it says binds");
+    assert!(reports[0].standing == EndpointState::Draining && gone_now.is_empty(), "but what it says binds");
     // Asked for again when the wait is over, though nothing changes; then the list counts whole.
     let ask = asks(&mut w, 3000);
     assert!(ask.path.ends_with("&index=9&wait=10000ms"), "{}", ask.path);
@@ -267,16 +274,16 @@
     assert_eq!(gone(news), ["foobar/a", "foobar/c"]);
     // A process that starts again knows how far the last one had come.
     let mut next = watch(Consistency::Default, Some(400));
-    assert!(matches!(tells(&mut next, 0, 5, &["a"]), News::Changes(..)), "and takes nobody out either");
+    assert!(matches!(tells(&mut next, 0, 5, &["a"]), SourceUpdate::Delta(..)), "and takes nobody out either");
 }
 
 #[test]
 fn without_an_index_it_asks_once_a_second() {
     let mut w = watch(Consistency::Consistent, None);
     for index in [None, Some(0)] {
-        let head = Head { index, ..head(0) };
+        let head = ResponseHead { index, ..head(0) };
         w.answered(ms(0), &head, b"[]", 0.5);
-        assert_eq!(w.next(ms(0), 1.0), Next::Wait(ms(1000)));
+        assert_eq!(w.next(ms(0), 1.0), NextStep::Wait(ms(1000)));
         assert_eq!(asks(&mut w, 1000).path, "/v1/health/service/re%20dis?dc=dc1&consistent");
     }
 }
--- a/crates/data-plane/discovery/tests/encoding.rs
+++ b/crates/data-plane/discovery/tests/encoding.rs
@@ -1,39 +1,40 @@
 //! The bytes of a saved list of endpoints, against those that earlier builds wrote.
-use discovery::report::{Report, Speaks, Standing};
-use discovery::saved::{Saved, VERSION};
-use discovery::view::Source;
+use discovery::endpoint::{EndpointProtocol, EndpointReport, EndpointState};
+use discovery::endpoint_cache::{EndpointCache, VERSION};
+use discovery::endpoint_set::Source;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 const FIXTURE: &str = include_str!("fixtures/saved.json");
 
-fn saved() -> Saved {
+fn saved() -> EndpointCache {
     let source = |rank, label: &str| Source { rank, label: label.into() };
-    let report = Report {
+    let report = EndpointReport {
         name: "u1".into(),
         addr: "127.0.0.1:9".parse().expect("an address"),
         zone: "a".into(),
         kind: "large".into(),
         cell: 2,
-        speaks: Speaks::Http,
-        standing: Standing::Ready,
+        speaks: EndpointProtocol::Http,
+        standing: EndpointState::Ready,
         why: "".into(),
         started_ms: Some(1000.0),
         registered: 5,
         meta: Arc::new(BTreeMap::from([("k".to_string(), "v".to_string())])),
     };
-    let draining = Report {
+    let draining = EndpointReport {
         name: "u2".into(),
-        speaks: Speaks::FastCgi,
-        standing: Standing::Draining,
+        speaks: EndpointProtocol::FastCgi,
+        standing: EndpointState::Draining,
         why: "told".into(),
         started_ms: None,
         meta: Arc::default(),
         ..report.clone()
     };
-    let critical = Report { name: "u3".into(), standing: Standing::Critical, ..draining.clone() };
+    let critical =
+        EndpointReport { name: "u3".into(), standing: EndpointState::Unhealthy, ..draining.clone() };
     let consul = source(1, "consul dc1");
-    Saved {
+    EndpointCache {
         reports: vec![
             (source(0, "discovery"), report, None),
             (consul.clone(), draining, Some(2000.0)),
@@ -48,5 +49,5 @@
 fn a_saved_list_keeps_its_encoding() {
     assert_eq!(VERSION, 1);
     assert_eq!(String::from_utf8(saved().write()).expect("text"), FIXTURE.trim_end());
-    assert_eq!(Saved::read(FIXTURE.as_bytes()).expect("reads"), saved());
+    assert_eq!(EndpointCache::read(FIXTURE.as_bytes()).expect("reads"), saved());
 }
--- a/crates/data-plane/discovery/tests/view.rs
+++ b/crates/data-plane/discovery/tests/view.rs
@@ -1,6 +1,6 @@
 //! The view, case by case, and what holds whatever the sources tell in whatever order.
-use discovery::report::{Meta, News, Report, Speaks, Standing};
-use discovery::view::{Change, Merged, Source, View};
+use discovery::endpoint::{EndpointProtocol, EndpointReport, EndpointState, Meta, SourceUpdate};
+use discovery::endpoint_set::{Endpoint, EndpointChange, EndpointSet, Source};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
     Source { rank, label: format!("source {rank}").into() }
 }
 
-fn report(name: &str, port: u16, standing: Standing) -> Report {
-    Report {
+fn report(name: &str, port: u16, standing: EndpointState) -> EndpointReport {
+    EndpointReport {
         name: name.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], port)),
         zone: "a".into(),
         kind: "".into(),
         cell: 1,
-        speaks: Speaks::Http,
+        speaks: EndpointProtocol::Http,
         standing,
         why: "".into(),
         started_ms: Some(0.0),
@@ -25,89 +25,99 @@
     }
 }
 
-fn unstated(name: &str, port: u16, registered: u64) -> Report {
-    Report { started_ms: None, registered, ..report(name, port, Standing::Ready) }
+fn unstated(name: &str, port: u16, registered: u64) -> EndpointReport {
+    EndpointReport { started_ms: None, registered, ..report(name, port, EndpointState::Ready) }
 }
 
-fn one(view: &View, name: &str) -> Merged {
+fn one(view: &EndpointSet, name: &str) -> Endpoint {
     view.members().find(|m| &*m.name == name).cloned().unwrap_or_else(|| panic!("{name} is not there"))
 }
 
-fn names(view: &View) -> Vec<String> {
+fn names(view: &EndpointSet) -> Vec<String> {
     view.members().map(|m| m.name.to_string()).collect()
 }
 
 /// Guards against a drain by agreement that a source undoes, one that outlives its member, and a member that returns warm.
 #[test]
 fn what_is_held_out_drains_whatever_sources_say_and_returns_cold() {
-    let mut view = View::new(true);
+    let mut view = EndpointSet::new(true);
     view.take(
         1.0,
         &source(0),
-        News::Whole(vec![report("u1", 1, Standing::Ready), report("u2", 2, Standing::Ready)]),
+        SourceUpdate::Full(vec![
+            report("u1", 1, EndpointState::Ready),
+            report("u2", 2, EndpointState::Ready),
+        ]),
     );
     let held = std::collections::BTreeMap::from([("u1".to_string(), "new disks".to_string())]);
     let changes = view.hold(2.0, &held);
     assert!(
-        matches!(&changes[..], [Change::Is(m)] if &*m.name == "u1" && !m.takes && &*m.why == "new disks")
+        matches!(&changes[..], [EndpointChange::Updated(m)] if &*m.name == "u1" && !m.takes && &*m.why == "new disks")
     );
     assert_eq!(view.hold(3.0, &held), [], "no news");
     // Told again, changed and from elsewhere, it stays out.
     view.take(
         4.0,
         &source(0),
-        News::Changes(vec![Report { cell: 2, ..report("u1", 1, Standing::Ready) }], vec![]),
+        SourceUpdate::Delta(
+            vec![EndpointReport { cell: 2, ..report("u1", 1, EndpointState::Ready) }],
+            vec![],
+        ),
     );
-    view.take(5.0, &source(1), News::Whole(vec![report("u1", 1, Standing::Ready)]));
+    view.take(5.0, &source(1), SourceUpdate::Full(vec![report("u1", 1, EndpointState::Ready)]));
     assert!(!one(&view, "u1").takes && view.is_held("u1"));
     let changes = view.hold(6.0, &Default::default());
-    assert!(matches!(&changes[..], [Change::Is(m)] if m.takes && m.since == 6.0), "{changes:?}");
+    assert!(matches!(&changes[..], [EndpointChange::Updated(m)] if m.takes && m.since == 6.0), "{changes:?}");
     // One that is gone meanwhile is not kept by it, and one that comes while it is held begins held.
     view.hold(7.0, &held);
-    view.take(8.0, &source(1), News::Whole(vec![]));
-    view.take(8.0, &source(0), News::Changes(vec![], vec!["u1".into()]));
+    view.take(8.0, &source(1), SourceUpdate::Full(vec![]));
+    view.take(8.0, &source(0), SourceUpdate::Delta(vec![], vec!["u1".into()]));
     assert_eq!(names(&view), ["u2"]);
-    view.take(9.0, &source(0), News::Changes(vec![report("u1", 3, Standing::Ready)], vec![]));
+    view.take(9.0, &source(0), SourceUpdate::Delta(vec![report("u1", 3, EndpointState::Ready)], vec![]));
     assert!(!one(&view, "u1").takes);
 }
 
 /// Guards against a drain in one datacentre's view that another's, where it passes, would undo.
 #[test]
 fn the_worst_that_any_source_says_counts_until_it_says_otherwise() {
-    let mut view = View::new(true);
+    let mut view = EndpointSet::new(true);
     view.take(
         1.0,
         &source(1),
-        News::Whole(vec![report("n", 1, Standing::Ready), report("m", 2, Standing::Ready)]),
+        SourceUpdate::Full(vec![report("n", 1, EndpointState::Ready), report("m", 2, EndpointState::Ready)]),
     );
-    view.take(2.0, &source(2), News::Whole(vec![report("n", 1, Standing::Draining)]));
+    view.take(2.0, &source(2), SourceUpdate::Full(vec![report("n", 1, EndpointState::Draining)]));
     assert!(!one(&view, "n").takes && one(&view, "m").takes);
     assert_eq!(
         view.take(
             3.0,
             &source(1),
-            News::Whole(vec![report("n", 1, Standing::Ready), report("m", 2, Standing::Ready)])
+            SourceUpdate::Full(vec![
+                report("n", 1, EndpointState::Ready),
+                report("m", 2, EndpointState::Ready)
+            ])
         ),
         []
     );
     assert!(!one(&view, "n").takes, "told again by the other, it is no news");
     // The same under another name, as another datacentre's node is called.
-    view.take(4.0, &source(2), News::Whole(vec![report("dc2/n", 1, Standing::Draining)]));
+    view.take(4.0, &source(2), SourceUpdate::Full(vec![report("dc2/n", 1, EndpointState::Draining)]));
     assert_eq!((names(&view), one(&view, "n").takes), (vec!["m".into(), "n".into()], false));
-    let changes = view.take(5.0, &source(2), News::Whole(vec![report("dc2/n", 1, Standing::Ready)]));
-    assert!(matches!(&changes[..], [Change::Is(m)] if &*m.name == "n" && m.takes));
+    let changes =
+        view.take(5.0, &source(2), SourceUpdate::Full(vec![report("dc2/n", 1, EndpointState::Ready)]));
+    assert!(matches!(&changes[..], [EndpointChange::Updated(m)] if &*m.name == "n" && m.takes));
     // Gone from one, it is still listed by the other.
-    view.take(6.0, &source(1), News::Whole(vec![report("m", 2, Standing::Ready)]));
+    view.take(6.0, &source(1), SourceUpdate::Full(vec![report("m", 2, EndpointState::Ready)]));
     assert_eq!(names(&view), ["dc2/n", "m"]);
-    view.take(7.0, &source(2), News::Whole(vec![]));
+    view.take(7.0, &source(2), SourceUpdate::Full(vec![]));
     assert_eq!(names(&view), ["m"]);
 }
 
 #[test]
 fn no_news_changes_nothing_and_is_kept_as_trouble() {
-    let mut view = View::new(true);
-    view.take(1000.0, &source(1), News::Whole(vec![report("n", 1, Standing::Ready)]));
-    assert_eq!(view.take(9000.0, &source(1), News::None("no leader".into())), []);
+    let mut view = EndpointSet::new(true);
+    view.take(1000.0, &source(1), SourceUpdate::Full(vec![report("n", 1, EndpointState::Ready)]));
+    assert_eq!(view.take(9000.0, &source(1), SourceUpdate::Unavailable("no leader".into())), []);
     let told = view.sources().next().map(|(_, t)| t.clone()).expect("a source");
     assert_eq!((told.at, told.trouble, told.members), (Some(1000.0), Some("no leader".into()), 1));
     assert_eq!(names(&view), ["n"]);
@@ -116,33 +126,36 @@
 /// Guards against a process that restarted and is taken for warm.
 #[test]
 fn without_a_stated_start_whatever_may_be_another_process_is_cold() {
-    let mut view = View::new(true);
-    let since = |view: &View, name: &str| one(view, name).since;
-    view.take(100.0, &source(1), News::Whole(vec![unstated("n", 1, 5)]));
+    let mut view = EndpointSet::new(true);
+    let since = |view: &EndpointSet, name: &str| one(view, name).since;
+    view.take(100.0, &source(1), SourceUpdate::Full(vec![unstated("n", 1, 5)]));
     assert_eq!(since(&view, "n"), 100.0, "nobody says since when");
-    let critical = Report { standing: Standing::Critical, ..unstated("n", 1, 5) };
-    view.take(200.0, &source(1), News::Whole(vec![critical]));
-    view.take(300.0, &source(1), News::Whole(vec![unstated("n", 1, 5)]));
+    let critical = EndpointReport { standing: EndpointState::Unhealthy, ..unstated("n", 1, 5) };
+    view.take(200.0, &source(1), SourceUpdate::Full(vec![critical]));
+    view.take(300.0, &source(1), SourceUpdate::Full(vec![unstated("n", 1, 5)]));
     assert_eq!(since(&view, "n"), 100.0, "a check that flaps is no restart");
-    view.take(400.0, &source(1), News::Whole(vec![unstated("n", 2, 5)]));
+    view.take(400.0, &source(1), SourceUpdate::Full(vec![unstated("n", 2, 5)]));
     assert_eq!(since(&view, "n"), 400.0, "at another address it is another process");
-    let changes = view.take(500.0, &source(1), News::Whole(vec![unstated("n", 2, 5), unstated("o", 2, 6)]));
-    assert!(matches!(&changes[..], [Change::Gone(n), Change::Is(o)] if &*n.name == "n" && &*o.name == "o"));
+    let changes =
+        view.take(500.0, &source(1), SourceUpdate::Full(vec![unstated("n", 2, 5), unstated("o", 2, 6)]));
+    assert!(
+        matches!(&changes[..], [EndpointChange::Removed(n), EndpointChange::Updated(o)] if &*n.name == "n" && &*o.name == "o")
+    );
     assert_eq!(since(&view, "o"), 500.0, "another name at the same address too");
-    view.take(600.0, &source(1), News::Whole(vec![unstated("o", 2, 9)]));
+    view.take(600.0, &source(1), SourceUpdate::Full(vec![unstated("o", 2, 9)]));
     assert_eq!(since(&view, "o"), 600.0, "and one that registered anew");
     // Seen through another source as well it is the same process; gone and back it may be another.
-    view.take(700.0, &source(2), News::Whole(vec![unstated("p", 2, 3)]));
-    view.take(800.0, &source(1), News::Whole(vec![]));
+    view.take(700.0, &source(2), SourceUpdate::Full(vec![unstated("p", 2, 3)]));
+    view.take(800.0, &source(1), SourceUpdate::Full(vec![]));
     assert_eq!(since(&view, "p"), 600.0, "known by the other name");
-    view.take(900.0, &source(2), News::Whole(vec![]));
-    view.take(1000.0, &source(2), News::Whole(vec![unstated("p", 2, 3)]));
+    view.take(900.0, &source(2), SourceUpdate::Full(vec![]));
+    view.take(1000.0, &source(2), SourceUpdate::Full(vec![unstated("p", 2, 3)]));
     assert_eq!(since(&view, "p"), 1000.0);
     // A stated start counts more than what was heard.
     view.take(
         1100.0,
         &source(1),
-        News::Whole(vec![Report { started_ms: Some(50.0), ..unstated("p", 2, 3) }]),
+        SourceUpdate::Full(vec![EndpointReport { started_ms: Some(50.0), ..unstated("p", 2, 3) }]),
     );
     assert_eq!(since(&view, "p"), 50.0);
 }
@@ -150,49 +163,62 @@
 /// Guards against a pool that is emptied by checks that all fail at once, and against using what fails beside what works.
 #[test]
 fn failing_checks_are_believed_while_somebody_is_ready() {
-    let two =
-        |a, b| News::Whole(vec![report("a", 1, a), report("b", 2, b), report("c", 3, Standing::Draining)]);
-    use Standing::{Critical, Ready};
-    let mut view = View::new(true);
+    let two = |a, b| {
+        SourceUpdate::Full(vec![
+            report("a", 1, a),
+            report("b", 2, b),
+            report("c", 3, EndpointState::Draining),
+        ])
+    };
+    use EndpointState::{Ready, Unhealthy};
+    let mut view = EndpointSet::new(true);
     view.take(1.0, &source(1), two(Ready, Ready));
-    view.take(2.0, &source(1), two(Critical, Ready));
+    view.take(2.0, &source(1), two(Unhealthy, Ready));
     assert!(!one(&view, "a").takes && one(&view, "b").takes);
-    let changes = view.take(3.0, &source(1), two(Critical, Critical));
+    let changes = view.take(3.0, &source(1), two(Unhealthy, Unhealthy));
     assert_eq!(changes.len(), 2, "both take work, though only one is news: {changes:?}");
     assert!(
         one(&view, "a").takes && one(&view, "b").takes && !one(&view, "c").takes,
         "who drains never does"
     );
-    view.take(4.0, &source(1), two(Critical, Ready));
+    view.take(4.0, &source(1), two(Unhealthy, Ready));
     assert!(!one(&view, "a").takes && one(&view, "b").takes);
-    let mut strict = View::new(false);
-    strict.take(1.0, &source(1), two(Critical, Critical));
+    let mut strict = EndpointSet::new(false);
+    strict.take(1.0, &source(1), two(Unhealthy, Unhealthy));
     assert!(strict.members().all(|m| !m.takes));
 }
 
 #[test]
 fn what_is_kept_is_recalled_with_its_starts() {
-    let mut view = View::new(true);
-    view.take(100.0, &source(1), News::Whole(vec![unstated("n", 1, 5), report("m", 2, Standing::Draining)]));
+    let mut view = EndpointSet::new(true);
+    view.take(
+        100.0,
+        &source(1),
+        SourceUpdate::Full(vec![unstated("n", 1, 5), report("m", 2, EndpointState::Draining)]),
+    );
     let kept: Vec<_> = view.kept().collect();
-    let mut next = View::new(true);
+    let mut next = EndpointSet::new(true);
     next.add(&source(1));
     assert_eq!(next.recall(kept.clone(), [(source(1), 100.0)]).len(), 2);
     assert_eq!(next.members().collect::<Vec<_>>(), view.members().collect::<Vec<_>>());
     // Told the same it knows all of it; what is gone since is gone.
-    assert_eq!(next.take(900.0, &source(1), News::Changes(vec![unstated("n", 1, 5)], vec![])), []);
-    let changes = next.take(901.0, &source(1), News::Whole(vec![unstated("n", 1, 5)]));
-    assert!(matches!(&changes[..], [Change::Gone(m)] if &*m.name == "m"));
+    assert_eq!(next.take(900.0, &source(1), SourceUpdate::Delta(vec![unstated("n", 1, 5)], vec![])), []);
+    let changes = next.take(901.0, &source(1), SourceUpdate::Full(vec![unstated("n", 1, 5)]));
+    assert!(matches!(&changes[..], [EndpointChange::Removed(m)] if &*m.name == "m"));
     // A source that is not there any more is left out.
-    let mut other = View::new(true);
+    let mut other = EndpointSet::new(true);
     other.add(&source(2));
     assert_eq!(other.recall(kept, []), []);
 }
 
-fn reports() -> impl Strategy<Value = Vec<Report>> {
-    let standing = prop_oneof![Just(Standing::Ready), Just(Standing::Critical), Just(Standing::Draining)];
+fn reports() -> impl Strategy<Value = Vec<EndpointReport>> {
+    let standing = prop_oneof![
+        Just(EndpointState::Ready),
+        Just(EndpointState::Unhealthy),
+        Just(EndpointState::Draining)
+    ];
     let one = (0u8..5, 1u16..5, standing, 0u64..3, prop_oneof![Just(0.0), Just(7.0)]).prop_map(
-        |(name, port, standing, registered, started)| Report {
+        |(name, port, standing, registered, started)| EndpointReport {
             registered,
             started_ms: Some(started),
             ..report(&format!("n{name}"), port, standing)
@@ -222,16 +248,16 @@
         last in proptest::collection::vec(reports(), 3),
         order in Just(vec![1u16, 2, 3]).prop_shuffle(),
     ) {
-        let mut view = View::new(true);
+        let mut view = EndpointSet::new(true);
         let mut follows = std::collections::BTreeMap::new();
-        let mut follow = |view: &View, changes: Vec<Change>| {
+        let mut follow = |view: &EndpointSet, changes: Vec<EndpointChange>| {
             for change in changes {
                 match change {
-                    Change::Is(m) => drop(follows.insert(m.name.clone(), m)),
-                    Change::Gone(m) => assert!(follows.remove(&m.name).is_some(), "gone twice: {m:?}"),
+                    EndpointChange::Updated(m) => drop(follows.insert(m.name.clone(), m)),
+                    EndpointChange::Removed(m) => assert!(follows.remove(&m.name).is_some(), "gone twice: {m:?}"),
                 }
             }
-            let has: Vec<&Merged> = view.members().collect();
+            let has: Vec<&Endpoint> = view.members().collect();
             assert_eq!(has, follows.values().collect::<Vec<_>>());
             let mut addrs: Vec<_> = has.iter().map(|m| m.addr).collect();
             addrs.sort();
@@ -239,17 +265,17 @@
             assert_eq!(addrs.len(), has.len(), "two members at one address");
         };
         for (from, news) in history {
-            let news = news.map_or(News::None("lost".into()), News::Whole);
+            let news = news.map_or(SourceUpdate::Unavailable("lost".into()), SourceUpdate::Full);
             let changes = view.take(1.0, &source(from), news);
             follow(&view, changes);
         }
         for from in order {
-            let changes = view.take(2.0, &source(from), News::Whole(last[usize::from(from) - 1].clone()));
+            let changes = view.take(2.0, &source(from), SourceUpdate::Full(last[usize::from(from) - 1].clone()));
             follow(&view, changes);
         }
-        let mut fresh = View::new(true);
+        let mut fresh = EndpointSet::new(true);
         for from in 1u16..4 {
-            fresh.take(3.0, &source(from), News::Whole(last[usize::from(from) - 1].clone()));
+            fresh.take(3.0, &source(from), SourceUpdate::Full(last[usize::from(from) - 1].clone()));
         }
         prop_assert_eq!(view.members().collect::<Vec<_>>(), fresh.members().collect::<Vec<_>>());
     }
--- a/crates/data-plane/discovery/tests/watch.rs
+++ b/crates/data-plane/discovery/tests/watch.rs
@@ -1,8 +1,10 @@
 //! Many watches on one discovery that falls silent, resets, is down and has too many callers: no list is held past the moment
 //! up to which the platform's protocol lets it be, as a model of that protocol counts it, and plans that are wrong are found.
-use discovery::platform::told::{Terms, GAP, SILENT, SLACK, WAITED};
-use discovery::platform::watch::{Next, Watch};
-use discovery::watch::{Kind, Plan};
+use discovery::platform::staleness::{
+    StalenessSettings, AFTER_WAIT_DEADLINE, MAX_WATCH_GAP, SILENT_WATCH_DEADLINE, SOCKET_SLACK,
+};
+use discovery::platform::watch::{NextStep, Watch};
+use discovery::watch::{CallKind, WatchTiming};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -116,8 +118,8 @@
         let draw = if self.spread { self.draw() } else { 1.0 };
         let (now, day) = (self.now, self.day.clone());
         let ask = match self.instances[k].watch.next(now, draw) {
-            Next::Wait(until) => return self.at(until, Event::Step(k)),
-            Next::Ask(ask) => ask,
+            NextStep::Wait(until) => return self.at(until, Event::Step(k)),
+            NextStep::Call(ask) => ask,
         };
         let number = |name: &str| {
             let rest = ask.path.split_once(name)?.1;
@@ -126,8 +128,8 @@
         let (since, wait) = (number("since="), ms(number("timeout_ms=").unwrap_or(0)));
         let id = self.calls.len();
         self.calls.push(Call { by: k, made: now, wait, since, open: false, silent: None, done: false });
-        let goes_on =
-            ask.kind == Kind::Standing && self.instances[k].written.is_some_and(|at| now <= at + GAP);
+        let goes_on = ask.kind == CallKind::LongPoll
+            && self.instances[k].written.is_some_and(|at| now <= at + MAX_WATCH_GAP);
         self.instances[k].call = Some(id);
         for change in std::mem::take(&mut self.instances[k].between).into_iter().filter(|_| !goes_on) {
             self.told[change][k] += ms(day.ask_within);
@@ -191,17 +193,17 @@
         let told = (0..day.instances).map(|k| {
             let i = &self.instances[k];
             let call = i.call.map(|id| &self.calls[id]);
-            let goes_on = i.written.is_some_and(|at| now <= at + GAP);
+            let goes_on = i.written.is_some_and(|at| now <= at + MAX_WATCH_GAP);
             match call {
                 Some(Call { silent: Some(at), made, wait, .. }) => {
-                    now.max(*at + SILENT).max(*made + *wait + WAITED)
+                    now.max(*at + SILENT_WATCH_DEADLINE).max(*made + *wait + AFTER_WAIT_DEADLINE)
                 }
                 _ if day.pushed => now,
                 Some(call) if call.open || goes_on => now,
                 None if goes_on => now,
                 // Whatever is allowed after a call that failed, it counts so long after discovery could be reached.
                 _ if self.down => Duration::MAX,
-                _ => now + ms(day.ask_within).min(SILENT),
+                _ => now + ms(day.ask_within).min(SILENT_WATCH_DEADLINE),
             }
         });
         self.told.push(told.collect());
@@ -209,7 +211,7 @@
         for i in
             self.instances.iter_mut().filter(|i| i.call.is_none_or(|id| !self.calls[id].open) && !day.pushed)
         {
-            if i.written.is_some_and(|at| now <= at + GAP) {
+            if i.written.is_some_and(|at| now <= at + MAX_WATCH_GAP) {
                 i.between.push(change);
             }
         }
@@ -267,7 +269,7 @@
                     self.told[change] = vec![now; self.day.instances];
                 }
                 for told in self.told.iter_mut().flatten() {
-                    *told = (*told).min(now + SILENT);
+                    *told = (*told).min(now + SILENT_WATCH_DEADLINE);
                 }
             }
         }
@@ -275,7 +277,7 @@
 }
 
 /// Plays a day by a plan, and says what was held for too long.
-fn play(day: &Day, plan: &Plan, spread: bool, gated: bool) -> Result<(), String> {
+fn play(day: &Day, plan: &WatchTiming, spread: bool, gated: bool) -> Result<(), String> {
     match held(day, plan, spread, gated).first() {
         None => Ok(()),
         Some((change, k, ends, told)) => Err(format!(
@@ -286,7 +288,7 @@
 
 /// Each list that was held for too long: which change it lacks, at which instance, until when, and when that was told.
 /// `gated`: nothing more begins once the news is read.
-fn held(day: &Day, plan: &Plan, spread: bool, gated: bool) -> Vec<(usize, usize, Duration, Duration)> {
+fn held(day: &Day, plan: &WatchTiming, spread: bool, gated: bool) -> Vec<(usize, usize, Duration, Duration)> {
     let instance = |_| Instance {
         watch: Watch::by(plan.clone(), Some(0)),
         call: None,
@@ -341,7 +343,7 @@
         for (k, &told) in told.iter().enumerate() {
             let read = world.instances[k].read.get(change + 1).copied().unwrap_or(end);
             let ends = if gated { read } else { read + grace };
-            if ends > told + grace + SLACK {
+            if ends > told + grace + SOCKET_SLACK {
                 held.push((change, k, ends, told));
             }
         }
@@ -381,7 +383,7 @@
 }
 
 /// Plays days from one seed until one goes wrong.
-fn search(pushed: bool, alter: impl Fn(&mut Plan), spread: bool, gated: bool) -> Result<(), String> {
+fn search(pushed: bool, alter: impl Fn(&mut WatchTiming), spread: bool, gated: bool) -> Result<(), String> {
     let config = ProptestConfig {
         cases: 400,
         rng_seed: RngSeed::Fixed(38),
@@ -389,7 +391,7 @@
         ..Default::default()
     };
     let result = TestRunner::new(config).run(&days(pushed, SOON), |day| {
-        let mut plan = Terms { pushed, drain_grace: ms(day.grace) }.plan();
+        let mut plan = StalenessSettings { pushed, drain_grace: ms(day.grace) }.plan();
         alter(&mut plan);
         play(&day, &plan, spread, gated).map_err(TestCaseError::fail)
     });
@@ -404,13 +406,13 @@
 }
 
 /// How many of 300 days hold a list for too long at some instance, where discovery takes a call of each in `all`.
-fn late(all: u64, alter: impl Fn(&mut Plan), spread: bool) -> usize {
+fn late(all: u64, alter: impl Fn(&mut WatchTiming), spread: bool) -> usize {
     let rng_seed = RngSeed::Fixed(42);
     let mut runner = TestRunner::new(ProptestConfig { rng_seed, ..Default::default() });
     let mut late = 0;
     for _ in 0..300 {
         let day = days(false, all..all + 1).new_tree(&mut runner).expect("a day").current();
-        let mut plan = Terms { pushed: false, drain_grace: ms(day.grace) }.plan();
+        let mut plan = StalenessSettings { pushed: false, drain_grace: ms(day.grace) }.plan();
         alter(&mut plan);
         late += usize::from(play(&day, &plan, spread, true).is_err());
     }
@@ -442,9 +444,9 @@
         troubles: vec![(20_000, Trouble::Down(8000)), (50_000, Trouble::Change)],
         draws: 42,
     };
-    let plan = Terms { pushed: false, drain_grace: ms(day.grace) }.plan();
+    let plan = StalenessSettings { pushed: false, drain_grace: ms(day.grace) }.plan();
     // Of the change that is made 22 s after its return.
-    let late = |plan: &Plan| held(&day, plan, true, true).iter().filter(|late| late.0 == 1).count();
+    let late = |plan: &WatchTiming| held(&day, plan, true, true).iter().filter(|late| late.0 == 1).count();
     assert_eq!(late(&plan), 0, "all have a watch again");
     let mut hasty = plan;
     (hasty.spread, hasty.turned_away_most) = (None, ms(1000));
@@ -455,14 +457,14 @@
 #[test]
 fn plans_that_are_wrong_are_found() {
     for pushed in [false, true] {
-        let long = |plan: &mut Plan| (plan.wait, plan.answer) = (ms(20_000), ms(2000));
+        let long = |plan: &mut WatchTiming| (plan.wait, plan.answer) = (ms(20_000), ms(2000));
         if pushed {
             assert!(search(pushed, long, true, true).is_err(), "waits as long as before");
         } else {
             let late = late(4000, long, true);
             assert!(late > 45, "waits as long as before: {late} of 300, where 30 are borne");
         }
-        let slow = |plan: &mut Plan| {
+        let slow = |plan: &mut WatchTiming| {
             (plan.pause, plan.pause_most, plan.turned_away_most) = (ms(8000), ms(8000), ms(8000))
         };
         assert!(search(pushed, slow, true, true).is_err(), "rests after a silence");
@@ -476,17 +478,17 @@
 /// a hundred failures in a row, each at once or after a wait, with draws at both ends.
 #[test]
 fn after_any_failure_the_next_call_comes_in_time() {
-    let (wait, most) = (ms(2000), SILENT + ms(1000) + SLACK - ms(500));
+    let (wait, most) = (ms(2000), SILENT_WATCH_DEADLINE + ms(1000) + SOCKET_SLACK - ms(500));
     for (lasts, draw) in [(ms(20), 0.0), (ms(20), 1.0), (wait, 0.0), (wait, 0.5), (wait, 1.0)] {
-        let terms = Terms { pushed: false, drain_grace: ms(1000) };
+        let terms = StalenessSettings { pushed: false, drain_grace: ms(1000) };
         let mut watch = Watch::new(&terms, Some(0));
         let (mut now, mut begun) = (Duration::ZERO, None);
         for row in 0..100 {
             match watch.next(now, draw) {
-                Next::Ask(_) => {}
-                Next::Wait(until) => {
+                NextStep::Call(_) => {}
+                NextStep::Wait(until) => {
                     now = until;
-                    assert!(matches!(watch.next(now, draw), Next::Ask(_)), "row {row}");
+                    assert!(matches!(watch.next(now, draw), NextStep::Call(_)), "row {row}");
                 }
             }
             if let Some(begun) = begun {
--- a/crates/data-plane/request-budget/src/lib.rs
+++ b/crates/data-plane/request-budget/src/lib.rs
@@ -5,20 +5,20 @@
 //! | --- | --- |
 //! | [`grammar`] | the fields in which it is carried, read and written |
 //! | [`path`] | where a request has been, and loops |
-//! | [`purse`] | the repeats of one request: spent, granted downwards, given back |
-//! | [`hearing`] | whether an upstream tells what was used below it |
-//! | [`causes`] | what is said once for each cause, and not for each request |
+//! | [`retry_budget`] | the repeats of one request: spent, granted downwards, given back |
+//! | [`usage_feedback`] | whether an upstream tells what was used below it |
+//! | [`log_throttle`] | what is said once for each cause, and not for each request |
 //!
 //! A *repeat* is an attempt beyond the first at a hop. First attempts are the work itself: a call that a tier has to make
 //! costs nothing here, however deep the chain is.
-pub mod causes;
 pub mod grammar;
-pub mod hearing;
+pub mod log_throttle;
 pub mod path;
-pub mod purse;
+pub mod retry_budget;
+pub mod usage_feedback;
 
 use grammar::{Bad, Offer};
-use path::{Mark, Path, Refused};
+use path::{HopMarker, Path, PathRejection};
 
 /// The most that any caller is believed.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +33,7 @@
 
 /// What came with a request, as its front found it.
 #[derive(Clone, Copy, Debug)]
-pub struct Given<'a> {
+pub struct IncomingFields<'a> {
     /// Every value of the budget's field.
     pub budget: &'a [&'a [u8]],
     /// Every value of the path's field.
@@ -63,11 +63,11 @@
 
 /// Why a request is not taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Untaken {
+pub enum BudgetRejection {
     /// Its fields can't be believed: bad input.
     Bad(Bad),
     /// It has been here, or at too many places: refused, and nothing ran.
-    Refused(Refused),
+    Refused(PathRejection),
 }
 
 impl Budget {
@@ -77,17 +77,17 @@
     /// was said. A forged path harms the request alone that carries it, so that paths are honoured whoever sends them.
     ///
     /// # Errors
-    /// See [`Untaken`].
-    pub fn of(given: &Given, bounds: &Bounds, own: &Mark) -> Result<Budget, Untaken> {
-        let path = Path::read(given.path.iter().copied()).map_err(Untaken::Refused)?;
-        let path = path.visit(own, bounds.hops).map_err(Untaken::Refused)?;
+    /// See [`BudgetRejection`].
+    pub fn of(given: &IncomingFields, bounds: &Bounds, own: &HopMarker) -> Result<Budget, BudgetRejection> {
+        let path = Path::read(given.path.iter().copied()).map_err(BudgetRejection::Refused)?;
+        let path = path.visit(own, bounds.hops).map_err(BudgetRejection::Refused)?;
         let offer = match given.trusted {
-            true => grammar::read_budget(given.budget).map_err(Untaken::Bad)?,
+            true => grammar::read_budget(given.budget).map_err(BudgetRejection::Bad)?,
             false => None,
         };
         let Offer { left, retries, worth } = offer.unwrap_or_default();
         if left.is_some_and(|left| given.patience > left + grammar::ROUNDING) {
-            return Err(Untaken::Bad(Bad::Conflict));
+            return Err(BudgetRejection::Bad(Bad::Conflict));
         }
         let usual = if given.repeated { bounds.repeat_worth } else { 1.0 };
         Ok(Budget {
--- a/crates/data-plane/request-budget/src/causes.rs
+++ b/crates/data-plane/request-budget/src/log_throttle.rs
@@ -8,9 +8,9 @@
 
 /// What was said, and how often since.
 #[derive(Debug, Default)]
-pub struct Causes(Vec<(String, f64, u64)>);
+pub struct LogThrottle(Vec<(String, f64, u64)>);
 
-impl Causes {
+impl LogThrottle {
     /// Notes that it came once more. `Some`: it is to be said now, with how often it came since it was said last.
     pub fn came(&mut self, cause: &str, now: f64) -> Option<u64> {
         let known = self.0.iter().position(|(c, ..)| c == cause);
--- a/crates/data-plane/request-budget/src/path.rs
+++ b/crates/data-plane/request-budget/src/path.rs
@@ -9,12 +9,12 @@
 
 /// The pseudonym of a pool: the same for all its instances, and for nobody to guess who has not its secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mark(Rc<str>);
+pub struct HopMarker(Rc<str>);
 
-impl Mark {
+impl HopMarker {
     /// The mark of this pool under this secret.
-    pub fn new(secret: &[u8], pool: &str) -> Mark {
-        Mark(format!("hd-{:016x}", hashing::keyed(secret, pool.as_bytes())).into())
+    pub fn new(secret: &[u8], pool: &str) -> HopMarker {
+        HopMarker(format!("hd-{:016x}", hashing::keyed(secret, pool.as_bytes())).into())
     }
 
     /// As it stands in the path.
@@ -25,28 +25,28 @@
 
 /// Why a request goes no further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum PathRejection {
     /// It carries this pool's mark.
     Loop,
     /// It has been at too many places.
     Hops,
 }
 
-impl Refused {
+impl PathRejection {
     /// What its caller is told.
     pub fn stop(self) -> Stop {
         match self {
-            Refused::Loop => Stop::Loop,
-            Refused::Hops => Stop::Hops,
+            PathRejection::Loop => Stop::Loop,
+            PathRejection::Hops => Stop::Hops,
         }
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for PathRejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refused::Loop => "the request has been here before: its route is a loop",
-            Refused::Hops => "the request has been at too many places",
+            PathRejection::Loop => "the request has been here before: its route is a loop",
+            PathRejection::Hops => "the request has been at too many places",
         })
     }
 }
@@ -75,11 +75,11 @@
     ///
     /// # Errors
     /// It is longer than any that is looked at.
-    pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Path, Refused> {
+    pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Path, PathRejection> {
         let mut text = String::new();
         for value in values {
             if text.len() + value.len() + 2 > PATH_MOST {
-                return Err(Refused::Hops);
+                return Err(PathRejection::Hops);
             }
             if let Ok(value) = std::str::from_utf8(value) {
                 if !text.is_empty() && !value.trim().is_empty() {
@@ -100,14 +100,14 @@
     ///
     /// # Errors
     /// It is on it already, or there are `most` places on it.
-    pub fn visit(&self, own: &Mark, most: usize) -> Result<Path, Refused> {
+    pub fn visit(&self, own: &HopMarker, most: usize) -> Result<Path, PathRejection> {
         // A comment of somebody's, behind the pseudonym, is no place.
         let places = || entries(&self.0).map(|entry| entry.split_whitespace().nth(1).unwrap_or(""));
         if places().any(|place| place == own.text()) {
-            return Err(Refused::Loop);
+            return Err(PathRejection::Loop);
         }
         if places().count() >= most {
-            return Err(Refused::Hops);
+            return Err(PathRejection::Hops);
         }
         let own = own.text();
         Ok(Path(if self.0.is_empty() {
--- a/crates/data-plane/request-budget/src/purse.rs
+++ b/crates/data-plane/request-budget/src/retry_budget.rs
@@ -4,18 +4,18 @@
 
 /// What the end of an attempt tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AttemptUsage {
     /// What was used.
     Used(Used),
     /// Nothing, but that the attempt never ran: nothing was used.
     NeverRan,
     /// Nothing: all may have been used.
-    Nothing,
+    Unknown,
 }
 
 /// See the module's page.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct RetryBudget {
     left: u32,
     spent: u32,
     sends: u32,
@@ -24,10 +24,10 @@
     stop: Option<Stop>,
 }
 
-impl Purse {
+impl RetryBudget {
     /// With so many repeats.
-    pub fn new(given: u32) -> Purse {
-        Purse { left: given, spent: 0, sends: 0, out: Vec::new(), stop: None }
+    pub fn new(given: u32) -> RetryBudget {
+        RetryBudget { left: given, spent: 0, sends: 0, out: Vec::new(), stop: None }
     }
 
     /// Repeats that may be sent now.
@@ -51,17 +51,17 @@
     }
 
     /// Books the end of an attempt; only its first end counts.
-    pub fn ended(&mut self, number: u32, told: Told) {
+    pub fn ended(&mut self, number: u32, told: AttemptUsage) {
         let Some(k) = self.out.iter().position(|&(n, _)| n == number) else { return };
         let (_, grant) = self.out.swap_remove(k);
         let used = match told {
-            Told::Used(used) => {
+            AttemptUsage::Used(used) => {
                 self.stop = self.stop.or(used.stop);
                 // More than was granted can't have been.
                 used.retries.min(grant)
             }
-            Told::NeverRan => 0,
-            Told::Nothing => grant,
+            AttemptUsage::NeverRan => 0,
+            AttemptUsage::Unknown => grant,
         };
         self.spent = self.spent.saturating_add(used);
         self.left += grant - used;
--- a/crates/data-plane/request-budget/src/hearing.rs
+++ b/crates/data-plane/request-budget/src/usage_feedback.rs
@@ -6,9 +6,9 @@
 
 /// What was heard of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Hearing(u8);
+pub struct UsageFeedback(u8);
 
-impl Hearing {
+impl UsageFeedback {
     /// An answer came, and told or did not.
     pub fn answered(&mut self, told: bool) {
         self.0 = if told { FORGOTTEN_AFTER } else { self.0.saturating_sub(1) };
--- a/crates/data-plane/request-budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -1,22 +1,22 @@
 //! Budgets against what callers send and what gets lost.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use request_budget::causes::Causes;
 use request_budget::grammar::Used;
 use request_budget::grammar::{read_budget, read_used, write_budget, write_used, Bad, Offer, Stop};
-use request_budget::hearing::Hearing;
-use request_budget::path::{Mark, Path, Refused};
-use request_budget::purse::{Purse, Told};
-use request_budget::{Bounds, Budget, Given, Untaken};
+use request_budget::log_throttle::LogThrottle;
+use request_budget::path::{HopMarker, Path, PathRejection};
+use request_budget::retry_budget::{AttemptUsage, RetryBudget};
+use request_budget::usage_feedback::UsageFeedback;
+use request_budget::{Bounds, Budget, BudgetRejection, IncomingFields};
 
 const BOUNDS: Bounds = Bounds { retries: 2, hops: 4, repeat_worth: 0.25 };
 
-fn mark(pool: &str) -> Mark {
-    Mark::new(b"secret", pool)
+fn mark(pool: &str) -> HopMarker {
+    HopMarker::new(b"secret", pool)
 }
 
-fn given<'a>(budget: &'a [&'a [u8]], path: &'a [&'a [u8]]) -> Given<'a> {
-    Given { budget, path, patience: 500.0, repeated: false, trusted: true }
+fn given<'a>(budget: &'a [&'a [u8]], path: &'a [&'a [u8]]) -> IncomingFields<'a> {
+    IncomingFields { budget, path, patience: 500.0, repeated: false, trusted: true }
 }
 
 #[test]
@@ -67,42 +67,43 @@
 #[test]
 fn nobody_gets_more_than_the_bounds() {
     let own = mark("portal");
-    let of = |given: Given| Budget::of(&given, &BOUNDS, &own);
+    let of = |given: IncomingFields| Budget::of(&given, &BOUNDS, &own);
     let million = of(given(&[b"retries=1000000, worth=99"], &[])).expect("bounded");
     assert_eq!((million.retries, million.worth, million.left, million.told), (2, 1.0, 500.0, true));
     let none = of(given(&[], &[])).expect("the normal case");
     assert_eq!((none.retries, none.worth, none.told), (2, 1.0, false));
     // One that is not believed: not even what is malformed matters.
-    let stranger = Given { trusted: false, ..given(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
+    let stranger =
+        IncomingFields { trusted: false, ..given(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
     let stranger = of(stranger).expect("not looked at");
     assert_eq!((stranger.retries, stranger.worth, stranger.told), (2, 1.0, false));
-    assert_eq!(of(given(&[b"left=499"], &[])), Err(Untaken::Bad(Bad::Conflict)));
+    assert_eq!(of(given(&[b"left=499"], &[])), Err(BudgetRejection::Bad(Bad::Conflict)));
     assert!(of(given(&[b"left=500"], &[])).is_ok() && of(given(&[b"left=501"], &[])).is_ok());
-    let repeat = of(Given { repeated: true, ..given(&[], &[]) }).expect("good");
+    let repeat = of(IncomingFields { repeated: true, ..given(&[], &[]) }).expect("good");
     assert_eq!(repeat.worth, 0.25);
-    let stated = of(Given { repeated: true, ..given(&[b"worth=0.75"], &[]) }).expect("good");
+    let stated = of(IncomingFields { repeated: true, ..given(&[b"worth=0.75"], &[]) }).expect("good");
     assert_eq!(stated.worth, 0.75);
 }
 
 #[test]
 fn a_request_that_comes_back_is_refused_and_marks_tell_nothing() {
     let (portal, cuentas) = (mark("portal"), mark("cuentas"));
-    assert!(portal != cuentas && portal != Mark::new(b"other", "portal") && portal == mark("portal"));
+    assert!(portal != cuentas && portal != HopMarker::new(b"other", "portal") && portal == mark("portal"));
     assert!(!portal.text().contains("portal") && portal.text().len() == 19);
     let first = Path::default().visit(&portal, 4).expect("nowhere yet");
     let second = first.visit(&cuentas, 4).expect("not there yet");
     assert_eq!(second.hops(), 2);
-    assert_eq!(first.visit(&portal, 4), Err(Refused::Loop));
-    assert_eq!(second.visit(&portal, 4), Err(Refused::Loop), "over two pools");
+    assert_eq!(first.visit(&portal, 4), Err(PathRejection::Loop));
+    assert_eq!(second.visit(&portal, 4), Err(PathRejection::Loop), "over two pools");
     // As a proxy between passes it on: its own entry behind ours, with a comment, on a line of its own.
     let lines = [second.text().as_bytes(), b"1.0 fred (a, (nested), proxy), 1.1 p.example.net (Squid)"];
     let passed = Path::read(lines.into_iter()).expect("short enough");
-    assert_eq!((passed.hops(), passed.visit(&cuentas, 9)), (4, Err(Refused::Loop)));
-    assert_eq!(passed.visit(&mark("third"), 4), Err(Refused::Hops));
+    assert_eq!((passed.hops(), passed.visit(&cuentas, 9)), (4, Err(PathRejection::Loop)));
+    assert_eq!(passed.visit(&mark("third"), 4), Err(PathRejection::Hops));
     let long = vec![b'x'; 3000];
-    assert_eq!(Path::read([&long[..]].into_iter()), Err(Refused::Hops));
+    assert_eq!(Path::read([&long[..]].into_iter()), Err(PathRejection::Hops));
     let thousand = vec!["1.1 a"; 1000].join(",");
-    assert_eq!(Path::read([thousand.as_bytes()].into_iter()).map(|_| ()), Err(Refused::Hops));
+    assert_eq!(Path::read([thousand.as_bytes()].into_iter()).map(|_| ()), Err(PathRejection::Hops));
     let comment = format!("1.1 x ({})", portal.text());
     let in_comment = Path::read([comment.as_bytes()].into_iter()).expect("short enough");
     assert!(in_comment.visit(&portal, 4).is_ok(), "a comment is no place");
@@ -114,38 +115,38 @@
 
 #[test]
 fn grants_go_only_where_it_is_told_what_was_used() {
-    let mut hearing = Hearing::default();
+    let mut hearing = UsageFeedback::default();
     assert!(!hearing.tells());
     hearing.answered(true);
     (0..15).for_each(|_| hearing.answered(false));
     assert!(hearing.tells());
     hearing.answered(false);
     assert!(!hearing.tells());
-    let mut purse = Purse::new(3);
+    let mut purse = RetryBudget::new(3);
     assert_eq!((purse.send(0, false), purse.left()), (0, 3));
-    purse.ended(0, Told::Nothing);
+    purse.ended(0, AttemptUsage::Unknown);
     assert_eq!((purse.send(1, true), purse.left()), (1, 1));
-    purse.ended(1, Told::Used(Used { retries: 9, stop: None }));
+    purse.ended(1, AttemptUsage::Used(Used { retries: 9, stop: None }));
     assert_eq!(purse.used().retries, 2, "a repeat here, and no more below than was granted");
     assert_eq!((purse.send(2, true), purse.left()), (0, 0));
-    purse.ended(2, Told::Used(Used { retries: 0, stop: Some(Stop::Loop) }));
-    purse.ended(2, Told::Used(Used { retries: 5, stop: None }));
+    purse.ended(2, AttemptUsage::Used(Used { retries: 0, stop: Some(Stop::Loop) }));
+    purse.ended(2, AttemptUsage::Used(Used { retries: 5, stop: None }));
     assert_eq!(purse.used(), Used { retries: 3, stop: Some(Stop::Loop) });
     // A loop below ends it here too, whatever is left.
-    let mut purse = Purse::new(5);
+    let mut purse = RetryBudget::new(5);
     purse.send(0, true);
-    purse.ended(0, Told::Used(Used { retries: 0, stop: Some(Stop::Hops) }));
+    purse.ended(0, AttemptUsage::Used(Used { retries: 0, stop: Some(Stop::Hops) }));
     assert_eq!(purse.left(), 0);
     // What certainly never ran used nothing.
-    let mut purse = Purse::new(4);
+    let mut purse = RetryBudget::new(4);
     assert_eq!(purse.send(0, true), 2);
-    purse.ended(0, Told::NeverRan);
+    purse.ended(0, AttemptUsage::NeverRan);
     assert_eq!((purse.left(), purse.used().retries), (4, 0));
 }
 
 #[test]
 fn a_cause_is_said_once_and_then_counted() {
-    let mut causes = Causes::default();
+    let mut causes = LogThrottle::default();
     assert_eq!(causes.came("loop", 0.0), Some(1));
     assert!((1..1000).all(|k| causes.came("loop", f64::from(k)).is_none()));
     assert_eq!(causes.came("other", 5.0), Some(1));
@@ -158,7 +159,7 @@
 
 /// What one hop of a chain does, by a script: each attempt is lost, tells the truth, lies or never runs.
 fn hop(given: u32, depth: u32, script: &mut impl Iterator<Item = u8>, sent: &mut u32) -> (Used, bool) {
-    let mut purse = Purse::new(given);
+    let mut purse = RetryBudget::new(given);
     let (mut number, mut served) = (0, false);
     while number == 0 || (purse.left() > 0 && !served) {
         let what = script.next().unwrap_or(0);
@@ -168,22 +169,22 @@
             0 | 1 if depth > 0 => {
                 let (used, done) = hop(grant, depth - 1, script, sent);
                 served = done;
-                Told::Used(used)
+                AttemptUsage::Used(used)
             }
             2 if depth > 0 => {
                 hop(grant, depth - 1, script, sent);
-                Told::Nothing
+                AttemptUsage::Unknown
             }
             3 if depth > 0 => {
                 // More than was granted, from one that does not know what it says.
                 let (used, _) = hop(grant, depth - 1, script, sent);
-                Told::Used(Used { retries: used.retries.saturating_add(1 << 20), stop: None })
+                AttemptUsage::Used(Used { retries: used.retries.saturating_add(1 << 20), stop: None })
             }
-            4 => Told::NeverRan,
-            5 => Told::Nothing,
+            4 => AttemptUsage::NeverRan,
+            5 => AttemptUsage::Unknown,
             _ => {
                 served = true;
-                Told::Used(Used::default())
+                AttemptUsage::Used(Used::default())
             }
         };
         purse.ended(number, told);
--- a/crates/foundations/config/src/council.rs
+++ b/crates/foundations/config/src/coordination.rs
@@ -1,6 +1,6 @@
 //! What the council's files say: `[council]` of a voter's own file with its `[[voter]]`s, and `[council]` of the files of
 //! those that are its clients. `deploy/council.example.toml` documents the voter's.
-use crate::values::{fault_at, path_value, quantity, read_text, Fault};
+use crate::values::{fault_at, path_value, quantity, read_text, ConfigError};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use toml::Spanned;
 
 /// Most voters.
-pub const VOTERS_MOST: usize = 9;
+pub const MAX_VOTERS: usize = 9;
 /// Longest name of a voter.
 const NAME_MOST: usize = 32;
 /// Longest path of the folder: a Unix socket in it still has a path that the system takes.
@@ -17,7 +17,7 @@
 
 /// All that a voter's file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Council {
+pub struct CoordinationConfig {
     /// The voter's name, one of `voters`.
     pub name: String,
     /// Where its journal, its lock and its control socket are.
@@ -32,7 +32,7 @@
     pub voters: Vec<(String, SocketAddr)>,
 }
 
-impl Council {
+impl CoordinationConfig {
     /// Where the others reach it.
     pub fn addr(&self) -> SocketAddr {
         let own = self.voters.iter().find(|(name, _)| *name == self.name);
@@ -47,7 +47,7 @@
 
 /// What a client's file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Client {
+pub struct CoordinationClientConfig {
     /// Where the voters listen.
     pub voters: Vec<SocketAddr>,
     /// Its session ends when it is not renewed for so long.
@@ -61,14 +61,14 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
-    council: RawCouncil,
+    council: RawCoordinationConfig,
     #[serde(default)]
     voter: Vec<RawVoter>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawCouncil {
+struct RawCoordinationConfig {
     name: Spanned<String>,
     folder: Spanned<String>,
     listen: Option<Spanned<String>>,
@@ -86,14 +86,14 @@
 /// `[council]` of a client's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawClient {
+pub struct RawClientConfig {
     voters: Spanned<Vec<Spanned<String>>>,
     ttl: Option<Spanned<String>>,
     patience: Option<Spanned<String>>,
     warm: Option<Spanned<String>>,
 }
 
-fn address(text: &str, field: &str, given: &Spanned<String>) -> Result<SocketAddr, Fault> {
+fn address(text: &str, field: &str, given: &Spanned<String>) -> Result<SocketAddr, ConfigError> {
     let parsed = given.get_ref().parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
     let what = format!("{:?} is no address with a port, such as \"127.0.0.1:7801\"", given.get_ref());
     parsed.ok_or_else(|| fault_at(text, given.span().start, field, what))
@@ -103,19 +103,19 @@
     Duration::from_millis(n)
 }
 
-impl RawClient {
+impl RawClientConfig {
     /// With what is checked.
     ///
     /// # Errors
     /// The first fault, with its place.
-    pub(crate) fn resolve(self, text: &str) -> Result<Client, Fault> {
+    pub(crate) fn resolve(self, text: &str) -> Result<CoordinationClientConfig, ConfigError> {
         let list = self.voters.get_ref();
-        if list.is_empty() || list.len() > VOTERS_MOST {
-            let what = format!("names {} voters, and 1 to {VOTERS_MOST} is right", list.len());
+        if list.is_empty() || list.len() > MAX_VOTERS {
+            let what = format!("names {} voters, and 1 to {MAX_VOTERS} is right", list.len());
             return Err(fault_at(text, self.voters.span().start, "council.voters", what));
         }
         let voters = list.iter().map(|given| address(text, "council.voters", given));
-        Ok(Client {
+        Ok(CoordinationClientConfig {
             voters: voters.collect::<Result<_, _>>()?,
             ttl: quantity(text, "council.ttl", self.ttl, ms(5000), ms(1000), ms(600_000))?,
             patience: quantity(text, "council.patience", self.patience, ms(2000), ms(100), ms(60_000))?,
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 /// The first fault, with its place.
-pub fn parse(bytes: &[u8]) -> Result<Council, Fault> {
+pub fn parse(bytes: &[u8]) -> Result<CoordinationConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
     let Raw { council: c, voter } = raw;
     let mut voters: Vec<(String, SocketAddr)> = Vec::new();
@@ -141,8 +141,8 @@
             Some(format!("{name:?} is no name of 1 to {NAME_MOST} letters, digits, - and _"))
         } else if !names.insert(name.clone()) {
             Some(format!("another voter is called {name:?}"))
-        } else if k >= VOTERS_MOST {
-            Some(format!("there are more than {VOTERS_MOST} voters"))
+        } else if k >= MAX_VOTERS {
+            Some(format!("there are more than {MAX_VOTERS} voters"))
         } else {
             None
         };
@@ -161,7 +161,7 @@
         voters.push((name.clone(), addr));
     }
     if voters.is_empty() {
-        return Err(Fault { line: 0, column: 0, field: "voter".into(), what: "there is none".into() });
+        return Err(ConfigError { line: 0, column: 0, field: "voter".into(), what: "there is none".into() });
     }
     let name = c.name.get_ref().clone();
     if !names.contains(&name) {
@@ -184,22 +184,22 @@
     };
     let listen = c.listen.as_ref().map(|given| address(text, "council.listen", given)).transpose()?;
     let tick = quantity(text, "council.tick", c.tick, ms(100), ms(10), ms(10_000))?;
-    Ok(Council { name, folder, tick, clients, listen, voters })
+    Ok(CoordinationConfig { name, folder, tick, clients, listen, voters })
 }
 
 /// Reads a voter's file. Its folder is relative to the file's.
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<Council, String> {
+pub fn read(path: &Path) -> Result<CoordinationConfig, String> {
     let mut council = crate::operator::read_with(path, parse)?;
     council.folder = path.parent().unwrap_or(Path::new("")).join(&council.folder);
     Ok(council)
 }
 
 /// Whether a TOML file is a voter's, by its tables.
-pub fn is_council(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::FILE_MOST).unwrap_or_default();
+pub fn is_coordination_file(path: &Path) -> bool {
+    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[voter]]")
 }
 
--- a/crates/foundations/config/src/registry.rs
+++ b/crates/foundations/config/src/discovery.rs
@@ -1,5 +1,5 @@
 //! The tables of the operator's file that say where members come from: `[registry]`, `[[consul]]`, `[[static]]`.
-use crate::values::{fault_at, path_value, quantity, Fault, Quantity};
+use crate::values::{fault_at, path_value, quantity, ConfigError, Quantity};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 /// Where members come from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Registry {
+pub struct DiscoveryConfig {
     /// Whether the platform's discovery is asked.
     pub discovery: bool,
     /// Whether members of the platform's discovery speak FastCGI, and not HTTP.
@@ -31,14 +31,14 @@
     /// How often it is written at most.
     pub saved_every: Duration,
     /// Consul's services.
-    pub consul: Vec<Consul>,
+    pub consul: Vec<ConsulConfig>,
     /// Members named here.
     pub fixed: Vec<Static>,
 }
 
-impl Default for Registry {
+impl Default for DiscoveryConfig {
     fn default() -> Self {
-        Registry {
+        DiscoveryConfig {
             discovery: true,
             fastcgi: false,
             last_resort: true,
@@ -64,7 +64,7 @@
 
 /// One service of Consul's.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Consul {
+pub struct ConsulConfig {
     /// What this source is called.
     pub name: String,
     /// The service.
@@ -104,7 +104,7 @@
     /// Whether its members speak FastCGI, and not HTTP.
     pub fastcgi: bool,
     /// This instance as a service.
-    pub register: Option<Register>,
+    pub register: Option<RegistrationConfig>,
 }
 
 /// Consul's consistency modes.
@@ -136,7 +136,7 @@
 
 /// How this instance registers itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Register {
+pub struct RegistrationConfig {
     /// As what service.
     pub service: String,
     /// Its id; `None`: the service's and the instance's names.
@@ -246,16 +246,21 @@
         format!("{}.{name}", self.path)
     }
 
-    fn fault(&self, at: usize, name: &str, what: String) -> Fault {
+    fn fault(&self, at: usize, name: &str, what: String) -> ConfigError {
         fault_at(self.text, at, &self.field(name), what)
     }
 
-    fn span(&self, name: &str, given: Option<Spanned<String>>, bounds: [u64; 3]) -> Result<Duration, Fault> {
+    fn span(
+        &self,
+        name: &str,
+        given: Option<Spanned<String>>,
+        bounds: [u64; 3],
+    ) -> Result<Duration, ConfigError> {
         let [default, least, most] = bounds.map(Duration::from_millis);
         quantity(self.text, &self.field(name), given, default, least, most)
     }
 
-    fn string(&self, name: &str, given: Spanned<String>) -> Result<String, Fault> {
+    fn string(&self, name: &str, given: Spanned<String>) -> Result<String, ConfigError> {
         let at = given.span().start;
         let value = given.into_inner();
         if value.is_empty() || value.len() > TEXT_MOST || value.chars().any(char::is_control) {
@@ -265,15 +270,15 @@
         Ok(value)
     }
 
-    fn maybe(&self, name: &str, given: Option<Spanned<String>>) -> Result<Option<String>, Fault> {
+    fn maybe(&self, name: &str, given: Option<Spanned<String>>) -> Result<Option<String>, ConfigError> {
         given.map(|g| self.string(name, g)).transpose()
     }
 
-    fn or(&self, name: &str, given: Option<Spanned<String>>, default: &str) -> Result<String, Fault> {
+    fn or(&self, name: &str, given: Option<Spanned<String>>, default: &str) -> Result<String, ConfigError> {
         Ok(self.maybe(name, given)?.unwrap_or_else(|| default.into()))
     }
 
-    fn addr(&self, name: &str, given: Spanned<String>) -> Result<SocketAddr, Fault> {
+    fn addr(&self, name: &str, given: Spanned<String>) -> Result<SocketAddr, ConfigError> {
         let what =
             || format!("{:?} is no IP address with a port, such as \"127.0.0.1:8500\"", given.get_ref());
         given.get_ref().parse().map_err(|_| self.fault(given.span().start, name, what()))
@@ -285,7 +290,7 @@
         name: &str,
         given: Option<Spanned<String>>,
         words: &[(&str, T)],
-    ) -> Result<T, Fault> {
+    ) -> Result<T, ConfigError> {
         let Some(given) = given else { return Ok(words[0].1) };
         let found = words.iter().find(|(word, _)| word == given.get_ref()).map(|&(_, value)| value);
         found.ok_or_else(|| {
@@ -305,13 +310,13 @@
     raw: RawRegistry,
     consul: Vec<RawConsul>,
     fixed: Vec<RawStatic>,
-) -> Result<Registry, Fault> {
-    let d = Registry::default();
+) -> Result<DiscoveryConfig, ConfigError> {
+    let d = DiscoveryConfig::default();
     let t = Table { text, path: "registry".into() };
     let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
     if consul.len() > TABLES_MOST || fixed.len() > TABLES_MOST {
         let what = format!("there are more than {TABLES_MOST} of one kind");
-        return Err(Fault { line: 0, column: 0, field: "consul, static".into(), what });
+        return Err(ConfigError { line: 0, column: 0, field: "consul, static".into(), what });
     }
     let mut names = BTreeSet::new();
     let mut unique = |t: &Table, field: &str, value: &str, at: usize| match names
@@ -352,9 +357,9 @@
     let discovery = raw.discovery.unwrap_or(d.discovery);
     if !discovery && services.is_empty() && members.is_empty() {
         let what = "is off, and there is no other source of members".into();
-        return Err(Fault { line: 0, column: 0, field: "registry.discovery".into(), what });
+        return Err(ConfigError { line: 0, column: 0, field: "registry.discovery".into(), what });
     }
-    Ok(Registry {
+    Ok(DiscoveryConfig {
         discovery,
         fastcgi: t.word("speaks", raw.speaks, SPEAKS)?,
         last_resort: raw.last_resort.unwrap_or(d.last_resort),
@@ -366,7 +371,7 @@
     })
 }
 
-fn one(t: &Table, raw: RawConsul) -> Result<Consul, Fault> {
+fn one(t: &Table, raw: RawConsul) -> Result<ConsulConfig, ConfigError> {
     let agents_at = raw.agents.span().start;
     let agents: Vec<SocketAddr> =
         raw.agents.into_inner().into_iter().map(|a| t.addr("agents", a)).collect::<Result<_, _>>()?;
@@ -401,11 +406,11 @@
         Some(r) => {
             let t = Table { text: t.text, path: t.field("register") };
             let meta = r.meta.into_iter().map(|(k, v)| Ok((k, t.string("meta", v)?)));
-            Some(Register {
+            Some(RegistrationConfig {
                 service: t.string("service", r.service)?,
                 id: t.maybe("id", r.id)?,
                 tags: r.tags.into_iter().map(|v| t.string("tags", v)).collect::<Result<_, _>>()?,
-                meta: meta.collect::<Result<_, Fault>>()?,
+                meta: meta.collect::<Result<_, ConfigError>>()?,
                 ttl: t.span("ttl", r.ttl, [15_000, 1000, 3_600_000])?,
                 forget_after: t.span("forget_after", r.forget_after, [0, 0, 86_400_000])?,
             })
@@ -418,7 +423,7 @@
     if pause_most < pause {
         return Err(t.fault(pause_at, "pause_most", format!("is below pause, {}", pause.show())));
     }
-    Ok(Consul {
+    Ok(ConsulConfig {
         name: t.string("name", raw.name)?,
         service: t.string("service", raw.service)?,
         agents,
--- a/crates/foundations/config/src/outages.rs
+++ b/crates/foundations/config/src/disruption.rs
@@ -1,25 +1,25 @@
 //! The file of agreed outages: budgets, and the council that they are agreed in. `deploy/outages.example.toml` documents it.
-use crate::council::{Client, RawClient};
-use crate::values::{fault_at, read_text, Fault};
-use disruption::budget::{Budget, Budgets, Of, NAME_MOST};
-use disruption::Kind;
+use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::values::{fault_at, read_text, ConfigError};
+use disruption::budget::{DisruptionBudget, DisruptionBudgets, GroupBy, MAX_NAME_BYTES};
+use disruption::ResourceKind;
 use serde::Deserialize;
 use std::path::Path;
 use toml::Spanned;
 
 /// All that the file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outages {
+pub struct DisruptionConfig {
     /// Where it is agreed on.
-    pub council: Client,
+    pub council: CoordinationClientConfig,
     /// What may be out.
-    pub budgets: Budgets,
+    pub budgets: DisruptionBudgets,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
-    council: RawClient,
+    council: RawClientConfig,
     #[serde(default)]
     budget: Vec<RawBudget>,
 }
@@ -36,20 +36,25 @@
     floor: Option<Spanned<i64>>,
 }
 
-fn word<T: Copy>(text: &str, field: &str, given: &Spanned<String>, all: &[(&str, T)]) -> Result<T, Fault> {
+fn word<T: Copy>(
+    text: &str,
+    field: &str,
+    given: &Spanned<String>,
+    all: &[(&str, T)],
+) -> Result<T, ConfigError> {
     let found = all.iter().find(|(name, _)| name == given.get_ref()).map(|&(_, value)| value);
     let names: Vec<&str> = all.iter().map(|&(name, _)| name).collect();
     let what = format!("{:?} is none of {}", given.get_ref(), names.join(", "));
     found.ok_or_else(|| fault_at(text, given.span().start, field, what))
 }
 
-fn count(text: &str, field: &str, given: &Spanned<i64>) -> Result<u32, Fault> {
+fn count(text: &str, field: &str, given: &Spanned<i64>) -> Result<u32, ConfigError> {
     let value = u32::try_from(*given.get_ref()).ok().filter(|&n| n <= 1_000_000);
     value.ok_or_else(|| fault_at(text, given.span().start, field, "is not between 0 and 1000000".into()))
 }
 
 /// A percentage with at most one digit behind the point, in thousandths.
-pub(crate) fn share(text: &str, field: &str, given: &Spanned<String>) -> Result<u32, Fault> {
+pub(crate) fn share(text: &str, field: &str, given: &Spanned<String>) -> Result<u32, ConfigError> {
     let fault = || {
         let what = format!(
             "{:?} is no percentage between 0 % and 100 %, such as \"10 %\" or \"2.5 %\"",
@@ -71,28 +76,28 @@
 ///
 /// # Errors
 /// The first fault, with its place.
-pub fn parse(bytes: &[u8]) -> Result<Outages, Fault> {
+pub fn parse(bytes: &[u8]) -> Result<DisruptionConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
     let council = raw.council.resolve(text)?;
     let mut all = Vec::new();
     let mut places = Vec::new();
     for (k, b) in raw.budget.into_iter().enumerate() {
         let field = |name: &str| format!("budget[{k}].{name}");
-        let kinds = [("balancer", Kind::Balancer), ("upstream", Kind::Upstream)];
+        let kinds = [("balancer", ResourceKind::Balancer), ("upstream", ResourceKind::Upstream)];
         let groups = [
-            ("fleet", Of::Fleet),
-            ("machine", Of::Machine),
-            ("zone", Of::Zone),
-            ("tier", Of::Tier),
-            ("pool", Of::Pool),
+            ("fleet", GroupBy::Fleet),
+            ("machine", GroupBy::Machine),
+            ("zone", GroupBy::Zone),
+            ("tier", GroupBy::Tier),
+            ("pool", GroupBy::Pool),
         ];
         if let Some(only) =
-            b.only.as_ref().filter(|o| o.get_ref().is_empty() || o.get_ref().len() > NAME_MOST)
+            b.only.as_ref().filter(|o| o.get_ref().is_empty() || o.get_ref().len() > MAX_NAME_BYTES)
         {
-            let what = format!("is no name of 1 to {NAME_MOST} bytes");
+            let what = format!("is no name of 1 to {MAX_NAME_BYTES} bytes");
             return Err(fault_at(text, only.span().start, &field("only"), what));
         }
-        all.push(Budget {
+        all.push(DisruptionBudget {
             name: b.name.get_ref().clone(),
             kind: word(text, &field("of"), &b.of, &kinds)?,
             per: word(text, &field("per"), &b.per, &groups)?,
@@ -110,25 +115,25 @@
             ("share", at(b.share.as_ref().map(Spanned::span))),
         ]);
     }
-    let budgets = Budgets { all };
+    let budgets = DisruptionBudgets { all };
     if let Err((k, name, what)) = budgets.validate() {
         let place = places.get(k).and_then(|p| p.iter().find(|(n, _)| *n == name)).map_or(0, |&(_, at)| at);
         return Err(fault_at(text, place, &format!("budget[{k}].{name}"), what));
     }
-    Ok(Outages { council, budgets })
+    Ok(DisruptionConfig { council, budgets })
 }
 
 /// Reads such a file.
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<Outages, String> {
+pub fn read(path: &Path) -> Result<DisruptionConfig, String> {
     crate::operator::read_with(path, parse)
 }
 
 /// Whether a TOML file is of outages, by its tables.
-pub fn is_outages(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::FILE_MOST).unwrap_or_default();
+pub fn is_disruption_file(path: &Path) -> bool {
+    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[budget]]")
 }
 
@@ -168,6 +173,6 @@
     fn the_example_is_good() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/outages.example.toml");
         let all = read(&path).expect("good");
-        assert!(all.budgets.all.len() >= 4 && is_outages(&path));
+        assert!(all.budgets.all.len() >= 4 && is_disruption_file(&path));
     }
 }
--- a/crates/foundations/config/src/fastcgi.rs
+++ b/crates/foundations/config/src/fastcgi.rs
@@ -1,5 +1,5 @@
 //! The table `[fastcgi]` of the operator's file: where FastCGI callers connect, and what goes to members that speak it.
-use crate::values::{fault_at, Fault};
+use crate::values::{fault_at, ConfigError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     deadline: Option<Spanned<String>>,
 }
 
-fn listen(text: &str, given: &Spanned<String>) -> Result<Listen, Fault> {
+fn listen(text: &str, given: &Spanned<String>) -> Result<Listen, ConfigError> {
     let value = given.get_ref();
     // What a Unix socket's path can hold (`sun_path` of Linux, less its end).
     if value.starts_with('/') && value.len() <= 107 && !value.contains('\0') {
@@ -101,7 +101,7 @@
     value.parse().map(Listen::Tcp).map_err(|_| fault_at(text, given.span().start, "fastcgi.listen", what()))
 }
 
-pub(crate) fn resolve(text: &str, raw: RawFastCgi) -> Result<FastCgi, Fault> {
+pub(crate) fn resolve(text: &str, raw: RawFastCgi) -> Result<FastCgi, ConfigError> {
     let d = Names::default();
     let name = |field: &str, given: Option<Spanned<String>>, default: String| {
         let Some(given) = given else { return Ok(default) };
@@ -114,7 +114,7 @@
     };
     if raw.listen.len() > MOST || raw.params.len() > MOST {
         let what = format!("there are more than {MOST}");
-        return Err(Fault { line: 0, column: 0, field: "fastcgi.listen, fastcgi.params".into(), what });
+        return Err(ConfigError { line: 0, column: 0, field: "fastcgi.listen, fastcgi.params".into(), what });
     }
     let at_once = |field: &str, given: Option<Spanned<i64>>| {
         let Some(n) = given else { return Ok(1) };
--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -8,15 +8,15 @@
 //! requests, connections and dialling; [`Deployment`] keeps what of these a balancer on sockets needs. Of the events the codec drops probe results, peer messages and load
 //! reports; of a request its key, its cost hint and its marks; of a list entry its scale. Never asked for: single
 //! fetches of the list, and unsubscribing.
-pub mod budget;
-pub mod council;
+pub mod coordination;
+pub mod discovery;
+pub mod disruption;
 pub mod fastcgi;
-pub mod fleet;
 pub mod operator;
-pub mod outages;
-pub mod registry;
-pub mod release;
+pub mod request_budget;
+pub mod rollout;
 pub mod routing;
+pub mod supervisor;
 mod values;
 
 pub use values::duration;
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -2,13 +2,13 @@
 //!
 //! Times are written with their unit (`250ms`, `10s`, `2m`) and sizes too (`256B`, `64KiB`, `1MiB`). Whatever is
 //! wrong is named with line, column and field. `deploy/herondock.example.toml` documents every key.
-use crate::budget::{BudgetTable, RawBudget};
-use crate::council::{Client, RawClient};
+use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::discovery::{DiscoveryConfig, RawConsul, RawRegistry, RawStatic};
 use crate::fastcgi::{FastCgi, RawFastCgi};
-use crate::registry::{RawConsul, RawRegistry, RawStatic, Registry};
+use crate::request_budget::{BudgetTable, RawBudget};
 use crate::routing::{RawRouting, Routing};
 use crate::values::{path_value, quantity, read_text, Quantity};
-pub use crate::values::{read_whole, Fault, FILE_MOST};
+pub use crate::values::{read_whole, ConfigError, MAX_FILE_BYTES};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -42,7 +42,7 @@
         }
 
         impl $raw {
-            fn resolve(self, text: &str) -> Result<$name, Fault> {
+            fn resolve(self, text: &str) -> Result<$name, ConfigError> {
                 let d = $name::default();
                 Ok($name {
                     $($field: quantity(
@@ -134,13 +134,13 @@
 
 /// All that the operator's file says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// `[limits]`
     pub limits: Limits,
     /// `[daemon]`
     pub daemon: Daemon,
     /// `[registry]`, `[[consul]]` and `[[static]]`
-    pub registry: Registry,
+    pub registry: DiscoveryConfig,
     /// `[fastcgi]`
     pub fastcgi: FastCgi,
     /// `[budget]`
@@ -148,7 +148,7 @@
     /// `[routing]`
     pub routing: Routing,
     /// `[council]`; `None`: this instance belongs to none.
-    pub council: Option<Client>,
+    pub council: Option<CoordinationClientConfig>,
 }
 
 #[derive(Deserialize, Default)]
@@ -170,12 +170,12 @@
     budget: RawBudget,
     #[serde(default)]
     routing: RawRouting,
-    council: Option<RawClient>,
+    council: Option<RawClientConfig>,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// The keys in which `next` differs and that can't change while the program runs.
-    pub fn fixed(&self, next: &Operator) -> Vec<&'static str> {
+    pub fn fixed(&self, next: &OperatorConfig) -> Vec<&'static str> {
         let mut names = [self.limits.fixed(&next.limits), self.daemon.fixed(&next.daemon)].concat();
         if self.registry != next.registry {
             names.push("registry, consul, static");
@@ -197,13 +197,13 @@
 ///
 /// # Errors
 /// The first fault, with its place.
-pub fn parse(bytes: &[u8]) -> Result<Operator, Fault> {
+pub fn parse(bytes: &[u8]) -> Result<OperatorConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
     let fastcgi = crate::fastcgi::resolve(text, raw.fastcgi)?;
-    let budget = crate::budget::resolve(text, raw.budget)?;
+    let budget = crate::request_budget::resolve(text, raw.budget)?;
     let routing = crate::routing::resolve(text, raw.routing)?;
-    let registry = crate::registry::resolve(text, raw.registry, raw.consul, raw.fixed)?;
-    let operator = Operator {
+    let registry = crate::discovery::resolve(text, raw.registry, raw.consul, raw.fixed)?;
+    let operator = OperatorConfig {
         limits: raw.limits.resolve(text)?,
         daemon: raw.daemon.resolve(text)?,
         registry,
@@ -221,7 +221,7 @@
     ] {
         if value < least {
             let what = format!("{} comes before {before}, {}", value.show(), least.show());
-            return Err(Fault { line: 0, column: 0, field: field.into(), what });
+            return Err(ConfigError { line: 0, column: 0, field: field.into(), what });
         }
     }
     Ok(operator)
@@ -231,13 +231,13 @@
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<Operator, String> {
+pub fn read(path: &Path) -> Result<OperatorConfig, String> {
     read_with(path, parse)
 }
 
-pub(crate) fn read_with<T>(path: &Path, parse: fn(&[u8]) -> Result<T, Fault>) -> Result<T, String> {
+pub(crate) fn read_with<T>(path: &Path, parse: fn(&[u8]) -> Result<T, ConfigError>) -> Result<T, String> {
     let named = |what: String| format!("{}: {what}", path.display());
-    let bytes = read_whole(path, FILE_MOST).map_err(named)?;
+    let bytes = read_whole(path, MAX_FILE_BYTES).map_err(named)?;
     parse(&bytes).map_err(|fault| match fault.line {
         0 => named(fault.to_string()),
         _ => format!("{}:{fault}", path.display()),
@@ -254,8 +254,8 @@
 
     #[test]
     fn what_is_absent_has_its_default() {
-        assert_eq!(parse(b"").expect("empty"), Operator::default());
-        assert_eq!(parse(b"[limits]\n").expect("an empty table"), Operator::default());
+        assert_eq!(parse(b"").expect("empty"), OperatorConfig::default());
+        assert_eq!(parse(b"[limits]\n").expect("an empty table"), OperatorConfig::default());
         let some = parse(b"[limits]\nbody = \"128KiB\"\nidle_wait = \"1m\"\n").expect("two keys").limits;
         assert_eq!((some.body, some.idle_wait), (128 << 10, Duration::from_secs(60)));
         assert_eq!(some.head, Limits::default().head);
@@ -318,7 +318,7 @@
     #[test]
     fn what_cannot_change_while_running_is_named() {
         let next = parse(b"[limits]\nhead = \"32KiB\"\nbody = \"1MiB\"\n").expect("good");
-        assert_eq!(Operator::default().fixed(&next), ["limits.head"]);
+        assert_eq!(OperatorConfig::default().fixed(&next), ["limits.head"]);
         assert!(next.fixed(&next.clone()).is_empty());
     }
 
@@ -326,7 +326,7 @@
     #[test]
     fn the_example_documents_every_key_with_its_default() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/herondock.example.toml");
-        assert_eq!(read(&path).expect("the example is good"), Operator::default());
+        assert_eq!(read(&path).expect("the example is good"), OperatorConfig::default());
         let text = std::fs::read_to_string(path).expect("the example");
         for (key, default) in [Limits::defaults(), Daemon::defaults()].concat() {
             let wanted = match default {
@@ -351,7 +351,7 @@
         let all = parse(text.lines().map(shown).collect::<String>().as_bytes()).expect("good");
         let consul = &all.registry.consul[0];
         assert_eq!(
-            (&*consul.name, consul.datacentres == crate::registry::Datacentres::Own),
+            (&*consul.name, consul.datacentres == crate::discovery::Datacentres::Own),
             ("portal", false)
         );
         assert!(consul.register.is_some() && all.registry.fixed.len() == 1 && all.fastcgi.params.len() == 2);
--- a/crates/foundations/config/src/budget.rs
+++ b/crates/foundations/config/src/request_budget.rs
@@ -1,5 +1,5 @@
 //! The table `[budget]` of the operator's file: what a request may still use on its way through the tiers.
-use crate::values::{fault_at, path_value, Fault};
+use crate::values::{fault_at, path_value, ConfigError};
 use serde::Deserialize;
 use std::path::PathBuf;
 use toml::Spanned;
@@ -96,7 +96,7 @@
     used: Option<Spanned<String>>,
 }
 
-pub(crate) fn resolve(text: &str, raw: RawBudget) -> Result<BudgetTable, Fault> {
+pub(crate) fn resolve(text: &str, raw: RawBudget) -> Result<BudgetTable, ConfigError> {
     let d = BudgetTable::default();
     let fault = |at: usize, field: &str, what: String| fault_at(text, at, &format!("budget.{field}"), what);
     if let Some(pool) = &raw.pool {
@@ -161,7 +161,7 @@
     for (k, own) in all.iter().enumerate() {
         if taken.contains(&own.as_str()) || all[..k].contains(own) {
             let what = format!("{own:?} is the name of something else");
-            return Err(Fault { line: 0, column: 0, field: "budget.names".into(), what });
+            return Err(ConfigError { line: 0, column: 0, field: "budget.names".into(), what });
         }
     }
     Ok(BudgetTable {
--- a/crates/foundations/config/src/release.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -1,11 +1,11 @@
 //! The file of a release: the builds, the waves, what is compared, and the council in which it is kept.
 //! `deploy/release.example.toml` documents it.
-use crate::council::{Client, RawClient};
-use crate::outages::share;
-use crate::values::{fault_at, quantity, read_text, Fault};
-use rollout::board::Paths;
-use rollout::gate::Measure;
-use rollout::{Gate, Wave, WAVES_MOST};
+use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::disruption::share;
+use crate::values::{fault_at, quantity, read_text, ConfigError};
+use rollout::canary::MetricThreshold;
+use rollout::snapshot::BuildPaths;
+use rollout::{CanaryAnalysis, Stage, MAX_STAGES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -19,15 +19,15 @@
 
 /// All that the file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Release {
+pub struct RolloutConfig {
     /// Where it is kept.
-    pub council: Client,
+    pub council: CoordinationClientConfig,
     /// Where the builds lie.
-    pub paths: Paths,
+    pub paths: BuildPaths,
     /// On machines where they lie elsewhere.
-    pub machines: BTreeMap<String, Paths>,
+    pub machines: BTreeMap<String, BuildPaths>,
     /// The waves.
-    pub waves: Vec<Wave>,
+    pub waves: Vec<Stage>,
     /// How long a wave is watched at the least, how often the gate looks meanwhile, and how long at the most.
     pub bake: Duration,
     /// How often the gate looks.
@@ -37,7 +37,7 @@
     /// Whether a release that halts by itself goes back by itself.
     pub returns: bool,
     /// What is compared.
-    pub gate: Gate,
+    pub gate: CanaryAnalysis,
     /// What for.
     pub why: String,
 }
@@ -45,7 +45,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Raw {
-    council: RawClient,
+    council: RawClientConfig,
     release: RawRelease,
     #[serde(default)]
     gate: RawGate,
@@ -84,7 +84,7 @@
     new: Option<Spanned<String>>,
 }
 
-fn path(text: &str, field: &str, given: &Spanned<String>) -> Result<String, Fault> {
+fn path(text: &str, field: &str, given: &Spanned<String>) -> Result<String, ConfigError> {
     let value = given.get_ref();
     if value.len() > PATH_MOST || !Path::new(value).is_absolute() {
         let what = format!("{value:?} is no absolute path of at most {PATH_MOST} bytes");
@@ -93,16 +93,16 @@
     Ok(value.clone())
 }
 
-fn wave(text: &str, field: &str, given: &Spanned<String>) -> Result<Wave, Fault> {
+fn wave(text: &str, field: &str, given: &Spanned<String>) -> Result<Stage, ConfigError> {
     if let Ok(count) = given.get_ref().parse::<u32>() {
         return match count {
             0 => Err(fault_at(text, given.span().start, field, "is no count above 0".into())),
-            count => Ok(Wave::Count(count)),
+            count => Ok(Stage::Count(count)),
         };
     }
     match share(text, field, given)? {
         0 => Err(fault_at(text, given.span().start, field, "is 0 %".into())),
-        part => Ok(Wave::Share(f64::from(part) / 1000.0)),
+        part => Ok(Stage::Share(f64::from(part) / 1000.0)),
     }
 }
 
@@ -110,11 +110,12 @@
 ///
 /// # Errors
 /// The first fault, with its place.
-pub fn parse(bytes: &[u8]) -> Result<Release, Fault> {
+pub fn parse(bytes: &[u8]) -> Result<RolloutConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
     let Raw { council, release: r, gate: g, machine } = raw;
     let council = council.resolve(text)?;
-    let paths = Paths { old: path(text, "release.old", &r.old)?, new: path(text, "release.new", &r.new)? };
+    let paths =
+        BuildPaths { old: path(text, "release.old", &r.old)?, new: path(text, "release.new", &r.new)? };
     let mut machines = BTreeMap::new();
     for (k, m) in machine.into_iter().enumerate() {
         let field = |name: &str| format!("machine[{k}].{name}");
@@ -126,16 +127,16 @@
             Some(given) => path(text, &field(name), &given),
             None => Ok(all.clone()),
         };
-        let own = Paths { old: other("old", m.old, &paths.old)?, new: other("new", m.new, &paths.new)? };
+        let own = BuildPaths { old: other("old", m.old, &paths.old)?, new: other("new", m.new, &paths.new)? };
         machines.insert(m.name.into_inner(), own);
     }
     let at = r.waves.span().start;
     let waves = r.waves.into_inner();
-    if waves.is_empty() || waves.len() > WAVES_MOST {
-        let what = format!("there are {}, and not 1 to {WAVES_MOST}", waves.len());
+    if waves.is_empty() || waves.len() > MAX_STAGES {
+        let what = format!("there are {}, and not 1 to {MAX_STAGES}", waves.len());
         return Err(fault_at(text, at, "release.waves", what));
     }
-    let waves: Result<Vec<Wave>, Fault> =
+    let waves: Result<Vec<Stage>, ConfigError> =
         waves.iter().enumerate().map(|(k, w)| wave(text, &format!("release.waves[{k}]"), w)).collect();
     let span = |field: &str, given: Option<Spanned<String>>, default: Duration, most: Duration| {
         quantity(text, &format!("release.{field}"), given, default, Duration::from_millis(100), most)
@@ -148,7 +149,7 @@
     if cap < bake {
         return Err(fault_at(text, at, "release.cap", "is shorter than the bake".into()));
     }
-    let normal = Gate::default();
+    let normal = CanaryAnalysis::default();
     let part = |field: &str, given: Option<&Spanned<String>>, default: f64| match given {
         Some(given) => Ok(f64::from(share(text, &format!("gate.{field}"), given)?) / 1000.0),
         None => Ok(default),
@@ -162,10 +163,10 @@
     };
     let waves = waves?;
     let looks = (waves.len() as u128 + 1) * (cap.as_millis().div_ceil(look.as_millis().max(1)) + 1);
-    let gate = Gate {
-        unserved: Measure { least: part("unserved", g.unserved.as_ref(), normal.unserved.least)? },
-        late: Measure { least: part("late", g.late.as_ref(), normal.late.least)? },
-        memory: Measure { least: memory as f64 / f64::from(1 << 20) },
+    let gate = CanaryAnalysis {
+        unserved: MetricThreshold { least: part("unserved", g.unserved.as_ref(), normal.unserved.least)? },
+        late: MetricThreshold { least: part("late", g.late.as_ref(), normal.late.least)? },
+        memory: MetricThreshold { least: memory as f64 / f64::from(1 << 20) },
         false_halts: part("false_halts", g.false_halts.as_ref(), normal.false_halts)?,
         // So many as it can take, and no more: each costs power.
         looks: u32::try_from(looks).unwrap_or(u32::MAX),
@@ -173,20 +174,20 @@
     };
     let returns = r.returns.unwrap_or(true);
     let why = r.why.unwrap_or_default();
-    Ok(Release { council, paths, machines, waves, bake, look, cap, returns, gate, why })
+    Ok(RolloutConfig { council, paths, machines, waves, bake, look, cap, returns, gate, why })
 }
 
 /// Reads such a file.
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<Release, String> {
+pub fn read(path: &Path) -> Result<RolloutConfig, String> {
     crate::operator::read_with(path, parse)
 }
 
 /// Whether a TOML file is of a release, by its tables.
-pub fn is_release(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::FILE_MOST).unwrap_or_default();
+pub fn is_rollout_file(path: &Path) -> bool {
+    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[release]")
 }
 
@@ -201,9 +202,9 @@
     #[test]
     fn a_whole_file_is_read() {
         let r = parse(GOOD.as_bytes()).expect("good");
-        assert_eq!(r.waves, [Wave::Count(1), Wave::Share(0.1)]);
+        assert_eq!(r.waves, [Stage::Count(1), Stage::Share(0.1)]);
         assert_eq!((r.gate.late.least, r.gate.looks, r.returns), (0.03, 3 * 31, true));
-        let own = Paths { old: "/a".into(), new: "/c".into() };
+        let own = BuildPaths { old: "/a".into(), new: "/c".into() };
         assert_eq!(r.machines, BTreeMap::from([("m7".to_string(), own)]));
     }
 
@@ -228,6 +229,6 @@
     #[test]
     fn the_example_is_good() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/release.example.toml");
-        assert!(read(&path).expect("good").waves.len() > 2 && is_release(&path));
+        assert!(read(&path).expect("good").waves.len() > 2 && is_rollout_file(&path));
     }
 }
--- a/crates/foundations/config/src/routing.rs
+++ b/crates/foundations/config/src/routing.rs
@@ -1,5 +1,5 @@
 //! Routing files: pools, routes and expectations in TOML. `deploy/routes.example.toml` documents every key.
-use crate::values::{fault_at, read_text, read_whole, Fault, Quantity, FILE_MOST};
+use crate::values::{fault_at, read_text, read_whole, ConfigError, Quantity, MAX_FILE_BYTES};
 use crate::Deployment;
 use balancer::Effect;
 use route_table::expect::prove;
@@ -15,7 +15,7 @@
 /// Most files with expectations.
 const EXPECT_MOST: usize = 64;
 /// Largest file with routes or expectations: 16 times an operator's file.
-const TABLE_MOST: u64 = FILE_MOST * 16;
+const TABLE_MOST: u64 = MAX_FILE_BYTES * 16;
 
 /// `[routing]` of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -34,7 +34,7 @@
     expect: Vec<Spanned<String>>,
 }
 
-pub(crate) fn resolve(text: &str, raw: RawRouting) -> Result<Routing, Fault> {
+pub(crate) fn resolve(text: &str, raw: RawRouting) -> Result<Routing, ConfigError> {
     let path = |field: &str, given: &Spanned<String>| {
         let value = given.get_ref();
         if value.is_empty() || value.len() > 4096 || value.contains('\0') {
@@ -173,7 +173,7 @@
 type Parts = (Vec<Pool>, Vec<Route>, Vec<Expect>);
 
 /// Reads the text of a file.
-fn parse(name: &str, bytes: &[u8]) -> Result<Parts, Fault> {
+fn parse(name: &str, bytes: &[u8]) -> Result<Parts, ConfigError> {
     let (text, raw) = read_text::<RawFile>(bytes)?;
     let file: Arc<str> = name.into();
     let place = |at: &Spanned<String>| Place {
--- a/crates/foundations/config/src/fleet.rs
+++ b/crates/foundations/config/src/supervisor.rs
@@ -1,6 +1,6 @@
 //! The fleet's file: TOML, for a supervisor of many instances on one machine. `deploy/fleet.example.toml` documents it.
-use crate::council::{Client, RawClient};
-use crate::values::{fault_at, path_value, quantity, read_text, Fault};
+use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::values::{fault_at, path_value, quantity, read_text, ConfigError};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use toml::Spanned;
 
 /// Most instances of one supervisor.
-pub const INSTANCES_MOST: usize = 4096;
+pub const MAX_INSTANCES: usize = 4096;
 /// Longest name of an instance.
 const NAME_MOST: usize = 32;
 /// Longest path of the folder: a Unix socket with the longest name in it still has a path that the system takes.
@@ -16,7 +16,7 @@
 
 /// All that the fleet's file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// Where pid files and Unix sockets go.
     pub folder: PathBuf,
     /// The pause between two starts at the beginning.
@@ -38,7 +38,7 @@
     /// How long a take-over waits while too many old processes of its instance have not ended.
     pub leaving_within: Duration,
     /// `[council]`; `None`: this supervisor belongs to none.
-    pub council: Option<Client>,
+    pub council: Option<CoordinationClientConfig>,
     /// What this machine is called in the council.
     pub machine: Option<String>,
     /// Its zone and the tier of its instances, by which budgets of outages group them; empty: none.
@@ -46,12 +46,12 @@
     /// The tier.
     pub tier: String,
     /// The instances, at least one.
-    pub instances: Vec<Instance>,
+    pub instances: Vec<InstanceConfig>,
 }
 
 /// One instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Instance {
+pub struct InstanceConfig {
     /// Its name; no other has it.
     pub name: String,
     /// Its platform configuration.
@@ -64,7 +64,7 @@
 #[serde(deny_unknown_fields)]
 struct Raw {
     fleet: RawFleet,
-    council: Option<RawClient>,
+    council: Option<RawClientConfig>,
     #[serde(default)]
     instance: Vec<RawInstance>,
 }
@@ -102,7 +102,7 @@
     given: Option<Spanned<i64>>,
     default: usize,
     most: usize,
-) -> Result<usize, Fault> {
+) -> Result<usize, ConfigError> {
     let Some(given) = given else { return Ok(default) };
     let value = usize::try_from(*given.get_ref()).ok().filter(|n| (1..=most).contains(n));
     value.ok_or_else(|| fault_at(text, given.span().start, field, format!("is not between 1 and {most}")))
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 /// The first fault, with its place.
-pub fn parse(bytes: &[u8]) -> Result<Fleet, Fault> {
+pub fn parse(bytes: &[u8]) -> Result<FleetConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
     let Raw { fleet: f, council, instance } = raw;
     let span = |field: &str, given, default: u64, most: u64| {
@@ -144,7 +144,7 @@
     let council = council.map(|c| c.resolve(text)).transpose()?;
     if council.is_some() && machine.is_none() {
         let what = "is needed with [council]".into();
-        return Err(Fault { line: 0, column: 0, field: "fleet.machine".into(), what });
+        return Err(ConfigError { line: 0, column: 0, field: "fleet.machine".into(), what });
     }
     let mut instances = Vec::new();
     let mut names = BTreeSet::new();
@@ -155,8 +155,8 @@
             Some(format!("{name:?} is no name of 1 to {NAME_MOST} letters, digits, - and _"))
         } else if !names.insert(name.clone()) {
             Some(format!("another instance is called {name:?}"))
-        } else if k >= INSTANCES_MOST {
-            Some(format!("there are more than {INSTANCES_MOST} instances"))
+        } else if k >= MAX_INSTANCES {
+            Some(format!("there are more than {MAX_INSTANCES} instances"))
         } else {
             None
         };
@@ -165,12 +165,17 @@
         }
         let config = path_value(text, &field("config"), Some(i.config))?.unwrap_or_default();
         let own = path_value(text, &field("operator"), i.operator)?;
-        instances.push(Instance { name, config, operator: own.or_else(|| operator.clone()) });
+        instances.push(InstanceConfig { name, config, operator: own.or_else(|| operator.clone()) });
     }
     if instances.is_empty() {
-        return Err(Fault { line: 0, column: 0, field: "instance".into(), what: "there is none".into() });
+        return Err(ConfigError {
+            line: 0,
+            column: 0,
+            field: "instance".into(),
+            what: "there is none".into(),
+        });
     }
-    Ok(Fleet {
+    Ok(FleetConfig {
         folder,
         spread: span("spread", f.spread, 100, hour)?,
         ready_within: span("ready_within", f.ready_within, 30_000, hour)?,
@@ -179,7 +184,7 @@
         pause_most: span("pause_most", f.pause_most, 30_000, hour)?,
         window: span("window", f.window, 60_000, hour)?,
         crashes: count(text, "fleet.crashes", f.crashes, 5, 1000)?,
-        at_once: count(text, "fleet.at_once", f.at_once, 1, INSTANCES_MOST)?,
+        at_once: count(text, "fleet.at_once", f.at_once, 1, MAX_INSTANCES)?,
         council,
         machine,
         zone,
@@ -193,7 +198,7 @@
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<Fleet, String> {
+pub fn read(path: &Path) -> Result<FleetConfig, String> {
     let mut fleet = crate::operator::read_with(path, parse)?;
     let base = path.parent().unwrap_or(Path::new(""));
     fleet.folder = base.join(&fleet.folder);
@@ -205,8 +210,8 @@
 }
 
 /// Whether a TOML file is a fleet's, by its tables.
-pub fn is_fleet(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::FILE_MOST).unwrap_or_default();
+pub fn is_fleet_file(path: &Path) -> bool {
+    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     let text = String::from_utf8_lossy(&bytes);
     text.lines().any(|line| matches!(line.trim(), "[fleet]" | "[[instance]]"))
 }
@@ -238,7 +243,7 @@
             )
         };
         assert_eq!(of(2000).expect("good").instances.len(), 2000);
-        let fault = of(INSTANCES_MOST + 1).expect_err("too many").to_string();
+        let fault = of(MAX_INSTANCES + 1).expect_err("too many").to_string();
         assert!(
             fault.contains("instance[4096].name") && fault.contains("more than 4096 instances"),
             "{fault}"
@@ -272,7 +277,8 @@
         let all = parse(text.as_bytes()).expect("good");
         let least =
             parse(b"[fleet]\nfolder = \"x\"\n[[instance]]\nname = \"n1\"\nconfig = \"y\"\n").expect("good");
-        let defaults = |f: &Fleet| Fleet { folder: PathBuf::new(), instances: Vec::new(), ..f.clone() };
+        let defaults =
+            |f: &FleetConfig| FleetConfig { folder: PathBuf::new(), instances: Vec::new(), ..f.clone() };
         assert_eq!(defaults(&all), defaults(&least), "it states the defaults");
         for key in [
             "operator",
@@ -288,6 +294,6 @@
         ] {
             assert!(text.contains(&format!("{key} = ")), "{key}");
         }
-        assert!(is_fleet(&path) && !is_fleet(&path.with_file_name("herondock.example.toml")));
+        assert!(is_fleet_file(&path) && !is_fleet_file(&path.with_file_name("herondock.example.toml")));
     }
 }
--- a/crates/foundations/config/src/values.rs
+++ b/crates/foundations/config/src/values.rs
@@ -8,13 +8,13 @@
 use toml::Spanned;
 
 /// Largest operator's file that is read.
-pub const FILE_MOST: u64 = 1 << 20;
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 /// How often a file that changes while it is read is read again.
 const READS: usize = 5;
 
 /// What is wrong with a file, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     /// Counted from 1; 0 where the whole file is at fault.
     pub line: usize,
     /// In characters, counted from 1.
@@ -25,7 +25,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line > 0 {
             write!(f, "{}:{}: ", self.line, self.column)?;
@@ -37,7 +37,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
 /// A value that the file writes as a number and a unit.
 pub(crate) trait Quantity: Copy + PartialOrd {
@@ -108,7 +108,7 @@
     default: T,
     least: T,
     most: T,
-) -> Result<T, Fault> {
+) -> Result<T, ConfigError> {
     let Some(given) = given else { return Ok(default) };
     let fault = |what| fault_at(text, given.span().start, field, what);
     let value = T::read(given.get_ref()).map_err(fault)?;
@@ -122,16 +122,16 @@
 const PATH_MOST: usize = 107;
 
 /// A fault at a byte of the text.
-pub(crate) fn fault_at(text: &str, at: usize, field: &str, what: String) -> Fault {
+pub(crate) fn fault_at(text: &str, at: usize, field: &str, what: String) -> ConfigError {
     let (line, column) = place(text, at);
-    Fault { line, column, field: field.into(), what }
+    ConfigError { line, column, field: field.into(), what }
 }
 
 pub(crate) fn path_value(
     text: &str,
     field: &str,
     given: Option<Spanned<String>>,
-) -> Result<Option<PathBuf>, Fault> {
+) -> Result<Option<PathBuf>, ConfigError> {
     let Some(given) = given else { return Ok(None) };
     let value = given.get_ref();
     if value.is_empty() || value.len() > PATH_MOST || value.contains('\0') {
@@ -149,14 +149,14 @@
 }
 
 /// A file as text, and as what serde makes of it.
-pub(crate) fn read_text<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(&'a str, T), Fault> {
+pub(crate) fn read_text<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(&'a str, T), ConfigError> {
     let text = std::str::from_utf8(bytes).map_err(|e| {
         let good = std::str::from_utf8(&bytes[..e.valid_up_to()]).unwrap_or_default();
         fault_at(good, good.len(), "", "is not UTF-8".into())
     })?;
     let fault = |error: &toml::de::Error, path: String| {
         let (line, column) = error.span().map_or((0, 0), |span| place(text, span.start));
-        Fault { line, column, field: path, what: error.message().trim().replace('\n', " ") }
+        ConfigError { line, column, field: path, what: error.message().trim().replace('\n', " ") }
     };
     let reader = toml::Deserializer::parse(text).map_err(|e| fault(&e, String::new()))?;
     let raw = serde_path_to_error::deserialize(reader).map_err(|e| {
--- a/crates/foundations/daemon/src/control.rs
+++ b/crates/foundations/daemon/src/control.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 /// Longest command, in bytes.
-pub const COMMAND_MOST: u64 = 256 << 10;
+pub const MAX_COMMAND_BYTES: u64 = 256 << 10;
 /// How long whoever connects may take to say what it wants.
 const COMMAND_WAIT: Duration = Duration::from_secs(5);
 /// Commands that may wait for the daemon's loop.
@@ -29,7 +29,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// A command, and where its answer goes.
-pub struct Asked {
+pub struct ControlRequest {
     /// What was asked.
     pub line: String,
     /// Who asks. Each line as it happens, the last one beginning with `ok` or `failed`; dropped, the conversation ends.
@@ -37,18 +37,18 @@
 }
 
 /// The daemon's side.
-pub struct Control {
-    asked: mpsc::Receiver<Asked>,
+pub struct ControlSocket {
+    asked: mpsc::Receiver<ControlRequest>,
     listening: tokio::task::JoinHandle<()>,
     talks: mpsc::Receiver<()>,
 }
 
-impl Control {
+impl ControlSocket {
     /// Listens at `path`, in place of a daemon that has gone. In a local set of tasks.
     ///
     /// # Errors
     /// The path can't be had.
-    pub fn bind(path: &Path) -> std::io::Result<Control> {
+    pub fn bind(path: &Path) -> std::io::Result<ControlSocket> {
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
             _ => {}
@@ -58,11 +58,11 @@
         let (ask, asked) = mpsc::channel(WAITING);
         let (talk, talks) = mpsc::channel::<()>(1);
         let listening = tokio::task::spawn_local(listen(listener, ask, talk));
-        Ok(Control { asked, listening, talks })
+        Ok(ControlSocket { asked, listening, talks })
     }
 
     /// The next command. Nothing is lost if the wait is given up.
-    pub async fn next(&mut self) -> Asked {
+    pub async fn next(&mut self) -> ControlRequest {
         match self.asked.recv().await {
             Some(asked) => asked,
             // It listens for as long as this lives.
@@ -80,7 +80,7 @@
 }
 
 /// Takes commands; each connection has one.
-async fn listen(listener: UnixListener, ask: mpsc::Sender<Asked>, talk: mpsc::Sender<()>) {
+async fn listen(listener: UnixListener, ask: mpsc::Sender<ControlRequest>, talk: mpsc::Sender<()>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(PAUSE).await;
@@ -94,15 +94,15 @@
     }
 }
 
-async fn converse(stream: UnixStream, ask: mpsc::Sender<Asked>) {
+async fn converse(stream: UnixStream, ask: mpsc::Sender<ControlRequest>) {
     let (read, mut write) = stream.into_split();
     let mut line = String::new();
-    let mut read = tokio::io::BufReader::new(read).take(COMMAND_MOST);
+    let mut read = tokio::io::BufReader::new(read).take(MAX_COMMAND_BYTES);
     if !matches!(timeout(COMMAND_WAIT, read.read_line(&mut line)).await, Ok(Ok(n)) if n > 0) {
         return;
     }
     let (answer, mut answers) = mpsc::channel(ANSWERS);
-    if ask.send(Asked { line: line.trim().into(), answer }).await.is_err() {
+    if ask.send(ControlRequest { line: line.trim().into(), answer }).await.is_err() {
         return;
     }
     // Until whoever answers has said all, or nobody reads any more.
--- a/crates/foundations/daemon/src/manager.rs
+++ b/crates/foundations/daemon/src/service_manager.rs
@@ -20,14 +20,14 @@
 
 /// The service manager as this process knows it. It is told from a thread of its own: without one, or when its socket
 /// is missing or full, news is lost and nothing waits, for it must not hold up requests.
-pub struct Manager {
+pub struct ServiceManager {
     watchdog: Option<Duration>,
     tell: Option<SyncSender<News>>,
 }
 
-impl Manager {
+impl ServiceManager {
     /// The one that the environment names, or none.
-    pub fn of_environment() -> Manager {
+    pub fn of_environment() -> ServiceManager {
         let tell = std::env::var_os("NOTIFY_SOCKET").and_then(|_| {
             let (tell, told) = sync_channel(WAITING);
             let pass = move || told.into_iter().for_each(pass_on);
@@ -35,7 +35,7 @@
         });
         // Twice as often as it wants to hear, as its manual page advises.
         let watchdog = sd_notify::watchdog_enabled().map(|wait| (wait / 2).max(Duration::from_millis(1)));
-        Manager { watchdog, tell }
+        ServiceManager { watchdog, tell }
     }
 
     /// How often it wants to hear that the process works.
--- a/crates/foundations/daemon/src/signals.rs
+++ b/crates/foundations/daemon/src/signals.rs
@@ -3,7 +3,7 @@
 
 /// What a signal tells a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ProcessSignal {
     /// SIGHUP: to read its files again.
     Reload,
     /// SIGTERM or SIGINT: to end.
@@ -36,12 +36,12 @@
     }
 
     /// What is told next. Nothing is lost if the wait is given up.
-    pub async fn next(&mut self) -> Told {
+    pub async fn next(&mut self) -> ProcessSignal {
         // None of them ends while the runtime runs.
         tokio::select! {
-            _ = self.term.recv() => Told::Stop,
-            _ = self.int.recv() => Told::Stop,
-            _ = self.hup.recv() => Told::Reload,
+            _ = self.term.recv() => ProcessSignal::Stop,
+            _ = self.int.recv() => ProcessSignal::Stop,
+            _ = self.hup.recv() => ProcessSignal::Reload,
         }
     }
 }
--- a/crates/foundations/lifecycle/src/lib.rs
+++ b/crates/foundations/lifecycle/src/lib.rs
@@ -18,7 +18,7 @@
 
 /// Waits at the end, counted from the moment the process was told to end, and after a hand-over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct ShutdownTimeouts {
     /// New connections are accepted for this long.
     pub accepting: Duration,
     /// Kept connections are served for this long: closed sooner, their callers would have to connect to a balancer
@@ -37,13 +37,13 @@
     pub handed_over: Duration,
 }
 
-impl Default for Figures {
+impl Default for ShutdownTimeouts {
     /// The platform's: new connections go on coming for 0.2 to 0.4 s after SIGTERM, and SIGKILL comes 3.7 s after it at
     /// the soonest. 60 s after a hand-over, which no service manager hurries; and 10 s for silent connections, as long
     /// as they may rest at any time, so that a hand-over closes none that would have stayed open.
     fn default() -> Self {
         let ms = Duration::from_millis;
-        Figures {
+        ShutdownTimeouts {
             accepting: ms(500),
             serving: ms(2400),
             announcing: ms(500),
@@ -55,7 +55,7 @@
     }
 }
 
-impl Figures {
+impl ShutdownTimeouts {
     /// Checks that each wait is at least as long as the one before it.
     ///
     /// # Errors
@@ -85,7 +85,7 @@
     /// Serving, and reading its files again.
     Reloading,
     /// Told to end: accepts and serves on.
-    Leaving,
+    ShuttingDown,
     /// Accepts nothing new; serves the connections that there are.
     Draining,
     /// Ends connections with their next answer; those that stay silent, at last, without one.
@@ -96,13 +96,13 @@
 
 /// What another process that wants the sockets does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Successor {
+pub enum SuccessorEvent {
     /// It asks for them.
-    Came,
+    Connected,
     /// It could serve at once.
     Ready,
     /// It ended, or broke off.
-    Gone,
+    Disconnected,
 }
 
 /// What happens.
@@ -111,7 +111,7 @@
     /// The sockets are bound and listen, or were passed in.
     Listening,
     /// Upstreams are known: requests can be served.
-    Known,
+    EndpointsKnown,
     /// SIGTERM or SIGINT.
     Stop,
     /// SIGHUP.
@@ -119,18 +119,18 @@
     /// The files were read again, and taken or not.
     Reloaded,
     /// Of a successor.
-    Successor(Successor),
+    Successor(SuccessorEvent),
     /// The predecessor accepts nothing any more, or has ended.
     Released,
     /// So many requests have no final answer, and so many callers are connected.
-    Counts {
+    OpenCounts {
         /// Requests without a final answer.
         requests: usize,
         /// Connections of callers, those that wait to be accepted included as far as is known.
         connections: usize,
     },
     /// Nothing but time has passed.
-    Time,
+    Timeout,
 }
 
 /// How the process ends.
@@ -150,33 +150,33 @@
     /// Tell the predecessor that this process could serve, and wait to be released.
     Claim,
     /// Tell the service manager: ready, also after a reload.
-    TellReady,
+    NotifyReady,
     /// Tell the service manager: reloading.
-    TellReloading,
+    NotifyReloading,
     /// Tell the service manager: stopping.
-    TellStopping,
+    NotifyStopping,
     /// Read the files again; [`Event::Reloaded`] answers.
     ReadFiles,
     /// Pass the sockets, and what may go along, to the successor; go on serving.
-    HandOver,
+    HandOffListeners,
     /// Turn the successor away: there is one already, or nothing to pass on.
-    Refuse,
+    RejectSuccessor,
     /// Accept nothing any more, once nobody waits to be accepted, or leave those to the successor.
     StopAccepting,
     /// Tell the successor to accept.
-    Release,
+    ReleaseSuccessor,
     /// Requests that are taken from now on have their final answer by then.
     AnswerBy(Duration),
     /// End connections with their next answer.
     CloseConnections,
     /// End those that have carried a request and carry none now, at once, and each other one as soon as it is so.
-    CloseSilent,
+    CloseIdleConnections,
     /// Give every open request its final answer now: failed.
-    FailOpen,
+    FailOpenRequests,
     /// End the process.
-    End(Exit),
+    Exit(Exit),
     /// Say that a signal changes nothing any more.
-    TooLate(Event),
+    IgnoreSignal(Event),
 }
 
 /// The sockets of a process that takes over.
@@ -193,7 +193,7 @@
 /// The state machine; see the crate's page.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
-    figures: Figures,
+    figures: ShutdownTimeouts,
     state: State,
     listening: bool,
     known: bool,
@@ -205,7 +205,7 @@
     requests: usize,
     /// Nothing was open when it was last counted, and that since connections are being closed.
     quiet: bool,
-    /// Failed by [`Action::FailOpen`].
+    /// Failed by [`Action::FailOpenRequests`].
     failed: Option<usize>,
     /// When it draws the next line, and the ones after that.
     drains: Duration,
@@ -219,7 +219,7 @@
 
 impl Lifecycle {
     /// A process with sockets of its own.
-    pub fn new(figures: Figures) -> Lifecycle {
+    pub fn new(figures: ShutdownTimeouts) -> Lifecycle {
         let none = Duration::MAX;
         Lifecycle {
             figures,
@@ -243,7 +243,7 @@
     }
 
     /// A process that takes over from another: it accepts nothing before [`Event::Released`].
-    pub fn succeeding(figures: Figures) -> Lifecycle {
+    pub fn succeeding(figures: ShutdownTimeouts) -> Lifecycle {
         Lifecycle { claim: Claim::Waiting, ..Lifecycle::new(figures) }
     }
 
@@ -261,7 +261,7 @@
     pub fn wake(&self) -> Option<Duration> {
         match self.state {
             State::Starting | State::Ready | State::Reloading | State::Ended => None,
-            State::Leaving => Some(self.drains),
+            State::ShuttingDown => Some(self.drains),
             State::Draining => Some(self.closes),
             State::Closing if !self.silenced => Some(self.silences.min(self.fails)),
             State::Closing if self.failed.is_none() => Some(self.fails),
@@ -282,7 +282,7 @@
                 }
                 self.settle(actions);
             }
-            Event::Known => {
+            Event::EndpointsKnown => {
                 self.known = true;
                 self.settle(actions);
             }
@@ -299,25 +299,25 @@
             Event::Reload => match self.state {
                 State::Ready => {
                     self.state = State::Reloading;
-                    actions.extend([Action::TellReloading, Action::ReadFiles]);
+                    actions.extend([Action::NotifyReloading, Action::ReadFiles]);
                 }
                 // Its files were read at the start, perhaps before they changed.
                 State::Starting | State::Reloading => self.again = true,
-                _ => actions.push(Action::TooLate(event)),
+                _ => actions.push(Action::IgnoreSignal(event)),
             },
             Event::Reloaded => {
                 if self.state == State::Reloading {
                     self.state = State::Ready;
-                    actions.push(Action::TellReady);
+                    actions.push(Action::NotifyReady);
                     self.reload_again(actions);
                 }
             }
             Event::Successor(what) => self.successor(now, what, actions),
-            Event::Counts { requests, connections } => {
+            Event::OpenCounts { requests, connections } => {
                 self.requests = requests;
                 self.quiet = self.state == State::Closing && requests == 0 && connections == 0;
             }
-            Event::Time => {}
+            Event::Timeout => {}
         }
         self.advance(now, actions);
     }
@@ -337,7 +337,7 @@
         match self.claim {
             Claim::None => {
                 self.state = State::Ready;
-                actions.push(Action::TellReady);
+                actions.push(Action::NotifyReady);
                 self.reload_again(actions);
             }
             Claim::Waiting => {
@@ -351,7 +351,7 @@
     fn reload_again(&mut self, actions: &mut Vec<Action>) {
         if std::mem::take(&mut self.again) {
             self.state = State::Reloading;
-            actions.extend([Action::TellReloading, Action::ReadFiles]);
+            actions.extend([Action::NotifyReloading, Action::ReadFiles]);
         }
     }
 
@@ -361,15 +361,15 @@
             // Nothing was accepted, so nothing is owed; a predecessor, if there is one, serves on.
             State::Starting if !self.accepting => {
                 self.state = State::Ended;
-                actions.extend([Action::TellStopping, Action::End(Exit::Done)]);
+                actions.extend([Action::NotifyStopping, Action::Exit(Exit::Done)]);
             }
             State::Starting | State::Ready | State::Reloading => {
-                self.state = State::Leaving;
+                self.state = State::ShuttingDown;
                 let closes = f.serving.saturating_sub(f.announcing).max(f.accepting);
                 (self.drains, self.closes, self.silences) =
                     (now + f.accepting, now + closes, now + f.serving);
                 (self.fails, self.ends) = (now + f.last_answer, now + f.end);
-                actions.extend([Action::TellStopping, Action::AnswerBy(self.fails)]);
+                actions.extend([Action::NotifyStopping, Action::AnswerBy(self.fails)]);
             }
             // It serves to its end after a hand-over; now it has to hurry.
             State::Closing if self.failed.is_none() && now + f.last_answer < self.fails => {
@@ -378,21 +378,21 @@
                 actions.push(Action::AnswerBy(self.fails));
             }
             // A second signal must not cut short what was promised at the first.
-            _ => actions.push(Action::TooLate(Event::Stop)),
+            _ => actions.push(Action::IgnoreSignal(Event::Stop)),
         }
     }
 
-    fn successor(&mut self, now: Duration, what: Successor, actions: &mut Vec<Action>) {
+    fn successor(&mut self, now: Duration, what: SuccessorEvent, actions: &mut Vec<Action>) {
         match what {
-            Successor::Came if self.accepting && !self.successor => {
+            SuccessorEvent::Connected if self.accepting && !self.successor => {
                 self.successor = true;
-                actions.push(Action::HandOver);
+                actions.push(Action::HandOffListeners);
             }
-            Successor::Came => actions.push(Action::Refuse),
-            Successor::Ready if self.successor && self.accepting => {
+            SuccessorEvent::Connected => actions.push(Action::RejectSuccessor),
+            SuccessorEvent::Ready if self.successor && self.accepting => {
                 let f = &self.figures;
-                if self.state < State::Leaving {
-                    actions.push(Action::TellStopping);
+                if self.state < State::ShuttingDown {
+                    actions.push(Action::NotifyStopping);
                     let last = now + f.handed_over;
                     self.silences = now + f.handed_over_silent;
                     (self.fails, self.ends) = (last, last + (f.end - f.last_answer));
@@ -401,17 +401,17 @@
                 self.accepting = false;
                 self.state = State::Closing;
                 // In this order: whoever waits to be accepted meets one of the two, and no request meets both.
-                actions.extend([Action::StopAccepting, Action::Release, Action::CloseConnections]);
+                actions.extend([Action::StopAccepting, Action::ReleaseSuccessor, Action::CloseConnections]);
             }
-            Successor::Ready => {}
+            SuccessorEvent::Ready => {}
             // It changes nothing, unless the sockets are its own by now.
-            Successor::Gone => self.successor = self.successor && !self.accepting,
+            SuccessorEvent::Disconnected => self.successor = self.successor && !self.accepting,
         }
     }
 
     /// Does what the time and the counts allow.
     fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.state == State::Leaving && now >= self.drains {
+        if self.state == State::ShuttingDown && now >= self.drains {
             self.state = State::Draining;
             self.accepting = false;
             actions.push(Action::StopAccepting);
@@ -425,11 +425,11 @@
         }
         if !self.silenced && now >= self.silences.min(self.fails) {
             self.silenced = true;
-            actions.push(Action::CloseSilent);
+            actions.push(Action::CloseIdleConnections);
         }
         if self.failed.is_none() && now >= self.fails {
             self.failed = Some(self.requests);
-            actions.push(Action::FailOpen);
+            actions.push(Action::FailOpenRequests);
         }
         if self.quiet || now >= self.ends {
             self.state = State::Ended;
@@ -437,7 +437,7 @@
                 None | Some(0) => Exit::Done,
                 Some(failed) => Exit::Failed(failed),
             };
-            actions.push(Action::End(exit));
+            actions.push(Action::Exit(exit));
         }
     }
 }
--- a/crates/foundations/storage/src/journal.rs
+++ b/crates/foundations/storage/src/journal.rs
@@ -21,11 +21,11 @@
 /// So many zeros at the end of a file are room that was made for what did not come.
 const ZEROS: usize = 8;
 /// Longest record, in bytes.
-pub const RECORD_MOST: usize = 128 << 20;
+pub const MAX_RECORD_BYTES: usize = 128 << 20;
 
 /// Why a journal is not taken as it is.
 #[derive(Debug)]
-pub enum Fault {
+pub enum JournalError {
     /// The system's word.
     Io(io::Error),
     /// It is no journal of this kind and version.
@@ -41,27 +41,27 @@
     },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for JournalError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Io(e) => write!(f, "{e}"),
-            Fault::Foreign(what) => write!(f, "{what}"),
-            Fault::Damaged { name, at, what } => write!(f, "{name}: damaged at byte {at}: {what}"),
+            JournalError::Io(e) => write!(f, "{e}"),
+            JournalError::Foreign(what) => write!(f, "{what}"),
+            JournalError::Damaged { name, at, what } => write!(f, "{name}: damaged at byte {at}: {what}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for JournalError {}
 
-impl From<io::Error> for Fault {
-    fn from(e: io::Error) -> Fault {
-        Fault::Io(e)
+impl From<io::Error> for JournalError {
+    fn from(e: io::Error) -> JournalError {
+        JournalError::Io(e)
     }
 }
 
 /// What a journal is called and holds.
 #[derive(Clone, Copy, Debug)]
-pub struct Form {
+pub struct JournalFormat {
     /// The file's name in its folder.
     pub name: &'static str,
     /// Of what it is: letters, digits and `-`.
@@ -72,7 +72,7 @@
     pub most: u64,
 }
 
-impl Form {
+impl JournalFormat {
     fn line(&self) -> Vec<u8> {
         let head = format!("{MAGIC} {} {}", self.kind, self.version);
         format!("{head} {:08x}\n", crc32fast::hash(head.as_bytes())).into_bytes()
@@ -86,7 +86,7 @@
 /// A journal that is open.
 pub struct Journal<F: Files> {
     files: F,
-    form: Form,
+    form: JournalFormat,
     file: F::Open,
     /// Up to here the disk has it; `None`: it may be the old one or the new one that took its place.
     promised: Option<u64>,
@@ -96,7 +96,7 @@
 
 fn framed(records: &[Vec<u8>], into: &mut Vec<u8>) -> io::Result<()> {
     for record in records {
-        let length = u32::try_from(record.len()).ok().filter(|&n| n as usize <= RECORD_MOST);
+        let length = u32::try_from(record.len()).ok().filter(|&n| n as usize <= MAX_RECORD_BYTES);
         let length = length.ok_or(io::ErrorKind::FileTooLarge)?;
         debug_assert!(length > 0, "an empty record can't be told from room");
         let mut head = [0; HEAD];
@@ -111,7 +111,7 @@
 }
 
 /// The records of a file, and where the last whole one ends.
-fn records(form: &Form, bytes: &[u8]) -> Result<(Vec<Vec<u8>>, u64), Fault> {
+fn records(form: &JournalFormat, bytes: &[u8]) -> Result<(Vec<Vec<u8>>, u64), JournalError> {
     let line = form.line();
     if bytes.len() < line.len() && line.starts_with(bytes) {
         // Begun, and nothing promised yet.
@@ -120,7 +120,7 @@
     if !bytes.starts_with(&line) {
         let said = bytes.iter().take(LINE_MOST).take_while(|&&b| b != b'\n').copied().collect::<Vec<_>>();
         let said = String::from_utf8_lossy(&said).into_owned();
-        return Err(Fault::Foreign(format!(
+        return Err(JournalError::Foreign(format!(
             "{}: is no {} in version {}: {said:?}",
             form.name, form.kind, form.version
         )));
@@ -129,7 +129,7 @@
     let mut at = line.len();
     while at < bytes.len() {
         let rest = &bytes[at..];
-        let damaged = |what| Fault::Damaged { name: form.name.into(), at: at as u64, what };
+        let damaged = |what| JournalError::Damaged { name: form.name.into(), at: at as u64, what };
         // What a crash leaves of a record that was being written: a part of it, or room for it without its content.
         let number = |k: usize| u32::from_le_bytes([rest[k], rest[k + 1], rest[k + 2], rest[k + 3]]);
         if rest.len() < HEAD || rest.iter().all(|&b| b == 0) {
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     /// It can't be read or written, is of another kind, or is damaged.
-    pub fn open(mut files: F, form: Form) -> Result<(Journal<F>, Vec<Vec<u8>>), Fault> {
+    pub fn open(mut files: F, form: JournalFormat) -> Result<(Journal<F>, Vec<Vec<u8>>), JournalError> {
         let bytes = files.read(form.name, form.most.saturating_mul(2))?.unwrap_or_default();
         let (all, end) = records(&form, &bytes)?;
         let mut file = files.open(form.name)?;
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// There is still no room, or the file is not what was promised.
-    pub fn recover(&mut self, room: usize) -> Result<Vec<Vec<u8>>, Fault> {
+    pub fn recover(&mut self, room: usize) -> Result<Vec<Vec<u8>>, JournalError> {
         // By name: after a rename that may have happened it is perhaps not the one that is open.
         let mut file = self.files.open(self.form.name)?;
         self.files.sync_names()?;
@@ -262,7 +262,7 @@
         let kept = self.promised.unwrap_or(end);
         if end < kept || end == 0 {
             let what = "records that were promised are gone";
-            return Err(Fault::Damaged { name: self.form.name.into(), at: end, what });
+            return Err(JournalError::Damaged { name: self.form.name.into(), at: end, what });
         }
         self.files.cut(&mut file, kept)?;
         let tried = self.files.write(&mut file, kept, &vec![0; room]);
@@ -287,7 +287,7 @@
     use std::collections::BTreeMap;
     use std::rc::Rc;
 
-    const FORM: Form = Form { name: "log", kind: "test", version: 1, most: 4096 };
+    const FORM: JournalFormat = JournalFormat { name: "log", kind: "test", version: 1, most: 4096 };
 
     #[derive(Clone, Debug, Default)]
     struct Content {
@@ -415,7 +415,7 @@
     }
 
     /// Appends, promises and replaces; what was promised is noted as it happens.
-    fn work(disk: &Disk, promised: &mut Vec<Vec<u8>>, all: &mut Vec<Vec<u8>>) -> Result<(), Fault> {
+    fn work(disk: &Disk, promised: &mut Vec<Vec<u8>>, all: &mut Vec<Vec<u8>>) -> Result<(), JournalError> {
         let (mut journal, _) = Journal::open(disk.clone(), FORM)?;
         for k in 1..=12 {
             all.push(record(k));
@@ -515,8 +515,8 @@
                 let mut bad = good.clone();
                 bad[at] ^= 1 << bit;
                 match records(&FORM, &bad) {
-                    Err(Fault::Damaged { at: place, .. }) => assert!(place as usize <= at),
-                    Err(Fault::Foreign(_)) => assert!(at < FORM.line().len()),
+                    Err(JournalError::Damaged { at: place, .. }) => assert!(place as usize <= at),
+                    Err(JournalError::Foreign(_)) => assert!(at < FORM.line().len()),
                     got => panic!("bit {bit} of byte {at}: {got:?}"),
                 }
             }
@@ -531,8 +531,10 @@
                 assert!(all.starts_with(&found), "{cut}");
             }
         }
-        let other = Form { version: 2, ..FORM };
-        assert!(matches!(records(&other, &good), Err(Fault::Foreign(what)) if what.contains("in version 2")));
+        let other = JournalFormat { version: 2, ..FORM };
+        assert!(
+            matches!(records(&other, &good), Err(JournalError::Foreign(what)) if what.contains("in version 2"))
+        );
     }
 
     #[test]
