--- a/crates/foundations/storage/src/lib.rs
+++ b/crates/foundations/storage/src/lib.rs
@@ -1,4 +1,4 @@
-//! Durable state. Two forms: a file that is whole ([`Store`]), and a journal that grows ([`journal`]).
+//! Durable state. Two forms: a file that is whole ([`AtomicFile`]), and a journal that grows ([`journal`]).
 //!
 //! One file for each thing that must outlive a process. What is loaded is what was saved whole at one
 //! time, or is named as damaged; nothing in between.
@@ -28,7 +28,7 @@
 /// Longest first line: the magic, a kind, five numbers.
 const LINE_MOST: usize = 160;
 /// Longest name of a kind.
-pub const KIND_MOST: usize = 32;
+pub const MAX_KIND_BYTES: usize = 32;
 /// How far in the future a file may have been written before its age counts as unknown: clocks are set back a little
 /// now and then.
 const FUTURE_MOST: Duration = Duration::from_secs(60);
@@ -37,7 +37,7 @@
 
 /// One file.
 #[derive(Clone, Debug)]
-pub struct Store {
+pub struct AtomicFile {
     path: PathBuf,
     kind: &'static str,
     version: u32,
@@ -46,7 +46,7 @@
 
 /// What a file holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct LoadedContent {
     /// As it was saved.
     pub content: Vec<u8>,
     /// How long ago.
@@ -55,7 +55,7 @@
 
 /// Why a file is passed over.
 #[derive(Debug)]
-pub enum Damage {
+pub enum LoadError {
     /// It can't be read.
     Unreadable(io::Error),
     /// It holds more than it may.
@@ -72,28 +72,28 @@
     Future,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for LoadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Damage::Unreadable(e) => write!(f, "{e}"),
-            Damage::TooLarge => f.write_str("holds more than it may"),
-            Damage::Foreign => f.write_str("is no file that herondock wrote"),
-            Damage::Other(what) => write!(f, "holds {what}"),
-            Damage::Length => f.write_str("is cut short, or has grown"),
-            Damage::Checksum => f.write_str("its checksum differs"),
-            Damage::Future => f.write_str("was written in the future, by this machine's clock"),
+            LoadError::Unreadable(e) => write!(f, "{e}"),
+            LoadError::TooLarge => f.write_str("holds more than it may"),
+            LoadError::Foreign => f.write_str("is no file that herondock wrote"),
+            LoadError::Other(what) => write!(f, "holds {what}"),
+            LoadError::Length => f.write_str("is cut short, or has grown"),
+            LoadError::Checksum => f.write_str("its checksum differs"),
+            LoadError::Future => f.write_str("was written in the future, by this machine's clock"),
         }
     }
 }
 
-impl std::error::Error for Damage {}
+impl std::error::Error for LoadError {}
 
-impl Store {
-    /// A file for content of this kind (1 to [`KIND_MOST`] letters, digits and `-`) in this version, `most` bytes at
+impl AtomicFile {
+    /// A file for content of this kind (1 to [`MAX_KIND_BYTES`] letters, digits and `-`) in this version, `most` bytes at
     /// most. Opens nothing.
-    pub fn new(path: impl Into<PathBuf>, kind: &'static str, version: u32, most: usize) -> Store {
-        debug_assert!((1..=KIND_MOST).contains(&kind.len()));
-        Store { path: path.into(), kind, version, most }
+    pub fn new(path: impl Into<PathBuf>, kind: &'static str, version: u32, most: usize) -> AtomicFile {
+        debug_assert!((1..=MAX_KIND_BYTES).contains(&kind.len()));
+        AtomicFile { path: path.into(), kind, version, most }
     }
 
     /// Where it is.
@@ -104,51 +104,51 @@
     /// What was saved last; `None`: nothing yet.
     ///
     /// # Errors
-    /// The file is not what [`Store::save`] left, or of another kind or version.
-    pub fn load(&self) -> Result<Option<Kept>, Damage> {
+    /// The file is not what [`AtomicFile::save`] left, or of another kind or version.
+    pub fn load(&self) -> Result<Option<LoadedContent>, LoadError> {
         let file = match File::open(&self.path) {
             Ok(file) => file,
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
-            Err(e) => return Err(Damage::Unreadable(e)),
+            Err(e) => return Err(LoadError::Unreadable(e)),
         };
         let most = (self.most + LINE_MOST) as u64;
         let mut bytes = Vec::new();
         // A pipe or a device in its place would wait, or go on for ever.
-        if !file.metadata().map_err(Damage::Unreadable)?.is_file() {
-            return Err(Damage::Foreign);
+        if !file.metadata().map_err(LoadError::Unreadable)?.is_file() {
+            return Err(LoadError::Foreign);
         }
-        (&file).take(most + 1).read_to_end(&mut bytes).map_err(Damage::Unreadable)?;
+        (&file).take(most + 1).read_to_end(&mut bytes).map_err(LoadError::Unreadable)?;
         if bytes.len() as u64 > most {
-            return Err(Damage::TooLarge);
+            return Err(LoadError::TooLarge);
         }
         self.read(&bytes, unix_ms()).map(Some)
     }
 
-    fn read(&self, bytes: &[u8], now: u64) -> Result<Kept, Damage> {
-        let end = bytes.iter().take(LINE_MOST).position(|&b| b == b'\n').ok_or(Damage::Foreign)?;
-        let line = std::str::from_utf8(&bytes[..end]).map_err(|_| Damage::Foreign)?;
-        let (head, sum) = line.rsplit_once(' ').ok_or(Damage::Foreign)?;
+    fn read(&self, bytes: &[u8], now: u64) -> Result<LoadedContent, LoadError> {
+        let end = bytes.iter().take(LINE_MOST).position(|&b| b == b'\n').ok_or(LoadError::Foreign)?;
+        let line = std::str::from_utf8(&bytes[..end]).map_err(|_| LoadError::Foreign)?;
+        let (head, sum) = line.rsplit_once(' ').ok_or(LoadError::Foreign)?;
         let fields = head.strip_prefix(MAGIC).and_then(|rest| rest.strip_prefix(' '));
-        let fields: Vec<&str> = fields.ok_or(Damage::Foreign)?.split(' ').collect();
-        let [kind, version, written, length] = fields[..] else { return Err(Damage::Foreign) };
-        let number = |text: &str| text.parse::<u64>().map_err(|_| Damage::Foreign);
+        let fields: Vec<&str> = fields.ok_or(LoadError::Foreign)?.split(' ').collect();
+        let [kind, version, written, length] = fields[..] else { return Err(LoadError::Foreign) };
+        let number = |text: &str| text.parse::<u64>().map_err(|_| LoadError::Foreign);
         let (version, written, length) = (number(version)?, number(written)?, number(length)?);
         let content = &bytes[end + 1..];
         if length != content.len() as u64 {
-            return Err(Damage::Length);
+            return Err(LoadError::Length);
         }
-        if u32::from_str_radix(sum, 16).map_err(|_| Damage::Foreign)? != checksum(head, content) {
-            return Err(Damage::Checksum);
+        if u32::from_str_radix(sum, 16).map_err(|_| LoadError::Foreign)? != checksum(head, content) {
+            return Err(LoadError::Checksum);
         }
         // Only now: a kind with a flipped bit is damage and no other kind.
         if kind != self.kind || version != u64::from(self.version) {
-            return Err(Damage::Other(format!("{kind} in version {version}")));
+            return Err(LoadError::Other(format!("{kind} in version {version}")));
         }
         if written > now.saturating_add(FUTURE_MOST.as_millis() as u64) {
-            return Err(Damage::Future);
+            return Err(LoadError::Future);
         }
         let age = Duration::from_millis(now.saturating_sub(written));
-        Ok(Kept { content: content.to_vec(), age })
+        Ok(LoadedContent { content: content.to_vec(), age })
     }
 
     /// Saves this in place of what there was. Waits for the disk: not for a thread that serves.
@@ -223,10 +223,10 @@
 mod tests {
     use super::*;
 
-    fn store(name: &str) -> Store {
+    fn store(name: &str) -> AtomicFile {
         let path = std::env::temp_dir().join(format!("herondock-store-{name}-{}", std::process::id()));
         let _ = std::fs::remove_file(&path);
-        Store::new(path, "view", 3, 1000)
+        AtomicFile::new(path, "view", 3, 1000)
     }
 
     #[test]
@@ -265,14 +265,14 @@
                 assert!(same || store.read(&bad, now).is_err(), "bit {bit} of byte {at}");
             }
         }
-        assert!(matches!(store.read(&good, now - 120_000), Err(Damage::Future)));
+        assert!(matches!(store.read(&good, now - 120_000), Err(LoadError::Future)));
         assert_eq!(store.read(&good, now - 10_000).expect("a clock set back a little").age, Duration::ZERO);
-        let other = Store { version: 4, ..store.clone() };
-        assert!(matches!(other.load(), Err(Damage::Other(what)) if what == "view in version 3"));
+        let other = AtomicFile { version: 4, ..store.clone() };
+        assert!(matches!(other.load(), Err(LoadError::Other(what)) if what == "view in version 3"));
         std::fs::write(store.path(), vec![b'x'; 5000]).expect("writes");
-        assert!(matches!(store.load(), Err(Damage::TooLarge)));
+        assert!(matches!(store.load(), Err(LoadError::TooLarge)));
         std::fs::remove_file(store.path()).expect("removes");
-        assert!(matches!(Store::new("/dev/zero", "view", 3, 10).load(), Err(Damage::Foreign)));
+        assert!(matches!(AtomicFile::new("/dev/zero", "view", 3, 10).load(), Err(LoadError::Foreign)));
     }
 
     /// Guards against what a process that was killed while it saved left behind, and against two that save at once.
--- a/crates/herondock/benches/budget.rs
+++ b/crates/herondock/benches/budget.rs
@@ -1,8 +1,8 @@
 //! What a budget costs a request: reading its fields, and writing them for an attempt; nanoseconds, and bytes of head.
 use request_budget::grammar::{write_budget, write_used, Used};
-use request_budget::path::Mark;
-use request_budget::purse::{Purse, Told};
-use request_budget::{Bounds, Budget, Given};
+use request_budget::path::HopMarker;
+use request_budget::retry_budget::{AttemptUsage, RetryBudget};
+use request_budget::{Bounds, Budget, IncomingFields};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -22,19 +22,20 @@
 }
 
 fn main() {
-    let (above, own) = (Mark::new(b"secret", "above"), Mark::new(b"secret", "own"));
+    let (above, own) = (HopMarker::new(b"secret", "above"), HopMarker::new(b"secret", "own"));
     let bounds = Bounds { retries: 2, hops: 8, repeat_worth: 1.0 };
     let path = format!("1.1 {}", above.text());
     let value = write_budget(480.125, 1, 0.25);
     let (values, paths) = ([value.as_bytes()], [path.as_bytes()]);
-    let with = Given { budget: &values, path: &paths, patience: 480.0, repeated: false, trusted: true };
-    let without = Given { budget: &[], path: &[], ..with };
+    let with =
+        IncomingFields { budget: &values, path: &paths, patience: 480.0, repeated: false, trusted: true };
+    let without = IncomingFields { budget: &[], path: &[], ..with };
     time("read, none there", || drop(black_box(Budget::of(black_box(&without), &bounds, &own))));
     time("read, one hop behind it", || drop(black_box(Budget::of(black_box(&with), &bounds, &own))));
     time("booked, one attempt", || {
-        let mut purse = Purse::new(2);
+        let mut purse = RetryBudget::new(2);
         black_box(purse.send(0, true));
-        purse.ended(0, Told::Used(Used::default()));
+        purse.ended(0, AttemptUsage::Used(Used::default()));
         black_box(purse.used());
     });
     time("written for an attempt", || drop(black_box(write_budget(black_box(480.125), 1, 1.0))));
--- a/crates/herondock/benches/council.rs
+++ b/crates/herondock/benches/council.rs
@@ -2,10 +2,10 @@
 //!
 //! `cargo bench -p herondock --bench council [-- PART ...]`; parts: `disk`, `writes`, `leaderless`, `memory`, `log`, `cost`
 //! (all of them). Voters have the tick that they have without a file that says otherwise (100 ms).
-use coordination::client::SessionSettings;
-use coordination::record::Change;
-use coordination::wire::Status;
-use coordination_server::client::{Council, Settings};
+use coordination::client::SessionConfig;
+use coordination::protocol::Status;
+use coordination::state_machine::Op;
+use coordination_server::client::{ClientConfig, ClientHandle};
 use hdrhistogram::Histogram;
 use std::cell::Cell;
 use std::io::Write as _;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
-use testkit::council::{run, written, Voters};
+use testkit::coordination::{run, written, Voters};
 use testkit::discovery::{listing, Discovery};
 use testkit::faults::link::Rule;
 use testkit::node::{config, Node, Program};
@@ -37,13 +37,13 @@
     Program::new(env!("CARGO_BIN_EXE_herondock"), env!("CARGO_TARGET_TMPDIR"))
 }
 
-fn settings(voters: &[String], name: &str, ttl: Duration) -> Settings {
-    let session = Some(SessionSettings { name: name.into(), ttl, take_over: true });
-    Settings { voters: voters.to_vec(), session, name: name.into(), patience: Duration::from_secs(2) }
+fn settings(voters: &[String], name: &str, ttl: Duration) -> ClientConfig {
+    let session = Some(SessionConfig { name: name.into(), ttl, take_over: true });
+    ClientConfig { voters: voters.to_vec(), session, name: name.into(), patience: Duration::from_secs(2) }
 }
 
-fn put(key: usize) -> Vec<Change> {
-    vec![Change::Put { key: format!("key/{key:05}"), value: "x".repeat(VALUE), bound: false }]
+fn put(key: usize) -> Vec<Op> {
+    vec![Op::Put { key: format!("key/{key:05}"), value: "x".repeat(VALUE), bound: false }]
 }
 
 fn micros() -> Histogram<u64> {
@@ -79,7 +79,8 @@
     run(async {
         let tasks: Vec<_> = (0..clients)
             .map(|c| {
-                let council = Council::begin(settings(voters, &format!("w{c}"), Duration::from_secs(10)));
+                let council =
+                    ClientHandle::begin(settings(voters, &format!("w{c}"), Duration::from_secs(10)));
                 tokio::task::spawn_local(async move {
                     // The session and the connection come first.
                     assert!(written(&council.write(vec![], put(c), WITHIN).await));
@@ -159,7 +160,7 @@
         let (stopped, voters) = (stop.clone(), voters.to_vec());
         let thread = std::thread::spawn(move || {
             run(async {
-                let council = Council::begin(settings(&voters, "probe", Duration::from_secs(30)));
+                let council = ClientHandle::begin(settings(&voters, "probe", Duration::from_secs(30)));
                 while !stopped.load(Ordering::SeqCst) {
                     if written(&council.write(vec![], put(0), WITHIN).await) {
                         let _ = tell.send(Instant::now());
@@ -276,7 +277,8 @@
         let next = Rc::new(Cell::new(0));
         let tasks: Vec<_> = (0..AT_ONCE)
             .map(|c| {
-                let council = Council::begin(settings(voters, &format!("f{c}"), Duration::from_secs(30)));
+                let council =
+                    ClientHandle::begin(settings(voters, &format!("f{c}"), Duration::from_secs(30)));
                 let next = next.clone();
                 tokio::task::spawn_local(async move {
                     loop {
@@ -315,7 +317,7 @@
         let mut clients = Vec::new();
         for c in 0..CLIENTS {
             let council =
-                Council::begin(settings(&voters.reached(), &format!("m{c}"), Duration::from_secs(10)));
+                ClientHandle::begin(settings(&voters.reached(), &format!("m{c}"), Duration::from_secs(10)));
             assert!(written(&council.write(vec![], put(c), WITHIN).await));
             let watch = council.watch("key/", None).await;
             clients.push((council, watch));
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -2,7 +2,7 @@
 use crate::node_config;
 use crate::run::read_table;
 use balancer::Balancer;
-use config::{council, fleet, operator, outages, release, routing};
+use config::{coordination, disruption, operator, rollout, routing, supervisor};
 use route_table::spec::World;
 use std::path::{Path, PathBuf};
 use tracing::info;
@@ -35,7 +35,7 @@
 }
 
 /// A supervisor that asks for leave needs balancers that say how they stand: one that is never seen to be in keeps its leave.
-fn in_council(fleet: &fleet::Fleet) -> Result<(), String> {
+fn in_council(fleet: &supervisor::FleetConfig) -> Result<(), String> {
     if fleet.council.is_none() {
         return Ok(());
     }
@@ -52,17 +52,17 @@
 }
 
 fn one(path: &Path, world: Option<&World>) -> Result<(), String> {
-    if path.extension().is_none_or(|e| e != "json") && council::is_council(path) {
-        return council::read(path).map(|_| ());
+    if path.extension().is_none_or(|e| e != "json") && coordination::is_coordination_file(path) {
+        return coordination::read(path).map(|_| ());
     }
-    if path.extension().is_none_or(|e| e != "json") && outages::is_outages(path) {
-        return outages::read(path).map(|_| ());
+    if path.extension().is_none_or(|e| e != "json") && disruption::is_disruption_file(path) {
+        return disruption::read(path).map(|_| ());
     }
-    if path.extension().is_none_or(|e| e != "json") && release::is_release(path) {
-        return release::read(path).map(|_| ());
+    if path.extension().is_none_or(|e| e != "json") && rollout::is_rollout_file(path) {
+        return rollout::read(path).map(|_| ());
     }
-    if path.extension().is_none_or(|e| e != "json") && fleet::is_fleet(path) {
-        let fleet = fleet::read(path)?;
+    if path.extension().is_none_or(|e| e != "json") && supervisor::is_fleet_file(path) {
+        let fleet = supervisor::read(path)?;
         in_council(&fleet).map_err(|what| format!("{}: {what}", path.display()))?;
         // All that it refers to as well.
         for instance in &fleet.instances {
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line: what each command is called and takes, and what it ends with (0, 1 for a failure, 2 for wrong
 //! usage).
-use crate::members::show;
+use crate::endpoint_sources::inspect;
 use crate::routing::show as routes;
-use crate::{check, demo, fleet, node_config, run};
+use crate::{check, demo, node_config, run, supervise};
 use clap::{Args, Parser, Subcommand};
-use config::fleet as settings;
-use coordination_server::Halt;
+use config::supervisor as settings;
+use coordination_server::CrashPoint;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -180,7 +180,7 @@
         file: PathBuf,
         /// For tests: the step of its disk at which it is killed
         #[arg(long, hide = true, value_name = "KIND:COUNT")]
-        halt_at: Option<Halt>,
+        halt_at: Option<CrashPoint>,
     },
     /// Form a new council, whose first voter is the one of this file; the others join once they run
     Form {
@@ -261,7 +261,7 @@
         use coordination_server::command::{run, Command};
         let (file, command) = match self {
             Council::Run { file, halt_at } => {
-                return coordination_server::run(file, coordination_server::Options { halt: halt_at });
+                return coordination_server::run(file, coordination_server::ServerOptions { halt: halt_at });
             }
             Council::Form { file } => (file, Command::Form),
             Council::Status { file, json } => (file, Command::Status { json }),
@@ -341,16 +341,16 @@
 
 impl Release {
     fn run(self) -> Result<(), String> {
-        use rollout::Order;
+        use rollout::OperatorCommand;
         use rollout_agent::command::{run, Command};
         let (file, command) = match self {
             Release::Start { file } => (file, Command::Start),
             Release::Status { file, json } => (file, Command::Status { json }),
-            Release::Halt { file, why } => (file, Command::Order(Order::Halt(why))),
-            Release::Resume { file } => (file, Command::Order(Order::Resume)),
-            Release::Back { file, why } => (file, Command::Order(Order::Back(why))),
+            Release::Halt { file, why } => (file, Command::Order(OperatorCommand::Pause(why))),
+            Release::Resume { file } => (file, Command::Order(OperatorCommand::Resume)),
+            Release::Back { file, why } => (file, Command::Order(OperatorCommand::RollBack(why))),
         };
-        run(&config::release::read(&file)?, command)
+        run(&config::rollout::read(&file)?, command)
     }
 }
 
@@ -382,7 +382,7 @@
 }
 
 fn outage(file: &Path, command: disruption_agent::command::Command) -> Result<(), String> {
-    disruption_agent::command::run(&config::outages::read(file)?, command)
+    disruption_agent::command::run(&config::disruption::read(file)?, command)
 }
 
 impl Outage {
@@ -466,7 +466,7 @@
     fn run(self) -> Result<(), String> {
         let roll = |file: PathBuf, command: &str| {
             let print = |line: &str| drop(writeln!(std::io::stdout(), "{line}"));
-            fleet::ask(&settings::read(&file)?, command, print)
+            supervise::ask(&settings::read(&file)?, command, print)
         };
         let over = |command: &str, why: Option<String>| match why {
             Some(why) => format!("{command} override {}", why.replace(['\n', '\r'], " ")),
@@ -474,7 +474,7 @@
         };
         match (self.file, self.command) {
             (_, Some(FleetCommand::Status { file, json })) => {
-                let text = fleet::status(&settings::read(&file)?, json)?;
+                let text = supervise::status(&settings::read(&file)?, json)?;
                 std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))
             }
             (_, Some(FleetCommand::Restart { file, overrides })) => roll(file, &over("restart", overrides)),
@@ -484,7 +484,7 @@
             (_, Some(FleetCommand::Reload { file, overrides })) => roll(file, &over("reload", overrides)),
             (_, Some(FleetCommand::Start { file })) => roll(file, "start"),
             (_, Some(FleetCommand::Stop { file })) => roll(file, "stop"),
-            (Some(file), None) => fleet::run(&settings::read(&file)?),
+            (Some(file), None) => supervise::run(&settings::read(&file)?),
             // The command line asks for one of the two.
             (None, None) => Ok(()),
         }
@@ -500,14 +500,14 @@
     let operator = run::read_operator(operator.as_deref())?;
     let view =
         match takeover.or_else(|| operator.daemon.takeover.clone()) {
-            _ if once => show::of_sources(node_config::load()?, &operator)?,
-            Some(path) => show::of_instance(&path)?,
+            _ if once => inspect::of_sources(node_config::load()?, &operator)?,
+            Some(path) => inspect::of_instance(&path)?,
             None => return Err(
                 "members: name the instance's socket with --takeover or in --operator, or ask with --once"
                     .into(),
             ),
         };
-    let text = if json { format!("{view}\n") } else { show::table(&view) };
+    let text = if json { format!("{view}\n") } else { inspect::table(&view) };
     std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))
 }
 
--- a/crates/herondock/src/sockets.rs
+++ b/crates/herondock/src/descriptor_budget.rs
@@ -7,7 +7,7 @@
 
 /// Counts the sockets that are open and those that still may be.
 #[derive(Clone)]
-pub struct Sockets {
+pub struct DescriptorBudget {
     all: Arc<Semaphore>,
     callers: Arc<Semaphore>,
     callers_most: u32,
@@ -19,14 +19,14 @@
     _caller: OwnedSemaphorePermit,
 }
 
-impl Sockets {
+impl DescriptorBudget {
     /// A budget under this many descriptors. Callers may hold three quarters of it, so that there is always a
     /// way on to the upstreams; upstreams may hold all that callers leave.
-    pub fn new(descriptors: usize) -> Sockets {
+    pub fn new(descriptors: usize) -> DescriptorBudget {
         let budget = u32::try_from(descriptors.saturating_sub(SPARE)).unwrap_or(u32::MAX).min(1 << 20);
         let callers_most = budget / 4 * 3;
         let places = |n: u32| Arc::new(Semaphore::new(n as usize));
-        Sockets { all: places(budget), callers: places(callers_most), callers_most }
+        DescriptorBudget { all: places(budget), callers: places(callers_most), callers_most }
     }
 
     /// A place for a caller, if there is one now.
--- a/crates/herondock/src/station.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -1,14 +1,14 @@
 //! This instance in agreed outages: what its reporter is told of its upstreams, and how it obeys drains.
 use crate::clock::unix_ms;
-use crate::counts::{self, Counts};
-use crate::members::gather::{self, Gather};
+use crate::endpoint_sources::aggregator::{self, EndpointAggregator};
+use crate::request_counters::{self, RequestCounters};
 use crate::routing::Pools;
 use balancer::UpstreamId;
-use config::council::Client;
-use coordination_server::client::{reader, Council};
-use discovery::report::Standing;
-use disruption::{List, Place, Stand, State};
-use disruption_agent::reporter::{begin as report, Setup};
+use config::coordination::CoordinationClientConfig;
+use coordination_server::client::{spawn_reader, ClientHandle};
+use discovery::endpoint::EndpointState;
+use disruption::{EndpointCondition, EndpointLabels, EndpointList, InstanceState};
+use disruption_agent::reporter::{spawn as report, ReporterConfig};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,31 +24,36 @@
 const WHOLE: &str = "all";
 
 /// See the module's page.
-pub struct Station {
+pub struct LocalBalancer {
     /// The view of members.
-    pub members: Gather<Pools>,
+    pub members: EndpointAggregator<Pools>,
     /// All pools.
     pub pools: Pools,
     /// An upstream is cold for so long after its start, in milliseconds.
     pub ramp: f64,
     /// What it was asked and has served.
-    pub counts: Rc<Counts>,
+    pub counts: Rc<RequestCounters>,
 }
 
 /// Begins the reporter, and waits a moment for the drains that hold now.
-pub async fn begin(file: &Client, name: &str, station: Station, states: watch::Receiver<State>) -> Council {
-    let council = reader(file, "balancer", name);
+pub async fn begin(
+    file: &CoordinationClientConfig,
+    name: &str,
+    station: LocalBalancer,
+    states: watch::Receiver<InstanceState>,
+) -> ClientHandle {
+    let council = spawn_reader(file, "balancer", name);
     // Whoever started this process knows what it started.
     let build = std::env::var(BUILD).unwrap_or_default();
     let counts = station.counts.clone();
-    let totals = move || rollout::Sample {
+    let totals = move || rollout::MetricsSample {
         asked: counts.asked.get(),
         served: counts.served.get(),
         late: counts.late.get(),
-        memory: counts::memory(),
+        memory: request_counters::memory(),
     };
     tokio::task::spawn_local(rollout_agent::sampler::run(council.clone(), name.into(), totals));
-    let setup = Setup { file: file.clone(), name: name.into(), warm: file.warm, build };
+    let setup = ReporterConfig { file: file.clone(), name: name.into(), warm: file.warm, build };
     let mut known = report(council.clone(), setup, Rc::new(station), states);
     if tokio::time::timeout(DRAINS_WITHIN, known.wait_for(|known| *known)).await.is_err() {
         info!("outage: the council has not said which upstreams are drained, and {name} begins without");
@@ -56,32 +61,34 @@
     council
 }
 
-impl disruption_agent::reporter::Station for Station {
+impl disruption_agent::reporter::BalancerView for LocalBalancer {
     fn drained(&self, upstreams: &BTreeMap<String, String>) {
         self.members.hold(upstreams);
     }
 
     fn in_flight(&self, upstream: &str) -> usize {
-        self.pools.in_flight(gather::id(upstream))
+        self.pools.in_flight(aggregator::id(upstream))
     }
 
-    fn sight(&self) -> (List, BTreeMap<String, Stand>) {
+    fn sight(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>) {
         let pools = self.pools.in_use();
         let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.handle.ejected()).collect();
-        let (mut list, mut out, now) = (List::default(), BTreeMap::new(), unix_ms());
+        let (mut list, mut out, now) = (EndpointList::default(), BTreeMap::new(), unix_ms());
         self.members.each(|m| {
-            let id = gather::id(&m.name);
+            let id = aggregator::id(&m.name);
             let named = |name: &str| if name.is_empty() { WHOLE.to_string() } else { name.to_string() };
             let within = pools.iter().filter(|pool| pool.has(id)).map(|pool| named(&pool.name));
-            let place = Place { pools: within.collect(), zone: m.zone.to_string() };
+            let place = EndpointLabels { pools: within.collect(), zone: m.zone.to_string() };
             list.upstreams.insert(m.name.to_string(), place);
             let stand = match m.standing {
                 // A drain by agreement is the leave that is given for it, and not seen here once more.
-                Standing::Draining if self.members.holds(&m.name) => None,
-                Standing::Draining => Some(Stand::Draining),
-                Standing::Critical => Some(Stand::Critical),
-                Standing::Ready if ejected.contains(&id) => Some(Stand::Ejected),
-                Standing::Ready => (m.since > 0.0 && now - m.since < self.ramp).then_some(Stand::Cold),
+                EndpointState::Draining if self.members.holds(&m.name) => None,
+                EndpointState::Draining => Some(EndpointCondition::Draining),
+                EndpointState::Unhealthy => Some(EndpointCondition::Unhealthy),
+                EndpointState::Ready if ejected.contains(&id) => Some(EndpointCondition::Ejected),
+                EndpointState::Ready => {
+                    (m.since > 0.0 && now - m.since < self.ramp).then_some(EndpointCondition::WarmingUp)
+                }
             };
             out.extend(stand.map(|stand| (m.name.to_string(), stand)));
         });
--- a/crates/herondock/src/driver.rs
+++ b/crates/herondock/src/driver.rs
@@ -1,16 +1,16 @@
 //! The one owner of the decision module: feeds it events in order, carries out its actions, keeps its clock,
 //! its timers and the ids of requests and attempts. Nothing is decided here, and no protocol is known.
-use crate::counts::{self, Counts};
+use crate::descriptor_budget::DescriptorBudget;
+use crate::endpoint_sources::{Audience, Entry, Listing};
 use crate::exchange::{Answer, Attempt, Final, Gate, Hop, Request, Upstream};
-use crate::members::{Audience, Entry, Listing};
-use crate::sockets::Sockets;
+use crate::request_counters::{self, RequestCounters};
 use balancer::{
     Action, Availability, Balancer, Ending, Event, Learned, Membership, Millis, RequestId, UpstreamId,
 };
 use bytes::Bytes;
 use request_budget::grammar::Used;
-use request_budget::hearing::Hearing;
-use request_budget::purse::{Purse, Told};
+use request_budget::retry_budget::{AttemptUsage, RetryBudget};
+use request_budget::usage_feedback::UsageFeedback;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -50,8 +50,8 @@
     /// Its class may be sent again so long after that; `None`: for ever.
     window: Option<Duration>,
     /// Its repeats, where budgets are on.
-    purse: Option<Purse>,
-    counts: Rc<Counts>,
+    purse: Option<RetryBudget>,
+    counts: Rc<RequestCounters>,
     /// Served from then on it is late.
     late_at: Instant,
 }
@@ -67,12 +67,12 @@
     fn answer(&mut self, answer: Answer) -> bool {
         let Some(reply) = self.end() else { return false };
         if matches!(answer, Answer::Served { .. }) {
-            counts::more(&self.counts.served);
+            request_counters::more(&self.counts.served);
             if Instant::now() > self.late_at {
-                counts::more(&self.counts.late);
+                request_counters::more(&self.counts.late);
             }
         }
-        let used = self.purse.as_ref().map_or(Used::default(), Purse::used);
+        let used = self.purse.as_ref().map_or(Used::default(), RetryBudget::used);
         // A client that left in the same instant gets nothing; it is no longer owed anything.
         let _ = reply.send(Final { answer, ran: self.ran || self.running > 0, used });
         true
@@ -101,7 +101,7 @@
     /// Its newest line.
     entry: Entry,
     /// Whether it tells what was used below it.
-    hearing: Hearing,
+    hearing: UsageFeedback,
 }
 
 /// Chooses the transport for an upstream by what it speaks.
@@ -112,7 +112,7 @@
     start: Instant,
     start_ms: Millis,
     transports: Transports,
-    sockets: Sockets,
+    sockets: DescriptorBudget,
     max_open: usize,
     late_shedding: bool,
     /// Every request has its answer by then.
@@ -121,7 +121,7 @@
     open: HashMap<RequestId, Open>,
     /// The callers' names of the requests that are open, in every pool.
     names: Names,
-    counts: Rc<Counts>,
+    counts: Rc<RequestCounters>,
     /// By class, within this time an answer is not late.
     objectives: Vec<Duration>,
     /// By class, how long repeats are dropped for.
@@ -164,7 +164,7 @@
     /// Attempts and connections.
     pub transports: Transports,
     /// The budget of sockets.
-    pub sockets: Sockets,
+    pub sockets: DescriptorBudget,
     /// Most requests open at once.
     pub max_open: usize,
     /// Whether upstreams also turn away what they had begun.
@@ -172,7 +172,7 @@
     /// The callers' names of open requests.
     pub names: Names,
     /// What is counted, over all pools.
-    pub counts: Rc<Counts>,
+    pub counts: Rc<RequestCounters>,
     /// By class, within this time an answer is not late.
     pub objectives: Vec<Duration>,
     /// By class, for how long upstreams drop repeats; `None`: repeats do no harm, or there are none.
@@ -353,9 +353,9 @@
             let route = out.attempts.map_or(u32::MAX, |attempts| attempts.saturating_sub(1));
             let budget = out.budget.as_ref().map(|carried| &carried.budget);
             let given = budget.map_or((route, 1.0), |b| (b.retries.min(route), b.worth));
-            let purse = budget.map(|_| Purse::new(given.0));
+            let purse = budget.map(|_| RetryBudget::new(given.0));
             let out = Rc::new(out);
-            counts::more(&d.counts.asked);
+            request_counters::more(&d.counts.asked);
             let late_at =
                 Instant::now() + d.objectives.get(class).copied().unwrap_or(Duration::from_secs(86_400));
             let counts = d.counts.clone();
@@ -525,9 +525,9 @@
                 purse.ended(
                     number,
                     match told {
-                        Some(used) => Told::Used(used),
-                        None if never_ran => Told::NeverRan,
-                        None => Told::Nothing,
+                        Some(used) => AttemptUsage::Used(used),
+                        None if never_ran => AttemptUsage::NeverRan,
+                        None => AttemptUsage::Unknown,
                     },
                 );
                 // Before the outcome, by which the module decides whether to try again.
@@ -589,7 +589,7 @@
                 upstream: (self.transports)(entry),
                 gate: Rc::default(),
                 entry: entry.clone(),
-                hearing: Hearing::default(),
+                hearing: UsageFeedback::default(),
             });
             // Another address or another start: the old connections lead nowhere.
             if known.entry.addr != entry.addr || known.entry.member.since != m.since {
--- a/crates/herondock/src/members/gather.rs
+++ b/crates/herondock/src/endpoint_sources/aggregator.rs
@@ -3,9 +3,9 @@
 use crate::clock::unix_ms;
 use balancer::{Availability, Member, UpstreamId};
 use config::Deployment;
-use discovery::report::{News, Report, Speaks};
-use discovery::saved::Saved;
-use discovery::view::{Change, Merged, Source, View};
+use discovery::endpoint::{EndpointProtocol, EndpointReport, SourceUpdate};
+use discovery::endpoint_cache::EndpointCache;
+use discovery::endpoint_set::{Endpoint, EndpointChange, EndpointSet, Source};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
@@ -35,7 +35,7 @@
 
     /// A member as the module and the driver have it. A zone or kind that the settings do not list gets a position that
     /// no class is bound to.
-    fn entry(&self, m: &Merged, gone: bool) -> Entry {
+    fn entry(&self, m: &Endpoint, gone: bool) -> Entry {
         let zone = self.zones.iter().position(|z| **z == *m.zone);
         let kind = self.kinds.iter().position(|k| **k == *m.kind);
         let availability = match (gone, m.takes) {
@@ -54,8 +54,8 @@
             since: m.since,
         };
         let speaks = match m.speaks {
-            Speaks::Http => Protocol::Http,
-            Speaks::FastCgi => Protocol::FastCgi,
+            EndpointProtocol::Http => Protocol::Http,
+            EndpointProtocol::FastCgi => Protocol::FastCgi,
         };
         let (zone, kind) = (m.zone.clone(), m.kind.clone());
         let told = Told { zone, kind, sources: m.sources.clone(), meta: m.meta.clone() };
@@ -66,7 +66,7 @@
 struct Inner<A> {
     audience: A,
     names: Names,
-    view: RefCell<View>,
+    view: RefCell<EndpointSet>,
     /// The newest index or version that each source was told.
     indices: RefCell<BTreeMap<Source, u64>>,
     random: RefCell<Pcg64Mcg>,
@@ -74,55 +74,55 @@
 }
 
 /// The view, and who is told of it.
-pub struct Gather<A>(Rc<Inner<A>>);
+pub struct EndpointAggregator<A>(Rc<Inner<A>>);
 
-impl<A> Clone for Gather<A> {
+impl<A> Clone for EndpointAggregator<A> {
     fn clone(&self) -> Self {
-        Gather(self.0.clone())
+        EndpointAggregator(self.0.clone())
     }
 }
 
-impl<A: Audience> Gather<A> {
+impl<A: Audience> EndpointAggregator<A> {
     /// An empty view. `random` spreads the pauses and waits of its sources.
-    pub fn new(audience: A, names: Names, last_resort: bool, random: Pcg64Mcg) -> Gather<A> {
-        let view = RefCell::new(View::new(last_resort));
+    pub fn new(audience: A, names: Names, last_resort: bool, random: Pcg64Mcg) -> EndpointAggregator<A> {
+        let view = RefCell::new(EndpointSet::new(last_resort));
         let (indices, random, changed) = (RefCell::default(), RefCell::new(random), Notify::new());
-        Gather(Rc::new(Inner { audience, names, view, indices, random, changed }))
+        EndpointAggregator(Rc::new(Inner { audience, names, view, indices, random, changed }))
     }
 
     /// Adds a source. One that `answers` the module's subscriptions tells it also of what fails, and of answers that
     /// change nothing.
-    pub fn source(&self, rank: u16, label: &str, answers: bool) -> Teller<A> {
+    pub fn source(&self, rank: u16, label: &str, answers: bool) -> SourceHandle<A> {
         let source = Source { rank, label: label.into() };
         self.0.view.borrow_mut().add(&source);
-        Teller { gather: self.clone(), source, answers }
+        SourceHandle { gather: self.clone(), source, answers }
     }
 
     /// A place in the order of sources that is no source itself.
-    pub fn quiet(&self, rank: u16, label: &str) -> Teller<A> {
-        Teller { gather: self.clone(), source: Source { rank, label: label.into() }, answers: false }
+    pub fn quiet(&self, rank: u16, label: &str) -> SourceHandle<A> {
+        SourceHandle { gather: self.clone(), source: Source { rank, label: label.into() }, answers: false }
     }
 
-    fn listing(&self, changes: &[Change]) -> Listing {
-        let entry = |change: &Change| match change {
-            Change::Is(m) => self.0.names.entry(m, false),
-            Change::Gone(m) => self.0.names.entry(m, true),
+    fn listing(&self, changes: &[EndpointChange]) -> Listing {
+        let entry = |change: &EndpointChange| match change {
+            EndpointChange::Updated(m) => self.0.names.entry(m, false),
+            EndpointChange::Removed(m) => self.0.names.entry(m, true),
         };
         Listing { entries: changes.iter().map(entry).collect() }
     }
 
     /// Begins with what was kept, before any source has told anything. Returns the members for the module.
-    pub fn recall(&self, saved: Saved) -> Listing {
-        let Saved { reports, told, indices } = saved;
+    pub fn recall(&self, saved: EndpointCache) -> Listing {
+        let EndpointCache { reports, told, indices } = saved;
         self.0.indices.borrow_mut().extend(indices);
         let changes = self.0.view.borrow_mut().recall(reports, told);
         self.listing(&changes)
     }
 
     /// What is to be kept.
-    pub fn saved(&self) -> Saved {
+    pub fn saved(&self) -> EndpointCache {
         let indices = self.0.indices.borrow().iter().map(|(s, &i)| (s.clone(), i)).collect();
-        Saved::of(&self.0.view.borrow(), indices)
+        EndpointCache::of(&self.0.view.borrow(), indices)
     }
 
     /// Waits until something was told that counts.
@@ -130,7 +130,7 @@
         self.0.changed.notified().await;
     }
 
-    /// These members are held out by agreement from now on, and no others; see [`View::hold`].
+    /// These members are held out by agreement from now on, and no others; see [`EndpointSet::hold`].
     pub fn hold(&self, names: &BTreeMap<String, String>) {
         let changes = self.0.view.borrow_mut().hold(unix_ms(), names);
         if !changes.is_empty() {
@@ -144,7 +144,7 @@
     }
 
     /// Calls `each` with every member as all sources together have it.
-    pub fn each(&self, mut each: impl FnMut(&Merged)) {
+    pub fn each(&self, mut each: impl FnMut(&Endpoint)) {
         self.0.view.borrow().members().for_each(&mut each);
     }
 
@@ -173,15 +173,15 @@
 }
 
 /// What one source tells goes through here.
-pub struct Teller<A> {
-    gather: Gather<A>,
+pub struct SourceHandle<A> {
+    gather: EndpointAggregator<A>,
     source: Source,
     answers: bool,
 }
 
-impl<A: Audience> Teller<A> {
+impl<A: Audience> SourceHandle<A> {
     /// Another source of the same view, of the same rank.
-    pub fn beside(&self, label: &str) -> Teller<A> {
+    pub fn beside(&self, label: &str) -> SourceHandle<A> {
         self.gather.source(self.source.rank, label, false)
     }
 
@@ -196,20 +196,22 @@
     }
 
     /// It tells this, of members that speak this.
-    pub fn told_of(&self, speaks: Speaks, news: News, index: Option<u64>) {
-        let with = |reports: Vec<Report>| reports.into_iter().map(|r| Report { speaks, ..r }).collect();
+    pub fn told_of(&self, speaks: EndpointProtocol, news: SourceUpdate, index: Option<u64>) {
+        let with = |reports: Vec<EndpointReport>| {
+            reports.into_iter().map(|r| EndpointReport { speaks, ..r }).collect()
+        };
         let news = match news {
-            News::Whole(reports) => News::Whole(with(reports)),
-            News::Changes(reports, gone) => News::Changes(with(reports), gone),
-            News::None(why) => News::None(why),
+            SourceUpdate::Full(reports) => SourceUpdate::Full(with(reports)),
+            SourceUpdate::Delta(reports, gone) => SourceUpdate::Delta(with(reports), gone),
+            SourceUpdate::Unavailable(why) => SourceUpdate::Unavailable(why),
         };
         self.told(news, index);
     }
 
     /// It tells this.
-    pub fn told(&self, news: News, index: Option<u64>) {
+    pub fn told(&self, news: SourceUpdate, index: Option<u64>) {
         let inner = &self.gather.0;
-        let counts = !matches!(news, News::None(_));
+        let counts = !matches!(news, SourceUpdate::Unavailable(_));
         if counts {
             let mut indices = inner.indices.borrow_mut();
             match index {
@@ -235,7 +237,7 @@
 
     /// Nothing that counts has come, for this reason; the list stands.
     pub fn stands(&self, why: String) {
-        self.gather.0.view.borrow_mut().take(unix_ms(), &self.source, News::None(why));
+        self.gather.0.view.borrow_mut().take(unix_ms(), &self.source, SourceUpdate::Unavailable(why));
     }
 
     /// Says so in the log.
--- a/crates/herondock/src/members/keep.rs
+++ b/crates/herondock/src/endpoint_sources/cache.rs
@@ -1,11 +1,11 @@
 //! The last view on disk: read at the start, and written as it changes.
-use super::gather::Gather;
+use super::aggregator::EndpointAggregator;
 use super::Audience;
 use crate::clock::unix_ms;
-use discovery::saved::{self, Saved};
+use discovery::endpoint_cache::{self, EndpointCache};
 use std::path::Path;
 use std::time::Duration;
-use storage::Store;
+use storage::AtomicFile;
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
@@ -15,13 +15,13 @@
 const REFRESH: Duration = Duration::from_secs(30);
 
 /// The file.
-pub fn store(path: &Path) -> Store {
-    Store::new(path, "members", saved::VERSION, MOST)
+pub fn store(path: &Path) -> AtomicFile {
+    AtomicFile::new(path, "members", endpoint_cache::VERSION, MOST)
 }
 
 /// What was kept, without what is older than `most`. A file that is damaged, or what is too old in it, is named in the
 /// log and passed over.
-pub fn load(store: &Store, most: Duration) -> Option<Saved> {
+pub fn load(store: &AtomicFile, most: Duration) -> Option<EndpointCache> {
     let named = |what: String| info!("registry.saved: {}: {what}; passed over", store.path().display());
     let kept = match store.load() {
         Ok(kept) => kept?,
@@ -30,7 +30,7 @@
             return None;
         }
     };
-    let mut saved = match Saved::read(&kept.content) {
+    let mut saved = match EndpointCache::read(&kept.content) {
         Ok(saved) => saved,
         Err(e) => {
             named(e);
@@ -44,7 +44,7 @@
 }
 
 /// Writes the view for ever: after it changed, no more often than `every`.
-pub async fn run<A: Audience>(gather: Gather<A>, store: Store, every: Duration) {
+pub async fn run<A: Audience>(gather: EndpointAggregator<A>, store: AtomicFile, every: Duration) {
     let mut trouble = false;
     loop {
         let _ = timeout(REFRESH, gather.changed()).await;
--- a/crates/herondock/src/members/client.rs
+++ b/crates/herondock/src/endpoint_sources/client.rs
@@ -1,5 +1,5 @@
 //! Calls to registries: HTTP/1.1 over one kept connection, with bounds on time and size.
-use crate::live::Live;
+use crate::live_config::LiveConfig;
 use bytes::Bytes;
 use config::operator::Limits;
 use http_body_util::{BodyExt, Full, Limited};
@@ -75,13 +75,13 @@
 
 /// Makes calls, one at a time.
 pub struct Client {
-    limits: Live<Limits>,
+    limits: LiveConfig<Limits>,
     link: Option<Link>,
 }
 
 impl Client {
     /// A client without a connection. Answers hold `limits.list` bytes at most.
-    pub fn new(limits: Live<Limits>) -> Client {
+    pub fn new(limits: LiveConfig<Limits>) -> Client {
         Client { limits, link: None }
     }
 
--- a/crates/herondock/src/members/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -1,14 +1,14 @@
 //! Consul's services as sources of members: makes the queries that `discovery::consul::watch` wants, and passes on what
 //! it says of their answers.
+use super::aggregator::SourceHandle;
 use super::client::{Call, Client};
-use super::gather::Teller;
 use super::Audience;
-use crate::live::Live;
+use crate::live_config::LiveConfig;
+use config::discovery::{Consistency, ConsulConfig, Datacentres};
 use config::operator::Limits;
-use config::registry::{Consistency, Consul, Datacentres};
-use discovery::consul::list::{Kind, Reading};
-use discovery::consul::watch::{self, Figures, Head, Next, Target, Watch};
-use discovery::report::{News, Speaks};
+use discovery::consul::service_list::{Kind, Reading};
+use discovery::consul::watch::{self, NextStep, ResponseHead, Target, Watch, WatchIntervals};
+use discovery::endpoint::{EndpointProtocol, SourceUpdate};
 use hyper::StatusCode;
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -61,9 +61,9 @@
 #[derive(Clone)]
 pub struct Service {
     /// Its table of the operator's file.
-    pub settings: Consul,
+    pub settings: ConsulConfig,
     /// Bounds of answers.
-    pub limits: Live<Limits>,
+    pub limits: LiveConfig<Limits>,
 }
 
 impl Service {
@@ -84,7 +84,7 @@
     }
 
     /// Watches it for ever, in each of its datacentres. `teller` is its one source, or a quiet one of its rank.
-    pub async fn run<A: Audience + 'static>(self, teller: Teller<A>) {
+    pub async fn run<A: Audience + 'static>(self, teller: SourceHandle<A>) {
         match &self.settings.datacentres {
             Datacentres::Own => self.clone().watch(None, teller).await,
             Datacentres::Named(names) if names.len() == 1 => {
@@ -106,7 +106,7 @@
 
     /// Watches each datacentre that the catalogue has ever named: one that it names no longer may be cut off, and its
     /// last list stands as that of a registry in trouble does.
-    async fn all<A: Audience + 'static>(&self, teller: Teller<A>) {
+    async fn all<A: Audience + 'static>(&self, teller: SourceHandle<A>) {
         let (mut client, mut watches) =
             (Client::new(self.limits.clone()), BTreeMap::<String, JoinHandle<()>>::new());
         let mut agent = 0;
@@ -156,7 +156,7 @@
             cell: s.meta.cell.clone(),
             started: s.meta.started.clone(),
             tagged: s.tagged.clone(),
-            speaks: if s.fastcgi { Speaks::FastCgi } else { Speaks::Http },
+            speaks: if s.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
         };
         let target = Target {
             service: s.service.clone(),
@@ -170,7 +170,7 @@
                 Consistency::Consistent => watch::Consistency::Consistent,
             },
         };
-        let figures = Figures {
+        let figures = WatchIntervals {
             wait: s.wait,
             pace: s.pace,
             pause: s.pause,
@@ -181,7 +181,7 @@
         Watch::new(target, reading, figures, s.agents.len(), index)
     }
 
-    async fn watch<A: Audience>(self, datacentre: Option<String>, teller: Teller<A>) {
+    async fn watch<A: Audience>(self, datacentre: Option<String>, teller: SourceHandle<A>) {
         let start = Instant::now();
         let mut watch = self.begin(datacentre, teller.index());
         let (mut client, token) =
@@ -189,11 +189,11 @@
         let mut trouble: Option<String> = None;
         loop {
             let ask = match watch.next(start.elapsed(), teller.draw()) {
-                Next::Wait(until) => {
+                NextStep::Wait(until) => {
                     sleep_until(start + until).await;
                     continue;
                 }
-                Next::Ask(ask) => ask,
+                NextStep::Ask(ask) => ask,
             };
             let reply = match token.read().await {
                 Ok(token) => {
@@ -207,7 +207,7 @@
             let verdict = match reply {
                 Ok(reply) => {
                     let get = |name: &str| reply.headers.get(name)?.to_str().ok();
-                    watch.answered(now, &Head::new(reply.status.as_u16(), get), &reply.body, draw)
+                    watch.answered(now, &ResponseHead::new(reply.status.as_u16(), get), &reply.body, draw)
                 }
                 Err(why) => watch.failed(now, &why, draw),
             };
@@ -215,7 +215,7 @@
                 teller.says(&format!("passed over: {fault}"));
             }
             match verdict.news {
-                News::None(why) => {
+                SourceUpdate::Unavailable(why) => {
                     // Said once, and not with each try.
                     if trouble.as_ref() != Some(&why) {
                         teller.says(&format!("no news: {why}"));
--- a/crates/herondock/src/members/discovery.rs
+++ b/crates/herondock/src/endpoint_sources/discovery.rs
@@ -2,14 +2,14 @@
 //!
 //! When to ask is decided by [`discovery::platform::watch`], whose calls are carried out here. The module's own wish for the
 //! list ([`balancer::Action::Subscribe`]) is granted by that: its pauses know nothing of what counts as told.
+use super::aggregator::SourceHandle;
 use super::client::{Call, Client};
-use super::gather::Teller;
 use super::Audience;
-use crate::live::Live;
+use crate::live_config::LiveConfig;
 use config::operator::Limits;
-use discovery::platform::told::Terms;
-use discovery::platform::watch::{Ask, Next, Verdict, Watch};
-use discovery::report::{News, Speaks};
+use discovery::endpoint::{EndpointProtocol, SourceUpdate};
+use discovery::platform::staleness::StalenessSettings;
+use discovery::platform::watch::{NextStep, Request, ResponseOutcome, Watch};
 use std::net::SocketAddr;
 use tokio::sync::watch::Receiver;
 use tokio::time::Instant;
@@ -27,7 +27,7 @@
     /// The watch's times count from here.
     begun: Instant,
     /// What its members speak.
-    speaks: Speaks,
+    speaks: EndpointProtocol,
 }
 
 impl Discovery {
@@ -35,10 +35,10 @@
     /// where discovery is.
     pub fn new(
         addresses: Receiver<SocketAddr>,
-        limits: Live<Limits>,
-        terms: &Terms,
+        limits: LiveConfig<Limits>,
+        terms: &StalenessSettings,
         version: Option<u64>,
-        speaks: Speaks,
+        speaks: EndpointProtocol,
     ) -> Discovery {
         let addr = *addresses.borrow();
         let (watch, begun) = (Watch::new(terms, version), Instant::now());
@@ -46,7 +46,7 @@
     }
 
     /// Keeps the watch for ever.
-    pub async fn run<A: Audience>(mut self, teller: Teller<A>) {
+    pub async fn run<A: Audience>(mut self, teller: SourceHandle<A>) {
         let mut addresses = self.addresses.clone();
         loop {
             // Guards against a dial, a call or a pause at the old address holding up the move to a new one:
@@ -72,12 +72,12 @@
     }
 
     /// Carries out what the watch asks for, for ever.
-    async fn serve<A: Audience>(&mut self, teller: &Teller<A>) {
+    async fn serve<A: Audience>(&mut self, teller: &SourceHandle<A>) {
         loop {
             let next = self.watch.next(self.begun.elapsed(), teller.draw());
             match next {
-                Next::Wait(until) => tokio::time::sleep_until(self.begun + until).await,
-                Next::Ask(ask) => {
+                NextStep::Wait(until) => tokio::time::sleep_until(self.begun + until).await,
+                NextStep::Call(ask) => {
                     let verdict = self.call(&ask, teller.draw()).await;
                     self.tell(teller, verdict);
                 }
@@ -86,7 +86,7 @@
     }
 
     /// Makes one call and has the watch judge it.
-    async fn call(&mut self, ask: &Ask, draw: f64) -> Verdict {
+    async fn call(&mut self, ask: &Request, draw: f64) -> ResponseOutcome {
         debug!("discovery: asks {} within {:?}", ask.path, ask.patience);
         let reply = self.client.call(self.addr, &Call::get(&ask.path), ask.patience).await;
         let now = self.begun.elapsed();
@@ -100,8 +100,8 @@
     }
 
     /// Passes on what a call came to.
-    fn tell<A: Audience>(&mut self, teller: &Teller<A>, verdict: Verdict) {
-        let Verdict { news, version, answers, faults } = verdict;
+    fn tell<A: Audience>(&mut self, teller: &SourceHandle<A>, verdict: ResponseOutcome) {
+        let ResponseOutcome { news, version, answers, faults } = verdict;
         for fault in faults.iter().take(FAULTS_SHOWN) {
             info!("discovery: {fault}");
         }
@@ -113,7 +113,7 @@
             teller.answers();
         }
         match news {
-            News::None(why) => {
+            SourceUpdate::Unavailable(why) => {
                 self.client.hang_up();
                 info!("discovery: {why}");
                 teller.stands(why);
--- a/crates/herondock/src/members/show.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -1,11 +1,11 @@
 //! `herondock members`: the present view with ages and reasons, from a running instance or, once, from the sources.
-use super::gather::{Gather, Names};
+use super::aggregator::{EndpointAggregator, Names};
 use super::sources::Sources;
 use super::{Audience, Listing};
-use crate::handover::takeover;
-use crate::live::Live;
+use crate::listener_handoff::protocol;
+use crate::live_config::LiveConfig;
 use crate::node_config::{self, Config};
-use config::operator::Operator;
+use config::operator::OperatorConfig;
 use daemon::table::lines;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -31,7 +31,7 @@
 /// None does, or it does not say.
 pub fn of_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let answer = runtime.map_err(|e| e.to_string())?.block_on(takeover::members(socket))?;
+    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::members(socket))?;
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
@@ -39,16 +39,16 @@
 ///
 /// # Errors
 /// No runtime could be had.
-pub fn of_sources(config: Config, operator: &Operator) -> Result<Value, String> {
+pub fn of_sources(config: Config, operator: &OperatorConfig) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let random = Pcg64Mcg::seed_from_u64(config.seed);
         let names = Names::of(&config.deployment);
-        let gather = Gather::new(Nobody, names, operator.registry.last_resort, random);
+        let gather = EndpointAggregator::new(Nobody, names, operator.registry.last_resort, random);
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
-        let limits = Live::new(operator.limits.clone());
+        let limits = LiveConfig::new(operator.limits.clone());
         let terms = node_config::terms(&config.deployment);
         Sources::of(&gather, operator, &limits).begin(addresses, &limits, &terms);
         // Until each has said something, good or bad.
--- a/crates/herondock/src/members/mod.rs
+++ b/crates/herondock/src/endpoint_sources/mod.rs
@@ -11,17 +11,17 @@
 //! | `sources.rs` | all sources that the operator's file names |
 //! | `client.rs` | calls to registries |
 //!
-//! Sources tell a [`gather::Teller`]; what is told means, and how several are merged, is the crate `registry`'s matter.
+//! Sources tell a [`aggregator::SourceHandle`]; what is told means, and how several are merged, is the crate `registry`'s matter.
+pub mod aggregator;
+pub mod cache;
 mod client;
 pub mod consul;
 pub mod discovery;
-pub mod gather;
-pub mod keep;
+pub mod inspect;
 pub mod registration;
-pub mod show;
 pub mod sources;
 
-use ::discovery::report::Meta;
+use ::discovery::endpoint::Meta;
 use balancer::Member;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/herondock/src/members/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -1,11 +1,11 @@
 //! This instance as a service at its Consul agent: makes the calls that `discovery::consul::register` wants.
 use super::client::{Call, Client};
 use super::consul::Token;
-use crate::live::Live;
+use crate::live_config::LiveConfig;
 use bytes::Bytes;
+use config::discovery::ConsulConfig;
 use config::operator::Limits;
-use config::registry::Consul;
-use discovery::consul::register::{Next, Register, Registration, Wish};
+use discovery::consul::registration::{DesiredState, NextStep, Registrar, Registration};
 use hyper::Method;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -23,21 +23,21 @@
 
 /// All registrations of an instance.
 pub struct Registrations {
-    wish: watch::Sender<Wish>,
+    wish: watch::Sender<DesiredState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Registrations {
     /// Begins those that these services ask for, for an instance of this name at this address.
     pub fn begin(
-        services: &[Consul],
+        services: &[ConsulConfig],
         name: &str,
         addr: SocketAddr,
-        limits: &Live<Limits>,
+        limits: &LiveConfig<Limits>,
         random: &Pcg64Mcg,
     ) -> Registrations {
-        let (wish, wishes) = watch::channel(Wish::Absent);
-        let begin = |s: &Consul| {
+        let (wish, wishes) = watch::channel(DesiredState::Absent);
+        let begin = |s: &ConsulConfig| {
             let r = s.register.as_ref()?;
             let registration = Registration {
                 service: r.service.clone(),
@@ -54,19 +54,19 @@
                 token: Token::new(s.token_file.clone()),
                 random: random.clone(),
             };
-            Some(tokio::task::spawn_local(one.run(Register::new(registration), wishes.clone())))
+            Some(tokio::task::spawn_local(one.run(Registrar::new(registration), wishes.clone())))
         };
         Registrations { wish, tasks: services.iter().filter_map(begin).collect() }
     }
 
     /// What the instance wants to be.
-    pub fn wish(&self, wish: Wish) {
+    pub fn wish(&self, wish: DesiredState) {
         self.wish.send_replace(wish);
     }
 
     /// Takes all back, and waits for that for a moment.
     pub async fn end(&mut self) {
-        self.wish(Wish::Gone);
+        self.wish(DesiredState::Gone);
         let all = async {
             for task in &mut self.tasks {
                 let _ = task.await;
@@ -90,20 +90,20 @@
 }
 
 impl One {
-    async fn run(mut self, mut register: Register, mut wishes: watch::Receiver<Wish>) {
+    async fn run(mut self, mut register: Registrar, mut wishes: watch::Receiver<DesiredState>) {
         let (start, mut trouble) = (Instant::now(), None);
         loop {
             register.wish(start.elapsed(), *wishes.borrow_and_update());
             match register.next(start.elapsed()) {
-                Next::Done => return,
-                Next::Wait(until) => {
+                NextStep::Done => return,
+                NextStep::Wait(until) => {
                     let until = (until < Duration::MAX).then(|| start + until);
                     tokio::select! {
                         changed = wishes.changed() => if changed.is_err() { return },
                         () = async { sleep_until(until.unwrap_or(start)).await }, if until.is_some() => {}
                     }
                 }
-                Next::Call(call) => {
+                NextStep::Call(call) => {
                     // With the first agent only: a registration is that agent's own.
                     let done = self.call(&call.path, call.body).await;
                     let (now, draw) = (start.elapsed(), self.random.gen());
--- a/crates/herondock/src/members/sources.rs
+++ b/crates/herondock/src/endpoint_sources/sources.rs
@@ -1,13 +1,13 @@
 //! All sources of members that the operator's file names.
+use super::aggregator::{EndpointAggregator, SourceHandle};
 use super::consul::Service;
 use super::discovery::Discovery;
-use super::gather::{Gather, Teller};
 use super::Audience;
-use crate::live::Live;
-use config::operator::{Limits, Operator};
-use config::registry::Static;
-use discovery::platform::told::Terms;
-use discovery::report::{Meta, News, Report, Speaks, Standing};
+use crate::live_config::LiveConfig;
+use config::discovery::Static;
+use config::operator::{Limits, OperatorConfig};
+use discovery::endpoint::{EndpointProtocol, EndpointReport, EndpointState, Meta, SourceUpdate};
+use discovery::platform::staleness::StalenessSettings;
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
@@ -16,14 +16,18 @@
 
 /// All sources that the operator's file names, in their order, not yet begun.
 pub struct Sources<A> {
-    discovery: Option<(Speaks, Teller<A>)>,
-    consul: Vec<(Service, Teller<A>)>,
-    fixed: Option<(Vec<Report>, Teller<A>)>,
+    discovery: Option<(EndpointProtocol, SourceHandle<A>)>,
+    consul: Vec<(Service, SourceHandle<A>)>,
+    fixed: Option<(Vec<EndpointReport>, SourceHandle<A>)>,
 }
 
 impl<A: Audience + 'static> Sources<A> {
     /// Adds them to a view.
-    pub fn of(gather: &Gather<A>, operator: &Operator, limits: &Live<Limits>) -> Sources<A> {
+    pub fn of(
+        gather: &EndpointAggregator<A>,
+        operator: &OperatorConfig,
+        limits: &LiveConfig<Limits>,
+    ) -> Sources<A> {
         let registry = &operator.registry;
         let discovery =
             registry.discovery.then(|| (speaks(registry.fastcgi), gather.source(0, DISCOVERY, true)));
@@ -44,7 +48,12 @@
     }
 
     /// Begins them, each in a task of its own. `terms` are those of the platform's discovery.
-    pub fn begin(self, addresses: watch::Receiver<SocketAddr>, limits: &Live<Limits>, terms: &Terms) {
+    pub fn begin(
+        self,
+        addresses: watch::Receiver<SocketAddr>,
+        limits: &LiveConfig<Limits>,
+        terms: &StalenessSettings,
+    ) {
         if let Some((speaks, teller)) = self.discovery {
             let source = Discovery::new(addresses, limits.clone(), terms, teller.index(), speaks);
             tokio::task::spawn_local(source.run(teller));
@@ -53,29 +62,29 @@
             tokio::task::spawn_local(service.run(teller));
         }
         if let Some((reports, teller)) = self.fixed {
-            teller.told(News::Whole(reports), None);
+            teller.told(SourceUpdate::Full(reports), None);
         }
     }
 }
 
 /// What members speak, as the operator's file has it.
-pub fn speaks(fastcgi: bool) -> Speaks {
+pub fn speaks(fastcgi: bool) -> EndpointProtocol {
     if fastcgi {
-        Speaks::FastCgi
+        EndpointProtocol::FastCgi
     } else {
-        Speaks::Http
+        EndpointProtocol::Http
     }
 }
 
-fn report(s: &Static) -> Report {
-    Report {
+fn report(s: &Static) -> EndpointReport {
+    EndpointReport {
         name: s.id.as_str().into(),
         addr: s.addr,
         zone: s.zone.as_str().into(),
         kind: s.kind.as_str().into(),
         cell: s.cell,
         speaks: speaks(s.fastcgi),
-        standing: if s.draining { Standing::Draining } else { Standing::Ready },
+        standing: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
         why: if s.draining { "so the operator's file says".into() } else { "".into() },
         // Who writes a member down does not say that it has just started.
         started_ms: Some(0.0),
--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -5,7 +5,7 @@
 //! [`Attempt`] out in the protocol of its upstream.
 use balancer::{Ending, Millis};
 use bytes::{BufMut, Bytes, BytesMut};
-use config::budget::FieldNames;
+use config::request_budget::FieldNames;
 use request_budget::grammar;
 use request_budget::grammar::Used;
 use request_budget::Budget;
--- a/crates/herondock/src/front/fastcgi.rs
+++ b/crates/herondock/src/front/fastcgi.rs
@@ -5,14 +5,14 @@
 //! end of the connection, calls off what is out.
 use super::classify::{classify, Class, Field, Given, KEY};
 use super::{Course, Phase};
-use crate::budget::{Budgets, Side};
+use crate::descriptor_budget::DescriptorBudget;
 use crate::driver::Untaken;
 use crate::exchange::{Answer, Fields, Final, Method, Request};
 use crate::http::{belongs_to_a_hop, DECLINED, REPEATED};
-use crate::live::Live;
+use crate::live_config::LiveConfig;
+use crate::request_budgets::{Budgets, Side};
 use crate::routing::ask::{Asked, Turned as NotRouted};
 use crate::routing::{Pools, Taken};
-use crate::sockets::Sockets;
 use bytes::{Buf, Bytes, BytesMut};
 use config::fastcgi::{FastCgi, Listen, Names};
 use config::operator::Limits;
@@ -22,7 +22,7 @@
 use fastcgi::Limits as Bounds;
 use request_budget::grammar::write_used;
 use request_budget::grammar::Used;
-use request_budget::Untaken as NotTaken;
+use request_budget::BudgetRejection as NotTaken;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -56,9 +56,9 @@
     /// `[fastcgi]` of the operator's file.
     pub settings: FastCgi,
     /// All descriptors.
-    pub sockets: Sockets,
+    pub sockets: DescriptorBudget,
     /// Sizes and waits.
-    pub limits: Live<Limits>,
+    pub limits: LiveConfig<Limits>,
     /// How far the end of the program has come.
     pub course: watch::Receiver<Course>,
     /// Budgets, where they are on.
@@ -72,8 +72,8 @@
     driver: Pools,
     deployment: Deployment,
     settings: FastCgi,
-    sockets: Sockets,
-    limits: Live<Limits>,
+    sockets: DescriptorBudget,
+    limits: LiveConfig<Limits>,
     course: watch::Receiver<Course>,
     budgets: Option<Rc<Budgets>>,
     /// Its listeners, to be passed on; those that are accepted on are their clones.
--- a/crates/herondock/src/front/http.rs
+++ b/crates/herondock/src/front/http.rs
@@ -2,14 +2,14 @@
 use super::classify::{classify, Class, Field, Given, KEY};
 use super::watched::{Watch, Watched};
 use super::{Course, Phase};
-use crate::budget::{Budgets, Side};
+use crate::descriptor_budget::{DescriptorBudget, Places};
 use crate::driver::Untaken;
 use crate::exchange::{Answer, Carried, Final, Method, Request};
 use crate::http::{fields, headers, DEADLINE, DECLINED, REPEATED};
-use crate::live::Live;
+use crate::live_config::LiveConfig;
+use crate::request_budgets::{Budgets, Side};
 use crate::routing::ask::{Asked, Turned};
 use crate::routing::{Pools, Taken};
-use crate::sockets::{Places, Sockets};
 use crate::stream::Shared;
 use bytes::Bytes;
 use config::operator::Limits;
@@ -23,7 +23,7 @@
 use hyper_util::rt::TokioIo;
 use request_budget::grammar::write_used;
 use request_budget::grammar::Used;
-use request_budget::Untaken as NotTaken;
+use request_budget::BudgetRejection as NotTaken;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -62,8 +62,8 @@
 pub struct Server {
     driver: Pools,
     deployment: Deployment,
-    sockets: Sockets,
-    limits: Live<Limits>,
+    sockets: DescriptorBudget,
+    limits: LiveConfig<Limits>,
     course: watch::Receiver<Course>,
     budgets: Option<Rc<Budgets>>,
     /// Connections between requests and how to close them, those that never asked for anything first, and among
@@ -86,9 +86,9 @@
     /// The settings.
     pub deployment: Deployment,
     /// All descriptors; callers have what it leaves them.
-    pub sockets: Sockets,
+    pub sockets: DescriptorBudget,
     /// Sizes and waits.
-    pub limits: Live<Limits>,
+    pub limits: LiveConfig<Limits>,
     /// How far the end of the program has come.
     pub course: watch::Receiver<Course>,
     /// Budgets, where they are on.
@@ -482,7 +482,7 @@
 
 impl Link {
     /// Returns once the caller has been waited for long enough.
-    async fn overdue(&self, limits: &Live<Limits>) {
+    async fn overdue(&self, limits: &LiveConfig<Limits>) {
         let watch = &self.watch;
         loop {
             let now = Instant::now();
--- a/crates/herondock/src/handover/mod.rs
+++ b/crates/herondock/src/listener_handoff/mod.rs
@@ -1,3 +1,3 @@
 //! Passing the sockets on from one process of an instance to the next, and what goes along.
-pub mod along;
-pub mod takeover;
+pub mod protocol;
+pub mod transferred_state;
--- a/crates/herondock/src/handover/takeover.rs
+++ b/crates/herondock/src/listener_handoff/protocol.rs
@@ -40,27 +40,27 @@
 const LISTENERS_MOST: usize = 65;
 
 /// The side of the process that holds the socket.
-pub struct Holder(UnixListener);
+pub struct HandoffListener(UnixListener);
 
 /// A process that asks for the socket.
-pub struct Comer {
+pub struct Successor {
     stream: BufReader<UnixStream>,
     /// What it calls itself.
     pub name: String,
 }
 
 /// What somebody wants who has connected.
-pub enum Asked {
+pub enum HandoffRequest {
     /// The sockets.
-    Sockets(Comer),
+    Sockets(Successor),
     /// The members, as JSON.
-    Members(Asker),
+    Members(EndpointsQuery),
 }
 
 /// Whoever asks for members.
-pub struct Asker(BufReader<UnixStream>);
+pub struct EndpointsQuery(BufReader<UnixStream>);
 
-impl Asker {
+impl EndpointsQuery {
     /// Answers it.
     pub async fn answer(mut self, view: Vec<u8>) {
         // It may have gone already.
@@ -89,12 +89,12 @@
     asked.map_err(|e| format!("daemon.takeover: {}: {e}", path.display()))
 }
 
-impl Holder {
+impl HandoffListener {
     /// Listens at `path`. What was left there by a process that has ended makes way.
     ///
     /// # Errors
     /// The path can't be had.
-    pub fn bind(path: &Path) -> Result<Holder, String> {
+    pub fn bind(path: &Path) -> Result<HandoffListener, String> {
         let fault = |e: io::Error| format!("daemon.takeover: {}: {e}", path.display());
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(fault(e)),
@@ -104,11 +104,11 @@
         // Only this user may connect; the other end's user is looked at as well.
         let private = std::os::unix::fs::PermissionsExt::from_mode(0o600);
         std::fs::set_permissions(path, private).map_err(fault)?;
-        Ok(Holder(listener))
+        Ok(HandoffListener(listener))
     }
 
     /// The next process that asks. One that breaks off, is slow or of another user is passed over.
-    pub async fn next(&self) -> Asked {
+    pub async fn next(&self) -> HandoffRequest {
         loop {
             let Ok((stream, _)) = self.0.accept().await else {
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -121,10 +121,10 @@
             let mut stream = BufReader::new(stream);
             if let Ok(Ok(line)) = timeout(STEP, line(&mut stream)).await {
                 if let Some(name) = line.strip_prefix("take-over 1 ") {
-                    return Asked::Sockets(Comer { name: name.into(), stream });
+                    return HandoffRequest::Sockets(Successor { name: name.into(), stream });
                 }
                 if line == "members 1" {
-                    return Asked::Members(Asker(stream));
+                    return HandoffRequest::Members(EndpointsQuery(stream));
                 }
                 let _ = stream.write_all(b"refused this is version 1\n").await;
             }
@@ -132,7 +132,7 @@
     }
 }
 
-impl Comer {
+impl Successor {
     /// Turns it away.
     pub async fn refuse(mut self, why: &str) {
         // It may have gone already.
--- a/crates/herondock/src/handover/along.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -2,7 +2,7 @@
 //! of capacity and demand. It is taken only by a process with the same settings; see `docs/design/fleet.md` for what is
 //! left behind, and why.
 use balancer::Learned;
-use discovery::saved::Saved;
+use discovery::endpoint_cache::EndpointCache;
 use serde::{Deserialize, Serialize};
 
 /// What a source told longer ago, in milliseconds, is not taken: asking anew is better than going by it.
@@ -10,10 +10,10 @@
 
 /// What goes along.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Along {
+pub struct TransferredState {
     /// Tells the settings apart that the rest is meant for.
     settings: u64,
-    view: Saved,
+    view: EndpointCache,
     learned: Figures,
 }
 
@@ -25,11 +25,11 @@
     demands: Vec<f64>,
 }
 
-impl Along {
+impl TransferredState {
     /// Gathers it.
-    pub fn new(settings: u64, view: Saved, learned: Learned) -> Along {
+    pub fn new(settings: u64, view: EndpointCache, learned: Learned) -> TransferredState {
         let Learned { capacity, peak, unloaded, demands } = learned;
-        Along { settings, view, learned: Figures { capacity, peak, unloaded, demands } }
+        TransferredState { settings, view, learned: Figures { capacity, peak, unloaded, demands } }
     }
 
     /// As bytes.
@@ -39,12 +39,12 @@
     }
 
     /// From bytes, for a process with these settings. `None`: it is for other settings, or nothing that can be read.
-    pub fn read(bytes: &[u8], settings: u64) -> Option<Along> {
-        serde_json::from_slice::<Along>(bytes).ok().filter(|along| along.settings == settings)
+    pub fn read(bytes: &[u8], settings: u64) -> Option<TransferredState> {
+        serde_json::from_slice::<TransferredState>(bytes).ok().filter(|along| along.settings == settings)
     }
 
     /// The view, at this Unix time in milliseconds, without what is too old; `None`: nothing is left of it.
-    pub fn view(self, now: f64) -> Option<Saved> {
+    pub fn view(self, now: f64) -> Option<EndpointCache> {
         let mut view = self.view;
         view.prune(now, AGE_MOST);
         (!view.reports.is_empty()).then_some(view)
@@ -60,25 +60,25 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use discovery::report::News;
-    use discovery::view::{Source, View};
+    use discovery::endpoint::SourceUpdate;
+    use discovery::endpoint_set::{EndpointSet, Source};
 
-    fn view() -> Saved {
+    fn view() -> EndpointCache {
         let list =
             r#"{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","state":"leaving"}]}"#;
         let answer = discovery::platform::read(list.as_bytes()).expect("good");
         let source = Source { rank: 0, label: "discovery".into() };
-        let mut view = View::new(true);
-        assert!(matches!(answer.news, News::Whole(_)));
+        let mut view = EndpointSet::new(true);
+        assert!(matches!(answer.news, SourceUpdate::Full(_)));
         view.take(1000.0, &source, answer.news);
-        Saved::of(&view, vec![(source, 7)])
+        EndpointCache::of(&view, vec![(source, 7)])
     }
 
     #[test]
     fn what_goes_along_arrives_as_it_was() {
         let learned = Learned { capacity: 12.5, peak: 9.0, unloaded: 80.0, demands: vec![1.0, 0.0] };
-        let bytes = Along::new(5, view(), learned.clone()).write();
-        let along = Along::read(&bytes, 5).expect("for these settings");
+        let bytes = TransferredState::new(5, view(), learned.clone()).write();
+        let along = TransferredState::read(&bytes, 5).expect("for these settings");
         assert_eq!(along.learned(), learned);
         assert_eq!(along.view(2000.0), Some(view()));
     }
@@ -86,9 +86,9 @@
     /// Guards against going by positions that mean something else, by an old list, and against garbage.
     #[test]
     fn what_is_not_fitting_is_left() {
-        let bytes = Along::new(5, view(), Learned::default()).write();
-        assert!(Along::read(&bytes, 6).is_none(), "other settings");
-        assert!(Along::read(&bytes[1..], 5).is_none() && Along::read(b"", 5).is_none());
-        assert_eq!(Along::read(&bytes, 5).and_then(|along| along.view(61_001.0)), None, "too old");
+        let bytes = TransferredState::new(5, view(), Learned::default()).write();
+        assert!(TransferredState::read(&bytes, 6).is_none(), "other settings");
+        assert!(TransferredState::read(&bytes[1..], 5).is_none() && TransferredState::read(b"", 5).is_none());
+        assert_eq!(TransferredState::read(&bytes, 5).and_then(|along| along.view(61_001.0)), None, "too old");
     }
 }
--- a/crates/herondock/src/live.rs
+++ b/crates/herondock/src/live_config.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 
 /// A value with many readers, replaced whole. Who has got it keeps the version that it got.
-pub struct Live<T>(Rc<RefCell<Rc<T>>>);
+pub struct LiveConfig<T>(Rc<RefCell<Rc<T>>>);
 
-impl<T> Live<T> {
+impl<T> LiveConfig<T> {
     /// Begins with `value`.
-    pub fn new(value: T) -> Live<T> {
-        Live(Rc::new(RefCell::new(Rc::new(value))))
+    pub fn new(value: T) -> LiveConfig<T> {
+        LiveConfig(Rc::new(RefCell::new(Rc::new(value))))
     }
 
     /// The value as it is now.
@@ -22,8 +22,8 @@
     }
 }
 
-impl<T> Clone for Live<T> {
+impl<T> Clone for LiveConfig<T> {
     fn clone(&self) -> Self {
-        Live(self.0.clone())
+        LiveConfig(self.0.clone())
     }
 }
--- a/crates/herondock/src/main.rs
+++ b/crates/herondock/src/main.rs
@@ -1,24 +1,24 @@
 //! herondock: a load balancer on real sockets; see the README, and `docs/architecture.md` for the way of a request.
-mod budget;
 mod check;
 mod cli;
 mod clock;
-mod counts;
 mod demo;
+mod descriptor_budget;
+mod disruption_reporting;
 mod driver;
+mod endpoint_sources;
 mod exchange;
-mod fleet;
 mod front;
-mod handover;
 mod http;
-mod live;
-mod members;
+mod listener_handoff;
+mod live_config;
 mod node_config;
+mod request_budgets;
+mod request_counters;
 mod routing;
 mod run;
-mod sockets;
-mod station;
 mod stream;
+mod supervise;
 mod transport;
 
 use std::process::ExitCode;
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -1,7 +1,7 @@
 //! The configuration file as typed values. Whatever is wrong with it is named with the field at fault.
 use config::operator::read_whole;
 use config::Deployment;
-use discovery::platform::told::Terms;
+use discovery::platform::staleness::StalenessSettings;
 use discovery::platform::{self, Answer};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -100,8 +100,8 @@
 }
 
 /// What the settings say of discovery.
-pub fn terms(deployment: &Deployment) -> Terms {
-    Terms {
+pub fn terms(deployment: &Deployment) -> StalenessSettings {
+    StalenessSettings {
         pushed: !deployment.policy.ask_for_list,
         drain_grace: Duration::from_secs_f64(deployment.drain_grace.clamp(0.0, 60_000.0) / 1000.0),
     }
--- a/crates/herondock/src/budget.rs
+++ b/crates/herondock/src/request_budgets.rs
@@ -1,9 +1,9 @@
 //! Budgets as this program reads them: what the operator's file allows, the pool's mark, and what is said of loops.
 use crate::exchange::Carried;
-use config::budget::{BudgetTable, FieldNames};
-use request_budget::causes::Causes;
-use request_budget::path::{Mark, Path};
-use request_budget::{Bounds, Budget, Given, Untaken};
+use config::request_budget::{BudgetTable, FieldNames};
+use request_budget::log_throttle::LogThrottle;
+use request_budget::path::{HopMarker, Path};
+use request_budget::{Bounds, Budget, BudgetRejection, IncomingFields};
 use std::cell::RefCell;
 use std::fs::File;
 use std::io::Read;
@@ -26,12 +26,12 @@
 /// Budgets, where the operator's file turns them on.
 pub struct Budgets {
     bounds: Bounds,
-    mark: Mark,
+    mark: HopMarker,
     /// The fields.
     pub names: Rc<FieldNames>,
     trust_http: bool,
     trust_fastcgi: bool,
-    said: RefCell<Causes>,
+    said: RefCell<LogThrottle>,
     start: Instant,
 }
 
@@ -51,7 +51,7 @@
         }
         Ok(Some(Rc::new(Budgets {
             bounds: Bounds { retries: table.retries, hops: table.hops, repeat_worth: table.repeat_worth },
-            mark: Mark::new(secret.trim_ascii(), &pool),
+            mark: HopMarker::new(secret.trim_ascii(), &pool),
             names: Rc::new(table.names.clone()),
             trust_http: table.trust_http,
             trust_fastcgi: table.trust_fastcgi,
@@ -70,21 +70,21 @@
         (budget, path): (&[&[u8]], &[&[u8]]),
         patience: f64,
         repeated: bool,
-    ) -> Result<Carried, Untaken> {
+    ) -> Result<Carried, BudgetRejection> {
         let trusted = match side {
             Side::Http => self.trust_http,
             Side::FastCgi => self.trust_fastcgi,
         };
-        let given = Given { budget, path, patience, repeated, trusted };
+        let given = IncomingFields { budget, path, patience, repeated, trusted };
         match Budget::of(&given, &self.bounds, &self.mark) {
             Ok(budget) => Ok(Carried { budget, names: self.names.clone() }),
-            Err(Untaken::Refused(why)) => {
+            Err(BudgetRejection::Refused(why)) => {
                 let cause = format!("{why}; it came from {}", Path::last(path));
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
                 if let Some(n) = self.said.borrow_mut().came(&cause, now) {
                     info!("refused: {cause} ({n} times)");
                 }
-                Err(Untaken::Refused(why))
+                Err(BudgetRejection::Refused(why))
             }
             Err(bad) => Err(bad),
         }
--- a/crates/herondock/src/counts.rs
+++ b/crates/herondock/src/request_counters.rs
@@ -3,7 +3,7 @@
 
 /// Counts since the process began.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct RequestCounters {
     /// Requests taken.
     pub asked: Cell<u64>,
     /// Of them answered with what an upstream said.
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -12,8 +12,8 @@
 pub mod show;
 
 use crate::driver::{Handle, Untaken, Waiting};
+use crate::endpoint_sources::{Audience, Entry, Listing};
 use crate::exchange::{Answer, Final, Request};
-use crate::members::{Audience, Entry, Listing};
 use ask::{Asked, Turned};
 use balancer::{Availability, Effect, Learned, Millis, UpstreamId};
 use config::Deployment;
--- a/crates/herondock/src/routing/pool.rs
+++ b/crates/herondock/src/routing/pool.rs
@@ -1,7 +1,7 @@
 //! A pool at work: a driver with a decision module of its own, and the members that belong to it.
 use super::Maker;
 use crate::driver::Handle;
-use crate::members::{Audience, Entry, Listing, Protocol};
+use crate::endpoint_sources::{Audience, Entry, Listing, Protocol};
 use balancer::{Availability, UpstreamId};
 use route_table::spec::{Pool as Spec, Traits};
 use std::cell::RefCell;
--- a/crates/herondock/src/run/inbox.rs
+++ b/crates/herondock/src/run/event_stream.rs
@@ -1,6 +1,6 @@
 //! What happens to the process, as events of its lifecycle.
-use crate::handover::takeover::Asked;
-use daemon::signals::{Signals, Told};
+use crate::listener_handoff::protocol::HandoffRequest;
+use daemon::signals::{ProcessSignal, Signals};
 use lifecycle::Event;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -14,19 +14,19 @@
 
 /// Where tasks of the instance tell what happens.
 #[derive(Clone)]
-pub struct Tell {
+pub struct EventSender {
     /// To its lifecycle.
     pub events: mpsc::Sender<Event>,
     /// Of processes that ask at the Unix socket, one at a time.
-    pub asked: mpsc::Sender<Asked>,
+    pub asked: mpsc::Sender<HandoffRequest>,
 }
 
 /// What has come.
-pub enum Came {
+pub enum ProcessEvent {
     /// Something for the lifecycle.
     Event(Event),
     /// Somebody asks at the Unix socket.
-    Asked(Asked),
+    Asked(HandoffRequest),
     /// The watchdog is to hear that the loop has come round.
     Beat,
     /// What is open is to be counted.
@@ -34,21 +34,25 @@
 }
 
 /// All that an instance waits for.
-pub struct Inbox {
+pub struct EventStream {
     signals: Signals,
     told: mpsc::Receiver<Event>,
-    asked: mpsc::Receiver<Asked>,
+    asked: mpsc::Receiver<HandoffRequest>,
     alive: Option<Interval>,
     timers: JoinHandle<()>,
 }
 
-impl Inbox {
+impl EventStream {
     /// Signals, what is told, the watchdog's beat, and the end of the driver's timers.
-    pub fn new(signals: Signals, watchdog: Option<Duration>, timers: JoinHandle<()>) -> (Inbox, Tell) {
+    pub fn new(
+        signals: Signals,
+        watchdog: Option<Duration>,
+        timers: JoinHandle<()>,
+    ) -> (EventStream, EventSender) {
         let (events, told) = mpsc::channel(EVENTS);
         let (ask, asked) = mpsc::channel(1);
         let alive = watchdog.map(tokio::time::interval);
-        (Inbox { signals, told, asked, alive, timers }, Tell { events, asked: ask })
+        (EventStream { signals, told, asked, alive, timers }, EventSender { events, asked: ask })
     }
 
     /// The next thing that happens. `wake`: when the lifecycle wants to be told of the time; `counts`: whether what is
@@ -56,7 +60,7 @@
     ///
     /// # Errors
     /// The timers stopped. Without them no request would end: better to stop at once, seen by all.
-    pub async fn next(&mut self, wake: Option<Instant>, counts: bool) -> Result<Came, String> {
+    pub async fn next(&mut self, wake: Option<Instant>, counts: bool) -> Result<ProcessEvent, String> {
         let alive = async {
             match &mut self.alive {
                 Some(alive) => drop(alive.tick().await),
@@ -70,15 +74,15 @@
             }
         };
         Ok(tokio::select! {
-            told = self.signals.next() => Came::Event(match told {
-                Told::Stop => Event::Stop,
-                Told::Reload => Event::Reload,
+            told = self.signals.next() => ProcessEvent::Event(match told {
+                ProcessSignal::Stop => Event::Stop,
+                ProcessSignal::Reload => Event::Reload,
             }),
-            Some(event) = self.told.recv() => Came::Event(event),
-            Some(asked) = self.asked.recv() => Came::Asked(asked),
-            () = time => Came::Event(Event::Time),
-            () = tokio::time::sleep(COUNT), if counts => Came::Count,
-            () = alive => Came::Beat,
+            Some(event) = self.told.recv() => ProcessEvent::Event(event),
+            Some(asked) = self.asked.recv() => ProcessEvent::Asked(asked),
+            () = time => ProcessEvent::Event(Event::Timeout),
+            () = tokio::time::sleep(COUNT), if counts => ProcessEvent::Count,
+            () = alive => ProcessEvent::Beat,
             end = &mut self.timers => return Err(format!("the timers stopped: {end:?}")),
         })
     }
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -1,19 +1,21 @@
 //! One instance: its lifecycle, and a method for each action that this wants.
-use super::changes::Changes;
-use super::inbox::{Came, Inbox, Tell};
+use super::event_stream::{EventSender, EventStream, ProcessEvent};
+use super::reload::Changes;
+use crate::descriptor_budget::DescriptorBudget;
+use crate::endpoint_sources::aggregator::EndpointAggregator;
+use crate::endpoint_sources::registration::Registrations;
 use crate::front::{fastcgi, http::Server, Course, Phase};
-use crate::handover::along::Along;
-use crate::handover::takeover::{Asked, Asker, Claimant, Comer, Holder, Taken};
-use crate::members::gather::Gather;
-use crate::members::registration::Registrations;
+use crate::listener_handoff::protocol::{
+    Claimant, EndpointsQuery, HandoffListener, HandoffRequest, Successor, Taken,
+};
+use crate::listener_handoff::transferred_state::TransferredState;
 use crate::routing::Pools;
-use crate::sockets::Sockets;
 use config::operator::Daemon;
-use coordination_server::client::Council;
-use daemon::manager::Manager;
-use daemon::pidfile::PidFile;
-use discovery::consul::register::Wish;
-use lifecycle::{Action, Event, Exit, Figures, Lifecycle, State, Successor};
+use coordination_server::client::ClientHandle;
+use daemon::pid_file::PidFile;
+use daemon::service_manager::ServiceManager;
+use discovery::consul::registration::DesiredState;
+use lifecycle::{Action, Event, Exit, Lifecycle, ShutdownTimeouts, State, SuccessorEvent};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -41,11 +43,11 @@
     /// `[daemon]` of the operator's file, and what the command line put in its place.
     pub daemon: Daemon,
     /// The service manager.
-    pub manager: Manager,
+    pub manager: ServiceManager,
     /// The driver.
     pub handle: Pools,
     /// The view of members.
-    pub members: Gather<Pools>,
+    pub members: EndpointAggregator<Pools>,
     /// This instance in registries.
     pub registrations: Registrations,
     /// The front.
@@ -53,7 +55,7 @@
     /// The front for FastCGI.
     pub side: Rc<fastcgi::Server>,
     /// All descriptors.
-    pub budget: Sockets,
+    pub budget: DescriptorBudget,
     /// How far its end has come, as the front sees it.
     pub course: watch::Sender<Course>,
     /// What may change while it runs.
@@ -63,11 +65,11 @@
     /// The pid file, unless a predecessor still holds it.
     pub pid_file: Option<PidFile>,
     /// Where its tasks tell what happens.
-    pub tell: Tell,
+    pub tell: EventSender,
     /// Its part in the council, if it has one.
-    pub council: Option<Council>,
+    pub council: Option<ClientHandle>,
     /// How it stands, as others in the council are told.
-    pub stands: watch::Sender<disruption::State>,
+    pub stands: watch::Sender<disruption::InstanceState>,
 }
 
 /// A running instance.
@@ -77,18 +79,18 @@
     start: Instant,
     fingerprint: u64,
     daemon: Daemon,
-    manager: Manager,
+    manager: ServiceManager,
     handle: Pools,
-    members: Gather<Pools>,
+    members: EndpointAggregator<Pools>,
     registrations: Registrations,
     server: Rc<Server>,
     side: Rc<fastcgi::Server>,
-    budget: Sockets,
+    budget: DescriptorBudget,
     course: watch::Sender<Course>,
     changes: Changes,
-    tell: Tell,
-    council: Option<Council>,
-    stands: watch::Sender<disruption::State>,
+    tell: EventSender,
+    council: Option<ClientHandle>,
+    stands: watch::Sender<disruption::InstanceState>,
     life: Lifecycle,
     /// One to pass on, besides the one that is accepted on.
     listener: Option<std::net::TcpListener>,
@@ -97,7 +99,7 @@
     claim: Option<oneshot::Sender<()>>,
     /// Finds those that ask for the sockets.
     holder: Option<AbortHandle>,
-    comer: Option<Comer>,
+    comer: Option<Successor>,
     claimant: Rc<RefCell<Option<Claimant>>>,
     served: Option<JoinHandle<()>>,
     /// Why the files were not taken when they were read last.
@@ -128,8 +130,15 @@
         let Daemon {
             accepting, serving, announcing, last_answer, end, handed_over_silent, handed_over, ..
         } = daemon;
-        let figures =
-            Figures { accepting, serving, announcing, last_answer, end, handed_over_silent, handed_over };
+        let figures = ShutdownTimeouts {
+            accepting,
+            serving,
+            announcing,
+            last_answer,
+            end,
+            handed_over_silent,
+            handed_over,
+        };
         let life = if taken.is_some() { Lifecycle::succeeding(figures) } else { Lifecycle::new(figures) };
         let (claim, claimed) = oneshot::channel::<()>();
         let instance = Instance {
@@ -187,7 +196,7 @@
         let (tell, handle) = (self.tell.events.clone(), self.handle.clone());
         tokio::task::spawn_local(async move {
             handle.known().await;
-            let _ = tell.send(Event::Known).await;
+            let _ = tell.send(Event::EndpointsKnown).await;
         });
     }
 
@@ -195,7 +204,7 @@
     ///
     /// # Errors
     /// The listener can't be used, or the timers stopped.
-    pub async fn live(mut self, mut inbox: Inbox) -> Result<(), String> {
+    pub async fn live(mut self, mut inbox: EventStream) -> Result<(), String> {
         let mut actions = Vec::new();
         let mut event = Event::Listening;
         loop {
@@ -212,22 +221,22 @@
     }
 
     /// What has come, as the lifecycle is told of it.
-    fn came(&mut self, came: Came) -> Event {
+    fn came(&mut self, came: ProcessEvent) -> Event {
         match came {
-            Came::Event(event) => event,
-            Came::Count => self.counts(),
-            Came::Beat => {
+            ProcessEvent::Event(event) => event,
+            ProcessEvent::Count => self.counts(),
+            ProcessEvent::Beat => {
                 self.manager.alive();
-                Event::Time
+                Event::Timeout
             }
-            Came::Asked(Asked::Members(asker)) => {
+            ProcessEvent::Asked(HandoffRequest::Members(asker)) => {
                 self.tells_members(asker);
-                Event::Time
+                Event::Timeout
             }
             // The lifecycle says what it gets.
-            Came::Asked(Asked::Sockets(comer)) => {
+            ProcessEvent::Asked(HandoffRequest::Sockets(comer)) => {
                 self.comer = Some(comer);
-                Event::Successor(Successor::Came)
+                Event::Successor(SuccessorEvent::Connected)
             }
         }
     }
@@ -239,13 +248,13 @@
 
     /// Whether it was told to end, so that what is open is to be counted.
     fn ending(&self) -> bool {
-        self.life.state() >= State::Leaving
+        self.life.state() >= State::ShuttingDown
     }
 
     /// What is open now.
     fn counts(&self) -> Event {
         let connections = self.budget.callers().max(usize::from(self.serving()));
-        Event::Counts { requests: self.handle.open(), connections }
+        Event::OpenCounts { requests: self.handle.open(), connections }
     }
 
     /// Whether callers are connected, or may be accepted.
@@ -254,7 +263,7 @@
     }
 
     /// Tells whoever asks at the Unix socket of the members.
-    fn tells_members(&self, asker: Asker) {
+    fn tells_members(&self, asker: EndpointsQuery) {
         // Texts and numbers only: this can't fail.
         let view = serde_json::to_vec(&self.members.table()).unwrap_or_default();
         tokio::task::spawn_local(asker.answer(view));
@@ -264,20 +273,20 @@
         match action {
             Action::Accept => self.accept().await?,
             Action::Claim => drop(self.claim.take().map(|claim| claim.send(()))),
-            Action::TellReady => self.tell_ready(),
-            Action::TellReloading => self.manager.reloading(),
-            Action::TellStopping => self.tell_stopping(because),
+            Action::NotifyReady => self.tell_ready(),
+            Action::NotifyReloading => self.manager.reloading(),
+            Action::NotifyStopping => self.tell_stopping(because),
             Action::ReadFiles => self.read_files().await,
-            Action::HandOver => self.hand_over()?,
-            Action::Refuse => self.refuse(),
+            Action::HandOffListeners => self.hand_over()?,
+            Action::RejectSuccessor => self.refuse(),
             Action::StopAccepting => self.stop_accepting(),
-            Action::Release => self.release(),
+            Action::ReleaseSuccessor => self.release(),
             Action::AnswerBy(at) => self.handle.ends_by(at.saturating_sub(self.start.elapsed())),
             Action::CloseConnections => self.comes_to(Phase::Closing),
-            Action::CloseSilent => self.comes_to(Phase::Silencing),
-            Action::FailOpen => self.handle.fail_open(),
-            Action::TooLate(event) => info!("{}: {event:?} comes too late, it is ending", self.name),
-            Action::End(exit) => self.end(exit).await,
+            Action::CloseIdleConnections => self.comes_to(Phase::Silencing),
+            Action::FailOpenRequests => self.handle.fail_open(),
+            Action::IgnoreSignal(event) => info!("{}: {event:?} comes too late, it is ending", self.name),
+            Action::Exit(exit) => self.end(exit).await,
         }
         Ok(())
     }
@@ -309,7 +318,7 @@
             }
         }
         if let Some(path) = &self.daemon.takeover {
-            match Holder::bind(path) {
+            match HandoffListener::bind(path) {
                 Ok(bound) => {
                     let found = self.tell.asked.clone();
                     let seek = async move { while found.send(bound.next().await).await.is_ok() {} };
@@ -323,8 +332,8 @@
     }
 
     fn tell_ready(&self) {
-        self.stands.send_replace(disruption::State::Ready);
-        self.registrations.wish(Wish::Passing);
+        self.stands.send_replace(disruption::InstanceState::Ready);
+        self.registrations.wish(DesiredState::Passing);
         self.manager.ready(match &self.refused {
             None => format!("serving on {}", self.address),
             Some(why) => format!("not reloaded: {why}"),
@@ -333,12 +342,12 @@
 
     fn tell_stopping(&self, because: Event) {
         self.manager.stopping();
-        self.stands.send_replace(disruption::State::Leaving);
+        self.stands.send_replace(disruption::InstanceState::ShuttingDown);
         // Whoever asks whether it is ready hears that it is not.
         self.comes_to(Phase::Leaving);
         // After a hand-over the successor is what is registered here.
         if because == Event::Stop {
-            self.registrations.wish(Wish::Leaving);
+            self.registrations.wish(DesiredState::Leaving);
             info!("{}: told to end", self.name);
         }
     }
@@ -357,7 +366,8 @@
     fn hand_over(&mut self) -> Result<(), String> {
         let Some(comer) = self.comer.take() else { return Ok(()) };
         info!("{}: {} asks for the sockets", self.name, comer.name);
-        let along = Along::new(self.fingerprint, self.members.saved(), self.handle.learned()).write();
+        let along =
+            TransferredState::new(self.fingerprint, self.members.saved(), self.handle.learned()).write();
         let mut passed = vec![OwnedFd::from(self.another_listener()?)];
         passed.extend(self.side.listeners()?);
         let (tell, claimant) = (self.tell.events.clone(), self.claimant.clone());
@@ -365,11 +375,11 @@
             let what = match comer.pass(passed, &along).await {
                 Ok(ready) => {
                     claimant.replace(Some(ready));
-                    Successor::Ready
+                    SuccessorEvent::Ready
                 }
                 Err(e) => {
                     info!("the take-over came to nothing: {e}");
-                    Successor::Gone
+                    SuccessorEvent::Disconnected
                 }
             };
             let _ = tell.send(Event::Successor(what)).await;
--- a/crates/herondock/src/run/origin.rs
+++ b/crates/herondock/src/run/listener_origin.rs
@@ -1,16 +1,16 @@
 //! Where an instance's listener comes from.
-use crate::handover::along::Along;
-use crate::handover::takeover::{self, Taken};
+use crate::listener_handoff::protocol::{self, Taken};
+use crate::listener_handoff::transferred_state::TransferredState;
 use crate::node_config::Config;
 use config::operator::Daemon;
-use daemon::manager;
-use daemon::pidfile::PidFile;
+use daemon::pid_file::PidFile;
+use daemon::service_manager;
 use std::os::fd::OwnedFd;
 use tokio::net::TcpListener;
 use tracing::info;
 
 /// Where the listener comes from.
-pub struct Origin {
+pub struct ListenerOrigin {
     /// Bound, and listening.
     pub listener: std::net::TcpListener,
     /// Not yet, where a predecessor holds it until it has passed its sockets on.
@@ -20,14 +20,14 @@
     /// Listeners of other fronts that a predecessor passed on.
     pub others: Vec<OwnedFd>,
     /// What came along with them.
-    pub along: Option<Along>,
+    pub along: Option<TransferredState>,
 }
 
 /// The listener: of a predecessor that runs, of the service manager, or a new one.
 ///
 /// # Errors
 /// One line: the address can't be listened on, what was passed does not fit, or the pid file is held.
-pub async fn origin(config: &Config, daemon: &Daemon) -> Result<Origin, String> {
+pub async fn origin(config: &Config, daemon: &Daemon) -> Result<ListenerOrigin, String> {
     let at = |e: std::io::Error| format!("listen: {}: {e}", config.listen);
     let fits = |listener: &std::net::TcpListener| {
         let got = listener.local_addr().map_err(at)?;
@@ -40,22 +40,22 @@
         }
     };
     let asked = match &daemon.takeover {
-        Some(path) => takeover::ask(path, &config.name).await?,
+        Some(path) => protocol::ask(path, &config.name).await?,
         None => None,
     };
     if let Some(mut taken) = asked {
         fits(&taken.listener)?;
         let listener = taken.listener.try_clone().map_err(at)?;
-        let along = Along::read(&taken.along, config.fingerprint);
+        let along = TransferredState::read(&taken.along, config.fingerprint);
         let others = std::mem::take(&mut taken.others);
-        return Ok(Origin { listener, pid_file: None, taken: Some(taken), others, along });
+        return Ok(ListenerOrigin { listener, pid_file: None, taken: Some(taken), others, along });
     }
     let pid_file = daemon.pid_file.as_deref().map(PidFile::take).transpose();
     let pid_file = pid_file.map_err(|e| format!("daemon.pid_file: {e}"))?;
     if let Some(why) = pid_file.as_ref().and_then(PidFile::unwritten) {
         info!("daemon.pid_file: {why}");
     }
-    let listener = match manager::activated()? {
+    let listener = match service_manager::activated()? {
         Some(listener) => {
             fits(&listener)?;
             listener
@@ -65,5 +65,5 @@
             listener.into_std().map_err(at)?
         }
     };
-    Ok(Origin { listener, pid_file, taken: None, others: Vec::new(), along: None })
+    Ok(ListenerOrigin { listener, pid_file, taken: None, others: Vec::new(), along: None })
 }
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -6,44 +6,44 @@
 //! | `changes.rs` | what SIGHUP may change |
 //! | `inbox.rs` | what happens to the process |
 //! | `instance.rs` | what the lifecycle wants, done: a method for each action |
-mod changes;
-mod inbox;
+mod event_stream;
 mod instance;
-mod origin;
+mod listener_origin;
+mod reload;
 
-use crate::budget::Budgets;
 use crate::clock;
-use crate::counts::Counts;
+use crate::descriptor_budget::DescriptorBudget;
+use crate::disruption_reporting::LocalBalancer;
 use crate::driver::{self, Handle, Parts};
+use crate::endpoint_sources::aggregator::{EndpointAggregator, Names};
+use crate::endpoint_sources::cache;
+use crate::endpoint_sources::discovery::FAULTS_SHOWN;
+use crate::endpoint_sources::registration::Registrations;
+use crate::endpoint_sources::sources::{speaks, Sources, DISCOVERY};
 use crate::front::{fastcgi, http, Course};
-use crate::handover::along::Along;
-use crate::live::Live;
-use crate::members::discovery::FAULTS_SHOWN;
-use crate::members::gather::{Gather, Names};
-use crate::members::keep;
-use crate::members::registration::Registrations;
-use crate::members::sources::{speaks, Sources, DISCOVERY};
+use crate::listener_handoff::transferred_state::TransferredState;
+use crate::live_config::LiveConfig;
 use crate::node_config::{self, Config};
+use crate::request_budgets::Budgets;
+use crate::request_counters::RequestCounters;
 use crate::routing::Pools;
-use crate::sockets::Sockets;
-use crate::station::Station;
 use crate::transport;
 use balancer::Balancer;
-use changes::Changes;
-pub use changes::{read_operator, read_table};
 use config::operator::Daemon;
 use config::routing;
-use daemon::manager::Manager;
+use daemon::service_manager::ServiceManager;
 use daemon::signals::Signals;
+use discovery::endpoint::{EndpointProtocol, EndpointReport};
+use discovery::endpoint_cache::EndpointCache;
+use discovery::endpoint_set::Source;
 use discovery::platform::Answer;
-use discovery::report::{Report, Speaks};
-use discovery::saved::Saved;
-use discovery::view::Source;
-use inbox::Inbox;
+use event_stream::EventStream;
 use instance::{Instance, Wiring};
-use origin::{origin, Origin};
+use listener_origin::{origin, ListenerOrigin};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use reload::Changes;
+pub use reload::{read_operator, read_table};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -96,21 +96,21 @@
     daemon.pid_file = options.pid_file.or(daemon.pid_file);
     daemon.takeover = options.takeover.or(daemon.takeover);
     waits(&mut daemon, config.deployment.policy.classes.iter().map(|c| c.deadline));
-    let manager = Manager::of_environment();
+    let manager = ServiceManager::of_environment();
     let world = routing::world(&config.deployment);
     let table = read_table(path.as_deref(), &operator, &world)?;
-    let Origin { listener, pid_file, taken, others, along } = origin(&config, &daemon).await?;
+    let ListenerOrigin { listener, pid_file, taken, others, along } = origin(&config, &daemon).await?;
     let Config { name, discovery, seed, sockets, known, mut deployment, fingerprint, .. } = config;
     let budgets = Budgets::of(&operator.budget, deployment.policy.stage)?;
     if budgets.is_some() {
         deployment.policy.refuse_hopeless = operator.budget.refuse_hopeless;
         deployment.policy.tenant_retries = operator.budget.tenant_retries;
     }
-    let limits = Live::new(operator.limits.clone());
+    let limits = LiveConfig::new(operator.limits.clone());
     Balancer::new(deployment.policy.clone(), seed, start_ms).map_err(|e| e.to_string())?;
-    let learned = along.as_ref().map(Along::learned);
+    let learned = along.as_ref().map(TransferredState::learned);
     let span = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
-    let budget = Sockets::new(sockets);
+    let budget = DescriptorBudget::new(sockets);
     let reach = transport::pool::Reach {
         dial_timeout: span(deployment.dial_timeout),
         idle_close: span(deployment.policy.idle_close.min(86_400_000.0)),
@@ -123,7 +123,7 @@
         multiplex: operator_fastcgi.multiplex,
     };
     let (names, to_members) = (driver::Names::default(), Rc::new(to_members));
-    let counts = Rc::new(Counts::default());
+    let counts = Rc::new(RequestCounters::default());
     let made = (deployment.clone(), budget.clone(), counts.clone());
     let maker = move |pool: &str| {
         let (deployment, sockets, counts) = &made;
@@ -163,11 +163,15 @@
     let broken = handle.clone();
     let timers = tokio::task::spawn_local(async move { broken.broken().await });
     let random = Pcg64Mcg::seed_from_u64(seed);
-    let members =
-        Gather::new(handle.clone(), Names::of(&deployment), operator.registry.last_resort, random.clone());
+    let members = EndpointAggregator::new(
+        handle.clone(),
+        Names::of(&deployment),
+        operator.registry.last_resort,
+        random.clone(),
+    );
     let sources = Sources::of(&members, &operator, &limits);
-    let store = operator.registry.saved.as_deref().map(keep::store);
-    let saved = || keep::load(store.as_ref()?, operator.registry.saved_most);
+    let store = operator.registry.saved.as_deref().map(cache::store);
+    let saved = || cache::load(store.as_ref()?, operator.registry.saved_most);
     // What a predecessor knew a moment ago is newer than what was saved here, and that than what the platform saved.
     let kept = along.and_then(|along| along.view(start_ms)).or_else(saved);
     let kept = kept
@@ -176,21 +180,21 @@
     let (address_of_discovery, addresses) = watch::channel(discovery);
     sources.begin(addresses, &limits, &node_config::terms(&deployment));
     if let Some(store) = store {
-        tokio::task::spawn_local(keep::run(members.clone(), store, operator.registry.saved_every));
+        tokio::task::spawn_local(cache::run(members.clone(), store, operator.registry.saved_every));
     }
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     let registrations = Registrations::begin(&operator.registry.consul, &name, address, &limits, &random);
     // Nothing that serves waits for it; while it is away nothing changes.
-    let (stands, standing) = watch::channel(disruption::State::Starting);
+    let (stands, standing) = watch::channel(disruption::InstanceState::Starting);
     let council = match &operator.council {
         Some(file) => {
-            let station = Station {
+            let station = LocalBalancer {
                 members: members.clone(),
                 pools: handle.clone(),
                 ramp: deployment.policy.ramp_time,
                 counts,
             };
-            Some(crate::station::begin(file, &name, station, standing).await)
+            Some(crate::disruption_reporting::begin(file, &name, station, standing).await)
         }
         None => None,
     };
@@ -222,7 +226,7 @@
         course: courses,
         budgets,
     });
-    let (inbox, tell) = Inbox::new(signals, manager.watchdog(), timers);
+    let (inbox, tell) = EventStream::new(signals, manager.watchdog(), timers);
     let wiring = Wiring {
         name,
         start,
@@ -266,14 +270,17 @@
 
 /// The list of the platform's configuration, as if the platform's discovery had told it just now: how old it is, the
 /// platform does not say.
-fn platform_knows(known: Answer, speaks: Speaks, now: f64) -> Saved {
+fn platform_knows(known: Answer, speaks: EndpointProtocol, now: f64) -> EndpointCache {
     let source = Source { rank: 0, label: DISCOVERY.into() };
-    let reports =
-        known.reports().iter().map(|r| (source.clone(), Report { speaks, ..r.clone() }, None)).collect();
+    let reports = known
+        .reports()
+        .iter()
+        .map(|r| (source.clone(), EndpointReport { speaks, ..r.clone() }, None))
+        .collect();
     for fault in known.faults.iter().take(FAULTS_SHOWN) {
         info!("known: {fault}");
     }
     // What could not be read has to be asked for again.
     let indices = if known.faults.is_empty() { vec![(source.clone(), known.version)] } else { Vec::new() };
-    Saved { reports, told: vec![(source, now)], indices }
+    EndpointCache { reports, told: vec![(source, now)], indices }
 }
--- a/crates/herondock/src/run/changes.rs
+++ b/crates/herondock/src/run/reload.rs
@@ -1,8 +1,8 @@
 //! What can change while an instance runs, read again on SIGHUP.
-use crate::live::Live;
+use crate::live_config::LiveConfig;
 use crate::node_config;
 use crate::routing::Pools;
-use config::operator::{self, Operator};
+use config::operator::{self, OperatorConfig};
 use config::routing;
 use route_table::spec::World;
 use route_table::table::Table;
@@ -14,15 +14,19 @@
 ///
 /// # Errors
 /// One line that names the file, and the place and field at fault.
-pub fn read_operator(path: Option<&Path>) -> Result<Operator, String> {
-    path.map_or_else(|| Ok(Operator::default()), operator::read)
+pub fn read_operator(path: Option<&Path>) -> Result<OperatorConfig, String> {
+    path.map_or_else(|| Ok(OperatorConfig::default()), operator::read)
 }
 
 /// The table that the operator's file names, checked and its expectations proved.
 ///
 /// # Errors
 /// All that is wrong with it, in one line.
-pub fn read_table(path: Option<&Path>, operator: &Operator, world: &World) -> Result<Option<Table>, String> {
+pub fn read_table(
+    path: Option<&Path>,
+    operator: &OperatorConfig,
+    world: &World,
+) -> Result<Option<Table>, String> {
     let base = path.and_then(Path::parent).unwrap_or(Path::new(""));
     routing::load(&operator.routing, base, world).map_err(|faults| faults.join("; "))
 }
@@ -32,9 +36,9 @@
     /// The operator's file, if one was named.
     pub path: Option<PathBuf>,
     /// What it said when it was last taken.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// Its limits, as everything else sees them.
-    pub limits: Live<operator::Limits>,
+    pub limits: LiveConfig<operator::Limits>,
     /// Where discovery is, as its source sees it.
     pub discovery: watch::Sender<SocketAddr>,
     /// The pools, which take a new table.
--- a/crates/herondock/src/fleet/control.rs
+++ b/crates/herondock/src/supervise/control.rs
@@ -1,8 +1,8 @@
 //! Commands to a supervisor.
 use super::Paths;
-use config::fleet::Fleet;
+use config::supervisor::FleetConfig;
 use daemon::control::{self, Failure};
-use daemon::pidfile;
+use daemon::pid_file;
 use daemon::table::lines;
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 ///
 /// # Errors
 /// No supervisor runs, or it says why the command came to nothing.
-pub fn ask(fleet: &Fleet, command: &str, tell: impl FnMut(&str)) -> Result<(), String> {
+pub fn ask(fleet: &FleetConfig, command: &str, tell: impl FnMut(&str)) -> Result<(), String> {
     control::ask(&Paths(fleet).control(), command, SILENCE, tell).map_err(|why| worded(fleet, why))
 }
 
-fn worded(fleet: &Fleet, why: Failure) -> String {
+fn worded(fleet: &FleetConfig, why: Failure) -> String {
     let path = Paths(fleet).control();
     match why {
         Failure::Nobody => format!("{}: no supervisor runs", path.display()),
@@ -31,14 +31,14 @@
 ///
 /// # Errors
 /// The supervisor does not answer.
-pub fn status(fleet: &Fleet, json: bool) -> Result<String, String> {
+pub fn status(fleet: &FleetConfig, json: bool) -> Result<String, String> {
     let mut answer = String::new();
     let asked = control::ask(&Paths(fleet).control(), "status", SILENCE, |line| answer.push_str(line));
     let state: serde_json::Value = match asked {
         Ok(()) => serde_json::from_str(&answer).map_err(|e| format!("the supervisor's answer: {e}"))?,
         Err(Failure::Nobody) => {
             let one = |i| {
-                let pid = pidfile::holder(&Paths(fleet).pid(i));
+                let pid = pid_file::holder(&Paths(fleet).pid(i));
                 let state = if pid.is_some() { "running" } else { "down" };
                 serde_json::json!({"name": i.name, "state": state, "pid": pid})
             };
--- a/crates/herondock/src/fleet/supervisor.rs
+++ b/crates/herondock/src/supervise/event_loop.rs
@@ -1,19 +1,19 @@
 //! The supervisor's loop: tells the state machine what happens, and carries out what it wants.
 use super::process::{Notify, Running};
-use super::releases::Releases;
+use super::rollouts::Releases;
 use super::Paths;
 use crate::node_config;
-use config::fleet::Fleet as File;
-use daemon::control::{Asked, Control};
-use daemon::pidfile::{self, PidFile};
-use daemon::signals::{Signals, Told};
-use disruption::{Act, Unit};
-use disruption_agent::agent::{Agent, Given};
-use rollout::mover::{Act as Move, Local};
+use config::supervisor::FleetConfig as File;
+use daemon::control::{ControlRequest, ControlSocket};
+use daemon::pid_file::{self, PidFile};
+use daemon::signals::{ProcessSignal, Signals};
+use disruption::{BalancerEntry, DisruptionKind};
+use disruption_agent::agent::{Agent, GrantedLease};
+use rollout::executor::{ExecutorAction as Move, LocalInstance};
 use std::collections::{BTreeMap, HashMap};
 use std::os::unix::fs::DirBuilderExt;
 use std::time::Duration;
-use supervisor::{Action, Command, Event, Figures, Process, Roll};
+use supervisor::{Action, Command, Event, ProcessId, RollingAction, SupervisorPolicy};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tracing::info;
@@ -33,12 +33,12 @@
 
 struct Supervisor<'a> {
     file: &'a File,
-    fleet: supervisor::Fleet,
+    fleet: supervisor::Supervisor,
     began: Instant,
-    processes: HashMap<Process, Running>,
+    processes: HashMap<ProcessId, Running>,
     /// What each process last said of itself.
-    says: HashMap<Process, String>,
-    ends: mpsc::Sender<Process>,
+    says: HashMap<ProcessId, String>,
+    ends: mpsc::Sender<ProcessId>,
     /// Who waits for the end of a roll, or of the stop.
     waiting: Vec<mpsc::Sender<String>>,
     /// Asks for leave, where there is a council.
@@ -46,7 +46,7 @@
     /// What its instances are called in the council.
     units: Vec<String>,
     /// What the agent was told of them last.
-    declared: BTreeMap<String, Unit>,
+    declared: BTreeMap<String, BalancerEntry>,
     /// An operator's reason to go over what budgets allow, in the roll that goes on.
     overrides: Option<String>,
     /// What it does for releases, where there is a council.
@@ -65,9 +65,9 @@
         info!("fleet: {why}");
     }
     let notify = Notify::bind(&paths.notify()).map_err(folder)?;
-    let mut control = Control::bind(&paths.control()).map_err(folder)?;
+    let mut control = ControlSocket::bind(&paths.control()).map_err(folder)?;
     let (ends, mut ended) = mpsc::channel(WAITING);
-    let figures = Figures {
+    let figures = SupervisorPolicy {
         spread: file.spread,
         ready_within: file.ready_within,
         stop_within: file.stop_within,
@@ -79,20 +79,21 @@
         leaving_within: file.leaving_within,
         asks: file.council.is_some(),
     };
-    let fleet = supervisor::Fleet::new(file.instances.len(), figures);
+    let fleet = supervisor::Supervisor::new(file.instances.len(), figures);
     let council = file.council.as_ref().zip(file.machine.as_deref());
-    let client =
-        council.map(|(c, machine)| (coordination_server::client::present(c, "supervisor", machine), machine));
+    let client = council.map(|(c, machine)| {
+        (coordination_server::client::spawn_with_presence(c, "supervisor", machine), machine)
+    });
     let agent = client.as_ref().map(|(client, machine)| Agent::begin(client.clone(), machine));
     let releases = match client.zip(agent.as_ref()) {
         Some(((client, machine), agent)) => {
-            let of_releases = rollout_agent::agent::Agent::begin(client, agent.follows());
+            let of_releases = rollout_agent::agent::RolloutAgent::begin(client, agent.follows());
             Some(Releases::new(file, machine, of_releases)?)
         }
         None => None,
     };
     // In the council an instance has the name that its own configuration gives it.
-    let named = |i: &config::fleet::Instance| {
+    let named = |i: &config::supervisor::InstanceConfig| {
         node_config::read(&i.config).map_or_else(|_| i.name.clone(), |config| config.name)
     };
     let units = match agent {
@@ -118,7 +119,7 @@
     };
     s.find();
     info!("fleet: supervisor of {} instances, {} found running", file.instances.len(), s.processes.len());
-    let mut event = Event::Time;
+    let mut event = Event::Timeout;
     loop {
         if s.take(event) {
             // Whoever asked for it reads the answer first.
@@ -132,30 +133,30 @@
         let wake = wake.into_iter().chain(look).min();
         event = tokio::select! {
             told = signals.next() => match told {
-                Told::Stop => break,
+                ProcessSignal::Stop => break,
                 // One command for all: a reload of the instances goes through 'fleet reload'.
-                Told::Reload => Event::Time,
+                ProcessSignal::Reload => Event::Timeout,
             },
             Some(process) = ended.recv() => {
                 let how = s.processes.remove(&process).map(|mut p| p.ending());
                 let (clean, how) = how.unwrap_or((false, "it ended".into()));
                 s.says.remove(&process);
-                Event::Ended { process, clean, how }
+                Event::Exited { process, clean, how }
             }
             news = notify.next() => match news {
                 Ok(news) => s.heard(news),
                 Err(e) => {
                     info!("fleet: {}: {e}", paths.notify().display());
-                    Event::Time
+                    Event::Timeout
                 }
             },
             given = next_given(&mut s.agent) => s.given(&given),
             news = news(&mut s.releases) => match news {
                 Some((given, done)) => s.confirmed(&given, done),
-                None => Event::Time,
+                None => Event::Timeout,
             },
-            Asked { line, answer } = control.next() => s.asked(&line, answer),
-            () = async { tokio::time::sleep_until(wake.unwrap_or(s.began)).await }, if wake.is_some() => Event::Time,
+            ControlRequest { line, answer } = control.next() => s.asked(&line, answer),
+            () = async { tokio::time::sleep_until(wake.unwrap_or(s.began)).await }, if wake.is_some() => Event::Timeout,
         };
     }
     info!("fleet: the supervisor ends, {} processes run on", s.processes.len());
@@ -166,7 +167,7 @@
     /// Finds the instances that run already, by the pid files that they hold.
     fn find(&mut self) {
         for (k, instance) in self.file.instances.iter().enumerate() {
-            let Some(pid) = pidfile::holder(&Paths(self.file).pid(instance)) else { continue };
+            let Some(pid) = pid_file::holder(&Paths(self.file).pid(instance)) else { continue };
             match Running::found(pid) {
                 Ok(running) => {
                     // Where its address is known it can be asked; elsewhere what serves counts as ready.
@@ -181,7 +182,7 @@
         }
     }
 
-    fn watch(&mut self, process: Process, running: Running) {
+    fn watch(&mut self, process: ProcessId, running: Running) {
         let ends = self.ends.clone();
         let tell = move || {
             // The loop that takes it may have ended; then nobody needs to know.
@@ -198,13 +199,13 @@
         let Some(agent) = &self.agent else { return };
         let down =
             |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
-        let unit = |i: &supervisor::Instance| Unit {
+        let unit = |i: &supervisor::Instance| BalancerEntry {
             machine: self.file.machine.clone().unwrap_or_default(),
             zone: self.file.zone.clone(),
             tier: self.file.tier.clone(),
             down: down(i),
         };
-        let units: BTreeMap<String, Unit> =
+        let units: BTreeMap<String, BalancerEntry> =
             self.units.iter().cloned().zip(self.fleet.instances().iter().map(unit)).collect();
         if units != self.declared {
             agent.units(units.clone());
@@ -220,19 +221,22 @@
             return;
         }
         let now = self.began.elapsed();
-        let one = |((file, unit), i): ((&config::fleet::Instance, &String), &supervisor::Instance)| Local {
-            unit: unit.clone(),
-            build: releases.build(&file.name).clone(),
-            ready: i.state == supervisor::State::Ready && i.successor.is_none(),
-            given_up: match &i.state {
-                supervisor::State::GivenUp(why) => Some(why.clone()),
-                _ => None,
-            },
-            slow: i.slow(),
-            crashes: i.crashes(now, self.file.window),
-        };
+        let one =
+            |((file, unit), i): ((&config::supervisor::InstanceConfig, &String), &supervisor::Instance)| {
+                LocalInstance {
+                    unit: unit.clone(),
+                    build: releases.build(&file.name).clone(),
+                    ready: i.state == supervisor::InstanceState::Ready && i.successor.is_none(),
+                    given_up: match &i.state {
+                        supervisor::InstanceState::CrashLoop(why) => Some(why.clone()),
+                        _ => None,
+                    },
+                    slow: i.slow(),
+                    crashes: i.crashes(now, self.file.window),
+                }
+            };
         let all = self.file.instances.iter().zip(&self.units).zip(self.fleet.instances());
-        let all: Vec<Local> = all.map(one).collect();
+        let all: Vec<LocalInstance> = all.map(one).collect();
         let at_once = if self.fleet.rolling().is_some() { 0 } else { self.file.at_once };
         let acts = releases.next(&all, &agent.follows().borrow(), at_once, session);
         for act in acts {
@@ -243,55 +247,55 @@
 
     /// Carries out what a release wants.
     fn moved(&mut self, act: Move) -> Event {
-        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Time };
+        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Timeout };
         match act {
-            Move::Ask { unit, why } => agent.ask(&unit, Act::Restart, &why, None),
-            Move::GiveBack { unit, acted } => agent.give_back(&unit, acted),
+            Move::RequestLease { unit, why } => agent.ask(&unit, DisruptionKind::Restart, &why, None),
+            Move::ReleaseLease { unit, acted } => agent.give_back(&unit, acted),
             Move::Replace { unit, build } => {
                 let instance = self.units.iter().position(|u| *u == unit);
                 let Some((k, file)) = instance.and_then(|k| Some((k, self.file.instances.get(k)?))) else {
-                    return Event::Time;
+                    return Event::Timeout;
                 };
                 match releases.moved(&file.name, &unit, &build) {
                     Ok(()) => {
-                        info!(unit, "release: goes over to build {}", rollout_agent::build::short(&build));
+                        info!(unit, "release: goes over to build {}", rollout_agent::build_id::short(&build));
                         return Event::Command(Command::Replace(k));
                     }
-                    Err(Some(Move::GiveBack { unit, acted })) => agent.give_back(&unit, acted),
+                    Err(Some(Move::ReleaseLease { unit, acted })) => agent.give_back(&unit, acted),
                     Err(_) => {}
                 }
             }
         }
-        Event::Time
+        Event::Timeout
     }
 
     /// Leave for a release is to be used, where the record could be read after it was given.
-    fn confirmed(&mut self, given: &Given, done: bool) -> Event {
-        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Time };
+    fn confirmed(&mut self, given: &GrantedLease, done: bool) -> Event {
+        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Timeout };
         if !done || !agent.may(given) {
             agent.unused(&given.unit);
-            return Event::Time;
+            return Event::Timeout;
         }
         match releases.confirmed(&given.unit, &agent.follows().borrow()) {
             Some(act) => self.moved(act),
-            None => Event::Time,
+            None => Event::Timeout,
         }
     }
 
     /// Leave was given. It may have come late: what it allowed may be another's by now.
-    fn given(&mut self, given: &Given) -> Event {
+    fn given(&mut self, given: &GrantedLease) -> Event {
         let instance = self.units.iter().position(|unit| *unit == given.unit);
-        let (Some(agent), Some(instance)) = (&self.agent, instance) else { return Event::Time };
+        let (Some(agent), Some(instance)) = (&self.agent, instance) else { return Event::Timeout };
         let (unit, number) = (&given.unit, given.number);
         if !agent.may(given) {
             info!(unit, number, "outage: the leave came too late, and nothing is done by it");
             agent.unused(unit);
-            return Event::Time;
+            return Event::Timeout;
         }
         info!(unit, number, "outage: has leave to {}", given.act.word());
         match &self.releases {
-            Some(releases) if releases.given(given) => Event::Time,
-            _ => Event::Leave(instance),
+            Some(releases) if releases.given(given) => Event::Timeout,
+            _ => Event::LeaseGranted(instance),
         }
     }
 
@@ -319,31 +323,31 @@
                         running.signal(signal);
                     }
                 }
-                Action::Ask { instance, roll } => {
+                Action::RequestLease { instance, roll } => {
                     if let (Some(agent), Some(unit)) = (&self.agent, self.units.get(instance)) {
                         agent.ask(unit, act(roll), word(roll), self.overrides.as_deref());
                     }
                 }
-                Action::GiveBack { instance, acted } => {
+                Action::ReleaseLease { instance, acted } => {
                     if let (Some(agent), Some(unit)) = (&self.agent, self.units.get(instance)) {
                         agent.give_back(unit, acted);
                     }
                 }
-                Action::Refused(why) => {
+                Action::Rejected(why) => {
                     if let Some(answer) = self.waiting.pop() {
                         let _ = answer.try_send(format!("failed {why}"));
                     }
                 }
-                Action::Rolled(roll) => {
+                Action::RollFinished(roll) => {
                     info!("fleet: {} done", word(roll));
                     self.tell_all("ok");
                 }
-                Action::Halted { instance, why } => {
+                Action::RollAborted { instance, why } => {
                     let line = format!("halted at {}: {why}", self.name(instance));
                     info!("fleet: {line}");
                     self.tell_all(&format!("failed {line}"));
                 }
-                Action::GivenUp { instance, why } => {
+                Action::CrashLoop { instance, why } => {
                     info!("fleet: {} is given up: {why}", self.name(instance))
                 }
                 Action::Stopped => {
@@ -354,7 +358,7 @@
             }
         }
         for (process, how) in failed {
-            if self.take(Event::Ended { process, clean: false, how }) {
+            if self.take(Event::Exited { process, clean: false, how }) {
                 return true;
             }
         }
@@ -370,14 +374,14 @@
 
     fn heard(&mut self, news: super::process::News) -> Event {
         let Some(process) = self.processes.iter().find(|(_, r)| r.pid == news.pid).map(|(&p, _)| p) else {
-            return Event::Time;
+            return Event::Timeout;
         };
         let refused = news.status.as_deref().and_then(|s| s.strip_prefix("not reloaded: ")).map(String::from);
         if let Some(status) = news.status {
             self.says.insert(process, status);
         }
         match (news.ready, refused) {
-            (true, Some(why)) => Event::NotReloaded(process, why),
+            (true, Some(why)) => Event::ReloadFailed(process, why),
             (true, None) => {
                 let of =
                     |i: &supervisor::Instance| i.process == Some(process) || i.successor == Some(process);
@@ -387,7 +391,7 @@
                 }
                 Event::Ready(process)
             }
-            _ => Event::Time,
+            _ => Event::Timeout,
         }
     }
 
@@ -402,16 +406,16 @@
         let command = match line {
             "restart" | "take-over" | "reload" if self.bars().is_some() => {
                 let _ = answer.try_send(format!("failed {}", self.bars().unwrap_or_default()));
-                return Event::Time;
+                return Event::Timeout;
             }
             "status" => {
                 let _ = answer.try_send(self.state().to_string());
                 let _ = answer.try_send("ok".into());
-                return Event::Time;
+                return Event::Timeout;
             }
-            "restart" => Command::Roll(Roll::Restart),
-            "take-over" => Command::Roll(Roll::TakeOver),
-            "reload" => Command::Roll(Roll::Reload),
+            "restart" => Command::Roll(RollingAction::Restart),
+            "take-over" => Command::Roll(RollingAction::Handoff),
+            "reload" => Command::Roll(RollingAction::Reload),
             "start" => {
                 let _ = answer.try_send("ok".into());
                 return Event::Command(Command::Start);
@@ -419,7 +423,7 @@
             "stop" => Command::Stop,
             _ => {
                 let _ = answer.try_send("failed that is no command".into());
-                return Event::Time;
+                return Event::Timeout;
             }
         };
         info!("fleet: {line}");
@@ -455,14 +459,14 @@
     }
 
     fn state(&self) -> serde_json::Value {
-        let one = |(file, i): (&config::fleet::Instance, &supervisor::Instance)| {
+        let one = |(file, i): (&config::supervisor::InstanceConfig, &supervisor::Instance)| {
             let running = i.process.and_then(|p| self.processes.get(&p));
             let (memory, descriptors) = running.map_or((None, None), |r| {
                 let (memory, descriptors) = r.holds();
                 (Some(memory), Some(descriptors))
             });
             let says = match &i.state {
-                supervisor::State::GivenUp(why) => Some(why),
+                supervisor::InstanceState::CrashLoop(why) => Some(why),
                 _ => i.process.and_then(|p| self.says.get(&p)),
             };
             serde_json::json!({"name": file.name, "state": i.state.to_string(), "pid": running.map(|r| r.pid),
@@ -477,7 +481,7 @@
 }
 
 /// News of releases; never, without a council.
-async fn news(releases: &mut Option<Releases>) -> Option<(Given, bool)> {
+async fn news(releases: &mut Option<Releases>) -> Option<(GrantedLease, bool)> {
     match releases {
         Some(releases) => releases.news().await,
         None => std::future::pending().await,
@@ -485,26 +489,26 @@
 }
 
 /// The next leave; never, without a council.
-async fn next_given(agent: &mut Option<Agent>) -> Given {
+async fn next_given(agent: &mut Option<Agent>) -> GrantedLease {
     match agent {
         Some(agent) => agent.next().await,
         None => std::future::pending().await,
     }
 }
 
-fn act(roll: Roll) -> Act {
+fn act(roll: RollingAction) -> DisruptionKind {
     match roll {
-        Roll::Restart => Act::Restart,
-        Roll::TakeOver => Act::TakeOver,
-        Roll::Reload => Act::Reload,
+        RollingAction::Restart => DisruptionKind::Restart,
+        RollingAction::Handoff => DisruptionKind::Handoff,
+        RollingAction::Reload => DisruptionKind::Reload,
     }
 }
 
-fn word(roll: Roll) -> &'static str {
+fn word(roll: RollingAction) -> &'static str {
     match roll {
-        Roll::Restart => "restart",
-        Roll::TakeOver => "take-over",
-        Roll::Reload => "reload",
+        RollingAction::Restart => "restart",
+        RollingAction::Handoff => "take-over",
+        RollingAction::Reload => "reload",
     }
 }
 
--- a/crates/herondock/src/fleet/mod.rs
+++ b/crates/herondock/src/supervise/mod.rs
@@ -3,18 +3,18 @@
 //! What to do is decided by the crate `fleet`; here its actions are carried out. Instances are processes of their own
 //! that outlive the supervisor: a new one finds them by their pid files, which are locked while they run.
 mod control;
+mod event_loop;
 mod process;
-mod releases;
-mod supervisor;
+mod rollouts;
 
 pub use control::{ask, status};
-pub use supervisor::run;
+pub use event_loop::run;
 
-use config::fleet::{Fleet, Instance};
+use config::supervisor::{FleetConfig, InstanceConfig};
 use std::path::PathBuf;
 
 /// Where the files of a fleet are.
-struct Paths<'a>(&'a Fleet);
+struct Paths<'a>(&'a FleetConfig);
 
 impl Paths<'_> {
     fn file(&self, name: &str) -> PathBuf {
@@ -37,12 +37,12 @@
     }
 
     /// Held by an instance.
-    fn pid(&self, instance: &Instance) -> PathBuf {
+    fn pid(&self, instance: &InstanceConfig) -> PathBuf {
         self.file(&format!("{}.pid", instance.name))
     }
 
     /// Where an instance passes its sockets on.
-    fn takeover(&self, instance: &Instance) -> PathBuf {
+    fn takeover(&self, instance: &InstanceConfig) -> PathBuf {
         self.file(&format!("{}.sock", instance.name))
     }
 }
--- a/crates/herondock/src/fleet/process.rs
+++ b/crates/herondock/src/supervise/process.rs
@@ -1,7 +1,7 @@
 //! Processes of instances: started here or found running, watched until they end, and heard by the notify socket.
 use super::Paths;
-use config::fleet::{Fleet, Instance};
-use rollout::Build;
+use config::supervisor::{FleetConfig, InstanceConfig};
+use rollout::BuildId;
 use rustix::event::{poll, PollFd, PollFlags};
 use rustix::io::Errno;
 use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
@@ -40,9 +40,9 @@
     /// Starts a process of an instance, in a group of its own: what ends this one leaves it running.
     /// `of`: its build, and the file to start it from where that is not this program's own.
     pub fn start(
-        fleet: &Fleet,
-        instance: &Instance,
-        of: Option<(&Build, Option<&Path>)>,
+        fleet: &FleetConfig,
+        instance: &InstanceConfig,
+        of: Option<(&BuildId, Option<&Path>)>,
     ) -> io::Result<Running> {
         let paths = Paths(fleet);
         let program = match of.and_then(|(_, path)| path) {
@@ -51,7 +51,7 @@
         };
         let mut command = Command::new(program);
         if let Some((build, _)) = of {
-            command.env(crate::station::BUILD, &build.0);
+            command.env(crate::disruption_reporting::BUILD, &build.0);
         }
         command
             .arg("run")
@@ -88,7 +88,7 @@
     pub fn signal(&self, signal: Signal) {
         let signal = match signal {
             Signal::Reload => rustix::process::Signal::HUP,
-            Signal::End => rustix::process::Signal::TERM,
+            Signal::Terminate => rustix::process::Signal::TERM,
             Signal::Kill => rustix::process::Signal::KILL,
         };
         let _ = pidfd_send_signal(&*self.handle, signal);
--- a/crates/herondock/src/fleet/releases.rs
+++ b/crates/herondock/src/supervise/rollouts.rs
@@ -1,18 +1,18 @@
 //! Releases at a supervisor: which build each of its instances is started from, kept on its disk, and what it does for a
 //! release that goes on. What is decided is `rollout::mover`'s matter.
-use config::fleet::Fleet as File;
-use coordination::record::SessionId;
-use disruption::Board as Fleet;
-use disruption_agent::agent::Given;
-use rollout::board::Plan;
-use rollout::mover::{Act, Local, Mover};
-use rollout::Build;
-use rollout_agent::agent::{Agent, News};
-use rollout_agent::{build, unix_ms};
+use config::supervisor::FleetConfig as File;
+use coordination::state_machine::SessionId;
+use disruption::FleetSnapshot as Fleet;
+use disruption_agent::agent::GrantedLease;
+use rollout::executor::{ExecutorAction, LocalInstance, RolloutExecutor};
+use rollout::snapshot::RolloutPlan;
+use rollout::BuildId;
+use rollout_agent::agent::{AgentEvent, RolloutAgent};
+use rollout_agent::{build_id, unix_ms};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
-use storage::Store;
+use storage::AtomicFile;
 use tokio::sync::mpsc;
 use tracing::info;
 
@@ -44,10 +44,10 @@
     }
 
     /// A build's file, read whole.
-    fn read(path: &Path, wanted: &Build) -> Result<Found, String> {
+    fn read(path: &Path, wanted: &BuildId) -> Result<Found, String> {
         // Before it is read: what is changed meanwhile is another file than this.
         let found = Found::of(path)?;
-        build::is(path, wanted).map(|()| found)
+        build_id::is(path, wanted).map(|()| found)
     }
 }
 
@@ -56,19 +56,19 @@
     /// The release's number, and the revision of the state for which it was looked.
     of: (u64, u64),
     at: Instant,
-    files: BTreeMap<Build, Result<Found, String>>,
+    files: BTreeMap<BuildId, Result<Found, String>>,
 }
 
 /// See the module's page.
 pub struct Releases {
-    agent: Agent,
-    mover: Mover,
+    agent: RolloutAgent,
+    mover: RolloutExecutor,
     machine: String,
     /// What this supervisor runs, which is what an instance is started from that no release has moved.
-    own: Build,
+    own: BuildId,
     /// What each instance is started from, by its name, where a release has moved it.
-    kept: BTreeMap<String, (Build, PathBuf)>,
-    store: Store,
+    kept: BTreeMap<String, (BuildId, PathBuf)>,
+    store: AtomicFile,
     unkept: Option<String>,
     checked: Option<Checked>,
     /// For which state it is being looked.
@@ -82,9 +82,9 @@
     ///
     /// # Errors
     /// What this one runs can't be read.
-    pub fn new(file: &File, machine: &str, agent: Agent) -> Result<Releases, String> {
-        let own = build::at(Path::new(OWN))?;
-        let store = Store::new(file.folder.join("builds"), "builds", 1, KEPT_MOST);
+    pub fn new(file: &File, machine: &str, agent: RolloutAgent) -> Result<Releases, String> {
+        let own = build_id::at(Path::new(OWN))?;
+        let store = AtomicFile::new(file.folder.join("builds"), "builds", 1, KEPT_MOST);
         let kept = match store.load() {
             Ok(kept) => kept.map_or_else(BTreeMap::new, |kept| {
                 serde_json::from_slice(&kept.content).unwrap_or_else(|e| {
@@ -100,7 +100,7 @@
         let (tell, told) = mpsc::channel(1);
         Ok(Releases {
             agent,
-            mover: Mover::default(),
+            mover: RolloutExecutor::default(),
             machine: machine.into(),
             own,
             kept,
@@ -114,7 +114,7 @@
     }
 
     /// What an instance's next process is of.
-    pub fn build(&self, instance: &str) -> &Build {
+    pub fn build(&self, instance: &str) -> &BuildId {
         self.kept.get(instance).map_or(&self.own, |(build, _)| build)
     }
 
@@ -127,7 +127,7 @@
     pub fn bars(&self) -> Option<String> {
         let board = self.agent.board();
         match board.unfinished() {
-            Some((plan, state)) if !matches!(state.value, rollout::State::Halted { .. }) => {
+            Some((plan, state)) if !matches!(state.value, rollout::RolloutState::Paused { .. }) => {
                 Some(format!("release {} goes on; halt it first", plan.release.number))
             }
             _ if self.mover.busy() => Some("a release is moving instances here".into()),
@@ -145,15 +145,15 @@
 
     /// Waits for news: that this leave may be used if that is still wanted, or `false`, that it can't be now. May be dropped and
     /// called again.
-    pub async fn news(&mut self) -> Option<(Given, bool)> {
+    pub async fn news(&mut self) -> Option<(GrantedLease, bool)> {
         tokio::select! {
             news = self.agent.news() => match news {
-                News::Changed => {}
-                News::Confirmed(given, done) => return Some((given, done)),
+                AgentEvent::SnapshotChanged => {}
+                AgentEvent::LeaseConfirmed(given, done) => return Some((given, done)),
             },
             checked = self.told.recv() => if let Some(checked) = checked {
                 for (build, fault) in checked.files.iter().filter_map(|(b, f)| Some((b, f.as_ref().err()?))) {
-                    info!("release: build {}: {fault}", build::short(build));
+                    info!("release: build {}: {fault}", build_id::short(build));
                 }
                 (self.looking, self.checked) = (None, Some(checked));
             }
@@ -162,16 +162,16 @@
     }
 
     /// Looks whether the builds lie here, once for each state: what was missing may have been brought meanwhile.
-    fn look(&mut self, plan: &Plan, of: (u64, u64)) {
+    fn look(&mut self, plan: &RolloutPlan, of: (u64, u64)) {
         let again = |c: &Checked| c.of != of || c.at.elapsed() >= AGAIN;
         let fits = |c: &Checked| c.of.0 == of.0 && (!again(c) || c.files.values().all(Result::is_ok));
         if self.looking.is_some() || self.checked.as_ref().is_some_and(fits) {
             return;
         }
         self.looking = Some(of);
-        let (files, tell) = (Mover::files(plan, &self.machine), self.tell.clone());
+        let (files, tell) = (RolloutExecutor::files(plan, &self.machine), self.tell.clone());
         tokio::task::spawn_blocking(move || {
-            let read = |(build, path): (Build, String)| {
+            let read = |(build, path): (BuildId, String)| {
                 let found = Found::read(Path::new(&path), &build);
                 (build, found)
             };
@@ -185,9 +185,9 @@
     }
 
     /// What keeps builds from being started here.
-    fn faults(&self) -> BTreeMap<Build, String> {
+    fn faults(&self) -> BTreeMap<BuildId, String> {
         let files = self.checked.iter().flat_map(|c| &c.files);
-        let mut faults: BTreeMap<Build, String> =
+        let mut faults: BTreeMap<BuildId, String> =
             files.filter_map(|(b, f)| Some((b.clone(), f.as_ref().err()?.clone()))).collect();
         if let (Some(why), Some((plan, _))) = (&self.unkept, self.agent.board().current()) {
             faults.insert(plan.release.new.clone(), why.clone());
@@ -196,10 +196,16 @@
     }
 
     /// What follows now, under the session that this supervisor holds.
-    pub fn next(&mut self, all: &[Local], fleet: &Fleet, at_once: usize, session: SessionId) -> Vec<Act> {
+    pub fn next(
+        &mut self,
+        all: &[LocalInstance],
+        fleet: &Fleet,
+        at_once: usize,
+        session: SessionId,
+    ) -> Vec<ExecutorAction> {
         let board = self.agent.board().clone();
         let Some((plan, state)) = board.unfinished() else {
-            self.agent.says(Mover::places(all, &board, &BTreeMap::new()));
+            self.agent.says(RolloutExecutor::places(all, &board, &BTreeMap::new()));
             return self.mover.next(
                 &self.machine,
                 all,
@@ -215,25 +221,25 @@
         }
         self.look(plan, of);
         let faults = self.faults();
-        self.agent.says(Mover::places(all, &board, &faults));
+        self.agent.says(RolloutExecutor::places(all, &board, &faults));
         let known = self.checked.as_ref().is_some_and(|c| c.of.0 == of.0);
         let at_once = if known { at_once } else { 0 };
         self.mover.next(&self.machine, all, (fleet, &board), (at_once, &faults, session), unix_ms())
     }
 
     /// Leave has come. Whether it is for a release, which first has the record read.
-    pub fn given(&self, given: &Given) -> bool {
+    pub fn given(&self, given: &GrantedLease) -> bool {
         self.mover.asks(&given.unit) && self.agent.confirm(given)
     }
 
     /// It may be used now: what is done by it.
-    pub fn confirmed(&mut self, unit: &str, fleet: &Fleet) -> Option<Act> {
+    pub fn confirmed(&mut self, unit: &str, fleet: &Fleet) -> Option<ExecutorAction> {
         let board = self.agent.board();
         self.mover.given(&self.machine, unit, (fleet, &board), unix_ms())
     }
 
     /// The file of a build, if it is still the one that was read.
-    fn file(&self, build: &Build) -> Result<PathBuf, String> {
+    fn file(&self, build: &BuildId) -> Result<PathBuf, String> {
         let files = self.checked.as_ref().map(|c| &c.files);
         let found = files.and_then(|f| f.get(build)).ok_or("it was not looked for yet")?.clone()?;
         match Found::of(&found.path)? {
@@ -247,7 +253,12 @@
     /// # Errors
     /// It must not be done: the file is not what it has to be, or that can't be kept. Where anything follows from that, it is
     /// named. Going back is done all the same: what runs is known by its own word, and the disk may be what is wrong.
-    pub fn moved(&mut self, instance: &str, unit: &str, build: &Build) -> Result<(), Option<Act>> {
+    pub fn moved(
+        &mut self,
+        instance: &str,
+        unit: &str,
+        build: &BuildId,
+    ) -> Result<(), Option<ExecutorAction>> {
         let path = match self.file(build) {
             Ok(path) => path,
             Err(why) => {
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -162,9 +162,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::descriptor_budget::DescriptorBudget;
     use crate::exchange::{Fields, Gate, Method, Upstream};
-    use crate::live::Live;
-    use crate::sockets::Sockets;
+    use crate::live_config::LiveConfig;
     use crate::transport::pool::Reach;
     use config::operator::Limits;
     use std::cell::Cell;
@@ -173,8 +173,8 @@
     use std::rc::Rc;
     use tokio::task::LocalSet;
 
-    fn upstream(sockets: Sockets, addr: SocketAddr) -> Rc<Peer<Http>> {
-        let limits = Live::new(Limits::default());
+    fn upstream(sockets: DescriptorBudget, addr: SocketAddr) -> Rc<Peer<Http>> {
+        let limits = LiveConfig::new(Limits::default());
         let (dial_timeout, idle_close) = (Duration::from_secs(5), Duration::from_secs(60));
         Peer::new(Reach { dial_timeout, idle_close, sockets, limits }, Http, addr)
     }
@@ -206,7 +206,7 @@
     fn nothing_is_repeated_after_the_window() {
         alone(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-            let upstream = upstream(Sockets::new(64), listener.local_addr().expect("an address"));
+            let upstream = upstream(DescriptorBudget::new(64), listener.local_addr().expect("an address"));
             let late = Attempt { by: Some(Instant::now()), ..attempt() };
             let (ending, answer) = upstream.attempt(late).await;
             assert!(ending == balancer::Ending::Moot && answer.is_none(), "{ending:?}");
@@ -227,7 +227,7 @@
                 let listener = listener.try_clone().expect("a listener");
                 async move {
                     let until = Instant::now() + Duration::from_secs(5);
-                    let upstream = upstream(Sockets::new(64), addr);
+                    let upstream = upstream(DescriptorBudget::new(64), addr);
                     let mut conn = dial(&upstream, until).await.expect("connects");
                     let (mut peer, _) = listener.accept().expect("accepts");
                     conn.sender.ready().await.expect("it is open");
@@ -252,7 +252,7 @@
     fn a_shortage_of_our_own_is_no_failure_of_the_upstream() {
         alone(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-            let sockets = Sockets::new(64);
+            let sockets = DescriptorBudget::new(64);
             let all: Vec<_> = std::iter::from_fn(|| sockets.upstream()).collect();
             let to = upstream(sockets, listener.local_addr().expect("an address"));
             let attempt = attempt();
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -3,8 +3,8 @@
 pub mod http;
 pub mod pool;
 
+use crate::endpoint_sources::{Entry, Protocol};
 use crate::exchange::Upstream;
-use crate::members::{Entry, Protocol};
 use pool::{Peer, Reach};
 use std::rc::Rc;
 
--- a/crates/herondock/src/transport/pool.rs
+++ b/crates/herondock/src/transport/pool.rs
@@ -1,7 +1,7 @@
 //! An upstream, and the connections that are kept to it, whatever it speaks.
+use crate::descriptor_budget::DescriptorBudget;
 use crate::exchange::{Attempt, Ended, Gate, Running, Upstream};
-use crate::live::Live;
-use crate::sockets::Sockets;
+use crate::live_config::LiveConfig;
 use crate::stream::Shared;
 use balancer::Ending;
 use config::operator::Limits;
@@ -40,9 +40,9 @@
     /// When upstreams close idle connections.
     pub idle_close: Duration,
     /// Sockets that may still be opened.
-    pub sockets: Sockets,
+    pub sockets: DescriptorBudget,
     /// Sizes and waits.
-    pub limits: Live<Limits>,
+    pub limits: LiveConfig<Limits>,
 }
 
 impl Reach {
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -1,10 +1,10 @@
 //! The council as real processes, with faults under and between them; judged by what its clients were told.
 mod common;
 use common::program;
-use coordination::client::Told;
-use coordination::record::{Change, Condition, Outcome, SessionId};
-use coordination::wire::{Answer, Status};
-use coordination_server::client::{now, Council, Settings, Standing};
+use coordination::client::RequestOutcome;
+use coordination::protocol::{Answer, Status};
+use coordination::state_machine::{Compare, Op, Outcome, SessionId};
+use coordination_server::client::{boottime_now, ClientConfig, ClientHandle, SessionState};
 use coordination_simulation::workload::{judge, Histories, Worker};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use testkit::council::{client, run, written, Voters, TICK, WITHIN};
+use testkit::coordination::{client, run, written, Voters, TICK, WITHIN};
 use testkit::faults::disk;
 use testkit::faults::link::Rule;
 use testkit::faults::machine::Machine;
@@ -38,17 +38,17 @@
 }
 
 fn nanos() -> u64 {
-    u64::try_from(now().as_nanos()).unwrap_or(u64::MAX)
+    u64::try_from(boottime_now().as_nanos()).unwrap_or(u64::MAX)
 }
 
 fn as_nanos(at: Duration) -> u64 {
     u64::try_from(at.as_nanos()).unwrap_or(u64::MAX)
 }
 
-async fn work(settings: Settings, number: u64, stop: &AtomicBool, done: &AtomicUsize) -> Histories {
+async fn work(settings: ClientConfig, number: u64, stop: &AtomicBool, done: &AtomicUsize) -> Histories {
     let mut random = Pcg64Mcg::seed_from_u64(number);
     let (mut worker, mut all) = (Worker::new(number), Histories::default());
-    let council = Council::begin(settings);
+    let council = ClientHandle::begin(settings);
     let mut last: Option<(SessionId, Duration)> = None;
     while !stop.load(Ordering::SeqCst) {
         let held = council.held();
@@ -191,13 +191,13 @@
         let (go, gone) = tokio::sync::oneshot::channel::<()>();
         let writer = thread::spawn(move || {
             run(async move {
-                let council = Council::begin(settings);
+                let council = ClientHandle::begin(settings);
                 ready.send(written(&council.write(vec![], vec![], WITHIN).await)).expect("heard");
                 gone.await.expect("told");
                 // A second time it would differ: there is such a key then.
                 let key = format!("once/{k}");
-                let absent = vec![Condition::Absent(key.clone())];
-                let put = vec![Change::Put { key, value: k.to_string(), bound: false }];
+                let absent = vec![Compare::Absent(key.clone())];
+                let put = vec![Op::Put { key, value: k.to_string(), bound: false }];
                 council.write(absent, put, WITHIN).await
             })
         });
@@ -221,22 +221,29 @@
 fn a_second_process_under_a_name_fences_the_first() {
     let voters = start(3);
     run(async {
-        let first = Council::begin(voters.client("twin", true));
-        let bound = |value: &str| vec![Change::Put { key: "twin".into(), value: value.into(), bound: true }];
+        let first = ClientHandle::begin(voters.client("twin", true));
+        let bound = |value: &str| vec![Op::Put { key: "twin".into(), value: value.into(), bound: true }];
         assert!(written(&first.write(vec![], bound("first"), WITHIN).await));
         let (one, _) = first.held().expect("held");
         // Cut off, it believes on until its time is up; the second takes its name meanwhile.
-        let second = Council::begin(Settings { name: "twin-2".into(), ..voters.client("twin", true) });
-        assert!(written(&second.write(vec![Condition::Ended(one)], bound("second"), WITHIN).await));
+        let second =
+            ClientHandle::begin(ClientConfig { name: "twin-2".into(), ..voters.client("twin", true) });
+        assert!(written(&second.write(vec![Compare::SessionEnded(one)], bound("second"), WITHIN).await));
         let (two, _) = second.held().expect("held");
         assert!(two > one, "a number that grows: {one}, {two}");
         let told = first.write(vec![], bound("first again"), WITHIN).await;
-        assert!(matches!(told, Told::NotDone(_) | Told::Unclear(_)), "{told:?}");
+        assert!(
+            matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
+            "{told:?}"
+        );
         let mut standing = first.standing();
-        standing.wait_for(|s| *s == Standing::Fenced(two)).await.expect("it hears of it");
-        let told = second.write(vec![Condition::Alive(one)], bound("x"), WITHIN).await;
+        standing.wait_for(|s| *s == SessionState::Fenced(two)).await.expect("it hears of it");
+        let told = second.write(vec![Compare::SessionAlive(one)], bound("x"), WITHIN).await;
         assert!(
-            matches!(told, Told::Answer(Answer::Outcome(Outcome::Differs { condition: 0, .. }))),
+            matches!(
+                told,
+                RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { condition: 0, .. }))
+            ),
             "{told:?}"
         );
         second.close(WITHIN).await;
@@ -278,9 +285,10 @@
     two.iter().for_each(|&k| disk::full_at(pid(k), 10).expect("runs"));
     voters.until("two aside", |all| all.iter().filter(|s| s.role == "aside").count() == 2);
     let settings = voters.client("late", true);
-    let then = vec![Change::Put { key: "late".into(), value: "x".into(), bound: false }];
-    let told = run(async move { Council::begin(settings).write(vec![], then, Duration::from_secs(1)).await });
-    assert!(matches!(told, Told::NotDone(_) | Told::Unclear(_)), "{told:?}");
+    let then = vec![Op::Put { key: "late".into(), value: "x".into(), bound: false }];
+    let told =
+        run(async move { ClientHandle::begin(settings).write(vec![], then, Duration::from_secs(1)).await });
+    assert!(matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)), "{told:?}");
     two.iter().for_each(|&k| disk::room(pid(k)).expect("runs"));
     voters.whole();
     load.goes_on(&voters, 40);
@@ -301,11 +309,11 @@
             let mut process = Process::start(voters.process(0, &["run", "--halt-at", &halt]));
             // Until it dies, or has done more than any of its steps takes.
             let acknowledged = run(async {
-                let council = Council::begin(settings.clone());
+                let council = ClientHandle::begin(settings.clone());
                 let mut last = None;
                 for n in 0..6 {
                     let value = format!("{kind}-{at}-{n}");
-                    let then = vec![Change::Put { key: "k".into(), value: value.clone(), bound: false }];
+                    let then = vec![Op::Put { key: "k".into(), value: value.clone(), bound: false }];
                     let write = council.write(vec![], then, Duration::from_secs(10));
                     let died = async {
                         while process.runs() {
@@ -448,9 +456,9 @@
     // Two megabytes of record.
     let big = "x".repeat(60 << 10);
     run(async {
-        let council = Council::begin(voters.client("filler", true));
+        let council = ClientHandle::begin(voters.client("filler", true));
         for k in 0..34 {
-            let then = vec![Change::Put { key: format!("big/{k}"), value: big.clone(), bound: false }];
+            let then = vec![Op::Put { key: format!("big/{k}"), value: big.clone(), bound: false }];
             assert!(written(&council.write(vec![], then, WITHIN).await));
         }
     });
@@ -478,13 +486,13 @@
     let (leave, left) = std::sync::mpsc::channel::<()>();
     let clients = thread::spawn(move || {
         run(async move {
-            let all: Vec<Council> = (0..300)
+            let all: Vec<ClientHandle> = (0..300)
                 .map(|k| {
                     let mut settings = client(&reached.clone(), &format!("many-{k}"), true);
                     if let Some(session) = &mut settings.session {
                         session.ttl = Duration::from_secs(10);
                     }
-                    Council::begin(settings)
+                    ClientHandle::begin(settings)
                 })
                 .collect();
             let write = |round: usize| {
@@ -494,7 +502,7 @@
                     for (k, council) in all.into_iter().enumerate() {
                         tasks.push(tokio::task::spawn_local(async move {
                             let key = format!("many/{k}");
-                            let then = vec![Change::Put { key, value: round.to_string(), bound: true }];
+                            let then = vec![Op::Put { key, value: round.to_string(), bound: true }];
                             written(&council.write(vec![], then, WITHIN).await)
                         }));
                     }
@@ -505,8 +513,9 @@
                     done
                 }
             };
-            let held =
-                |all: &[Council]| all.iter().map(|c| c.held_last().map(|(id, _)| id)).collect::<Vec<_>>();
+            let held = |all: &[ClientHandle]| {
+                all.iter().map(|c| c.held_last().map(|(id, _)| id)).collect::<Vec<_>>()
+            };
             tell.send(write(1).await).expect("heard");
             let before = held(&all);
             tokio::task::spawn_blocking(move || left.recv()).await.expect("waits").expect("told");
@@ -544,7 +553,7 @@
     let saved = voters.command(&["backup", "--to", kept.to_str().expect("text")]);
     assert!(saved.status.success(), "{saved:?}");
     let before = run(async {
-        let council = Council::begin(voters.client("old", true));
+        let council = ClientHandle::begin(voters.client("old", true));
         council.write(vec![], vec![], WITHIN).await;
         council.held().map(|(id, _)| id)
     });
@@ -556,17 +565,20 @@
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
     assert_eq!(voters.get("policy/limit").as_deref(), Some("7"));
     let after = run(async {
-        let council = Council::begin(voters.client("new", true));
+        let council = ClientHandle::begin(voters.client("new", true));
         council.write(vec![], vec![], WITHIN).await;
         council.held().map(|(id, _)| id)
     });
     assert!(after > before, "{before:?}, {after:?}");
     // A session of before the loss is over, whatever it believes.
     let told = run(async {
-        let council = Council::begin(voters.client("judge", true));
-        council.write(vec![Condition::Alive(before.expect("held"))], vec![], WITHIN).await
+        let council = ClientHandle::begin(voters.client("judge", true));
+        council.write(vec![Compare::SessionAlive(before.expect("held"))], vec![], WITHIN).await
     });
-    assert!(matches!(told, Told::Answer(Answer::Outcome(Outcome::Differs { .. }))), "{told:?}");
+    assert!(
+        matches!(told, RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { .. }))),
+        "{told:?}"
+    );
 }
 
 /// Guards against a voter whose disk was put back to an older copy, and that votes as if it had promised nothing since: it
@@ -626,15 +638,15 @@
     let mut voters = start(3);
     let l = voters.leader();
     run(async {
-        let watcher = Council::begin(voters.client("watcher", false));
+        let watcher = ClientHandle::begin(voters.client("watcher", false));
         let mut told = watcher.watch("k", None).await;
         assert!(matches!(told.recv().await, Some(Answer::Watching { .. })));
         voters.machines[l].pause();
-        let writer = Council::begin(voters.client("writer", true));
-        let put = vec![Change::Put { key: "k".into(), value: "v".into(), bound: false }];
+        let writer = ClientHandle::begin(voters.client("writer", true));
+        let put = vec![Op::Put { key: "k".into(), value: "v".into(), bound: false }];
         assert!(written(&writer.write(vec![], put, WITHIN).await));
         let next = tokio::time::timeout(PATIENCE, told.recv()).await;
-        assert!(matches!(next, Ok(Some(Answer::Changes { .. }))), "{next:?}");
+        assert!(matches!(next, Ok(Some(Answer::Events { .. }))), "{next:?}");
     });
     voters.machines[l].resume();
 }
--- a/crates/verification/coordination-simulation/src/disk.rs
+++ b/crates/verification/coordination-simulation/src/disk.rs
@@ -1,19 +1,19 @@
 //! The model of a voter's disk: what was synced outlives a crash; of what was not, the first saves may have come to it.
-use coordination::voter::Save;
+use coordination::voter::PersistRequest;
 use std::collections::VecDeque;
 
 /// A disk.
 #[derive(Debug, Default)]
 pub struct Disk {
     frames: Vec<Vec<u8>>,
-    pending: VecDeque<Save>,
+    pending: VecDeque<PersistRequest>,
     /// Nothing can be written.
     pub full: bool,
     /// Saves take long.
     pub slow: bool,
 }
 
-fn put(frames: &mut Vec<Vec<u8>>, save: Save) {
+fn put(frames: &mut Vec<Vec<u8>>, save: PersistRequest) {
     if save.replace {
         frames.clear();
     }
@@ -27,7 +27,7 @@
     }
 
     /// Something is to be saved.
-    pub fn begin(&mut self, save: Save) {
+    pub fn begin(&mut self, save: PersistRequest) {
         self.pending.push_back(save);
     }
 
--- a/crates/verification/coordination-simulation/src/workload.rs
+++ b/crates/verification/coordination-simulation/src/workload.rs
@@ -1,10 +1,10 @@
 //! What clients do, and what they were told: reads, writes, conditional writes over two keys at once, and locks that end
 //! with their holder's session. Every value is written once, so that what is read says who wrote it.
-use coordination::client::{Ask, Told as ClientTold};
-use coordination::record::{Change, Condition, Outcome, Revision, SessionId};
-use coordination::wire::{Answer, Select};
+use coordination::client::{ClientRequest, RequestOutcome as ClientTold};
+use coordination::protocol::{Answer, Select};
+use coordination::state_machine::{Compare, Op, Outcome, Revision, SessionId};
 use fleet_simulation::agenda::Nanos;
-use linearizability::{Call, Holding, Operation, Told};
+use linearizability::{Call, Holding, Operation, ResponseValue};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -98,7 +98,7 @@
         now: Nanos,
         session: Option<SessionId>,
         random: &mut Pcg64Mcg,
-    ) -> Option<(Ask, Duration)> {
+    ) -> Option<(ClientRequest, Duration)> {
         let within = Duration::from_millis(random.gen_range(1500..4500));
         let group = random.gen_range(0..GROUPS);
         let (a, b) = (key(group, 0), key(group, 1));
@@ -108,64 +108,69 @@
         let guard = lock.replace("lock", "guard");
         let kind = random.gen_range(0..100);
         let (ask, (doing, call)) = match (kind, session) {
-            (0..=24, _) => (Ask::Read(Select::Key(one.clone())), plain(Call::Read(vec![one]))),
-            (25..=34, _) => (Ask::Read(Select::Under(format!("g{group}/"))), plain(Call::Read(vec![a, b]))),
-            (35..=44, _) => {
-                (Ask::Read(Select::Key(guard.clone())), (Doing::Looks(guard), Call::Read(Vec::new())))
+            (0..=24, _) => (ClientRequest::Read(Select::Key(one.clone())), plain(Call::Read(vec![one]))),
+            (25..=34, _) => {
+                (ClientRequest::Read(Select::Prefix(format!("g{group}/"))), plain(Call::Read(vec![a, b])))
             }
+            (35..=44, _) => (
+                ClientRequest::Read(Select::Key(guard.clone())),
+                (Doing::Looks(guard), Call::Read(Vec::new())),
+            ),
             (_, None) => return None,
             (45..=59, _) => {
                 let value = self.value();
-                let then = vec![Change::Put { key: one.clone(), value: value.clone(), bound: false }];
+                let then = vec![Op::Put { key: one.clone(), value: value.clone(), bound: false }];
                 let call = Call::Write { when: vec![], then: vec![(one, Some(value))] };
-                (Ask::Write { when: vec![], then }, plain(call))
+                (ClientRequest::Transact { when: vec![], then }, plain(call))
             }
             (60..=79, _) => {
                 // Both keys, if they are as it saw them last.
                 let seen = |key: &String| self.seen.get(key).cloned().unwrap_or((None, 0));
                 let (was_a, was_b) = (seen(&a), seen(&b));
                 let condition = |key: &String, was: &(Option<String>, Revision)| match was.0 {
-                    Some(_) => Condition::Version(key.clone(), was.1),
-                    None => Condition::Absent(key.clone()),
+                    Some(_) => Compare::Version(key.clone(), was.1),
+                    None => Compare::Absent(key.clone()),
                 };
                 let when = vec![condition(&a, &was_a), condition(&b, &was_b)];
                 let value = self.value();
-                let then_a = Change::Put { key: a.clone(), value: value.clone(), bound: false };
+                let then_a = Op::Put { key: a.clone(), value: value.clone(), bound: false };
                 let (then_b, b_after) = match random.gen_bool(0.3) && was_b.0.is_some() {
-                    true => (Change::Delete(b.clone()), None),
-                    false => (
-                        Change::Put { key: b.clone(), value: value.clone(), bound: false },
-                        Some(value.clone()),
-                    ),
+                    true => (Op::Delete(b.clone()), None),
+                    false => {
+                        (Op::Put { key: b.clone(), value: value.clone(), bound: false }, Some(value.clone()))
+                    }
                 };
                 let call = Call::Write {
                     when: vec![(a.clone(), was_a.0), (b.clone(), was_b.0)],
                     then: vec![(a, Some(value)), (b, b_after)],
                 };
-                (Ask::Write { when, then: vec![then_a, then_b] }, plain(call))
+                (ClientRequest::Transact { when, then: vec![then_a, then_b] }, plain(call))
             }
             (_, Some(session)) => match self.holds.clone() {
                 Some((lock, of, _)) if of == session && random.gen_bool(0.5) => {
                     let guard = lock.replace("lock", "guard");
-                    let then = vec![Change::Put { key: guard, value: session.to_string(), bound: false }];
-                    (Ask::Write { when: vec![], then }, (Doing::Guards, Call::Read(Vec::new())))
+                    let then = vec![Op::Put { key: guard, value: session.to_string(), bound: false }];
+                    (ClientRequest::Transact { when: vec![], then }, (Doing::Guards, Call::Read(Vec::new())))
                 }
                 // Of a session that is over.
                 Some((_, of, _)) if of != session => return None,
                 Some((lock, ..)) => {
                     // From here on it does not count on it.
                     (
-                        Ask::Write { when: vec![], then: vec![Change::Delete(lock)] },
+                        ClientRequest::Transact { when: vec![], then: vec![Op::Delete(lock)] },
                         (Doing::LetsGo, Call::Read(Vec::new())),
                     )
                 }
                 None => {
-                    let when = vec![Condition::Absent(lock.clone())];
+                    let when = vec![Compare::Absent(lock.clone())];
                     let then = vec![
-                        Change::Put { key: lock.clone(), value: session.to_string(), bound: true },
-                        Change::Put { key: guard, value: session.to_string(), bound: false },
+                        Op::Put { key: lock.clone(), value: session.to_string(), bound: true },
+                        Op::Put { key: guard, value: session.to_string(), bound: false },
                     ];
-                    (Ask::Write { when, then }, (Doing::Takes(lock, session), Call::Read(Vec::new())))
+                    (
+                        ClientRequest::Transact { when, then },
+                        (Doing::Takes(lock, session), Call::Read(Vec::new())),
+                    )
                 }
             },
         };
@@ -189,12 +194,12 @@
     pub fn told(&mut self, now: Nanos, told: ClientTold, session: Option<SessionId>, all: &mut Histories) {
         let Some((doing, mut operation)) = self.doing.take() else { return };
         match (&doing, &told) {
-            (Doing::Takes(lock, of), ClientTold::Unclear(_)) => {
+            (Doing::Takes(lock, of), ClientTold::Indeterminate(_)) => {
                 let (guard, from) = (lock.replace("lock", "guard"), operation.start);
                 all.taken.push(Taken { guard, session: *of, from, told: None });
                 return;
             }
-            (Doing::Takes(lock, of), ClientTold::Answer(Answer::Outcome(Outcome::Written(_)))) => {
+            (Doing::Takes(lock, of), ClientTold::Answered(Answer::Outcome(Outcome::Committed(_)))) => {
                 let (guard, from) = (lock.replace("lock", "guard"), operation.start);
                 all.taken.push(Taken { guard, session: *of, from, told: Some(now) });
                 // Only while its own clock says so.
@@ -203,7 +208,7 @@
                 }
                 return;
             }
-            (Doing::Looks(guard), ClientTold::Answer(Answer::Values { items, .. })) => {
+            (Doing::Looks(guard), ClientTold::Answered(Answer::Values { items, .. })) => {
                 let session = items.first().and_then(|(_, i)| i.value.parse().ok()).unwrap_or(0);
                 all.looks.push((guard.clone(), operation.start, now, session));
                 return;
@@ -212,7 +217,7 @@
             _ => return,
         }
         operation.end = match (&operation.call, told) {
-            (Call::Read(keys), ClientTold::Answer(Answer::Values { items, .. })) => {
+            (Call::Read(keys), ClientTold::Answered(Answer::Values { items, .. })) => {
                 let mut values = Vec::new();
                 for key in keys {
                     let item = items.iter().find(|(k, _)| k == key).map(|(_, i)| i);
@@ -220,21 +225,24 @@
                     values.push(seen.0.clone());
                     self.seen.insert(key.clone(), seen);
                 }
-                Some((now, Told::Values(values)))
+                Some((now, ResponseValue::Values(values)))
             }
-            (Call::Write { then, .. }, ClientTold::Answer(Answer::Outcome(Outcome::Written(revision)))) => {
+            (
+                Call::Write { then, .. },
+                ClientTold::Answered(Answer::Outcome(Outcome::Committed(revision))),
+            ) => {
                 for (key, value) in then {
                     self.seen.insert(key.clone(), (value.clone(), *revision_of(value, &revision)));
                 }
-                Some((now, Told::Done))
+                Some((now, ResponseValue::Done))
             }
-            (Call::Write { .. }, ClientTold::Answer(Answer::Outcome(Outcome::Differs { .. }))) => {
-                Some((now, Told::Differs))
+            (Call::Write { .. }, ClientTold::Answered(Answer::Outcome(Outcome::CompareFailed { .. }))) => {
+                Some((now, ResponseValue::Differs))
             }
             // Not done, and known to be: it is no part of the history.
-            (_, ClientTold::NotDone(_)) => return,
-            (_, ClientTold::Answer(_)) => return,
-            (_, ClientTold::Unclear(_)) => None,
+            (_, ClientTold::NotExecuted(_)) => return,
+            (_, ClientTold::Answered(_)) => return,
+            (_, ClientTold::Indeterminate(_)) => None,
         };
         match operation.end {
             Some(_) => all.known += 1,
--- a/crates/verification/coordination-simulation/src/world.rs
+++ b/crates/verification/coordination-simulation/src/world.rs
@@ -2,10 +2,12 @@
 use crate::disk::Disk;
 use crate::plan::{Fault, Plan, Trouble, Variant, END, HEALED, LAST_CALL};
 use crate::workload::{judge, Histories, Worker};
-use coordination::bounds::Bounds;
-use coordination::client::{self, Ask, Client, News, Told};
-use coordination::voter::{self, Action, Event, Faulty, Identity, Kept, Note, Voter};
-use coordination::wire::{Answer, Call, Member, Reply, Request};
+use coordination::client::{self, Client, ClientRequest, RequestOutcome, SessionEvent};
+use coordination::limits::Limits;
+use coordination::protocol::{Answer, Call, Member, Reply, Request};
+use coordination::voter::{
+    self, Action, Event, Identity, InjectedDefects, PersistedState, Voter, VoterEvent,
+};
 use fleet_simulation::agenda::{ms, Agenda, Nanos};
 use hashing::Digest;
 use protobuf::Message as _;
@@ -170,7 +172,7 @@
         let member =
             Member { id: first.id, name: first.name.clone(), addr: first.name.clone(), ..Member::default() };
         // All in one time: a small bound on remembered ends shows what that costs.
-        world.machines[0].disk = Disk::with(voter::form(7, &member, Bounds::default()));
+        world.machines[0].disk = Disk::with(voter::bootstrap(7, &member, Limits::default()));
         world.start(0);
         // The operator first, who has no session.
         world.person(None);
@@ -211,8 +213,8 @@
 
     fn person(&mut self, worker: Option<usize>) {
         let ttl = Duration::from_millis(self.random.gen_range(1200..3000));
-        let session = worker.map(|c| client::SessionSettings { name: format!("c{c}"), ttl, take_over: true });
-        let settings = client::Settings {
+        let session = worker.map(|c| client::SessionConfig { name: format!("c{c}"), ttl, take_over: true });
+        let settings = client::ClientConfig {
             voters: self.names(),
             session,
             patience: Duration::from_millis(self.random.gen_range(500..3000)),
@@ -254,7 +256,7 @@
     // Voters.
 
     fn start(&mut self, v: usize) {
-        let faulty = Faulty {
+        let faulty = InjectedDefects {
             stale_reads: self.variant == Variant::StaleRead,
             stale_renewals: self.variant == Variant::StaleRenewal,
             forgetful_snapshots: self.variant == Variant::ForgetfulSnapshot,
@@ -274,7 +276,8 @@
         if machine.gone || machine.voter.is_some() || machine.disk.frames().is_empty() {
             return;
         }
-        let made = Kept::read(machine.disk.frames()).and_then(|kept| Voter::new(now, settings, kept));
+        let made =
+            PersistedState::read(machine.disk.frames()).and_then(|kept| Voter::new(now, settings, kept));
         machine.life += 1;
         let life = machine.life;
         match made {
@@ -337,7 +340,7 @@
                     self.agenda.after(ms(0.05), Due::Start(v));
                 }
             }
-            Action::Save(save) => {
+            Action::Persist(save) => {
                 let now = self.agenda.now();
                 let machine = &mut self.machines[v];
                 if save.replace {
@@ -372,8 +375,8 @@
                 }
             }
             Action::Reply { client, reply } => self.sends_client(client, Some(reply)),
-            Action::Note(note) => {
-                if let Note::Removed = note {
+            Action::Report(note) => {
+                if let VoterEvent::Removed = note {
                     self.machines[v].gone = true;
                 }
                 self.digest.number(v as u64);
@@ -388,15 +391,15 @@
         }
         if odd && self.variant == Variant::AcknowledgedBeforeSync && !machine.disk.full {
             // It says so; the disk has it later.
-            return self.tell(v, Event::Saved(number));
+            return self.tell(v, Event::Persisted(number));
         }
         if odd {
             machine.disk.give_up();
             let why = "no space left".into();
-            return self.tell(v, Event::NotSaved { number, why, intact: false });
+            return self.tell(v, Event::PersistFailed { number, why, intact: false });
         }
         machine.disk.done(number);
-        self.tell(v, Event::Saved(number));
+        self.tell(v, Event::Persisted(number));
     }
 
     fn leader(&self) -> Option<usize> {
@@ -483,11 +486,13 @@
                     self.sends_voter(conn, Some(call));
                 }
             }
-            client::Action::Tell { ticket, told } => self.told(c, ticket, told),
-            client::Action::Session(news) => {
+            client::Action::Complete { ticket, told } => self.told(c, ticket, told),
+            client::Action::SessionChanged(news) => {
                 let person = &mut self.people[c];
                 let until = person.until.take().unwrap_or(now).min(now);
-                if let (Some(worker), false) = (&mut person.worker, matches!(news, News::Held(_))) {
+                if let (Some(worker), false) =
+                    (&mut person.worker, matches!(news, SessionEvent::Established(_)))
+                {
                     worker.lets_go(until, &mut self.all);
                 }
             }
@@ -500,7 +505,7 @@
         }
     }
 
-    fn told(&mut self, c: usize, ticket: u64, told: Told) {
+    fn told(&mut self, c: usize, ticket: u64, told: RequestOutcome) {
         let now = self.agenda.now();
         if c == 0 {
             return self.operator_told(ticket, told);
@@ -535,7 +540,7 @@
                 person.tickets += 1;
                 let ticket = person.tickets;
                 person.ticket = Some(ticket);
-                self.tell_client(c, client::Event::Ask { ticket, ask, within });
+                self.tell_client(c, client::Event::Submit { ticket, ask, within });
             }
             None => self.agenda.after(ms(50.0), Due::Work(c)),
         }
@@ -551,14 +556,14 @@
         }
         let request =
             Request::Join { name: machine.name.clone(), addr: machine.name.clone(), voter: machine.id };
-        let ask = Ask::Call(request);
+        let ask = ClientRequest::Call(request);
         let ticket = 1_000 + v as u64;
-        self.tell_client(0, client::Event::Ask { ticket, ask, within: Duration::from_secs(3) });
+        self.tell_client(0, client::Event::Submit { ticket, ask, within: Duration::from_secs(3) });
     }
 
-    fn operator_told(&mut self, ticket: u64, told: Told) {
+    fn operator_told(&mut self, ticket: u64, told: RequestOutcome) {
         match (ticket, told) {
-            (t, Told::Answer(Answer::Joined { cluster })) if t >= 1_000 => {
+            (t, RequestOutcome::Answered(Answer::Joined { cluster })) if t >= 1_000 => {
                 let v = (t - 1_000) as usize;
                 let machine = &mut self.machines[v];
                 let own = Identity { cluster: Some(cluster), voter: machine.id, name: machine.name.clone() };
@@ -566,7 +571,7 @@
                 self.start(v);
             }
             (t, _) if t >= 1_000 => self.agenda.after(ms(150.0), Due::Join((t - 1_000) as usize)),
-            (t, Told::Answer(Answer::Done)) => {
+            (t, RequestOutcome::Answered(Answer::Done)) => {
                 let Some(&old) = self.replacing.get(&(t as usize)) else { return };
                 self.machines[old].gone = true;
                 let new = self.machine(old);
@@ -583,9 +588,9 @@
         if self.agenda.now() > LAST_CALL {
             return;
         }
-        let ask = Ask::Call(Request::Remove { name: self.machines[v].name.clone() });
+        let ask = ClientRequest::Call(Request::RemoveMember { name: self.machines[v].name.clone() });
         let ticket = trouble as u64;
-        self.tell_client(0, client::Event::Ask { ticket, ask, within: Duration::from_secs(3) });
+        self.tell_client(0, client::Event::Submit { ticket, ask, within: Duration::from_secs(3) });
     }
 
     // Troubles.
@@ -802,7 +807,7 @@
             Due::Wake(c, at) => {
                 // Only the last one that was wanted counts.
                 if self.people[c].client.wake().is_some_and(|wake| wake <= at) || at.is_zero() {
-                    self.tell_client(c, client::Event::Time);
+                    self.tell_client(c, client::Event::Timeout);
                 }
             }
             Due::Work(c) => self.works(c),
@@ -819,7 +824,7 @@
         self.agenda.after(ms(500.0), Due::DiskTry(v, life));
         let machine = &self.machines[v];
         if machine.voter.as_ref().is_some_and(Voter::waits_for_room) && !machine.disk.full {
-            if let Ok(kept) = Kept::read(machine.disk.frames()) {
+            if let Ok(kept) = PersistedState::read(machine.disk.frames()) {
                 self.tell(v, Event::Recovered(kept));
             }
         }
@@ -859,7 +864,7 @@
             Some(call) => self.tell(voter, Event::Call { client: conn, call }),
             None => {
                 self.conns.remove(&conn);
-                self.tell(voter, Event::Gone(conn));
+                self.tell(voter, Event::ClientDisconnected(conn));
             }
         }
     }
--- a/crates/verification/disruption-simulation/src/judge.rs
+++ b/crates/verification/disruption-simulation/src/judge.rs
@@ -1,6 +1,6 @@
 //! What must hold, judged by what really serves and not by the record's books.
-use disruption::budget::{Budgets, Label};
-use disruption::Kind;
+use disruption::budget::{DisruptionBudgets, Label};
+use disruption::ResourceKind;
 use fleet_simulation::agenda::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 /// took out less than `unheard` ago nobody can know of yet.
 pub fn given(
     now: Nanos,
-    budgets: &Budgets,
+    budgets: &DisruptionBudgets,
     units: &BTreeMap<String, Truth>,
     leaves: &BTreeSet<String>,
     new: &BTreeSet<String>,
@@ -32,7 +32,7 @@
     for budget in &budgets.all {
         let mut groups: BTreeMap<&str, (u32, Vec<&String>, bool)> = BTreeMap::new();
         for (name, truth) in units {
-            for group in budget.groups(Kind::Balancer, &truth.labels) {
+            for group in budget.groups(ResourceKind::Balancer, &truth.labels) {
                 let (size, out, adds) = groups.entry(group).or_default();
                 *size += 1;
                 if taken.contains(name) || new.contains(name) {
--- a/crates/verification/disruption-simulation/src/plan.rs
+++ b/crates/verification/disruption-simulation/src/plan.rs
@@ -1,9 +1,9 @@
 //! A run: drawn from one seed.
-use disruption::{Budget, Budgets, Kind, Of};
+use disruption::{DisruptionBudget, DisruptionBudgets, GroupBy, ResourceKind};
 use fleet_simulation::agenda::{ms, Nanos};
 use fleet_simulation::draw::Draws;
-use rollout::Order;
-use supervisor::Roll;
+use rollout::OperatorCommand;
+use supervisor::RollingAction;
 
 /// Troubles begin before this.
 pub const TROUBLES: f64 = 60_000.0;
@@ -105,9 +105,9 @@
     /// Instances that a roll takes at once on a machine.
     pub at_once: usize,
     /// What may be out.
-    pub budgets: Budgets,
+    pub budgets: DisruptionBudgets,
     /// Rolls: when, of which machine, what.
-    pub rolls: Vec<(Nanos, usize, Roll)>,
+    pub rolls: Vec<(Nanos, usize, RollingAction)>,
     /// Troubles.
     pub troubles: Vec<Trouble>,
     /// A release, in place of rolls.
@@ -137,7 +137,7 @@
     /// Whether it goes back by itself.
     pub returns: bool,
     /// What the operator says of it, and when.
-    pub orders: Vec<(Nanos, Order)>,
+    pub orders: Vec<(Nanos, OperatorCommand)>,
 }
 
 impl Release {
@@ -152,9 +152,9 @@
         for _ in 0..d.below(4) {
             let said = || "drawn".to_string();
             let order = match d.below(4) {
-                0 => Order::Back(said()),
-                1 => Order::Resume,
-                _ => Order::Halt(said()),
+                0 => OperatorCommand::RollBack(said()),
+                1 => OperatorCommand::Resume,
+                _ => OperatorCommand::Pause(said()),
             };
             orders.push((ms(d.between((6_000.0, TROUBLES))), order));
         }
@@ -163,8 +163,16 @@
     }
 }
 
-fn budget(name: &str, per: Of, most: Option<u32>, per_mille: Option<u32>) -> Budget {
-    Budget { name: name.into(), kind: Kind::Balancer, per, only: None, most, per_mille, floor: 0 }
+fn budget(name: &str, per: GroupBy, most: Option<u32>, per_mille: Option<u32>) -> DisruptionBudget {
+    DisruptionBudget {
+        name: name.into(),
+        kind: ResourceKind::Balancer,
+        per,
+        only: None,
+        most,
+        per_mille,
+        floor: 0,
+    }
 }
 
 impl Plan {
@@ -183,14 +191,14 @@
         let (machines, each) = if full { (20, 15) } else { (2 + d.below(5), 2 + d.below(3)) };
         let whole = (machines * each) as u32;
         let all = match d.below(3) {
-            0 => vec![budget("whole", Of::Fleet, Some(1 + d.below(3) as u32), None)],
+            0 => vec![budget("whole", GroupBy::Fleet, Some(1 + d.below(3) as u32), None)],
             1 => vec![
-                budget("whole", Of::Fleet, Some((whole / 10).max(1)), None),
-                budget("machine", Of::Machine, Some(1), None),
+                budget("whole", GroupBy::Fleet, Some((whole / 10).max(1)), None),
+                budget("machine", GroupBy::Machine, Some(1), None),
             ],
             _ => vec![
-                budget("whole", Of::Fleet, None, Some(1000 / whole.max(1) + 100)),
-                budget("zone", Of::Zone, Some((whole / 12).max(1)), None),
+                budget("whole", GroupBy::Fleet, None, Some(1000 / whole.max(1) + 100)),
+                budget("zone", GroupBy::Zone, Some((whole / 12).max(1)), None),
             ],
         };
         let mut rolls = Vec::new();
@@ -199,7 +207,7 @@
         let release = if full { None } else { Release::draw(seed) };
         for machine in 0..machines {
             let at = if together { 5_000.0 } else { d.between((5_000.0, 20_000.0)) };
-            let roll = [Roll::Restart, Roll::TakeOver, Roll::Reload][d.below(3)];
+            let roll = [RollingAction::Restart, RollingAction::Handoff, RollingAction::Reload][d.below(3)];
             rolls.push((ms(at), machine, roll));
         }
         let count = 1 + d.below(if full { 24 } else { 8 });
@@ -225,7 +233,7 @@
         if release.is_some() {
             rolls.clear();
         }
-        let (at_once, budgets) = (1 + d.below(2), Budgets { all });
+        let (at_once, budgets) = (1 + d.below(2), DisruptionBudgets { all });
         Plan { seed, machines, each, at_once, budgets, rolls, troubles, release }
     }
 }
