--- a/crates/verification/disruption-simulation/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -3,18 +3,23 @@
 
 use crate::judge::{self, Truth};
 use crate::plan::{Kindred, Plan, Quality, Variant, AWAY, TROUBLES};
-use coordination::bounds::Bounds;
-use coordination::record::{Change, Command, Outcome, Record, SessionId, Write};
-use coordination::DRIFT;
-use disruption::agent::{Agent, Given, Step};
-use disruption::board::{said_key, BUDGETS, UNDER};
-use disruption::{Act, Board, Id, Plan as Writes, Said, State, Unit};
+use coordination::limits::Limits;
+use coordination::state_machine::{Command, Op, Outcome, SessionId, StateMachine, Transaction};
+use coordination::CLOCK_DRIFT_FRACTION;
+use disruption::lease_agent::{GrantedLease, LeaseAgent, Step};
+use disruption::snapshot::{status_key, BUDGETS, KEY_PREFIX};
+use disruption::{
+    BalancerEntry, ConditionalWrite as Writes, DisruptionKind, FleetSnapshot, InstanceState, InstanceStatus,
+    ResourceId,
+};
 use fleet_simulation::agenda::{ms, Agenda, Nanos};
 use fleet_simulation::draw::Draws;
-use rollout::Build;
+use rollout::BuildId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use supervisor::{Action, Event, Figures, Fleet, Process, Roll, Signal, State as Stands};
+use supervisor::{
+    Action, Event, InstanceState as Stands, ProcessId, RollingAction, Signal, Supervisor, SupervisorPolicy,
+};
 
 /// Sessions' time to live.
 const TTL: Nanos = 5_000_000_000;
@@ -80,17 +85,17 @@
     Renew(Holder),
     Renewed(Holder, Nanos),
     Expire(SessionId, Nanos),
-    Proc(usize, usize, Process, Course),
+    Proc(usize, usize, ProcessId, Course),
     Told(usize, u64, Event),
     /// Leave that the agent tells its supervisor of.
-    Given(usize, u64, Given),
-    Roll(usize, Roll),
+    Given(usize, u64, GrantedLease),
+    Roll(usize, RollingAction),
     /// A supervisor looks after releases.
     Release(usize, u64),
     /// What it writes for them.
     Says(usize, u64, Writes, releases::Said),
     /// The record was read after leave had been given; `None`: it could not be.
-    Confirmed(usize, u64, Given, Option<Box<rollout::board::Board>>),
+    Confirmed(usize, u64, GrantedLease, Option<Box<rollout::snapshot::RolloutSnapshot>>),
     /// A machine's balancers say what they did.
     Samples(usize),
     /// The operator begins a release.
@@ -105,7 +110,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Holder {
     Supervisor(usize, u64),
-    Balancer(usize, usize, Process),
+    Balancer(usize, usize, ProcessId),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -118,7 +123,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum ProcessPhase {
     Starting,
     Ready,
     /// Told to end.
@@ -128,13 +133,13 @@
 }
 
 struct Proc {
-    stage: Stage,
+    stage: ProcessPhase,
     session: Option<SessionId>,
-    said: Option<(SessionId, State)>,
+    said: Option<(SessionId, InstanceState)>,
     /// What it was started from.
-    build: Build,
+    build: BuildId,
     /// When it is started by a supervisor that has gone, the next one has another number for it.
-    known_as: Process,
+    known_as: ProcessId,
 }
 
 #[derive(Default)]
@@ -146,9 +151,9 @@
 
 struct Sup {
     inc: u64,
-    agent: Agent,
-    fleet: Fleet,
-    board: Board,
+    agent: LeaseAgent,
+    fleet: Supervisor,
+    board: FleetSnapshot,
     session: Option<(SessionId, Nanos)>,
     busy: bool,
     looks: bool,
@@ -157,7 +162,7 @@
     rolling: bool,
     releases: releases::Part,
     /// The processes that it knows, by the number that it gives them, with their own.
-    procs: BTreeMap<Process, (usize, u64)>,
+    procs: BTreeMap<ProcessId, (usize, u64)>,
 }
 
 #[derive(Default)]
@@ -165,7 +170,7 @@
     sup: Option<Sup>,
     balancers: Vec<Balancer>,
     /// What each balancer's next process is started from; outlives its supervisor.
-    kept: Vec<Build>,
+    kept: Vec<BuildId>,
     down: u32,
     cut: u32,
     cut_whole: u32,
@@ -179,7 +184,7 @@
     plan: Plan,
     variant: Variant,
     draws: Draws,
-    record: Record,
+    record: StateMachine,
     /// When each session was renewed last, by the record's clock.
     renewed: BTreeMap<SessionId, Nanos>,
     council_away: u32,
@@ -199,7 +204,7 @@
     let mut machines = Vec::new();
     for _ in 0..plan.machines {
         let balancers = (0..plan.each).map(|_| Balancer::default()).collect();
-        let kept = vec![Build("old".into()); plan.each];
+        let kept = vec![BuildId("old".into()); plan.each];
         machines.push(Machine { balancers, kept, ..Machine::default() });
     }
     let mut world = World {
@@ -207,7 +212,7 @@
         plan: plan.clone(),
         variant,
         draws: Draws::new(plan.seed, "world", 0),
-        record: Record::new(Bounds::default()),
+        record: StateMachine::new(Limits::default()),
         renewed: BTreeMap::new(),
         council_away: 0,
         machines,
@@ -235,8 +240,13 @@
         let budgets = serde_json::to_string(&self.plan.budgets).unwrap_or_default();
         let session = self.open("operator");
         self.operator = session;
-        let put = Change::Put { key: BUDGETS.into(), value: budgets, bound: false };
-        self.record.apply(&Command::Write(Write { session, number: 1, when: vec![], then: vec![put] }));
+        let put = Op::Put { key: BUDGETS.into(), value: budgets, bound: false };
+        self.record.apply(&Command::Transaction(Transaction {
+            session,
+            number: 1,
+            when: vec![],
+            then: vec![put],
+        }));
         for m in 0..self.plan.machines {
             let at = self.draws.between((0.0, 500.0));
             self.agenda.at(ms(at), What::Start(m));
@@ -306,18 +316,22 @@
         }
     }
 
-    fn board(&self) -> Board {
-        let items: Vec<(String, coordination::record::Item)> =
-            self.record.under(UNDER).map(|(key, item)| (key.to_string(), item.clone())).collect();
-        Board::read(self.record.revision(), &items)
+    fn board(&self) -> FleetSnapshot {
+        let items: Vec<(String, coordination::state_machine::VersionedValue)> =
+            self.record.under(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
+        FleetSnapshot::read(self.record.revision(), &items)
     }
 
     fn open(&mut self, name: &str) -> SessionId {
         self.nonces += 1;
-        let open =
-            Command::Open { name: name.into(), nonce: self.nonces, ttl_ms: TTL / 1_000_000, take_over: true };
+        let open = Command::OpenSession {
+            name: name.into(),
+            nonce: self.nonces,
+            ttl_ms: TTL / 1_000_000,
+            take_over: true,
+        };
         match self.record.apply(&open) {
-            Outcome::Opened(id) => id,
+            Outcome::SessionOpened(id) => id,
             _ => 0,
         }
     }
@@ -378,7 +392,7 @@
                 if sup.wakes.is_none_or(|at| now >= at) {
                     sup.wakes = None;
                 }
-                self.feed(m, Event::Time);
+                self.feed(m, Event::Timeout);
             }
             What::Look(m, inc) => {
                 if !self.reaches(Holder::Supervisor(m, inc)) {
@@ -402,7 +416,7 @@
             What::Expire(session, renewed) => {
                 if self.renewed.get(&session) == Some(&renewed) {
                     self.renewed.remove(&session);
-                    self.record.apply(&Command::Expire { session });
+                    self.record.apply(&Command::ExpireSession { session });
                     self.changed();
                 }
             }
@@ -429,10 +443,10 @@
         }
     }
 
-    fn catch_up(&self, board: &mut Board) {
+    fn catch_up(&self, board: &mut FleetSnapshot) {
         match self.record.since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
-                for c in changes.filter(|c| c.key.starts_with(UNDER)) {
+                for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
                     board.put(&c.key, c.value.as_deref(), c.revision);
                 }
                 board.revision = board.revision.max(self.record.revision());
@@ -460,20 +474,20 @@
         }
         self.incs += 1;
         let inc = self.incs;
-        let figures = Figures {
+        let figures = SupervisorPolicy {
             spread: Duration::from_millis(20),
             stop_within: Duration::from_secs(5),
             ready_within: Duration::from_secs(20),
             at_once: self.plan.at_once,
             crashes: 100,
             asks: true,
-            ..Figures::default()
+            ..SupervisorPolicy::default()
         };
         let mut sup = Sup {
             inc,
-            agent: Agent::new(&format!("m{m}"), self.plan.seed ^ inc),
-            fleet: Fleet::new(self.plan.each, figures),
-            board: Board::default(),
+            agent: LeaseAgent::new(&format!("m{m}"), self.plan.seed ^ inc),
+            fleet: Supervisor::new(self.plan.each, figures),
+            board: FleetSnapshot::default(),
             session: None,
             busy: false,
             looks: true,
@@ -485,12 +499,12 @@
         let now = span(self.agenda.now());
         for (k, balancer) in self.machines[m].balancers.iter_mut().enumerate() {
             // The one that has the sockets is found by the pid file.
-            let has = |p: &Proc| matches!(p.stage, Stage::Ready | Stage::Leaving);
+            let has = |p: &Proc| matches!(p.stage, ProcessPhase::Ready | ProcessPhase::Leaving);
             let own =
                 balancer.procs.iter().find(|(_, p)| has(p)).or(balancer.procs.iter().next()).map(|(&o, _)| o);
             let found = own.and_then(|own| Some((own, balancer.procs.get_mut(&own)?)));
             if let Some((own, proc)) = found {
-                let process = sup.fleet.adopt(now, k, proc.stage == Stage::Ready);
+                let process = sup.fleet.adopt(now, k, proc.stage == ProcessPhase::Ready);
                 proc.known_as = process;
                 sup.procs.insert(process, (k, own));
             }
@@ -503,7 +517,7 @@
         if self.plan.release.is_some() {
             self.agenda.after(delay, What::Release(m, inc));
         }
-        self.feed(m, Event::Time);
+        self.feed(m, Event::Timeout);
     }
 
     fn declare(&mut self, m: usize) {
@@ -511,7 +525,7 @@
         let Some(sup) = &mut self.machines[m].sup else { return };
         let down =
             |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
-        let unit = |k: usize| Unit {
+        let unit = |k: usize| BalancerEntry {
             machine: format!("m{m}"),
             zone: zone(m).into(),
             tier: "front".into(),
@@ -524,7 +538,7 @@
     /// Tells the supervisor's machine and does what it wants.
     fn feed(&mut self, m: usize, event: Event) {
         let now = self.agenda.now();
-        let given = matches!(event, Event::Leave(_) | Event::Command(supervisor::Command::Replace(_)));
+        let given = matches!(event, Event::LeaseGranted(_) | Event::Command(supervisor::Command::Replace(_)));
         let mut actions = Vec::new();
         let Some(sup) = &mut self.machines[m].sup else { return };
         sup.fleet.handle(span(now), event, &mut actions);
@@ -559,36 +573,37 @@
         match action {
             Action::Start { instance, process } => self.begin(m, instance, process),
             Action::Signal(process, signal) => self.signal(m, process, signal, by_leave),
-            Action::Ask { instance, roll } => {
+            Action::RequestLease { instance, roll } => {
                 let act = match roll {
-                    Roll::Restart => Act::Restart,
-                    Roll::TakeOver => Act::TakeOver,
-                    Roll::Reload => Act::Reload,
+                    RollingAction::Restart => DisruptionKind::Restart,
+                    RollingAction::Handoff => DisruptionKind::Handoff,
+                    RollingAction::Reload => DisruptionKind::Reload,
                 };
                 if let Some(sup) = &mut self.machines[m].sup {
                     sup.agent.ask(&name(m, instance), act, "", None);
                 }
             }
-            Action::GiveBack { instance, acted } => {
+            Action::ReleaseLease { instance, acted } => {
                 if let Some(sup) = &mut self.machines[m].sup {
                     sup.agent.give_back(&name(m, instance), acted);
                 }
             }
-            Action::Rolled(_) => {
+            Action::RollFinished(_) => {
                 self.report.rolled += 1;
                 self.report.took = self.agenda.now();
             }
-            Action::Halted { .. } => self.report.halted += 1,
-            Action::Refused(_) | Action::GivenUp { .. } | Action::Stopped => {}
+            Action::RollAborted { .. } => self.report.halted += 1,
+            Action::Rejected(_) | Action::CrashLoop { .. } | Action::Stopped => {}
         }
     }
 
-    fn begin(&mut self, m: usize, k: usize, process: Process) {
+    fn begin(&mut self, m: usize, k: usize, process: ProcessId) {
         self.procs += 1;
         let own = self.procs;
         let build = self.machines[m].kept[k].clone();
         let bad = self.of_new(&build);
-        let proc = Proc { stage: Stage::Starting, session: None, said: None, build, known_as: process };
+        let proc =
+            Proc { stage: ProcessPhase::Starting, session: None, said: None, build, known_as: process };
         self.machines[m].balancers[k].procs.insert(own, proc);
         if let Some(sup) = &mut self.machines[m].sup {
             sup.procs.insert(process, (k, own));
@@ -598,33 +613,33 @@
         match bad {
             Some(Quality::Never) => {}
             Some(Quality::Crashes) => {
-                self.agenda.after(ms(after), What::Proc(m, k, Process(own), Course::Crashes));
+                self.agenda.after(ms(after), What::Proc(m, k, ProcessId(own), Course::Crashes));
             }
-            _ => self.agenda.after(ms(after), What::Proc(m, k, Process(own), course)),
+            _ => self.agenda.after(ms(after), What::Proc(m, k, ProcessId(own), course)),
         }
         self.touched();
         self.reckon(m, k, false);
     }
 
-    fn signal(&mut self, m: usize, process: Process, signal: Signal, by_leave: bool) {
+    fn signal(&mut self, m: usize, process: ProcessId, signal: Signal, by_leave: bool) {
         let Some(&(k, own)) = self.machines[m].sup.as_ref().and_then(|s| s.procs.get(&process)) else {
             return;
         };
         let Some(proc) = self.machines[m].balancers[k].procs.get_mut(&own) else { return };
         match signal {
-            Signal::End => {
-                let serving = proc.stage == Stage::Ready;
-                proc.stage = Stage::Leaving;
+            Signal::Terminate => {
+                let serving = proc.stage == ProcessPhase::Ready;
+                proc.stage = ProcessPhase::Leaving;
                 if by_leave && serving {
                     self.acts(m, k);
                 }
                 self.reckon(m, k, by_leave);
                 let says = self.draws.between((0.5, 10.0));
-                self.agenda.after(ms(says), What::Proc(m, k, Process(own), Course::Says));
+                self.agenda.after(ms(says), What::Proc(m, k, ProcessId(own), Course::Says));
                 let ends = self.draws.between((150.0, 700.0));
-                self.agenda.after(ms(ends), What::Proc(m, k, Process(own), Course::Ended));
+                self.agenda.after(ms(ends), What::Proc(m, k, ProcessId(own), Course::Ended));
             }
-            Signal::Kill => self.agenda.after(0, What::Proc(m, k, Process(own), Course::Crashes)),
+            Signal::Kill => self.agenda.after(0, What::Proc(m, k, ProcessId(own), Course::Crashes)),
             Signal::Reload => {
                 let inc = self.machines[m].sup.as_ref().map_or(0, |s| s.inc);
                 let after = self.draws.between((5.0, 100.0));
@@ -636,7 +651,7 @@
     /// Something is done by leave: the record has to have it, for this owner and session, at this moment.
     fn acts(&mut self, m: usize, k: usize) {
         let board = self.board();
-        let unit = Id::balancer(name(m, k));
+        let unit = ResourceId::balancer(name(m, k));
         let session = self.machines[m].sup.as_ref().and_then(|s| s.session).map(|(id, _)| id);
         let leave = board.leaves.get(&unit).map(|l| &l.value);
         let good = leave.is_some_and(|l| l.owner == format!("m{m}") && Some(l.session) == session);
@@ -649,7 +664,7 @@
     fn reckon(&mut self, m: usize, k: usize, by_act: bool) {
         let now = self.agenda.now();
         let balancer = &mut self.machines[m].balancers[k];
-        let serves = balancer.procs.values().any(|p| p.stage == Stage::Ready);
+        let serves = balancer.procs.values().any(|p| p.stage == ProcessPhase::Ready);
         if let (true, Some(since), true) = (serves, balancer.out, balancer.by_act) {
             self.release.out += now - since;
         }
@@ -660,7 +675,7 @@
         }
     }
 
-    fn proc(&mut self, m: usize, k: usize, process: Process, course: Course) {
+    fn proc(&mut self, m: usize, k: usize, process: ProcessId, course: Course) {
         let own = process.0;
         if !self.machines[m].balancers[k].procs.contains_key(&own) {
             return;
@@ -674,8 +689,8 @@
                 let Some(proc) = self.machines[m].balancers[k].procs.remove(&own) else { return };
                 // By its own will it closes its session; else that ends by itself.
                 if let (true, Some(session)) = (clean, proc.session) {
-                    if self.reaches(Holder::Balancer(m, k, process)) && proc.stage == Stage::Leaving {
-                        self.record.apply(&Command::Close { session });
+                    if self.reaches(Holder::Balancer(m, k, process)) && proc.stage == ProcessPhase::Leaving {
+                        self.record.apply(&Command::CloseSession { session });
                         self.renewed.remove(&session);
                         self.changed();
                     }
@@ -683,7 +698,7 @@
                 self.reckon(m, k, false);
                 let how = "it ended".to_string();
                 if let Some(inc) = self.machines[m].sup.as_ref().map(|s| s.inc) {
-                    let ended = Event::Ended { process: proc.known_as, clean, how };
+                    let ended = Event::Exited { process: proc.known_as, clean, how };
                     self.agenda.after(ms(1.0), What::Told(m, inc, ended));
                 }
             }
@@ -693,25 +708,25 @@
     fn is_ready(&mut self, m: usize, k: usize, own: u64) {
         let balancer = &mut self.machines[m].balancers[k];
         let Some(proc) = balancer.procs.get_mut(&own) else { return };
-        if proc.stage != Stage::Starting {
+        if proc.stage != ProcessPhase::Starting {
             return;
         }
-        proc.stage = Stage::Ready;
+        proc.stage = ProcessPhase::Ready;
         let said = format!("{} process {own} is ready", name(m, k));
         let known = proc.known_as;
         // Those before it have passed their sockets on to it.
         let old: Vec<u64> = balancer
             .procs
             .iter()
-            .filter(|(&o, p)| o != own && p.stage == Stage::Ready)
+            .filter(|(&o, p)| o != own && p.stage == ProcessPhase::Ready)
             .map(|(&o, _)| o)
             .collect();
         for o in old {
             if let Some(p) = balancer.procs.get_mut(&o) {
-                p.stage = Stage::HandedOver;
+                p.stage = ProcessPhase::HandedOver;
             }
             let ends = self.draws.between((500.0, 3_000.0));
-            self.agenda.after(ms(ends), What::Proc(m, k, Process(o), Course::Ended));
+            self.agenda.after(ms(ends), What::Proc(m, k, ProcessId(o), Course::Ended));
         }
         self.note(|| said);
         self.reckon(m, k, false);
@@ -719,28 +734,28 @@
             self.agenda.after(ms(1.0), What::Told(m, inc, Event::Ready(known)));
         }
         let delay = self.delay();
-        self.agenda.after(delay, What::Renew(Holder::Balancer(m, k, Process(own))));
+        self.agenda.after(delay, What::Renew(Holder::Balancer(m, k, ProcessId(own))));
     }
 
     /// Says in the record how it stands, if it has a session and reaches the voters.
     fn says(&mut self, m: usize, k: usize, own: u64) {
-        if !self.reaches(Holder::Balancer(m, k, Process(own))) {
-            return self.agenda.after(ms(300.0), What::Proc(m, k, Process(own), Course::Says));
+        if !self.reaches(Holder::Balancer(m, k, ProcessId(own))) {
+            return self.agenda.after(ms(300.0), What::Proc(m, k, ProcessId(own), Course::Says));
         }
         let Some(proc) = self.machines[m].balancers[k].procs.get_mut(&own) else { return };
         let state = match proc.stage {
-            Stage::Starting | Stage::HandedOver => return,
-            Stage::Ready => State::Ready,
-            Stage::Leaving => State::Leaving,
+            ProcessPhase::Starting | ProcessPhase::HandedOver => return,
+            ProcessPhase::Ready => InstanceState::Ready,
+            ProcessPhase::Leaving => InstanceState::ShuttingDown,
         };
         let Some(session) = proc.session.filter(|&s| proc.said != Some((s, state))) else { return };
         let number = proc.said.map_or(1, |(of, _)| if of == session { 2 } else { 1 });
         proc.said = Some((session, state));
-        let said = Said { state, session, pid: 1, build: proc.build.0.clone() };
+        let said = InstanceStatus { state, session, pid: 1, build: proc.build.0.clone() };
         let value = serde_json::to_string(&said).unwrap_or_default();
-        let then = vec![Change::Put { key: said_key(&name(m, k)), value, bound: true }];
-        let write = Write { session, number, when: vec![], then };
-        self.record.apply(&Command::Write(write));
+        let then = vec![Op::Put { key: status_key(&name(m, k)), value, bound: true }];
+        let write = Transaction { session, number, when: vec![], then };
+        self.record.apply(&Command::Transaction(write));
         self.changed();
     }
 
@@ -775,7 +790,7 @@
             }
             Holder::Balancer(m, k, p) => {
                 let Some(proc) = self.machines[m].balancers[k].procs.get(&p.0) else { return };
-                if proc.stage == Stage::HandedOver {
+                if proc.stage == ProcessPhase::HandedOver {
                     return;
                 }
                 (proc.session, format!("balancer/{}", name(m, k)))
@@ -790,11 +805,11 @@
             }
         };
         self.renewed.insert(session, now);
-        self.agenda.at(now + TTL + TTL / u64::from(DRIFT), What::Expire(session, now));
+        self.agenda.at(now + TTL + TTL / u64::from(CLOCK_DRIFT_FRACTION), What::Expire(session, now));
         match holder {
             Holder::Supervisor(m, inc) => {
                 let Some(sup) = self.sup(m, inc) else { return };
-                sup.session = Some((session, sent + TTL - TTL / u64::from(DRIFT)));
+                sup.session = Some((session, sent + TTL - TTL / u64::from(CLOCK_DRIFT_FRACTION)));
                 self.agent(m);
             }
             Holder::Balancer(m, k, p) => {
@@ -869,16 +884,16 @@
         self.report.writes += 1;
         let Some(session) = self.sup(m, inc).and_then(|s| s.session).map(|(id, _)| id) else { return };
         let number = self.record.session(session).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
-        let leave = |change: &Change| {
-            let (Change::Put { key, .. } | Change::Delete(key)) = change;
+        let leave = |change: &Op| {
+            let (Op::Put { key, .. } | Op::Delete(key)) = change;
             key.strip_prefix("outage/leave/balancer/").map(str::to_string)
         };
         let before: BTreeSet<String> = self.board().leaves.keys().map(|id| id.name.clone()).collect();
         let new: BTreeSet<String> =
             plan.then.iter().filter_map(leave).filter(|n| !before.contains(n)).collect();
-        let write = Write { session, number, when: plan.when, then: plan.then };
+        let write = Transaction { session, number, when: plan.when, then: plan.then };
         let text = format!("m{m} writes {:?}", write.then);
-        if let Outcome::Written(_) = self.record.apply(&Command::Write(write)) {
+        if let Outcome::Committed(_) = self.record.apply(&Command::Transaction(write)) {
             self.note(|| text);
             if !new.is_empty() {
                 self.report.given += new.len() as u64;
@@ -891,14 +906,18 @@
     fn judge(&mut self, leaves: &BTreeSet<String>, new: &BTreeSet<String>) {
         let mut units = BTreeMap::new();
         for (m, machine) in self.machines.iter().enumerate() {
-            let unit =
-                Unit { machine: format!("m{m}"), zone: zone(m).into(), tier: "front".into(), down: false };
+            let unit = BalancerEntry {
+                machine: format!("m{m}"),
+                zone: zone(m).into(),
+                tier: "front".into(),
+                down: false,
+            };
             for (k, b) in machine.balancers.iter().enumerate() {
                 units.insert(name(m, k), Truth { labels: unit.labels(), out: b.out, by_act: b.by_act });
             }
         }
         // A session ends at the latest so long after its holder has; what was read before that is a moment old.
-        let unheard = TTL + TTL / u64::from(DRIFT) + ms(2_500.0);
+        let unheard = TTL + TTL / u64::from(CLOCK_DRIFT_FRACTION) + ms(2_500.0);
         let now = self.agenda.now();
         let wrong = judge::given(now, &self.plan.budgets, &units, leaves, new, unheard);
         self.report.wrong.extend(wrong.into_iter().map(|w| format!("at {} ms: {w}", now / 1_000_000)));
@@ -942,7 +961,7 @@
         }
     }
 
-    fn given(&mut self, m: usize, given: &Given) {
+    fn given(&mut self, m: usize, given: &GrantedLease) {
         let now = self.agenda.now();
         let Some(sup) = &self.machines[m].sup else { return };
         let held = sup.session.filter(|&(id, until)| now < until && id == given.session).is_some();
@@ -955,18 +974,18 @@
         }
         let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == given.unit) else { return };
         if !self.release_given(m, given) {
-            self.feed(m, Event::Leave(k));
+            self.feed(m, Event::LeaseGranted(k));
         }
         if self.variant == Variant::ReturnedUnseen {
-            let key = disruption::board::leave_key(&Id::balancer(name(m, k)));
+            let key = disruption::snapshot::lease_key(&ResourceId::balancer(name(m, k)));
             let session = self.open("faulty");
-            let write = Write { session, number: 1, when: vec![], then: vec![Change::Delete(key)] };
-            self.record.apply(&Command::Write(write));
+            let write = Transaction { session, number: 1, when: vec![], then: vec![Op::Delete(key)] };
+            self.record.apply(&Command::Transaction(write));
             self.changed();
         }
     }
 
-    fn roll(&mut self, m: usize, roll: Roll) {
+    fn roll(&mut self, m: usize, roll: RollingAction) {
         let Some(sup) = &self.machines[m].sup else {
             // Its operator comes back later.
             return self.agenda.after(ms(5_000.0), What::Roll(m, roll));
@@ -1006,7 +1025,7 @@
             Kindred::Crash(k) => {
                 let own: Vec<u64> = self.machines[m].balancers[k].procs.keys().copied().collect();
                 for own in own {
-                    self.proc(m, k, Process(own), Course::Crashes);
+                    self.proc(m, k, ProcessId(own), Course::Crashes);
                 }
             }
         }
--- a/crates/verification/disruption-simulation/src/world/releases.rs
+++ b/crates/verification/disruption-simulation/src/world/releases.rs
@@ -1,18 +1,21 @@
 //! Releases in a run: what supervisors do by `rollout::mover` and `rollout::board`, what balancers say of their work, and what
 //! operators say.
-use super::{ms, name, Act, Holder, Proc, Process, Stage, What, World};
+use super::{ms, name, DisruptionKind, Holder, Proc, ProcessId, ProcessPhase, What, World};
 use crate::plan::{Quality, Variant};
-use coordination::record::{Change, Command, Condition, Outcome, SessionId, Write};
-use disruption::agent::Given;
-use disruption::Plan as Writes;
+use coordination::state_machine::{Command, Compare, Op, Outcome, SessionId, Transaction};
+use disruption::lease_agent::GrantedLease;
+use disruption::ConditionalWrite as Writes;
 use fleet_simulation::agenda::Nanos;
-use rollout::board::{place_key, sample_key, Board, Paths, Place, Plan, Window, STATE, UNDER};
-use rollout::course::State;
-use rollout::mover::{Act as Move, Local, Mover};
-use rollout::{Build, Gate, Order, Release, Sample, Wave};
+use rollout::executor::{ExecutorAction as Move, LocalInstance, RolloutExecutor};
+use rollout::snapshot::{
+    metrics_key, report_key, BuildPaths, InstanceReport, MetricsWindow, RolloutPlan, RolloutSnapshot,
+    KEY_PREFIX, STATE_KEY,
+};
+use rollout::state_machine::RolloutState;
+use rollout::{BuildId, CanaryAnalysis, MetricsSample, OperatorCommand, RolloutSpec, Stage};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use supervisor::{Event, State as Stands};
+use supervisor::{Event, InstanceState as Stands};
 
 /// How often a supervisor looks after releases, and how long it leaves to others what they could write as well.
 const LOOK: f64 = 300.0;
@@ -32,17 +35,17 @@
 /// A supervisor's part.
 #[derive(Default)]
 pub struct Part {
-    mover: Mover,
-    board: Board,
+    mover: RolloutExecutor,
+    board: RolloutSnapshot,
     /// What it has written of its instances, under which session.
-    said: (SessionId, BTreeMap<String, Place>),
+    said: (SessionId, BTreeMap<String, InstanceReport>),
     busy: bool,
 }
 
 /// What a write is for.
 pub enum Said {
     /// What is written of instances then.
-    Places(SessionId, BTreeMap<String, Place>),
+    Places(SessionId, BTreeMap<String, InstanceReport>),
     /// The next state.
     State,
 }
@@ -70,7 +73,7 @@
     }
 
     /// What a build is like, if it is the new one.
-    pub(super) fn of_new(&self, build: &Build) -> Option<Quality> {
+    pub(super) fn of_new(&self, build: &BuildId) -> Option<Quality> {
         self.plan.release.as_ref().map(|r| r.quality).filter(|_| build.0 == "new")
     }
 
@@ -90,10 +93,10 @@
         self.agenda.at(last + ms(20_000.0), What::Order(usize::MAX));
     }
 
-    fn record_of_releases(&self) -> Board {
+    fn record_of_releases(&self) -> RolloutSnapshot {
         let items: Vec<_> =
-            self.record.under(UNDER).map(|(key, item)| (key.to_string(), item.clone())).collect();
-        Board::read(self.record.revision(), &items)
+            self.record.under(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
+        RolloutSnapshot::read(self.record.revision(), &items)
     }
 
     /// What is not as it should be at the end.
@@ -104,14 +107,14 @@
         let board = self.record_of_releases();
         let Some((_, state)) = board.current() else { return vec!["the release has not begun".into()] };
         let wanted = match &state.value {
-            State::Whole => "new",
-            State::Back { .. } => "old",
+            RolloutState::Complete => "new",
+            RolloutState::RolledBack { .. } => "old",
             other => return vec![format!("the release: {}", other.words())],
         };
         let mut all = Vec::new();
         for (m, machine) in self.machines.iter().enumerate() {
             for (k, b) in machine.balancers.iter().enumerate() {
-                let is = |p: &Proc| p.stage != Stage::Ready || p.build.0 == wanted;
+                let is = |p: &Proc| p.stage != ProcessPhase::Ready || p.build.0 == wanted;
                 if !b.procs.values().all(is) || machine.kept[k].0 != wanted {
                     let place = board.places.get(&name(m, k)).map(|p| &p.value);
                     let says = state.value.words();
@@ -125,8 +128,8 @@
     fn operator(&mut self, plan: Writes) -> bool {
         let number =
             self.record.session(self.operator).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
-        let write = Write { session: self.operator, number, when: plan.when, then: plan.then };
-        let written = matches!(self.record.apply(&Command::Write(write)), Outcome::Written(_));
+        let write = Transaction { session: self.operator, number, when: plan.when, then: plan.then };
+        let written = matches!(self.record.apply(&Command::Transaction(write)), Outcome::Committed(_));
         if written {
             self.changed();
         }
@@ -138,22 +141,22 @@
         if self.council_away > 0 {
             return self.agenda.after(ms(1_000.0), What::Begins);
         }
-        let waves = vec![Wave::Count(1), Wave::Share(0.1), Wave::Share(0.5)];
+        let waves = vec![Stage::Count(1), Stage::Share(0.1), Stage::Share(0.5)];
         let looks = u32::try_from((waves.len() as u64 + 1) * (CAP / GATE + 1)).unwrap_or(u32::MAX);
-        let release = Release {
+        let release = RolloutSpec {
             number: 1,
-            old: Build("old".into()),
-            new: Build("new".into()),
+            old: BuildId("old".into()),
+            new: BuildId("new".into()),
             waves,
             bake_ms: BAKE * self.slower(),
             look_ms: GATE * self.slower(),
             cap_ms: CAP * self.slower(),
-            gate: Gate { requests: 10, looks, ..Gate::default() },
+            gate: CanaryAnalysis { requests: 10, looks, ..CanaryAnalysis::default() },
             returns: release.returns,
             by: "operator".into(),
             why: String::new(),
         };
-        let plan = Plan { release, paths: Paths::default(), machines: BTreeMap::new() };
+        let plan = RolloutPlan { release, paths: BuildPaths::default(), machines: BTreeMap::new() };
         match self.record_of_releases().starts(&plan) {
             Ok(writes) => {
                 self.note(|| "the release begins".into());
@@ -179,9 +182,11 @@
                 // Until it is over.
                 self.agenda.after(ms(10_000.0), What::Order(k));
                 match &state.value {
-                    State::Halted { wave: Some(_), .. } if release.quality == Quality::Good => Order::Resume,
-                    State::Halted { wave: None, .. } => Order::Resume,
-                    State::Halted { .. } => Order::Back("it is bad".into()),
+                    RolloutState::Paused { wave: Some(_), .. } if release.quality == Quality::Good => {
+                        OperatorCommand::Resume
+                    }
+                    RolloutState::Paused { wave: None, .. } => OperatorCommand::Resume,
+                    RolloutState::Paused { .. } => OperatorCommand::RollBack("it is bad".into()),
                     _ => return,
                 }
             }
@@ -199,22 +204,22 @@
     /// What a machine's balancers did since the state last changed.
     pub(super) fn samples(&mut self, m: usize) {
         self.agenda.after(ms(SAYS * self.slower() as f64), What::Samples(m));
-        let state = self.record.under(STATE).next().map(|(_, item)| (item.version, item.value.clone()));
+        let state = self.record.under(STATE_KEY).next().map(|(_, item)| (item.version, item.value.clone()));
         let Some((since, text)) = state else { return };
-        if !matches!(serde_json::from_str(&text), Ok(State::Going { .. })) {
+        if !matches!(serde_json::from_str(&text), Ok(RolloutState::InStage { .. })) {
             return;
         }
         // Counted from when the state last changed.
         let span = self.agenda.now() - self.release.changed.unwrap_or(0);
         for k in 0..self.plan.each {
             let procs = &self.machines[m].balancers[k].procs;
-            let ready = procs.iter().find(|(_, p)| p.stage == Stage::Ready);
+            let ready = procs.iter().find(|(_, p)| p.stage == ProcessPhase::Ready);
             let Some((&own, session, build)) =
                 ready.and_then(|(own, p)| Some((own, p.session?, p.build.clone())))
             else {
                 continue;
             };
-            if !self.reaches(Holder::Balancer(m, k, Process(own))) {
+            if !self.reaches(Holder::Balancer(m, k, ProcessId(own))) {
                 continue;
             }
             // Some fail more than others for a while.
@@ -224,24 +229,24 @@
             let asked = (RATE * span as f64 / 1e9) as u64 + self.draws.below(4) as u64;
             let served = (0..asked).filter(|_| !self.draws.chance(fails)).count() as u64;
             let (late, memory) = (self.draws.below(2) as u64, 5.0 + self.draws.between((0.0, 0.5)));
-            let sample = Sample { asked, served, late: late.min(served), memory };
-            let value = serde_json::to_string(&Window { since, sample }).unwrap_or_default();
-            let put = Change::Put { key: sample_key(&name(m, k)), value, bound: true };
+            let sample = MetricsSample { asked, served, late: late.min(served), memory };
+            let value = serde_json::to_string(&MetricsWindow { since, sample }).unwrap_or_default();
+            let put = Op::Put { key: metrics_key(&name(m, k)), value, bound: true };
             let number = self.record.session(session).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
-            let when = vec![Condition::Alive(session)];
-            self.record.apply(&Command::Write(Write { session, number, when, then: vec![put] }));
+            let when = vec![Compare::SessionAlive(session)];
+            self.record.apply(&Command::Transaction(Transaction { session, number, when, then: vec![put] }));
         }
     }
 
-    fn locals(&self, m: usize) -> Vec<Local> {
+    fn locals(&self, m: usize) -> Vec<LocalInstance> {
         let machine = &self.machines[m];
         let Some(sup) = &machine.sup else { return Vec::new() };
         let now = super::span(self.agenda.now());
-        let one = |(k, i): (usize, &supervisor::Instance)| Local {
+        let one = |(k, i): (usize, &supervisor::Instance)| LocalInstance {
             unit: name(m, k),
             build: machine.kept[k].clone(),
             ready: i.state == Stands::Ready && i.successor.is_none(),
-            given_up: matches!(i.state, Stands::GivenUp(_)).then(|| "given up".to_string()),
+            given_up: matches!(i.state, Stands::CrashLoop(_)).then(|| "given up".to_string()),
             slow: i.slow(),
             crashes: i.crashes(now, WINDOW),
         };
@@ -264,7 +269,7 @@
         let mut board = std::mem::take(&mut sup.releases.board);
         match self.record.since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
-                for c in changes.filter(|c| c.key.starts_with(UNDER)) {
+                for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
                     board.put(&c.key, c.value.as_deref(), c.revision);
                 }
                 board.revision = board.revision.max(self.record.revision());
@@ -278,17 +283,17 @@
         let Some((session, _)) = sup.session.filter(|&(_, until)| now < until) else { return };
         let part = &mut sup.releases;
         let (machine, none) = (format!("m{m}"), BTreeMap::new());
-        let places = Mover::places(&all, &part.board, &none);
+        let places = RolloutExecutor::places(&all, &part.board, &none);
         if part.said.0 != session {
             part.said = (session, BTreeMap::new());
         }
         let writes = if places != part.said.1 && !places.is_empty() && !part.busy {
-            let put = |(unit, place): (&String, &Place)| {
+            let put = |(unit, place): (&String, &InstanceReport)| {
                 let value = serde_json::to_string(place).unwrap_or_default();
-                Change::Put { key: place_key(unit), value, bound: true }
+                Op::Put { key: report_key(unit), value, bound: true }
             };
             let then = places.iter().map(put).collect();
-            Some((Writes { when: vec![Condition::Alive(session)], then }, Said::Places(session, places)))
+            Some((Writes { when: vec![Compare::SessionAlive(session)], then }, Said::Places(session, places)))
         } else if !part.busy {
             part.board.follows(&sup.board, now_ms(now)).map(|(_, writes)| (writes, Said::State))
         } else {
@@ -310,8 +315,8 @@
         let acted = !acts.is_empty();
         for act in acts {
             let act = match act {
-                Move::Ask { unit, .. } if self.variant == Variant::MovedWithoutLeave => {
-                    Move::Replace { unit, build: Build("new".into()) }
+                Move::RequestLease { unit, .. } if self.variant == Variant::MovedWithoutLeave => {
+                    Move::Replace { unit, build: BuildId("new".into()) }
                 }
                 act => act,
             };
@@ -326,8 +331,8 @@
         self.note(|| format!("m{m} {act:?}"));
         let Some(sup) = &mut self.machines[m].sup else { return };
         match act {
-            Move::Ask { unit, why } => sup.agent.ask(&unit, Act::Restart, &why, None),
-            Move::GiveBack { unit, acted } => sup.agent.give_back(&unit, acted),
+            Move::RequestLease { unit, why } => sup.agent.ask(&unit, DisruptionKind::Restart, &why, None),
+            Move::ReleaseLease { unit, acted } => sup.agent.give_back(&unit, acted),
             Move::Replace { unit, build } => {
                 self.halted(&build);
                 let Some(sup) = &mut self.machines[m].sup else { return };
@@ -340,12 +345,12 @@
     }
 
     /// Something is begun by a release: not where it was halted, or turned back, longer ago than news takes to come.
-    fn halted(&mut self, build: &Build) {
+    fn halted(&mut self, build: &BuildId) {
         let board = self.record_of_releases();
         let Some((plan, state)) = board.current() else { return };
         let wanted = match &state.value {
-            State::Going { .. } => Some(&plan.release.new),
-            State::Returning { .. } => Some(&plan.release.old),
+            RolloutState::InStage { .. } => Some(&plan.release.new),
+            RolloutState::RollingBack { .. } => Some(&plan.release.old),
             _ => None,
         };
         let long = self.release.changed.is_some_and(|at| self.agenda.now() > at + ms(NEWS));
@@ -355,7 +360,7 @@
     }
 
     /// Leave has come; whether it is for a release, which first has the record read.
-    pub(super) fn release_given(&mut self, m: usize, given: &Given) -> bool {
+    pub(super) fn release_given(&mut self, m: usize, given: &GrantedLease) -> bool {
         let Some(sup) = &self.machines[m].sup else { return false };
         let inc = sup.inc;
         if !sup.releases.mover.asks(&given.unit) {
@@ -372,7 +377,13 @@
     }
 
     /// It may be used now, if it still is its turn.
-    pub(super) fn confirmed(&mut self, m: usize, inc: u64, given: &Given, board: Option<Box<Board>>) {
+    pub(super) fn confirmed(
+        &mut self,
+        m: usize,
+        inc: u64,
+        given: &GrantedLease,
+        board: Option<Box<RolloutSnapshot>>,
+    ) {
         let now = self.agenda.now();
         let variant = self.variant;
         let Some(sup) = self.sup(m, inc) else { return };
@@ -390,7 +401,7 @@
         let before = part.board.clone();
         let blind = variant == Variant::StateNotLookedAt;
         if let (true, Some(state)) = (blind, &mut part.board.state) {
-            state.value = State::Going { wave: 9, since_ms: None, looks: 0, suspected: false };
+            state.value = RolloutState::InStage { wave: 9, since_ms: None, looks: 0, suspected: false };
         }
         let act = part.mover.given(&format!("m{m}"), unit, (&sup.board, &part.board), now);
         part.board = before;
@@ -406,8 +417,8 @@
         sup.releases.busy = false;
         let Some((session, _)) = sup.session.filter(|_| reaches) else { return };
         let number = self.record.session(session).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
-        let write = Write { session, number, when: plan.when, then: plan.then };
-        if !matches!(self.record.apply(&Command::Write(write)), Outcome::Written(_)) {
+        let write = Transaction { session, number, when: plan.when, then: plan.then };
+        if !matches!(self.record.apply(&Command::Transaction(write)), Outcome::Committed(_)) {
             return;
         }
         match said {
@@ -433,18 +444,20 @@
         let good = self.plan.release.as_ref().is_some_and(|r| r.quality == Quality::Good);
         let faults = self.plan.troubles.is_empty();
         match &state.value {
-            State::Whole => {
+            RolloutState::Complete => {
                 self.report.whole += 1;
                 let limits = self.plan.budgets.all.iter().map(|b| match b.per {
-                    disruption::Of::Fleet => b.limit((self.plan.machines * self.plan.each) as u32),
-                    disruption::Of::Machine => b.limit(self.plan.each as u32) * self.plan.machines as u32,
+                    disruption::GroupBy::Fleet => b.limit((self.plan.machines * self.plan.each) as u32),
+                    disruption::GroupBy::Machine => {
+                        b.limit(self.plan.each as u32) * self.plan.machines as u32
+                    }
                     _ => u32::MAX,
                 });
                 let limit = u64::from(limits.min().unwrap_or(1).clamp(1, 1 << 20));
                 self.report.release_took += self.agenda.now() - self.release.began.unwrap_or(0);
                 self.report.release_least += self.release.out / limit + 4 * BAKE * self.slower() * 1_000_000;
             }
-            State::Back { .. } => {
+            RolloutState::RolledBack { .. } => {
                 self.report.back += 1;
                 self.report.false_halts += u64::from(good && faults && !self.release.ordered);
             }
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -6,10 +6,10 @@
     Action, Availability, Balancer, Ending, Event, Member, Membership, Millis, RequestId, Settings,
     UpstreamId,
 };
-use discovery::report::{News, Report, Standing};
-use discovery::view::{Change, Merged, Source, View};
+use discovery::endpoint::{EndpointReport, EndpointState, SourceUpdate};
+use discovery::endpoint_set::{Endpoint, EndpointChange, EndpointSet, Source};
 use fnv::FnvHashMap;
-use lifecycle::{Event as Life, Figures, Lifecycle};
+use lifecycle::{Event as Life, Lifecycle, ShutdownTimeouts};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -95,10 +95,10 @@
     /// Whether it knows members.
     pub known: bool,
     settings: Settings,
-    figures: Figures,
+    figures: ShutdownTimeouts,
     seed: u64,
     balancer: Balancer,
-    view: View,
+    view: EndpointSet,
     source: Source,
     open: BTreeMap<u32, Open>,
     next: u32,
@@ -131,16 +131,16 @@
     /// Its group.
     pub group: u16,
     /// How it stands; `None`: gone.
-    pub standing: Option<Standing>,
+    pub standing: Option<EndpointState>,
     /// When its process started by its own wall clock, in Unix milliseconds; 0: long ago.
     pub started: f64,
 }
 
 impl Line {
     /// The report that instances get.
-    pub fn into_report(self) -> Report {
+    pub fn into_report(self) -> EndpointReport {
         let n = self.server as u32;
-        Report {
+        EndpointReport {
             name: name(self.server),
             addr: SocketAddr::from(([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 80)),
             zone: "caba-1".into(),
@@ -161,8 +161,8 @@
     pub fn new(settings: Settings, seed: u64, skew: f64, mutant: Mutant) -> Option<Instance> {
         let source = Source { rank: 0, label: "platform".into() };
         let balancer = Balancer::new(settings.clone(), seed, BEGAN + skew).ok()?;
-        let figures = Figures::default();
-        let mut view = View::new(false);
+        let figures = ShutdownTimeouts::default();
+        let mut view = EndpointSet::new(false);
         view.add(&source);
         Some(Instance {
             tier: settings.stage as usize,
@@ -198,7 +198,7 @@
         if let Ok(balancer) = Balancer::new(settings, seed, self.clock(now)) {
             self.balancer = balancer;
         }
-        self.view = View::new(false);
+        self.view = EndpointSet::new(false);
         self.view.add(&self.source);
         self.life = Lifecycle::new(self.figures.clone());
         (self.up, self.born, self.known, self.last) = (true, now, false, f64::INFINITY);
@@ -300,8 +300,13 @@
     }
 
     /// The registry tells it; what it was told of each upstream, as the rules count it.
-    pub fn told(&mut self, now: Nanos, news: News, does: &mut Vec<Does>) -> Vec<(usize, invariants::State)> {
-        let failed = matches!(news, News::None(_));
+    pub fn told(
+        &mut self,
+        now: Nanos,
+        news: SourceUpdate,
+        does: &mut Vec<Does>,
+    ) -> Vec<(usize, invariants::State)> {
+        let failed = matches!(news, SourceUpdate::Unavailable(_));
         let changes = self.view.take(self.clock(now), &self.source, news);
         if failed {
             self.feed(now, Event::Membership(Membership::Failed), does);
@@ -309,8 +314,8 @@
         let (mut members, mut states) = (Vec::new(), Vec::new());
         for change in &changes {
             let (m, gone) = match change {
-                Change::Is(m) => (m, false),
-                Change::Gone(m) => (m, true),
+                EndpointChange::Updated(m) => (m, false),
+                EndpointChange::Removed(m) => (m, true),
             };
             let Some(server) = m.name.strip_prefix("s-").and_then(|n| n.parse::<usize>().ok()) else {
                 continue;
@@ -341,7 +346,7 @@
         states
     }
 
-    fn member(&self, m: &Merged, server: usize, gone: bool) -> Member {
+    fn member(&self, m: &Endpoint, server: usize, gone: bool) -> Member {
         let availability = match (gone, m.takes || self.mutant == Mutant::DrainsIgnored) {
             (true, _) => Availability::Gone,
             (false, true) => Availability::Ready,
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -9,7 +9,7 @@
 use crate::score::{Counted, End, Score};
 use crate::server::{Place, Server};
 use balancer::{Class, DedupScope, Effect, Ending, Settings, Tenant};
-use discovery::report::{News, Standing};
+use discovery::endpoint::{EndpointState, SourceUpdate};
 use fnv::FnvHashMap;
 use hashing::Digest;
 use lifecycle::{Action as Act, Event as Life, State as Lives};
@@ -275,7 +275,7 @@
         let lines = servers.iter().enumerate().map(|(server, s)| Line {
             server,
             group: s.group,
-            standing: Some(Standing::Ready),
+            standing: Some(EndpointState::Ready),
             started: 0.0,
         });
         let lines: Vec<Line> = lines.collect();
@@ -398,7 +398,7 @@
             }
             Happening::News(of, line) if self.runs(of) => self.hears(of.instance, line),
             Happening::List(of) if self.runs(of) => self.listed(of.instance),
-            Happening::Live(of) if self.runs(of) => self.lives(of.instance, Life::Time),
+            Happening::Live(of) if self.runs(of) => self.lives(of.instance, Life::Timeout),
             Happening::Count(of) if self.runs(of) => self.counts(of),
             Happening::Start(instance) => self.starts(instance),
             Happening::Stop(instance) if self.instances[instance].up => self.lives(instance, Life::Stop),
@@ -747,22 +747,22 @@
         for action in self.instances[instance].lives(now, event) {
             match action {
                 Act::Accept => self.instances[instance].accepting = true,
-                Act::TellReady => {
+                Act::NotifyReady => {
                     self.agenda.after(ms(50.0), Happening::Front(instance, true));
                 }
                 // Whoever asks hears that it is not ready any more; the front asks now and then.
-                Act::TellStopping => {
+                Act::NotifyStopping => {
                     let after = ms(self.news.between(FRONT)) / 8;
                     self.agenda.after(after, Happening::Front(instance, false));
                     self.agenda.after(COUNT, Happening::Count(of));
                 }
                 Act::StopAccepting => self.instances[instance].accepting = false,
                 Act::AnswerBy(at) => self.instances[instance].answers_by(at),
-                Act::FailOpen => {
+                Act::FailOpenRequests => {
                     self.instances[instance].fails_all(now, &mut self.does);
                     self.carry_out(instance);
                 }
-                Act::End(_) => {
+                Act::Exit(_) => {
                     self.process_ends(instance, false);
                     return self.agenda.after(BACK, Happening::Start(instance));
                 }
@@ -777,7 +777,7 @@
 
     fn counts(&mut self, of: Process) {
         let requests = self.instances[of.instance].unanswered();
-        self.lives(of.instance, Life::Counts { requests, connections: requests });
+        self.lives(of.instance, Life::OpenCounts { requests, connections: requests });
         if self.runs(of) {
             self.agenda.after(COUNT, Happening::Count(of));
         }
@@ -863,26 +863,26 @@
 
     fn hears(&mut self, instance: usize, line: Line) {
         let news = match line.standing {
-            Some(_) => News::Changes(vec![line.into_report()], Vec::new()),
-            None => News::Changes(Vec::new(), vec![crate::instance::name(line.server)]),
+            Some(_) => SourceUpdate::Delta(vec![line.into_report()], Vec::new()),
+            None => SourceUpdate::Delta(Vec::new(), vec![crate::instance::name(line.server)]),
         };
         self.tells(instance, news);
     }
 
     fn listed(&mut self, instance: usize) {
         if self.agenda.now() < self.silent_until {
-            return self.tells(instance, News::None("no answer".into()));
+            return self.tells(instance, SourceUpdate::Unavailable("no answer".into()));
         }
         let tier = self.instances[instance].tier;
         let portals = self.portals();
         let own = |l: &&Line| usize::from(l.server >= portals) == tier && l.standing.is_some();
         let all = self.lines.iter().filter(own).map(|l| l.clone().into_report()).collect();
-        self.tells(instance, News::Whole(all));
+        self.tells(instance, SourceUpdate::Full(all));
     }
 
-    fn tells(&mut self, instance: usize, news: News) {
+    fn tells(&mut self, instance: usize, news: SourceUpdate) {
         let now = self.agenda.now();
-        let failed = matches!(news, News::None(_));
+        let failed = matches!(news, SourceUpdate::Unavailable(_));
         let known = self.instances[instance].known;
         for (server, state) in self.instances[instance].told(now, news, &mut self.does) {
             self.note(6, instance as u64, server as u64);
@@ -890,7 +890,7 @@
         }
         self.carry_out(instance);
         if !known && self.instances[instance].known {
-            self.lives(instance, Life::Known);
+            self.lives(instance, Life::EndpointsKnown);
         } else if !known && failed && self.busy() {
             let of = self.of(instance);
             self.agenda.after(ms(400.0), Happening::List(of));
@@ -1126,7 +1126,7 @@
         let ramp = Duration::from_nanos(b.cold_for);
         let cold = invariants::Cold { cores: b.capacity(), from: b.cold_from, ramp };
         self.judge.started(now, server, cold);
-        self.lines[server].standing = Some(Standing::Ready);
+        self.lines[server].standing = Some(EndpointState::Ready);
         self.lines[server].started = BEGAN + now as f64 / 1e6;
         self.publishes(server);
         if server < self.portals() {
@@ -1159,7 +1159,7 @@
             What::Resets(s, part) => self.servers[s].resets = part,
             What::Stale(most) => self.stale = Some(most),
             What::Drain(s) => {
-                self.lines[s].standing = Some(Standing::Draining);
+                self.lines[s].standing = Some(EndpointState::Draining);
                 self.publishes(s);
             }
             What::Cold(n) => {
--- a/crates/verification/linearizability/src/lib.rs
+++ b/crates/verification/linearizability/src/lib.rs
@@ -39,7 +39,7 @@
 
 /// What was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ResponseValue {
     /// What was read.
     Values(Vec<Option<String>>),
     /// The write was done.
@@ -56,7 +56,7 @@
     /// When it was called for.
     pub start: u64,
     /// When it was told what came of it, and what; `None`: that is not known.
-    pub end: Option<(u64, Told)>,
+    pub end: Option<(u64, ResponseValue)>,
     /// What it is.
     pub call: Call,
 }
@@ -206,7 +206,7 @@
             writes: Vec::new(),
         };
         match (&op.call, op.end.as_ref().map(|(_, told)| told)) {
-            (Call::Read(read), Some(Told::Values(values))) => {
+            (Call::Read(read), Some(ResponseValue::Values(values))) => {
                 one.reads = read.iter().zip(values).map(|(key, v)| (at(key), number(v))).collect();
             }
             // Nobody knows what it read: it explains nothing and breaks nothing.
@@ -214,7 +214,7 @@
             (Call::Write { when, then }, told) => {
                 one.reads = when.iter().map(|(key, v)| (at(key), number(v))).collect();
                 match told {
-                    Some(Told::Differs) => one.differs = true,
+                    Some(ResponseValue::Differs) => one.differs = true,
                     _ => one.writes = then.iter().map(|(key, v)| (at(key), number(v))).collect(),
                 }
             }
@@ -270,7 +270,7 @@
 mod tests {
     use super::*;
 
-    fn op(client: u64, start: u64, end: Option<(u64, Told)>, call: Call) -> Operation {
+    fn op(client: u64, start: u64, end: Option<(u64, ResponseValue)>, call: Call) -> Operation {
         Operation { client, start, end, call }
     }
 
@@ -282,16 +282,16 @@
         Call::Read(vec!["a".into()])
     }
 
-    fn saw(value: &str) -> Told {
-        Told::Values(vec![(!value.is_empty()).then(|| value.into())])
+    fn saw(value: &str) -> ResponseValue {
+        ResponseValue::Values(vec![(!value.is_empty()).then(|| value.into())])
     }
 
     #[test]
     fn what_one_copy_would_have_told_is_linearizable() {
         // Two writes at one time, seen in one order by all.
         let ops = [
-            op(1, 0, Some((10, Told::Done)), put("x")),
-            op(2, 0, Some((10, Told::Done)), put("y")),
+            op(1, 0, Some((10, ResponseValue::Done)), put("x")),
+            op(2, 0, Some((10, ResponseValue::Done)), put("y")),
             op(3, 2, Some((5, saw("y"))), read()),
             op(3, 6, Some((8, saw("x"))), read()),
             op(3, 11, Some((12, saw("x"))), read()),
@@ -307,10 +307,10 @@
             then: vec![("a".into(), Some(to.into()))],
         };
         let ops = [
-            op(1, 0, Some((9, Told::Done)), swap("", "x")),
-            op(2, 0, Some((9, Told::Differs)), swap("", "y")),
-            op(1, 10, Some((11, Told::Done)), swap("x", "z")),
-            op(2, 10, Some((11, Told::Differs)), swap("x", "w")),
+            op(1, 0, Some((9, ResponseValue::Done)), swap("", "x")),
+            op(2, 0, Some((9, ResponseValue::Differs)), swap("", "y")),
+            op(1, 10, Some((11, ResponseValue::Done)), swap("x", "z")),
+            op(2, 10, Some((11, ResponseValue::Differs)), swap("x", "w")),
             op(3, 12, Some((13, saw("z"))), read()),
         ];
         assert_eq!(check(&ops), []);
@@ -320,15 +320,16 @@
     #[test]
     fn what_no_single_copy_would_have_told_is_not() {
         let stale = vec![
-            op(1, 0, Some((5, Told::Done)), put("x")),
-            op(1, 6, Some((8, Told::Done)), put("y")),
+            op(1, 0, Some((5, ResponseValue::Done)), put("x")),
+            op(1, 6, Some((8, ResponseValue::Done)), put("y")),
             op(2, 9, Some((10, saw("x"))), read()),
         ];
-        let lost = vec![op(1, 0, Some((5, Told::Done)), put("x")), op(2, 9, Some((10, saw(""))), read())];
+        let lost =
+            vec![op(1, 0, Some((5, ResponseValue::Done)), put("x")), op(2, 9, Some((10, saw(""))), read())];
         let back_again = vec![
-            op(1, 0, Some((20, Told::Done)), put("x")),
+            op(1, 0, Some((20, ResponseValue::Done)), put("x")),
             op(3, 1, Some((2, saw("x"))), read()),
-            op(2, 3, Some((4, Told::Done)), put("y")),
+            op(2, 3, Some((4, ResponseValue::Done)), put("y")),
             op(3, 5, Some((6, saw("y"))), read()),
             op(3, 7, Some((8, saw("x"))), read()),
         ];
@@ -337,8 +338,10 @@
             when: vec![("a".into(), None)],
             then: vec![("a".into(), Some(to.into()))],
         };
-        let two_winners =
-            vec![op(1, 0, Some((9, Told::Done)), swap("x")), op(2, 0, Some((9, Told::Done)), swap("y"))];
+        let two_winners = vec![
+            op(1, 0, Some((9, ResponseValue::Done)), swap("x")),
+            op(2, 0, Some((9, ResponseValue::Done)), swap("y")),
+        ];
         for bad in [stale, lost, back_again, invented, two_winners] {
             assert!(matches!(check(&bad)[..], [Violation::NotLinearizable { .. }]), "{bad:?}");
         }
@@ -346,19 +349,21 @@
 
     #[test]
     fn keys_that_are_read_together_are_judged_together() {
-        let both =
-            |x: &str, y: &str| Told::Values([x, y].map(|v| (!v.is_empty()).then(|| v.to_string())).to_vec());
+        let both = |x: &str, y: &str| {
+            ResponseValue::Values([x, y].map(|v| (!v.is_empty()).then(|| v.to_string())).to_vec())
+        };
         let pair = Call::Write {
             when: vec![],
             then: vec![("a".into(), Some("1".into())), ("b".into(), Some("1".into()))],
         };
         let reads = Call::Read(vec!["a".into(), "b".into()]);
         let good = [
-            op(1, 0, Some((9, Told::Done)), pair.clone()),
+            op(1, 0, Some((9, ResponseValue::Done)), pair.clone()),
             op(2, 1, Some((2, both("1", "1"))), reads.clone()),
         ];
         assert_eq!(check(&good), []);
-        let torn = [op(1, 0, Some((9, Told::Done)), pair), op(2, 1, Some((2, both("1", ""))), reads)];
+        let torn =
+            [op(1, 0, Some((9, ResponseValue::Done)), pair), op(2, 1, Some((2, both("1", ""))), reads)];
         assert!(!check(&torn).is_empty());
     }
 
--- a/crates/verification/testkit/src/council.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -4,10 +4,10 @@
 use crate::node::Program;
 use crate::process::reserve;
 use crate::PATIENCE;
-use coordination::client::{Ask, SessionSettings, Told};
-use coordination::record::{Change, Outcome};
-use coordination::wire::{Answer, Request, Select, Status};
-use coordination_server::client::{Council, Settings};
+use coordination::client::{ClientRequest, RequestOutcome, SessionConfig};
+use coordination::protocol::{Answer, Request, Select, Status};
+use coordination::state_machine::{Op, Outcome};
+use coordination_server::client::{ClientConfig, ClientHandle};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
@@ -154,10 +154,12 @@
             let asked = run(async {
                 let patience = Duration::from_millis(300);
                 let (voters, name) = (vec![addr.to_string()], "judge".into());
-                let settings = Settings { voters, session: None, name, patience };
-                Council::begin(settings).ask(Ask::Call(Request::Status), Duration::from_millis(400)).await
+                let settings = ClientConfig { voters, session: None, name, patience };
+                ClientHandle::begin(settings)
+                    .ask(ClientRequest::Call(Request::Status), Duration::from_millis(400))
+                    .await
             });
-            if let Told::Answer(Answer::Status(status)) = asked {
+            if let RequestOutcome::Answered(Answer::Status(status)) = asked {
                 all.push(*status);
             }
         }
@@ -205,15 +207,15 @@
     }
 
     /// A client with this name; with a session, if `held`.
-    pub fn client(&self, name: &str, held: bool) -> Settings {
+    pub fn client(&self, name: &str, held: bool) -> ClientConfig {
         client(&self.reached(), name, held)
     }
 
     /// One write by a client of its own.
-    pub fn put(&self, key: &str, value: &str) -> Told {
+    pub fn put(&self, key: &str, value: &str) -> RequestOutcome {
         let settings = self.client("hand", true);
-        let then = vec![Change::Put { key: key.into(), value: value.into(), bound: false }];
-        run(async move { Council::begin(settings).write(vec![], then, WITHIN).await })
+        let then = vec![Op::Put { key: key.into(), value: value.into(), bound: false }];
+        run(async move { ClientHandle::begin(settings).write(vec![], then, WITHIN).await })
     }
 
     /// One read by a client of its own.
@@ -223,14 +225,14 @@
 
     /// All keys that begin so, with their values.
     pub fn under(&self, prefix: &str) -> Vec<(String, String)> {
-        self.read(Select::Under(prefix.into()))
+        self.read(Select::Prefix(prefix.into()))
     }
 
     fn read(&self, select: Select) -> Vec<(String, String)> {
         let settings = self.client("eye", false);
-        let told = run(async move { Council::begin(settings).read(select, WITHIN).await });
+        let told = run(async move { ClientHandle::begin(settings).read(select, WITHIN).await });
         match told {
-            Told::Answer(Answer::Values { items, .. }) => {
+            RequestOutcome::Answered(Answer::Values { items, .. }) => {
                 items.into_iter().map(|(key, item)| (key, item.value)).collect()
             }
             other => panic!("{other:?} {:#?}", self.logs()),
@@ -250,12 +252,12 @@
 }
 
 /// A client of the voters that are reached at these addresses; with a session, if `held`.
-pub fn client(voters: &[String], name: &str, held: bool) -> Settings {
-    let session = held.then(|| SessionSettings { name: name.into(), ttl: TTL, take_over: true });
-    Settings { voters: voters.to_vec(), session, name: name.into(), patience: Duration::from_millis(700) }
+pub fn client(voters: &[String], name: &str, held: bool) -> ClientConfig {
+    let session = held.then(|| SessionConfig { name: name.into(), ttl: TTL, take_over: true });
+    ClientConfig { voters: voters.to_vec(), session, name: name.into(), patience: Duration::from_millis(700) }
 }
 
 /// Whether this says that a write was made.
-pub fn written(told: &Told) -> bool {
-    matches!(told, Told::Answer(Answer::Outcome(Outcome::Written(_))))
+pub fn written(told: &RequestOutcome) -> bool {
+    matches!(told, RequestOutcome::Answered(Answer::Outcome(Outcome::Committed(_))))
 }
--- a/crates/verification/testkit/src/lib.rs
+++ b/crates/verification/testkit/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`fleet`] | a machine of a fleet: its supervisor and its instances |
 //! | [`faults`] | what breaks under running processes |
 //! | [`plain`] | callers that hide nothing, and count what they met |
-//! | [`council`] | a council of real voters behind links, and clients of it |
+//! | [`coordination`] | a council of real voters behind links, and clients of it |
 //! | [`process`] | a process that a test started, and its log |
 //! | [`node`] | the program under test as a process |
 //! | [`site`] | several machines with a council and links between them |
@@ -44,7 +44,7 @@
 //! ```
 pub mod caller;
 pub mod consul;
-pub mod council;
+pub mod coordination;
 pub mod discovery;
 pub mod fastcgi;
 pub mod faults;
--- a/crates/verification/testkit/src/site.rs
+++ b/crates/verification/testkit/src/site.rs
@@ -1,5 +1,5 @@
 //! Several machines of a fleet with a council and an operator, all of them real processes with links between them.
-use crate::council::Voters;
+use crate::coordination::Voters;
 use crate::discovery::{Listed, Registry};
 use crate::fleet::{Fleet, OPERATOR};
 use crate::ledger::Ledger;
