--- a/crates/control-plane/coordination-server/src/client.rs
+++ b/crates/control-plane/coordination-server/src/client.rs
@@ -32,7 +32,7 @@
     /// What it calls itself.
     pub name: String,
     /// How long an answer may take before the connection counts as dead.
-    pub patience: Duration,
+    pub response_timeout: Duration,
 }
 
 /// A client's session, as others in its process see it.
@@ -63,11 +63,11 @@
     kind: &str,
     name: &str,
 ) -> ClientHandle {
-    ClientHandle::begin(ClientConfig {
+    ClientHandle::spawn(ClientConfig {
         voters: file.voters.iter().map(ToString::to_string).collect(),
         session: None,
         name: format!("{kind}/{name}"),
-        patience: file.patience,
+        response_timeout: file.patience,
     })
 }
 
@@ -80,11 +80,11 @@
     name: &str,
 ) {
     let name = format!("{kind}/{name}");
-    let (says, mut standing) = (council.downgrade(), council.standing());
+    let (says, mut standing) = (council.downgrade(), council.session_state());
     let session = SessionConfig { name: name.clone(), ttl: file.ttl, take_over: true };
     tokio::task::spawn_local(async move {
         match says.upgrade() {
-            Some(council) => council.open(session).await,
+            Some(council) => council.open_session(session).await,
             None => return,
         }
         let mut said = None;
@@ -92,9 +92,9 @@
             let now = *standing.borrow_and_update();
             if let (SessionState::Active(id), true) = (now, said != Some(now)) {
                 let value = serde_json::json!({"session": id, "pid": std::process::id()}).to_string();
-                let put = Op::Put { key: format!("present/{name}"), value, bound: true };
+                let put = Op::Put { key: format!("present/{name}"), value, ephemeral: true };
                 let Some(council) = says.upgrade() else { return };
-                if let RequestOutcome::Answered(_) = council.write(vec![], vec![put], PRESENT).await {
+                if let RequestOutcome::Answered(_) = council.transact(vec![], vec![put], PRESENT).await {
                     said = Some(now);
                     continue;
                 }
@@ -128,7 +128,7 @@
     /// The handle, if there is another.
     pub fn upgrade(&self) -> Option<ClientHandle> {
         let wishes = self.wishes.upgrade()?;
-        Some(ClientHandle { wishes, standing: self.standing.clone(), held: self.held.clone() })
+        Some(ClientHandle { wishes, session_state: self.standing.clone(), active_session: self.held.clone() })
     }
 }
 
@@ -136,20 +136,20 @@
 #[derive(Clone)]
 pub struct ClientHandle {
     wishes: mpsc::Sender<HandleCommand>,
-    standing: watch::Receiver<SessionState>,
-    held: watch::Receiver<Option<(SessionId, Duration)>>,
+    session_state: watch::Receiver<SessionState>,
+    active_session: watch::Receiver<Option<(SessionId, Duration)>>,
 }
 
 impl ClientHandle {
     /// Begins a client, in a local set of tasks.
-    pub fn begin(settings: ClientConfig) -> ClientHandle {
+    pub fn spawn(settings: ClientConfig) -> ClientHandle {
         let (wishes, wished) = mpsc::channel(WAITING);
         let (tell, standing) = watch::channel(SessionState::None);
         let (until, held) = watch::channel(None);
         let machine = machine::Client::new(machine::ClientConfig {
             voters: settings.voters.clone(),
             session: settings.session.clone(),
-            patience: settings.patience,
+            response_timeout: settings.response_timeout,
             seed: random_id(),
         });
         let (frames, _) = mpsc::channel(1);
@@ -168,20 +168,20 @@
             heard,
         };
         tokio::task::spawn_local(task.run(wished, hearing));
-        ClientHandle { wishes, standing, held }
+        ClientHandle { wishes, session_state: standing, active_session: held }
     }
 
     /// A handle that does not keep the client.
     pub fn downgrade(&self) -> WeakClientHandle {
         WeakClientHandle {
             wishes: self.wishes.downgrade(),
-            standing: self.standing.clone(),
-            held: self.held.clone(),
+            standing: self.session_state.clone(),
+            held: self.active_session.clone(),
         }
     }
 
     /// Asks for something; how long it may take.
-    pub async fn ask(&self, ask: ClientRequest, within: Duration) -> RequestOutcome {
+    pub async fn request(&self, ask: ClientRequest, within: Duration) -> RequestOutcome {
         let (tell, told) = oneshot::channel();
         let ended = || RequestOutcome::NotExecuted("the client has ended".into());
         if self.wishes.send(HandleCommand::Ask(ask, within, tell)).await.is_err() {
@@ -191,13 +191,13 @@
     }
 
     /// Changes keys, all or none, under the client's session.
-    pub async fn write(&self, when: Vec<Compare>, then: Vec<Op>, within: Duration) -> RequestOutcome {
-        self.ask(ClientRequest::Transact { when, then }, within).await
+    pub async fn transact(&self, when: Vec<Compare>, then: Vec<Op>, within: Duration) -> RequestOutcome {
+        self.request(ClientRequest::Transact { compares: when, ops: then }, within).await
     }
 
     /// Reads keys as they are now.
     pub async fn read(&self, select: Select, within: Duration) -> RequestOutcome {
-        self.ask(ClientRequest::Read(select), within).await
+        self.request(ClientRequest::Read(select), within).await
     }
 
     /// Changes of keys that begin so, after a revision or from now on. Ends with `Lost`, or when the receiver is too slow
@@ -209,27 +209,27 @@
     }
 
     /// Its session, as it changes.
-    pub fn standing(&self) -> watch::Receiver<SessionState> {
-        self.standing.clone()
+    pub fn session_state(&self) -> watch::Receiver<SessionState> {
+        self.session_state.clone()
     }
 
     /// The session that is held now, by this machine's clock, and until when ([`boottime_now`]) unless it is renewed before.
-    pub fn held(&self) -> Option<(SessionId, Duration)> {
-        self.held.borrow().filter(|&(_, until)| boottime_now() < until)
+    pub fn active_session(&self) -> Option<(SessionId, Duration)> {
+        self.active_session.borrow().filter(|&(_, until)| boottime_now() < until)
     }
 
     /// The session that was held last, and until when: an end that has passed is the end.
-    pub fn held_last(&self) -> Option<(SessionId, Duration)> {
-        *self.held.borrow()
+    pub fn last_session(&self) -> Option<(SessionId, Duration)> {
+        *self.active_session.borrow()
     }
 
     /// Opens a session, if the client has none.
-    pub async fn open(&self, session: SessionConfig) {
+    pub async fn open_session(&self, session: SessionConfig) {
         let _ = self.wishes.send(HandleCommand::Open(session)).await;
     }
 
     /// Ends the session by its own will; returns once that is told, or the time is up.
-    pub async fn close(&self, within: Duration) {
+    pub async fn close_session(&self, within: Duration) {
         if self.wishes.send(HandleCommand::Close).await.is_ok() {
             let _ = tokio::time::timeout(within, self.wishes.closed()).await;
         }
@@ -272,22 +272,22 @@
         let mut closing = false;
         self.handle(Event::Timeout);
         loop {
-            if closing && self.machine.over() {
+            if closing && self.machine.is_closed() {
                 return;
             }
-            let wake = self.machine.wake().map(|at| at.saturating_sub(boottime_now()));
+            let wake = self.machine.next_timeout().map(|at| at.saturating_sub(boottime_now()));
             let event = tokio::select! {
                 wish = wished.recv(), if !closing => match wish {
                     Some(HandleCommand::Ask(ask, within, tell)) => {
                         self.tickets += 1;
                         self.asks.insert(self.tickets, tell);
-                        Event::Submit { ticket: self.tickets, ask, within }
+                        Event::Submit { request_id: self.tickets, request: ask, timeout: within }
                     }
                     Some(HandleCommand::Watch(under, after, tell)) => {
                         self.tickets += 1;
                         self.watches.insert(self.tickets, tell);
-                        let ask = ClientRequest::Watch { under, after };
-                        Event::Submit { ticket: self.tickets, ask, within: Duration::MAX }
+                        let ask = ClientRequest::Watch { prefix: under, after };
+                        Event::Submit { request_id: self.tickets, request: ask, timeout: Duration::MAX }
                     }
                     Some(HandleCommand::Open(session)) => {
                         self.settings.session.get_or_insert_with(|| session.clone());
@@ -329,7 +329,7 @@
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
             self.machine.handle(boottime_now(), event, &mut out);
-            if let Some(held) = self.machine.session().zip(self.machine.held_until()) {
+            if let Some(held) = self.machine.session().zip(self.machine.lease_expiry()) {
                 self.until.send_if_modified(|last| last.replace(held) != Some(held));
             }
             for action in out {
@@ -351,7 +351,7 @@
                 // A connection that takes nothing is given up by the machine's own patience.
                 let _ = self.frames.try_send(to_json(&call));
             }
-            Action::Complete { ticket, told } => return self.told(ticket, told),
+            Action::Complete { request_id: ticket, outcome: told } => return self.told(ticket, told),
             Action::SessionChanged(news) => self.session(news),
         }
         None
--- a/crates/control-plane/coordination-server/src/command.rs
+++ b/crates/control-plane/coordination-server/src/command.rs
@@ -106,7 +106,7 @@
     let name = format!("command-{}", std::process::id());
     let patience = (file.tick * 20).max(Duration::from_millis(500));
     let _ = file;
-    ClientHandle::begin(ClientConfig { voters, session: None, name, patience })
+    ClientHandle::spawn(ClientConfig { voters, session: None, name, response_timeout: patience })
 }
 
 fn answer(told: RequestOutcome) -> Result<Answer, String> {
@@ -126,7 +126,7 @@
     let all: Vec<String> = file.voters.iter().map(|(_, addr)| addr.to_string()).collect();
     let call = |request| {
         let council = client(file, all.clone());
-        async move { answer(council.ask(ClientRequest::Call(request), WITHIN).await) }
+        async move { answer(council.request(ClientRequest::Call(request), WITHIN).await) }
     };
     match command {
         Command::Status { json } => status(file, json).await,
@@ -165,7 +165,7 @@
             let mut changes = council.watch(&under, None).await;
             while let Some(answer) = changes.recv().await {
                 match answer {
-                    Answer::Events { changes, .. } => {
+                    Answer::Events { events: changes, .. } => {
                         for c in changes {
                             print(&format!(
                                 "{} {} {}",
@@ -205,7 +205,7 @@
 
 async fn one_status(file: &File, addr: &str) -> Result<Status, String> {
     let council = client(file, vec![addr.into()]);
-    match answer(council.ask(ClientRequest::Call(Request::Status), STATUS_WITHIN).await)? {
+    match answer(council.request(ClientRequest::Call(Request::Status), STATUS_WITHIN).await)? {
         Answer::Status(status) => Ok(*status),
         Answer::Outcome(Outcome::Rejected(why)) => Err(why.to_string()),
         other => Err(unexpected(&other)),
@@ -239,13 +239,13 @@
                     s.role.clone(),
                     s.term.to_string(),
                     s.leader.clone().unwrap_or("-".into()),
-                    s.committed.to_string(),
-                    s.applied.to_string(),
+                    s.commit_index.to_string(),
+                    s.applied_index.to_string(),
                     s.log.0.to_string(),
                     s.revision.to_string(),
                     s.size.0.to_string(),
                     s.sessions.len().to_string(),
-                    s.aside.clone().unwrap_or_default(),
+                    s.storage_error.clone().unwrap_or_default(),
                 ]);
                 all.push(serde_json::json!({"voter": name, "addr": addr, "status": s}));
             }
@@ -279,9 +279,9 @@
             m.name.clone(),
             format!("{:016x}", m.id),
             m.addr.clone(),
-            if m.votes { "yes" } else { "learns" }.into(),
+            if m.is_voter { "yes" } else { "learns" }.into(),
             known(m.active.map(|a| if a { "yes" } else { "no" }.into())),
-            known(m.has.map(|n| n.to_string())),
+            known(m.match_index.map(|n| n.to_string())),
         ]);
     }
     print(daemon::table::lines(&rows).trim_end())
--- a/crates/control-plane/coordination-server/src/server.rs
+++ b/crates/control-plane/coordination-server/src/server.rs
@@ -195,16 +195,16 @@
 async fn join(file: &File, voter: u64) -> u64 {
     let others: Vec<String> =
         file.voters.iter().filter(|(name, _)| *name != file.name).map(|(_, addr)| addr.to_string()).collect();
-    let council = ClientHandle::begin(client::ClientConfig {
+    let council = ClientHandle::spawn(client::ClientConfig {
         voters: others,
         session: None,
         name: file.name.clone(),
-        patience: file.tick * 20,
+        response_timeout: file.tick * 20,
     });
     let mut said = None;
     loop {
         let request = Request::Join { name: file.name.clone(), addr: file.addr().to_string(), voter };
-        let why = match council.ask(ClientRequest::Call(request), Duration::from_secs(5)).await {
+        let why = match council.request(ClientRequest::Call(request), Duration::from_secs(5)).await {
             Answered::Answered(Answer::Joined { cluster }) => return cluster,
             Answered::Answered(Answer::Failed(why)) => why,
             Answered::Answered(other) => format!("{other:?}"),
@@ -345,8 +345,13 @@
             return;
         }
         tokio::task::spawn_local(async move {
-            let council = ClientHandle::begin(client::ClientConfig { voters, session: None, name, patience });
-            let asked = council.ask(ClientRequest::Call(Request::IsMember { voter }), LEADERLESS).await;
+            let council = ClientHandle::spawn(client::ClientConfig {
+                voters,
+                session: None,
+                name,
+                response_timeout: patience,
+            });
+            let asked = council.request(ClientRequest::Call(Request::IsMember { voter }), LEADERLESS).await;
             if asked == Answered::Answered(Answer::NotMember) {
                 let _ = gone.send(()).await;
             }
--- a/crates/control-plane/coordination/src/client.rs
+++ b/crates/control-plane/coordination/src/client.rs
@@ -32,7 +32,7 @@
     /// Its session; `None`: it only reads, watches and administers.
     pub session: Option<SessionConfig>,
     /// How long an answer may take before the connection counts as dead.
-    pub patience: Duration,
+    pub response_timeout: Duration,
     /// For its draws, and the number that tells its opening from others'.
     pub seed: u64,
 }
@@ -54,16 +54,16 @@
     /// Changes of keys under its session.
     Transact {
         /// What has to be so.
-        when: Vec<Compare>,
+        compares: Vec<Compare>,
         /// What is changed then.
-        then: Vec<Op>,
+        ops: Vec<Op>,
     },
     /// Keys as they are now.
     Read(Select),
     /// Changes of keys from now on, or after a revision; told until it is given up.
     Watch {
         /// Keys that begin so.
-        under: String,
+        prefix: String,
         /// After this revision.
         after: Option<Revision>,
     },
@@ -83,11 +83,11 @@
     /// Something is asked for, and how long it may take.
     Submit {
         /// Who asks; told with the answer.
-        ticket: u64,
+        request_id: u64,
         /// What.
-        ask: ClientRequest,
+        request: ClientRequest,
         /// Its time; a watch has none.
-        within: Duration,
+        timeout: Duration,
     },
     /// What was asked for is not wanted any more.
     Cancel(u64),
@@ -111,9 +111,9 @@
     /// What came of something that was asked for.
     Complete {
         /// Who asked.
-        ticket: u64,
+        request_id: u64,
         /// What came of it.
-        told: RequestOutcome,
+        outcome: RequestOutcome,
     },
     /// What became of the session.
     SessionChanged(SessionEvent),
@@ -255,7 +255,7 @@
     }
 
     /// Its session, while it is held.
-    pub fn holds(&self, now: Duration) -> Option<SessionId> {
+    pub fn held_session(&self, now: Duration) -> Option<SessionId> {
         match self.session {
             Session::Open { id, until, doubtful: false, .. } if now < until => Some(id),
             _ => None,
@@ -271,7 +271,7 @@
     }
 
     /// Until when its session is held, by its own clock, unless it is renewed before.
-    pub fn held_until(&self) -> Option<Duration> {
+    pub fn lease_expiry(&self) -> Option<Duration> {
         match self.session {
             Session::Open { until, .. } => Some(until),
             _ => None,
@@ -279,15 +279,15 @@
     }
 
     /// Whether its session is over for good.
-    pub fn over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self.session, Session::Over)
     }
 
     /// When it wants to be told of the time.
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_timeout(&self) -> Option<Duration> {
         let mut wake: Option<Duration> = None;
         let mut sooner = |at: Duration| wake = Some(wake.map_or(at, |w| w.min(at)));
-        let patience = self.settings.patience;
+        let patience = self.settings.response_timeout;
         let call = |call: &Option<(u64, Duration)>| call.map(|(_, at)| at + patience);
         match &self.link {
             Link::Idle(until) if self.wants_link() => sooner(*until),
@@ -359,7 +359,9 @@
             Event::Connected => {}
             Event::Disconnected => self.lost(now, None),
             Event::Reply(reply) => self.reply(now, reply, out),
-            Event::Submit { ticket, ask, within } => self.ask(now, ticket, ask, within, out),
+            Event::Submit { request_id: ticket, request: ask, timeout: within } => {
+                self.ask(now, ticket, ask, within, out)
+            }
             Event::Cancel(ticket) => self.give_up(ticket, out),
             Event::OpenSession(session) => self.open(now, session),
             Event::CloseSession => self.close(),
@@ -382,11 +384,11 @@
             ClientRequest::Transact { .. } if matches!(self.session, Session::None) => {
                 Some("there is no session".into())
             }
-            ClientRequest::Transact { .. } if self.over() => Some("the session is over".into()),
+            ClientRequest::Transact { .. } if self.is_closed() => Some("the session is over".into()),
             _ => None,
         };
         if let Some(why) = why {
-            out.push(Action::Complete { ticket, told: RequestOutcome::NotExecuted(why) });
+            out.push(Action::Complete { request_id: ticket, outcome: RequestOutcome::NotExecuted(why) });
             return;
         }
         let watch = matches!(ask, ClientRequest::Watch { .. });
@@ -443,7 +445,7 @@
 
     fn tell(&mut self, ticket: u64, told: RequestOutcome, out: &mut Vec<Action>) {
         self.forget(ticket);
-        out.push(Action::Complete { ticket, told });
+        out.push(Action::Complete { request_id: ticket, outcome: told });
     }
 
     /// The connection is gone: what went out on it goes out again on the next.
@@ -512,7 +514,10 @@
                 asked.revision = Some(revision);
                 // That it stands again after a change of leader is nobody's concern.
                 if !again {
-                    out.push(Action::Complete { ticket, told: RequestOutcome::Answered(answer) });
+                    out.push(Action::Complete {
+                        request_id: ticket,
+                        outcome: RequestOutcome::Answered(answer),
+                    });
                 }
             }
             (
@@ -681,7 +686,7 @@
         if !matches!(self.link, Link::Up) {
             return;
         }
-        let patience = self.settings.patience;
+        let patience = self.settings.response_timeout;
         let late = |call: &Option<(u64, Duration)>| call.is_some_and(|(_, at)| now >= at + patience);
         let dead = match &self.session {
             Session::Opening { call, .. } | Session::Open { call, .. } | Session::Closing { call, .. } => {
@@ -721,7 +726,7 @@
                 continue;
             }
             let request = match &asked.ask {
-                ClientRequest::Transact { when, then } => {
+                ClientRequest::Transact { compares: when, ops: then } => {
                     let (Some(id), true) = (session, first == Some(ticket)) else { continue };
                     let Session::Open { numbers, .. } = &mut self.session else { continue };
                     let (session, number) = *asked.number.get_or_insert_with(|| {
@@ -730,15 +735,15 @@
                     });
                     Request::Transaction(Transaction {
                         session,
-                        number,
-                        when: when.clone(),
-                        then: then.clone(),
+                        sequence: number,
+                        compares: when.clone(),
+                        ops: then.clone(),
                     })
                 }
                 ClientRequest::Read(select) => Request::Read(select.clone()),
-                ClientRequest::Watch { under, after } => {
+                ClientRequest::Watch { prefix: under, after } => {
                     let after = asked.revision.or(*after);
-                    Request::Watch { under: under.clone(), after }
+                    Request::Watch { prefix: under.clone(), after }
                 }
                 ClientRequest::Call(request) => request.clone(),
             };
@@ -748,7 +753,7 @@
             send.push(Action::Send(Call { id: self.calls, request }));
         }
         out.extend(send);
-        if self.ping.is_none() && self.only_watches() && now >= self.heard + self.settings.patience {
+        if self.ping.is_none() && self.only_watches() && now >= self.heard + self.settings.response_timeout {
             self.calls += 1;
             self.ping = Some((self.calls, now));
             // No key has no name: the answer says only that a leader is there who still leads.
--- a/crates/control-plane/coordination/src/protocol.rs
+++ b/crates/control-plane/coordination/src/protocol.rs
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// One line for both logs.
-    pub fn fits(&self, own: &Handshake) -> Result<(), String> {
+    pub fn check_compatible(&self, own: &Handshake) -> Result<(), String> {
         if self.version != own.version {
             return Err(format!(
                 "{} speaks version {}, and this is version {}",
@@ -103,7 +103,8 @@
     /// Changes of keys as they happen; answered more than once.
     Watch {
         /// Keys that begin so.
-        under: String,
+        #[serde(rename = "under")]
+        prefix: String,
         /// After this revision; `None`: from now on.
         after: Option<Revision>,
     },
@@ -190,7 +191,8 @@
         /// Of the record.
         revision: Revision,
         /// In order.
-        changes: Vec<WatchEvent>,
+        #[serde(rename = "changes")]
+        events: Vec<WatchEvent>,
     },
     /// What changed after the revision that was named is not known any more: read, and watch from there.
     #[serde(rename = "Lost")]
@@ -238,17 +240,21 @@
     /// `leader`, `follower`, `candidate`, `learner`, `aside`, `unjoined` or `removed`.
     pub role: String,
     /// Why it stands aside, if it does.
-    pub aside: Option<String>,
+    #[serde(rename = "aside")]
+    pub storage_error: Option<String>,
     /// The term of office.
     pub term: u64,
     /// Who leads, by name.
     pub leader: Option<String>,
     /// The last entry of its log.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_index: u64,
     /// The last that is agreed on.
-    pub committed: u64,
+    #[serde(rename = "committed")]
+    pub commit_index: u64,
     /// The last that it has carried out.
-    pub applied: u64,
+    #[serde(rename = "applied")]
+    pub applied_index: u64,
     /// Entries that its log holds, and their bytes.
     pub log: (u64, u64),
     /// The record's revision.
@@ -273,11 +279,12 @@
     /// Where it listens.
     pub addr: String,
     /// Whether it votes, or only learns.
-    pub votes: bool,
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
     /// As the leader sees it: whether it was heard of lately.
     #[serde(default)]
     pub active: Option<bool>,
     /// As the leader sees it: the last entry that it has.
-    #[serde(default)]
-    pub has: Option<u64>,
+    #[serde(rename = "has", default)]
+    pub match_index: Option<u64>,
 }
--- a/crates/control-plane/coordination/src/state_machine.rs
+++ b/crates/control-plane/coordination/src/state_machine.rs
@@ -53,12 +53,14 @@
     /// Whose.
     pub session: SessionId,
     /// Counted by the session, from 1. Sent again with its number, it happens once, and answers as it did.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// What has to be so.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub when: Vec<Compare>,
+    #[serde(rename = "when", default, skip_serializing_if = "Vec::is_empty")]
+    pub compares: Vec<Compare>,
     /// What is changed then.
-    pub then: Vec<Op>,
+    #[serde(rename = "then")]
+    pub ops: Vec<Op>,
 }
 
 /// What has to be so for a write to happen.
@@ -88,8 +90,8 @@
         /// What.
         value: String,
         /// Whether it ends with the session that writes it.
-        #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-        bound: bool,
+        #[serde(rename = "bound", default, skip_serializing_if = "std::ops::Not::not")]
+        ephemeral: bool,
     },
     /// The key is no more; if there is none, nothing happens.
     Delete(String),
@@ -117,9 +119,11 @@
     #[serde(rename = "Differs")]
     CompareFailed {
         /// Which.
-        condition: usize,
+        #[serde(rename = "condition")]
+        index: usize,
         /// The version of the key that it names; 0: there is none.
-        found: Revision,
+        #[serde(rename = "found")]
+        found_version: Revision,
     },
     /// The session is closed, or was before.
     #[serde(rename = "Closed")]
@@ -189,8 +193,8 @@
     /// The revision that wrote it last.
     pub version: Revision,
     /// The session that it ends with.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub bound: Option<SessionId>,
+    #[serde(rename = "bound", default, skip_serializing_if = "Option::is_none")]
+    pub session: Option<SessionId>,
 }
 
 /// A session as it stands.
@@ -203,8 +207,8 @@
     /// It ends when it is not renewed for so long, in milliseconds.
     pub ttl_ms: u64,
     /// Its last write, and what came of it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub last: Option<(u64, Outcome)>,
+    #[serde(rename = "last", default, skip_serializing_if = "Option::is_none")]
+    pub last_transaction: Option<(u64, Outcome)>,
 }
 
 /// One key's change, as watches tell it.
@@ -223,7 +227,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateMachine {
     /// Of this size at most.
-    pub bounds: Limits,
+    #[serde(rename = "bounds")]
+    pub limits: Limits,
     revision: Revision,
     keys: BTreeMap<String, VersionedValue>,
     /// Of keys and values.
@@ -241,15 +246,15 @@
     #[serde(skip)]
     changes_bytes: u64,
     /// Changes after this revision are all in `changes`.
-    #[serde(skip)]
-    since: Revision,
+    #[serde(rename = "since", skip)]
+    events_since: Revision,
 }
 
 impl StateMachine {
     /// An empty one.
     pub fn new(bounds: Limits) -> StateMachine {
         StateMachine {
-            bounds,
+            limits: bounds,
             revision: 0,
             keys: BTreeMap::new(),
             bytes: 0,
@@ -259,7 +264,7 @@
             bound: BTreeMap::new(),
             changes: VecDeque::new(),
             changes_bytes: 0,
-            since: 0,
+            events_since: 0,
         }
     }
 
@@ -267,18 +272,18 @@
     ///
     /// # Errors
     /// It is no record.
-    pub fn read(bytes: &[u8]) -> Result<StateMachine, String> {
+    pub fn decode(bytes: &[u8]) -> Result<StateMachine, String> {
         serde_json::from_slice(bytes).map(StateMachine::rebuilt).map_err(|e| e.to_string())
     }
 
     /// With what follows from the rest, after it was read.
     pub(crate) fn rebuilt(mut self) -> StateMachine {
         let record = &mut self;
-        record.since = record.revision;
+        record.events_since = record.revision;
         record.bytes = record.keys.iter().map(|(k, i)| size(k, &i.value)).sum();
         record.names = record.sessions.iter().map(|(&id, s)| (s.name.clone(), id)).collect();
         for (key, item) in &record.keys {
-            if let Some(session) = item.bound {
+            if let Some(session) = item.session {
                 record.bound.entry(session).or_default().insert(key.clone());
             }
         }
@@ -286,7 +291,7 @@
     }
 
     /// All of it but the last changes, as JSON.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Texts and numbers only: this can't fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -307,7 +312,7 @@
     }
 
     /// The keys that begin so, in order.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a VersionedValue)> {
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a VersionedValue)> {
         let from = (std::ops::Bound::Included(prefix), std::ops::Bound::Unbounded);
         let all = self.keys.range::<str, _>(from).take_while(move |(key, _)| key.starts_with(prefix));
         all.map(|(key, item)| (key.as_str(), item))
@@ -324,37 +329,37 @@
     }
 
     /// How a session ended, as far as it is known.
-    pub fn end(&self, id: SessionId) -> SessionEnd {
+    pub fn session_end(&self, id: SessionId) -> SessionEnd {
         self.ended.iter().rev().find(|(ended, _)| *ended == id).map_or(SessionEnd::Expired, |(_, end)| *end)
     }
 
     /// What changed after this revision, oldest first; `None`: that is not known any more, and a watch has to begin anew.
-    pub fn since(&self, revision: Revision) -> Option<impl Iterator<Item = &WatchEvent>> {
-        (revision >= self.since).then(|| {
+    pub fn events_since(&self, revision: Revision) -> Option<impl Iterator<Item = &WatchEvent>> {
+        (revision >= self.events_since).then(|| {
             let from = self.changes.partition_point(|c| c.revision <= revision);
             self.changes.range(from..)
         })
     }
 
     /// From which revision on watches can resume.
-    pub fn resumes_from(&self) -> Revision {
-        self.since
+    pub fn oldest_resumable_revision(&self) -> Revision {
+        self.events_since
     }
 
     /// Makes sure that no number that was ever given is given again: for a record from a backup, behind which changes were
     /// made that it does not know. All sessions end.
-    pub fn restored(&mut self, gap: u64) {
+    pub fn mark_restored(&mut self, gap: u64) {
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.end_session(id, SessionEnd::Expired);
         }
         self.revision = self.revision.saturating_add(gap);
         self.changes.clear();
-        (self.changes_bytes, self.since) = (0, self.revision);
+        (self.changes_bytes, self.events_since) = (0, self.revision);
     }
 
     /// Why a write can't be made, whatever the record holds.
-    pub fn malformed(&self, write: &Transaction) -> Option<Rejection> {
-        malformed(&self.bounds, &write.when, &write.then)
+    pub fn validate(&self, write: &Transaction) -> Option<Rejection> {
+        malformed(&self.limits, &write.compares, &write.ops)
     }
 
     /// A fault for the simulation to find: a session that has ended writes as if it had not.
@@ -367,7 +372,7 @@
 
     /// Another: what sessions wrote last is forgotten.
     pub(crate) fn forget_numbers(&mut self) {
-        self.sessions.values_mut().for_each(|s| s.last = None);
+        self.sessions.values_mut().for_each(|s| s.last_transaction = None);
     }
 
     /// Carries a command out.
@@ -389,7 +394,7 @@
     }
 
     fn open(&mut self, name: &str, nonce: u64, ttl_ms: u64, take_over: bool) -> Outcome {
-        let b = &self.bounds;
+        let b = &self.limits;
         if name.is_empty() || name.len() as u64 > b.name {
             return refused("bytes of a name", b.name);
         }
@@ -412,7 +417,7 @@
         self.revision += 1;
         let id = self.revision;
         self.names.insert(name.into(), id);
-        self.sessions.insert(id, Session { name: name.into(), nonce, ttl_ms, last: None });
+        self.sessions.insert(id, Session { name: name.into(), nonce, ttl_ms, last_transaction: None });
         Outcome::SessionOpened(id)
     }
 
@@ -425,23 +430,23 @@
             self.delete(&key);
         }
         self.ended.push_back((id, end));
-        while self.ended.len() as u64 > self.bounds.ended {
+        while self.ended.len() as u64 > self.limits.ended {
             self.ended.pop_front();
         }
     }
 
     fn write_keys(&mut self, write: &Transaction) -> Outcome {
         let Some(session) = self.sessions.get(&write.session) else {
-            return Outcome::Rejected(Rejection::SessionEnded(self.end(write.session)));
+            return Outcome::Rejected(Rejection::SessionEnded(self.session_end(write.session)));
         };
-        match &session.last {
-            Some((number, outcome)) if *number == write.number => return outcome.clone(),
-            Some((number, _)) if *number > write.number => return Outcome::Rejected(Rejection::Superseded),
+        match &session.last_transaction {
+            Some((number, outcome)) if *number == write.sequence => return outcome.clone(),
+            Some((number, _)) if *number > write.sequence => return Outcome::Rejected(Rejection::Superseded),
             _ => {}
         }
         let outcome = self.try_write(write);
         if let Some(session) = self.sessions.get_mut(&write.session) {
-            session.last = Some((write.number, outcome.clone()));
+            session.last_transaction = Some((write.sequence, outcome.clone()));
         }
         outcome
     }
@@ -463,17 +468,17 @@
     }
 
     fn try_write(&mut self, write: &Transaction) -> Outcome {
-        if let Some(refusal) = malformed(&self.bounds, &write.when, &write.then) {
+        if let Some(refusal) = malformed(&self.limits, &write.compares, &write.ops) {
             return Outcome::Rejected(refusal);
         }
-        for (condition, wanted) in write.when.iter().enumerate() {
+        for (condition, wanted) in write.compares.iter().enumerate() {
             if let Err(found) = self.holds(wanted) {
-                return Outcome::CompareFailed { condition, found };
+                return Outcome::CompareFailed { index: condition, found_version: found };
             }
         }
         // What it would come to, before anything is done.
         let (mut keys, mut bytes) = (self.keys.len() as u64, self.bytes);
-        for change in &write.then {
+        for change in &write.ops {
             let old = self.keys.get(change.key()).map(|i| size(change.key(), &i.value));
             let new = match change {
                 Op::Put { key, value, .. } => Some(size(key, value)),
@@ -482,16 +487,18 @@
             bytes = bytes - old.unwrap_or(0) + new.unwrap_or(0);
             keys = keys - u64::from(old.is_some()) + u64::from(new.is_some());
         }
-        if keys > self.bounds.keys {
-            return refused("keys", self.bounds.keys);
+        if keys > self.limits.keys {
+            return refused("keys", self.limits.keys);
         }
-        if bytes > self.bounds.bytes {
-            return refused("bytes of all keys and values", self.bounds.bytes);
+        if bytes > self.limits.bytes {
+            return refused("bytes of all keys and values", self.limits.bytes);
         }
         self.revision += 1;
-        for change in &write.then {
+        for change in &write.ops {
             match change {
-                Op::Put { key, value, bound } => self.put(key, value, bound.then_some(write.session)),
+                Op::Put { key, value, ephemeral: bound } => {
+                    self.put(key, value, bound.then_some(write.session))
+                }
                 Op::Delete(key) => {
                     self.unbind(key);
                     self.delete(key);
@@ -502,7 +509,7 @@
     }
 
     fn unbind(&mut self, key: &str) {
-        if let Some(session) = self.keys.get(key).and_then(|i| i.bound) {
+        if let Some(session) = self.keys.get(key).and_then(|i| i.session) {
             if let Some(keys) = self.bound.get_mut(&session) {
                 keys.remove(key);
             }
@@ -514,7 +521,7 @@
         if let Some(session) = bound {
             self.bound.entry(session).or_default().insert(key.into());
         }
-        let item = VersionedValue { value: value.into(), version: self.revision, bound };
+        let item = VersionedValue { value: value.into(), version: self.revision, session: bound };
         self.bytes += size(key, value);
         if let Some(old) = self.keys.insert(key.into(), item) {
             self.bytes -= size(key, &old.value);
@@ -533,11 +540,11 @@
         let changed = WatchEvent { revision: self.revision, key: key.into(), value: value.map(String::from) };
         self.changes_bytes += size(key, value.unwrap_or(""));
         self.changes.push_back(changed);
-        let b = &self.bounds;
+        let b = &self.limits;
         while self.changes.len() as u64 > b.changes || self.changes_bytes > b.changes_bytes {
             let Some(gone) = self.changes.pop_front() else { break };
             self.changes_bytes -= size(&gone.key, gone.value.as_deref().unwrap_or(""));
-            self.since = gone.revision;
+            self.events_since = gone.revision;
         }
     }
 }
--- a/crates/control-plane/coordination/src/voter/leader.rs
+++ b/crates/control-plane/coordination/src/voter/leader.rs
@@ -278,7 +278,7 @@
             }
             Request::CloseSession { session } => Command::CloseSession { session },
             Request::Transaction(write) => {
-                let refusal = self.state.as_ref().and_then(|s| s.record.malformed(&write));
+                let refusal = self.state.as_ref().and_then(|s| s.record.validate(&write));
                 if let Some(refusal) = refusal {
                     return reply(client, id, Answer::Outcome(Outcome::Rejected(refusal)), out);
                 }
@@ -401,12 +401,14 @@
                     Answer::SessionRenewed
                 }
                 Some(_) => Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(SessionEnd::Expired))),
-                None => Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(record.end(*session)))),
+                None => {
+                    Answer::Outcome(Outcome::Rejected(Rejection::SessionEnded(record.session_end(*session))))
+                }
             },
             Request::Read(select) => {
                 let found: Vec<_> = match select {
                     Select::Key(key) => record.get(key).map(|i| (key.as_str(), i)).into_iter().collect(),
-                    Select::Prefix(prefix) => record.under(prefix).collect(),
+                    Select::Prefix(prefix) => record.with_prefix(prefix).collect(),
                 };
                 let bytes: u64 = found.iter().map(|(k, i)| (k.len() + i.value.len()) as u64).sum();
                 if bytes > MAX_READ_BYTES {
@@ -417,10 +419,10 @@
                 let items = found.into_iter().map(|(k, i)| (k.to_string(), i.clone())).collect();
                 Answer::Values { revision: record.revision(), items }
             }
-            Request::Watch { under, after } => {
+            Request::Watch { prefix: under, after } => {
                 let sent = after.unwrap_or(record.revision());
-                if sent > record.revision() || record.since(sent).is_none() {
-                    return Answer::Compacted { oldest: record.resumes_from() };
+                if sent > record.revision() || record.events_since(sent).is_none() {
+                    return Answer::Compacted { oldest: record.oldest_resumable_revision() };
                 }
                 if l.watches.len() >= MAX_WATCHES {
                     return Answer::Busy(format!("{MAX_WATCHES} watches"));
@@ -452,14 +454,14 @@
         }
         l.told = revision;
         l.watches.retain(|&(client, id), watch| {
-            let Some(since) = record.since(watch.sent) else {
-                reply(client, id, Answer::Compacted { oldest: record.resumes_from() }, out);
+            let Some(since) = record.events_since(watch.sent) else {
+                reply(client, id, Answer::Compacted { oldest: record.oldest_resumable_revision() }, out);
                 return false;
             };
             let changes: Vec<_> = since.filter(|c| c.key.starts_with(&watch.under)).cloned().collect();
             if !changes.is_empty() || revision - watch.sent >= PROGRESS {
                 watch.sent = revision;
-                reply(client, id, Answer::Events { revision, changes }, out);
+                reply(client, id, Answer::Events { revision, events: changes }, out);
             }
             true
         });
--- a/crates/control-plane/coordination/src/voter/membership.rs
+++ b/crates/control-plane/coordination/src/voter/membership.rs
@@ -37,9 +37,9 @@
                 id,
                 name: known.name.clone(),
                 addr: known.addr.clone(),
-                votes: conf.voters.contains(&id),
+                is_voter: conf.voters.contains(&id),
                 active: leads.map(|_| self.leading.heard(id) || id == self.own.voter),
-                has: progress.map(|p| p.matched),
+                match_index: progress.map(|p| p.matched),
             }
         };
         state.members.iter().map(one).collect()
--- a/crates/control-plane/coordination/src/voter/mod.rs
+++ b/crates/control-plane/coordination/src/voter/mod.rs
@@ -630,8 +630,8 @@
     pub fn status(&self) -> Status {
         let mut status = Status { name: self.own.name.clone(), voter: self.own.voter, ..Status::default() };
         status.cluster = self.own.cluster.unwrap_or(0);
-        status.aside = self.aside.clone();
-        status.applied = self.applied;
+        status.storage_error = self.aside.clone();
+        status.applied_index = self.applied;
         status.log = self.log.size();
         status.watches = self.leading.watches();
         status.role = match &self.raft {
@@ -646,8 +646,8 @@
         };
         if let Some(raft) = &self.raft {
             status.term = raft.raft.term;
-            status.last = raft.raft.raft_log.last_index();
-            status.committed = raft.raft.raft_log.committed;
+            status.last_index = raft.raft.raft_log.last_index();
+            status.commit_index = raft.raft.raft_log.committed;
         }
         if let Some(state) = &self.state {
             let (keys, bytes) = state.record.size();
--- a/crates/control-plane/coordination/src/voter/persistence.rs
+++ b/crates/control-plane/coordination/src/voter/persistence.rs
@@ -108,7 +108,7 @@
 /// The backup is none.
 pub fn restore(cluster: u64, first: &Member, backup: &[u8], gap: u64) -> Result<Vec<Vec<u8>>, String> {
     let mut record = State::read(backup)?.record;
-    record.restored(gap);
+    record.mark_restored(gap);
     Ok(formed(State::new(cluster, first, record), first))
 }
 
--- a/crates/control-plane/coordination/tests/encoding.rs
+++ b/crates/control-plane/coordination/tests/encoding.rs
@@ -23,17 +23,17 @@
 fn write() -> Transaction {
     Transaction {
         session: 4,
-        number: 9,
-        when: vec![
+        sequence: 9,
+        compares: vec![
             Compare::Absent("a".into()),
             Compare::Exists("b".into()),
             Compare::Version("c".into(), 7),
             Compare::SessionAlive(4),
             Compare::SessionEnded(3),
         ],
-        then: vec![
-            Op::Put { key: "a".into(), value: "1".into(), bound: true },
-            Op::Put { key: "b".into(), value: "2".into(), bound: false },
+        ops: vec![
+            Op::Put { key: "a".into(), value: "1".into(), ephemeral: true },
+            Op::Put { key: "b".into(), value: "2".into(), ephemeral: false },
             Op::Delete("c".into()),
         ],
     }
@@ -55,7 +55,7 @@
     let mut all = vec![
         Outcome::SessionOpened(4),
         Outcome::Committed(6),
-        Outcome::CompareFailed { condition: 1, found: 0 },
+        Outcome::CompareFailed { index: 1, found_version: 0 },
         Outcome::SessionClosed,
     ];
     all.extend(refusals().into_iter().map(Outcome::Rejected));
@@ -84,8 +84,8 @@
         Request::Transaction(write()),
         Request::Read(Select::Key("a".into())),
         Request::Read(Select::Prefix("a/".into())),
-        Request::Watch { under: "a/".into(), after: Some(3) },
-        Request::Watch { under: "a/".into(), after: None },
+        Request::Watch { prefix: "a/".into(), after: Some(3) },
+        Request::Watch { prefix: "a/".into(), after: None },
         Request::Unwatch { watch: 2 },
         Request::Status,
         Request::Join { name: "v2".into(), addr: "127.0.0.1:9".into(), voter: 77 },
@@ -101,28 +101,28 @@
 
 #[test]
 fn replies_keep_their_encoding() {
-    let item = |bound| VersionedValue { value: "1".into(), version: 5, bound };
+    let item = |bound| VersionedValue { value: "1".into(), version: 5, session: bound };
     let changed =
         |value: Option<&str>| WatchEvent { revision: 6, key: "a".into(), value: value.map(Into::into) };
     let member = Member {
         id: 1,
         name: "v1".into(),
         addr: "127.0.0.1:9".into(),
-        votes: true,
+        is_voter: true,
         active: Some(true),
-        has: Some(12),
+        match_index: Some(12),
     };
     let status = Status {
         name: "v1".into(),
         voter: 1,
         cluster: 2,
         role: "leader".into(),
-        aside: Some("full".into()),
+        storage_error: Some("full".into()),
         term: 3,
         leader: Some("v1".into()),
-        last: 12,
-        committed: 11,
-        applied: 10,
+        last_index: 12,
+        commit_index: 11,
+        applied_index: 10,
         log: (4, 512),
         revision: 9,
         size: (2, 30),
@@ -134,7 +134,7 @@
         Answer::SessionRenewed,
         Answer::Values { revision: 6, items: vec![("a".into(), item(Some(4))), ("b".into(), item(None))] },
         Answer::Watching { revision: 6 },
-        Answer::Events { revision: 6, changes: vec![changed(Some("1")), changed(None)] },
+        Answer::Events { revision: 6, events: vec![changed(Some("1")), changed(None)] },
         Answer::Compacted { oldest: 3 },
         Answer::NotLeader { leader: Some("127.0.0.1:9".into()) },
         Answer::NotLeader { leader: None },
@@ -176,15 +176,18 @@
         |name: &str, nonce| Command::OpenSession { name: name.into(), nonce, ttl_ms: 1500, take_over: true };
     assert_eq!(record.apply(&open("n1", 11)), Outcome::SessionOpened(1));
     assert_eq!(record.apply(&open("n2", 12)), Outcome::SessionOpened(2));
-    let put = |key: &str, bound| Op::Put { key: key.into(), value: format!("of {key}"), bound };
+    let put = |key: &str, bound| Op::Put { key: key.into(), value: format!("of {key}"), ephemeral: bound };
     let write =
-        Transaction { session: 1, number: 1, when: vec![], then: vec![put("a", true), put("b", false)] };
+        Transaction { session: 1, sequence: 1, compares: vec![], ops: vec![put("a", true), put("b", false)] };
     assert_eq!(record.apply(&Command::Transaction(write)), Outcome::Committed(3));
     assert_eq!(record.apply(&Command::ExpireSession { session: 2 }), Outcome::SessionClosed);
-    let written = String::from_utf8(record.write()).expect("text");
+    let written = String::from_utf8(record.encode()).expect("text");
     let line = FIXTURE.lines().find_map(|line| line.strip_prefix("snapshot "));
     assert_eq!(line, Some(&*written), "snapshot {written}");
-    let read = StateMachine::read(written.as_bytes()).expect("reads");
-    assert_eq!(read.write(), written.as_bytes());
-    assert_eq!((read.revision(), read.get("a"), read.end(2)), (4, record.get("a"), SessionEnd::Expired));
+    let read = StateMachine::decode(written.as_bytes()).expect("reads");
+    assert_eq!(read.encode(), written.as_bytes());
+    assert_eq!(
+        (read.revision(), read.get("a"), read.session_end(2)),
+        (4, record.get("a"), SessionEnd::Expired)
+    );
 }
--- a/crates/control-plane/coordination/tests/record.rs
+++ b/crates/control-plane/coordination/tests/record.rs
@@ -17,11 +17,11 @@
 }
 
 fn put(key: &str, value: &str, bound: bool) -> Op {
-    Op::Put { key: key.into(), value: value.into(), bound }
+    Op::Put { key: key.into(), value: value.into(), ephemeral: bound }
 }
 
 fn write(session: SessionId, number: u64, when: Vec<Compare>, then: Vec<Op>) -> Command {
-    Command::Transaction(Transaction { session, number, when, then })
+    Command::Transaction(Transaction { session, sequence: number, compares: when, ops: then })
 }
 
 #[test]
@@ -35,7 +35,7 @@
     assert_eq!(r.apply(&first), Outcome::Committed(at));
     assert_eq!(r.revision(), at);
     let differs = r.apply(&write(s, 2, vec![Compare::Exists("x".into()), Compare::Absent("y".into())], both));
-    assert_eq!(differs, Outcome::CompareFailed { condition: 1, found: at });
+    assert_eq!(differs, Outcome::CompareFailed { index: 1, found_version: at });
     let older = r.apply(&write(s, 1, vec![], vec![put("x", "late", false)]));
     assert_eq!(older, Outcome::Rejected(Rejection::Superseded), "a later one was made");
     let same = r.apply(&write(s, 3, vec![Compare::Version("x".into(), at)], vec![Op::Delete("x".into())]));
@@ -57,11 +57,11 @@
     assert_eq!(late, Outcome::Rejected(Rejection::SessionEnded(SessionEnd::Fenced(next))));
     r.apply(&Command::ExpireSession { session: b });
     assert!(r.get("k2").is_none());
-    assert_eq!(r.end(b), SessionEnd::Expired);
+    assert_eq!(r.session_end(b), SessionEnd::Expired);
     let alive = r.apply(&write(next, 1, vec![Compare::SessionEnded(b), Compare::SessionAlive(next)], vec![]));
     assert!(matches!(alive, Outcome::Committed(_)));
     assert_eq!(r.apply(&Command::CloseSession { session: next }), Outcome::SessionClosed);
-    assert_eq!(r.end(next), SessionEnd::Closed);
+    assert_eq!(r.session_end(next), SessionEnd::Closed);
 }
 
 #[test]
@@ -114,13 +114,13 @@
         r.apply(&write(s, n, vec![], vec![put("k", &n.to_string(), false)]));
     }
     let seen = |r: &StateMachine, from| {
-        r.since(from).map(|all| all.filter_map(|c| c.value.clone()).collect::<Vec<_>>())
+        r.events_since(from).map(|all| all.filter_map(|c| c.value.clone()).collect::<Vec<_>>())
     };
     assert_eq!(seen(&r, begin + 2), Some(vec!["3".into(), "4".into()]));
     assert_eq!(seen(&r, begin), Some(["1", "2", "3", "4"].map(String::from).to_vec()));
     r.apply(&write(s, 5, vec![], vec![put("k", "5", false)]));
-    assert_eq!((seen(&r, begin), r.resumes_from()), (None, begin + 1));
-    let again = StateMachine::read(&r.write()).expect("whole");
+    assert_eq!((seen(&r, begin), r.oldest_resumable_revision()), (None, begin + 1));
+    let again = StateMachine::decode(&r.encode()).expect("whole");
     assert_eq!((seen(&again, r.revision()), seen(&again, begin + 2)), (Some(vec![]), None));
 }
 
@@ -130,10 +130,10 @@
     let mut r = StateMachine::new(Limits::default());
     let s = session(&mut r, "a");
     r.apply(&write(s, 1, vec![], vec![put("bound", "", true), put("free", "1", false)]));
-    let backup = r.write();
+    let backup = r.encode();
     let later = session(&mut r, "later");
-    let mut restored = StateMachine::read(&backup).expect("whole");
-    restored.restored(1 << 40);
+    let mut restored = StateMachine::decode(&backup).expect("whole");
+    restored.mark_restored(1 << 40);
     assert!(restored.get("bound").is_none() && restored.get("free").is_some());
     assert!(session(&mut restored, "new") > later + (1 << 39));
 }
@@ -141,7 +141,11 @@
 fn change() -> impl Strategy<Value = Op> {
     let key = "[ab]{1,2}";
     prop_oneof![
-        (key, "[a-z]{0,3}", any::<bool>()).prop_map(|(key, value, bound)| Op::Put { key, value, bound }),
+        (key, "[a-z]{0,3}", any::<bool>()).prop_map(|(key, value, bound)| Op::Put {
+            key,
+            value,
+            ephemeral: bound
+        }),
         key.prop_map(Op::Delete),
     ]
 }
@@ -178,17 +182,17 @@
         let mut other = None;
         for (k, command) in commands.iter().enumerate() {
             if k == at {
-                other = Some(StateMachine::read(&one.write()).expect("whole"));
+                other = Some(StateMachine::decode(&one.encode()).expect("whole"));
             }
             let outcome = one.apply(command);
             if let Some(other) = &mut other {
                 prop_assert_eq!(other.apply(command), outcome);
-                prop_assert_eq!(other.write(), one.write());
+                prop_assert_eq!(other.encode(), one.encode());
             }
-            let bytes: usize = one.under("").map(|(key, item)| key.len() + item.value.len()).sum();
-            prop_assert_eq!(one.size(), (one.under("").count(), bytes as u64));
+            let bytes: usize = one.with_prefix("").map(|(key, item)| key.len() + item.value.len()).sum();
+            prop_assert_eq!(one.size(), (one.with_prefix("").count(), bytes as u64));
             // What is bound is bound to a session that has not ended.
-            let bound = one.under("").filter_map(|(_, item)| item.bound);
+            let bound = one.with_prefix("").filter_map(|(_, item)| item.session);
             prop_assert!(bound.into_iter().all(|session| one.session(session).is_some()));
         }
     }
--- a/crates/control-plane/disruption-agent/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -88,17 +88,17 @@
     /// Whether something may be done by this leave at this moment: its session is held, by this machine's own clock, and so
     /// nobody else can have been given what it allows.
     pub fn may(&self, given: &GrantedLease) -> bool {
-        self.council.held().is_some_and(|(session, _)| session == given.session)
+        self.council.active_session().is_some_and(|(session, _)| session == given.session)
     }
 
     /// The session that is held now.
     pub fn session(&self) -> Option<SessionId> {
-        self.council.held().map(|(session, _)| session)
+        self.council.active_session().map(|(session, _)| session)
     }
 
     /// Whether the council is heard: its session is held.
     pub fn heard(&self) -> bool {
-        self.council.held().is_some()
+        self.council.active_session().is_some()
     }
 
     /// The record's part as it is heard of, to be looked at without a copy.
@@ -122,7 +122,7 @@
 
 impl Task {
     async fn run(mut self, mut wished: mpsc::Receiver<AgentCommand>) {
-        let mut standing = self.council.standing();
+        let mut standing = self.council.session_state();
         loop {
             // All that waits, before anything is written.
             while let Ok(wish) = wished.try_recv() {
@@ -157,7 +157,7 @@
 
     /// One step. `None`: another may follow at once; else until when to wait.
     async fn act(&mut self) -> Option<Option<Duration>> {
-        let session = self.council.held().map(|(session, _)| session);
+        let session = self.council.active_session().map(|(session, _)| session);
         let mut given = Vec::new();
         let mut step = self.machine.next(boottime_now(), session, self.follow.board(), &mut given);
         for given in given {
--- a/crates/control-plane/disruption-agent/src/command.rs
+++ b/crates/control-plane/disruption-agent/src/command.rs
@@ -88,11 +88,11 @@
     let name = format!("command/{}/{}", operator(), std::process::id());
     let session = held.then(|| SessionConfig { name: name.clone(), ttl: TTL, take_over: true });
     let voters = file.council.voters.iter().map(ToString::to_string).collect();
-    ClientHandle::begin(ClientConfig { voters, session, name, patience: file.council.patience })
+    ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.council.patience })
 }
 
 async fn session(council: &ClientHandle) -> Result<SessionId, String> {
-    let mut standing = council.standing();
+    let mut standing = council.session_state();
     let held = standing.wait_for(|s| matches!(s, SessionState::Active(_)));
     match tokio::time::timeout(WITHIN, held).await.map(|s| s.map(|s| *s)) {
         Ok(Ok(SessionState::Active(session))) => Ok(session),
@@ -120,7 +120,7 @@
         Command::Forget { unit } => forget(&council, &mut follow, &unit).await,
     };
     if !reads {
-        council.close(Duration::from_secs(1)).await;
+        council.close_session(Duration::from_secs(1)).await;
     }
     done
 }
@@ -128,8 +128,8 @@
 async fn apply(file: &DisruptionConfig, council: &ClientHandle, follow: &mut Informer) -> Result<(), String> {
     session(council).await?;
     let value = serde_json::to_string(&file.budgets).map_err(|e| e.to_string())?;
-    let then = vec![Op::Put { key: BUDGETS.into(), value, bound: false }];
-    match write(council, ConditionalWrite { when: Vec::new(), then }).await {
+    let then = vec![Op::Put { key: BUDGETS.into(), value, ephemeral: false }];
+    match write(council, ConditionalWrite { compares: Vec::new(), ops: then }).await {
         WriteOutcome::Committed(_) => {}
         WriteOutcome::Conflict => return Err("the record differs".into()),
         WriteOutcome::Failed(why) => return Err(why),
@@ -196,8 +196,8 @@
         for_ms: wish.for_ms,
     };
     let value = serde_json::to_string(&ask).map_err(|e| e.to_string())?;
-    let put = Op::Put { key: request_key(&id), value, bound: true };
-    match write(council, ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] })
+    let put = Op::Put { key: request_key(&id), value, ephemeral: true };
+    match write(council, ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: vec![put] })
         .await
     {
         WriteOutcome::Committed(_) => {}
@@ -264,7 +264,7 @@
 async fn withdraw(council: &ClientHandle, id: &str, why: String) -> Result<(), String> {
     let then = vec![Op::Delete(request_key(id))];
     // It ends with its session as well.
-    let _ = write(council, ConditionalWrite { when: Vec::new(), then }).await;
+    let _ = write(council, ConditionalWrite { compares: Vec::new(), ops: then }).await;
     Err(why)
 }
 
@@ -278,7 +278,9 @@
             return Err(format!("{unit} is not drained by agreement"));
         };
         let when = vec![Compare::Version(lease_key(&unit), leave.version)];
-        match write(council, ConditionalWrite { when, then: vec![Op::Delete(lease_key(&unit))] }).await {
+        match write(council, ConditionalWrite { compares: when, ops: vec![Op::Delete(lease_key(&unit))] })
+            .await
+        {
             WriteOutcome::Committed(_) => {
                 return print(&format!("{unit} may take work again; it begins cold"))
             }
@@ -301,7 +303,7 @@
     let id = ResourceId::balancer(name);
     let when = vec![Compare::Version(disruption::snapshot::balancer_key(name), unit.version)];
     let then = vec![Op::Delete(disruption::snapshot::balancer_key(name)), Op::Delete(lease_key(&id))];
-    match write(council, ConditionalWrite { when, then }).await {
+    match write(council, ConditionalWrite { compares: when, ops: then }).await {
         WriteOutcome::Committed(_) => print(&format!("{name} is forgotten, and with it its leave")),
         WriteOutcome::Conflict => Err("it changed meanwhile".into()),
         WriteOutcome::Failed(why) => Err(why),
--- a/crates/control-plane/disruption-agent/src/informer.rs
+++ b/crates/control-plane/disruption-agent/src/informer.rs
@@ -80,7 +80,7 @@
             };
             match watch.recv().await {
                 Some(Answer::Watching { .. }) => {}
-                Some(Answer::Events { revision, changes }) => {
+                Some(Answer::Events { revision, events: changes }) => {
                     for c in changes {
                         self.board.put(&c.key, c.value.as_deref(), c.revision);
                     }
@@ -135,7 +135,7 @@
 /// Makes a write of the record.
 pub async fn write(council: &ClientHandle, plan: ConditionalWrite) -> WriteOutcome {
     use coordination::state_machine::Outcome;
-    match council.write(plan.when, plan.then, REQUEST_TIMEOUT).await {
+    match council.transact(plan.compares, plan.ops, REQUEST_TIMEOUT).await {
         RequestOutcome::Answered(Answer::Outcome(Outcome::Committed(revision))) => {
             WriteOutcome::Committed(revision)
         }
--- a/crates/control-plane/disruption-agent/src/reporter.rs
+++ b/crates/control-plane/disruption-agent/src/reporter.rs
@@ -125,7 +125,7 @@
 
 impl Task {
     async fn run(mut self) {
-        let mut standing = self.council.standing();
+        let mut standing = self.council.session_state();
         loop {
             let wake = self.act().await;
             tokio::select! {
@@ -179,7 +179,7 @@
             return at;
         }
         self.not_before = None;
-        let standing = *self.council.standing().borrow();
+        let standing = *self.council.session_state().borrow();
         let wrote = match standing {
             SessionState::Active(session) => self.say(session, state).await,
             SessionState::Fenced(_) => self.leave().await,
@@ -196,8 +196,8 @@
     /// Says how it stands, where that is not what it said last. Whether that went well.
     async fn say(&mut self, session: SessionId, state: InstanceState) -> bool {
         let name = self.setup.name.clone();
-        let mut plan = ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: Vec::new() };
-        let mut put = |key: String, value: String| plan.then.push(Op::Put { key, value, bound: true });
+        let mut plan = ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: Vec::new() };
+        let mut put = |key: String, value: String| plan.ops.push(Op::Put { key, value, ephemeral: true });
         if self.said != Some((session, state)) {
             let said =
                 InstanceStatus { state, session, pid: std::process::id(), build: self.setup.build.clone() };
@@ -224,9 +224,9 @@
         }
         if self.list.as_ref() != Some(&(session, hash.clone())) {
             // Others with the same upstreams have written the same.
-            plan.then.push(Op::Put { key: endpoint_list_key(&hash), value: text, bound: false });
+            plan.ops.push(Op::Put { key: endpoint_list_key(&hash), value: text, ephemeral: false });
         }
-        if plan.then.is_empty() {
+        if plan.ops.is_empty() {
             return true;
         }
         match write(&self.council, plan).await {
@@ -254,23 +254,23 @@
             let name = format!("leaving/{}/{pid}", self.setup.name);
             let session = SessionConfig { name: name.clone(), ttl: file.ttl, take_over: true };
             let voters = file.voters.iter().map(ToString::to_string).collect();
-            ClientHandle::begin(ClientConfig {
+            ClientHandle::spawn(ClientConfig {
                 voters,
                 session: Some(session),
                 name,
-                patience: file.patience,
+                response_timeout: file.patience,
             })
         });
         let own = own.clone();
-        let SessionState::Active(session) = *own.standing().borrow() else { return true };
+        let SessionState::Active(session) = *own.session_state().borrow() else { return true };
         let quiet = self.quiet();
         if self.quiet.as_ref() == Some(&(session, quiet.clone())) {
             return true;
         }
         let value = serde_json::to_string(&quiet).unwrap_or_default();
-        let put = Op::Put { key: predecessor_drained_key(&self.setup.name, pid), value, bound: true };
+        let put = Op::Put { key: predecessor_drained_key(&self.setup.name, pid), value, ephemeral: true };
         let wrote =
-            write(&own, ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] })
+            write(&own, ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: vec![put] })
                 .await;
         if let WriteOutcome::Committed(_) = wrote {
             self.quiet = Some((session, quiet));
--- a/crates/control-plane/disruption/src/lease_agent.rs
+++ b/crates/control-plane/disruption/src/lease_agent.rs
@@ -155,8 +155,8 @@
     /// The next write that is this supervisor's own affair.
     fn own(&mut self, now: Duration, session: SessionId, board: &FleetSnapshot) -> Option<ConditionalWrite> {
         if board.holders.get(&self.owner).is_none_or(|h| h.value != session) {
-            let put = Op::Put { key: owner_key(&self.owner), value: session.to_string(), bound: true };
-            return Some(ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] });
+            let put = Op::Put { key: owner_key(&self.owner), value: session.to_string(), ephemeral: true };
+            return Some(ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: vec![put] });
         }
         if let Some(plan) = self.units.as_ref().and_then(|units| board.declares(&self.owner, units)) {
             return Some(plan);
@@ -191,8 +191,8 @@
         for (id, ask) in &board.asks {
             let own = ask.value.owner == self.owner && ask.value.session == session;
             if own && !matches!(self.wants.get(&ask.value.unit.name), Some(Want::Leave { .. })) {
-                plan.when.push(Compare::Version(request_key(id), ask.version));
-                plan.then.push(Op::Delete(request_key(id)));
+                plan.compares.push(Compare::Version(request_key(id), ask.version));
+                plan.ops.push(Op::Delete(request_key(id)));
             }
         }
         for (unit, want) in
@@ -210,7 +210,11 @@
                 overrides: overrides.clone(),
                 for_ms: None,
             };
-            plan.then.push(Op::Put { key: request_key(&self.ask_id(unit)), value: json(&ask), bound: true });
+            plan.ops.push(Op::Put {
+                key: request_key(&self.ask_id(unit)),
+                value: json(&ask),
+                ephemeral: true,
+            });
         }
         // What is back, or was never given, is not wanted any more.
         let over =
@@ -221,7 +225,7 @@
             self.wants.remove(&unit);
             self.adopted.remove(&unit);
         }
-        (!plan.then.is_empty()).then_some(plan)
+        (!plan.ops.is_empty()).then_some(plan)
     }
 
     /// Leaves that its supervisor was not told of.
@@ -313,7 +317,7 @@
                 let then = vec![Op::Delete(lease_key(id))];
                 return Some((
                     format!("the drain of {id} has ended by itself"),
-                    ConditionalWrite { when, then },
+                    ConditionalWrite { compares: when, ops: then },
                 ));
             }
             if leave.value.drained || !board.waits_for(id).is_empty() {
@@ -325,7 +329,7 @@
             if now >= since + QUIET {
                 let then =
                     vec![put(lease_key(id), json(&DisruptionLease { drained: true, ..leave.value.clone() }))];
-                return Some((format!("{id} is drained"), ConditionalWrite { when, then }));
+                return Some((format!("{id} is drained"), ConditionalWrite { compares: when, ops: then }));
             }
         }
         None
--- a/crates/control-plane/disruption/src/lib.rs
+++ b/crates/control-plane/disruption/src/lib.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConditionalWrite {
     /// What has to be so.
-    pub when: Vec<Compare>,
+    pub compares: Vec<Compare>,
     /// What is changed.
-    pub then: Vec<Op>,
+    pub ops: Vec<Op>,
 }
--- a/crates/control-plane/disruption/src/scheduler.rs
+++ b/crates/control-plane/disruption/src/scheduler.rs
@@ -296,9 +296,9 @@
         if given.is_empty() {
             return None;
         }
-        let mut plan = ConditionalWrite { when: vec![version(LEDGER, self.ledger)], then: Vec::new() };
-        plan.when.push(version(BUDGETS, self.budgets.as_ref().map_or(0, |b| b.version)));
-        plan.then.push(put(LEDGER.into(), "0".into()));
+        let mut plan = ConditionalWrite { compares: vec![version(LEDGER, self.ledger)], ops: Vec::new() };
+        plan.compares.push(version(BUDGETS, self.budgets.as_ref().map_or(0, |b| b.version)));
+        plan.ops.push(put(LEDGER.into(), "0".into()));
         for id in &given {
             let Some(ask) = self.asks.get(id) else { continue };
             let LeaseRequest { unit, owner, session, act, why, overrides, for_ms, .. } = ask.value.clone();
@@ -316,10 +316,10 @@
                 recalled: None,
             };
             // An ask ends with its session: it is there only while that is.
-            plan.when.push(Compare::Version(request_key(id), ask.version));
-            plan.when.push(Compare::Absent(lease_key(&unit)));
-            plan.then.push(put(lease_key(&unit), json(&leave)));
-            plan.then.push(Op::Delete(request_key(id)));
+            plan.compares.push(Compare::Version(request_key(id), ask.version));
+            plan.compares.push(Compare::Absent(lease_key(&unit)));
+            plan.ops.push(put(lease_key(&unit), json(&leave)));
+            plan.ops.push(Op::Delete(request_key(id)));
         }
         Some((plan, given))
     }
@@ -352,11 +352,11 @@
         let over = in_now && (leave.value.act.renews() || undone);
         let said = said.filter(|_| over)?;
         Some(ConditionalWrite {
-            when: vec![
+            compares: vec![
                 Compare::Version(lease_key(unit), leave.version),
                 Compare::Version(status_key(&unit.name), said.version),
             ],
-            then: vec![Op::Delete(lease_key(unit))],
+            ops: vec![Op::Delete(lease_key(unit))],
         })
     }
 
@@ -375,7 +375,7 @@
                 Compare::Version(status_key(&id.name), said.version),
                 Compare::SessionEnded(leave.value.session),
             ];
-            all.push((id.clone(), ConditionalWrite { when, then: vec![Op::Delete(lease_key(id))] }));
+            all.push((id.clone(), ConditionalWrite { compares: when, ops: vec![Op::Delete(lease_key(id))] }));
         }
         all
     }
@@ -385,8 +385,8 @@
         let leave = self.leaves.get(unit).filter(|l| l.value.owner == owner && l.value.session != session)?;
         let own = DisruptionLease { session, ..leave.value.clone() };
         Some(ConditionalWrite {
-            when: vec![Compare::Version(lease_key(unit), leave.version), Compare::SessionAlive(session)],
-            then: vec![put(lease_key(unit), json(&own))],
+            compares: vec![Compare::Version(lease_key(unit), leave.version), Compare::SessionAlive(session)],
+            ops: vec![put(lease_key(unit), json(&own))],
         })
     }
 
@@ -400,17 +400,17 @@
         let mut plan = ConditionalWrite::default();
         for (name, unit) in units {
             if self.units.get(name).is_none_or(|u| u.value != *unit) {
-                plan.then.push(put(balancer_key(name), json(unit)));
+                plan.ops.push(put(balancer_key(name), json(unit)));
             }
         }
         for (name, unit) in &self.units {
             let gone = unit.value.machine == machine && !units.contains_key(name);
             if gone && !self.leaves.contains_key(&ResourceId::balancer(name)) {
-                plan.when.push(Compare::Version(balancer_key(name), unit.version));
-                plan.then.push(Op::Delete(balancer_key(name)));
+                plan.compares.push(Compare::Version(balancer_key(name), unit.version));
+                plan.ops.push(Op::Delete(balancer_key(name)));
             }
         }
-        (!plan.then.is_empty()).then_some(plan)
+        (!plan.ops.is_empty()).then_some(plan)
     }
 
     /// Drains that are asked to return, since an upstream's group is below its floor: the newest first, as many as are
@@ -448,8 +448,8 @@
                 "{group} is below the floor of {} of budget {}",
                 view.budgets[k].floor, view.budgets[k].name
             );
-            plan.when.push(Compare::Version(lease_key(id), leave.version));
-            plan.then.push(if leave.value.drained {
+            plan.compares.push(Compare::Version(lease_key(id), leave.version));
+            plan.ops.push(if leave.value.drained {
                 put(
                     lease_key(id),
                     json(&DisruptionLease { recalled: Some(why.clone()), ..leave.value.clone() }),
@@ -469,10 +469,10 @@
         for (hash, list) in
             self.lists.iter().filter(|(hash, _)| !used.contains(hash.as_str())).take(MAX_GRANTS_PER_WRITE)
         {
-            plan.when.push(Compare::Version(endpoint_list_key(hash), list.version));
-            plan.then.push(Op::Delete(endpoint_list_key(hash)));
+            plan.compares.push(Compare::Version(endpoint_list_key(hash), list.version));
+            plan.ops.push(Op::Delete(endpoint_list_key(hash)));
         }
-        (!plan.then.is_empty()).then_some(plan)
+        (!plan.ops.is_empty()).then_some(plan)
     }
 
     /// What keeps a drain from being over: balancers that have not confirmed that nothing is in flight there. Empty: the
@@ -508,7 +508,7 @@
 
 /// A key that outlives the session that writes it.
 pub(crate) fn put(key: String, value: String) -> Op {
-    Op::Put { key, value, bound: false }
+    Op::Put { key, value, ephemeral: false }
 }
 
 /// Texts and numbers only: this can't fail.
--- a/crates/control-plane/disruption/tests/rule.rs
+++ b/crates/control-plane/disruption/tests/rule.rs
@@ -51,14 +51,15 @@
             *n += 1;
             *n
         });
-        let write = Transaction { session, number: number.unwrap_or(1), when: plan.when, then: plan.then };
+        let write =
+            Transaction { session, sequence: number.unwrap_or(1), compares: plan.compares, ops: plan.ops };
         matches!(self.record.apply(&Command::Transaction(write)), Outcome::Committed(_))
     }
 
     fn put<T: serde::Serialize>(&mut self, who: &str, key: &str, value: &T, bound: bool) {
         let value = serde_json::to_string(value).expect("JSON");
-        let then = vec![Op::Put { key: key.into(), value, bound }];
-        assert!(self.write(who, ConditionalWrite { when: vec![], then }));
+        let then = vec![Op::Put { key: key.into(), value, ephemeral: bound }];
+        assert!(self.write(who, ConditionalWrite { compares: vec![], ops: then }));
     }
 
     fn ends(&mut self, who: &str) {
@@ -69,7 +70,7 @@
 
     fn board(&self) -> FleetSnapshot {
         let items: Vec<(String, VersionedValue)> =
-            self.record.under(KEY_PREFIX).map(|(k, i)| (k.to_string(), i.clone())).collect();
+            self.record.with_prefix(KEY_PREFIX).map(|(k, i)| (k.to_string(), i.clone())).collect();
         FleetSnapshot::read(self.record.revision(), &items)
     }
 
--- a/crates/control-plane/rollout-agent/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -147,7 +147,8 @@
     /// One step; whether another may follow at once.
     async fn act(&mut self) -> bool {
         let now = Instant::now();
-        let Some((session, _)) = self.council.held().filter(|_| self.not_before.is_none_or(|at| now >= at))
+        let Some((session, _)) =
+            self.council.active_session().filter(|_| self.not_before.is_none_or(|at| now >= at))
         else {
             return false;
         };
@@ -182,11 +183,11 @@
             said.iter().filter(differs).take(TOGETHER).map(|(u, p)| (u.clone(), p.clone())).collect();
         let put = |(unit, place): (&String, &InstanceReport)| {
             let value = serde_json::to_string(place).unwrap_or_default();
-            Op::Put { key: report_key(unit), value, bound: true }
+            Op::Put { key: report_key(unit), value, ephemeral: true }
         };
         let plan = ConditionalWrite {
-            when: vec![Compare::SessionAlive(session)],
-            then: then.iter().map(put).collect(),
+            compares: vec![Compare::SessionAlive(session)],
+            ops: then.iter().map(put).collect(),
         };
         (!then.is_empty()).then_some((plan, then))
     }
--- a/crates/control-plane/rollout-agent/src/command.rs
+++ b/crates/control-plane/rollout-agent/src/command.rs
@@ -46,7 +46,7 @@
     let session = (!reads).then(|| SessionConfig { name: name.clone(), ttl: TTL, take_over: true });
     let voters = file.council.voters.iter().map(ToString::to_string).collect();
     let council =
-        ClientHandle::begin(ClientConfig { voters, session, name, patience: file.council.patience });
+        ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.council.patience });
     let mut follow = crate::follow(council.clone());
     let done = match command {
         Command::Start => start(file, &council, &mut follow).await,
@@ -59,7 +59,7 @@
         Command::Order(order) => say(&council, &mut follow, &order).await,
     };
     if !reads {
-        council.close(Duration::from_secs(1)).await;
+        council.close_session(Duration::from_secs(1)).await;
     }
     done
 }
--- a/crates/control-plane/rollout-agent/src/sampler.rs
+++ b/crates/control-plane/rollout-agent/src/sampler.rs
@@ -57,10 +57,10 @@
 }
 
 async fn say(council: &ClientHandle, name: &str, window: MetricsWindow) {
-    let Some((session, _)) = council.held() else { return };
+    let Some((session, _)) = council.active_session() else { return };
     let value = serde_json::to_string(&window).unwrap_or_default();
-    let put = Op::Put { key: metrics_key(name), value, bound: true };
-    let plan = ConditionalWrite { when: vec![Compare::SessionAlive(session)], then: vec![put] };
+    let put = Op::Put { key: metrics_key(name), value, ephemeral: true };
+    let plan = ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: vec![put] };
     if let WriteOutcome::Failed(why) = write(council, plan).await {
         info!("release: {name} is not heard: {why}");
     }
--- a/crates/control-plane/rollout/src/snapshot.rs
+++ b/crates/control-plane/rollout/src/snapshot.rs
@@ -209,7 +209,7 @@
             Compare::Version(STATE_KEY.into(), state.version),
         ];
         let value = serde_json::to_string(next).ok()?;
-        Some(Write { when, then: vec![Op::Put { key: STATE_KEY.into(), value, bound: false }] })
+        Some(Write { compares: when, ops: vec![Op::Put { key: STATE_KEY.into(), value, ephemeral: false }] })
     }
 
     /// What starts a release.
@@ -235,12 +235,12 @@
             stands(STATE_KEY, self.state.as_ref().map(|s| s.version)),
         ];
         let text = |e: serde_json::Error| e.to_string();
-        let put = |key: &str, value: String| Op::Put { key: key.into(), value, bound: false };
+        let put = |key: &str, value: String| Op::Put { key: key.into(), value, ephemeral: false };
         let then = vec![
             put(PLAN_KEY, serde_json::to_string(plan).map_err(text)?),
             put(STATE_KEY, serde_json::to_string(&plan.release.begin()).map_err(text)?),
         ];
-        Ok(Write { when, then })
+        Ok(Write { compares: when, ops: then })
     }
 }
 
@@ -273,7 +273,7 @@
     /// Takes a write in, as the record would if its conditions hold.
     fn write(board: &mut RolloutSnapshot, write: &Write) {
         let at = board.revision + 1;
-        for change in &write.then {
+        for change in &write.ops {
             if let Op::Put { key, value, .. } = change {
                 board.put(key, Some(value), at);
             }
@@ -286,13 +286,13 @@
     fn one_release_at_a_time_and_each_state_follows_the_one_that_stands() {
         let mut board = RolloutSnapshot::default();
         let first = board.starts(&plan(1)).expect("none goes on");
-        assert_eq!(first.when, [Compare::Absent(PLAN_KEY.into()), Compare::Absent(STATE_KEY.into())]);
+        assert_eq!(first.compares, [Compare::Absent(PLAN_KEY.into()), Compare::Absent(STATE_KEY.into())]);
         write(&mut board, &first);
         assert!(board.starts(&plan(2)).expect_err("one goes on").contains("release 1 goes on"));
         let (of, state) = board.current().expect("a release");
         let halted = of.release.ordered(&state.value, &OperatorCommand::Pause("x".into())).expect("it goes");
         let next = board.moves_to(&halted).expect("a write");
-        assert!(next.when.contains(&Compare::Version(STATE_KEY.into(), state.version)));
+        assert!(next.compares.contains(&Compare::Version(STATE_KEY.into(), state.version)));
         write(&mut board, &next);
         assert!(board.unfinished().is_some(), "halted is not over");
         let whole = board.moves_to(&RolloutState::Complete).expect("a write");
--- a/crates/herondock/benches/council.rs
+++ b/crates/herondock/benches/council.rs
@@ -39,11 +39,16 @@
 
 fn settings(voters: &[String], name: &str, ttl: Duration) -> ClientConfig {
     let session = Some(SessionConfig { name: name.into(), ttl, take_over: true });
-    ClientConfig { voters: voters.to_vec(), session, name: name.into(), patience: Duration::from_secs(2) }
+    ClientConfig {
+        voters: voters.to_vec(),
+        session,
+        name: name.into(),
+        response_timeout: Duration::from_secs(2),
+    }
 }
 
 fn put(key: usize) -> Vec<Op> {
-    vec![Op::Put { key: format!("key/{key:05}"), value: "x".repeat(VALUE), bound: false }]
+    vec![Op::Put { key: format!("key/{key:05}"), value: "x".repeat(VALUE), ephemeral: false }]
 }
 
 fn micros() -> Histogram<u64> {
@@ -80,16 +85,16 @@
         let tasks: Vec<_> = (0..clients)
             .map(|c| {
                 let council =
-                    ClientHandle::begin(settings(voters, &format!("w{c}"), Duration::from_secs(10)));
+                    ClientHandle::spawn(settings(voters, &format!("w{c}"), Duration::from_secs(10)));
                 tokio::task::spawn_local(async move {
                     // The session and the connection come first.
-                    assert!(written(&council.write(vec![], put(c), WITHIN).await));
+                    assert!(written(&council.transact(vec![], put(c), WITHIN).await));
                     let (mut took, started) = (micros(), Instant::now());
                     let mut n = 0;
                     while started.elapsed() < length {
                         n += 1;
                         let sent = Instant::now();
-                        let told = council.write(vec![], put((c * 97 + n) % KEYS), WITHIN).await;
+                        let told = council.transact(vec![], put((c * 97 + n) % KEYS), WITHIN).await;
                         assert!(written(&told), "{told:?}");
                         took.record(sent.elapsed().as_micros() as u64).expect("within bounds");
                     }
@@ -160,9 +165,9 @@
         let (stopped, voters) = (stop.clone(), voters.to_vec());
         let thread = std::thread::spawn(move || {
             run(async {
-                let council = ClientHandle::begin(settings(&voters, "probe", Duration::from_secs(30)));
+                let council = ClientHandle::spawn(settings(&voters, "probe", Duration::from_secs(30)));
                 while !stopped.load(Ordering::SeqCst) {
-                    if written(&council.write(vec![], put(0), WITHIN).await) {
+                    if written(&council.transact(vec![], put(0), WITHIN).await) {
                         let _ = tell.send(Instant::now());
                     }
                 }
@@ -278,7 +283,7 @@
         let tasks: Vec<_> = (0..AT_ONCE)
             .map(|c| {
                 let council =
-                    ClientHandle::begin(settings(voters, &format!("f{c}"), Duration::from_secs(30)));
+                    ClientHandle::spawn(settings(voters, &format!("f{c}"), Duration::from_secs(30)));
                 let next = next.clone();
                 tokio::task::spawn_local(async move {
                     loop {
@@ -287,7 +292,7 @@
                             return;
                         }
                         next.set(n + 1);
-                        let told = council.write(vec![], put(n % KEYS), WITHIN).await;
+                        let told = council.transact(vec![], put(n % KEYS), WITHIN).await;
                         assert!(written(&told), "{told:?}");
                     }
                 })
@@ -317,8 +322,8 @@
         let mut clients = Vec::new();
         for c in 0..CLIENTS {
             let council =
-                ClientHandle::begin(settings(&voters.reached(), &format!("m{c}"), Duration::from_secs(10)));
-            assert!(written(&council.write(vec![], put(c), WITHIN).await));
+                ClientHandle::spawn(settings(&voters.reached(), &format!("m{c}"), Duration::from_secs(10)));
+            assert!(written(&council.transact(vec![], put(c), WITHIN).await));
             let watch = council.watch("key/", None).await;
             clients.push((council, watch));
         }
@@ -328,7 +333,7 @@
             spread(of_voters(), 1)
         );
         for (council, _) in &clients {
-            council.close(WITHIN).await;
+            council.close_session(WITHIN).await;
         }
     });
     let up = upstream();
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -424,7 +424,7 @@
         if !self.course.borrow().handed_over {
             self.registrations.end().await;
             if let Some(council) = &self.council {
-                council.close(LAST_WORD).await;
+                council.close_session(LAST_WORD).await;
             }
         }
         if self.serving() {
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -48,15 +48,15 @@
 async fn work(settings: ClientConfig, number: u64, stop: &AtomicBool, done: &AtomicUsize) -> Histories {
     let mut random = Pcg64Mcg::seed_from_u64(number);
     let (mut worker, mut all) = (Worker::new(number), Histories::default());
-    let council = ClientHandle::begin(settings);
+    let council = ClientHandle::spawn(settings);
     let mut last: Option<(SessionId, Duration)> = None;
     while !stop.load(Ordering::SeqCst) {
-        let held = council.held();
+        let held = council.active_session();
         // Its session has ended, by its own clock, at the time that it knew of last.
         if let Some((_, until)) = last.take_if(|(id, _)| held.is_none_or(|(now, _)| now != *id)) {
             worker.lets_go(as_nanos(until), &mut all);
         }
-        last = council.held_last().filter(|_| held.is_some());
+        last = council.last_session().filter(|_| held.is_some());
         let next = worker.next(nanos(), held.map(|(id, _)| id), &mut random);
         if worker.is_letting_go() {
             worker.lets_go(nanos(), &mut all);
@@ -65,13 +65,13 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let told = council.ask(ask, within).await;
+        let told = council.request(ask, within).await;
         done.fetch_add(1, Ordering::SeqCst);
-        let session = council.held().map(|(id, _)| id);
+        let session = council.active_session().map(|(id, _)| id);
         worker.told(nanos(), told, session, &mut all);
         tokio::time::sleep(Duration::from_millis(random.gen_range(1..15))).await;
     }
-    let end = council.held_last().map_or(nanos(), |(_, until)| as_nanos(until).min(nanos()));
+    let end = council.last_session().map_or(nanos(), |(_, until)| as_nanos(until).min(nanos()));
     worker.ends(end, &mut all);
     all
 }
@@ -191,14 +191,14 @@
         let (go, gone) = tokio::sync::oneshot::channel::<()>();
         let writer = thread::spawn(move || {
             run(async move {
-                let council = ClientHandle::begin(settings);
-                ready.send(written(&council.write(vec![], vec![], WITHIN).await)).expect("heard");
+                let council = ClientHandle::spawn(settings);
+                ready.send(written(&council.transact(vec![], vec![], WITHIN).await)).expect("heard");
                 gone.await.expect("told");
                 // A second time it would differ: there is such a key then.
                 let key = format!("once/{k}");
                 let absent = vec![Compare::Absent(key.clone())];
-                let put = vec![Op::Put { key, value: k.to_string(), bound: false }];
-                council.write(absent, put, WITHIN).await
+                let put = vec![Op::Put { key, value: k.to_string(), ephemeral: false }];
+                council.transact(absent, put, WITHIN).await
             })
         });
         assert!(is_ready.recv_timeout(PATIENCE).expect("ready"), "{:#?}", voters.logs());
@@ -221,32 +221,32 @@
 fn a_second_process_under_a_name_fences_the_first() {
     let voters = start(3);
     run(async {
-        let first = ClientHandle::begin(voters.client("twin", true));
-        let bound = |value: &str| vec![Op::Put { key: "twin".into(), value: value.into(), bound: true }];
-        assert!(written(&first.write(vec![], bound("first"), WITHIN).await));
-        let (one, _) = first.held().expect("held");
+        let first = ClientHandle::spawn(voters.client("twin", true));
+        let bound = |value: &str| vec![Op::Put { key: "twin".into(), value: value.into(), ephemeral: true }];
+        assert!(written(&first.transact(vec![], bound("first"), WITHIN).await));
+        let (one, _) = first.active_session().expect("held");
         // Cut off, it believes on until its time is up; the second takes its name meanwhile.
         let second =
-            ClientHandle::begin(ClientConfig { name: "twin-2".into(), ..voters.client("twin", true) });
-        assert!(written(&second.write(vec![Compare::SessionEnded(one)], bound("second"), WITHIN).await));
-        let (two, _) = second.held().expect("held");
+            ClientHandle::spawn(ClientConfig { name: "twin-2".into(), ..voters.client("twin", true) });
+        assert!(written(&second.transact(vec![Compare::SessionEnded(one)], bound("second"), WITHIN).await));
+        let (two, _) = second.active_session().expect("held");
         assert!(two > one, "a number that grows: {one}, {two}");
-        let told = first.write(vec![], bound("first again"), WITHIN).await;
+        let told = first.transact(vec![], bound("first again"), WITHIN).await;
         assert!(
             matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
             "{told:?}"
         );
-        let mut standing = first.standing();
+        let mut standing = first.session_state();
         standing.wait_for(|s| *s == SessionState::Fenced(two)).await.expect("it hears of it");
-        let told = second.write(vec![Compare::SessionAlive(one)], bound("x"), WITHIN).await;
+        let told = second.transact(vec![Compare::SessionAlive(one)], bound("x"), WITHIN).await;
         assert!(
             matches!(
                 told,
-                RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { condition: 0, .. }))
+                RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { index: 0, .. }))
             ),
             "{told:?}"
         );
-        second.close(WITHIN).await;
+        second.close_session(WITHIN).await;
     });
     assert_eq!(voters.get("twin"), None, "it ended with its session");
 }
@@ -275,7 +275,7 @@
     let seen = voters.statuses();
     let aside = seen.iter().find(|s| s.name == voters.names[l]).expect("it still answers");
     assert_eq!(aside.role, "aside");
-    assert!(aside.aside.as_ref().is_some_and(|why| why.contains("too large")), "{aside:?}");
+    assert!(aside.storage_error.as_ref().is_some_and(|why| why.contains("too large")), "{aside:?}");
     disk::room(pid(l)).expect("runs");
     voters.whole();
 
@@ -285,9 +285,11 @@
     two.iter().for_each(|&k| disk::full_at(pid(k), 10).expect("runs"));
     voters.until("two aside", |all| all.iter().filter(|s| s.role == "aside").count() == 2);
     let settings = voters.client("late", true);
-    let then = vec![Op::Put { key: "late".into(), value: "x".into(), bound: false }];
+    let then = vec![Op::Put { key: "late".into(), value: "x".into(), ephemeral: false }];
     let told =
-        run(async move { ClientHandle::begin(settings).write(vec![], then, Duration::from_secs(1)).await });
+        run(
+            async move { ClientHandle::spawn(settings).transact(vec![], then, Duration::from_secs(1)).await },
+        );
     assert!(matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)), "{told:?}");
     two.iter().for_each(|&k| disk::room(pid(k)).expect("runs"));
     voters.whole();
@@ -309,12 +311,12 @@
             let mut process = Process::start(voters.process(0, &["run", "--halt-at", &halt]));
             // Until it dies, or has done more than any of its steps takes.
             let acknowledged = run(async {
-                let council = ClientHandle::begin(settings.clone());
+                let council = ClientHandle::spawn(settings.clone());
                 let mut last = None;
                 for n in 0..6 {
                     let value = format!("{kind}-{at}-{n}");
-                    let then = vec![Op::Put { key: "k".into(), value: value.clone(), bound: false }];
-                    let write = council.write(vec![], then, Duration::from_secs(10));
+                    let then = vec![Op::Put { key: "k".into(), value: value.clone(), ephemeral: false }];
+                    let write = council.transact(vec![], then, Duration::from_secs(10));
                     let died = async {
                         while process.runs() {
                             tokio::time::sleep(Duration::from_millis(2)).await;
@@ -368,7 +370,7 @@
     let output = voters.command(&["remove", "--name", &name]);
     assert!(output.status.success(), "{output:?}");
     voters.machines[lost].process(0).logs("has joined council");
-    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.whole();
 
     // Damage in the middle: refused with file and place, and nothing is voted by it.
@@ -428,17 +430,20 @@
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success() && text.contains("are needed"), "{text}");
     replace(&mut voters, down);
-    voters.until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters
+        .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     // And now the two that were there from the start, the leader last.
     replace(&mut voters, other);
-    voters.until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters
+        .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.whole();
     let output = voters.command(&["remove", "--name", &voters.names[l]]);
     assert!(output.status.success(), "it hands over first: {output:?}");
     assert!(voters.machines[l].process_mut(0).wait().success(), "it ends by itself");
     voters.machines[l].wipe();
     voters.machines[l].start();
-    voters.until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters
+        .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.whole();
     assert_eq!((voters.get("k").as_deref(), voters.members()), (Some("v"), 3));
 }
@@ -456,10 +461,10 @@
     // Two megabytes of record.
     let big = "x".repeat(60 << 10);
     run(async {
-        let council = ClientHandle::begin(voters.client("filler", true));
+        let council = ClientHandle::spawn(voters.client("filler", true));
         for k in 0..34 {
-            let then = vec![Op::Put { key: format!("big/{k}"), value: big.clone(), bound: false }];
-            assert!(written(&council.write(vec![], then, WITHIN).await));
+            let then = vec![Op::Put { key: format!("big/{k}"), value: big.clone(), ephemeral: false }];
+            assert!(written(&council.transact(vec![], then, WITHIN).await));
         }
     });
     let l = voters.leader();
@@ -467,14 +472,16 @@
     voters.machines[away].start();
     voters.machines[away].process(0).logs("has joined council");
     // It has begun, and takes ten seconds at this pace: broken off by a reset, and by the death of who takes it.
-    voters.until("a learner", |all| all.iter().any(|s| s.members.iter().any(|m| m.name == name && !m.votes)));
+    voters.until("a learner", |all| {
+        all.iter().any(|s| s.members.iter().any(|m| m.name == name && !m.is_voter))
+    });
     voters.net.set(&voters.names[l], &name, Rule::Cut);
     voters.net.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
     voters.machines[away].kill();
     voters.machines[away].start();
     voters.net.heal();
     voters.whole();
-    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
 }
 
 /// Guards against an election after which hundreds of clients come at once, and are turned away or lose their sessions.
@@ -492,7 +499,7 @@
                     if let Some(session) = &mut settings.session {
                         session.ttl = Duration::from_secs(10);
                     }
-                    ClientHandle::begin(settings)
+                    ClientHandle::spawn(settings)
                 })
                 .collect();
             let write = |round: usize| {
@@ -502,8 +509,8 @@
                     for (k, council) in all.into_iter().enumerate() {
                         tasks.push(tokio::task::spawn_local(async move {
                             let key = format!("many/{k}");
-                            let then = vec![Op::Put { key, value: round.to_string(), bound: true }];
-                            written(&council.write(vec![], then, WITHIN).await)
+                            let then = vec![Op::Put { key, value: round.to_string(), ephemeral: true }];
+                            written(&council.transact(vec![], then, WITHIN).await)
                         }));
                     }
                     let mut done = 0;
@@ -514,7 +521,7 @@
                 }
             };
             let held = |all: &[ClientHandle]| {
-                all.iter().map(|c| c.held_last().map(|(id, _)| id)).collect::<Vec<_>>()
+                all.iter().map(|c| c.last_session().map(|(id, _)| id)).collect::<Vec<_>>()
             };
             tell.send(write(1).await).expect("heard");
             let before = held(&all);
@@ -553,27 +560,27 @@
     let saved = voters.command(&["backup", "--to", kept.to_str().expect("text")]);
     assert!(saved.status.success(), "{saved:?}");
     let before = run(async {
-        let council = ClientHandle::begin(voters.client("old", true));
-        council.write(vec![], vec![], WITHIN).await;
-        council.held().map(|(id, _)| id)
+        let council = ClientHandle::spawn(voters.client("old", true));
+        council.transact(vec![], vec![], WITHIN).await;
+        council.active_session().map(|(id, _)| id)
     });
     voters.machines.iter_mut().for_each(Machine::kill);
     voters.machines.iter().for_each(Machine::wipe);
     let restored = voters.command(&["restore", "--from", kept.to_str().expect("text")]);
     assert!(restored.status.success(), "{restored:?}");
     voters.machines.iter_mut().for_each(Machine::start);
-    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     assert_eq!(voters.get("policy/limit").as_deref(), Some("7"));
     let after = run(async {
-        let council = ClientHandle::begin(voters.client("new", true));
-        council.write(vec![], vec![], WITHIN).await;
-        council.held().map(|(id, _)| id)
+        let council = ClientHandle::spawn(voters.client("new", true));
+        council.transact(vec![], vec![], WITHIN).await;
+        council.active_session().map(|(id, _)| id)
     });
     assert!(after > before, "{before:?}, {after:?}");
     // A session of before the loss is over, whatever it believes.
     let told = run(async {
-        let council = ClientHandle::begin(voters.client("judge", true));
-        council.write(vec![Compare::SessionAlive(before.expect("held"))], vec![], WITHIN).await
+        let council = ClientHandle::spawn(voters.client("judge", true));
+        council.transact(vec![Compare::SessionAlive(before.expect("held"))], vec![], WITHIN).await
     });
     assert!(
         matches!(told, RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { .. }))),
@@ -609,7 +616,7 @@
     voters.machines[f].kill();
     voters.machines[f].wipe();
     voters.machines[f].start();
-    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == 3));
+    voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.whole();
     assert_eq!(voters.get("k").as_deref(), Some("newer"));
 }
@@ -638,13 +645,13 @@
     let mut voters = start(3);
     let l = voters.leader();
     run(async {
-        let watcher = ClientHandle::begin(voters.client("watcher", false));
+        let watcher = ClientHandle::spawn(voters.client("watcher", false));
         let mut told = watcher.watch("k", None).await;
         assert!(matches!(told.recv().await, Some(Answer::Watching { .. })));
         voters.machines[l].pause();
-        let writer = ClientHandle::begin(voters.client("writer", true));
-        let put = vec![Op::Put { key: "k".into(), value: "v".into(), bound: false }];
-        assert!(written(&writer.write(vec![], put, WITHIN).await));
+        let writer = ClientHandle::spawn(voters.client("writer", true));
+        let put = vec![Op::Put { key: "k".into(), value: "v".into(), ephemeral: false }];
+        assert!(written(&writer.transact(vec![], put, WITHIN).await));
         let next = tokio::time::timeout(PATIENCE, told.recv()).await;
         assert!(matches!(next, Ok(Some(Answer::Events { .. }))), "{next:?}");
     });
--- a/crates/verification/coordination-simulation/src/workload.rs
+++ b/crates/verification/coordination-simulation/src/workload.rs
@@ -119,9 +119,9 @@
             (_, None) => return None,
             (45..=59, _) => {
                 let value = self.value();
-                let then = vec![Op::Put { key: one.clone(), value: value.clone(), bound: false }];
+                let then = vec![Op::Put { key: one.clone(), value: value.clone(), ephemeral: false }];
                 let call = Call::Write { when: vec![], then: vec![(one, Some(value))] };
-                (ClientRequest::Transact { when: vec![], then }, plain(call))
+                (ClientRequest::Transact { compares: vec![], ops: then }, plain(call))
             }
             (60..=79, _) => {
                 // Both keys, if they are as it saw them last.
@@ -133,42 +133,46 @@
                 };
                 let when = vec![condition(&a, &was_a), condition(&b, &was_b)];
                 let value = self.value();
-                let then_a = Op::Put { key: a.clone(), value: value.clone(), bound: false };
+                let then_a = Op::Put { key: a.clone(), value: value.clone(), ephemeral: false };
                 let (then_b, b_after) = match random.gen_bool(0.3) && was_b.0.is_some() {
                     true => (Op::Delete(b.clone()), None),
-                    false => {
-                        (Op::Put { key: b.clone(), value: value.clone(), bound: false }, Some(value.clone()))
-                    }
+                    false => (
+                        Op::Put { key: b.clone(), value: value.clone(), ephemeral: false },
+                        Some(value.clone()),
+                    ),
                 };
                 let call = Call::Write {
                     when: vec![(a.clone(), was_a.0), (b.clone(), was_b.0)],
                     then: vec![(a, Some(value)), (b, b_after)],
                 };
-                (ClientRequest::Transact { when, then: vec![then_a, then_b] }, plain(call))
+                (ClientRequest::Transact { compares: when, ops: vec![then_a, then_b] }, plain(call))
             }
             (_, Some(session)) => match self.holds.clone() {
                 Some((lock, of, _)) if of == session && random.gen_bool(0.5) => {
                     let guard = lock.replace("lock", "guard");
-                    let then = vec![Op::Put { key: guard, value: session.to_string(), bound: false }];
-                    (ClientRequest::Transact { when: vec![], then }, (Doing::Guards, Call::Read(Vec::new())))
+                    let then = vec![Op::Put { key: guard, value: session.to_string(), ephemeral: false }];
+                    (
+                        ClientRequest::Transact { compares: vec![], ops: then },
+                        (Doing::Guards, Call::Read(Vec::new())),
+                    )
                 }
                 // Of a session that is over.
                 Some((_, of, _)) if of != session => return None,
                 Some((lock, ..)) => {
                     // From here on it does not count on it.
                     (
-                        ClientRequest::Transact { when: vec![], then: vec![Op::Delete(lock)] },
+                        ClientRequest::Transact { compares: vec![], ops: vec![Op::Delete(lock)] },
                         (Doing::LetsGo, Call::Read(Vec::new())),
                     )
                 }
                 None => {
                     let when = vec![Compare::Absent(lock.clone())];
                     let then = vec![
-                        Op::Put { key: lock.clone(), value: session.to_string(), bound: true },
-                        Op::Put { key: guard, value: session.to_string(), bound: false },
+                        Op::Put { key: lock.clone(), value: session.to_string(), ephemeral: true },
+                        Op::Put { key: guard, value: session.to_string(), ephemeral: false },
                     ];
                     (
-                        ClientRequest::Transact { when, then },
+                        ClientRequest::Transact { compares: when, ops: then },
                         (Doing::Takes(lock, session), Call::Read(Vec::new())),
                     )
                 }
--- a/crates/verification/coordination-simulation/src/world.rs
+++ b/crates/verification/coordination-simulation/src/world.rs
@@ -217,7 +217,7 @@
         let settings = client::ClientConfig {
             voters: self.names(),
             session,
-            patience: Duration::from_millis(self.random.gen_range(500..3000)),
+            response_timeout: Duration::from_millis(self.random.gen_range(500..3000)),
             seed: self.random.gen(),
         };
         let at = self.people.len();
@@ -461,10 +461,10 @@
             self.client_wants(c, action);
         }
         let person = &self.people[c];
-        let until = person.client.holds(now).and_then(|_| person.client.held_until());
+        let until = person.client.held_session(now).and_then(|_| person.client.lease_expiry());
         let until = until.map(|local| self.truly(end, local));
         self.people[c].until = until.or(self.people[c].until);
-        if let Some(wake) = self.people[c].client.wake() {
+        if let Some(wake) = self.people[c].client.next_timeout() {
             let at = self.truly(end, wake) + 1_000;
             self.agenda.at(at, Due::Wake(c, wake));
         }
@@ -486,7 +486,7 @@
                     self.sends_voter(conn, Some(call));
                 }
             }
-            client::Action::Complete { ticket, told } => self.told(c, ticket, told),
+            client::Action::Complete { request_id: ticket, outcome: told } => self.told(c, ticket, told),
             client::Action::SessionChanged(news) => {
                 let person = &mut self.people[c];
                 let until = person.until.take().unwrap_or(now).min(now);
@@ -513,7 +513,7 @@
         if self.people[c].ticket != Some(ticket) {
             return;
         }
-        let session = self.people[c].client.holds(self.local(End::Client(c)));
+        let session = self.people[c].client.held_session(self.local(End::Client(c)));
         let person = &mut self.people[c];
         person.ticket = None;
         if let Some(worker) = &mut person.worker {
@@ -528,7 +528,7 @@
         if now > LAST_CALL || self.people[c].ticket.is_some() {
             return;
         }
-        let session = self.people[c].client.holds(self.local(End::Client(c)));
+        let session = self.people[c].client.held_session(self.local(End::Client(c)));
         let person = &mut self.people[c];
         let Some(worker) = &mut person.worker else { return };
         let next = worker.next(now, session, &mut self.random);
@@ -540,7 +540,10 @@
                 person.tickets += 1;
                 let ticket = person.tickets;
                 person.ticket = Some(ticket);
-                self.tell_client(c, client::Event::Submit { ticket, ask, within });
+                self.tell_client(
+                    c,
+                    client::Event::Submit { request_id: ticket, request: ask, timeout: within },
+                );
             }
             None => self.agenda.after(ms(50.0), Due::Work(c)),
         }
@@ -558,7 +561,10 @@
             Request::Join { name: machine.name.clone(), addr: machine.name.clone(), voter: machine.id };
         let ask = ClientRequest::Call(request);
         let ticket = 1_000 + v as u64;
-        self.tell_client(0, client::Event::Submit { ticket, ask, within: Duration::from_secs(3) });
+        self.tell_client(
+            0,
+            client::Event::Submit { request_id: ticket, request: ask, timeout: Duration::from_secs(3) },
+        );
     }
 
     fn operator_told(&mut self, ticket: u64, told: RequestOutcome) {
@@ -590,7 +596,10 @@
         }
         let ask = ClientRequest::Call(Request::RemoveMember { name: self.machines[v].name.clone() });
         let ticket = trouble as u64;
-        self.tell_client(0, client::Event::Submit { ticket, ask, within: Duration::from_secs(3) });
+        self.tell_client(
+            0,
+            client::Event::Submit { request_id: ticket, request: ask, timeout: Duration::from_secs(3) },
+        );
     }
 
     // Troubles.
@@ -678,7 +687,7 @@
                 // One disk of a majority that is not there yet can't be spared.
                 let members =
                     self.leader().and_then(|l| Some(self.machines[l].voter.as_ref()?.status().members));
-                if members.is_none_or(|m| m.iter().filter(|m| m.votes).count() < self.plan.voters) {
+                if members.is_none_or(|m| m.iter().filter(|m| m.is_voter).count() < self.plan.voters) {
                     return;
                 }
                 self.crash(v, 0.0);
@@ -806,7 +815,7 @@
             Due::ToClient { conn, reply } => self.at_client(conn, reply),
             Due::Wake(c, at) => {
                 // Only the last one that was wanted counts.
-                if self.people[c].client.wake().is_some_and(|wake| wake <= at) || at.is_zero() {
+                if self.people[c].client.next_timeout().is_some_and(|wake| wake <= at) || at.is_zero() {
                     self.tell_client(c, client::Event::Timeout);
                 }
             }
--- a/crates/verification/disruption-simulation/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -240,12 +240,12 @@
         let budgets = serde_json::to_string(&self.plan.budgets).unwrap_or_default();
         let session = self.open("operator");
         self.operator = session;
-        let put = Op::Put { key: BUDGETS.into(), value: budgets, bound: false };
+        let put = Op::Put { key: BUDGETS.into(), value: budgets, ephemeral: false };
         self.record.apply(&Command::Transaction(Transaction {
             session,
-            number: 1,
-            when: vec![],
-            then: vec![put],
+            sequence: 1,
+            compares: vec![],
+            ops: vec![put],
         }));
         for m in 0..self.plan.machines {
             let at = self.draws.between((0.0, 500.0));
@@ -318,7 +318,7 @@
 
     fn board(&self) -> FleetSnapshot {
         let items: Vec<(String, coordination::state_machine::VersionedValue)> =
-            self.record.under(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
+            self.record.with_prefix(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
         FleetSnapshot::read(self.record.revision(), &items)
     }
 
@@ -444,7 +444,7 @@
     }
 
     fn catch_up(&self, board: &mut FleetSnapshot) {
-        match self.record.since(board.revision).filter(|_| board.revision > 0) {
+        match self.record.events_since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
                 for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
                     board.put(&c.key, c.value.as_deref(), c.revision);
@@ -753,8 +753,8 @@
         proc.said = Some((session, state));
         let said = InstanceStatus { state, session, pid: 1, build: proc.build.0.clone() };
         let value = serde_json::to_string(&said).unwrap_or_default();
-        let then = vec![Op::Put { key: status_key(&name(m, k)), value, bound: true }];
-        let write = Transaction { session, number, when: vec![], then };
+        let then = vec![Op::Put { key: status_key(&name(m, k)), value, ephemeral: true }];
+        let write = Transaction { session, sequence: number, compares: vec![], ops: then };
         self.record.apply(&Command::Transaction(write));
         self.changed();
     }
@@ -883,16 +883,17 @@
     fn writes(&mut self, m: usize, inc: u64, plan: Writes) {
         self.report.writes += 1;
         let Some(session) = self.sup(m, inc).and_then(|s| s.session).map(|(id, _)| id) else { return };
-        let number = self.record.session(session).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
+        let number =
+            self.record.session(session).and_then(|s| s.last_transaction.as_ref()).map_or(1, |(n, _)| n + 1);
         let leave = |change: &Op| {
             let (Op::Put { key, .. } | Op::Delete(key)) = change;
             key.strip_prefix("outage/leave/balancer/").map(str::to_string)
         };
         let before: BTreeSet<String> = self.board().leaves.keys().map(|id| id.name.clone()).collect();
         let new: BTreeSet<String> =
-            plan.then.iter().filter_map(leave).filter(|n| !before.contains(n)).collect();
-        let write = Transaction { session, number, when: plan.when, then: plan.then };
-        let text = format!("m{m} writes {:?}", write.then);
+            plan.ops.iter().filter_map(leave).filter(|n| !before.contains(n)).collect();
+        let write = Transaction { session, sequence: number, compares: plan.compares, ops: plan.ops };
+        let text = format!("m{m} writes {:?}", write.ops);
         if let Outcome::Committed(_) = self.record.apply(&Command::Transaction(write)) {
             self.note(|| text);
             if !new.is_empty() {
@@ -979,7 +980,7 @@
         if self.variant == Variant::ReturnedUnseen {
             let key = disruption::snapshot::lease_key(&ResourceId::balancer(name(m, k)));
             let session = self.open("faulty");
-            let write = Transaction { session, number: 1, when: vec![], then: vec![Op::Delete(key)] };
+            let write = Transaction { session, sequence: 1, compares: vec![], ops: vec![Op::Delete(key)] };
             self.record.apply(&Command::Transaction(write));
             self.changed();
         }
--- a/crates/verification/disruption-simulation/src/world/releases.rs
+++ b/crates/verification/disruption-simulation/src/world/releases.rs
@@ -95,7 +95,7 @@
 
     fn record_of_releases(&self) -> RolloutSnapshot {
         let items: Vec<_> =
-            self.record.under(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
+            self.record.with_prefix(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
         RolloutSnapshot::read(self.record.revision(), &items)
     }
 
@@ -126,9 +126,13 @@
     }
 
     fn operator(&mut self, plan: Writes) -> bool {
-        let number =
-            self.record.session(self.operator).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
-        let write = Transaction { session: self.operator, number, when: plan.when, then: plan.then };
+        let number = self
+            .record
+            .session(self.operator)
+            .and_then(|s| s.last_transaction.as_ref())
+            .map_or(1, |(n, _)| n + 1);
+        let write =
+            Transaction { session: self.operator, sequence: number, compares: plan.compares, ops: plan.ops };
         let written = matches!(self.record.apply(&Command::Transaction(write)), Outcome::Committed(_));
         if written {
             self.changed();
@@ -204,7 +208,8 @@
     /// What a machine's balancers did since the state last changed.
     pub(super) fn samples(&mut self, m: usize) {
         self.agenda.after(ms(SAYS * self.slower() as f64), What::Samples(m));
-        let state = self.record.under(STATE_KEY).next().map(|(_, item)| (item.version, item.value.clone()));
+        let state =
+            self.record.with_prefix(STATE_KEY).next().map(|(_, item)| (item.version, item.value.clone()));
         let Some((since, text)) = state else { return };
         if !matches!(serde_json::from_str(&text), Ok(RolloutState::InStage { .. })) {
             return;
@@ -231,10 +236,19 @@
             let (late, memory) = (self.draws.below(2) as u64, 5.0 + self.draws.between((0.0, 0.5)));
             let sample = MetricsSample { asked, served, late: late.min(served), memory };
             let value = serde_json::to_string(&MetricsWindow { since, sample }).unwrap_or_default();
-            let put = Op::Put { key: metrics_key(&name(m, k)), value, bound: true };
-            let number = self.record.session(session).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
+            let put = Op::Put { key: metrics_key(&name(m, k)), value, ephemeral: true };
+            let number = self
+                .record
+                .session(session)
+                .and_then(|s| s.last_transaction.as_ref())
+                .map_or(1, |(n, _)| n + 1);
             let when = vec![Compare::SessionAlive(session)];
-            self.record.apply(&Command::Transaction(Transaction { session, number, when, then: vec![put] }));
+            self.record.apply(&Command::Transaction(Transaction {
+                session,
+                sequence: number,
+                compares: when,
+                ops: vec![put],
+            }));
         }
     }
 
@@ -267,7 +281,7 @@
         // What has been heard of since; the moment of hearing is drawn with the look.
         let Some(sup) = self.sup(m, inc) else { return };
         let mut board = std::mem::take(&mut sup.releases.board);
-        match self.record.since(board.revision).filter(|_| board.revision > 0) {
+        match self.record.events_since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
                 for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
                     board.put(&c.key, c.value.as_deref(), c.revision);
@@ -290,10 +304,13 @@
         let writes = if places != part.said.1 && !places.is_empty() && !part.busy {
             let put = |(unit, place): (&String, &InstanceReport)| {
                 let value = serde_json::to_string(place).unwrap_or_default();
-                Op::Put { key: report_key(unit), value, bound: true }
+                Op::Put { key: report_key(unit), value, ephemeral: true }
             };
             let then = places.iter().map(put).collect();
-            Some((Writes { when: vec![Compare::SessionAlive(session)], then }, Said::Places(session, places)))
+            Some((
+                Writes { compares: vec![Compare::SessionAlive(session)], ops: then },
+                Said::Places(session, places),
+            ))
         } else if !part.busy {
             part.board.follows(&sup.board, now_ms(now)).map(|(_, writes)| (writes, Said::State))
         } else {
@@ -416,8 +433,9 @@
         let Some(sup) = self.sup(m, inc) else { return };
         sup.releases.busy = false;
         let Some((session, _)) = sup.session.filter(|_| reaches) else { return };
-        let number = self.record.session(session).and_then(|s| s.last.as_ref()).map_or(1, |(n, _)| n + 1);
-        let write = Transaction { session, number, when: plan.when, then: plan.then };
+        let number =
+            self.record.session(session).and_then(|s| s.last_transaction.as_ref()).map_or(1, |(n, _)| n + 1);
+        let write = Transaction { session, sequence: number, compares: plan.compares, ops: plan.ops };
         if !matches!(self.record.apply(&Command::Transaction(write)), Outcome::Committed(_)) {
             return;
         }
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -101,7 +101,7 @@
         self.machines.iter_mut().for_each(Machine::start);
         let size = self.names.len();
         self.until("all vote", |all| {
-            all.iter().any(|s| s.members.iter().filter(|m| m.votes).count() == size)
+            all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == size)
         });
     }
 
@@ -154,9 +154,9 @@
             let asked = run(async {
                 let patience = Duration::from_millis(300);
                 let (voters, name) = (vec![addr.to_string()], "judge".into());
-                let settings = ClientConfig { voters, session: None, name, patience };
-                ClientHandle::begin(settings)
-                    .ask(ClientRequest::Call(Request::Status), Duration::from_millis(400))
+                let settings = ClientConfig { voters, session: None, name, response_timeout: patience };
+                ClientHandle::spawn(settings)
+                    .request(ClientRequest::Call(Request::Status), Duration::from_millis(400))
                     .await
             });
             if let RequestOutcome::Answered(Answer::Status(status)) = asked {
@@ -200,9 +200,9 @@
     pub fn whole(&self) {
         self.until("whole", |all| {
             let led = all.iter().any(|s| s.role == "leader");
-            let last = all.iter().map(|s| s.applied).max();
+            let last = all.iter().map(|s| s.applied_index).max();
             led && all.len() == self.names.len()
-                && all.iter().all(|s| s.aside.is_none() && Some(s.applied) == last)
+                && all.iter().all(|s| s.storage_error.is_none() && Some(s.applied_index) == last)
         });
     }
 
@@ -214,8 +214,8 @@
     /// One write by a client of its own.
     pub fn put(&self, key: &str, value: &str) -> RequestOutcome {
         let settings = self.client("hand", true);
-        let then = vec![Op::Put { key: key.into(), value: value.into(), bound: false }];
-        run(async move { ClientHandle::begin(settings).write(vec![], then, WITHIN).await })
+        let then = vec![Op::Put { key: key.into(), value: value.into(), ephemeral: false }];
+        run(async move { ClientHandle::spawn(settings).transact(vec![], then, WITHIN).await })
     }
 
     /// One read by a client of its own.
@@ -230,7 +230,7 @@
 
     fn read(&self, select: Select) -> Vec<(String, String)> {
         let settings = self.client("eye", false);
-        let told = run(async move { ClientHandle::begin(settings).read(select, WITHIN).await });
+        let told = run(async move { ClientHandle::spawn(settings).read(select, WITHIN).await });
         match told {
             RequestOutcome::Answered(Answer::Values { items, .. }) => {
                 items.into_iter().map(|(key, item)| (key, item.value)).collect()
@@ -241,7 +241,7 @@
 
     /// How many vote, by those that answer.
     pub fn members(&self) -> usize {
-        self.statuses().iter().map(|s| s.members.iter().filter(|m| m.votes).count()).max().unwrap_or(0)
+        self.statuses().iter().map(|s| s.members.iter().filter(|m| m.is_voter).count()).max().unwrap_or(0)
     }
 }
 
@@ -254,7 +254,12 @@
 /// A client of the voters that are reached at these addresses; with a session, if `held`.
 pub fn client(voters: &[String], name: &str, held: bool) -> ClientConfig {
     let session = held.then(|| SessionConfig { name: name.into(), ttl: TTL, take_over: true });
-    ClientConfig { voters: voters.to_vec(), session, name: name.into(), patience: Duration::from_millis(700) }
+    ClientConfig {
+        voters: voters.to_vec(),
+        session,
+        name: name.into(),
+        response_timeout: Duration::from_millis(700),
+    }
 }
 
 /// Whether this says that a write was made.
