--- a/crates/control-plane/coordination/src/lib.rs
+++ b/crates/control-plane/coordination/src/lib.rs
@@ -1,15 +1,19 @@
-//! The council: a few processes, the voters, that keep a record by majority. What a majority has on its disks is agreed,
-//! and outlives any minority of them; while no majority can talk, nothing changes.
+//! Coordination service: a replicated key-value store with sessions, transactions and watches, on the Raft implementation
+//! of the crate `raft`.
 //!
-//! No I/O and no clock here: machines that are told what happens, and say what they want done.
+//! A few voters replicate one log. An entry is committed once a majority has it on disk, and then outlives the loss of any
+//! minority; without a majority nothing changes.
 //!
-//! | module | what it has |
+//! The crate does no I/O and reads no clock (sans-I/O): its state machines take events with the current time and return
+//! actions.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | [`state_machine`] | the record: keys, sessions, conditional writes, what changed |
-//! | [`limits`] | how large it may become |
-//! | [`protocol`] | what voters and clients say to one another |
-//! | [`voter`] | one voter: agreement (by the crate `raft`), sessions' time, reads, watches, members |
-//! | [`client`] | one client: follows the leader, renews its session, sends again what may be sent again |
+//! | [`state_machine`] | the replicated state machine: keys, sessions, transactions, watch events |
+//! | [`limits`] | limits of its size |
+//! | [`protocol`] | messages between voters and clients |
+//! | [`voter`] | one voter: replication, session expiry, reads, watches, membership |
+//! | [`client`] | one client: follows the leader, renews its session, retries requests |
 pub mod client;
 pub mod limits;
 pub mod protocol;
@@ -17,6 +21,7 @@
 pub mod state_machine;
 pub mod voter;
 
-/// By how much two clocks that count the same time may differ, as one in so many. Sessions are counted longer by this at
-/// the voters, and shorter by it at their holders.
+/// Bound of the relative difference between two clocks, as the denominator of a fraction: over a time `t`, two clocks differ
+/// by less than `t / CLOCK_DRIFT_FRACTION` (2 %). Voters extend the time to live of a session by this fraction, and clients
+/// shorten it by the same.
 pub const CLOCK_DRIFT_FRACTION: u32 = 50;
