--- /dev/null
+++ b/crates/herondock/tests/coordination_compatibility.rs
@@ -0,0 +1,132 @@
+//! Compatibility of the coordination service with earlier builds: journals that an earlier build wrote, and frames that it
+//! exchanged with a client.
+//!
+//! The fixtures were recorded from a single voter of a build before the crates were renamed:
+//!
+//! - `journal`: the voter's journal, written under about 2,150 transactions until the log had been compacted twice, and taken
+//!   after a kill. It begins with a snapshot; log entries follow.
+//! - `journal-torn-record`: the same journal without its last seven bytes, as a crash in the middle of a write leaves it.
+//! - `frames.txt`: one connection to a voter that was started with `journal`. Each line is one frame, with the side that sent
+//!   it and its bytes in hexadecimal, length prefix included.
+mod common;
+use common::program;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::path::Path;
+use testkit::coordination::{written, Voters, TICK};
+use testkit::PATIENCE;
+
+const FRAMES: &str = include_str!("fixtures/coordination/frames.txt");
+/// Address of the voter that was recorded.
+const RECORDED_ADDRESS: &str = "127.0.0.1:17801";
+/// What the recorded journal holds, apart from its last transaction.
+const KEYS_BEFORE_LAST: [(&str, &str); 6] = [
+    ("after/snapshot", "kept"),
+    ("before/ephemeral", "of the session"),
+    ("before/overwritten", "second"),
+    ("before/snapshot", "kept"),
+    ("counter", "last"),
+    ("pad", "11"),
+];
+/// The key that its last transaction wrote.
+const LAST_KEY: (&str, &str) = ("after/last", "written last");
+
+/// A voter that was started with a copy of this journal.
+fn start_with(journal: &str) -> Voters {
+    let mut voters = Voters::prepare(&program(), 1, TICK);
+    let folder = voters.machines[0].disk().to_path_buf();
+    std::fs::create_dir_all(&folder).expect("creates the folder");
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/coordination").join(journal);
+    std::fs::copy(fixture, folder.join("journal")).expect("copies the fixture");
+    voters.machines[0].start();
+    // Answered once the voter leads and has applied its log.
+    assert_eq!(voters.get("pad").as_deref(), Some("11"));
+    voters
+}
+
+fn owned(keys: &[(&str, &str)]) -> Vec<(String, String)> {
+    keys.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect()
+}
+
+/// Guards against a change of the stored form: of a record, the snapshot, the log entries or the identity of a voter.
+#[test]
+fn a_journal_of_an_earlier_build_is_served() {
+    let mut voters = start_with("journal");
+    let mut expected = owned(&KEYS_BEFORE_LAST);
+    expected.extend(owned(&[LAST_KEY]));
+    expected.sort();
+    assert_eq!(voters.under(""), expected);
+    let output = voters.command(&["get", "--key", "after/last"]);
+    assert_eq!(String::from_utf8_lossy(&output.stdout), "written last\n", "{output:?}");
+    // It goes on from there, also after another start.
+    assert!(written(&voters.put("new", "1")));
+    voters.machines[0].kill();
+    voters.machines[0].start();
+    assert_eq!(voters.get("new").as_deref(), Some("1"));
+    assert_eq!(voters.get(LAST_KEY.0).as_deref(), Some(LAST_KEY.1));
+}
+
+/// Guards against a voter that rejects, or misreads, what a crash of an earlier build left: all but the torn record is there.
+#[test]
+fn a_torn_last_record_of_an_earlier_build_is_dropped() {
+    let mut voters = start_with("journal-torn-record");
+    assert_eq!(voters.under(""), owned(&KEYS_BEFORE_LAST));
+    assert!(written(&voters.put("new", "1")));
+    voters.machines[0].kill();
+    voters.machines[0].start();
+    assert_eq!(voters.get("new").as_deref(), Some("1"));
+    assert_eq!(voters.get(LAST_KEY.0), None);
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits: Vec<u32> =
+        hex.chars().map(|digit| digit.to_digit(16).expect("a hexadecimal digit")).collect();
+    digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect()
+}
+
+fn framed(payload: &str) -> Vec<u8> {
+    let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
+    frame.extend_from_slice(payload.as_bytes());
+    frame
+}
+
+/// The same frame from a voter at another address.
+fn with_address(frame: Vec<u8>, address: &str) -> Vec<u8> {
+    let payload = String::from_utf8(frame[4..].to_vec()).expect("text");
+    framed(&payload.replace(RECORDED_ADDRESS, address))
+}
+
+fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
+    let mut frame = vec![0; 4];
+    stream.read_exact(&mut frame).expect("a length");
+    let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize;
+    frame.resize(4 + length, 0);
+    stream.read_exact(&mut frame[4..]).expect("the frame");
+    frame
+}
+
+/// Guards against a change of framing, handshake, calls or replies: a client of an earlier build gets, byte for byte, the
+/// answers that it got then.
+#[test]
+fn recorded_calls_of_an_earlier_build_get_the_recorded_replies() {
+    let voters = start_with("journal");
+    let own_address = voters.addrs[0].to_string();
+    let mut stream = TcpStream::connect(voters.listens[0]).expect("connects");
+    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    let mut handshaken = false;
+    for (number, line) in FRAMES.lines().enumerate() {
+        let (side, hex) = line.split_once(' ').expect("a side and its bytes");
+        let recorded = bytes_of(hex);
+        if side == "client" {
+            stream.write_all(&recorded).expect("writes");
+            continue;
+        }
+        // The handshake names the voter's own address; later replies name the one in the journal.
+        let expected = if handshaken { recorded } else { with_address(recorded, &own_address) };
+        handshaken = true;
+        let text = |frame: &[u8]| String::from_utf8_lossy(&frame[4..]).into_owned();
+        let received = read_frame(&mut stream);
+        assert_eq!(text(&received), text(&expected), "line {}", number + 1);
+        assert_eq!(received, expected, "line {}", number + 1);
+    }
+}
