--- a/crates/control-plane/coordination-server/src/framing.rs
+++ b/crates/control-plane/coordination-server/src/framing.rs
@@ -97,6 +97,6 @@
     };
     let other = timeout(HELLO_WAIT, met).await.map_err(|_| "says nothing".to_string())?;
     let other = other.map_err(|e| e.to_string())?;
-    other.check_compatible(own)?;
+    other.check_compatible(own).map_err(|e| e.to_string())?;
     Ok(Connection { read: from, write: write_half, other })
 }
--- a/crates/control-plane/coordination-server/src/journal_writer.rs
+++ b/crates/control-plane/coordination-server/src/journal_writer.rs
@@ -137,16 +137,16 @@
                     *broken = true;
                     continue;
                 }
-                match journal.replace(&save.frames) {
+                match journal.replace(&save.records) {
                     Ok(()) => all.push(Done::Saved(save.number)),
                     Err(e) => {
-                        let intact = save.folding && journal.intact();
+                        let intact = save.compaction && journal.intact();
                         *broken = !intact;
                         all.push(Done::NotSaved { number: save.number, why: e.to_string(), intact });
                     }
                 }
             }
-            Job::Save(save) => match journal.append(&save.frames) {
+            Job::Save(save) => match journal.append(&save.records) {
                 Ok(()) => written = Some(save.number),
                 Err(e) => {
                     // What was written before it may still be promised.
--- a/crates/control-plane/coordination-server/src/server.rs
+++ b/crates/control-plane/coordination-server/src/server.rs
@@ -10,7 +10,7 @@
 use coordination::client::{ClientRequest, RequestOutcome as Answered};
 use coordination::protocol::{Answer, Handshake, Member, Reply, Request, Status, PROTOCOL_VERSION};
 use coordination::voter::{
-    self, Action, Event, Identity, InjectedDefects, PersistedState, Settings, Voter, VoterEvent,
+    self, Action, Event, Identity, InjectedDefects, PersistedState, Voter, VoterConfig, VoterEvent,
 };
 use daemon::pid_file::PidFile;
 use daemon::service_manager::ServiceManager;
@@ -82,7 +82,7 @@
     const GAP: u64 = 1 << 40;
     let frames = match backup {
         None => voter::bootstrap(cluster, &first, bounds()),
-        Some(backup) => voter::restore(cluster, &first, backup, GAP)?,
+        Some(backup) => voter::restore(cluster, &first, backup, GAP).map_err(|e| e.to_string())?,
     };
     journal.replace(&frames).map_err(|e| format!("{}: {e}", file.folder.display()))?;
     Ok(cluster)
@@ -150,18 +150,18 @@
             let own = Identity { cluster: Some(cluster), ..own };
             write_identity(&mut journal, &own, &file)?;
             info!("council: {} has joined council {cluster:016x}", file.name);
-            frames = vec![voter::identity(&own)];
-            kept = PersistedState::read(&frames)?;
+            frames = vec![voter::encode_identity(&own)];
+            kept = PersistedState::read(&frames).map_err(|e| e.to_string())?;
             callers.says(hello(&file, &own));
             own
         }
     };
-    let settings = Settings {
-        expected: file.voters.iter().map(|(name, _)| name.clone()).collect(),
+    let settings = VoterConfig {
+        expected_members: file.voters.iter().map(|(name, _)| name.clone()).collect(),
         tick: file.tick,
         seed: random_id(),
         log_entries: voter::LOG_ENTRIES,
-        faulty: InjectedDefects::default(),
+        defects: InjectedDefects::default(),
     };
     let start = Instant::now();
     let voter =
@@ -188,7 +188,7 @@
 
 fn write_identity(journal: &mut OnDisk, own: &Identity, file: &File) -> Result<(), String> {
     let fault = |e: std::io::Error| format!("{}: {e}", file.folder.display());
-    journal.replace(&[voter::identity(own)]).map_err(fault)
+    journal.replace(&[voter::encode_identity(own)]).map_err(fault)
 }
 
 /// Asks the other voters until one says that this process may join.
@@ -278,7 +278,7 @@
                 info!("council: {} is a voter no more, and ends", self.file.name);
                 return Ok(());
             }
-            if ends.is_some_and(|at| !self.voter.leads() || Instant::now() >= at) {
+            if ends.is_some_and(|at| !self.voter.is_serving_leader() || Instant::now() >= at) {
                 self.manager.stopping();
                 info!("council: {} ends", self.file.name);
                 return Ok(());
@@ -322,7 +322,7 @@
                         self.leaderless = Some(Instant::now());
                         self.asks_whether_gone(gone.clone());
                     }
-                    if self.voter.waits_for_room() {
+                    if self.voter.awaits_storage_recovery() {
                         let _ = self.jobs.try_send(Job::Try);
                     }
                     continue;
@@ -388,8 +388,11 @@
         for action in out {
             match action {
                 Action::Send { to, message } => {
-                    let addr =
-                        self.voter.addr_of(to).map(String::from).or_else(|| self.met.get(&to).cloned());
+                    let addr = self
+                        .voter
+                        .member_address(to)
+                        .map(String::from)
+                        .or_else(|| self.met.get(&to).cloned());
                     if let Some(addr) = addr {
                         self.peers.send(to, &addr, message);
                     }
@@ -462,7 +465,7 @@
                 Err("council.tick, council.clients: can't change while it runs".into())
             }
             Ok(next) => {
-                self.voter.expects(next.voters.iter().map(|(name, _)| name.clone()).collect());
+                self.voter.set_expected_members(next.voters.iter().map(|(name, _)| name.clone()).collect());
                 self.file = next;
                 Ok(())
             }
--- a/crates/control-plane/coordination/src/limits.rs
+++ b/crates/control-plane/coordination/src/limits.rs
@@ -1,8 +1,8 @@
-//! How large a record may become. The bounds are part of the record: all voters apply the same ones, whatever build they
-//! are of.
+//! Limits of the replicated state. They are part of the state, so that all voters apply the same ones regardless of their
+//! build.
 use serde::{Deserialize, Serialize};
 
-/// Most of everything; each is refused by name when it is reached.
+/// Limits; a command that would exceed one is rejected with its name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
@@ -10,27 +10,27 @@
     pub key: u64,
     /// Bytes of a value.
     pub value: u64,
-    /// Keys.
+    /// Number of keys.
     pub keys: u64,
     /// Bytes of all keys and values.
     pub bytes: u64,
-    /// Conditions and changes of a write.
+    /// Conditions and operations of a transaction.
     pub parts: u64,
-    /// Bytes of a write's values.
+    /// Bytes of the values of a transaction.
     pub write: u64,
     /// Bytes of a session's name.
     pub name: u64,
-    /// Sessions at one time.
+    /// Number of open sessions.
     pub sessions: u64,
-    /// Ended sessions whose end is remembered.
+    /// Number of ended sessions whose end is remembered.
     pub ended: u64,
     /// Shortest time to live of a session, in milliseconds.
     pub ttl_least_ms: u64,
-    /// Longest.
+    /// Longest time to live of a session, in milliseconds.
     pub ttl_most_ms: u64,
-    /// Changes that watches can resume over.
+    /// Number of events from which watches can resume.
     pub changes: u64,
-    /// Bytes of those.
+    /// Bytes of keys and values of those events.
     pub changes_bytes: u64,
 }
 
--- a/crates/control-plane/coordination/src/protocol.rs
+++ b/crates/control-plane/coordination/src/protocol.rs
@@ -1,290 +1,319 @@
-//! What voters and clients say to one another. Each connection begins with a [`Handshake`] from either side; then voters send
-//! messages of the agreement, and clients [`Call`]s, which are answered by [`Reply`]s in any order. All but the messages of
-//! the agreement is JSON.
+//! Messages between voters and clients. Each connection begins with a [`Handshake`] from either side. Voters then send Raft
+//! messages, and clients send [`Call`]s, which are answered by [`Reply`]s in any order. Everything but the Raft messages is
+//! encoded as JSON.
 use crate::state_machine::{Outcome, Revision, SessionId, Transaction, VersionedValue, WatchEvent};
 use serde::{Deserialize, Serialize};
 
-/// The version of what is said; both sides have to have the same.
+/// Version of the protocol; both sides must use the same.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest frame between a client and a voter, in bytes.
+/// Maximum frame between a client and a voter, in bytes.
 pub const MAX_CALL_BYTES: usize = 64 << 20;
-/// Longest frame between voters, in bytes: a snapshot.
+/// Maximum frame between voters, in bytes; the largest ones hold a snapshot.
 pub const MAX_RAFT_MESSAGE_BYTES: usize = 96 << 20;
-/// Most bytes of keys and values in the answer to one read.
+/// Maximum bytes of keys and values in the answer to one read.
 pub const MAX_READ_BYTES: u64 = 4 << 20;
 
-/// The first thing that is said on a connection, by both sides.
+/// The first message on a connection, from both sides.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
     /// [`PROTOCOL_VERSION`].
     pub version: u32,
-    /// The council's own number, drawn when it was formed; `None`: not known yet.
+    /// Random id of the cluster; `None` if it is not known yet.
     pub cluster: Option<u64>,
-    /// Who says it.
+    /// Name of the sender.
     pub name: String,
-    /// Its number among the voters; `None`: a client.
+    /// Voter id of the sender; `None` for a client.
     pub voter: Option<u64>,
-    /// Where it listens, if it is a voter.
+    /// Address of the sender, if it is a voter.
     pub addr: Option<String>,
-    /// Whom it wants to talk to, if it knows: the voter's number.
+    /// Id of the voter that the sender wants to reach, if it is known.
     pub to: Option<u64>,
 }
 
+/// Why two processes can't talk to each other; the message names the other side.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum HandshakeError {
+    /// They use different versions of the protocol.
+    #[error("{name} speaks version {theirs}, and this is version {ours}")]
+    Version {
+        /// Name of the other side.
+        name: String,
+        /// Its version.
+        theirs: u32,
+        /// The local version.
+        ours: u32,
+    },
+    /// They belong to different clusters.
+    #[error("{name} is of council {theirs:016x}, and this is council {ours:016x}")]
+    Cluster {
+        /// Name of the other side.
+        name: String,
+        /// Id of its cluster.
+        theirs: u64,
+        /// Id of the local cluster.
+        ours: u64,
+    },
+    /// The other side wants to talk to another voter.
+    #[error("{name} looks for voter {wanted:016x}, and this is voter {ours:016x}")]
+    Voter {
+        /// Name of the other side.
+        name: String,
+        /// Id of the voter that it looks for.
+        wanted: u64,
+        /// Id of the local voter.
+        ours: u64,
+    },
+}
+
 impl Handshake {
-    /// Why one who said this is not talked to by `own`.
+    /// Checks whether the sender of this handshake can talk to the sender of `own`.
     ///
     /// # Errors
-    /// One line for both logs.
-    pub fn check_compatible(&self, own: &Handshake) -> Result<(), String> {
+    /// The versions, the clusters, or the addressed and the local voter differ.
+    pub fn check_compatible(&self, own: &Handshake) -> Result<(), HandshakeError> {
+        let name = self.name.clone();
         if self.version != own.version {
-            return Err(format!(
-                "{} speaks version {}, and this is version {}",
-                self.name, self.version, own.version
-            ));
+            return Err(HandshakeError::Version { name, theirs: self.version, ours: own.version });
         }
-        if let (Some(its), Some(ours)) = (self.cluster, own.cluster) {
-            if its != ours {
-                return Err(format!(
-                    "{} is of council {its:016x}, and this is council {ours:016x}",
-                    self.name
-                ));
+        match (self.cluster, own.cluster) {
+            (Some(theirs), Some(ours)) if theirs != ours => {
+                return Err(HandshakeError::Cluster { name, theirs, ours });
             }
+            _ => {}
         }
         match (self.to, own.voter) {
-            (Some(to), Some(voter)) if to != voter => {
-                Err(format!("{} looks for voter {to:016x}, and this is voter {voter:016x}", self.name))
-            }
+            (Some(wanted), Some(ours)) if wanted != ours => Err(HandshakeError::Voter { name, wanted, ours }),
             _ => Ok(()),
         }
     }
 }
 
-/// A client's call; its number is the client's own.
+/// A call of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// Counted by the client on this connection.
+    /// Id of the call, unique on its connection.
     pub id: u64,
-    /// What it wants.
+    /// The request.
     pub request: Request,
 }
 
-/// What a client wants.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// A session.
+    /// Opens a session.
     #[serde(rename = "Open")]
     OpenSession {
-        /// Whose.
+        /// Name, unique among open sessions.
         name: String,
-        /// Drawn once for it.
+        /// Random number that identifies this opening when it is sent again.
         nonce: u64,
-        /// Its time to live, in milliseconds.
+        /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
-        /// Whether it ends the session that has the name.
+        /// Whether an open session with the same name is fenced.
         take_over: bool,
     },
-    /// The session's time to live begins anew.
+    /// Renews a session for its time to live.
     #[serde(rename = "Renew")]
     RenewSession {
-        /// Which.
+        /// The session.
         session: SessionId,
     },
-    /// The session ends.
+    /// Closes a session.
     #[serde(rename = "Close")]
     CloseSession {
-        /// Which.
+        /// The session.
         session: SessionId,
     },
-    /// Keys are changed.
+    /// Applies a transaction.
     #[serde(rename = "Write")]
     Transaction(Transaction),
-    /// Keys as they are when this is answered, or later.
+    /// A linearizable read.
     Read(Select),
-    /// Changes of keys as they happen; answered more than once.
+    /// Watches keys; answered more than once.
     Watch {
-        /// Keys that begin so.
+        /// Prefix of the watched keys.
         #[serde(rename = "under")]
         prefix: String,
-        /// After this revision; `None`: from now on.
+        /// Revision after which events are reported; `None` for the current one.
         after: Option<Revision>,
     },
-    /// The watch that was called for with this number ends.
+    /// Ends a watch.
     Unwatch {
-        /// Which.
+        /// Id of the call that started it.
         watch: u64,
     },
-    /// How the voter that is asked sees the council; answered by any.
+    /// The receiving voter's view of the cluster; answered by every voter.
     Status,
-    /// A process with an empty disk wants to become a voter.
+    /// Adds a process with an empty disk as a member.
     Join {
-        /// Its name.
+        /// Name of the voter.
         name: String,
-        /// Where it listens.
+        /// Address of the voter.
         addr: String,
-        /// The number that it drew.
+        /// Random id of the voter.
         voter: u64,
     },
-    /// Whether the process with this number is still a member.
+    /// Whether a voter is still a member.
     #[serde(rename = "Member")]
     IsMember {
-        /// Its number.
+        /// Id of the voter.
         voter: u64,
     },
-    /// A voter is to be one no more.
+    /// Removes a member.
     #[serde(rename = "Remove")]
     RemoveMember {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// Another voter is to lead.
+    /// Transfers leadership to another voter.
     #[serde(rename = "Transfer")]
     TransferLeadership {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// The whole record.
+    /// The replicated state, for a backup.
     Backup,
 }
 
-/// Which keys.
+/// Selects keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Select {
-    /// This one.
+    /// One key.
     Key(String),
-    /// All that begin so.
+    /// All keys with this prefix.
     #[serde(rename = "Under")]
     Prefix(String),
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The call's number.
+    /// Id of the call.
     pub id: u64,
-    /// What came of it.
+    /// The answer.
     pub answer: Answer,
 }
 
-/// What came of a call.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Of a command.
+    /// Outcome of a command.
     Outcome(Outcome),
-    /// The session lives on.
+    /// The session was renewed.
     #[serde(rename = "Renewed")]
     SessionRenewed,
-    /// Keys, by name, at this revision.
+    /// Result of a read.
     Values {
-        /// Of the record.
+        /// Revision of the state.
         revision: Revision,
-        /// In order.
+        /// Keys and values, ordered by key.
         items: Vec<(String, VersionedValue)>,
     },
-    /// The watch stands, and has told all up to this revision.
+    /// The watch is established.
     Watching {
-        /// Of the record.
+        /// Revision after which events are reported.
         revision: Revision,
     },
-    /// What changed, up to this revision.
+    /// Events of a watch.
     #[serde(rename = "Changes")]
     Events {
-        /// Of the record.
+        /// Revision up to which the watch is now complete.
         revision: Revision,
-        /// In order.
+        /// The events, in order.
         #[serde(rename = "changes")]
         events: Vec<WatchEvent>,
     },
-    /// What changed after the revision that was named is not known any more: read, and watch from there.
+    /// Events after the requested revision were dropped: read the keys, and watch from that revision.
     #[serde(rename = "Lost")]
     Compacted {
-        /// From here on watches can resume.
+        /// The oldest revision from which a watch can resume.
         oldest: Revision,
     },
-    /// Another voter leads, or none. Nothing was done.
+    /// The voter is not the leader. Nothing was done.
     NotLeader {
-        /// Where the leader listens, if one is known.
+        /// Address of the leader, if it is known.
         leader: Option<String>,
     },
-    /// It may have been done or not: the voter leads no more.
+    /// The voter lost leadership; the request may or may not have been applied.
     #[serde(rename = "Unclear")]
     Indeterminate,
-    /// Too much is waiting already: `what`. Nothing was done.
+    /// Too many requests are pending; holds what is exceeded. Nothing was done.
     Busy(String),
-    /// As this voter sees it.
+    /// The voter's view of the cluster.
     Status(Box<Status>),
-    /// The council's number, for a process that has joined.
+    /// The process is a member.
     Joined {
-        /// Of the council.
+        /// Id of the cluster.
         cluster: u64,
     },
-    /// The process that was asked for is no member, or no more.
+    /// The voter is not a member.
     #[serde(rename = "NoMember")]
     NotMember,
-    /// All of it, as JSON.
+    /// The replicated state, as JSON.
     Backup(String),
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// Not done, and why.
+    /// The request failed, with this reason; nothing was done.
     Failed(String),
 }
 
-/// How a voter sees the council.
+/// A voter's view of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// Name of the voter.
     pub name: String,
-    /// Its number.
+    /// Id of the voter.
     pub voter: u64,
-    /// The council's number.
+    /// Id of the cluster.
     pub cluster: u64,
     /// `leader`, `follower`, `candidate`, `learner`, `aside`, `unjoined` or `removed`.
     pub role: String,
-    /// Why it stands aside, if it does.
+    /// Why the voter's storage has failed, if it has (role `aside`).
     #[serde(rename = "aside")]
     pub storage_error: Option<String>,
-    /// The term of office.
+    /// The Raft term.
     pub term: u64,
-    /// Who leads, by name.
+    /// Name of the leader, if it is known.
     pub leader: Option<String>,
-    /// The last entry of its log.
+    /// Index of the last log entry.
     #[serde(rename = "last")]
     pub last_index: u64,
-    /// The last that is agreed on.
+    /// Index of the last committed entry.
     #[serde(rename = "committed")]
     pub commit_index: u64,
-    /// The last that it has carried out.
+    /// Index of the last applied entry.
     #[serde(rename = "applied")]
     pub applied_index: u64,
-    /// Entries that its log holds, and their bytes.
+    /// Number of log entries, and their bytes.
     pub log: (u64, u64),
-    /// The record's revision.
+    /// Revision of the state machine.
     pub revision: Revision,
-    /// Keys, and bytes of keys and values.
+    /// Number of keys, and bytes of keys and values.
     pub size: (u64, u64),
-    /// Sessions that have not ended.
+    /// Open sessions, with their names.
     pub sessions: Vec<(SessionId, String)>,
-    /// Watches that it serves.
+    /// Number of watches that the voter serves.
     pub watches: u64,
-    /// The members.
+    /// Members of the cluster.
     pub members: Vec<Member>,
 }
 
-/// A member of the council.
+/// A member of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its number: drawn with its disk, and never used for another disk.
+    /// Random id; it stands for one disk and is never used for another.
     pub id: u64,
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it listens.
+    /// Address of the member.
     pub addr: String,
-    /// Whether it votes, or only learns.
+    /// Whether it is a voter; otherwise it is a learner.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// As the leader sees it: whether it was heard of lately.
+    /// Whether it was recently active; known to the leader only.
     #[serde(default)]
     pub active: Option<bool>,
-    /// As the leader sees it: the last entry that it has.
+    /// Index of the last entry that it has; known to the leader only.
     #[serde(rename = "has", default)]
     pub match_index: Option<u64>,
 }
--- a/crates/control-plane/coordination/src/raft_log.rs
+++ b/crates/control-plane/coordination/src/raft_log.rs
@@ -1,135 +1,143 @@
-//! The log as the agreement reads it: in memory, from the last snapshot on. The disk's copy is the voter's matter.
+//! The Raft log in memory, from the last compaction on, as the crate `raft` reads it. The voter persists its entries.
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
+/// Bytes that an entry counts for in addition to its data and context.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
+
 #[derive(Default)]
-struct Held {
-    hard: HardState,
-    conf: ConfState,
-    /// The last one, with its data.
+struct LogContent {
+    hard_state: HardState,
+    conf_state: ConfState,
+    /// The last snapshot, with its data.
     snapshot: Snapshot,
-    /// Index and term of the entry before the first that is held.
-    before: (u64, u64),
+    /// Index of the last compacted entry.
+    compacted_index: u64,
+    /// Term of the last compacted entry.
+    compacted_term: u64,
+    /// Entries from `compacted_index + 1` on.
     entries: VecDeque<Entry>,
+    /// Bytes of `entries`.
     bytes: u64,
 }
 
-/// A handle to it; the agreement holds another.
+/// Handle to the log; the Raft node holds another one.
 #[derive(Clone, Default)]
-pub struct Log {
-    held: Rc<RefCell<Held>>,
-    /// Whether a member needs a snapshot that there is none of yet.
-    wanted: Rc<Cell<bool>>,
+pub struct RaftLog {
+    content: Rc<RefCell<LogContent>>,
+    /// Whether a follower needs a newer snapshot.
+    snapshot_requested: Rc<Cell<bool>>,
 }
 
-fn weight(entry: &Entry) -> u64 {
-    (entry.data.len() + entry.context.len() + 32) as u64
+fn size_of(entry: &Entry) -> u64 {
+    (entry.data.len() + entry.context.len() + ENTRY_OVERHEAD_BYTES) as u64
 }
 
-impl Log {
-    /// Of what a disk held.
-    pub fn new(snapshot: Snapshot, hard: HardState, entries: Vec<Entry>) -> Log {
-        let log = Log::default();
-        log.install(snapshot);
+impl RaftLog {
+    /// A log with the persisted content.
+    pub fn new(snapshot: Snapshot, hard_state: HardState, entries: Vec<Entry>) -> RaftLog {
+        let log = RaftLog::default();
+        log.install_snapshot(snapshot);
         log.append(&entries);
-        log.held.borrow_mut().hard = hard;
+        log.content.borrow_mut().hard_state = hard_state;
         log
     }
 
-    /// Takes a snapshot in place of all that is held.
-    pub fn install(&self, snapshot: Snapshot) {
-        let mut h = self.held.borrow_mut();
-        let about = snapshot.get_metadata();
-        h.before = (about.index, about.term);
-        h.conf = about.get_conf_state().clone();
-        h.hard.commit = h.hard.commit.max(about.index);
-        h.hard.term = h.hard.term.max(about.term);
-        h.entries.clear();
-        h.bytes = 0;
-        h.snapshot = snapshot;
+    /// Replaces the whole log by a snapshot.
+    pub fn install_snapshot(&self, snapshot: Snapshot) {
+        let mut log = self.content.borrow_mut();
+        let metadata = snapshot.get_metadata();
+        log.compacted_index = metadata.index;
+        log.compacted_term = metadata.term;
+        log.conf_state = metadata.get_conf_state().clone();
+        log.hard_state.commit = log.hard_state.commit.max(metadata.index);
+        log.hard_state.term = log.hard_state.term.max(metadata.term);
+        log.entries.clear();
+        log.bytes = 0;
+        log.snapshot = snapshot;
     }
 
-    /// Puts entries behind those that are held, in place of those with their numbers.
+    /// Appends entries; each replaces the entries with its index and later.
     pub fn append(&self, entries: &[Entry]) {
-        let mut h = self.held.borrow_mut();
+        let mut log = self.content.borrow_mut();
         for entry in entries {
-            if entry.index <= h.before.0 {
+            if entry.index <= log.compacted_index {
                 continue;
             }
-            while h.entries.back().is_some_and(|last| last.index >= entry.index) {
-                let gone = h.entries.pop_back();
-                h.bytes -= gone.as_ref().map_or(0, weight);
+            while log.entries.back().is_some_and(|last| last.index >= entry.index) {
+                let replaced = log.entries.pop_back();
+                log.bytes -= replaced.as_ref().map_or(0, size_of);
             }
-            h.bytes += weight(entry);
-            h.entries.push_back(entry.clone());
+            log.bytes += size_of(entry);
+            log.entries.push_back(entry.clone());
         }
     }
 
-    /// Term and vote.
-    pub fn set_hard(&self, hard: HardState) {
-        self.held.borrow_mut().hard = hard;
+    /// Sets term, vote and commit index.
+    pub fn set_hard_state(&self, hard_state: HardState) {
+        self.content.borrow_mut().hard_state = hard_state;
     }
 
-    /// Term and vote.
-    pub fn hard(&self) -> HardState {
-        self.held.borrow().hard.clone()
+    /// Term, vote and commit index.
+    pub fn hard_state(&self) -> HardState {
+        self.content.borrow().hard_state.clone()
     }
 
-    /// Who votes and who learns, as of what is applied.
-    pub fn set_conf(&self, conf: ConfState) {
-        self.held.borrow_mut().conf = conf;
+    /// Sets the voters and learners as of the last applied entry.
+    pub fn set_conf_state(&self, conf_state: ConfState) {
+        self.content.borrow_mut().conf_state = conf_state;
     }
 
-    /// Who votes and who learns.
-    pub fn conf(&self) -> ConfState {
-        self.held.borrow().conf.clone()
+    /// Voters and learners as of the last applied entry.
+    pub fn conf_state(&self) -> ConfState {
+        self.content.borrow().conf_state.clone()
     }
 
-    /// Keeps a snapshot; entries up to `keep_from` go.
-    pub fn fold(&self, snapshot: Snapshot, keep_from: u64) {
-        let mut h = self.held.borrow_mut();
-        while h.entries.front().is_some_and(|first| first.index < keep_from) {
-            let Some(gone) = h.entries.pop_front() else { break };
-            h.bytes -= weight(&gone);
-            h.before = (gone.index, gone.term);
+    /// Stores a snapshot and drops the entries before `first_retained`.
+    pub fn compact(&self, snapshot: Snapshot, first_retained: u64) {
+        let mut log = self.content.borrow_mut();
+        while log.entries.front().is_some_and(|first| first.index < first_retained) {
+            let Some(dropped) = log.entries.pop_front() else { break };
+            log.bytes -= size_of(&dropped);
+            (log.compacted_index, log.compacted_term) = (dropped.index, dropped.term);
         }
-        h.snapshot = snapshot;
+        log.snapshot = snapshot;
     }
 
     /// The last snapshot.
-    pub fn snapshot_kept(&self) -> Snapshot {
-        self.held.borrow().snapshot.clone()
+    pub fn last_snapshot(&self) -> Snapshot {
+        self.content.borrow().snapshot.clone()
     }
 
-    /// The entries behind this one.
-    pub fn behind(&self, index: u64) -> Vec<Entry> {
-        self.held.borrow().entries.iter().filter(|e| e.index > index).cloned().collect()
+    /// The entries after this index.
+    pub fn entries_after(&self, index: u64) -> Vec<Entry> {
+        self.content.borrow().entries.iter().filter(|entry| entry.index > index).cloned().collect()
     }
 
-    /// Entries that are held, and their bytes.
+    /// Number of entries, and their bytes.
     pub fn size(&self) -> (u64, u64) {
-        let h = self.held.borrow();
-        (h.entries.len() as u64, h.bytes)
+        let log = self.content.borrow();
+        (log.entries.len() as u64, log.bytes)
     }
 
-    /// Whether a member needs a snapshot that there is none of; asked once.
-    pub fn wants_snapshot(&self) -> bool {
-        self.wanted.replace(false)
+    /// Whether a follower needed a newer snapshot since the last call.
+    pub fn take_snapshot_request(&self) -> bool {
+        self.snapshot_requested.replace(false)
     }
 
-    /// The term of an entry.
+    /// Term of an entry, if it is known.
     pub fn term_of(&self, index: u64) -> Option<u64> {
         self.term(index).ok()
     }
 }
 
-impl Storage for Log {
+impl Storage for RaftLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let h = self.held.borrow();
-        Ok(RaftState::new(h.hard.clone(), h.conf.clone()))
+        let log = self.content.borrow();
+        Ok(RaftState::new(log.hard_state.clone(), log.conf_state.clone()))
     }
 
     fn entries(
@@ -139,59 +147,62 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        let h = self.held.borrow();
-        let first = h.before.0 + 1;
+        let log = self.content.borrow();
+        let first = log.compacted_index + 1;
         if low < first {
             return Err(Error::Store(StorageError::Compacted));
         }
         let (from, to) = ((low - first) as usize, (high - first) as usize);
-        if to > h.entries.len() {
+        if to > log.entries.len() {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let most = max_size.into().unwrap_or(u64::MAX);
-        let mut all = Vec::new();
+        let max_bytes = max_size.into().unwrap_or(u64::MAX);
+        let mut entries = Vec::new();
         let mut bytes = 0;
-        for entry in h.entries.range(from..to) {
-            bytes += weight(entry);
-            if !all.is_empty() && bytes > most {
+        for entry in log.entries.range(from..to) {
+            bytes += size_of(entry);
+            // At least one entry, whatever its size.
+            if !entries.is_empty() && bytes > max_bytes {
                 break;
             }
-            all.push(entry.clone());
+            entries.push(entry.clone());
         }
-        Ok(all)
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        let h = self.held.borrow();
-        if index == h.before.0 {
-            return Ok(h.before.1);
+        let log = self.content.borrow();
+        if index == log.compacted_index {
+            return Ok(log.compacted_term);
         }
-        if index < h.before.0 {
+        if index < log.compacted_index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = (index - h.before.0 - 1) as usize;
-        h.entries.get(at).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        let position = (index - log.compacted_index - 1) as usize;
+        let entry = log.entries.get(position);
+        entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.held.borrow().before.0 + 1)
+        Ok(self.content.borrow().compacted_index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        let h = self.held.borrow();
-        Ok(h.before.0 + h.entries.len() as u64)
+        let log = self.content.borrow();
+        Ok(log.compacted_index + log.entries.len() as u64)
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        let h = self.held.borrow();
-        let about = h.snapshot.get_metadata();
-        let conf = about.get_conf_state();
-        // Of no use to a member that it does not know, nor to one that goes on from before its entries.
-        let knows = conf.voters.contains(&to) || conf.learners.contains(&to);
-        if about.index < request_index || about.index < h.before.0 || !knows {
-            self.wanted.set(true);
+        let log = self.content.borrow();
+        let metadata = log.snapshot.get_metadata();
+        let conf_state = metadata.get_conf_state();
+        // Of no use to a member that it does not include, nor to one that would need compacted entries after it.
+        let includes_member = conf_state.voters.contains(&to) || conf_state.learners.contains(&to);
+        let is_too_old = metadata.index < request_index || metadata.index < log.compacted_index;
+        if is_too_old || !includes_member {
+            self.snapshot_requested.set(true);
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
-        Ok(h.snapshot.clone())
+        Ok(log.snapshot.clone())
     }
 }
--- a/crates/control-plane/coordination/src/voter/membership.rs
+++ b/crates/control-plane/coordination/src/voter/membership.rs
@@ -1,211 +1,231 @@
-//! Voters that join, learn, vote and leave: one change at a time, each agreed like any other command. A process joins with
-//! an empty disk and a number of its own; it learns first, and votes once it has what the others have. A number stands
-//! for a disk: what comes back under an old name with another disk is another member, and is not taken before the old one
-//! was removed by an operator's word.
-use super::leader::ORIGIN;
-use super::replicated_state::Known;
-use super::{reply, Action, Voter, VoterEvent};
+//! Membership changes: joining, promotion and removal, one at a time, each replicated through the log.
+//!
+//! A process joins with an empty disk and a random voter id. It is a learner first, and is promoted to voter once it has
+//! caught up. A voter id stands for a disk: a process that returns under a known name with another disk is a new member, and
+//! is rejected until an operator has removed the former one.
+use super::leader::{CallId, PROPOSAL_CONTEXT_BYTES};
+use super::replicated_state::MemberAddress;
+use super::{reply, Action, Voter, VoterError, VoterEvent};
 use crate::protocol::{Answer, Member};
-use crate::raft_log::Log;
+use crate::raft_log::RaftLog;
 use raft::eraftpb::{ConfChange, ConfChangeType};
 use raft::{RawNode, StateRole};
 use std::collections::BTreeSet;
 
-/// Most members, voters and learners.
-pub const MAX_MEMBERS: usize = 9;
-/// A learner votes once it lags by no more entries.
-const LAG: u64 = 64;
+/// Maximum number of members, voters and learners together.
+const MAX_MEMBERS: usize = 9;
+/// A learner is promoted once it lags by no more than this many entries.
+const MAX_PROMOTION_LAG: u64 = 64;
 
-/// Who could lead at once: the voter that has most of the log, of those that were heard lately.
-pub(super) fn successor(raft: &RawNode<Log>) -> Option<u64> {
-    let tracked = raft.raft.prs();
-    let own = raft.raft.id;
-    let heard = tracked.iter().filter(|(&id, p)| id != own && p.recent_active);
-    let voters = heard.filter(|(&id, _)| tracked.conf().voters().contains(id));
-    voters.max_by_key(|(&id, p)| (p.matched, id)).map(|(&id, _)| id)
+/// The active voter with the longest log, to which leadership can be transferred at once.
+pub(super) fn successor(raft: &RawNode<RaftLog>) -> Option<u64> {
+    let tracker = raft.raft.prs();
+    let own_id = raft.raft.id;
+    let active = tracker.iter().filter(|(&id, progress)| id != own_id && progress.recent_active);
+    let voters = active.filter(|(&id, _)| tracker.conf().voters().contains(id));
+    voters.max_by_key(|(&id, progress)| (progress.matched, id)).map(|(&id, _)| id)
 }
 
 impl Voter {
-    /// The members, and what the leader knows of them.
+    /// The members, with their progress if this voter is the leader.
     pub(super) fn members(&self) -> Vec<Member> {
         let Some(state) = &self.state else { return Vec::new() };
-        let conf = self.log.conf();
-        let leads = self.raft.as_ref().filter(|r| r.raft.state == StateRole::Leader);
-        let one = |(&id, known): (&u64, &Known)| {
-            let progress = leads.and_then(|r| r.raft.prs().get(id));
-            Member {
-                id,
-                name: known.name.clone(),
-                addr: known.addr.clone(),
-                is_voter: conf.voters.contains(&id),
-                active: leads.map(|_| self.leading.heard(id) || id == self.own.voter),
-                match_index: progress.map(|p| p.matched),
-            }
+        let conf_state = self.log.conf_state();
+        let leading = self.raft.as_ref().filter(|raft| raft.raft.state == StateRole::Leader);
+        let member = |(&id, address): (&u64, &MemberAddress)| Member {
+            id,
+            name: address.name.clone(),
+            addr: address.addr.clone(),
+            is_voter: conf_state.voters.contains(&id),
+            active: leading.map(|_| self.is_member_active(id)),
+            match_index: leading.and_then(|raft| raft.raft.prs().get(id)).map(|progress| progress.matched),
         };
-        state.members.iter().map(one).collect()
+        state.members.iter().map(member).collect()
+    }
+
+    fn is_member_active(&self, id: u64) -> bool {
+        self.leader.is_active(id) || id == self.identity.voter
     }
 
-    /// Why the council could not go on with these voters, if it could not.
-    fn too_few(&self, voters: &BTreeSet<u64>) -> Option<String> {
-        let heard = voters.iter().filter(|&&id| id == self.own.voter || self.leading.heard(id)).count();
-        let needed = voters.len() / 2 + 1;
-        (heard < needed).then(|| {
+    /// Why these voters would have no quorum, if so.
+    fn missing_quorum(&self, voters: &BTreeSet<u64>) -> Option<String> {
+        let active = voters.iter().filter(|&&id| self.is_member_active(id)).count();
+        let quorum = voters.len() / 2 + 1;
+        (active < quorum).then(|| {
             format!(
-                "of the {} voters that there would be, {heard} are heard and {needed} are needed",
+                "of the {} voters that there would be, {active} are heard and {quorum} are needed",
                 voters.len()
             )
         })
     }
 
-    fn change(&mut self, id: u64, what: ConfChangeType, origin: Vec<u8>, known: Option<&Known>) -> bool {
+    fn propose_change(
+        &mut self,
+        id: u64,
+        change_type: ConfChangeType,
+        proposal_context: Vec<u8>,
+        address: Option<&MemberAddress>,
+    ) -> bool {
         let Some(raft) = &mut self.raft else { return false };
         let mut change = ConfChange::default();
-        change.set_change_type(what);
+        change.set_change_type(change_type);
         change.node_id = id;
-        let mut context = origin;
-        context.resize(ORIGIN, 0);
-        // Texts only: this can't fail.
-        context.extend(known.map(|k| serde_json::to_vec(k).unwrap_or_default()).unwrap_or_default());
+        let mut context = proposal_context;
+        context.resize(PROPOSAL_CONTEXT_BYTES, 0);
+        // Strings only, so serialization can't fail.
+        context.extend(address.map(|a| serde_json::to_vec(a).unwrap_or_default()).unwrap_or_default());
         !raft.raft.has_pending_conf() && raft.propose_conf_change(context, change).is_ok()
     }
 
-    pub(super) fn join(
+    /// Proposes a change for a call; replies at once if another change is pending.
+    fn propose_change_for(
         &mut self,
-        client: u64,
+        call: CallId,
         id: u64,
+        change_type: ConfChangeType,
+        address: Option<&MemberAddress>,
+        answer: Answer,
+        actions: &mut Vec<Action>,
+    ) {
+        let context = self.leader.start_proposal(call.client, call.call_id, Some(answer));
+        if !self.propose_change(id, change_type, context, address) {
+            self.leader.cancel_proposal();
+            let answer = Answer::Busy("another change of members".into());
+            reply(call.client, call.call_id, answer, actions);
+        }
+    }
+
+    pub(super) fn join(
+        &mut self,
+        call: CallId,
         name: &str,
         addr: &str,
         voter: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let (Some(state), Some(cluster)) = (&self.state, self.own.cluster) else { return };
+        let (Some(state), Some(cluster)) = (&self.state, self.identity.cluster) else { return };
         let joined = Answer::Joined { cluster };
-        let failed = |why: String| Answer::Failed(why);
-        let known = Known { name: name.into(), addr: addr.into() };
-        let answer = match (state.members.get(&voter), state.named(name)) {
+        let answer = match (state.members.get(&voter), state.member_named(name)) {
             (Some(_), _) => joined,
-            (None, Some(old)) => failed(format!(
-                "{name} is a member with another disk, voter {old:016x}; if that disk is lost, remove {name} and it joins anew"
+            (None, Some(former)) => Answer::Failed(format!(
+                "{name} is a member with another disk, voter {former:016x}; if that disk is lost, remove {name} and it joins anew"
             )),
-            (None, None) if !self.settings.expected.iter().any(|e| e == name) => {
-                failed(format!("{name} is not among the voters of this one's file"))
+            (None, None) if !self.config.expected_members.iter().any(|expected| expected == name) => {
+                Answer::Failed(format!("{name} is not among the voters of this one's file"))
             }
             (None, None) if state.members.len() >= MAX_MEMBERS => {
-                failed(format!("{MAX_MEMBERS} members at most"))
+                Answer::Failed(format!("{MAX_MEMBERS} members at most"))
             }
             (None, None) => {
-                let origin = self.leading.origin(client, id, Some(joined));
-                if self.change(voter, ConfChangeType::AddLearnerNode, origin, Some(&known)) {
-                    return;
-                }
-                self.leading.not_taken();
-                Answer::Busy("another change of members".into())
+                let address = MemberAddress { name: name.into(), addr: addr.into() };
+                let change = ConfChangeType::AddLearnerNode;
+                return self.propose_change_for(call, voter, change, Some(&address), joined, actions);
             }
         };
-        reply(client, id, answer, out);
+        reply(call.client, call.call_id, answer, actions);
     }
 
-    pub(super) fn remove(&mut self, client: u64, id: u64, name: &str, out: &mut Vec<Action>) {
-        let named = self.state.as_ref().and_then(|s| s.named(name));
-        let answer = match named {
+    pub(super) fn remove_member(&mut self, call: CallId, name: &str, actions: &mut Vec<Action>) {
+        let id = self.state.as_ref().and_then(|state| state.member_named(name));
+        let answer = match id {
             None => Answer::Failed(format!("{name} is no member")),
-            Some(own) if own == self.own.voter => {
-                // Whoever leads next removes it.
-                let to = self.raft.as_ref().and_then(successor);
-                match (to, &mut self.raft) {
-                    (Some(to), Some(raft)) => {
-                        raft.transfer_leader(to);
-                        Answer::Busy(format!("{name} leads, and hands over first"))
-                    }
-                    _ => Answer::Failed(format!("{name} leads, and no other voter is heard")),
-                }
-            }
-            Some(_) if !self.leading.settled() => Answer::Busy("the leader takes office".into()),
-            Some(gone) => {
-                let mut voters: BTreeSet<u64> = self.log.conf().voters.into_iter().collect();
-                let voted = voters.remove(&gone);
-                match self.too_few(&voters) {
-                    Some(why) if voted => Answer::Failed(why),
+            Some(id) if id == self.identity.voter => self.transfer_before_removal(name),
+            Some(_) if !self.leader.knows_active_members() => Answer::Busy("the leader takes office".into()),
+            Some(id) => {
+                let mut voters: BTreeSet<u64> = self.log.conf_state().voters.into_iter().collect();
+                let is_voter = voters.remove(&id);
+                match self.missing_quorum(&voters) {
+                    Some(reason) if is_voter => Answer::Failed(reason),
                     _ => {
-                        let origin = self.leading.origin(client, id, Some(Answer::Done));
-                        if self.change(gone, ConfChangeType::RemoveNode, origin, None) {
-                            return;
-                        }
-                        self.leading.not_taken();
-                        Answer::Busy("another change of members".into())
+                        let change = ConfChangeType::RemoveNode;
+                        return self.propose_change_for(call, id, change, None, Answer::Done, actions);
                     }
                 }
             }
         };
-        reply(client, id, answer, out);
+        reply(call.client, call.call_id, answer, actions);
     }
 
-    pub(super) fn transfer(&mut self, client: u64, id: u64, name: &str, out: &mut Vec<Action>) {
-        let named = self.state.as_ref().and_then(|s| s.named(name));
-        let votes = named.filter(|id| self.log.conf().voters.contains(id));
-        let answer = match (votes, &mut self.raft) {
-            (Some(to), Some(raft)) => {
-                if to != self.own.voter {
-                    raft.transfer_leader(to);
+    /// A leader can't remove itself: the next one does.
+    fn transfer_before_removal(&mut self, name: &str) -> Answer {
+        let successor = self.raft.as_ref().and_then(successor);
+        match (successor, &mut self.raft) {
+            (Some(successor), Some(raft)) => {
+                raft.transfer_leader(successor);
+                Answer::Busy(format!("{name} leads, and hands over first"))
+            }
+            _ => Answer::Failed(format!("{name} leads, and no other voter is heard")),
+        }
+    }
+
+    /// Asks the voter with this name to become leader.
+    pub(super) fn transfer_leadership(&mut self, name: &str) -> Answer {
+        let id = self.state.as_ref().and_then(|state| state.member_named(name));
+        let voter = id.filter(|id| self.log.conf_state().voters.contains(id));
+        match (voter, &mut self.raft) {
+            (Some(voter), Some(raft)) => {
+                if voter != self.identity.voter {
+                    raft.transfer_leader(voter);
                 }
                 Answer::Done
             }
             _ => Answer::Failed(format!("{name} is no voter")),
-        };
-        reply(client, id, answer, out);
+        }
     }
 
-    /// A learner that has learned votes from now on, if the voters that there would be can go on.
-    pub(super) fn promote(&mut self) {
+    /// Promotes a learner that has caught up, if the resulting voters have a quorum.
+    pub(super) fn promote_learner(&mut self) {
         let (Some(raft), Some(state)) = (&self.raft, &self.state) else { return };
-        let last = raft.raft.raft_log.last_index();
-        let conf = self.log.conf();
-        let learned = |id: &&u64| {
+        let last_index = raft.raft.raft_log.last_index();
+        let conf_state = self.log.conf_state();
+        let has_caught_up = |id: &&u64| {
             let progress = raft.raft.prs().get(**id);
-            progress.is_some_and(|p| p.recent_active && p.matched > 0 && p.matched + LAG >= last)
+            progress.is_some_and(|progress| {
+                let matched = progress.matched;
+                progress.recent_active && matched > 0 && matched + MAX_PROMOTION_LAG >= last_index
+            })
         };
-        let Some(&id) = conf.learners.iter().find(learned) else { return };
-        let mut voters: BTreeSet<u64> = conf.voters.iter().copied().collect();
+        let Some(&id) = conf_state.learners.iter().find(has_caught_up) else { return };
+        let mut voters: BTreeSet<u64> = conf_state.voters.iter().copied().collect();
         voters.insert(id);
-        let known = state.members.get(&id).cloned();
-        if self.too_few(&voters).is_none() {
-            self.change(id, ConfChangeType::AddNode, Vec::new(), known.as_ref());
+        let address = state.members.get(&id).cloned();
+        if self.missing_quorum(&voters).is_none() {
+            self.propose_change(id, ConfChangeType::AddNode, Vec::new(), address.as_ref());
         }
     }
 
-    /// A change of members is agreed.
-    pub(super) fn change_members(
+    /// Applies a committed membership change.
+    pub(super) fn apply_conf_change(
         &mut self,
         change: &ConfChange,
         context: &[u8],
-        out: &mut Vec<Action>,
-    ) -> Result<(), String> {
+        actions: &mut Vec<Action>,
+    ) -> Result<(), VoterError> {
         let (Some(raft), Some(state)) = (&mut self.raft, &mut self.state) else { return Ok(()) };
-        let conf = raft.apply_conf_change(change).map_err(|e| e.to_string())?;
-        self.log.set_conf(conf);
+        let conf_state = raft.apply_conf_change(change)?;
+        self.log.set_conf_state(conf_state);
         let id = change.node_id;
-        let (origin, known) = context.split_at(context.len().min(ORIGIN));
-        let note = match change.get_change_type() {
+        let (proposal_context, address) = context.split_at(context.len().min(PROPOSAL_CONTEXT_BYTES));
+        let report = match change.get_change_type() {
             ConfChangeType::RemoveNode => {
-                let name = state.members.remove(&id).map_or_else(String::new, |k| k.name);
+                let name = state.members.remove(&id).map_or_else(String::new, |member| member.name);
                 format!("{name} is a member no more")
             }
-            what => {
-                let known: Known = serde_json::from_slice(known).map_err(|e| format!("a member: {e}"))?;
-                let name = known.name.clone();
-                state.members.insert(id, known);
-                match what {
+            change_type => {
+                let address: MemberAddress = serde_json::from_slice(address).map_err(VoterError::Member)?;
+                let name = address.name.clone();
+                state.members.insert(id, address);
+                match change_type {
                     ConfChangeType::AddNode => format!("{name} votes"),
                     _ => format!("{name} joins, and learns"),
                 }
             }
         };
-        let origin = origin.to_vec();
-        self.leading.tell(&origin, Answer::Done, out);
-        out.push(Action::Report(VoterEvent::MembershipChanged(note)));
-        if id == self.own.voter && change.get_change_type() == ConfChangeType::RemoveNode {
+        self.leader.complete_proposal(proposal_context, Answer::Done, actions);
+        actions.push(Action::Report(VoterEvent::MembershipChanged(report)));
+        if id == self.identity.voter && change.get_change_type() == ConfChangeType::RemoveNode {
             self.removed = true;
-            out.push(Action::Report(VoterEvent::Removed));
+            actions.push(Action::Report(VoterEvent::Removed));
         }
         Ok(())
     }
--- a/crates/verification/coordination-simulation/src/disk.rs
+++ b/crates/verification/coordination-simulation/src/disk.rs
@@ -17,7 +17,7 @@
     if save.replace {
         frames.clear();
     }
-    frames.extend(save.frames);
+    frames.extend(save.records);
 }
 
 impl Disk {
--- a/crates/verification/coordination-simulation/src/world.rs
+++ b/crates/verification/coordination-simulation/src/world.rs
@@ -263,12 +263,12 @@
             unfenced: self.variant == Variant::Unfenced,
             short_sessions: self.variant == Variant::ShortSessions,
         };
-        let settings = voter::Settings {
-            expected: self.names(),
+        let settings = voter::VoterConfig {
+            expected_members: self.names(),
             tick: Duration::from_nanos(TICK),
             seed: self.random.gen(),
             log_entries: LOG_ENTRIES,
-            faulty,
+            defects: faulty,
         };
         let now = self.local(End::Voter(v));
         let machine = &mut self.machines[v];
@@ -403,14 +403,17 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let led = |m: &Machine| m.voter.as_ref().filter(|v| v.leads()).map(|v| v.status().term);
+        let led = |m: &Machine| m.voter.as_ref().filter(|v| v.is_serving_leader()).map(|v| v.status().term);
         let leaders = self.machines.iter().enumerate().filter_map(|(k, m)| Some((led(m)?, k)));
         leaders.max().map(|(_, k)| k)
     }
 
     fn watch_leader(&mut self) {
         let now = self.agenda.now();
-        let led = self.machines.iter().any(|m| m.paused == 0 && m.voter.as_ref().is_some_and(Voter::leads));
+        let led = self
+            .machines
+            .iter()
+            .any(|m| m.paused == 0 && m.voter.as_ref().is_some_and(Voter::is_serving_leader));
         match (led, self.leaderless_since) {
             (true, Some(since)) => {
                 self.leaderless_since = None;
@@ -573,7 +576,7 @@
                 let v = (t - 1_000) as usize;
                 let machine = &mut self.machines[v];
                 let own = Identity { cluster: Some(cluster), voter: machine.id, name: machine.name.clone() };
-                machine.disk = Disk::with(vec![voter::identity(&own)]);
+                machine.disk = Disk::with(vec![voter::encode_identity(&own)]);
                 self.start(v);
             }
             (t, _) if t >= 1_000 => self.agenda.after(ms(150.0), Due::Join((t - 1_000) as usize)),
@@ -832,7 +835,7 @@
         }
         self.agenda.after(ms(500.0), Due::DiskTry(v, life));
         let machine = &self.machines[v];
-        if machine.voter.as_ref().is_some_and(Voter::waits_for_room) && !machine.disk.full {
+        if machine.voter.as_ref().is_some_and(Voter::awaits_storage_recovery) && !machine.disk.full {
             if let Ok(kept) = PersistedState::read(machine.disk.frames()) {
                 self.tell(v, Event::Recovered(kept));
             }
@@ -920,10 +923,10 @@
                 report.wrong.push(format!("voter {v} does not run at the end"));
                 continue;
             };
-            if let Some(why) = voter.aside() {
+            if let Some(why) = voter.storage_error() {
                 report.wrong.push(format!("voter {v} stands aside at the end: {why}"));
             }
-            if let Some((applied, state)) = voter.agreed() {
+            if let Some((applied, state)) = voter.applied_state() {
                 lasts.insert(applied);
                 agreed.entry(applied).or_default().insert(state);
             }
