--- a/crates/control-plane/disruption-agent/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -12,36 +12,36 @@
 use tracing::info;
 
 /// Wishes and news that may wait.
-const WAITING: usize = 2_048;
+const CHANNEL_CAPACITY: usize = 2_048;
 
 /// What the supervisor wants.
 #[derive(Clone, Debug)]
 enum AgentCommand {
-    Ask { unit: String, act: DisruptionKind, why: String, overrides: Option<String> },
-    Unused { unit: String },
-    GiveBack { unit: String, acted: bool },
-    Units(BTreeMap<String, BalancerEntry>),
+    Request { unit: String, act: DisruptionKind, why: String, overrides: Option<String> },
+    MarkUnused { unit: String },
+    Release { unit: String, acted: bool },
+    SetBalancers(BTreeMap<String, BalancerEntry>),
 }
 
 /// A handle to the agent.
-pub struct Agent {
+pub struct LeaseAgentHandle {
     wishes: mpsc::Sender<AgentCommand>,
     given: mpsc::Receiver<GrantedLease>,
     council: ClientHandle,
     board: watch::Receiver<FleetSnapshot>,
 }
 
-impl Agent {
+impl LeaseAgentHandle {
     /// Begins one for a supervisor, which is known by this name, in a local set of tasks.
-    pub fn begin(council: ClientHandle, owner: &str) -> Agent {
-        let (wishes, wished) = mpsc::channel(WAITING);
-        let (tell, given) = mpsc::channel(WAITING);
+    pub fn begin(council: ClientHandle, owner: &str) -> LeaseAgentHandle {
+        let (wishes, wished) = mpsc::channel(CHANNEL_CAPACITY);
+        let (tell, given) = mpsc::channel(CHANNEL_CAPACITY);
         let (show, board) = watch::channel(FleetSnapshot::default());
         let machine = Machine::new(owner, coordination_server::random_id());
         let follow = Informer::new(council.clone());
         let task = Task { follow, council: council.clone(), machine, tell, show };
         tokio::task::spawn_local(task.run(wished));
-        Agent { wishes, given, council, board }
+        LeaseAgentHandle { wishes, given, council, board }
     }
 
     fn wish(&self, wish: AgentCommand) {
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Asks for leave. Told by [`Agent::next`], perhaps much later. `overrides`: an operator's reason to go over what budgets
+    /// Asks for leave. Told by [`LeaseAgentHandle::next`], perhaps much later. `overrides`: an operator's reason to go over what budgets
     /// allow.
     pub fn ask(&self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<&str>) {
-        self.wish(AgentCommand::Ask {
+        self.wish(AgentCommand::Request {
             unit: unit.into(),
             act,
             why: why.into(),
@@ -63,17 +63,17 @@
 
     /// Nothing was done by this leave: it came too late. It is told of again if it is still good.
     pub fn unused(&self, unit: &str) {
-        self.wish(AgentCommand::Unused { unit: unit.into() });
+        self.wish(AgentCommand::MarkUnused { unit: unit.into() });
     }
 
     /// The leave is not wanted any more. `acted`: another process is to come, and the leave ends once that was seen.
     pub fn give_back(&self, unit: &str, acted: bool) {
-        self.wish(AgentCommand::GiveBack { unit: unit.into(), acted });
+        self.wish(AgentCommand::Release { unit: unit.into(), acted });
     }
 
     /// The balancers that this machine has, all of them.
     pub fn units(&self, units: BTreeMap<String, BalancerEntry>) {
-        self.wish(AgentCommand::Units(units));
+        self.wish(AgentCommand::SetBalancers(units));
     }
 
     /// Waits for the next leave. May be dropped and called again.
@@ -148,10 +148,12 @@
 
     fn take(&mut self, wish: AgentCommand) {
         match wish {
-            AgentCommand::Ask { unit, act, why, overrides } => self.machine.ask(&unit, act, &why, overrides),
-            AgentCommand::Unused { unit } => self.machine.unused(&unit),
-            AgentCommand::GiveBack { unit, acted } => self.machine.give_back(&unit, acted),
-            AgentCommand::Units(units) => self.machine.units(units),
+            AgentCommand::Request { unit, act, why, overrides } => {
+                self.machine.ask(&unit, act, &why, overrides)
+            }
+            AgentCommand::MarkUnused { unit } => self.machine.unused(&unit),
+            AgentCommand::Release { unit, acted } => self.machine.give_back(&unit, acted),
+            AgentCommand::SetBalancers(units) => self.machine.units(units),
         }
     }
 
@@ -164,7 +166,7 @@
             // There is room: each leave is told once, and one that its supervisor does not take is told with the next session.
             let _ = self.tell.try_send(given);
         }
-        if step == Step::Fresh {
+        if step == Step::ReadConsistent {
             step = match self.follow.fresh().await {
                 Ok(board) => self.machine.decided(boottime_now(), board),
                 Err(why) => {
@@ -176,7 +178,7 @@
         }
         match step {
             Step::Wait(until) => Some(until),
-            Step::Fresh => None,
+            Step::ReadConsistent => None,
             Step::Write(plan, what) => {
                 if let Some(what) = what {
                     info!("outage: {what}");
--- a/crates/control-plane/disruption-agent/src/command.rs
+++ b/crates/control-plane/disruption-agent/src/command.rs
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 /// How long a command may take to find the council.
-const WITHIN: Duration = Duration::from_secs(10);
+const SESSION_TIMEOUT: Duration = Duration::from_secs(10);
 /// The session of a command that waits.
-const TTL: Duration = Duration::from_secs(5);
+const SESSION_TTL: Duration = Duration::from_secs(5);
 
 /// What is asked for.
 #[derive(Clone, Debug)]
@@ -86,7 +86,7 @@
 
 fn client(file: &DisruptionConfig, held: bool) -> ClientHandle {
     let name = format!("command/{}/{}", operator(), std::process::id());
-    let session = held.then(|| SessionConfig { name: name.clone(), ttl: TTL, take_over: true });
+    let session = held.then(|| SessionConfig { name: name.clone(), ttl: SESSION_TTL, take_over: true });
     let voters = file.council.voters.iter().map(ToString::to_string).collect();
     ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.council.patience })
 }
@@ -94,9 +94,11 @@
 async fn session(council: &ClientHandle) -> Result<SessionId, String> {
     let mut standing = council.session_state();
     let held = standing.wait_for(|s| matches!(s, SessionState::Active(_)));
-    match tokio::time::timeout(WITHIN, held).await.map(|s| s.map(|s| *s)) {
+    match tokio::time::timeout(SESSION_TIMEOUT, held).await.map(|s| s.map(|s| *s)) {
         Ok(Ok(SessionState::Active(session))) => Ok(session),
-        _ => Err(format!("the council does not answer within {WITHIN:?}: is there a majority of voters?")),
+        _ => Err(format!(
+            "the council does not answer within {SESSION_TIMEOUT:?}: is there a majority of voters?"
+        )),
     }
 }
 
--- a/crates/control-plane/disruption-agent/src/reporter.rs
+++ b/crates/control-plane/disruption-agent/src/reporter.rs
@@ -20,11 +20,11 @@
 use tracing::info;
 
 /// How often it is looked whether a drained upstream has nothing in flight any more.
-const LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How often it is looked how upstreams are seen; what changes faster is said once.
-const SIGHT: Duration = Duration::from_secs(1);
+const OBSERVATION_INTERVAL: Duration = Duration::from_secs(1);
 /// After a failed write.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What a balancer does for its reporter.
 pub trait BalancerView {
@@ -173,7 +173,7 @@
         }
         let now = Instant::now();
         let drains = !self.board.borrow().leaves.is_empty();
-        let mut next = now + if drains { LOOK } else { SIGHT };
+        let mut next = now + if drains { DRAIN_POLL_INTERVAL } else { OBSERVATION_INTERVAL };
         next = warm_at.map_or(next, |at| next.min(at));
         if let Some(at) = self.not_before.filter(|&at| now < at) {
             return at;
@@ -186,7 +186,7 @@
             SessionState::None => true,
         };
         if !wrote {
-            let at = Instant::now() + PAUSE;
+            let at = Instant::now() + RETRY_DELAY;
             self.not_before = Some(at);
             return at;
         }
@@ -208,7 +208,7 @@
             put(drained_key(&name), serde_json::to_string(&quiet).unwrap_or_default());
         }
         let now = Instant::now();
-        if self.looked.as_ref().is_none_or(|(at, ..)| now.duration_since(*at) >= SIGHT) {
+        if self.looked.as_ref().is_none_or(|(at, ..)| now.duration_since(*at) >= OBSERVATION_INTERVAL) {
             let (list, out) = self.station.sight();
             self.looked = Some((now, list, out));
         }
--- a/crates/control-plane/disruption/src/lease_agent.rs
+++ b/crates/control-plane/disruption/src/lease_agent.rs
@@ -16,14 +16,14 @@
 use std::time::Duration;
 
 /// What another agent could do as well is left to it for so long, and up to as long again.
-pub const HELP: Duration = Duration::from_millis(300);
+pub const ASSIST_DELAY: Duration = Duration::from_millis(300);
 /// A drain is said to be over once nothing was waited for for so long.
-pub const QUIET: Duration = Duration::from_secs(1);
+pub const DRAIN_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// After a write that failed.
-pub const PAUSE: Duration = Duration::from_millis(200);
+pub const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// A leave of an earlier process of the same supervisor, by which nothing was seen to be done for so long, is given back:
 /// what that process did shows in the record within a moment.
-pub const SETTLED: Duration = Duration::from_secs(10);
+pub const ADOPTED_LEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Leave that was given.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,23 +44,23 @@
     /// This write; then the board is to be read anew, and [`LeaseAgent::next`] called.
     Write(ConditionalWrite, Option<String>),
     /// The board is to be read anew from a majority, and [`LeaseAgent::decided`] called with it.
-    Fresh,
+    ReadConsistent,
     /// Nothing, until something changes, or until then.
     Wait(Option<Duration>),
 }
 
 /// What is wanted for one balancer.
 #[derive(Clone, Debug)]
-enum Want {
-    Leave { act: DisruptionKind, why: String, overrides: Option<String>, told: Option<(u64, SessionId)> },
-    Back { acted: bool },
+enum LeaseIntent {
+    Acquire { act: DisruptionKind, why: String, overrides: Option<String>, told: Option<(u64, SessionId)> },
+    Release { acted: bool },
 }
 
 /// The machine.
 pub struct LeaseAgent {
     owner: String,
     random: Pcg64Mcg,
-    wants: BTreeMap<String, Want>,
+    wants: BTreeMap<String, LeaseIntent>,
     units: Option<BTreeMap<String, BalancerEntry>>,
     /// Leaves of an earlier process, and since when they are this one's.
     adopted: BTreeMap<String, Duration>,
@@ -92,20 +92,20 @@
 
     /// Leave is wanted. `overrides`: an operator's reason to go over what budgets allow.
     pub fn ask(&mut self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<String>) {
-        self.wants.insert(unit.into(), Want::Leave { act, why: why.into(), overrides, told: None });
+        self.wants.insert(unit.into(), LeaseIntent::Acquire { act, why: why.into(), overrides, told: None });
     }
 
     /// Nothing was done by a leave that was told of, since its session was not held when the news came. It is still wanted, and
     /// is told of again with the next that is held.
     pub fn unused(&mut self, unit: &str) {
-        if let Some(Want::Leave { told, .. }) = self.wants.get_mut(unit) {
+        if let Some(LeaseIntent::Acquire { told, .. }) = self.wants.get_mut(unit) {
             *told = None;
         }
     }
 
     /// Leave is not wanted any more. `acted`: another process is to come, and the leave ends once that was seen.
     pub fn give_back(&mut self, unit: &str, acted: bool) {
-        self.wants.insert(unit.into(), Want::Back { acted });
+        self.wants.insert(unit.into(), LeaseIntent::Release { acted });
     }
 
     /// The balancers that its machine has, all of them.
@@ -115,7 +115,7 @@
 
     /// A write or a read failed.
     pub fn failed(&mut self, now: Duration) {
-        self.not_before = now + PAUSE;
+        self.not_before = now + RETRY_DELAY;
     }
 
     /// The number of the ask for a unit.
@@ -143,12 +143,12 @@
         self.common(now, board)
     }
 
-    /// The same, with a board that was read from a majority just now, where [`Step::Fresh`] asked for it.
+    /// The same, with a board that was read from a majority just now, where [`Step::ReadConsistent`] asked for it.
     pub fn decided(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
         match board.gives() {
             Some((plan, ids)) => Step::Write(plan, Some(format!("leave is given: {}", ids.join(", ")))),
             // Others were faster, or it does not hold any more.
-            None => Step::Wait(Some(now + PAUSE)),
+            None => Step::Wait(Some(now + RETRY_DELAY)),
         }
     }
 
@@ -172,13 +172,13 @@
         }
         for (id, leave) in &mine {
             let undone = match self.wants.get(&id.name) {
-                Some(Want::Leave { .. }) => continue,
-                Some(Want::Back { acted }) => !acted,
+                Some(LeaseIntent::Acquire { .. }) => continue,
+                Some(LeaseIntent::Release { acted }) => !acted,
                 // Of an earlier process, of which it is not known whether it acted.
                 None => {
                     let since = *self.adopted.entry(id.name.clone()).or_insert(now);
                     let same = !leave.value.act.renews() || board.session_of(id) == leave.value.was;
-                    now >= since + SETTLED && same
+                    now >= since + ADOPTED_LEASE_TIMEOUT && same
                 }
             };
             if let Some(plan) = board.returns(id, undone) {
@@ -190,7 +190,7 @@
         let mut plan = ConditionalWrite::default();
         for (id, ask) in &board.asks {
             let own = ask.value.owner == self.owner && ask.value.session == session;
-            if own && !matches!(self.wants.get(&ask.value.unit.name), Some(Want::Leave { .. })) {
+            if own && !matches!(self.wants.get(&ask.value.unit.name), Some(LeaseIntent::Acquire { .. })) {
                 plan.compares.push(Compare::Version(request_key(id), ask.version));
                 plan.ops.push(Op::Delete(request_key(id)));
             }
@@ -198,7 +198,7 @@
         for (unit, want) in
             self.wants.iter().filter(|(unit, _)| !asked(unit) && !has(unit)).take(MAX_GRANTS_PER_WRITE)
         {
-            let Want::Leave { act, why, overrides, .. } = want else { continue };
+            let LeaseIntent::Acquire { act, why, overrides, .. } = want else { continue };
             let ask = LeaseRequest {
                 unit: ResourceId::balancer(unit),
                 owner: self.owner.clone(),
@@ -217,8 +217,9 @@
             });
         }
         // What is back, or was never given, is not wanted any more.
-        let over =
-            |unit: &String, want: &Want| matches!(want, Want::Back { .. }) && !asked(unit) && !has(unit);
+        let over = |unit: &String, want: &LeaseIntent| {
+            matches!(want, LeaseIntent::Release { .. }) && !asked(unit) && !has(unit)
+        };
         let gone: Vec<String> =
             self.wants.iter().filter(|(u, w)| over(u, w)).map(|(u, _)| u.clone()).collect();
         for unit in gone {
@@ -231,7 +232,7 @@
     /// Leaves that its supervisor was not told of.
     fn tell(&mut self, session: SessionId, board: &FleetSnapshot, given: &mut Vec<GrantedLease>) {
         for (unit, want) in &mut self.wants {
-            let Want::Leave { told, .. } = want else { continue };
+            let LeaseIntent::Acquire { told, .. } = want else { continue };
             let Some(leave) = board.leaves.get(&ResourceId::balancer(unit)).map(|l| &l.value) else {
                 continue;
             };
@@ -254,10 +255,10 @@
         let own = |id: &String| board.asks.get(id).is_some_and(|a| a.value.owner == self.owner);
         if given.as_ref().is_some_and(|(_, ids)| ids.iter().any(own)) {
             // Decided on what a majority has now, and not on what was heard of last.
-            return Step::Fresh;
+            return Step::ReadConsistent;
         }
         let due = match given {
-            Some(_) => Some(Step::Fresh),
+            Some(_) => Some(Step::ReadConsistent),
             None => self.due(now, board).map(|(what, plan)| Step::Write(plan, Some(what))),
         };
         let Some(step) = due else {
@@ -265,7 +266,8 @@
             return Step::Wait(self.next_end(now, board));
         };
         let random = &mut self.random;
-        let at = *self.help.get_or_insert_with(|| now + HELP + HELP.mul_f64(random.gen::<f64>()));
+        let at =
+            *self.help.get_or_insert_with(|| now + ASSIST_DELAY + ASSIST_DELAY.mul_f64(random.gen::<f64>()));
         if now < at {
             return Step::Wait(Some(at));
         }
@@ -279,9 +281,9 @@
             let leave = board.leaves.get(id).filter(|l| l.value.number == *number)?;
             Some(*seen + Duration::from_millis(leave.value.for_ms?))
         });
-        let settled = self.adopted.values().map(|&since| since + SETTLED);
+        let settled = self.adopted.values().map(|&since| since + ADOPTED_LEASE_TIMEOUT);
         // What is due already waits for something else that will be heard of.
-        ends.chain(self.quiet.values().map(|&since| since + QUIET))
+        ends.chain(self.quiet.values().map(|&since| since + DRAIN_SETTLE_TIME))
             .chain(settled)
             .filter(|&at| at > now)
             .min()
@@ -326,7 +328,7 @@
             }
             // A process that has just passed its sockets on is heard of a moment later.
             let since = *self.quiet.entry(key.clone()).or_insert(now);
-            if now >= since + QUIET {
+            if now >= since + DRAIN_SETTLE_TIME {
                 let then =
                     vec![put(lease_key(id), json(&DisruptionLease { drained: true, ..leave.value.clone() }))];
                 return Some((format!("{id} is drained"), ConditionalWrite { compares: when, ops: then }));
--- a/crates/control-plane/rollout-agent/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -1,6 +1,6 @@
 //! A supervisor's part on the real record: it says what it starts its instances from, and writes the state that follows where
 //! nobody else has.
-use crate::{follow, unix_ms, RolloutProjection};
+use crate::{informer, unix_ms, RolloutProjection};
 use coordination::state_machine::{Compare, Op, SessionId};
 use coordination_server::client::ClientHandle;
 use coordination_server::random_id;
@@ -15,13 +15,13 @@
 use tracing::info;
 
 /// How often it is looked whether a state follows: the gate's looks are not news of the record.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// What others could write as well is left to them for so long, and up to twice that.
-const HELP: Duration = Duration::from_millis(200);
+const ASSIST_DELAY: Duration = Duration::from_millis(200);
 /// After a failed write.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Most places that one write says.
-const TOGETHER: usize = 64;
+const MAX_REPORTS_PER_WRITE: usize = 64;
 
 /// A handle to the agent.
 pub struct RolloutAgent {
@@ -41,17 +41,17 @@
 }
 
 /// Leaves that wait to be confirmed; one that finds no room is told of again.
-const WAITING: usize = 1_024;
+const CHANNEL_CAPACITY: usize = 1_024;
 
 impl RolloutAgent {
     /// Begins one, in a local set of tasks. `fleet` is the record's part of outages, as its agent follows it.
     pub fn begin(council: ClientHandle, fleet: watch::Receiver<Fleet>) -> RolloutAgent {
         let (show, board) = watch::channel(RolloutSnapshot::default());
         let (places, said) = watch::channel(BTreeMap::new());
-        let (confirms, asked) = mpsc::channel(WAITING);
-        let (tell, confirmed) = mpsc::channel(WAITING);
+        let (confirms, asked) = mpsc::channel(CHANNEL_CAPACITY);
+        let (tell, confirmed) = mpsc::channel(CHANNEL_CAPACITY);
         let task = Task {
-            follow: follow(council.clone()),
+            follow: informer(council.clone()),
             council,
             fleet,
             said,
@@ -120,7 +120,7 @@
             if !self.act().await {
                 let unfinished = self.follow.board().0.unfinished().is_some();
                 // A release that is over is looked at as well: one may turn up on the wrong build.
-                let wake = Instant::now() + if unfinished { LOOK } else { 10 * LOOK };
+                let wake = Instant::now() + if unfinished { POLL_INTERVAL } else { 10 * POLL_INTERVAL };
                 tokio::select! {
                     () = self.follow.next() => drop(self.show.send_replace(self.follow.board().0.clone())),
                     changed = self.said.changed() => if changed.is_err() {
@@ -169,7 +169,7 @@
 
     fn failed(&mut self, why: &str) {
         info!("release: not written: {why}");
-        self.not_before = Some(Instant::now() + PAUSE);
+        self.not_before = Some(Instant::now() + RETRY_DELAY);
     }
 
     /// The next write of what is not in the record as it is.
@@ -179,8 +179,12 @@
             return None;
         }
         let differs = |(unit, place): &(&String, &InstanceReport)| self.written.get(*unit) != Some(place);
-        let then: BTreeMap<String, InstanceReport> =
-            said.iter().filter(differs).take(TOGETHER).map(|(u, p)| (u.clone(), p.clone())).collect();
+        let then: BTreeMap<String, InstanceReport> = said
+            .iter()
+            .filter(differs)
+            .take(MAX_REPORTS_PER_WRITE)
+            .map(|(u, p)| (u.clone(), p.clone()))
+            .collect();
         let put = |(unit, place): (&String, &InstanceReport)| {
             let value = serde_json::to_string(place).unwrap_or_default();
             Op::Put { key: report_key(unit), value, ephemeral: true }
@@ -199,8 +203,8 @@
             self.help = None;
             return false;
         }
-        let spread = HELP.mul_f64((random_id() % 1024) as f64 / 1024.0);
-        if now < *self.help.get_or_insert(now + HELP + spread) {
+        let spread = ASSIST_DELAY.mul_f64((random_id() % 1024) as f64 / 1024.0);
+        if now < *self.help.get_or_insert(now + ASSIST_DELAY + spread) {
             return false;
         }
         self.help = None;
--- a/crates/control-plane/rollout-agent/src/build_id.rs
+++ b/crates/control-plane/rollout-agent/src/build_id.rs
@@ -7,13 +7,13 @@
 use std::path::Path;
 
 /// How much of a file is read at once.
-const PIECE: usize = 256 << 10;
+const READ_BUFFER_BYTES: usize = 256 << 10;
 
 /// The build that lies at a path.
 ///
 /// # Errors
 /// It can't be read, or is no file that can be run.
-pub fn at(path: &Path) -> Result<BuildId, String> {
+pub fn of_file(path: &Path) -> Result<BuildId, String> {
     let named = |e: io::Error| format!("{}: {e}", path.display());
     let kind = std::fs::metadata(path).map_err(named)?;
     if !kind.is_file() {
@@ -24,7 +24,7 @@
         return Err(format!("{}: may not be run", path.display()));
     }
     let mut file = File::open(path).map_err(named)?;
-    let (mut hash, mut piece) = (Sha256::new(), vec![0; PIECE]);
+    let (mut hash, mut piece) = (Sha256::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
         match file.read(&mut piece) {
             Ok(0) => break,
@@ -45,8 +45,8 @@
 ///
 /// # Errors
 /// It can't be read, or is another.
-pub fn is(path: &Path, build: &BuildId) -> Result<(), String> {
-    match at(path)? {
+pub fn verify(path: &Path, build: &BuildId) -> Result<(), String> {
+    match of_file(path)? {
         found if found == *build => Ok(()),
         found => Err(format!("{}: is build {}, and not {}", path.display(), short(&found), short(build))),
     }
@@ -67,14 +67,14 @@
         std::fs::create_dir_all(&folder).expect("creates");
         let path = folder.join("a");
         std::fs::write(&path, "abc").expect("writes");
-        assert!(at(&path).expect_err("not to be run").contains("may not be run"));
+        assert!(of_file(&path).expect_err("not to be run").contains("may not be run"));
         use std::os::unix::fs::PermissionsExt;
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("sets");
-        let build = at(&path).expect("a build");
+        let build = of_file(&path).expect("a build");
         // The example of FIPS 180-4.
         assert_eq!(build.0, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
-        assert_eq!(is(&path, &build), Ok(()));
-        assert!(is(&path, &BuildId("00".into())).is_err() && at(&folder).is_err());
+        assert_eq!(verify(&path, &build), Ok(()));
+        assert!(verify(&path, &BuildId("00".into())).is_err() && of_file(&folder).is_err());
         std::fs::remove_dir_all(&folder).expect("removes");
     }
 }
--- a/crates/control-plane/rollout-agent/src/command.rs
+++ b/crates/control-plane/rollout-agent/src/command.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// The session of a command.
-const TTL: Duration = Duration::from_secs(5);
+const SESSION_TTL: Duration = Duration::from_secs(5);
 
 /// What is asked for.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
         json: bool,
     },
     /// What an operator says of it.
-    Order(OperatorCommand),
+    Operator(OperatorCommand),
 }
 
 /// Carries a command out.
@@ -43,11 +43,11 @@
 async fn carry_out(file: &File, command: Command) -> Result<(), String> {
     let name = format!("command/{}/{}", operator(), std::process::id());
     let reads = matches!(command, Command::Status { .. });
-    let session = (!reads).then(|| SessionConfig { name: name.clone(), ttl: TTL, take_over: true });
+    let session = (!reads).then(|| SessionConfig { name: name.clone(), ttl: SESSION_TTL, take_over: true });
     let voters = file.council.voters.iter().map(ToString::to_string).collect();
     let council =
         ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.council.patience });
-    let mut follow = crate::follow(council.clone());
+    let mut follow = crate::informer(council.clone());
     let done = match command {
         Command::Start => start(file, &council, &mut follow).await,
         Command::Status { json } => {
@@ -56,7 +56,7 @@
             let fleet = outages.fresh().await.map_err(|why| format!("the council: {why}"))?;
             status(&board, fleet, json)
         }
-        Command::Order(order) => say(&council, &mut follow, &order).await,
+        Command::Operator(order) => say(&council, &mut follow, &order).await,
     };
     if !reads {
         council.close_session(Duration::from_secs(1)).await;
@@ -74,7 +74,7 @@
     follow: &mut Informer<RolloutProjection>,
 ) -> Result<(), String> {
     let of = |which: &str, path: &str| {
-        build_id::at(Path::new(path)).map_err(|why| format!("release.{which}: {why}"))
+        build_id::of_file(Path::new(path)).map_err(|why| format!("release.{which}: {why}"))
     };
     let (old, new) = (of("old", &file.paths.old)?, of("new", &file.paths.new)?);
     let ms = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
--- a/crates/control-plane/rollout-agent/src/lib.rs
+++ b/crates/control-plane/rollout-agent/src/lib.rs
@@ -35,7 +35,7 @@
 }
 
 /// Follows what the record has of releases.
-pub fn follow(council: coordination_server::client::ClientHandle) -> Informer<RolloutProjection> {
+pub fn informer(council: coordination_server::client::ClientHandle) -> Informer<RolloutProjection> {
     Informer::under(council, rollout::snapshot::KEY_PREFIX)
 }
 
--- a/crates/control-plane/rollout-agent/src/sampler.rs
+++ b/crates/control-plane/rollout-agent/src/sampler.rs
@@ -1,5 +1,5 @@
 //! What a balancer did while a release goes, written a few times a look. Nothing that it serves waits for this.
-use crate::follow;
+use crate::informer;
 use coordination::state_machine::{Compare, Op};
 use coordination_server::client::ClientHandle;
 use disruption::ConditionalWrite;
@@ -12,14 +12,14 @@
 use tracing::info;
 
 /// So often is it written within one look: what the gate sees lacks one such part at the most.
-const PARTS: u32 = 8;
+const WRITES_PER_CHECK: u32 = 8;
 /// Bounds of the pause between two writes.
-const OFTEN: Duration = Duration::from_millis(50);
-const SELDOM: Duration = Duration::from_secs(10);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_WRITE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Follows releases for ever; `totals` says what was asked, served and late since the process began, and what memory it holds now.
 pub async fn run(council: ClientHandle, name: String, totals: impl Fn() -> MetricsSample) {
-    let mut follow = follow(council.clone());
+    let mut follow = informer(council.clone());
     // The state that the present window belongs to, and the totals at its beginning.
     let mut window: Option<(u64, MetricsSample)> = None;
     let mut written: Option<Instant> = None;
@@ -31,8 +31,8 @@
             follow.next().await;
             continue;
         };
-        let (since, pause) = (state.version, Duration::from_millis(plan.release.look_ms) / PARTS);
-        let pause = pause.clamp(OFTEN, SELDOM);
+        let (since, pause) = (state.version, Duration::from_millis(plan.release.look_ms) / WRITES_PER_CHECK);
+        let pause = pause.clamp(MIN_WRITE_INTERVAL, MAX_WRITE_INTERVAL);
         if window.as_ref().is_none_or(|(of, _)| *of != since) {
             (window, written) = (Some((since, totals())), None);
         }
--- a/crates/control-plane/rollout/src/canary.rs
+++ b/crates/control-plane/rollout/src/canary.rs
@@ -17,7 +17,7 @@
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 /// Fewest instances of the old build that a comparison needs: their spread is what it rests on.
-const OLD_LEAST: usize = 4;
+const MIN_BASELINE_INSTANCES: usize = 4;
 
 /// What is compared of one measure.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -102,9 +102,9 @@
             all.iter().filter(|s| s.asked >= self.requests.max(1)).copied().collect()
         };
         let (new, old) = (counts(new), counts(old));
-        if new.is_empty() || old.len() < OLD_LEAST {
+        if new.is_empty() || old.len() < MIN_BASELINE_INSTANCES {
             return AnalysisVerdict::Inconclusive(format!(
-                "{} of the new and {} of the old were asked {} requests, and 1 and {OLD_LEAST} are needed",
+                "{} of the new and {} of the old were asked {} requests, and 1 and {MIN_BASELINE_INSTANCES} are needed",
                 new.len(),
                 old.len(),
                 self.requests
--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -13,9 +13,9 @@
 use toml::Spanned;
 
 /// Most machines whose builds lie elsewhere.
-const MACHINES_MOST: usize = 4096;
+const MAX_MACHINES: usize = 4096;
 /// Longest path of a build.
-const PATH_MOST: usize = 1024;
+const MAX_PATH_BYTES: usize = 1024;
 
 /// All that the file says.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,8 +86,8 @@
 
 fn path(text: &str, field: &str, given: &Spanned<String>) -> Result<String, ConfigError> {
     let value = given.get_ref();
-    if value.len() > PATH_MOST || !Path::new(value).is_absolute() {
-        let what = format!("{value:?} is no absolute path of at most {PATH_MOST} bytes");
+    if value.len() > MAX_PATH_BYTES || !Path::new(value).is_absolute() {
+        let what = format!("{value:?} is no absolute path of at most {MAX_PATH_BYTES} bytes");
         return Err(fault_at(text, given.span().start, field, what));
     }
     Ok(value.clone())
@@ -119,8 +119,8 @@
     let mut machines = BTreeMap::new();
     for (k, m) in machine.into_iter().enumerate() {
         let field = |name: &str| format!("machine[{k}].{name}");
-        if k >= MACHINES_MOST || machines.contains_key(m.name.get_ref()) {
-            let what = format!("{:?} is named twice, or there are over {MACHINES_MOST}", m.name.get_ref());
+        if k >= MAX_MACHINES || machines.contains_key(m.name.get_ref()) {
+            let what = format!("{:?} is named twice, or there are over {MAX_MACHINES}", m.name.get_ref());
             return Err(fault_at(text, m.name.span().start, &field("name"), what));
         }
         let other = |name: &str, given: Option<Spanned<String>>, all: &String| match given {
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -346,9 +346,9 @@
         let (file, command) = match self {
             Release::Start { file } => (file, Command::Start),
             Release::Status { file, json } => (file, Command::Status { json }),
-            Release::Halt { file, why } => (file, Command::Order(OperatorCommand::Pause(why))),
-            Release::Resume { file } => (file, Command::Order(OperatorCommand::Resume)),
-            Release::Back { file, why } => (file, Command::Order(OperatorCommand::RollBack(why))),
+            Release::Halt { file, why } => (file, Command::Operator(OperatorCommand::Pause(why))),
+            Release::Resume { file } => (file, Command::Operator(OperatorCommand::Resume)),
+            Release::Back { file, why } => (file, Command::Operator(OperatorCommand::RollBack(why))),
         };
         run(&config::rollout::read(&file)?, command)
     }
--- a/crates/herondock/src/supervise/event_loop.rs
+++ b/crates/herondock/src/supervise/event_loop.rs
@@ -8,7 +8,7 @@
 use daemon::pid_file::{self, PidFile};
 use daemon::signals::{ProcessSignal, Signals};
 use disruption::{BalancerEntry, DisruptionKind};
-use disruption_agent::agent::{Agent, GrantedLease};
+use disruption_agent::agent::{GrantedLease, LeaseAgentHandle};
 use rollout::executor::{ExecutorAction as Move, LocalInstance};
 use std::collections::{BTreeMap, HashMap};
 use std::os::unix::fs::DirBuilderExt;
@@ -42,7 +42,7 @@
     /// Who waits for the end of a roll, or of the stop.
     waiting: Vec<mpsc::Sender<String>>,
     /// Asks for leave, where there is a council.
-    agent: Option<Agent>,
+    agent: Option<LeaseAgentHandle>,
     /// What its instances are called in the council.
     units: Vec<String>,
     /// What the agent was told of them last.
@@ -84,7 +84,7 @@
     let client = council.map(|(c, machine)| {
         (coordination_server::client::spawn_with_presence(c, "supervisor", machine), machine)
     });
-    let agent = client.as_ref().map(|(client, machine)| Agent::begin(client.clone(), machine));
+    let agent = client.as_ref().map(|(client, machine)| LeaseAgentHandle::begin(client.clone(), machine));
     let releases = match client.zip(agent.as_ref()) {
         Some(((client, machine), agent)) => {
             let of_releases = rollout_agent::agent::RolloutAgent::begin(client, agent.follows());
@@ -215,7 +215,7 @@
 
     /// Does what a release wants of this machine's instances now.
     fn release(&mut self) {
-        let Some(session) = self.agent.as_ref().and_then(Agent::session) else { return };
+        let Some(session) = self.agent.as_ref().and_then(LeaseAgentHandle::session) else { return };
         let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return };
         if releases.look_every().is_none() {
             return;
@@ -489,7 +489,7 @@
 }
 
 /// The next leave; never, without a council.
-async fn next_given(agent: &mut Option<Agent>) -> GrantedLease {
+async fn next_given(agent: &mut Option<LeaseAgentHandle>) -> GrantedLease {
     match agent {
         Some(agent) => agent.next().await,
         None => std::future::pending().await,
--- a/crates/herondock/src/supervise/rollouts.rs
+++ b/crates/herondock/src/supervise/rollouts.rs
@@ -47,7 +47,7 @@
     fn read(path: &Path, wanted: &BuildId) -> Result<Found, String> {
         // Before it is read: what is changed meanwhile is another file than this.
         let found = Found::of(path)?;
-        build_id::is(path, wanted).map(|()| found)
+        build_id::verify(path, wanted).map(|()| found)
     }
 }
 
@@ -83,7 +83,7 @@
     /// # Errors
     /// What this one runs can't be read.
     pub fn new(file: &File, machine: &str, agent: RolloutAgent) -> Result<Releases, String> {
-        let own = build_id::at(Path::new(OWN))?;
+        let own = build_id::of_file(Path::new(OWN))?;
         let store = AtomicFile::new(file.folder.join("builds"), "builds", 1, KEPT_MOST);
         let kept = match store.load() {
             Ok(kept) => kept.map_or_else(BTreeMap::new, |kept| {
--- a/crates/verification/disruption-simulation/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -840,7 +840,7 @@
                 }
                 self.sends(m, inc, Some(plan));
             }
-            Step::Fresh => self.sends(m, inc, None),
+            Step::ReadConsistent => self.sends(m, inc, None),
         }
         if !given.is_empty() {
             if let Some(span) = self.machines[m].pause_given.take() {
@@ -958,7 +958,7 @@
         match sup.agent.decided(now, &sup.board) {
             Step::Write(plan, _) => self.sends(m, inc, Some(plan)),
             Step::Wait(until) => self.wake(m, until),
-            Step::Fresh => {}
+            Step::ReadConsistent => {}
         }
     }
 
