--- a/crates/control-plane/disruption-agent/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -25,35 +25,41 @@
 
 /// A handle to the agent.
 pub struct LeaseAgentHandle {
-    wishes: mpsc::Sender<AgentCommand>,
-    given: mpsc::Receiver<GrantedLease>,
+    commands: mpsc::Sender<AgentCommand>,
+    grants: mpsc::Receiver<GrantedLease>,
     council: ClientHandle,
-    board: watch::Receiver<FleetSnapshot>,
+    snapshot: watch::Receiver<FleetSnapshot>,
 }
 
 impl LeaseAgentHandle {
     /// Begins one for a supervisor, which is known by this name, in a local set of tasks.
-    pub fn begin(council: ClientHandle, owner: &str) -> LeaseAgentHandle {
+    pub fn spawn(council: ClientHandle, owner: &str) -> LeaseAgentHandle {
         let (wishes, wished) = mpsc::channel(CHANNEL_CAPACITY);
         let (tell, given) = mpsc::channel(CHANNEL_CAPACITY);
         let (show, board) = watch::channel(FleetSnapshot::default());
         let machine = Machine::new(owner, coordination_server::random_id());
         let follow = Informer::new(council.clone());
-        let task = Task { follow, council: council.clone(), machine, tell, show };
+        let task = Task {
+            informer: follow,
+            council: council.clone(),
+            lease_agent: machine,
+            grants: tell,
+            snapshots: show,
+        };
         tokio::task::spawn_local(task.run(wished));
-        LeaseAgentHandle { wishes, given, council, board }
+        LeaseAgentHandle { commands: wishes, grants: given, council, snapshot: board }
     }
 
-    fn wish(&self, wish: AgentCommand) {
-        if let Err(e) = self.wishes.try_send(wish) {
+    fn send(&self, wish: AgentCommand) {
+        if let Err(e) = self.commands.try_send(wish) {
             info!("outage: {e}");
         }
     }
 
     /// Asks for leave. Told by [`LeaseAgentHandle::next`], perhaps much later. `overrides`: an operator's reason to go over what budgets
     /// allow.
-    pub fn ask(&self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<&str>) {
-        self.wish(AgentCommand::Request {
+    pub fn request(&self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<&str>) {
+        self.send(AgentCommand::Request {
             unit: unit.into(),
             act,
             why: why.into(),
@@ -62,23 +68,23 @@
     }
 
     /// Nothing was done by this leave: it came too late. It is told of again if it is still good.
-    pub fn unused(&self, unit: &str) {
-        self.wish(AgentCommand::MarkUnused { unit: unit.into() });
+    pub fn mark_unused(&self, unit: &str) {
+        self.send(AgentCommand::MarkUnused { unit: unit.into() });
     }
 
     /// The leave is not wanted any more. `acted`: another process is to come, and the leave ends once that was seen.
-    pub fn give_back(&self, unit: &str, acted: bool) {
-        self.wish(AgentCommand::Release { unit: unit.into(), acted });
+    pub fn release(&self, unit: &str, acted: bool) {
+        self.send(AgentCommand::Release { unit: unit.into(), acted });
     }
 
     /// The balancers that this machine has, all of them.
-    pub fn units(&self, units: BTreeMap<String, BalancerEntry>) {
-        self.wish(AgentCommand::SetBalancers(units));
+    pub fn set_balancers(&self, units: BTreeMap<String, BalancerEntry>) {
+        self.send(AgentCommand::SetBalancers(units));
     }
 
     /// Waits for the next leave. May be dropped and called again.
     pub async fn next(&mut self) -> GrantedLease {
-        match self.given.recv().await {
+        match self.grants.recv().await {
             Some(given) => given,
             // The task never ends before this handle.
             None => std::future::pending().await,
@@ -87,7 +93,7 @@
 
     /// Whether something may be done by this leave at this moment: its session is held, by this machine's own clock, and so
     /// nobody else can have been given what it allows.
-    pub fn may(&self, given: &GrantedLease) -> bool {
+    pub fn is_active(&self, given: &GrantedLease) -> bool {
         self.council.active_session().is_some_and(|(session, _)| session == given.session)
     }
 
@@ -97,27 +103,27 @@
     }
 
     /// Whether the council is heard: its session is held.
-    pub fn heard(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.council.active_session().is_some()
     }
 
     /// The record's part as it is heard of, to be looked at without a copy.
-    pub fn follows(&self) -> watch::Receiver<FleetSnapshot> {
-        self.board.clone()
+    pub fn subscribe(&self) -> watch::Receiver<FleetSnapshot> {
+        self.snapshot.clone()
     }
 
     /// The record's part, as it was last heard of.
-    pub fn board(&self) -> FleetSnapshot {
-        self.board.borrow().clone()
+    pub fn snapshot(&self) -> FleetSnapshot {
+        self.snapshot.borrow().clone()
     }
 }
 
 struct Task {
-    follow: Informer,
+    informer: Informer,
     council: ClientHandle,
-    machine: Machine,
-    tell: mpsc::Sender<GrantedLease>,
-    show: watch::Sender<FleetSnapshot>,
+    lease_agent: Machine,
+    grants: mpsc::Sender<GrantedLease>,
+    snapshots: watch::Sender<FleetSnapshot>,
 }
 
 impl Task {
@@ -126,18 +132,18 @@
         loop {
             // All that waits, before anything is written.
             while let Ok(wish) = wished.try_recv() {
-                self.take(wish);
+                self.handle(wish);
             }
-            let wake = match self.act().await {
+            let wake = match self.step().await {
                 Some(wake) => wake.map(|at| at.saturating_sub(boottime_now())),
                 None => continue,
             };
             tokio::select! {
                 wish = wished.recv() => match wish {
-                    Some(wish) => self.take(wish),
+                    Some(wish) => self.handle(wish),
                     None => return,
                 },
-                () = self.follow.next() => drop(self.show.send_replace(self.follow.board().clone())),
+                () = self.informer.next() => drop(self.snapshots.send_replace(self.informer.snapshot().clone())),
                 changed = standing.changed() => if changed.is_err() {
                     return;
                 },
@@ -146,32 +152,32 @@
         }
     }
 
-    fn take(&mut self, wish: AgentCommand) {
+    fn handle(&mut self, wish: AgentCommand) {
         match wish {
             AgentCommand::Request { unit, act, why, overrides } => {
-                self.machine.ask(&unit, act, &why, overrides)
+                self.lease_agent.request(&unit, act, &why, overrides)
             }
-            AgentCommand::MarkUnused { unit } => self.machine.unused(&unit),
-            AgentCommand::Release { unit, acted } => self.machine.give_back(&unit, acted),
-            AgentCommand::SetBalancers(units) => self.machine.units(units),
+            AgentCommand::MarkUnused { unit } => self.lease_agent.mark_unused(&unit),
+            AgentCommand::Release { unit, acted } => self.lease_agent.release(&unit, acted),
+            AgentCommand::SetBalancers(units) => self.lease_agent.set_balancers(units),
         }
     }
 
     /// One step. `None`: another may follow at once; else until when to wait.
-    async fn act(&mut self) -> Option<Option<Duration>> {
+    async fn step(&mut self) -> Option<Option<Duration>> {
         let session = self.council.active_session().map(|(session, _)| session);
         let mut given = Vec::new();
-        let mut step = self.machine.next(boottime_now(), session, self.follow.board(), &mut given);
+        let mut step = self.lease_agent.next(boottime_now(), session, self.informer.snapshot(), &mut given);
         for given in given {
             // There is room: each leave is told once, and one that its supervisor does not take is told with the next session.
-            let _ = self.tell.try_send(given);
+            let _ = self.grants.try_send(given);
         }
         if step == Step::ReadConsistent {
-            step = match self.follow.fresh().await {
-                Ok(board) => self.machine.decided(boottime_now(), board),
+            step = match self.informer.read_consistent().await {
+                Ok(board) => self.lease_agent.on_consistent_read(boottime_now(), board),
                 Err(why) => {
                     info!("outage: not read: {why}");
-                    self.machine.failed(boottime_now());
+                    self.lease_agent.on_failure(boottime_now());
                     return None;
                 }
             };
@@ -184,12 +190,12 @@
                     info!("outage: {what}");
                 }
                 let wrote = write(&self.council, plan).await;
-                let fresh = self.follow.fresh().await.map(|_| ());
+                let fresh = self.informer.read_consistent().await.map(|_| ());
                 if let (WriteOutcome::Failed(why), _) | (_, Err(why)) = (wrote, fresh) {
                     info!("outage: not written: {why}");
-                    self.machine.failed(boottime_now());
+                    self.lease_agent.on_failure(boottime_now());
                 }
-                self.show.send_replace(self.follow.board().clone());
+                self.snapshots.send_replace(self.informer.snapshot().clone());
                 None
             }
         }
--- a/crates/control-plane/disruption-agent/src/command.rs
+++ b/crates/control-plane/disruption-agent/src/command.rs
@@ -30,22 +30,22 @@
     /// An upstream takes nothing new.
     Drain {
         /// `POOL/UPSTREAM`, or the upstream alone.
-        unit: String,
+        endpoint: String,
         /// It ends by itself after this.
-        for_ms: Option<u64>,
+        duration_ms: Option<u64>,
         /// Why.
-        why: String,
+        reason: String,
         /// Wait in the queue where budgets do not allow it now, for so long.
         wait: Option<Duration>,
         /// Wait until nothing is in flight there, for so long.
         until_drained: Option<Duration>,
         /// A reason to go over what budgets allow.
-        overrides: Option<String>,
+        override_reason: Option<String>,
     },
     /// A drain ends.
     Undrain {
         /// As for `Drain`.
-        unit: String,
+        endpoint: String,
     },
     /// The drains.
     Drains {
@@ -55,7 +55,7 @@
     /// A balancer that the fleet has no more, and whose supervisor can't say so.
     Forget {
         /// Its name.
-        unit: String,
+        balancer: String,
     },
 }
 
@@ -87,8 +87,8 @@
 fn client(file: &DisruptionConfig, held: bool) -> ClientHandle {
     let name = format!("command/{}/{}", operator(), std::process::id());
     let session = held.then(|| SessionConfig { name: name.clone(), ttl: SESSION_TTL, take_over: true });
-    let voters = file.council.voters.iter().map(ToString::to_string).collect();
-    ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.council.patience })
+    let voters = file.coordination.voters.iter().map(ToString::to_string).collect();
+    ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.coordination.patience })
 }
 
 async fn session(council: &ClientHandle) -> Result<SessionId, String> {
@@ -103,23 +103,36 @@
 }
 
 async fn board(follow: &mut Informer) -> Result<FleetSnapshot, String> {
-    follow.fresh().await.cloned().map_err(|why| format!("the council: {why}"))
+    follow.read_consistent().await.cloned().map_err(|why| format!("the council: {why}"))
 }
 
 async fn carry_out(file: &DisruptionConfig, command: Command) -> Result<(), String> {
     let reads = matches!(command, Command::Status { .. } | Command::Drains { .. });
     let council = client(file, !reads);
-    let mut follow = Informer::<FleetSnapshot>::under(council.clone(), KEY_PREFIX);
+    let mut follow = Informer::<FleetSnapshot>::with_prefix(council.clone(), KEY_PREFIX);
     let done = match command {
         Command::Apply => apply(file, &council, &mut follow).await,
         Command::Status { json } => status(&board(&mut follow).await?, json),
         Command::Drains { json } => drains(&board(&mut follow).await?, json),
-        Command::Drain { unit, for_ms, why, wait, until_drained, overrides } => {
-            let wish = DrainOptions { for_ms, why, wait, until_drained, overrides };
+        Command::Drain {
+            endpoint: unit,
+            duration_ms: for_ms,
+            reason: why,
+            wait,
+            until_drained,
+            override_reason: overrides,
+        } => {
+            let wish = DrainOptions {
+                duration_ms: for_ms,
+                reason: why,
+                wait,
+                until_drained,
+                override_reason: overrides,
+            };
             drain(&council, &mut follow, &unit, wish).await
         }
-        Command::Undrain { unit } => undrain(&council, &mut follow, &unit).await,
-        Command::Forget { unit } => forget(&council, &mut follow, &unit).await,
+        Command::Undrain { endpoint: unit } => undrain(&council, &mut follow, &unit).await,
+        Command::Forget { balancer: unit } => forget(&council, &mut follow, &unit).await,
     };
     if !reads {
         council.close_session(Duration::from_secs(1)).await;
@@ -136,10 +149,10 @@
         WriteOutcome::Conflict => return Err("the record differs".into()),
         WriteOutcome::Failed(why) => return Err(why),
     }
-    print(&format!("{} budgets hold from now on", file.budgets.all.len()))?;
+    print(&format!("{} budgets hold from now on", file.budgets.budgets.len()))?;
     let board = board(follow).await?;
-    let all = board.all();
-    for (budget, group, size, why) in file.budgets.never(all.iter()) {
+    let all = board.resources();
+    for (budget, group, size, why) in file.budgets.unsatisfiable_groups(all.iter()) {
         let group = if group.is_empty() { "the fleet" } else { &group };
         print(&format!("budget {budget}: nothing can be taken out of {group} ({size} there): {why}"))?;
     }
@@ -171,11 +184,11 @@
 }
 
 struct DrainOptions {
-    for_ms: Option<u64>,
-    why: String,
+    duration_ms: Option<u64>,
+    reason: String,
     wait: Option<Duration>,
     until_drained: Option<Duration>,
-    overrides: Option<String>,
+    override_reason: Option<String>,
 }
 
 async fn drain(
@@ -188,14 +201,14 @@
     let unit = upstream(&board(follow).await?, text)?;
     let id = format!("{}-{}/{}", operator(), std::process::id(), unit.name);
     let ask = LeaseRequest {
-        unit: unit.clone(),
+        resource: unit.clone(),
         owner: operator(),
         session,
-        act: DisruptionKind::Drain,
-        priority: u8::from(wish.overrides.is_some()),
-        why: wish.why.clone(),
-        overrides: wish.overrides.clone(),
-        for_ms: wish.for_ms,
+        kind: DisruptionKind::Drain,
+        priority: u8::from(wish.override_reason.is_some()),
+        reason: wish.reason.clone(),
+        override_reason: wish.override_reason.clone(),
+        duration_ms: wish.duration_ms,
     };
     let value = serde_json::to_string(&ask).map_err(|e| e.to_string())?;
     let put = Op::Put { key: request_key(&id), value, ephemeral: true };
@@ -210,16 +223,16 @@
     let mut said = String::new();
     loop {
         let board = board(follow).await?;
-        let Some(verdict) = board.decide().into_iter().find(|(i, _)| *i == id).map(|(_, verdict)| verdict)
+        let Some(verdict) = board.decisions().into_iter().find(|(i, _)| *i == id).map(|(_, verdict)| verdict)
         else {
-            match board.leaves.get(&unit) {
+            match board.leases.get(&unit) {
                 Some(leave) if leave.value.session == session => break,
                 _ => return Err("the ask has ended".into()),
             }
         };
         match verdict {
             LeaseDecision::Granted => {
-                if let Some((plan, _)) = board.gives() {
+                if let Some((plan, _)) = board.grants() {
                     if let WriteOutcome::Failed(why) = write(council, plan).await {
                         return Err(why);
                     }
@@ -244,14 +257,14 @@
     let (started, mut said) = (Instant::now(), String::new());
     loop {
         let board = board(follow).await?;
-        match board.leaves.get(&unit) {
+        match board.leases.get(&unit) {
             Some(leave) if leave.value.drained => {
                 return print(&format!("{unit} is drained: nothing is in flight there"))
             }
             Some(_) => {}
             None => return Err(format!("the drain of {unit} has ended")),
         }
-        let waits = board.waits_for(&unit).join(", ");
+        let waits = board.pending_confirmations(&unit).join(", ");
         if started.elapsed() >= until {
             return Err(format!("{unit} is not drained after {until:?}; not confirmed by {waits}"));
         }
@@ -276,7 +289,7 @@
     let unit = ResourceId::upstream(name);
     loop {
         let board = board(follow).await?;
-        let Some(leave) = board.leaves.get(&unit) else {
+        let Some(leave) = board.leases.get(&unit) else {
             return Err(format!("{unit} is not drained by agreement"));
         };
         let when = vec![Compare::Version(lease_key(&unit), leave.version)];
@@ -295,11 +308,11 @@
 async fn forget(council: &ClientHandle, follow: &mut Informer, name: &str) -> Result<(), String> {
     session(council).await?;
     let board = board(follow).await?;
-    let Some(unit) = board.units.get(name) else { return Err(format!("no balancer {name:?} is known")) };
-    if board.said.contains_key(name) {
+    let Some(unit) = board.balancers.get(name) else { return Err(format!("no balancer {name:?} is known")) };
+    if board.statuses.contains_key(name) {
         return Err(format!("{name} runs, and says so"));
     }
-    if board.holders.contains_key(&unit.value.machine) {
+    if board.owners.contains_key(&unit.value.machine) {
         return Err(format!("the supervisor of {} is there, and would name it again", unit.value.machine));
     }
     let id = ResourceId::balancer(name);
@@ -315,33 +328,33 @@
 /// The whole state for an operator.
 pub fn state(board: &FleetSnapshot) -> serde_json::Value {
     let out: Vec<serde_json::Value> = board
-        .out()
+        .unavailable()
         .into_iter()
         .map(|(id, why)| {
-            let leave = board.leaves.get(&id).map(|l| &l.value);
+            let leave = board.leases.get(&id).map(|l| &l.value);
             let why: Vec<String> = why.iter().map(ToString::to_string).collect();
             serde_json::json!({"unit": id.to_string(), "why": why, "owner": leave.map(|l| &l.owner),
-                "number": leave.map(|l| l.number), "reason": leave.map(|l| &l.why), "overrides": leave.and_then(|l| l.overrides.as_ref()),
-                "held": leave.filter(|_| id.kind == ResourceKind::Balancer).map(|l| board.held(l))})
+                "number": leave.map(|l| l.fencing_token), "reason": leave.map(|l| &l.reason), "overrides": leave.and_then(|l| l.override_reason.as_ref()),
+                "held": leave.filter(|_| id.kind == ResourceKind::Balancer).map(|l| board.owner_is_active(l))})
         })
         .collect();
     let counts: Vec<serde_json::Value> = board
-        .counts()
+        .budget_usage()
         .into_iter()
         .map(|(budget, group, c)| {
-            serde_json::json!({"budget": budget, "group": group, "units": c.size, "out": c.out, "may": c.limit, "floor": c.floor})
+            serde_json::json!({"budget": budget, "group": group, "units": c.size, "out": c.unavailable, "may": c.limit, "floor": c.min_available})
         })
         .collect();
     let asks: Vec<serde_json::Value> = board
-        .decide()
+        .decisions()
         .into_iter()
         .filter_map(|(id, verdict)| {
-            let ask = &board.asks.get(&id)?.value;
-            Some(serde_json::json!({"unit": ask.unit.to_string(), "owner": ask.owner, "act": ask.act, "why": ask.why,
+            let ask = &board.requests.get(&id)?.value;
+            Some(serde_json::json!({"unit": ask.resource.to_string(), "owner": ask.owner, "act": ask.kind, "why": ask.reason,
                 "verdict": verdict.to_string()}))
         })
         .collect();
-    serde_json::json!({"revision": board.revision, "out": out, "budgets": counts, "asks": asks, "unread": board.unread})
+    serde_json::json!({"revision": board.revision, "out": out, "budgets": counts, "asks": asks, "unread": board.unreadable})
 }
 
 fn row(cells: &[&str]) -> Vec<String> {
@@ -353,39 +366,39 @@
         return print(&state(board).to_string());
     }
     let mut rows = vec![row(&["budget", "group", "units", "out", "may be", "floor"])];
-    for (budget, group, c) in board.counts() {
+    for (budget, group, c) in board.budget_usage() {
         let n = |n: u32| n.to_string();
-        rows.push(row(&[&budget, &group, &n(c.size), &n(c.out), &n(c.limit), &n(c.floor)]));
+        rows.push(row(&[&budget, &group, &n(c.size), &n(c.unavailable), &n(c.limit), &n(c.min_available)]));
     }
     let mut text = lines(&rows);
     let mut rows = vec![row(&["out", "why", "by", "reason"])];
-    for (id, why) in board.out() {
+    for (id, why) in board.unavailable() {
         let why: Vec<String> = why.iter().map(ToString::to_string).collect();
-        let leave = board.leaves.get(&id).map(|l| &l.value);
+        let leave = board.leases.get(&id).map(|l| &l.value);
         let by = leave.map_or("", |l| &l.owner);
-        let reason = leave.map_or("", |l| l.overrides.as_ref().unwrap_or(&l.why));
+        let reason = leave.map_or("", |l| l.override_reason.as_ref().unwrap_or(&l.reason));
         rows.push(row(&[&id.to_string(), &why.join(", "), by, reason]));
     }
     text = text + "\n" + &lines(&rows);
     let mut rows = vec![row(&["asks", "for", "by", "verdict"])];
-    for (id, verdict) in board.decide() {
-        let Some(ask) = board.asks.get(&id) else { continue };
+    for (id, verdict) in board.decisions() {
+        let Some(ask) = board.requests.get(&id) else { continue };
         let ask = &ask.value;
-        rows.push(row(&[&ask.unit.to_string(), ask.act.word(), &ask.owner, &verdict.to_string()]));
+        rows.push(row(&[&ask.resource.to_string(), ask.kind.as_str(), &ask.owner, &verdict.to_string()]));
     }
     text = text + "\n" + &lines(&rows);
     print(text.trim_end())
 }
 
 fn drains(board: &FleetSnapshot, json: bool) -> Result<(), String> {
-    let all: Vec<_> = board.leaves.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream).collect();
+    let all: Vec<_> = board.leases.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream).collect();
     if json {
         let all: Vec<serde_json::Value> = all
             .iter()
             .map(|(id, l)| {
                 let l = &l.value;
-                serde_json::json!({"upstream": id.name, "owner": l.owner, "why": l.why, "for_ms": l.for_ms, "number": l.number,
-                    "drained": l.drained, "recalled": l.recalled, "overrides": l.overrides, "waits_for": board.waits_for(id)})
+                serde_json::json!({"upstream": id.name, "owner": l.owner, "why": l.reason, "for_ms": l.duration_ms, "number": l.fencing_token,
+                    "drained": l.drained, "recalled": l.recall_reason, "overrides": l.override_reason, "waits_for": board.pending_confirmations(id)})
             })
             .collect();
         return print(&serde_json::Value::from(all).to_string());
@@ -393,13 +406,20 @@
     let mut rows = vec![row(&["upstream", "by", "why", "for", "state", "not confirmed by"])];
     for (id, l) in all {
         let l = &l.value;
-        let state = match (&l.recalled, l.drained) {
+        let state = match (&l.recall_reason, l.drained) {
             (Some(why), _) => format!("asked to return: {why}"),
             (None, true) => "drained".into(),
             (None, false) => "draining".into(),
         };
-        let span = l.for_ms.map_or(String::new(), |ms| format!("{} s", ms / 1000));
-        rows.push(row(&[&id.name, &l.owner, &l.why, &span, &state, &board.waits_for(id).join(", ")]));
+        let span = l.duration_ms.map_or(String::new(), |ms| format!("{} s", ms / 1000));
+        rows.push(row(&[
+            &id.name,
+            &l.owner,
+            &l.reason,
+            &span,
+            &state,
+            &board.pending_confirmations(id).join(", "),
+        ]));
     }
     print(lines(&rows).trim_end())
 }
--- a/crates/control-plane/disruption-agent/src/informer.rs
+++ b/crates/control-plane/disruption-agent/src/informer.rs
@@ -17,20 +17,20 @@
 /// A part of the record as values.
 pub trait Projection: Default {
     /// From a read of all its keys at this revision.
-    fn read(revision: Revision, items: &[(String, VersionedValue)]) -> Self;
+    fn from_items(revision: Revision, items: &[(String, VersionedValue)]) -> Self;
     /// Takes in one key as it stands since this revision; `None`: it is no more.
-    fn put(&mut self, key: &str, value: Option<&str>, revision: Revision);
+    fn apply(&mut self, key: &str, value: Option<&str>, revision: Revision);
     /// The revision that it stands at; can be set to a later one.
     fn revision(&mut self) -> &mut Revision;
 }
 
 impl Projection for FleetSnapshot {
-    fn read(revision: Revision, items: &[(String, VersionedValue)]) -> FleetSnapshot {
+    fn from_items(revision: Revision, items: &[(String, VersionedValue)]) -> FleetSnapshot {
         FleetSnapshot::read(revision, items)
     }
 
-    fn put(&mut self, key: &str, value: Option<&str>, revision: Revision) {
-        FleetSnapshot::put(self, key, value, revision);
+    fn apply(&mut self, key: &str, value: Option<&str>, revision: Revision) {
+        FleetSnapshot::apply(self, key, value, revision);
     }
 
     fn revision(&mut self) -> &mut Revision {
@@ -41,37 +41,38 @@
 /// A board that follows the record.
 pub struct Informer<B = FleetSnapshot> {
     council: ClientHandle,
-    under: &'static str,
-    board: B,
+    with_prefix: &'static str,
+    snapshot: B,
     watch: Option<mpsc::Receiver<Answer>>,
 }
 
 impl Informer {
     /// Of all that is agreed on outages; empty until [`Informer::next`] returned.
     pub fn new(council: ClientHandle) -> Informer {
-        Informer::under(council, KEY_PREFIX)
+        Informer::with_prefix(council, KEY_PREFIX)
     }
 }
 
 impl<B: Projection> Informer<B> {
     /// Of the keys that begin so.
-    pub fn under(council: ClientHandle, under: &'static str) -> Informer<B> {
-        Informer { council, under, board: B::default(), watch: None }
+    pub fn with_prefix(council: ClientHandle, under: &'static str) -> Informer<B> {
+        Informer { council, with_prefix: under, snapshot: B::default(), watch: None }
     }
 
     /// As it was last heard of.
-    pub fn board(&self) -> &B {
-        &self.board
+    pub fn snapshot(&self) -> &B {
+        &self.snapshot
     }
 
     /// Waits until something has changed. May be dropped and called again.
     pub async fn next(&mut self) {
         loop {
             let Some(watch) = &mut self.watch else {
-                match read::<B>(&self.council, self.under).await {
+                match read::<B>(&self.council, self.with_prefix).await {
                     Ok(mut board) => {
-                        self.watch = Some(self.council.watch(self.under, Some(*board.revision())).await);
-                        self.board = board;
+                        self.watch =
+                            Some(self.council.watch(self.with_prefix, Some(*board.revision())).await);
+                        self.snapshot = board;
                         return;
                     }
                     Err(_) => sleep(RETRY_DELAY).await,
@@ -82,9 +83,9 @@
                 Some(Answer::Watching { .. }) => {}
                 Some(Answer::Events { revision, events: changes }) => {
                     for c in changes {
-                        self.board.put(&c.key, c.value.as_deref(), c.revision);
+                        self.snapshot.apply(&c.key, c.value.as_deref(), c.revision);
                     }
-                    let at = self.board.revision();
+                    let at = self.snapshot.revision();
                     *at = revision.max(*at);
                     return;
                 }
@@ -98,12 +99,12 @@
     ///
     /// # Errors
     /// Why it can't be had.
-    pub async fn fresh(&mut self) -> Result<&B, String> {
-        let mut board = read::<B>(&self.council, self.under).await?;
-        if *board.revision() >= *self.board.revision() {
-            self.board = board;
+    pub async fn read_consistent(&mut self) -> Result<&B, String> {
+        let mut board = read::<B>(&self.council, self.with_prefix).await?;
+        if *board.revision() >= *self.snapshot.revision() {
+            self.snapshot = board;
         }
-        Ok(&self.board)
+        Ok(&self.snapshot)
     }
 }
 
@@ -113,7 +114,7 @@
 /// Why it can't be had.
 async fn read<B: Projection>(council: &ClientHandle, under: &str) -> Result<B, String> {
     match council.read(Select::Prefix(under.into()), REQUEST_TIMEOUT).await {
-        RequestOutcome::Answered(Answer::Values { revision, items }) => Ok(B::read(revision, &items)),
+        RequestOutcome::Answered(Answer::Values { revision, items }) => Ok(B::from_items(revision, &items)),
         RequestOutcome::Answered(Answer::Failed(why))
         | RequestOutcome::NotExecuted(why)
         | RequestOutcome::Indeterminate(why) => Err(why),
--- a/crates/control-plane/disruption-agent/src/reporter.rs
+++ b/crates/control-plane/disruption-agent/src/reporter.rs
@@ -29,21 +29,21 @@
 /// What a balancer does for its reporter.
 pub trait BalancerView {
     /// These upstreams are drained by agreement, and no others, for these reasons: nothing new goes there when this returns.
-    fn drained(&self, upstreams: &BTreeMap<String, String>);
+    fn apply_drains(&self, upstreams: &BTreeMap<String, String>);
     /// Attempts that are open at an upstream.
     fn in_flight(&self, upstream: &str) -> usize;
     /// The upstreams that it has, and those that it does not see as standing in.
-    fn sight(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>);
+    fn observations(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>);
 }
 
 /// How a reporter is set up.
 pub struct ReporterConfig {
     /// `[council]` of the operator's file.
-    pub file: File,
+    pub coordination: File,
     /// The balancer's name.
     pub name: String,
     /// It counts as cold for so long after it began to serve.
-    pub warm: Duration,
+    pub warm_up: Duration,
     /// What tells its program from other builds; empty: not known.
     pub build: String,
 }
@@ -58,78 +58,78 @@
 ) -> watch::Receiver<bool> {
     let (known, knows) = watch::channel(false);
     let (show, board) = watch::channel(FleetSnapshot::default());
-    let (mut follow, obeys) = (Informer::under(council.clone(), DRAINS), station.clone());
+    let (mut follow, obeys) = (Informer::with_prefix(council.clone(), DRAINS), station.clone());
     // By itself: what is written to the record may take its time.
     tokio::task::spawn_local(async move {
         loop {
             follow.next().await;
-            obey(follow.board(), &*obeys);
+            obey(follow.snapshot(), &*obeys);
             known.send_replace(true);
-            if show.send(follow.board().clone()).is_err() {
+            if show.send(follow.snapshot().clone()).is_err() {
                 return;
             }
         }
     });
     let task = Task {
-        board,
+        snapshot: board,
         council,
-        setup,
-        station,
+        config: setup,
+        balancer: station,
         states,
         appeared: false,
         ready_at: None,
-        said: None,
-        sight: None,
-        quiet: None,
-        list: None,
-        leaving: None,
-        looked: None,
-        not_before: None,
+        written_status: None,
+        written_observations: None,
+        written_drained: None,
+        written_list: None,
+        predecessor_client: None,
+        last_observed: None,
+        retry_at: None,
     };
     tokio::task::spawn_local(task.run());
     knows
 }
 
 struct Task {
-    board: watch::Receiver<FleetSnapshot>,
+    snapshot: watch::Receiver<FleetSnapshot>,
     council: ClientHandle,
-    setup: ReporterConfig,
-    station: Rc<dyn BalancerView>,
+    config: ReporterConfig,
+    balancer: Rc<dyn BalancerView>,
     states: watch::Receiver<InstanceState>,
     appeared: bool,
     /// Since when it serves.
     ready_at: Option<Instant>,
     /// What was written last, under which session.
-    said: Option<(SessionId, InstanceState)>,
-    sight: Option<(SessionId, EndpointObservations)>,
-    quiet: Option<(SessionId, DrainedEndpoints)>,
+    written_status: Option<(SessionId, InstanceState)>,
+    written_observations: Option<(SessionId, EndpointObservations)>,
+    written_drained: Option<(SessionId, DrainedEndpoints)>,
     /// The list that was seen to be in the record last.
-    list: Option<(SessionId, String)>,
+    written_list: Option<(SessionId, String)>,
     /// Its own session once another process has its name.
-    leaving: Option<ClientHandle>,
+    predecessor_client: Option<ClientHandle>,
     /// How upstreams were seen last, and when.
-    looked: Option<(Instant, EndpointList, BTreeMap<String, EndpointCondition>)>,
-    not_before: Option<Instant>,
+    last_observed: Option<(Instant, EndpointList, BTreeMap<String, EndpointCondition>)>,
+    retry_at: Option<Instant>,
 }
 
 fn obey(board: &FleetSnapshot, station: &dyn BalancerView) {
-    let drains = board.leaves.iter().map(|(id, leave)| {
-        let why = match leave.value.why.as_str() {
+    let drains = board.leases.iter().map(|(id, leave)| {
+        let why = match leave.value.reason.as_str() {
             "" => format!("drained by {}", leave.value.owner),
             why => format!("drained by {}: {why}", leave.value.owner),
         };
         (id.name.clone(), why)
     });
-    station.drained(&drains.collect());
+    station.apply_drains(&drains.collect());
 }
 
 impl Task {
     async fn run(mut self) {
         let mut standing = self.council.session_state();
         loop {
-            let wake = self.act().await;
+            let wake = self.step().await;
             tokio::select! {
-                changed = self.board.changed() => if changed.is_err() {
+                changed = self.snapshot.changed() => if changed.is_err() {
                     return;
                 },
                 changed = self.states.changed() => if changed.is_err() {
@@ -150,7 +150,7 @@
             self.ready_at = None;
             return (state, None);
         }
-        let warm_at = *self.ready_at.get_or_insert_with(Instant::now) + self.setup.warm;
+        let warm_at = *self.ready_at.get_or_insert_with(Instant::now) + self.config.warm_up;
         match Instant::now() < warm_at {
             true => (InstanceState::WarmingUp, Some(warm_at)),
             false => (InstanceState::Ready, None),
@@ -158,71 +158,74 @@
     }
 
     /// The drains that it obeys and has nothing in flight for.
-    fn quiet(&self) -> DrainedEndpoints {
-        let board = self.board.borrow();
-        let quiet = board.leaves.iter().filter(|(id, _)| self.station.in_flight(&id.name) == 0);
-        DrainedEndpoints { drains: quiet.map(|(id, leave)| (id.name.clone(), leave.value.number)).collect() }
+    fn written_drained(&self) -> DrainedEndpoints {
+        let board = self.snapshot.borrow();
+        let quiet = board.leases.iter().filter(|(id, _)| self.balancer.in_flight(&id.name) == 0);
+        DrainedEndpoints {
+            fencing_tokens: quiet.map(|(id, leave)| (id.name.clone(), leave.value.fencing_token)).collect(),
+        }
     }
 
     /// Writes what is not in the record as it is; when to look again.
-    async fn act(&mut self) -> Instant {
+    async fn step(&mut self) -> Instant {
         let (state, warm_at) = self.state();
         if state != InstanceState::Starting && !self.appeared {
             self.appeared = true;
-            announce_presence(&self.council, &self.setup.file, "balancer", &self.setup.name);
+            announce_presence(&self.council, &self.config.coordination, "balancer", &self.config.name);
         }
         let now = Instant::now();
-        let drains = !self.board.borrow().leaves.is_empty();
+        let drains = !self.snapshot.borrow().leases.is_empty();
         let mut next = now + if drains { DRAIN_POLL_INTERVAL } else { OBSERVATION_INTERVAL };
         next = warm_at.map_or(next, |at| next.min(at));
-        if let Some(at) = self.not_before.filter(|&at| now < at) {
+        if let Some(at) = self.retry_at.filter(|&at| now < at) {
             return at;
         }
-        self.not_before = None;
+        self.retry_at = None;
         let standing = *self.council.session_state().borrow();
         let wrote = match standing {
-            SessionState::Active(session) => self.say(session, state).await,
-            SessionState::Fenced(_) => self.leave().await,
+            SessionState::Active(session) => self.write_status(session, state).await,
+            SessionState::Fenced(_) => self.write_predecessor_drained().await,
             SessionState::None => true,
         };
         if !wrote {
             let at = Instant::now() + RETRY_DELAY;
-            self.not_before = Some(at);
+            self.retry_at = Some(at);
             return at;
         }
         next
     }
 
     /// Says how it stands, where that is not what it said last. Whether that went well.
-    async fn say(&mut self, session: SessionId, state: InstanceState) -> bool {
-        let name = self.setup.name.clone();
+    async fn write_status(&mut self, session: SessionId, state: InstanceState) -> bool {
+        let name = self.config.name.clone();
         let mut plan = ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: Vec::new() };
         let mut put = |key: String, value: String| plan.ops.push(Op::Put { key, value, ephemeral: true });
-        if self.said != Some((session, state)) {
+        if self.written_status != Some((session, state)) {
             let said =
-                InstanceStatus { state, session, pid: std::process::id(), build: self.setup.build.clone() };
+                InstanceStatus { state, session, pid: std::process::id(), build: self.config.build.clone() };
             put(status_key(&name), serde_json::to_string(&said).unwrap_or_default());
         }
-        let quiet = self.quiet();
-        if self.quiet.as_ref() != Some(&(session, quiet.clone())) {
+        let quiet = self.written_drained();
+        if self.written_drained.as_ref() != Some(&(session, quiet.clone())) {
             put(drained_key(&name), serde_json::to_string(&quiet).unwrap_or_default());
         }
         let now = Instant::now();
-        if self.looked.as_ref().is_none_or(|(at, ..)| now.duration_since(*at) >= OBSERVATION_INTERVAL) {
-            let (list, out) = self.station.sight();
-            self.looked = Some((now, list, out));
+        if self.last_observed.as_ref().is_none_or(|(at, ..)| now.duration_since(*at) >= OBSERVATION_INTERVAL)
+        {
+            let (list, out) = self.balancer.observations();
+            self.last_observed = Some((now, list, out));
         }
-        let (list, out) = match &self.looked {
+        let (list, out) = match &self.last_observed {
             Some((_, list, out)) => (list, out.clone()),
             None => return true,
         };
         let text = serde_json::to_string(list).unwrap_or_default();
         let hash = format!("{:016x}", hashing::stable(text.as_bytes()));
-        let sight = EndpointObservations { list: hash.clone(), out };
-        if self.sight.as_ref() != Some(&(session, sight.clone())) {
+        let sight = EndpointObservations { list_hash: hash.clone(), conditions: out };
+        if self.written_observations.as_ref() != Some(&(session, sight.clone())) {
             put(observations_key(&name), serde_json::to_string(&sight).unwrap_or_default());
         }
-        if self.list.as_ref() != Some(&(session, hash.clone())) {
+        if self.written_list.as_ref() != Some(&(session, hash.clone())) {
             // Others with the same upstreams have written the same.
             plan.ops.push(Op::Put { key: endpoint_list_key(&hash), value: text, ephemeral: false });
         }
@@ -231,10 +234,10 @@
         }
         match write(&self.council, plan).await {
             WriteOutcome::Committed(_) => {
-                self.said = Some((session, state));
-                self.quiet = Some((session, quiet));
-                self.sight = Some((session, sight));
-                self.list = Some((session, hash));
+                self.written_status = Some((session, state));
+                self.written_drained = Some((session, quiet));
+                self.written_observations = Some((session, sight));
+                self.written_list = Some((session, hash));
                 true
             }
             // Its session has ended meanwhile; what becomes of it is heard soon.
@@ -247,11 +250,11 @@
     }
 
     /// Another process has its name by now: until this one ends, it says by itself which drains it has nothing in flight for.
-    async fn leave(&mut self) -> bool {
+    async fn write_predecessor_drained(&mut self) -> bool {
         let pid = std::process::id();
-        let file = &self.setup.file;
-        let own = self.leaving.get_or_insert_with(|| {
-            let name = format!("leaving/{}/{pid}", self.setup.name);
+        let file = &self.config.coordination;
+        let own = self.predecessor_client.get_or_insert_with(|| {
+            let name = format!("leaving/{}/{pid}", self.config.name);
             let session = SessionConfig { name: name.clone(), ttl: file.ttl, take_over: true };
             let voters = file.voters.iter().map(ToString::to_string).collect();
             ClientHandle::spawn(ClientConfig {
@@ -263,17 +266,17 @@
         });
         let own = own.clone();
         let SessionState::Active(session) = *own.session_state().borrow() else { return true };
-        let quiet = self.quiet();
-        if self.quiet.as_ref() == Some(&(session, quiet.clone())) {
+        let quiet = self.written_drained();
+        if self.written_drained.as_ref() == Some(&(session, quiet.clone())) {
             return true;
         }
         let value = serde_json::to_string(&quiet).unwrap_or_default();
-        let put = Op::Put { key: predecessor_drained_key(&self.setup.name, pid), value, ephemeral: true };
+        let put = Op::Put { key: predecessor_drained_key(&self.config.name, pid), value, ephemeral: true };
         let wrote =
             write(&own, ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: vec![put] })
                 .await;
         if let WriteOutcome::Committed(_) = wrote {
-            self.quiet = Some((session, quiet));
+            self.written_drained = Some((session, quiet));
         }
         !matches!(wrote, WriteOutcome::Failed(_))
     }
--- a/crates/control-plane/disruption/src/budget.rs
+++ b/crates/control-plane/disruption/src/budget.rs
@@ -49,19 +49,20 @@
     /// Which units.
     pub kind: ResourceKind,
     /// How they are grouped.
-    pub per: GroupBy,
+    #[serde(rename = "per")]
+    pub group_by: GroupBy,
     /// Only the group with this value; `None`: each.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub only: Option<String>,
+    #[serde(rename = "only", default, skip_serializing_if = "Option::is_none")]
+    pub group: Option<String>,
     /// So many may be out.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub most: Option<u32>,
+    #[serde(rename = "most", default, skip_serializing_if = "Option::is_none")]
+    pub max_unavailable: Option<u32>,
     /// So many in a thousand may be out, rounded down. With `most`, the smaller counts.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub per_mille: Option<u32>,
+    #[serde(rename = "per_mille", default, skip_serializing_if = "Option::is_none")]
+    pub max_unavailable_per_mille: Option<u32>,
     /// So many have to stay in, whatever an operator overrides; drains are asked to return below it.
-    #[serde(default)]
-    pub floor: u32,
+    #[serde(rename = "floor", default)]
+    pub min_available: u32,
 }
 
 impl DisruptionBudget {
@@ -71,36 +72,37 @@
         kind: ResourceKind,
         labels: &'a BTreeSet<Label>,
     ) -> impl Iterator<Item = &'a str> {
-        let whole = (self.per == GroupBy::Fleet && kind == self.kind).then_some("");
+        let whole = (self.group_by == GroupBy::Fleet && kind == self.kind).then_some("");
         let of = labels.iter().filter(move |(name, value)| {
             kind == self.kind
-                && self.per != GroupBy::Fleet
-                && name == self.per.label()
-                && self.only.as_ref().is_none_or(|only| only == value)
+                && self.group_by != GroupBy::Fleet
+                && name == self.group_by.label()
+                && self.group.as_ref().is_none_or(|only| only == value)
         });
         whole.into_iter().chain(of.map(|(_, value)| value.as_str()))
     }
 
     /// How many of a group of this size may be out: by count, by share, and above the floor.
     pub fn limit(&self, size: u32) -> u32 {
-        let share =
-            self.per_mille.map(|p| u32::try_from(u64::from(size) * u64::from(p) / 1000).unwrap_or(size));
-        let most = [self.most, share].into_iter().flatten().min().unwrap_or(size);
-        most.min(size.saturating_sub(self.floor))
+        let share = self
+            .max_unavailable_per_mille
+            .map(|p| u32::try_from(u64::from(size) * u64::from(p) / 1000).unwrap_or(size));
+        let most = [self.max_unavailable, share].into_iter().flatten().min().unwrap_or(size);
+        most.min(size.saturating_sub(self.min_available))
     }
 
     /// What it allows, in words.
-    pub fn words(&self) -> String {
-        let share = self.per_mille.map(|p| match p % 10 {
+    pub fn summary(&self) -> String {
+        let share = self.max_unavailable_per_mille.map(|p| match p % 10 {
             0 => format!("{} %", p / 10),
             tenth => format!("{}.{tenth} %", p / 10),
         });
-        let parts = [self.most.map(|m| m.to_string()), share].into_iter().flatten();
+        let parts = [self.max_unavailable.map(|m| m.to_string()), share].into_iter().flatten();
         let mut text = parts.collect::<Vec<_>>().join(" and ");
-        if self.floor > 0 {
-            text += &format!(", {} in at least", self.floor);
+        if self.min_available > 0 {
+            text += &format!(", {} in at least", self.min_available);
         }
-        format!("{text} per {}", self.per.label())
+        format!("{text} per {}", self.group_by.label())
     }
 }
 
@@ -108,7 +110,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DisruptionBudgets {
     /// In no order that matters: all have to hold.
-    pub all: Vec<DisruptionBudget>,
+    #[serde(rename = "all")]
+    pub budgets: Vec<DisruptionBudget>,
 }
 
 impl DisruptionBudgets {
@@ -117,11 +120,11 @@
     /// # Errors
     /// Which budget, which field, and what is wrong.
     pub fn validate(&self) -> Result<(), (usize, &'static str, String)> {
-        if self.all.len() > MAX_BUDGETS {
+        if self.budgets.len() > MAX_BUDGETS {
             return Err((MAX_BUDGETS, "name", format!("there are more than {MAX_BUDGETS} budgets")));
         }
         let mut names = BTreeSet::new();
-        for (k, b) in self.all.iter().enumerate() {
+        for (k, b) in self.budgets.iter().enumerate() {
             if b.name.is_empty() || b.name.len() > MAX_NAME_BYTES {
                 return Err((k, "name", format!("is no name of 1 to {MAX_NAME_BYTES} bytes")));
             }
@@ -129,25 +132,27 @@
                 return Err((k, "name", format!("another budget is called {:?}", b.name)));
             }
             let fits = match b.kind {
-                ResourceKind::Balancer => b.per != GroupBy::Pool,
-                ResourceKind::Upstream => matches!(b.per, GroupBy::Fleet | GroupBy::Pool | GroupBy::Zone),
+                ResourceKind::Balancer => b.group_by != GroupBy::Pool,
+                ResourceKind::Upstream => {
+                    matches!(b.group_by, GroupBy::Fleet | GroupBy::Pool | GroupBy::Zone)
+                }
             };
             if !fits {
-                return Err((k, "per", format!("{}s have no {}", b.kind.word(), b.per.label())));
+                return Err((k, "per", format!("{}s have no {}", b.kind.as_str(), b.group_by.label())));
             }
-            if b.only.is_some() && b.per == GroupBy::Fleet {
+            if b.group.is_some() && b.group_by == GroupBy::Fleet {
                 return Err((k, "only", "the whole fleet is one group".into()));
             }
-            if b.most.is_none() && b.per_mille.is_none() && b.floor == 0 {
+            if b.max_unavailable.is_none() && b.max_unavailable_per_mille.is_none() && b.min_available == 0 {
                 return Err((k, "most", "neither most nor share nor floor is there".into()));
             }
-            if b.per_mille.is_some_and(|p| p > 1000) {
+            if b.max_unavailable_per_mille.is_some_and(|p| p > 1000) {
                 return Err((k, "share", "is more than 100 %".into()));
             }
-            if b.most == Some(0) {
+            if b.max_unavailable == Some(0) {
                 return Err((k, "most", "is 0: nothing could ever be taken out".into()));
             }
-            if b.per_mille == Some(0) {
+            if b.max_unavailable_per_mille == Some(0) {
                 return Err((k, "share", "is 0 %: nothing could ever be taken out".into()));
             }
         }
@@ -156,12 +161,12 @@
 
     /// Groups out of which nothing can ever be taken with these units, though no budget says so by itself: the budget, the
     /// group, its size, and why.
-    pub fn never<'a>(
+    pub fn unsatisfiable_groups<'a>(
         &self,
         units: impl Iterator<Item = (&'a ResourceId, &'a BTreeSet<Label>)> + Clone,
     ) -> Vec<(String, String, u32, String)> {
         let mut found = Vec::new();
-        for b in &self.all {
+        for b in &self.budgets {
             let mut sizes: std::collections::BTreeMap<&str, u32> = Default::default();
             for (id, labels) in units.clone() {
                 for group in b.groups(id.kind, labels) {
@@ -170,10 +175,10 @@
             }
             for (group, size) in sizes {
                 if b.limit(size) == 0 {
-                    let why = if size <= b.floor {
-                        format!("its floor of {} is all of its {size}", b.floor)
+                    let why = if size <= b.min_available {
+                        format!("its floor of {} is all of its {size}", b.min_available)
                     } else {
-                        format!("{} of {size} is less than one", b.words())
+                        format!("{} of {size} is less than one", b.summary())
                     };
                     found.push((b.name.clone(), group.to_string(), size, why));
                 }
@@ -191,11 +196,11 @@
         DisruptionBudget {
             name: "b".into(),
             kind: ResourceKind::Balancer,
-            per: GroupBy::Zone,
-            only: None,
-            most,
-            per_mille,
-            floor,
+            group_by: GroupBy::Zone,
+            group: None,
+            max_unavailable: most,
+            max_unavailable_per_mille: per_mille,
+            min_available: floor,
         }
     }
 
@@ -211,21 +216,25 @@
 
     #[test]
     fn what_can_never_be_kept_is_found() {
-        let bad = |b: DisruptionBudget| DisruptionBudgets { all: vec![b] }.validate().expect_err("bad");
+        let bad = |b: DisruptionBudget| DisruptionBudgets { budgets: vec![b] }.validate().expect_err("bad");
         assert_eq!(bad(budget(Some(0), None, 0)).1, "most");
         assert_eq!(bad(budget(None, Some(0), 0)).1, "share");
         assert_eq!(bad(budget(None, None, 0)).1, "most");
-        assert_eq!(bad(DisruptionBudget { per: GroupBy::Pool, ..budget(Some(1), None, 0) }).1, "per");
+        assert_eq!(bad(DisruptionBudget { group_by: GroupBy::Pool, ..budget(Some(1), None, 0) }).1, "per");
         assert_eq!(
-            bad(DisruptionBudget { only: Some("a".into()), per: GroupBy::Fleet, ..budget(Some(1), None, 0) })
-                .1,
+            bad(DisruptionBudget {
+                group: Some("a".into()),
+                group_by: GroupBy::Fleet,
+                ..budget(Some(1), None, 0)
+            })
+            .1,
             "only"
         );
-        let twice = DisruptionBudgets { all: vec![budget(Some(1), None, 0), budget(Some(2), None, 0)] };
+        let twice = DisruptionBudgets { budgets: vec![budget(Some(1), None, 0), budget(Some(2), None, 0)] };
         assert_eq!(twice.validate().expect_err("twice").0, 1);
         // One of one, and never out: each budget is good by itself.
         let all = DisruptionBudgets {
-            all: vec![
+            budgets: vec![
                 budget(Some(1), None, 0),
                 DisruptionBudget { name: "c".into(), ..budget(None, None, 1) },
             ],
@@ -233,20 +242,23 @@
         assert_eq!(all.validate(), Ok(()));
         let labels = BTreeSet::from([("zone".to_string(), "a".to_string())]);
         let id = ResourceId::balancer("n1");
-        let found = all.never([(&id, &labels)].into_iter());
+        let found = all.unsatisfiable_groups([(&id, &labels)].into_iter());
         assert_eq!(found.len(), 1, "{found:?}");
         assert!(found[0].3.contains("floor of 1 is all of its 1"), "{found:?}");
     }
 
     #[test]
     fn a_unit_is_in_a_group_for_each_of_its_pools() {
-        let b =
-            DisruptionBudget { kind: ResourceKind::Upstream, per: GroupBy::Pool, ..budget(Some(1), None, 0) };
+        let b = DisruptionBudget {
+            kind: ResourceKind::Upstream,
+            group_by: GroupBy::Pool,
+            ..budget(Some(1), None, 0)
+        };
         let of = |pool: &str| ("pool".to_string(), pool.to_string());
         let labels = BTreeSet::from([of("dues"), of("web"), ("zone".into(), "a".into())]);
         assert_eq!(b.groups(ResourceKind::Upstream, &labels).collect::<Vec<_>>(), ["dues", "web"]);
         assert_eq!(b.groups(ResourceKind::Balancer, &labels).count(), 0);
-        let only = DisruptionBudget { only: Some("web".into()), ..b };
+        let only = DisruptionBudget { group: Some("web".into()), ..b };
         assert_eq!(only.groups(ResourceKind::Upstream, &labels).collect::<Vec<_>>(), ["web"]);
     }
 }
--- a/crates/control-plane/disruption/src/lease_agent.rs
+++ b/crates/control-plane/disruption/src/lease_agent.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantedLease {
     /// For this balancer.
-    pub unit: String,
+    pub balancer: String,
     /// To do this.
-    pub act: DisruptionKind,
+    pub kind: DisruptionKind,
     /// The leave's number: of two for one unit the later has the greater.
-    pub number: u64,
+    pub fencing_token: u64,
     /// The session that has to be held at the moment at which something is done by it.
     pub session: SessionId,
 }
@@ -60,16 +60,16 @@
 pub struct LeaseAgent {
     owner: String,
     random: Pcg64Mcg,
-    wants: BTreeMap<String, LeaseIntent>,
-    units: Option<BTreeMap<String, BalancerEntry>>,
+    intents: BTreeMap<String, LeaseIntent>,
+    set_balancers: Option<BTreeMap<String, BalancerEntry>>,
     /// Leaves of an earlier process, and since when they are this one's.
     adopted: BTreeMap<String, Duration>,
     /// When something that another could do as well is done here.
-    help: Option<Duration>,
+    assist_at: Option<Duration>,
     /// Drains that end by themselves, and when they were first seen.
     drains: BTreeMap<(ResourceId, u64), Duration>,
     /// Drains for which nothing is waited for any more, and since when.
-    quiet: BTreeMap<(ResourceId, u64), Duration>,
+    idle_drains: BTreeMap<(ResourceId, u64), Duration>,
     /// After a write that failed.
     not_before: Duration,
 }
@@ -80,46 +80,47 @@
         LeaseAgent {
             owner: owner.into(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            wants: BTreeMap::new(),
-            units: None,
+            intents: BTreeMap::new(),
+            set_balancers: None,
             adopted: BTreeMap::new(),
-            help: None,
+            assist_at: None,
             drains: BTreeMap::new(),
-            quiet: BTreeMap::new(),
+            idle_drains: BTreeMap::new(),
             not_before: Duration::ZERO,
         }
     }
 
     /// Leave is wanted. `overrides`: an operator's reason to go over what budgets allow.
-    pub fn ask(&mut self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<String>) {
-        self.wants.insert(unit.into(), LeaseIntent::Acquire { act, why: why.into(), overrides, told: None });
+    pub fn request(&mut self, unit: &str, act: DisruptionKind, why: &str, overrides: Option<String>) {
+        self.intents
+            .insert(unit.into(), LeaseIntent::Acquire { act, why: why.into(), overrides, told: None });
     }
 
     /// Nothing was done by a leave that was told of, since its session was not held when the news came. It is still wanted, and
     /// is told of again with the next that is held.
-    pub fn unused(&mut self, unit: &str) {
-        if let Some(LeaseIntent::Acquire { told, .. }) = self.wants.get_mut(unit) {
+    pub fn mark_unused(&mut self, unit: &str) {
+        if let Some(LeaseIntent::Acquire { told, .. }) = self.intents.get_mut(unit) {
             *told = None;
         }
     }
 
     /// Leave is not wanted any more. `acted`: another process is to come, and the leave ends once that was seen.
-    pub fn give_back(&mut self, unit: &str, acted: bool) {
-        self.wants.insert(unit.into(), LeaseIntent::Release { acted });
+    pub fn release(&mut self, unit: &str, acted: bool) {
+        self.intents.insert(unit.into(), LeaseIntent::Release { acted });
     }
 
     /// The balancers that its machine has, all of them.
-    pub fn units(&mut self, units: BTreeMap<String, BalancerEntry>) {
-        self.units = Some(units);
+    pub fn set_balancers(&mut self, units: BTreeMap<String, BalancerEntry>) {
+        self.set_balancers = Some(units);
     }
 
     /// A write or a read failed.
-    pub fn failed(&mut self, now: Duration) {
+    pub fn on_failure(&mut self, now: Duration) {
         self.not_before = now + RETRY_DELAY;
     }
 
     /// The number of the ask for a unit.
-    fn ask_id(&self, unit: &str) -> String {
+    fn request_id(&self, unit: &str) -> String {
         format!("{}/{unit}", self.owner)
     }
 
@@ -136,16 +137,16 @@
         if now < self.not_before {
             return Step::Wait(Some(self.not_before));
         }
-        if let Some(plan) = self.own(now, session, board) {
+        if let Some(plan) = self.own_write(now, session, board) {
             return Step::Write(plan, None);
         }
-        self.tell(session, board, given);
-        self.common(now, board)
+        self.notify_grants(session, board, given);
+        self.shared_step(now, board)
     }
 
     /// The same, with a board that was read from a majority just now, where [`Step::ReadConsistent`] asked for it.
-    pub fn decided(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
-        match board.gives() {
+    pub fn on_consistent_read(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
+        match board.grants() {
             Some((plan, ids)) => Step::Write(plan, Some(format!("leave is given: {}", ids.join(", ")))),
             // Others were faster, or it does not hold any more.
             None => Step::Wait(Some(now + RETRY_DELAY)),
@@ -153,65 +154,74 @@
     }
 
     /// The next write that is this supervisor's own affair.
-    fn own(&mut self, now: Duration, session: SessionId, board: &FleetSnapshot) -> Option<ConditionalWrite> {
-        if board.holders.get(&self.owner).is_none_or(|h| h.value != session) {
+    fn own_write(
+        &mut self,
+        now: Duration,
+        session: SessionId,
+        board: &FleetSnapshot,
+    ) -> Option<ConditionalWrite> {
+        if board.owners.get(&self.owner).is_none_or(|h| h.value != session) {
             let put = Op::Put { key: owner_key(&self.owner), value: session.to_string(), ephemeral: true };
             return Some(ConditionalWrite { compares: vec![Compare::SessionAlive(session)], ops: vec![put] });
         }
-        if let Some(plan) = self.units.as_ref().and_then(|units| board.declares(&self.owner, units)) {
+        if let Some(plan) =
+            self.set_balancers.as_ref().and_then(|units| board.declare_balancers(&self.owner, units))
+        {
             return Some(plan);
         }
         let mine: Vec<_> = board
-            .leaves
+            .leases
             .iter()
             .filter(|(id, leave)| id.kind == ResourceKind::Balancer && leave.value.owner == self.owner)
             .collect();
         if let Some((id, _)) = mine.iter().find(|(_, leave)| leave.value.session != session) {
             self.adopted.insert(id.name.clone(), now);
-            return board.adopts(id, &self.owner, session);
+            return board.adopt_lease(id, &self.owner, session);
         }
         for (id, leave) in &mine {
-            let undone = match self.wants.get(&id.name) {
+            let undone = match self.intents.get(&id.name) {
                 Some(LeaseIntent::Acquire { .. }) => continue,
                 Some(LeaseIntent::Release { acted }) => !acted,
                 // Of an earlier process, of which it is not known whether it acted.
                 None => {
                     let since = *self.adopted.entry(id.name.clone()).or_insert(now);
-                    let same = !leave.value.act.renews() || board.session_of(id) == leave.value.was;
+                    let same = !leave.value.kind.replaces_process()
+                        || board.session_of(id) == leave.value.previous_session;
                     now >= since + ADOPTED_LEASE_TIMEOUT && same
                 }
             };
-            if let Some(plan) = board.returns(id, undone) {
+            if let Some(plan) = board.release_lease(id, undone) {
                 return Some(plan);
             }
         }
-        let asked = |unit: &str| board.asks.contains_key(&self.ask_id(unit));
+        let asked = |unit: &str| board.requests.contains_key(&self.request_id(unit));
         let has = |unit: &str| mine.iter().any(|(id, _)| id.name == unit);
         let mut plan = ConditionalWrite::default();
-        for (id, ask) in &board.asks {
+        for (id, ask) in &board.requests {
             let own = ask.value.owner == self.owner && ask.value.session == session;
-            if own && !matches!(self.wants.get(&ask.value.unit.name), Some(LeaseIntent::Acquire { .. })) {
+            if own && !matches!(self.intents.get(&ask.value.resource.name), Some(LeaseIntent::Acquire { .. }))
+            {
                 plan.compares.push(Compare::Version(request_key(id), ask.version));
                 plan.ops.push(Op::Delete(request_key(id)));
             }
         }
         for (unit, want) in
-            self.wants.iter().filter(|(unit, _)| !asked(unit) && !has(unit)).take(MAX_GRANTS_PER_WRITE)
+            self.intents.iter().filter(|(unit, _)| !asked(unit) && !has(unit)).take(MAX_GRANTS_PER_WRITE)
         {
             let LeaseIntent::Acquire { act, why, overrides, .. } = want else { continue };
             let ask = LeaseRequest {
-                unit: ResourceId::balancer(unit),
+                resource: ResourceId::balancer(unit),
                 owner: self.owner.clone(),
                 session,
-                act: *act,
+                kind: *act,
                 // What an operator insists on goes first.
                 priority: u8::from(overrides.is_some()),
-                why: why.clone(),
-                overrides: overrides.clone(),
-                for_ms: None,
+                reason: why.clone(),
+                override_reason: overrides.clone(),
+                duration_ms: None,
             };
             plan.ops.push(Op::Put {
-                key: request_key(&self.ask_id(unit)),
+                key: request_key(&self.request_id(unit)),
                 value: json(&ask),
                 ephemeral: true,
             });
@@ -221,28 +231,28 @@
             matches!(want, LeaseIntent::Release { .. }) && !asked(unit) && !has(unit)
         };
         let gone: Vec<String> =
-            self.wants.iter().filter(|(u, w)| over(u, w)).map(|(u, _)| u.clone()).collect();
+            self.intents.iter().filter(|(u, w)| over(u, w)).map(|(u, _)| u.clone()).collect();
         for unit in gone {
-            self.wants.remove(&unit);
+            self.intents.remove(&unit);
             self.adopted.remove(&unit);
         }
         (!plan.ops.is_empty()).then_some(plan)
     }
 
     /// Leaves that its supervisor was not told of.
-    fn tell(&mut self, session: SessionId, board: &FleetSnapshot, given: &mut Vec<GrantedLease>) {
-        for (unit, want) in &mut self.wants {
+    fn notify_grants(&mut self, session: SessionId, board: &FleetSnapshot, given: &mut Vec<GrantedLease>) {
+        for (unit, want) in &mut self.intents {
             let LeaseIntent::Acquire { told, .. } = want else { continue };
-            let Some(leave) = board.leaves.get(&ResourceId::balancer(unit)).map(|l| &l.value) else {
+            let Some(leave) = board.leases.get(&ResourceId::balancer(unit)).map(|l| &l.value) else {
                 continue;
             };
-            let this = (leave.number, session);
+            let this = (leave.fencing_token, session);
             if leave.owner == self.owner && leave.session == session && *told != Some(this) {
                 *told = Some(this);
                 given.push(GrantedLease {
-                    unit: unit.clone(),
-                    act: leave.act,
-                    number: leave.number,
+                    balancer: unit.clone(),
+                    kind: leave.kind,
+                    fencing_token: leave.fencing_token,
                     session,
                 });
             }
@@ -250,9 +260,9 @@
     }
 
     /// What anybody may do: at once, if it gives this supervisor leave, and else if nobody does it for a while.
-    fn common(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
-        let given = board.gives();
-        let own = |id: &String| board.asks.get(id).is_some_and(|a| a.value.owner == self.owner);
+    fn shared_step(&mut self, now: Duration, board: &FleetSnapshot) -> Step {
+        let given = board.grants();
+        let own = |id: &String| board.requests.get(id).is_some_and(|a| a.value.owner == self.owner);
         if given.as_ref().is_some_and(|(_, ids)| ids.iter().any(own)) {
             // Decided on what a majority has now, and not on what was heard of last.
             return Step::ReadConsistent;
@@ -262,28 +272,29 @@
             None => self.due(now, board).map(|(what, plan)| Step::Write(plan, Some(what))),
         };
         let Some(step) = due else {
-            self.help = None;
+            self.assist_at = None;
             return Step::Wait(self.next_end(now, board));
         };
         let random = &mut self.random;
-        let at =
-            *self.help.get_or_insert_with(|| now + ASSIST_DELAY + ASSIST_DELAY.mul_f64(random.gen::<f64>()));
+        let at = *self
+            .assist_at
+            .get_or_insert_with(|| now + ASSIST_DELAY + ASSIST_DELAY.mul_f64(random.gen::<f64>()));
         if now < at {
             return Step::Wait(Some(at));
         }
-        self.help = None;
+        self.assist_at = None;
         step
     }
 
     /// When the next drain ends by itself, or is over, or an earlier process's leave is given back.
     fn next_end(&self, now: Duration, board: &FleetSnapshot) -> Option<Duration> {
         let ends = self.drains.iter().filter_map(|((id, number), seen)| {
-            let leave = board.leaves.get(id).filter(|l| l.value.number == *number)?;
-            Some(*seen + Duration::from_millis(leave.value.for_ms?))
+            let leave = board.leases.get(id).filter(|l| l.value.fencing_token == *number)?;
+            Some(*seen + Duration::from_millis(leave.value.duration_ms?))
         });
         let settled = self.adopted.values().map(|&since| since + ADOPTED_LEASE_TIMEOUT);
         // What is due already waits for something else that will be heard of.
-        ends.chain(self.quiet.values().map(|&since| since + DRAIN_SETTLE_TIME))
+        ends.chain(self.idle_drains.values().map(|&since| since + DRAIN_SETTLE_TIME))
             .chain(settled)
             .filter(|&at| at > now)
             .min()
@@ -291,29 +302,29 @@
 
     fn due(&mut self, now: Duration, board: &FleetSnapshot) -> Option<(String, ConditionalWrite)> {
         let is = |(id, number): &(ResourceId, u64)| {
-            board.leaves.get(id).is_some_and(|l| l.value.number == *number)
+            board.leases.get(id).is_some_and(|l| l.value.fencing_token == *number)
         };
         self.drains.retain(|key, _| is(key));
-        self.quiet.retain(|key, _| is(key));
-        self.adopted.retain(|unit, _| board.leaves.contains_key(&ResourceId::balancer(unit)));
-        for (id, leave) in board.leaves.iter().filter(|(_, l)| l.value.for_ms.is_some()) {
-            self.drains.entry((id.clone(), leave.value.number)).or_insert(now);
+        self.idle_drains.retain(|key, _| is(key));
+        self.adopted.retain(|unit, _| board.leases.contains_key(&ResourceId::balancer(unit)));
+        for (id, leave) in board.leases.iter().filter(|(_, l)| l.value.duration_ms.is_some()) {
+            self.drains.entry((id.clone(), leave.value.fencing_token)).or_insert(now);
         }
-        if let Some((id, plan)) = board.orphans().into_iter().next() {
+        if let Some((id, plan)) = board.orphaned_leases().into_iter().next() {
             return Some((format!("the leave for {id} is nobody's any more"), plan));
         }
-        if let Some((plan, named)) = board.recalls() {
+        if let Some((plan, named)) = board.recall_drains() {
             let names: Vec<String> = named.iter().map(|(id, why)| format!("{id}, for {why}")).collect();
             return Some((format!("asked to return: {}", names.join("; ")), plan));
         }
-        if let Some(plan) = board.lists_unused() {
+        if let Some(plan) = board.remove_unused_lists() {
             return Some(("lists that nobody has are removed".into(), plan));
         }
-        for (id, leave) in board.leaves.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream) {
-            let key = (id.clone(), leave.value.number);
+        for (id, leave) in board.leases.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream) {
+            let key = (id.clone(), leave.value.fencing_token);
             let when = vec![Compare::Version(lease_key(id), leave.version)];
             let over = |seen: &Duration| {
-                leave.value.for_ms.is_some_and(|ms| now >= *seen + Duration::from_millis(ms))
+                leave.value.duration_ms.is_some_and(|ms| now >= *seen + Duration::from_millis(ms))
             };
             if self.drains.get(&key).is_some_and(over) {
                 let then = vec![Op::Delete(lease_key(id))];
@@ -322,12 +333,12 @@
                     ConditionalWrite { compares: when, ops: then },
                 ));
             }
-            if leave.value.drained || !board.waits_for(id).is_empty() {
-                self.quiet.remove(&key);
+            if leave.value.drained || !board.pending_confirmations(id).is_empty() {
+                self.idle_drains.remove(&key);
                 continue;
             }
             // A process that has just passed its sockets on is heard of a moment later.
-            let since = *self.quiet.entry(key.clone()).or_insert(now);
+            let since = *self.idle_drains.entry(key.clone()).or_insert(now);
             if now >= since + DRAIN_SETTLE_TIME {
                 let then =
                     vec![put(lease_key(id), json(&DisruptionLease { drained: true, ..leave.value.clone() }))];
--- a/crates/control-plane/disruption/src/lib.rs
+++ b/crates/control-plane/disruption/src/lib.rs
@@ -43,7 +43,7 @@
 
 impl ResourceKind {
     /// Its word in keys and files.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             ResourceKind::Balancer => "balancer",
             ResourceKind::Upstream => "upstream",
@@ -74,7 +74,7 @@
 
 impl fmt::Display for ResourceId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.kind.word(), self.name)
+        write!(f, "{}/{}", self.kind.as_str(), self.name)
     }
 }
 
--- a/crates/control-plane/disruption/src/scheduler.rs
+++ b/crates/control-plane/disruption/src/scheduler.rs
@@ -45,10 +45,10 @@
 impl fmt::Display for UnavailableReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            UnavailableReason::Leased(owner, act) => write!(f, "{} by {owner}", act.word()),
+            UnavailableReason::Leased(owner, act) => write!(f, "{} by {owner}", act.as_str()),
             UnavailableReason::Missing => f.write_str("not heard of"),
             UnavailableReason::Down => f.write_str("down"),
-            UnavailableReason::ReportedState(state) => f.write_str(state.word()),
+            UnavailableReason::ReportedState(state) => f.write_str(state.as_str()),
             UnavailableReason::ReportedByDiscovery(EndpointCondition::Unhealthy) => {
                 f.write_str("its checks fail")
             }
@@ -67,11 +67,11 @@
     /// Its units.
     pub size: u32,
     /// Those that are out.
-    pub out: u32,
+    pub unavailable: u32,
     /// So many may be.
     pub limit: u32,
     /// So many have to be in.
-    pub floor: u32,
+    pub min_available: u32,
 }
 
 /// What becomes of an ask now.
@@ -86,7 +86,7 @@
         /// In which group.
         group: String,
         /// How that stands.
-        count: BudgetUsage,
+        usage: BudgetUsage,
     },
     /// It waits until somebody else's leave for the unit has ended.
     HeldByOther(String),
@@ -98,12 +98,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LeaseDecision::Granted => f.write_str("given"),
-            LeaseDecision::WaitsForBudget { budget, group, count } => {
+            LeaseDecision::WaitsForBudget { budget, group, usage: count } => {
                 let group = if group.is_empty() { "the fleet" } else { group };
                 write!(
                     f,
                     "waits for budget {budget}: {} of {} out in {group}, {} may be",
-                    count.out, count.size, count.limit
+                    count.unavailable, count.size, count.limit
                 )
             }
             LeaseDecision::HeldByOther(owner) => write!(f, "waits: {owner} has leave for it"),
@@ -116,10 +116,10 @@
 
 /// All that follows from a board, worked out once.
 struct View<'a> {
-    board: &'a FleetSnapshot,
+    snapshot: &'a FleetSnapshot,
     budgets: &'a [DisruptionBudget],
     labels: BTreeMap<ResourceId, BTreeSet<Label>>,
-    out: BTreeMap<ResourceId, Vec<UnavailableReason>>,
+    unavailable: BTreeMap<ResourceId, Vec<UnavailableReason>>,
 }
 
 impl<'a> View<'a> {
@@ -128,9 +128,9 @@
         let mut out: BTreeMap<ResourceId, Vec<UnavailableReason>> = BTreeMap::new();
         let mut is_out =
             |id: &ResourceId, why: UnavailableReason| out.entry(id.clone()).or_default().push(why);
-        for (name, unit) in &board.units {
+        for (name, unit) in &board.balancers {
             let id = ResourceId::balancer(name);
-            match board.said.get(name).map(|s| s.value.state) {
+            match board.statuses.get(name).map(|s| s.value.state) {
                 Some(InstanceState::Ready) => {}
                 Some(state) => is_out(&id, UnavailableReason::ReportedState(state)),
                 None if unit.value.down => is_out(&id, UnavailableReason::Down),
@@ -153,54 +153,55 @@
             }
             labels.insert(id, of);
         }
-        for (id, leave) in &board.leaves {
-            is_out(id, UnavailableReason::Leased(leave.value.owner.clone(), leave.value.act));
+        for (id, leave) in &board.leases {
+            is_out(id, UnavailableReason::Leased(leave.value.owner.clone(), leave.value.kind));
         }
-        let budgets = board.budgets.as_ref().map_or(&[][..], |b| &b.value.all);
-        View { board, budgets, labels, out }
+        let budgets = board.budgets.as_ref().map_or(&[][..], |b| &b.value.budgets);
+        View { snapshot: board, budgets, labels, unavailable: out }
     }
 
     /// How each group stands.
-    fn counts(&self) -> Groups<'_> {
+    fn budget_usage(&self) -> Groups<'_> {
         let mut groups: Groups = BTreeMap::new();
         for (id, labels) in &self.labels {
-            let out = u32::from(self.out.contains_key(id));
+            let out = u32::from(self.unavailable.contains_key(id));
             for (k, budget) in self.budgets.iter().enumerate() {
                 for group in budget.groups(id.kind, labels) {
                     let count = groups.entry((k, group)).or_default();
-                    (count.size, count.out) = (count.size + 1, count.out + out);
+                    (count.size, count.unavailable) = (count.size + 1, count.unavailable + out);
                 }
             }
         }
         for ((k, _), count) in &mut groups {
-            (count.limit, count.floor) = (self.budgets[*k].limit(count.size), self.budgets[*k].floor);
+            (count.limit, count.min_available) =
+                (self.budgets[*k].limit(count.size), self.budgets[*k].min_available);
         }
         groups
     }
 
     /// The asks in their order.
-    fn asks(&self) -> Vec<(&'a str, &'a crate::snapshot::Versioned<LeaseRequest>)> {
-        let mut asks: Vec<_> = self.board.asks.iter().map(|(id, ask)| (id.as_str(), ask)).collect();
+    fn requests(&self) -> Vec<(&'a str, &'a crate::snapshot::Versioned<LeaseRequest>)> {
+        let mut asks: Vec<_> = self.snapshot.requests.iter().map(|(id, ask)| (id.as_str(), ask)).collect();
         asks.sort_by_key(|(id, ask)| (std::cmp::Reverse(ask.value.priority), ask.version, *id));
         asks
     }
 
-    fn verdicts(&self) -> Vec<(&'a str, LeaseDecision)> {
-        let mut groups = self.counts();
+    fn decisions(&self) -> Vec<(&'a str, LeaseDecision)> {
+        let mut groups = self.budget_usage();
         let mut given: BTreeSet<&ResourceId> = BTreeSet::new();
         let mut reserved = false;
         let mut all = Vec::new();
-        for (id, ask) in self.asks() {
-            let (unit, ask) = (&ask.value.unit, &ask.value);
-            let verdict = self.verdict(ask, &groups, &given);
+        for (id, ask) in self.requests() {
+            let (unit, ask) = (&ask.value.resource, &ask.value);
+            let verdict = self.decision(ask, &groups, &given);
             let takes = verdict == LeaseDecision::Granted && given.insert(unit);
             // The first that waits for a budget keeps its place in all its groups: those behind it do not starve it.
             let keeps = matches!(verdict, LeaseDecision::WaitsForBudget { .. })
                 && !std::mem::replace(&mut reserved, true);
-            if (takes || keeps) && !self.out.contains_key(unit) {
+            if (takes || keeps) && !self.unavailable.contains_key(unit) {
                 self.each_group(unit, |k, group| {
                     if let Some(count) = groups.get_mut(&(k, group)) {
-                        count.out += 1;
+                        count.unavailable += 1;
                     }
                 });
             }
@@ -216,15 +217,18 @@
         }
     }
 
-    fn verdict(&self, ask: &LeaseRequest, groups: &Groups, given: &BTreeSet<&ResourceId>) -> LeaseDecision {
-        let unit = &ask.unit;
+    fn decision(&self, ask: &LeaseRequest, groups: &Groups, given: &BTreeSet<&ResourceId>) -> LeaseDecision {
+        let unit = &ask.resource;
         if !self.labels.contains_key(unit) {
             return LeaseDecision::Rejected(format!("{unit} is not known"));
         }
-        if (ask.act == DisruptionKind::Drain) != (unit.kind == ResourceKind::Upstream) {
-            return LeaseDecision::Rejected(format!("{} is nothing that is done to {unit}", ask.act.word()));
+        if (ask.kind == DisruptionKind::Drain) != (unit.kind == ResourceKind::Upstream) {
+            return LeaseDecision::Rejected(format!(
+                "{} is nothing that is done to {unit}",
+                ask.kind.as_str()
+            ));
         }
-        if let Some(leave) = self.board.leaves.get(unit) {
+        if let Some(leave) = self.snapshot.leases.get(unit) {
             return LeaseDecision::HeldByOther(leave.value.owner.clone());
         }
         if given.contains(unit) {
@@ -232,7 +236,7 @@
         }
         // What is known to be out is not taken out by this: mending it must not wait for room that only mending makes. What is
         // not heard of, or cold, may well be serving: it counts already, and is given where that is within bounds.
-        let why = self.out.get(unit);
+        let why = self.unavailable.get(unit);
         if why.is_some_and(|why| !why.iter().all(UnavailableReason::may_serve)) {
             return LeaseDecision::Granted;
         }
@@ -241,22 +245,27 @@
         self.each_group(unit, |k, group| {
             let Some(&count) = groups.get(&(k, group)) else { return };
             let budget = &self.budgets[k];
-            let over_floor = count.size.saturating_sub(count.out + adds) < count.floor;
-            let over = count.out + adds > count.limit;
-            if verdict != LeaseDecision::Granted || !(over_floor || over && ask.overrides.is_none()) {
+            let over_floor = count.size.saturating_sub(count.unavailable + adds) < count.min_available;
+            let over = count.unavailable + adds > count.limit;
+            if verdict != LeaseDecision::Granted || !(over_floor || over && ask.override_reason.is_none()) {
                 return;
             }
-            verdict = if count.limit == 0 && ask.overrides.is_none() || count.size <= count.floor {
-                let group = if group.is_empty() { "the fleet" } else { group };
-                LeaseDecision::Rejected(format!(
-                    "budget {} lets nothing out of {group}, which has {}: {}",
-                    budget.name,
-                    count.size,
-                    budget.words()
-                ))
-            } else {
-                LeaseDecision::WaitsForBudget { budget: budget.name.clone(), group: group.into(), count }
-            };
+            verdict =
+                if count.limit == 0 && ask.override_reason.is_none() || count.size <= count.min_available {
+                    let group = if group.is_empty() { "the fleet" } else { group };
+                    LeaseDecision::Rejected(format!(
+                        "budget {} lets nothing out of {group}, which has {}: {}",
+                        budget.name,
+                        count.size,
+                        budget.summary()
+                    ))
+                } else {
+                    LeaseDecision::WaitsForBudget {
+                        budget: budget.name.clone(),
+                        group: group.into(),
+                        usage: count,
+                    }
+                };
         });
         verdict
     }
@@ -264,31 +273,31 @@
 
 impl FleetSnapshot {
     /// Who is out, and why.
-    pub fn out(&self) -> BTreeMap<ResourceId, Vec<UnavailableReason>> {
-        View::of(self).out
+    pub fn unavailable(&self) -> BTreeMap<ResourceId, Vec<UnavailableReason>> {
+        View::of(self).unavailable
     }
 
     /// All units that are known, with what they are grouped by.
-    pub fn all(&self) -> BTreeMap<ResourceId, BTreeSet<Label>> {
+    pub fn resources(&self) -> BTreeMap<ResourceId, BTreeSet<Label>> {
         View::of(self).labels
     }
 
     /// How each group stands, by budget and group.
-    pub fn counts(&self) -> Vec<(String, String, BudgetUsage)> {
+    pub fn budget_usage(&self) -> Vec<(String, String, BudgetUsage)> {
         let view = View::of(self);
-        let counts = view.counts();
+        let counts = view.budget_usage();
         counts.into_iter().map(|((k, g), c)| (view.budgets[k].name.clone(), g.to_string(), c)).collect()
     }
 
     /// What becomes of each ask now, in their order.
-    pub fn decide(&self) -> Vec<(String, LeaseDecision)> {
-        View::of(self).verdicts().into_iter().map(|(id, verdict)| (id.to_string(), verdict)).collect()
+    pub fn decisions(&self) -> Vec<(String, LeaseDecision)> {
+        View::of(self).decisions().into_iter().map(|(id, verdict)| (id.to_string(), verdict)).collect()
     }
 
     /// The write that gives the leaves that are to be given now, and the asks that get them.
-    pub fn gives(&self) -> Option<(ConditionalWrite, Vec<String>)> {
+    pub fn grants(&self) -> Option<(ConditionalWrite, Vec<String>)> {
         let given: Vec<String> = self
-            .decide()
+            .decisions()
             .into_iter()
             .filter_map(|(id, verdict)| (verdict == LeaseDecision::Granted).then_some(id))
             .take(MAX_GRANTS_PER_WRITE)
@@ -296,24 +305,34 @@
         if given.is_empty() {
             return None;
         }
-        let mut plan = ConditionalWrite { compares: vec![version(LEDGER, self.ledger)], ops: Vec::new() };
+        let mut plan =
+            ConditionalWrite { compares: vec![version(LEDGER, self.ledger_version)], ops: Vec::new() };
         plan.compares.push(version(BUDGETS, self.budgets.as_ref().map_or(0, |b| b.version)));
         plan.ops.push(put(LEDGER.into(), "0".into()));
         for id in &given {
-            let Some(ask) = self.asks.get(id) else { continue };
-            let LeaseRequest { unit, owner, session, act, why, overrides, for_ms, .. } = ask.value.clone();
+            let Some(ask) = self.requests.get(id) else { continue };
+            let LeaseRequest {
+                resource: unit,
+                owner,
+                session,
+                kind: act,
+                reason: why,
+                override_reason: overrides,
+                duration_ms: for_ms,
+                ..
+            } = ask.value.clone();
             let was = self.session_of(&unit);
             let leave = DisruptionLease {
                 owner,
                 session,
-                number: self.ledger,
-                act,
-                was,
-                why,
-                overrides,
-                for_ms,
+                fencing_token: self.ledger_version,
+                kind: act,
+                previous_session: was,
+                reason: why,
+                override_reason: overrides,
+                duration_ms: for_ms,
                 drained: false,
-                recalled: None,
+                recall_reason: None,
             };
             // An ask ends with its session: it is there only while that is.
             plan.compares.push(Compare::Version(request_key(id), ask.version));
@@ -327,29 +346,29 @@
     /// The session of a balancer's process; 0: none.
     pub fn session_of(&self, unit: &ResourceId) -> SessionId {
         match unit.kind {
-            ResourceKind::Balancer => self.said.get(&unit.name).map_or(0, |s| s.value.session),
+            ResourceKind::Balancer => self.statuses.get(&unit.name).map_or(0, |s| s.value.session),
             ResourceKind::Upstream => 0,
         }
     }
 
     /// Whether a balancer was seen to be in again since this leave was given: it says that it serves in full, and it is
     /// another process where another was to come.
-    pub fn seen_in(&self, unit: &ResourceId, leave: &DisruptionLease) -> bool {
-        let Some(said) = self.said.get(&unit.name) else { return false };
+    pub fn is_back_in_service(&self, unit: &ResourceId, leave: &DisruptionLease) -> bool {
+        let Some(said) = self.statuses.get(&unit.name) else { return false };
         unit.kind == ResourceKind::Balancer
             && said.value.state == InstanceState::Ready
-            && (!leave.act.renews() || said.value.session > leave.was)
+            && (!leave.kind.replaces_process() || said.value.session > leave.previous_session)
     }
 
     /// The write that ends a balancer's leave: once it was seen to be in. `undone`: its owner says that it has not acted by
     /// the leave and will not.
-    pub fn returns(&self, unit: &ResourceId, undone: bool) -> Option<ConditionalWrite> {
-        let leave = self.leaves.get(unit)?;
-        let said = self.said.get(&unit.name);
-        let in_now = self.seen_in(unit, &leave.value)
+    pub fn release_lease(&self, unit: &ResourceId, undone: bool) -> Option<ConditionalWrite> {
+        let leave = self.leases.get(unit)?;
+        let said = self.statuses.get(&unit.name);
+        let in_now = self.is_back_in_service(unit, &leave.value)
             || undone && said.is_some_and(|s| s.value.state == InstanceState::Ready);
         // A reload is over only when its owner says so: nothing else tells it from one that has not begun.
-        let over = in_now && (leave.value.act.renews() || undone);
+        let over = in_now && (leave.value.kind.replaces_process() || undone);
         let said = said.filter(|_| over)?;
         Some(ConditionalWrite {
             compares: vec![
@@ -361,13 +380,14 @@
     }
 
     /// Leaves whose owners are gone for good, of units that are in: nobody can act by them any more.
-    pub fn orphans(&self) -> Vec<(ResourceId, ConditionalWrite)> {
+    pub fn orphaned_leases(&self) -> Vec<(ResourceId, ConditionalWrite)> {
         let mut all = Vec::new();
-        for (id, leave) in &self.leaves {
-            if id.kind != ResourceKind::Balancer || self.held(&leave.value) {
+        for (id, leave) in &self.leases {
+            if id.kind != ResourceKind::Balancer || self.owner_is_active(&leave.value) {
                 continue;
             }
-            let Some(said) = self.said.get(&id.name).filter(|s| s.value.state == InstanceState::Ready) else {
+            let Some(said) = self.statuses.get(&id.name).filter(|s| s.value.state == InstanceState::Ready)
+            else {
                 continue;
             };
             let when = vec![
@@ -381,8 +401,13 @@
     }
 
     /// The write by which a later process of an owner makes a leave its own.
-    pub fn adopts(&self, unit: &ResourceId, owner: &str, session: SessionId) -> Option<ConditionalWrite> {
-        let leave = self.leaves.get(unit).filter(|l| l.value.owner == owner && l.value.session != session)?;
+    pub fn adopt_lease(
+        &self,
+        unit: &ResourceId,
+        owner: &str,
+        session: SessionId,
+    ) -> Option<ConditionalWrite> {
+        let leave = self.leases.get(unit).filter(|l| l.value.owner == owner && l.value.session != session)?;
         let own = DisruptionLease { session, ..leave.value.clone() };
         Some(ConditionalWrite {
             compares: vec![Compare::Version(lease_key(unit), leave.version), Compare::SessionAlive(session)],
@@ -392,20 +417,20 @@
 
     /// The write that says which balancers a machine has: those that it has no more are forgotten, unless a leave for them
     /// goes on.
-    pub fn declares(
+    pub fn declare_balancers(
         &self,
         machine: &str,
         units: &BTreeMap<String, BalancerEntry>,
     ) -> Option<ConditionalWrite> {
         let mut plan = ConditionalWrite::default();
         for (name, unit) in units {
-            if self.units.get(name).is_none_or(|u| u.value != *unit) {
+            if self.balancers.get(name).is_none_or(|u| u.value != *unit) {
                 plan.ops.push(put(balancer_key(name), json(unit)));
             }
         }
-        for (name, unit) in &self.units {
+        for (name, unit) in &self.balancers {
             let gone = unit.value.machine == machine && !units.contains_key(name);
-            if gone && !self.leaves.contains_key(&ResourceId::balancer(name)) {
+            if gone && !self.leases.contains_key(&ResourceId::balancer(name)) {
                 plan.compares.push(Compare::Version(balancer_key(name), unit.version));
                 plan.ops.push(Op::Delete(balancer_key(name)));
             }
@@ -415,25 +440,26 @@
 
     /// Drains that are asked to return, since an upstream's group is below its floor: the newest first, as many as are
     /// missing. Those that nobody was told are drained yet end at once; of the others it is only asked.
-    pub fn recalls(&self) -> Option<(ConditionalWrite, Vec<(ResourceId, String)>)> {
+    pub fn recall_drains(&self) -> Option<(ConditionalWrite, Vec<(ResourceId, String)>)> {
         let view = View::of(self);
-        let counts = view.counts();
+        let counts = view.budget_usage();
         let mut missing: BTreeMap<(usize, &str), u32> = BTreeMap::new();
         for (&key, count) in &counts {
-            let short = (count.floor + count.out).saturating_sub(count.size).min(count.floor);
+            let short =
+                (count.min_available + count.unavailable).saturating_sub(count.size).min(count.min_available);
             if short > 0 {
                 missing.insert(key, short);
             }
         }
         let mut drains: Vec<_> =
-            self.leaves.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream).collect();
+            self.leases.iter().filter(|(id, _)| id.kind == ResourceKind::Upstream).collect();
         // By when they were given: that one is over is written later, and makes it no newer.
-        drains.sort_by_key(|(_, leave)| std::cmp::Reverse(leave.value.number));
+        drains.sort_by_key(|(_, leave)| std::cmp::Reverse(leave.value.fencing_token));
         let (mut plan, mut named) = (ConditionalWrite::default(), Vec::new());
         for (id, leave) in drains {
             let mut helps = None;
             // One that is out for another reason as well would not be in if it returned.
-            let only = view.out.get(id).is_some_and(|why| why.len() == 1);
+            let only = view.unavailable.get(id).is_some_and(|why| why.len() == 1);
             view.each_group(id, |k, group| {
                 if let (true, Some(short)) = (only, missing.get_mut(&(k, group)).filter(|s| **s > 0)) {
                     *short -= 1;
@@ -441,18 +467,18 @@
                 }
             });
             let Some((k, group)) = helps.filter(|_| named.len() < MAX_GRANTS_PER_WRITE) else { continue };
-            if leave.value.recalled.is_some() {
+            if leave.value.recall_reason.is_some() {
                 continue;
             }
             let why = format!(
                 "{group} is below the floor of {} of budget {}",
-                view.budgets[k].floor, view.budgets[k].name
+                view.budgets[k].min_available, view.budgets[k].name
             );
             plan.compares.push(Compare::Version(lease_key(id), leave.version));
             plan.ops.push(if leave.value.drained {
                 put(
                     lease_key(id),
-                    json(&DisruptionLease { recalled: Some(why.clone()), ..leave.value.clone() }),
+                    json(&DisruptionLease { recall_reason: Some(why.clone()), ..leave.value.clone() }),
                 )
             } else {
                 Op::Delete(lease_key(id))
@@ -463,11 +489,14 @@
     }
 
     /// The write that removes lists of upstreams that no balancer names.
-    pub fn lists_unused(&self) -> Option<ConditionalWrite> {
-        let used: BTreeSet<&str> = self.sights.values().map(|s| s.value.list.as_str()).collect();
+    pub fn remove_unused_lists(&self) -> Option<ConditionalWrite> {
+        let used: BTreeSet<&str> = self.observations.values().map(|s| s.value.list_hash.as_str()).collect();
         let mut plan = ConditionalWrite::default();
-        for (hash, list) in
-            self.lists.iter().filter(|(hash, _)| !used.contains(hash.as_str())).take(MAX_GRANTS_PER_WRITE)
+        for (hash, list) in self
+            .endpoint_lists
+            .iter()
+            .filter(|(hash, _)| !used.contains(hash.as_str()))
+            .take(MAX_GRANTS_PER_WRITE)
         {
             plan.compares.push(Compare::Version(endpoint_list_key(hash), list.version));
             plan.ops.push(Op::Delete(endpoint_list_key(hash)));
@@ -477,20 +506,21 @@
 
     /// What keeps a drain from being over: balancers that have not confirmed that nothing is in flight there. Empty: the
     /// upstream is drained.
-    pub fn waits_for(&self, upstream: &ResourceId) -> Vec<String> {
-        let Some(leave) = self.leaves.get(upstream) else { return Vec::new() };
-        let confirms =
-            |quiet: &DrainedEndpoints| quiet.drains.get(&upstream.name) == Some(&leave.value.number);
+    pub fn pending_confirmations(&self, upstream: &ResourceId) -> Vec<String> {
+        let Some(leave) = self.leases.get(upstream) else { return Vec::new() };
+        let confirms = |quiet: &DrainedEndpoints| {
+            quiet.fencing_tokens.get(&upstream.name) == Some(&leave.value.fencing_token)
+        };
         let mut all = Vec::new();
-        for (name, unit) in &self.units {
+        for (name, unit) in &self.balancers {
             // A process that has ended has nothing in flight, and its supervisor says so; one that is not heard of may.
-            let confirmed = self.quiet.get(name).is_some_and(|q| confirms(&q.value));
-            let heard = self.said.contains_key(name);
+            let confirmed = self.drained.get(name).is_some_and(|q| confirms(&q.value));
+            let heard = self.statuses.contains_key(name);
             if !confirmed && (heard || !unit.value.down) {
                 all.push(if heard { name.clone() } else { format!("{name} (not heard of)") });
             }
         }
-        for (name, quiet) in &self.leaving {
+        for (name, quiet) in &self.predecessor_drained {
             if !confirms(&quiet.value) {
                 all.push(format!("{name} (ends what it has)"));
             }
--- a/crates/control-plane/disruption/src/snapshot.rs
+++ b/crates/control-plane/disruption/src/snapshot.rs
@@ -124,7 +124,7 @@
 
 impl InstanceState {
     /// In a word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             InstanceState::Starting => "starting",
             InstanceState::WarmingUp => "cold",
@@ -189,17 +189,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointObservations {
     /// Its list's hash.
-    pub list: String,
+    #[serde(rename = "list")]
+    pub list_hash: String,
     /// Those that do not stand in.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub out: BTreeMap<String, EndpointCondition>,
+    #[serde(rename = "out", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub conditions: BTreeMap<String, EndpointCondition>,
 }
 
 /// The drains that a balancer obeys and has nothing in flight for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DrainedEndpoints {
     /// The number of the leave, by the upstream's name.
-    pub drains: BTreeMap<String, u64>,
+    #[serde(rename = "drains")]
+    pub fencing_tokens: BTreeMap<String, u64>,
 }
 
 /// What is to be done to a unit.
@@ -219,12 +221,12 @@
 
 impl DisruptionKind {
     /// Whether another process stands for the unit afterwards.
-    pub fn renews(self) -> bool {
+    pub fn replaces_process(self) -> bool {
         matches!(self, DisruptionKind::Restart | DisruptionKind::Handoff)
     }
 
     /// In a word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             DisruptionKind::Restart => "restart",
             DisruptionKind::Handoff => "take-over",
@@ -238,25 +240,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Which.
-    pub unit: ResourceId,
+    #[serde(rename = "unit")]
+    pub resource: ResourceId,
     /// Who: a supervisor by its machine, or an operator.
     pub owner: String,
     /// The owner's session.
     pub session: SessionId,
     /// What for.
-    pub act: DisruptionKind,
+    #[serde(rename = "act")]
+    pub kind: DisruptionKind,
     /// Greater goes first; those of one priority go in the order in which they asked.
     #[serde(default)]
     pub priority: u8,
     /// Why, in the asker's words.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub why: String,
+    #[serde(rename = "why", default, skip_serializing_if = "String::is_empty")]
+    pub reason: String,
     /// An operator's reason to go over what budgets allow; floors hold all the same.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub overrides: Option<String>,
+    #[serde(rename = "overrides", default, skip_serializing_if = "Option::is_none")]
+    pub override_reason: Option<String>,
     /// A drain that ends by itself so long after it was given, in milliseconds.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub for_ms: Option<u64>,
+    #[serde(rename = "for_ms", default, skip_serializing_if = "Option::is_none")]
+    pub duration_ms: Option<u64>,
 }
 
 /// The leave to have a unit out.
@@ -267,27 +271,29 @@
     /// The owner's session; only while this is held may anything be done by it.
     pub session: SessionId,
     /// Grows with each giving: of two leaves for one unit the later has the greater, and an act by the earlier is refused.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     /// What for.
-    pub act: DisruptionKind,
+    #[serde(rename = "act")]
+    pub kind: DisruptionKind,
     /// The unit's own session when it was given; 0: it had none.
-    #[serde(default)]
-    pub was: SessionId,
+    #[serde(rename = "was", default)]
+    pub previous_session: SessionId,
     /// Why, in the asker's words.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub why: String,
+    #[serde(rename = "why", default, skip_serializing_if = "String::is_empty")]
+    pub reason: String,
     /// By which reason it went over what budgets allow.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub overrides: Option<String>,
+    #[serde(rename = "overrides", default, skip_serializing_if = "Option::is_none")]
+    pub override_reason: Option<String>,
     /// A drain that ends by itself.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub for_ms: Option<u64>,
+    #[serde(rename = "for_ms", default, skip_serializing_if = "Option::is_none")]
+    pub duration_ms: Option<u64>,
     /// Whether it was said that nothing is in flight at a drained upstream any more.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub drained: bool,
     /// Why a drain is asked to return.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub recalled: Option<String>,
+    #[serde(rename = "recalled", default, skip_serializing_if = "Option::is_none")]
+    pub recall_reason: Option<String>,
 }
 
 /// A value with the revision that wrote it.
@@ -305,34 +311,34 @@
     /// At this revision.
     pub revision: Revision,
     /// Of the ledger's key; 0: there is none.
-    pub ledger: Revision,
+    pub ledger_version: Revision,
     /// The budgets; without any, nothing is bounded.
     pub budgets: Option<Versioned<DisruptionBudgets>>,
     /// Balancers that the fleet has.
-    pub units: BTreeMap<String, Versioned<BalancerEntry>>,
+    pub balancers: BTreeMap<String, Versioned<BalancerEntry>>,
     /// What balancers say of themselves.
-    pub said: BTreeMap<String, Versioned<InstanceStatus>>,
+    pub statuses: BTreeMap<String, Versioned<InstanceStatus>>,
     /// What they say of upstreams.
-    pub sights: BTreeMap<String, Versioned<EndpointObservations>>,
+    pub observations: BTreeMap<String, Versioned<EndpointObservations>>,
     /// Which drains they have nothing in flight for.
-    pub quiet: BTreeMap<String, Versioned<DrainedEndpoints>>,
+    pub drained: BTreeMap<String, Versioned<DrainedEndpoints>>,
     /// Who asks.
-    pub asks: BTreeMap<String, Versioned<LeaseRequest>>,
+    pub requests: BTreeMap<String, Versioned<LeaseRequest>>,
     /// Who has leave.
-    pub leaves: BTreeMap<ResourceId, Versioned<DisruptionLease>>,
+    pub leases: BTreeMap<ResourceId, Versioned<DisruptionLease>>,
     /// Sessions of those that have leaves, by name.
-    pub holders: BTreeMap<String, Versioned<SessionId>>,
+    pub owners: BTreeMap<String, Versioned<SessionId>>,
     /// Lists of upstreams, by hash.
-    pub lists: BTreeMap<String, Versioned<EndpointList>>,
+    pub endpoint_lists: BTreeMap<String, Versioned<EndpointList>>,
     /// Drains for which processes that have passed their sockets on have nothing in flight.
-    pub leaving: BTreeMap<String, Versioned<DrainedEndpoints>>,
+    pub predecessor_drained: BTreeMap<String, Versioned<DrainedEndpoints>>,
     /// Keys that hold nothing that could be read, with why: whoever wrote them is of another version.
-    pub unread: BTreeMap<String, String>,
+    pub unreadable: BTreeMap<String, String>,
 }
 
 fn leave_id(rest: &str) -> Option<ResourceId> {
     let (kind, name) = rest.split_once('/')?;
-    let kind = [ResourceKind::Balancer, ResourceKind::Upstream].into_iter().find(|k| k.word() == kind)?;
+    let kind = [ResourceKind::Balancer, ResourceKind::Upstream].into_iter().find(|k| k.as_str() == kind)?;
     Some(ResourceId { kind, name: name.into() })
 }
 
@@ -341,21 +347,21 @@
     pub fn read(revision: Revision, items: &[(String, VersionedValue)]) -> FleetSnapshot {
         let mut board = FleetSnapshot { revision, ..FleetSnapshot::default() };
         for (key, item) in items {
-            board.put(key, Some(&item.value), item.version);
+            board.apply(key, Some(&item.value), item.version);
         }
         board
     }
 
     /// Takes in one key as it stands since this revision; `None`: it is no more.
-    pub fn put(&mut self, key: &str, value: Option<&str>, version: Revision) {
+    pub fn apply(&mut self, key: &str, value: Option<&str>, version: Revision) {
         self.revision = self.revision.max(version);
-        self.unread.remove(key);
-        if let Err(why) = self.place(key, value, version) {
-            self.unread.insert(key.into(), why);
+        self.unreadable.remove(key);
+        if let Err(why) = self.try_apply(key, value, version) {
+            self.unreadable.insert(key.into(), why);
         }
     }
 
-    fn place(&mut self, key: &str, value: Option<&str>, version: Revision) -> Result<(), String> {
+    fn try_apply(&mut self, key: &str, value: Option<&str>, version: Revision) -> Result<(), String> {
         fn at<T: for<'a> Deserialize<'a>>(
             value: Option<&str>,
             version: Revision,
@@ -381,26 +387,26 @@
         if key == BUDGETS {
             self.budgets = at(value, version)?;
         } else if key == LEDGER {
-            self.ledger = if value.is_some() { version } else { 0 };
+            self.ledger_version = if value.is_some() { version } else { 0 };
         } else if let Some(name) = key.strip_prefix(UNIT) {
-            return set(&mut self.units, name.into(), at(value, version));
+            return set(&mut self.balancers, name.into(), at(value, version));
         } else if let Some(name) = key.strip_prefix(SAID) {
-            return set(&mut self.said, name.into(), at(value, version));
+            return set(&mut self.statuses, name.into(), at(value, version));
         } else if let Some(name) = key.strip_prefix(SIGHT) {
-            return set(&mut self.sights, name.into(), at(value, version));
+            return set(&mut self.observations, name.into(), at(value, version));
         } else if let Some(name) = key.strip_prefix(QUIET) {
-            return set(&mut self.quiet, name.into(), at(value, version));
+            return set(&mut self.drained, name.into(), at(value, version));
         } else if let Some(id) = key.strip_prefix(ASK) {
-            return set(&mut self.asks, id.into(), at(value, version));
+            return set(&mut self.requests, id.into(), at(value, version));
         } else if let Some(rest) = key.strip_prefix(LEAVE) {
             let id = leave_id(rest).ok_or("names no unit")?;
-            return set(&mut self.leaves, id, at(value, version));
+            return set(&mut self.leases, id, at(value, version));
         } else if let Some(name) = key.strip_prefix(HOLDER) {
-            return set(&mut self.holders, name.into(), at(value, version));
+            return set(&mut self.owners, name.into(), at(value, version));
         } else if let Some(hash) = key.strip_prefix(LIST) {
-            return set(&mut self.lists, hash.into(), at(value, version));
+            return set(&mut self.endpoint_lists, hash.into(), at(value, version));
         } else if let Some(name) = key.strip_prefix(LEAVING) {
-            return set(&mut self.leaving, name.into(), at(value, version));
+            return set(&mut self.predecessor_drained, name.into(), at(value, version));
         }
         Ok(())
     }
@@ -408,22 +414,23 @@
     /// All upstreams that any balancer has, with what they are grouped by, and how each balancer sees them.
     pub fn upstreams(&self) -> BTreeMap<&str, (BTreeSet<Label>, Vec<EndpointCondition>)> {
         let mut all: BTreeMap<&str, (BTreeSet<Label>, Vec<EndpointCondition>)> = BTreeMap::new();
-        for sight in self.sights.values() {
-            let Some(list) = self.lists.get(&sight.value.list) else { continue };
+        for sight in self.observations.values() {
+            let Some(list) = self.endpoint_lists.get(&sight.value.list_hash) else { continue };
             for (name, place) in &list.value.upstreams {
                 let (labels, stands) = all.entry(name).or_default();
                 labels.extend(place.pools.iter().map(|p| ("pool".to_string(), p.clone())));
                 if !place.zone.is_empty() {
                     labels.insert(("zone".into(), place.zone.clone()));
                 }
-                stands.push(sight.value.out.get(name).copied().unwrap_or(EndpointCondition::InService));
+                stands
+                    .push(sight.value.conditions.get(name).copied().unwrap_or(EndpointCondition::InService));
             }
         }
         all
     }
 
     /// Whether the owner of a leave may still act by it, as the record has it: its session is the owner's now.
-    pub fn held(&self, leave: &DisruptionLease) -> bool {
-        self.holders.get(&leave.owner).is_some_and(|h| h.value == leave.session)
+    pub fn owner_is_active(&self, leave: &DisruptionLease) -> bool {
+        self.owners.get(&leave.owner).is_some_and(|h| h.value == leave.session)
     }
 }
--- a/crates/control-plane/disruption/tests/encoding.rs
+++ b/crates/control-plane/disruption/tests/encoding.rs
@@ -27,14 +27,14 @@
     let budget = |kind, per, only: Option<&str>, most, per_mille| DisruptionBudget {
         name: "b".into(),
         kind,
-        per,
-        only: only.map(Into::into),
-        most,
-        per_mille,
-        floor: 2,
+        group_by: per,
+        group: only.map(Into::into),
+        max_unavailable: most,
+        max_unavailable_per_mille: per_mille,
+        min_available: 2,
     };
     DisruptionBudgets {
-        all: vec![
+        budgets: vec![
             budget(ResourceKind::Balancer, GroupBy::Fleet, None, Some(3), None),
             budget(ResourceKind::Balancer, GroupBy::Machine, None, None, Some(100)),
             budget(ResourceKind::Balancer, GroupBy::Zone, Some("a"), Some(1), Some(5)),
@@ -66,9 +66,12 @@
     ];
     let out: BTreeMap<String, EndpointCondition> =
         out.into_iter().enumerate().map(|(k, stand)| (format!("u{k}"), stand)).collect();
-    assert_encoding(&observations_key("n1"), &EndpointObservations { list: "ff".into(), out });
+    assert_encoding(
+        &observations_key("n1"),
+        &EndpointObservations { list_hash: "ff".into(), conditions: out },
+    );
     assert_encoding(&observations_key("n2"), &EndpointObservations::default());
-    let quiet = DrainedEndpoints { drains: BTreeMap::from([("u1".to_string(), 7)]) };
+    let quiet = DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".to_string(), 7)]) };
     assert_encoding(&drained_key("n1"), &quiet);
     assert_encoding(&predecessor_drained_key("n1", 99), &quiet);
     assert_encoding(&owner_key("m1"), &4_u64);
@@ -84,32 +87,38 @@
         [DisruptionKind::Restart, DisruptionKind::Handoff, DisruptionKind::Reload, DisruptionKind::Drain]
     {
         let ask = LeaseRequest {
-            unit: ResourceId::balancer("n1"),
+            resource: ResourceId::balancer("n1"),
             owner: "m1".into(),
             session: 4,
-            act,
+            kind: act,
             priority: 2,
-            why: "roll".into(),
-            overrides: Some("fire".into()),
-            for_ms: Some(9),
+            reason: "roll".into(),
+            override_reason: Some("fire".into()),
+            duration_ms: Some(9),
         };
         assert_encoding(&request_key("4-1"), &ask);
     }
     let leave = DisruptionLease {
         owner: "m1".into(),
         session: 4,
-        number: 12,
-        act: DisruptionKind::Drain,
-        was: 3,
-        why: "roll".into(),
-        overrides: None,
-        for_ms: Some(9),
+        fencing_token: 12,
+        kind: DisruptionKind::Drain,
+        previous_session: 3,
+        reason: "roll".into(),
+        override_reason: None,
+        duration_ms: Some(9),
         drained: true,
-        recalled: Some("floor".into()),
+        recall_reason: Some("floor".into()),
     };
     assert_encoding(&lease_key(&ResourceId::upstream("u1")), &leave);
-    let short =
-        DisruptionLease { why: String::new(), for_ms: None, drained: false, recalled: None, was: 0, ..leave };
+    let short = DisruptionLease {
+        reason: String::new(),
+        duration_ms: None,
+        drained: false,
+        recall_reason: None,
+        previous_session: 0,
+        ..leave
+    };
     assert_encoding(&lease_key(&ResourceId::balancer("n1")), &short);
 }
 
@@ -119,13 +128,13 @@
     let mut board = FleetSnapshot::default();
     for (line, version) in FIXTURE.lines().zip(1..) {
         let (key, value) = line.split_once(' ').expect("key and value");
-        board.put(key, Some(value), version);
+        board.apply(key, Some(value), version);
     }
-    board.put(LEDGER, Some(""), 100);
-    assert_eq!(board.unread, BTreeMap::new());
-    assert_eq!((board.units.len(), board.said.len(), board.sights.len()), (2, 1, 2));
-    assert_eq!((board.quiet.len(), board.leaving.len(), board.asks.len()), (1, 1, 1));
-    assert_eq!((board.leaves.len(), board.holders.len(), board.lists.len()), (2, 1, 1));
-    assert_eq!((board.ledger, board.revision), (100, 100));
+    board.apply(LEDGER, Some(""), 100);
+    assert_eq!(board.unreadable, BTreeMap::new());
+    assert_eq!((board.balancers.len(), board.statuses.len(), board.observations.len()), (2, 1, 2));
+    assert_eq!((board.drained.len(), board.predecessor_drained.len(), board.requests.len()), (1, 1, 1));
+    assert_eq!((board.leases.len(), board.owners.len(), board.endpoint_lists.len()), (2, 1, 1));
+    assert_eq!((board.ledger_version, board.revision), (100, 100));
     assert_eq!(board.budgets.map(|b| b.value), Some(budgets()));
 }
--- a/crates/control-plane/disruption/tests/rule.rs
+++ b/crates/control-plane/disruption/tests/rule.rs
@@ -20,13 +20,21 @@
 }
 
 fn budget(name: &str, kind: ResourceKind, per: GroupBy, most: u32, floor: u32) -> DisruptionBudget {
-    DisruptionBudget { name: name.into(), kind, per, only: None, most: Some(most), per_mille: None, floor }
+    DisruptionBudget {
+        name: name.into(),
+        kind,
+        group_by: per,
+        group: None,
+        max_unavailable: Some(most),
+        max_unavailable_per_mille: None,
+        min_available: floor,
+    }
 }
 
 impl Site {
     fn new(budgets: Vec<DisruptionBudget>) -> Site {
         let mut site = Site { record: StateMachine::new(Limits::default()), sessions: BTreeMap::new() };
-        site.put("operator", BUDGETS, &DisruptionBudgets { all: budgets }, false);
+        site.put("operator", BUDGETS, &DisruptionBudgets { budgets: budgets }, false);
         site
     }
 
@@ -101,14 +109,14 @@
         let id = format!("{who}/{}", unit.name);
         let overrides = overrides.map(Into::into);
         let ask = LeaseRequest {
-            unit,
+            resource: unit,
             owner: who.into(),
             session,
-            act,
+            kind: act,
             priority,
-            why: "w".into(),
-            overrides,
-            for_ms: None,
+            reason: "w".into(),
+            override_reason: overrides,
+            duration_ms: None,
         };
         self.put(who, &request_key(&id), &ask, true);
         id
@@ -116,13 +124,13 @@
 
     /// Gives what is to be given; who got it.
     fn give(&mut self) -> Vec<String> {
-        let Some((plan, ids)) = self.board().gives() else { return Vec::new() };
+        let Some((plan, ids)) = self.board().grants() else { return Vec::new() };
         assert!(self.write("giver", plan), "nothing has changed meanwhile");
         ids
     }
 
     fn verdict(&self, id: &str) -> LeaseDecision {
-        let all = self.board().decide();
+        let all = self.board().decisions();
         all.into_iter().find(|(i, _)| i == id).map(|(_, v)| v).expect("it asks")
     }
 
@@ -132,8 +140,10 @@
         let list = EndpointList { upstreams: upstreams.iter().map(|u| (u.to_string(), place(u))).collect() };
         let hash = upstreams.join("-");
         self.put(who, &endpoint_list_key(&hash), &list, false);
-        let sight =
-            EndpointObservations { list: hash, out: out.iter().map(|(u, s)| (u.to_string(), *s)).collect() };
+        let sight = EndpointObservations {
+            list_hash: hash,
+            conditions: out.iter().map(|(u, s)| (u.to_string(), *s)).collect(),
+        };
         self.put(who, &observations_key(who), &sight, true);
     }
 }
@@ -162,10 +172,10 @@
         }
         let id = site.ask("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
         let verdict = site.verdict(&id);
-        let LeaseDecision::WaitsForBudget { budget, count, .. } = &verdict else {
+        let LeaseDecision::WaitsForBudget { budget, usage: count, .. } = &verdict else {
             panic!("{how}: {verdict:?}")
         };
-        assert_eq!((budget.as_str(), count.out, count.limit), ("whole", 1, 1), "{how}");
+        assert_eq!((budget.as_str(), count.unavailable, count.limit), ("whole", 1, 1), "{how}");
         assert_eq!(site.give(), [] as [String; 0], "{how}");
     }
 }
@@ -177,24 +187,24 @@
     assert_eq!(site.give(), ["m1/n1"]);
     let unit = ResourceId::balancer("n1");
     // Its old process still says that it serves: it has not gone yet.
-    assert_eq!(site.board().returns(&unit, false), None);
+    assert_eq!(site.board().release_lease(&unit, false), None);
     site.says("n1", InstanceState::ShuttingDown);
     site.ends("n1");
     // Its owner is gone, and others can't end it either.
     site.ends("m1");
-    assert_eq!(site.board().orphans(), []);
-    assert_eq!(site.board().returns(&unit, false), None);
+    assert_eq!(site.board().orphaned_leases(), []);
+    assert_eq!(site.board().release_lease(&unit, false), None);
     site.says("n1", InstanceState::WarmingUp);
-    assert_eq!(site.board().returns(&unit, false), None, "not warm yet");
+    assert_eq!(site.board().release_lease(&unit, false), None, "not warm yet");
     site.says("n1", InstanceState::Ready);
-    let plan = site.board().returns(&unit, false).expect("it is in");
+    let plan = site.board().release_lease(&unit, false).expect("it is in");
     // Not if it goes out again in the same moment.
     site.says("n1", InstanceState::ShuttingDown);
     assert!(!site.write("m2", plan));
     site.says("n1", InstanceState::Ready);
-    let plan = site.board().returns(&unit, false).expect("it is in");
+    let plan = site.board().release_lease(&unit, false).expect("it is in");
     assert!(site.write("m2", plan));
-    assert!(site.board().leaves.is_empty());
+    assert!(site.board().leases.is_empty());
 }
 
 /// Guards against one that is cut off and serves: it counts as out, and yet to take it out takes one more from those that serve.
@@ -227,17 +237,17 @@
     site.put("m1", "outage/holder/m1", &session, true);
     site.ask("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
     assert_eq!(site.give(), ["m1/n1"]);
-    assert_eq!(site.board().orphans(), [], "its owner is there");
+    assert_eq!(site.board().orphaned_leases(), [], "its owner is there");
     site.ends("m1");
-    let (_, plan) = site.board().orphans().pop().expect("nobody's");
+    let (_, plan) = site.board().orphaned_leases().pop().expect("nobody's");
     // A later process of the owner makes it its own before.
     let next = site.session("m1");
-    let adopts = site.board().adopts(&ResourceId::balancer("n1"), "m1", next).expect("its own");
+    let adopts = site.board().adopt_lease(&ResourceId::balancer("n1"), "m1", next).expect("its own");
     assert!(site.write("m1", adopts));
     assert!(!site.write("m2", plan), "it is somebody's again");
     site.put("m1", "outage/holder/m1", &next, true);
-    assert_eq!(site.board().orphans(), []);
-    let plan = site.board().returns(&ResourceId::balancer("n1"), true).expect("not acted by");
+    assert_eq!(site.board().orphaned_leases(), []);
+    let plan = site.board().release_lease(&ResourceId::balancer("n1"), true).expect("not acted by");
     assert!(site.write("m1", plan));
 }
 
@@ -246,20 +256,20 @@
     let mut site = three(1, 0);
     site.ask("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
     site.ask("m2", ResourceId::balancer("n2"), DisruptionKind::Restart, 0, None);
-    let (plan, ids) = site.board().gives().expect("one");
+    let (plan, ids) = site.board().grants().expect("one");
     assert_eq!(ids, ["m1/n1"]);
     assert!(site.write("m1", plan.clone()));
     assert!(!site.write("m2", plan));
     // Budgets that were changed meanwhile are looked at again as well.
     let mut site = three(2, 0);
     site.ask("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
-    let (plan, _) = site.board().gives().expect("one");
+    let (plan, _) = site.board().grants().expect("one");
     let smaller =
-        DisruptionBudgets { all: vec![budget("whole", ResourceKind::Balancer, GroupBy::Fleet, 1, 0)] };
+        DisruptionBudgets { budgets: vec![budget("whole", ResourceKind::Balancer, GroupBy::Fleet, 1, 0)] };
     site.put("operator", BUDGETS, &smaller, false);
     assert!(!site.write("m1", plan));
     // So is an ask whose owner has gone.
-    let (plan, _) = site.board().gives().expect("one");
+    let (plan, _) = site.board().grants().expect("one");
     site.ends("m1");
     assert!(!site.write("m2", plan));
 }
@@ -304,8 +314,8 @@
     let over = site.ask("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, Some("fire"));
     assert_eq!(site.verdict(&over), LeaseDecision::Granted);
     site.give();
-    let leave = &site.board().leaves[&ResourceId::balancer("n1")].value;
-    assert_eq!(leave.overrides.as_deref(), Some("fire"), "it is recorded");
+    let leave = &site.board().leases[&ResourceId::balancer("n1")].value;
+    assert_eq!(leave.override_reason.as_deref(), Some("fire"), "it is recorded");
     // One of one, and never out: said at once, and not waited for.
     let mut site = Site::new(vec![budget("whole", ResourceKind::Balancer, GroupBy::Fleet, 1, 1)]);
     site.balancer("n1", "a", Some(InstanceState::Ready));
@@ -324,15 +334,15 @@
     site.sight("n1", &all, &[("u1", EndpointCondition::Ejected)]);
     site.sight("n2", &all, &[]);
     site.sight("n3", &all, &[]);
-    assert!(site.board().out().is_empty(), "one of three");
+    assert!(site.board().unavailable().is_empty(), "one of three");
     site.sight("n2", &all, &[("u1", EndpointCondition::Ejected)]);
     assert_eq!(
-        site.board().out()[&ResourceId::upstream("u1")],
+        site.board().unavailable()[&ResourceId::upstream("u1")],
         [UnavailableReason::ObservedByBalancers(EndpointCondition::Ejected, 2, 3)]
     );
     site.sight("n2", &all, &[("u2", EndpointCondition::Draining)]);
     assert_eq!(
-        site.board().out()[&ResourceId::upstream("u2")],
+        site.board().unavailable()[&ResourceId::upstream("u2")],
         [UnavailableReason::ReportedByDiscovery(EndpointCondition::Draining)]
     );
     let id = site.ask("op", ResourceId::upstream("u3"), DisruptionKind::Drain, 0, None);
@@ -353,34 +363,34 @@
     site.ask("op", ResourceId::upstream("u1"), DisruptionKind::Drain, 0, None);
     assert_eq!(site.give(), ["op/u1"]);
     let unit = ResourceId::upstream("u1");
-    let number = site.board().leaves[&unit].value.number;
-    assert_eq!(site.board().waits_for(&unit), ["n1", "n2"]);
+    let number = site.board().leases[&unit].value.fencing_token;
+    assert_eq!(site.board().pending_confirmations(&unit), ["n1", "n2"]);
     // Of another drain of the same upstream it says nothing.
     site.put(
         "n1",
         &drained_key("n1"),
-        &DrainedEndpoints { drains: BTreeMap::from([("u1".into(), number + 1)]) },
+        &DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".into(), number + 1)]) },
         true,
     );
-    assert_eq!(site.board().waits_for(&unit), ["n1", "n2"]);
+    assert_eq!(site.board().pending_confirmations(&unit), ["n1", "n2"]);
     site.put(
         "n1",
         &drained_key("n1"),
-        &DrainedEndpoints { drains: BTreeMap::from([("u1".into(), number)]) },
+        &DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".into(), number)]) },
         true,
     );
     site.ends("n2");
-    assert_eq!(site.board().waits_for(&unit), ["n2 (not heard of)"]);
+    assert_eq!(site.board().pending_confirmations(&unit), ["n2 (not heard of)"]);
     let down = BalancerEntry { machine: "m".into(), down: true, ..BalancerEntry::default() };
     site.put("supervisor", &balancer_key("n2"), &down, false);
     assert_eq!(
-        site.board().waits_for(&unit),
+        site.board().pending_confirmations(&unit),
         [] as [&str; 0],
         "its supervisor says that no process of it runs"
     );
     // One that has passed its sockets on and still ends what it has.
     site.put("old", "outage/leaving/n1/77", &DrainedEndpoints::default(), true);
-    assert_eq!(site.board().waits_for(&unit), ["n1/77 (ends what it has)"]);
+    assert_eq!(site.board().pending_confirmations(&unit), ["n1/77 (ends what it has)"]);
 }
 
 #[test]
@@ -392,23 +402,23 @@
         site.ask("op", ResourceId::upstream(unit), DisruptionKind::Drain, 0, None);
         assert_eq!(site.give().len(), 1);
     }
-    assert_eq!(site.board().recalls(), None);
+    assert_eq!(site.board().recall_drains(), None);
     // That the first is over is written after the second was given, and makes it no newer.
     let first = ResourceId::upstream("u1");
-    let over = DisruptionLease { drained: true, ..site.board().leaves[&first].value.clone() };
+    let over = DisruptionLease { drained: true, ..site.board().leases[&first].value.clone() };
     site.put("op", &lease_key(&first), &over, false);
     // A third dies: nothing more is given, and one of the two is missing below the floor.
     site.sight("n1", &all, &[("u3", EndpointCondition::Unhealthy)]);
-    let (_, named) = site.board().recalls().expect("one");
+    let (_, named) = site.board().recall_drains().expect("one");
     assert_eq!(named.iter().map(|(id, _)| id.name.as_str()).collect::<Vec<_>>(), ["u2"], "the newest");
     // One of which its operator knows that it is over is asked only.
     let id = ResourceId::upstream("u2");
-    let over = DisruptionLease { drained: true, ..site.board().leaves[&id].value.clone() };
+    let over = DisruptionLease { drained: true, ..site.board().leases[&id].value.clone() };
     site.put("op", &lease_key(&id), &over, false);
-    let (plan, _) = site.board().recalls().expect("one");
+    let (plan, _) = site.board().recall_drains().expect("one");
     assert!(site.write("m1", plan));
-    assert!(site.board().leaves[&id].value.recalled.is_some());
-    assert_eq!(site.board().recalls(), None, "asked once");
+    assert!(site.board().leases[&id].value.recall_reason.is_some());
+    assert_eq!(site.board().recall_drains(), None, "asked once");
 }
 
 #[test]
@@ -416,6 +426,6 @@
     let mut site = three(1, 0);
     site.put("n1", &status_key("n1"), &"soon", true);
     let board = site.board();
-    assert!(board.unread[&status_key("n1")].contains("invalid type"), "{:?}", board.unread);
-    assert_eq!(board.out()[&ResourceId::balancer("n1")], [UnavailableReason::Missing]);
+    assert!(board.unreadable[&status_key("n1")].contains("invalid type"), "{:?}", board.unreadable);
+    assert_eq!(board.unavailable()[&ResourceId::balancer("n1")], [UnavailableReason::Missing]);
 }
--- a/crates/control-plane/rollout-agent/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -25,9 +25,9 @@
 
 /// A handle to the agent.
 pub struct RolloutAgent {
-    board: watch::Receiver<RolloutSnapshot>,
-    places: watch::Sender<BTreeMap<String, InstanceReport>>,
-    confirms: mpsc::Sender<GrantedLease>,
+    snapshot: watch::Receiver<RolloutSnapshot>,
+    reports: watch::Sender<BTreeMap<String, InstanceReport>>,
+    confirmations: mpsc::Sender<GrantedLease>,
     confirmed: mpsc::Receiver<(GrantedLease, bool)>,
 }
 
@@ -45,51 +45,51 @@
 
 impl RolloutAgent {
     /// Begins one, in a local set of tasks. `fleet` is the record's part of outages, as its agent follows it.
-    pub fn begin(council: ClientHandle, fleet: watch::Receiver<Fleet>) -> RolloutAgent {
+    pub fn spawn(council: ClientHandle, fleet: watch::Receiver<Fleet>) -> RolloutAgent {
         let (show, board) = watch::channel(RolloutSnapshot::default());
         let (places, said) = watch::channel(BTreeMap::new());
         let (confirms, asked) = mpsc::channel(CHANNEL_CAPACITY);
         let (tell, confirmed) = mpsc::channel(CHANNEL_CAPACITY);
         let task = Task {
-            follow: informer(council.clone()),
+            informer: informer(council.clone()),
             council,
             fleet,
-            said,
-            show,
-            asked,
-            tell,
-            written: BTreeMap::new(),
+            reports: said,
+            snapshots: show,
+            confirmations: asked,
+            confirmed: tell,
+            written_reports: BTreeMap::new(),
             session: None,
-            help: None,
-            not_before: None,
+            assist_at: None,
+            retry_at: None,
         };
         tokio::task::spawn_local(task.run());
-        RolloutAgent { board, places, confirms, confirmed }
+        RolloutAgent { snapshot: board, reports: places, confirmations: confirms, confirmed }
     }
 
     /// The record's part, as it was last heard of; not to be held while anything is waited for.
-    pub fn board(&self) -> watch::Ref<'_, RolloutSnapshot> {
-        self.board.borrow()
+    pub fn snapshot(&self) -> watch::Ref<'_, RolloutSnapshot> {
+        self.snapshot.borrow()
     }
 
     /// Has the record read before this leave is used. `false`: it can't be now.
-    pub fn confirm(&self, given: &GrantedLease) -> bool {
-        self.confirms.try_send(given.clone()).is_ok()
+    pub fn confirm_lease(&self, given: &GrantedLease) -> bool {
+        self.confirmations.try_send(given.clone()).is_ok()
     }
 
     /// Waits for news. May be dropped and called again.
-    pub async fn news(&mut self) -> AgentEvent {
+    pub async fn next_event(&mut self) -> AgentEvent {
         tokio::select! {
             // The task ends with this handle, and not before.
-            Ok(()) = self.board.changed() => AgentEvent::SnapshotChanged,
+            Ok(()) = self.snapshot.changed() => AgentEvent::SnapshotChanged,
             Some((given, done)) = self.confirmed.recv() => AgentEvent::LeaseConfirmed(given, done),
             else => std::future::pending().await,
         }
     }
 
     /// What is to be said of this machine's instances; empty: nothing.
-    pub fn says(&self, places: BTreeMap<String, InstanceReport>) {
-        self.places.send_if_modified(|now| {
+    pub fn set_reports(&self, places: BTreeMap<String, InstanceReport>) {
+        self.reports.send_if_modified(|now| {
             let differs = *now != places;
             if differs {
                 *now = places;
@@ -100,33 +100,33 @@
 }
 
 struct Task {
-    follow: Informer<RolloutProjection>,
+    informer: Informer<RolloutProjection>,
     council: ClientHandle,
     fleet: watch::Receiver<Fleet>,
-    said: watch::Receiver<BTreeMap<String, InstanceReport>>,
-    show: watch::Sender<RolloutSnapshot>,
-    asked: mpsc::Receiver<GrantedLease>,
-    tell: mpsc::Sender<(GrantedLease, bool)>,
+    reports: watch::Receiver<BTreeMap<String, InstanceReport>>,
+    snapshots: watch::Sender<RolloutSnapshot>,
+    confirmations: mpsc::Receiver<GrantedLease>,
+    confirmed: mpsc::Sender<(GrantedLease, bool)>,
     /// What this session has written.
-    written: BTreeMap<String, InstanceReport>,
+    written_reports: BTreeMap<String, InstanceReport>,
     session: Option<SessionId>,
-    help: Option<Instant>,
-    not_before: Option<Instant>,
+    assist_at: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
 impl Task {
     async fn run(mut self) {
         loop {
-            if !self.act().await {
-                let unfinished = self.follow.board().0.unfinished().is_some();
+            if !self.step().await {
+                let unfinished = self.informer.snapshot().0.unfinished().is_some();
                 // A release that is over is looked at as well: one may turn up on the wrong build.
                 let wake = Instant::now() + if unfinished { POLL_INTERVAL } else { 10 * POLL_INTERVAL };
                 tokio::select! {
-                    () = self.follow.next() => drop(self.show.send_replace(self.follow.board().0.clone())),
-                    changed = self.said.changed() => if changed.is_err() {
+                    () = self.informer.next() => drop(self.snapshots.send_replace(self.informer.snapshot().0.clone())),
+                    changed = self.reports.changed() => if changed.is_err() {
                         return;
                     },
-                    Some(given) = self.asked.recv() => self.confirm(given).await,
+                    Some(given) = self.confirmations.recv() => self.confirm_lease(given).await,
                     () = sleep_until(wake) => {}
                 }
             }
@@ -134,51 +134,55 @@
     }
 
     /// Reads the record, so that what was written before a leave was given is known when it is used.
-    async fn confirm(&mut self, given: GrantedLease) {
-        let read = self.follow.fresh().await.map(|_| ());
+    async fn confirm_lease(&mut self, given: GrantedLease) {
+        let read = self.informer.read_consistent().await.map(|_| ());
         if let Err(why) = &read {
             info!("release: not read: {why}");
         }
-        self.show.send_replace(self.follow.board().0.clone());
+        self.snapshots.send_replace(self.informer.snapshot().0.clone());
         // There is room: no more are asked for than may wait.
-        let _ = self.tell.try_send((given, read.is_ok()));
+        let _ = self.confirmed.try_send((given, read.is_ok()));
     }
 
     /// One step; whether another may follow at once.
-    async fn act(&mut self) -> bool {
+    async fn step(&mut self) -> bool {
         let now = Instant::now();
         let Some((session, _)) =
-            self.council.active_session().filter(|_| self.not_before.is_none_or(|at| now >= at))
+            self.council.active_session().filter(|_| self.retry_at.is_none_or(|at| now >= at))
         else {
             return false;
         };
         if self.session != Some(session) {
             // What an earlier session has said ended with it.
-            (self.session, self.written) = (Some(session), BTreeMap::new());
+            (self.session, self.written_reports) = (Some(session), BTreeMap::new());
         }
-        if let Some((plan, then)) = self.places(session) {
+        if let Some((plan, then)) = self.next_reports(session) {
             match write(&self.council, plan).await {
-                WriteOutcome::Committed(_) => self.written.extend(then),
+                WriteOutcome::Committed(_) => self.written_reports.extend(then),
                 WriteOutcome::Conflict => {}
                 WriteOutcome::Failed(why) => self.failed(&why),
             }
             return true;
         }
-        self.state(now).await
+        self.advance_state(now).await
     }
 
     fn failed(&mut self, why: &str) {
         info!("release: not written: {why}");
-        self.not_before = Some(Instant::now() + RETRY_DELAY);
+        self.retry_at = Some(Instant::now() + RETRY_DELAY);
     }
 
     /// The next write of what is not in the record as it is.
-    fn places(&mut self, session: SessionId) -> Option<(ConditionalWrite, BTreeMap<String, InstanceReport>)> {
-        let said = self.said.borrow_and_update().clone();
+    fn next_reports(
+        &mut self,
+        session: SessionId,
+    ) -> Option<(ConditionalWrite, BTreeMap<String, InstanceReport>)> {
+        let said = self.reports.borrow_and_update().clone();
         if said.is_empty() {
             return None;
         }
-        let differs = |(unit, place): &(&String, &InstanceReport)| self.written.get(*unit) != Some(place);
+        let differs =
+            |(unit, place): &(&String, &InstanceReport)| self.written_reports.get(*unit) != Some(place);
         let then: BTreeMap<String, InstanceReport> = said
             .iter()
             .filter(differs)
@@ -197,22 +201,22 @@
     }
 
     /// Writes the state that follows, unless somebody else does in time.
-    async fn state(&mut self, now: Instant) -> bool {
-        let follows = |board: &RolloutSnapshot, fleet: &Fleet| board.follows(fleet, unix_ms());
-        if follows(&self.follow.board().0, &self.fleet.borrow()).is_none() {
-            self.help = None;
+    async fn advance_state(&mut self, now: Instant) -> bool {
+        let follows = |board: &RolloutSnapshot, fleet: &Fleet| board.next_transition(fleet, unix_ms());
+        if follows(&self.informer.snapshot().0, &self.fleet.borrow()).is_none() {
+            self.assist_at = None;
             return false;
         }
         let spread = ASSIST_DELAY.mul_f64((random_id() % 1024) as f64 / 1024.0);
-        if now < *self.help.get_or_insert(now + ASSIST_DELAY + spread) {
+        if now < *self.assist_at.get_or_insert(now + ASSIST_DELAY + spread) {
             return false;
         }
-        self.help = None;
+        self.assist_at = None;
         // Decided on what a majority has now, and not on what was heard of last.
-        let board = match self.follow.fresh().await {
+        let board = match self.informer.read_consistent().await {
             Ok(board) => board.0.clone(),
-            Err(why) => {
-                self.failed(&why);
+            Err(reason) => {
+                self.failed(&reason);
                 return true;
             }
         };
@@ -220,15 +224,15 @@
         if let Some((state, plan)) = next {
             match write(&self.council, plan).await {
                 WriteOutcome::Committed(_) => {
-                    let number = board.plan.as_ref().map_or(0, |p| p.value.release.number);
-                    info!(release = number, "release: {}", state.words());
+                    let number = board.plan.as_ref().map_or(0, |p| p.value.spec.number);
+                    info!(release = number, "release: {}", state.summary());
                 }
                 WriteOutcome::Conflict => {}
                 WriteOutcome::Failed(why) => self.failed(&why),
             }
         }
-        let _ = self.follow.fresh().await;
-        self.show.send_replace(self.follow.board().0.clone());
+        let _ = self.informer.read_consistent().await;
+        self.snapshots.send_replace(self.informer.snapshot().0.clone());
         true
     }
 }
--- a/crates/control-plane/rollout-agent/src/command.rs
+++ b/crates/control-plane/rollout-agent/src/command.rs
@@ -44,16 +44,20 @@
     let name = format!("command/{}/{}", operator(), std::process::id());
     let reads = matches!(command, Command::Status { .. });
     let session = (!reads).then(|| SessionConfig { name: name.clone(), ttl: SESSION_TTL, take_over: true });
-    let voters = file.council.voters.iter().map(ToString::to_string).collect();
-    let council =
-        ClientHandle::spawn(ClientConfig { voters, session, name, response_timeout: file.council.patience });
+    let voters = file.coordination.voters.iter().map(ToString::to_string).collect();
+    let council = ClientHandle::spawn(ClientConfig {
+        voters,
+        session,
+        name,
+        response_timeout: file.coordination.patience,
+    });
     let mut follow = crate::informer(council.clone());
     let done = match command {
         Command::Start => start(file, &council, &mut follow).await,
         Command::Status { json } => {
             let board = board(&mut follow).await?;
             let mut outages = Informer::new(council.clone());
-            let fleet = outages.fresh().await.map_err(|why| format!("the council: {why}"))?;
+            let fleet = outages.read_consistent().await.map_err(|why| format!("the council: {why}"))?;
             status(&board, fleet, json)
         }
         Command::Operator(order) => say(&council, &mut follow, &order).await,
@@ -65,7 +69,7 @@
 }
 
 async fn board(follow: &mut Informer<RolloutProjection>) -> Result<RolloutSnapshot, String> {
-    follow.fresh().await.map(|record| record.0.clone()).map_err(|why| format!("the council: {why}"))
+    follow.read_consistent().await.map(|record| record.0.clone()).map_err(|why| format!("the council: {why}"))
 }
 
 async fn start(
@@ -80,22 +84,26 @@
     let ms = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
     loop {
         let board = board(follow).await?;
-        let number = board.plan.as_ref().map_or(0, |p| p.value.release.number) + 1;
+        let number = board.plan.as_ref().map_or(0, |p| p.value.spec.number) + 1;
         let release = RolloutSpec {
             number,
             old: old.clone(),
             new: new.clone(),
-            waves: file.waves.clone(),
+            stages: file.stages.clone(),
             bake_ms: ms(file.bake),
-            look_ms: ms(file.look),
-            cap_ms: ms(file.cap),
-            gate: file.gate.clone(),
-            returns: file.returns,
-            by: operator(),
-            why: file.why.clone(),
+            check_interval_ms: ms(file.check_interval),
+            max_bake_ms: ms(file.max_bake),
+            analysis: file.analysis.clone(),
+            auto_rollback: file.auto_rollback,
+            approved_by: operator(),
+            reason: file.reason.clone(),
         };
-        let plan = RolloutPlan { release, paths: file.paths.clone(), machines: file.machines.clone() };
-        match write(council, board.starts(&plan)?).await {
+        let plan = RolloutPlan {
+            spec: release,
+            paths: file.paths.clone(),
+            machine_paths: file.machine_paths.clone(),
+        };
+        match write(council, board.start_rollout(&plan)?).await {
             WriteOutcome::Committed(_) => {
                 let (old, new) = (build_id::short(&old), build_id::short(&new));
                 return print(&format!("release {number} begins, from build {old} to {new}"));
@@ -115,11 +123,11 @@
     loop {
         let board = board(follow).await?;
         let Some((plan, state)) = board.current() else { return Err("there was no release yet".into()) };
-        let next = plan.release.ordered(&state.value, order)?;
-        let Some(change) = board.moves_to(&next) else { return Err("the state can't be written".into()) };
+        let next = plan.spec.apply_command(&state.value, order)?;
+        let Some(change) = board.write_state(&next) else { return Err("the state can't be written".into()) };
         match write(council, change).await {
             WriteOutcome::Committed(_) => {
-                return print(&format!("release {}: {}", plan.release.number, next.words()))
+                return print(&format!("release {}: {}", plan.spec.number, next.summary()))
             }
             // It went on meanwhile: what was said holds for where it is now.
             WriteOutcome::Conflict => {}
@@ -131,18 +139,18 @@
 /// The release for an operator.
 pub fn state(board: &RolloutSnapshot, fleet: &Fleet) -> serde_json::Value {
     let Some((plan, state)) = board.current() else { return serde_json::json!({"release": null}) };
-    let r = &plan.release;
-    let seen = board.seen(fleet);
+    let r = &plan.spec;
+    let seen = board.observations(fleet);
     let step = r.step(&state.value, &seen, unix_ms());
     let one = |i: &InstanceObservation| {
-        serde_json::json!({"name": i.name, "machine": i.machine, "zone": i.zone, "ready": i.ready, "broken": i.broken,
-            "runs": i.runs.as_ref().map(|b| &b.0), "sample": i.sample})
+        serde_json::json!({"name": i.name, "machine": i.machine, "zone": i.zone, "ready": i.ready, "broken": i.failure,
+            "runs": i.build.as_ref().map(|b| &b.0), "sample": i.metrics})
     };
     let moves: Vec<_> =
-        step.moves.iter().map(|(name, to)| serde_json::json!({"name": name, "to": to.0})).collect();
-    serde_json::json!({"release": {"number": r.number, "old": r.old.0, "new": r.new.0, "by": r.by, "why": r.why,
-        "state": state.value, "says": state.value.words(), "waits": step.waits, "to_move": moves,
-        "instances": seen.iter().map(one).collect::<Vec<_>>(), "unread": board.unread}})
+        step.replacements.iter().map(|(name, to)| serde_json::json!({"name": name, "to": to.0})).collect();
+    serde_json::json!({"release": {"number": r.number, "old": r.old.0, "new": r.new.0, "by": r.approved_by, "why": r.reason,
+        "state": state.value, "says": state.value.summary(), "waits": step.waiting_for, "to_move": moves,
+        "instances": seen.iter().map(one).collect::<Vec<_>>(), "unread": board.unreadable}})
 }
 
 fn status(board: &RolloutSnapshot, fleet: &Fleet, json: bool) -> Result<(), String> {
@@ -150,11 +158,16 @@
         return print(&state(board, fleet).to_string());
     }
     let Some((plan, at)) = board.current() else { return print("there was no release yet") };
-    let r = &plan.release;
-    let seen = board.seen(fleet);
+    let r = &plan.spec;
+    let seen = board.observations(fleet);
     let (old, new) = (build_id::short(&r.old), build_id::short(&r.new));
-    print(&format!("release {} from {old} to {new}, by {}: {}", r.number, r.by, at.value.words()))?;
-    if let Some(waits) = r.step(&at.value, &seen, unix_ms()).waits {
+    print(&format!(
+        "release {} from {old} to {new}, by {}: {}",
+        r.number,
+        r.approved_by,
+        at.value.summary()
+    ))?;
+    if let Some(waits) = r.step(&at.value, &seen, unix_ms()).waiting_for {
         print(&waits)?;
     }
     let mut rows =
@@ -162,14 +175,14 @@
             .map(String::from)
             .to_vec()];
     for i in &seen {
-        let build = match &i.runs {
+        let build = match &i.build {
             Some(b) if *b == r.new => "new".to_string(),
             Some(b) if *b == r.old => "old".into(),
             Some(b) => build_id::short(b).into(),
             None => "-".into(),
         };
         let figure = |of: fn(&rollout::MetricsSample) -> u64| {
-            i.sample.as_ref().map_or("-".into(), |s| of(s).to_string())
+            i.metrics.as_ref().map_or("-".into(), |s| of(s).to_string())
         };
         let ready = if i.ready { "yes" } else { "no" };
         let text = |t: &str| if t.is_empty() { "-".to_string() } else { t.to_string() };
@@ -179,10 +192,10 @@
             text(&i.zone),
             build,
             ready.into(),
-            figure(|s| s.asked),
+            figure(|s| s.requests),
             figure(|s| s.served),
             figure(|s| s.late),
-            text(i.broken.as_deref().unwrap_or_default()),
+            text(i.failure.as_deref().unwrap_or_default()),
         ]);
     }
     print(lines(&rows).trim_end())
--- a/crates/control-plane/rollout-agent/src/lib.rs
+++ b/crates/control-plane/rollout-agent/src/lib.rs
@@ -21,12 +21,12 @@
 pub struct RolloutProjection(pub RolloutSnapshot);
 
 impl Projection for RolloutProjection {
-    fn read(revision: Revision, items: &[(String, VersionedValue)]) -> RolloutProjection {
+    fn from_items(revision: Revision, items: &[(String, VersionedValue)]) -> RolloutProjection {
         RolloutProjection(RolloutSnapshot::read(revision, items))
     }
 
-    fn put(&mut self, key: &str, value: Option<&str>, revision: Revision) {
-        self.0.put(key, value, revision);
+    fn apply(&mut self, key: &str, value: Option<&str>, revision: Revision) {
+        self.0.apply(key, value, revision);
     }
 
     fn revision(&mut self) -> &mut Revision {
@@ -36,7 +36,7 @@
 
 /// Follows what the record has of releases.
 pub fn informer(council: coordination_server::client::ClientHandle) -> Informer<RolloutProjection> {
-    Informer::under(council, rollout::snapshot::KEY_PREFIX)
+    Informer::with_prefix(council, rollout::snapshot::KEY_PREFIX)
 }
 
 /// The time, in Unix milliseconds.
--- a/crates/control-plane/rollout-agent/src/sampler.rs
+++ b/crates/control-plane/rollout-agent/src/sampler.rs
@@ -24,14 +24,15 @@
     let mut window: Option<(u64, MetricsSample)> = None;
     let mut written: Option<Instant> = None;
     loop {
-        let board = &follow.board().0;
+        let board = &follow.snapshot().0;
         let watched = board.unfinished().filter(|(_, s)| matches!(s.value, RolloutState::InStage { .. }));
         let Some((plan, state)) = watched else {
             window = None;
             follow.next().await;
             continue;
         };
-        let (since, pause) = (state.version, Duration::from_millis(plan.release.look_ms) / WRITES_PER_CHECK);
+        let (since, pause) =
+            (state.version, Duration::from_millis(plan.spec.check_interval_ms) / WRITES_PER_CHECK);
         let pause = pause.clamp(MIN_WRITE_INTERVAL, MAX_WRITE_INTERVAL);
         if window.as_ref().is_none_or(|(of, _)| *of != since) {
             (window, written) = (Some((since, totals())), None);
@@ -40,13 +41,13 @@
         if Instant::now() >= due {
             let (now, from) = (totals(), window.as_ref().map_or(MetricsSample::default(), |(_, from)| *from));
             let sample = MetricsSample {
-                asked: now.asked.saturating_sub(from.asked),
+                requests: now.requests.saturating_sub(from.requests),
                 served: now.served.saturating_sub(from.served),
                 late: now.late.saturating_sub(from.late),
-                memory: now.memory,
+                memory_mb: now.memory_mb,
             };
             written = Some(Instant::now());
-            say(&council, &name, MetricsWindow { since, sample }).await;
+            say(&council, &name, MetricsWindow { state_version: since, metrics: sample }).await;
             continue;
         }
         tokio::select! {
--- a/crates/control-plane/rollout/src/canary.rs
+++ b/crates/control-plane/rollout/src/canary.rs
@@ -23,7 +23,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MetricThreshold {
     /// The least difference of means that counts as harm, in the measure's own unit.
-    pub least: f64,
+    #[serde(rename = "least")]
+    pub min_difference: f64,
 }
 
 /// What releases are compared by.
@@ -36,23 +37,26 @@
     /// Memory, in MB.
     pub memory: MetricThreshold,
     /// The chance that a release that changes nothing is halted, over all of it.
-    pub false_halts: f64,
+    #[serde(rename = "false_halts")]
+    pub false_positive_rate: f64,
     /// Looks that a release may take; beyond them it goes by what stopped it before.
-    pub looks: u32,
+    #[serde(rename = "looks")]
+    pub max_checks: u32,
     /// Requests that an instance must have been asked for its figures to count.
-    pub requests: u64,
+    #[serde(rename = "requests")]
+    pub min_requests: u64,
 }
 
 impl Default for CanaryAnalysis {
     /// 2 points of service, 5 of lateness, 8 MB, one false halt in 100 releases, 40 looks, 200 requests.
     fn default() -> CanaryAnalysis {
         CanaryAnalysis {
-            unserved: MetricThreshold { least: 0.02 },
-            late: MetricThreshold { least: 0.05 },
-            memory: MetricThreshold { least: 8.0 },
-            false_halts: 0.01,
-            looks: 40,
-            requests: 200,
+            unserved: MetricThreshold { min_difference: 0.02 },
+            late: MetricThreshold { min_difference: 0.05 },
+            memory: MetricThreshold { min_difference: 8.0 },
+            false_positive_rate: 0.01,
+            max_checks: 40,
+            min_requests: 200,
         }
     }
 }
@@ -61,13 +65,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MetricsSample {
     /// Requests asked.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Of them served.
     pub served: u64,
     /// Of these late.
     pub late: u64,
     /// Memory in MB.
-    pub memory: f64,
+    #[serde(rename = "memory")]
+    pub memory_mb: f64,
 }
 
 /// What a look says.
@@ -82,24 +88,26 @@
 }
 
 impl CanaryAnalysis {
-    pub(crate) fn check(&self) -> Result<(), String> {
+    pub(crate) fn validate(&self) -> Result<(), String> {
         let measures = [("unserved", self.unserved), ("late", self.late), ("memory", self.memory)];
-        if let Some((name, _)) = measures.iter().find(|(_, m)| !(m.least > 0.0 && m.least.is_finite())) {
+        if let Some((name, _)) =
+            measures.iter().find(|(_, m)| !(m.min_difference > 0.0 && m.min_difference.is_finite()))
+        {
             return Err(format!("gate.{name}: is no difference above 0"));
         }
-        if !(self.false_halts > 0.0 && self.false_halts < 0.5) {
+        if !(self.false_positive_rate > 0.0 && self.false_positive_rate < 0.5) {
             return Err("gate.false_halts: is no chance between 0 and 0.5".into());
         }
-        if self.looks == 0 {
+        if self.max_checks == 0 {
             return Err("gate.looks: is 0".into());
         }
         Ok(())
     }
 
     /// Compares the new with the old.
-    pub fn look(&self, new: &[MetricsSample], old: &[MetricsSample]) -> AnalysisVerdict {
+    pub fn compare(&self, new: &[MetricsSample], old: &[MetricsSample]) -> AnalysisVerdict {
         let counts = |all: &[MetricsSample]| -> Vec<MetricsSample> {
-            all.iter().filter(|s| s.asked >= self.requests.max(1)).copied().collect()
+            all.iter().filter(|s| s.requests >= self.min_requests.max(1)).copied().collect()
         };
         let (new, old) = (counts(new), counts(old));
         if new.is_empty() || old.len() < MIN_BASELINE_INSTANCES {
@@ -107,7 +115,7 @@
                 "{} of the new and {} of the old were asked {} requests, and 1 and {MIN_BASELINE_INSTANCES} are needed",
                 new.len(),
                 old.len(),
-                self.requests
+                self.min_requests
             ));
         }
         let part = |k: u64, n: u64| if n == 0 { 0.0 } else { k as f64 / n as f64 };
@@ -118,13 +126,13 @@
             (
                 "requests not served",
                 self.unserved,
-                |s, part| part(s.asked.saturating_sub(s.served), s.asked),
-                |s| Some((s.asked.saturating_sub(s.served), s.asked)),
+                |s, part| part(s.requests.saturating_sub(s.served), s.requests),
+                |s| Some((s.requests.saturating_sub(s.served), s.requests)),
             ),
             ("answers late", self.late, |s, part| part(s.late, s.served), |s| Some((s.late, s.served))),
-            ("MB of memory", self.memory, |s, _| s.memory, |_| None),
+            ("MB of memory", self.memory, |s, _| s.memory_mb, |_| None),
         ];
-        let chance = self.false_halts / f64::from(self.looks) / measures.len() as f64;
+        let chance = self.false_positive_rate / f64::from(self.max_checks) / measures.len() as f64;
         // The gate may come from a record that nobody has checked here.
         if !(chance > 0.0 && chance < 0.5) {
             return AnalysisVerdict::Inconclusive("the chance of a false halt is none".into());
@@ -149,13 +157,13 @@
             let Ok(student) = StudentsT::new(0.0, 1.0, degrees) else { continue };
             let bound = student.inverse_cdf(1.0 - chance) * error;
             let difference = by_new - by_old;
-            if difference >= measure.least && difference > bound {
+            if difference >= measure.min_difference && difference > bound {
                 return AnalysisVerdict::Regression(format!(
                     "{name}: {by_new:.3} by the new build, {by_old:.3} by the old at the same time"
                 ));
             }
             // Without harm so far: is there room for it that could not be seen?
-            if difference + bound > measure.least && unclear.is_none() {
+            if difference + bound > measure.min_difference && unclear.is_none() {
                 unclear =
                     Some(format!("{name}: {difference:+.3}, and {bound:.3} either way could be chance"));
             }
--- a/crates/control-plane/rollout/src/executor.rs
+++ b/crates/control-plane/rollout/src/executor.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalInstance {
     /// Its name in the council.
-    pub unit: String,
+    pub name: String,
     /// What its next process is started from.
     pub build: BuildId,
     /// It serves, and nothing of it is about to change.
     pub ready: bool,
     /// Why it is not started any more.
-    pub given_up: Option<String>,
+    pub start_failure: Option<String>,
     /// Its last process was not ready in time.
-    pub slow: bool,
+    pub start_timed_out: bool,
     /// Crashes within the supervisor's window, since it was moved last.
     pub crashes: usize,
 }
@@ -36,21 +36,21 @@
     /// Ask for leave to restart this instance.
     RequestLease {
         /// Which.
-        unit: String,
+        instance: String,
         /// Why, for the record.
-        why: String,
+        reason: String,
     },
     /// The leave for it is not wanted any more. `acted`: another process of it is to come.
     ReleaseLease {
         /// Which.
-        unit: String,
+        instance: String,
         /// Whether something was done by it.
-        acted: bool,
+        replaced: bool,
     },
     /// Start its next process from this build, and end the one that runs.
     Replace {
         /// Which.
-        unit: String,
+        instance: String,
         /// By what.
         build: BuildId,
     },
@@ -58,39 +58,39 @@
 
 /// An instance that is being moved.
 struct Moving {
-    number: u64,
+    rollout_number: u64,
     build: BuildId,
-    acted: bool,
+    replaced: bool,
 }
 
 /// See the module's page.
 #[derive(Default)]
 pub struct RolloutExecutor {
-    moving: BTreeMap<String, Moving>,
+    replacing: BTreeMap<String, Moving>,
 }
 
 impl RolloutExecutor {
     /// Whether leave is asked for to move this instance.
-    pub fn asks(&self, unit: &str) -> bool {
-        self.moving.get(unit).is_some_and(|m| !m.acted)
+    pub fn is_waiting_for_lease(&self, unit: &str) -> bool {
+        self.replacing.get(unit).is_some_and(|m| !m.replaced)
     }
 
     /// Whether anything is asked for or under way.
-    pub fn busy(&self) -> bool {
-        !self.moving.is_empty()
+    pub fn is_busy(&self) -> bool {
+        !self.replacing.is_empty()
     }
 
     /// The instances of this machine that are to run another build now, in order.
     fn wanted(machine: &str, fleet: &Fleet, board: &RolloutSnapshot, now_ms: u64) -> Vec<(String, BuildId)> {
         let Some((plan, state)) = board.unfinished() else { return Vec::new() };
-        let step = plan.release.step(&state.value, &board.seen(fleet), now_ms);
-        let own = |unit: &str| fleet.units.get(unit).is_some_and(|u| u.value.machine == machine);
-        step.moves.into_iter().filter(|(unit, _)| own(unit)).collect()
+        let step = plan.spec.step(&state.value, &board.observations(fleet), now_ms);
+        let own = |unit: &str| fleet.balancers.get(unit).is_some_and(|u| u.value.machine == machine);
+        step.replacements.into_iter().filter(|(unit, _)| own(unit)).collect()
     }
 
     /// What follows now. `at_once`: so many instances of this machine may be moved together; 0: none are begun. `faults`: builds
     /// that can't be started here: nothing is moved to them. `session`: the supervisor's own, which it holds now.
-    pub fn next(
+    pub fn next_actions(
         &mut self,
         machine: &str,
         all: &[LocalInstance],
@@ -100,110 +100,110 @@
     ) -> Vec<ExecutorAction> {
         let mut wanted = RolloutExecutor::wanted(machine, fleet, board, now_ms);
         wanted.retain(|(_, build)| !faults.contains_key(build));
-        let number = board.plan.as_ref().map_or(0, |p| p.value.release.number);
+        let number = board.plan.as_ref().map_or(0, |p| p.value.spec.number);
         let mut acts = Vec::new();
-        self.moving.retain(|unit, m| {
-            let local = all.iter().find(|l| l.unit == *unit);
+        self.replacing.retain(|unit, m| {
+            let local = all.iter().find(|l| l.name == *unit);
             let over = match local {
-                _ if m.number != number => true,
-                Some(l) if m.acted => l.build == m.build && (l.ready || l.given_up.is_some()),
+                _ if m.rollout_number != number => true,
+                Some(l) if m.replaced => l.build == m.build && (l.ready || l.start_failure.is_some()),
                 Some(_) => !wanted.iter().any(|(u, b)| u == unit && *b == m.build),
                 None => true,
             };
             if over {
-                acts.push(ExecutorAction::ReleaseLease { unit: unit.clone(), acted: m.acted });
+                acts.push(ExecutorAction::ReleaseLease { instance: unit.clone(), replaced: m.replaced });
             }
             !over
         });
         // One that was on its way to the one build and is to run the other: it is out by this supervisor's leave already.
         let has = |unit: &str| {
-            let leave = fleet.leaves.get(&ResourceId::balancer(unit)).map(|l| &l.value);
+            let leave = fleet.leases.get(&ResourceId::balancer(unit)).map(|l| &l.value);
             leave.is_some_and(|l| l.owner == machine && l.session == session)
         };
         for (unit, build) in &wanted {
-            if self.moving.get(unit).is_some_and(|m| m.acted && m.build != *build) && has(unit) {
-                acts.push(ExecutorAction::Replace { unit: unit.clone(), build: build.clone() });
+            if self.replacing.get(unit).is_some_and(|m| m.replaced && m.build != *build) && has(unit) {
+                acts.push(ExecutorAction::Replace { instance: unit.clone(), build: build.clone() });
             }
         }
-        let free = at_once.saturating_sub(self.moving.len());
+        let free = at_once.saturating_sub(self.replacing.len());
         let missing = |unit: &str, build: &BuildId| {
-            all.iter().any(|l| l.unit == unit && (l.build != *build || !l.ready))
+            all.iter().any(|l| l.name == unit && (l.build != *build || !l.ready))
         };
         let next: Vec<&(String, BuildId)> = wanted
             .iter()
-            .filter(|(unit, build)| !self.moving.contains_key(unit) && missing(unit, build))
+            .filter(|(unit, build)| !self.replacing.contains_key(unit) && missing(unit, build))
             .take(free)
             .collect();
         for (unit, build) in next {
-            let moving = Moving { number, build: build.clone(), acted: false };
-            self.moving.insert(unit.clone(), moving);
+            let moving = Moving { rollout_number: number, build: build.clone(), replaced: false };
+            self.replacing.insert(unit.clone(), moving);
             let why = format!("release {number}");
-            acts.push(ExecutorAction::RequestLease { unit: unit.clone(), why });
+            acts.push(ExecutorAction::RequestLease { instance: unit.clone(), reason: why });
         }
         acts
     }
 
     /// Leave was given for an instance, and may be used in this moment: what is done by it, if it is still wanted. The record
     /// has to have been read after it was given: a halt that came before counts, however late it is heard of.
-    pub fn given(
+    pub fn on_lease_granted(
         &mut self,
         machine: &str,
         unit: &str,
         (fleet, board): (&Fleet, &RolloutSnapshot),
         now_ms: u64,
     ) -> Option<ExecutorAction> {
-        let m = self.moving.get(unit)?;
+        let m = self.replacing.get(unit)?;
         let wanted = RolloutExecutor::wanted(machine, fleet, board, now_ms);
-        if m.acted {
+        if m.replaced {
             return None;
         }
         if !wanted.iter().any(|(u, b)| u == unit && *b == m.build) {
-            return self.undone(unit);
+            return self.cancel(unit);
         }
-        Some(ExecutorAction::Replace { unit: unit.into(), build: m.build.clone() })
+        Some(ExecutorAction::Replace { instance: unit.into(), build: m.build.clone() })
     }
 
     /// A replacement was done.
-    pub fn done(&mut self, unit: &str, build: &BuildId) {
-        if let Some(m) = self.moving.get_mut(unit) {
-            (m.acted, m.build) = (true, build.clone());
+    pub fn mark_replaced(&mut self, unit: &str, build: &BuildId) {
+        if let Some(m) = self.replacing.get_mut(unit) {
+            (m.replaced, m.build) = (true, build.clone());
         }
     }
 
     /// A replacement could not be done. What was asked for it is not wanted for now; an instance that is out by an earlier one
     /// stays so.
-    pub fn undone(&mut self, unit: &str) -> Option<ExecutorAction> {
-        self.moving.get(unit).filter(|m| !m.acted)?;
-        self.moving.remove(unit);
-        Some(ExecutorAction::ReleaseLease { unit: unit.into(), acted: false })
+    pub fn cancel(&mut self, unit: &str) -> Option<ExecutorAction> {
+        self.replacing.get(unit).filter(|m| !m.replaced)?;
+        self.replacing.remove(unit);
+        Some(ExecutorAction::ReleaseLease { instance: unit.into(), replaced: false })
     }
 
     /// What this supervisor says of its instances, for the last release that there was. `faults`: builds that can't be
     /// started here, and why.
-    pub fn places(
+    pub fn reports(
         all: &[LocalInstance],
         board: &RolloutSnapshot,
         faults: &BTreeMap<BuildId, String>,
     ) -> BTreeMap<String, InstanceReport> {
         let Some((plan, state)) = board.current() else { return BTreeMap::new() };
-        let release = &plan.release;
+        let release = &plan.spec;
         let returning = matches!(state.value, RolloutState::RollingBack { .. });
         let one = |l: &LocalInstance| {
             let build = l.build.clone();
             let crashed = (l.crashes >= CRASH_LIMIT).then(|| format!("crashed {} times", l.crashes));
-            let slow = l.slow.then(|| "is not ready in time".to_string());
-            let own_fault = l.given_up.clone().or(slow).or(crashed).filter(|_| build == release.new);
+            let slow = l.start_timed_out.then(|| "is not ready in time".to_string());
+            let own_fault = l.start_failure.clone().or(slow).or(crashed).filter(|_| build == release.new);
             let which = if returning { (&release.old, "old") } else { (&release.new, "new") };
             let broken =
                 own_fault.or_else(|| Some(format!("the {} build: {}", which.1, faults.get(which.0)?)));
-            (l.unit.clone(), InstanceReport { number: release.number, build, broken })
+            (l.name.clone(), InstanceReport { rollout_number: release.number, build, failure: broken })
         };
         all.iter().map(one).collect()
     }
 
     /// The builds of a release that have to lie on a machine, and where.
-    pub fn files(plan: &RolloutPlan, machine: &str) -> BTreeMap<BuildId, String> {
-        let RolloutSpec { old, new, .. } = &plan.release;
+    pub fn build_files(plan: &RolloutPlan, machine: &str) -> BTreeMap<BuildId, String> {
+        let RolloutSpec { old, new, .. } = &plan.spec;
         let all: BTreeSet<&BuildId> = [old, new].into();
         all.into_iter().filter_map(|b| Some((b.clone(), plan.path(machine, b)?.to_string()))).collect()
     }
--- a/crates/control-plane/rollout/src/lib.rs
+++ b/crates/control-plane/rollout/src/lib.rs
@@ -37,21 +37,28 @@
     /// What is to run.
     pub new: BuildId,
     /// The waves, each with all before it. The last one is followed by the rest of the fleet.
-    pub waves: Vec<Stage>,
+    #[serde(rename = "waves")]
+    pub stages: Vec<Stage>,
     /// How long a wave is watched at the least, in milliseconds, from when all of it are ready.
     pub bake_ms: u64,
     /// How often the gate looks meanwhile, in milliseconds.
-    pub look_ms: u64,
+    #[serde(rename = "look_ms")]
+    pub check_interval_ms: u64,
     /// How long it is watched at the most where the gate can't tell.
-    pub cap_ms: u64,
+    #[serde(rename = "cap_ms")]
+    pub max_bake_ms: u64,
     /// What the new build is compared by.
-    pub gate: CanaryAnalysis,
+    #[serde(rename = "gate")]
+    pub analysis: CanaryAnalysis,
     /// Whether a release that halts by itself goes back by itself.
-    pub returns: bool,
+    #[serde(rename = "returns")]
+    pub auto_rollback: bool,
     /// Who approved it.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub approved_by: String,
     /// What for.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// Most waves of a release.
@@ -62,26 +69,27 @@
     ///
     /// # Errors
     /// The first such field, and what is wrong.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.old == self.new {
             return Err("new: is the build that runs already".into());
         }
-        if self.waves.is_empty() || self.waves.len() > MAX_STAGES {
-            return Err(format!("waves: there are {}, and not 1 to {MAX_STAGES}", self.waves.len()));
+        if self.stages.is_empty() || self.stages.len() > MAX_STAGES {
+            return Err(format!("waves: there are {}, and not 1 to {MAX_STAGES}", self.stages.len()));
         }
-        if let Some(k) = self.waves.iter().position(|w| !w.sound()) {
+        if let Some(k) = self.stages.iter().position(|w| !w.is_valid()) {
             return Err(format!("waves[{k}]: is no count above 0 and no share between 0 and 1"));
         }
-        if self.cap_ms < self.bake_ms {
+        if self.max_bake_ms < self.bake_ms {
             return Err("cap: is shorter than the bake".into());
         }
-        if self.look_ms == 0 || self.look_ms > self.bake_ms {
+        if self.check_interval_ms == 0 || self.check_interval_ms > self.bake_ms {
             return Err("look: is 0, or longer than the bake".into());
         }
-        let looks = (self.waves.len() as u64 + 1).saturating_mul(self.cap_ms.div_ceil(self.look_ms) + 1);
-        if looks > u64::from(self.gate.looks) {
-            return Err(format!("gate.looks: {} are too few for {looks}", self.gate.looks));
+        let looks = (self.stages.len() as u64 + 1)
+            .saturating_mul(self.max_bake_ms.div_ceil(self.check_interval_ms) + 1);
+        if looks > u64::from(self.analysis.max_checks) {
+            return Err(format!("gate.looks: {} are too few for {looks}", self.analysis.max_checks));
         }
-        self.gate.check()
+        self.analysis.validate()
     }
 }
--- a/crates/control-plane/rollout/src/stages.rs
+++ b/crates/control-plane/rollout/src/stages.rs
@@ -14,7 +14,7 @@
 }
 
 impl Stage {
-    pub(crate) fn sound(self) -> bool {
+    pub(crate) fn is_valid(self) -> bool {
         match self {
             Stage::Count(n) => n > 0,
             Stage::Share(s) => s > 0.0 && s <= 1.0,
@@ -22,7 +22,7 @@
     }
 
     /// Of so many instances.
-    pub fn of(self, all: usize) -> usize {
+    pub fn instance_count(self, all: usize) -> usize {
         match self {
             Stage::Count(n) => usize::try_from(n).unwrap_or(usize::MAX).min(all),
             Stage::Share(s) => ((all as f64 * s).ceil() as usize).clamp(1, all.max(1)).min(all),
--- a/crates/control-plane/rollout/tests/encoding.rs
+++ b/crates/control-plane/rollout/tests/encoding.rs
@@ -24,20 +24,20 @@
         number: 3,
         old: BuildId("old".into()),
         new: BuildId("new".into()),
-        waves: vec![Stage::Count(1), Stage::Share(0.25)],
+        stages: vec![Stage::Count(1), Stage::Share(0.25)],
         bake_ms: 5000,
-        look_ms: 1000,
-        cap_ms: 9000,
-        gate: CanaryAnalysis::default(),
-        returns: true,
-        by: "ana".into(),
-        why: "fix".into(),
+        check_interval_ms: 1000,
+        max_bake_ms: 9000,
+        analysis: CanaryAnalysis::default(),
+        auto_rollback: true,
+        approved_by: "ana".into(),
+        reason: "fix".into(),
     };
     let paths = |folder: &str| BuildPaths { old: format!("{folder}/old"), new: format!("{folder}/new") };
     RolloutPlan {
-        release,
+        spec: release,
         paths: paths("/opt"),
-        machines: BTreeMap::from([("m1".to_string(), paths("/srv"))]),
+        machine_paths: BTreeMap::from([("m1".to_string(), paths("/srv"))]),
     }
 }
 
@@ -46,13 +46,13 @@
     assert_eq!(KEY_PREFIX, "release/");
     assert_encoding(PLAN_KEY, &plan());
     let states = [
-        RolloutState::InStage { wave: 1, since_ms: Some(7), looks: 2, suspected: true },
-        RolloutState::InStage { wave: 0, since_ms: None, looks: 0, suspected: false },
-        RolloutState::Paused { wave: Some(1), why: "harm".into() },
-        RolloutState::Paused { wave: None, why: "ana".into() },
-        RolloutState::RollingBack { why: "harm".into() },
+        RolloutState::InStage { stage: 1, ready_since_ms: Some(7), checks: 2, suspected: true },
+        RolloutState::InStage { stage: 0, ready_since_ms: None, checks: 0, suspected: false },
+        RolloutState::Paused { stage: Some(1), reason: "harm".into() },
+        RolloutState::Paused { stage: None, reason: "ana".into() },
+        RolloutState::RollingBack { reason: "harm".into() },
         RolloutState::Complete,
-        RolloutState::RolledBack { why: "harm".into() },
+        RolloutState::RolledBack { reason: "harm".into() },
     ];
     for state in states {
         assert_encoding(STATE_KEY, &state);
@@ -60,11 +60,11 @@
     for broken in [None, Some("crashes".to_string())] {
         assert_encoding(
             &report_key("n1"),
-            &InstanceReport { number: 3, build: BuildId("new".into()), broken },
+            &InstanceReport { rollout_number: 3, build: BuildId("new".into()), failure: broken },
         );
     }
-    let sample = MetricsSample { asked: 100, served: 99, late: 3, memory: 7.5 };
-    assert_encoding(&metrics_key("n1"), &MetricsWindow { since: 12, sample });
+    let sample = MetricsSample { requests: 100, served: 99, late: 3, memory_mb: 7.5 };
+    assert_encoding(&metrics_key("n1"), &MetricsWindow { state_version: 12, metrics: sample });
 }
 
 /// All stored values are taken in from the keys that earlier builds wrote, none left unread.
@@ -73,10 +73,10 @@
     let mut board = RolloutSnapshot::default();
     for (line, version) in FIXTURE.lines().zip(1..) {
         let (key, value) = line.split_once(' ').expect("key and value");
-        board.put(key, Some(value), version);
-        assert_eq!(board.unread, BTreeMap::new());
+        board.apply(key, Some(value), version);
+        assert_eq!(board.unreadable, BTreeMap::new());
     }
     assert_eq!(board.plan.as_ref().map(|p| &p.value), Some(&plan()));
-    assert_eq!(board.state.map(|s| s.value), Some(RolloutState::RolledBack { why: "harm".into() }));
-    assert_eq!((board.places.len(), board.samples.len()), (1, 1));
+    assert_eq!(board.state.map(|s| s.value), Some(RolloutState::RolledBack { reason: "harm".into() }));
+    assert_eq!((board.reports.len(), board.metrics.len()), (1, 1));
 }
--- a/crates/control-plane/rollout/tests/release.rs
+++ b/crates/control-plane/rollout/tests/release.rs
@@ -28,14 +28,14 @@
         number,
         old: build("old"),
         new: build("new"),
-        waves: vec![Stage::Count(1), Stage::Share(0.05), Stage::Share(0.3)],
+        stages: vec![Stage::Count(1), Stage::Share(0.05), Stage::Share(0.3)],
         bake_ms: 120_000,
-        look_ms: 60_000,
-        cap_ms: 240_000,
-        gate: CanaryAnalysis::default(),
-        returns: true,
-        by: "ana".into(),
-        why: "the first of the month".into(),
+        check_interval_ms: 60_000,
+        max_bake_ms: 240_000,
+        analysis: CanaryAnalysis::default(),
+        auto_rollback: true,
+        approved_by: "ana".into(),
+        reason: "the first of the month".into(),
     }
 }
 
@@ -44,7 +44,7 @@
         name: format!("m{}b{k}", k % 20),
         zone: ["a", "b", "c"][k % 20 % 3].into(),
         machine: format!("m{}", k % 20),
-        runs: Some(build("old")),
+        build: Some(build("old")),
         ready: true,
         ..InstanceObservation::default()
     };
@@ -60,33 +60,33 @@
     mut meddle: impl FnMut(u64, &mut Vec<InstanceObservation>),
 ) -> (RolloutState, usize, u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let (mut seen, mut state) = (fleet(300), release.begin());
+    let (mut seen, mut state) = (fleet(300), release.initial_state());
     let mut touched = BTreeSet::new();
     for second in (0..20_000u64).step_by(10) {
         let now = second * 1000;
         meddle(second, &mut seen);
-        if let RolloutState::InStage { since_ms: Some(since), .. } = state {
-            let asked = release.look_ms / 1000 * 14;
-            if (now - since) % release.look_ms == 0 {
+        if let RolloutState::InStage { ready_since_ms: Some(since), .. } = state {
+            let asked = release.check_interval_ms / 1000 * 14;
+            if (now - since) % release.check_interval_ms == 0 {
                 for i in &mut seen {
                     let own = if unit(&mut random) < 0.05 { 0.05 } else { 0.01 } * (0.5 + unit(&mut random));
-                    let fails = own + if i.runs.as_ref() == Some(&release.new) { harm } else { 0.0 };
+                    let fails = own + if i.build.as_ref() == Some(&release.new) { harm } else { 0.0 };
                     let served = asked - binomial(&mut random, asked, fails);
                     let (late, memory) = (served / 50, 6.0 + unit(&mut random));
-                    i.sample = Some(MetricsSample { asked, served, late, memory });
+                    i.metrics = Some(MetricsSample { requests: asked, served, late, memory_mb: memory });
                 }
             }
         }
         let step = release.step(&state, &seen, now);
-        for (name, to) in step.moves.iter().take(20) {
+        for (name, to) in step.replacements.iter().take(20) {
             let i = seen.iter_mut().find(|i| i.name == *name).expect("is there");
-            i.runs = Some(to.clone());
+            i.build = Some(to.clone());
             touched.extend((*to == release.new).then(|| name.clone()));
         }
-        state = step.state.unwrap_or(state);
+        state = step.next_state.unwrap_or(state);
         if matches!(state, RolloutState::Complete | RolloutState::RolledBack { .. }) {
             let wanted = if state == RolloutState::Complete { &release.new } else { &release.old };
-            assert!(seen.iter().all(|i| i.runs.as_ref() == Some(wanted)), "never in between");
+            assert!(seen.iter().all(|i| i.build.as_ref() == Some(wanted)), "never in between");
             return (state, touched.len(), second);
         }
     }
@@ -137,58 +137,68 @@
 /// operator's halt moves nothing until he says on; and who joins meanwhile does not take the new build from another.
 #[test]
 fn what_is_broken_halts_and_a_halt_moves_nothing() {
-    let r = RolloutSpec { returns: false, ..release(1) };
+    let r = RolloutSpec { auto_rollback: false, ..release(1) };
     let mut seen = fleet(30);
-    let first = r.step(&r.begin(), &seen, 0).moves;
+    let first = r.step(&r.initial_state(), &seen, 0).replacements;
     assert_eq!(first.len(), 1);
     let k = seen.iter().position(|i| i.name == first[0].0).expect("is there");
     // Broken for another reason, elsewhere: no matter of this release.
-    seen[(k + 1) % 30].broken = Some("crashed".into());
-    assert_eq!(r.step(&r.begin(), &seen, 0).moves, first);
-    seen[k].broken = Some("the build is missing".into());
-    let halted = r.step(&r.begin(), &seen, 0).state.expect("halted");
+    seen[(k + 1) % 30].failure = Some("crashed".into());
+    assert_eq!(r.step(&r.initial_state(), &seen, 0).replacements, first);
+    seen[k].failure = Some("the build is missing".into());
+    let halted = r.step(&r.initial_state(), &seen, 0).next_state.expect("halted");
     assert!(
-        matches!(&halted, RolloutState::Paused { wave: Some(0), why } if why.contains("missing")),
+        matches!(&halted, RolloutState::Paused { stage: Some(0), reason: why } if why.contains("missing")),
         "{halted:?}"
     );
     let step = r.step(&halted, &seen, 1);
-    assert!(step.moves.is_empty() && step.state.is_none(), "{step:?}");
-    assert!(r.ordered(&halted, &OperatorCommand::Pause("again".into())).is_err());
-    seen[k].broken = None;
-    seen[k].runs = Some(build("new"));
-    let going = r.ordered(&halted, &OperatorCommand::Resume).expect("goes on");
+    assert!(step.replacements.is_empty() && step.next_state.is_none(), "{step:?}");
+    assert!(r.apply_command(&halted, &OperatorCommand::Pause("again".into())).is_err());
+    seen[k].failure = None;
+    seen[k].build = Some(build("new"));
+    let going = r.apply_command(&halted, &OperatorCommand::Resume).expect("goes on");
     // Others join, before it in the order or behind: it keeps what it runs.
     seen.extend(fleet(60).split_off(30));
-    let moves = r.step(&going, &seen, 2).moves;
+    let moves = r.step(&going, &seen, 2).replacements;
     assert!(moves.iter().all(|(name, to)| *name != seen[k].name && *to == r.new), "{moves:?}");
-    let back = r.ordered(&going, &OperatorCommand::RollBack("no".into())).expect("goes back");
+    let back = r.apply_command(&going, &OperatorCommand::RollBack("no".into())).expect("goes back");
     // Halted on its way back and resumed, it goes on back.
-    let held = r.ordered(&back, &OperatorCommand::Pause("wait".into())).expect("held");
-    assert!(matches!(r.ordered(&held, &OperatorCommand::Resume), Ok(RolloutState::RollingBack { .. })));
-    assert_eq!(r.step(&back, &seen, 3).moves, [(seen[k].name.clone(), r.old.clone())]);
-    assert_eq!(r.step(&back, &fleet(60), 3).state, Some(RolloutState::RolledBack { why: "no".into() }));
+    let held = r.apply_command(&back, &OperatorCommand::Pause("wait".into())).expect("held");
+    assert!(matches!(r.apply_command(&held, &OperatorCommand::Resume), Ok(RolloutState::RollingBack { .. })));
+    assert_eq!(r.step(&back, &seen, 3).replacements, [(seen[k].name.clone(), r.old.clone())]);
+    assert_eq!(
+        r.step(&back, &fleet(60), 3).next_state,
+        Some(RolloutState::RolledBack { reason: "no".into() })
+    );
 }
 
 #[test]
 fn what_contradicts_itself_is_named() {
     let good = release(1);
-    assert_eq!(good.check(), Ok(()));
-    let named = |wrong: RolloutSpec, field: &str| assert!(wrong.check().expect_err(field).starts_with(field));
+    assert_eq!(good.validate(), Ok(()));
+    let named =
+        |wrong: RolloutSpec, field: &str| assert!(wrong.validate().expect_err(field).starts_with(field));
     named(RolloutSpec { new: build("old"), ..good.clone() }, "new:");
-    named(RolloutSpec { waves: vec![], ..good.clone() }, "waves:");
-    named(RolloutSpec { waves: vec![Stage::Count(1), Stage::Share(f64::NAN)], ..good.clone() }, "waves[1]:");
-    named(RolloutSpec { cap_ms: 1, ..good.clone() }, "cap:");
-    named(RolloutSpec { look_ms: 0, ..good.clone() }, "look:");
+    named(RolloutSpec { stages: vec![], ..good.clone() }, "waves:");
+    named(RolloutSpec { stages: vec![Stage::Count(1), Stage::Share(f64::NAN)], ..good.clone() }, "waves[1]:");
+    named(RolloutSpec { max_bake_ms: 1, ..good.clone() }, "cap:");
+    named(RolloutSpec { check_interval_ms: 0, ..good.clone() }, "look:");
     named(
-        RolloutSpec { gate: CanaryAnalysis { looks: 3, ..CanaryAnalysis::default() }, ..good.clone() },
+        RolloutSpec {
+            analysis: CanaryAnalysis { max_checks: 3, ..CanaryAnalysis::default() },
+            ..good.clone()
+        },
         "gate.looks:",
     );
     // And no gate that was not checked panics.
-    let wild = CanaryAnalysis { false_halts: f64::NAN, looks: 0, ..CanaryAnalysis::default() };
-    let sample = MetricsSample { asked: 1000, served: 900, ..MetricsSample::default() };
-    assert!(matches!(wild.look(&[sample], &[sample; 9]), AnalysisVerdict::Inconclusive(_)));
+    let wild = CanaryAnalysis { false_positive_rate: f64::NAN, max_checks: 0, ..CanaryAnalysis::default() };
+    let sample = MetricsSample { requests: 1000, served: 900, ..MetricsSample::default() };
+    assert!(matches!(wild.compare(&[sample], &[sample; 9]), AnalysisVerdict::Inconclusive(_)));
     named(
-        RolloutSpec { gate: CanaryAnalysis { false_halts: 0.0, ..CanaryAnalysis::default() }, ..good },
+        RolloutSpec {
+            analysis: CanaryAnalysis { false_positive_rate: 0.0, ..CanaryAnalysis::default() },
+            ..good
+        },
         "gate.false_halts:",
     );
 }
--- a/crates/foundations/config/src/disruption.rs
+++ b/crates/foundations/config/src/disruption.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct DisruptionConfig {
     /// Where it is agreed on.
-    pub council: CoordinationClientConfig,
+    pub coordination: CoordinationClientConfig,
     /// What may be out.
     pub budgets: DisruptionBudgets,
 }
@@ -100,11 +100,15 @@
         all.push(DisruptionBudget {
             name: b.name.get_ref().clone(),
             kind: word(text, &field("of"), &b.of, &kinds)?,
-            per: word(text, &field("per"), &b.per, &groups)?,
-            only: b.only.as_ref().map(|o| o.get_ref().clone()),
-            most: b.most.as_ref().map(|m| count(text, &field("most"), m)).transpose()?,
-            per_mille: b.share.as_ref().map(|s| share(text, &field("share"), s)).transpose()?,
-            floor: b.floor.as_ref().map_or(Ok(0), |f| count(text, &field("floor"), f))?,
+            group_by: word(text, &field("per"), &b.per, &groups)?,
+            group: b.only.as_ref().map(|o| o.get_ref().clone()),
+            max_unavailable: b.most.as_ref().map(|m| count(text, &field("most"), m)).transpose()?,
+            max_unavailable_per_mille: b
+                .share
+                .as_ref()
+                .map(|s| share(text, &field("share"), s))
+                .transpose()?,
+            min_available: b.floor.as_ref().map_or(Ok(0), |f| count(text, &field("floor"), f))?,
         });
         let at = |span: Option<std::ops::Range<usize>>| span.map_or(b.name.span().start, |s| s.start);
         places.push([
@@ -115,12 +119,12 @@
             ("share", at(b.share.as_ref().map(Spanned::span))),
         ]);
     }
-    let budgets = DisruptionBudgets { all };
+    let budgets = DisruptionBudgets { budgets: all };
     if let Err((k, name, what)) = budgets.validate() {
         let place = places.get(k).and_then(|p| p.iter().find(|(n, _)| *n == name)).map_or(0, |&(_, at)| at);
         return Err(fault_at(text, place, &format!("budget[{k}].{name}"), what));
     }
-    Ok(DisruptionConfig { council, budgets })
+    Ok(DisruptionConfig { coordination: council, budgets })
 }
 
 /// Reads such a file.
@@ -147,8 +151,8 @@
 
     #[test]
     fn a_whole_file_is_read() {
-        let b = &parse(GOOD.as_bytes()).expect("good").budgets.all[0];
-        assert_eq!((b.most, b.per_mille, b.floor), (Some(3), Some(25), 2));
+        let b = &parse(GOOD.as_bytes()).expect("good").budgets.budgets[0];
+        assert_eq!((b.max_unavailable, b.max_unavailable_per_mille, b.min_available), (Some(3), Some(25), 2));
     }
 
     #[test]
@@ -173,6 +177,6 @@
     fn the_example_is_good() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/outages.example.toml");
         let all = read(&path).expect("good");
-        assert!(all.budgets.all.len() >= 4 && is_disruption_file(&path));
+        assert!(all.budgets.budgets.len() >= 4 && is_disruption_file(&path));
     }
 }
--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -21,25 +21,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
     /// Where it is kept.
-    pub council: CoordinationClientConfig,
+    pub coordination: CoordinationClientConfig,
     /// Where the builds lie.
     pub paths: BuildPaths,
     /// On machines where they lie elsewhere.
-    pub machines: BTreeMap<String, BuildPaths>,
+    pub machine_paths: BTreeMap<String, BuildPaths>,
     /// The waves.
-    pub waves: Vec<Stage>,
+    pub stages: Vec<Stage>,
     /// How long a wave is watched at the least, how often the gate looks meanwhile, and how long at the most.
     pub bake: Duration,
     /// How often the gate looks.
-    pub look: Duration,
+    pub check_interval: Duration,
     /// How long at the most.
-    pub cap: Duration,
+    pub max_bake: Duration,
     /// Whether a release that halts by itself goes back by itself.
-    pub returns: bool,
+    pub auto_rollback: bool,
     /// What is compared.
-    pub gate: CanaryAnalysis,
+    pub analysis: CanaryAnalysis,
     /// What for.
-    pub why: String,
+    pub reason: String,
 }
 
 #[derive(Deserialize)]
@@ -159,22 +159,35 @@
         Some(given) => u64::try_from(*given.get_ref()).ok().filter(|&n| n > 0).ok_or_else(|| {
             fault_at(text, given.span().start, "gate.requests", "is no count above 0".into())
         })?,
-        None => normal.requests,
+        None => normal.min_requests,
     };
     let waves = waves?;
     let looks = (waves.len() as u128 + 1) * (cap.as_millis().div_ceil(look.as_millis().max(1)) + 1);
     let gate = CanaryAnalysis {
-        unserved: MetricThreshold { least: part("unserved", g.unserved.as_ref(), normal.unserved.least)? },
-        late: MetricThreshold { least: part("late", g.late.as_ref(), normal.late.least)? },
-        memory: MetricThreshold { least: memory as f64 / f64::from(1 << 20) },
-        false_halts: part("false_halts", g.false_halts.as_ref(), normal.false_halts)?,
+        unserved: MetricThreshold {
+            min_difference: part("unserved", g.unserved.as_ref(), normal.unserved.min_difference)?,
+        },
+        late: MetricThreshold { min_difference: part("late", g.late.as_ref(), normal.late.min_difference)? },
+        memory: MetricThreshold { min_difference: memory as f64 / f64::from(1 << 20) },
+        false_positive_rate: part("false_halts", g.false_halts.as_ref(), normal.false_positive_rate)?,
         // So many as it can take, and no more: each costs power.
-        looks: u32::try_from(looks).unwrap_or(u32::MAX),
-        requests,
+        max_checks: u32::try_from(looks).unwrap_or(u32::MAX),
+        min_requests: requests,
     };
     let returns = r.returns.unwrap_or(true);
     let why = r.why.unwrap_or_default();
-    Ok(RolloutConfig { council, paths, machines, waves, bake, look, cap, returns, gate, why })
+    Ok(RolloutConfig {
+        coordination: council,
+        paths,
+        machine_paths: machines,
+        stages: waves,
+        bake,
+        check_interval: look,
+        max_bake: cap,
+        auto_rollback: returns,
+        analysis: gate,
+        reason: why,
+    })
 }
 
 /// Reads such a file.
@@ -202,10 +215,13 @@
     #[test]
     fn a_whole_file_is_read() {
         let r = parse(GOOD.as_bytes()).expect("good");
-        assert_eq!(r.waves, [Stage::Count(1), Stage::Share(0.1)]);
-        assert_eq!((r.gate.late.least, r.gate.looks, r.returns), (0.03, 3 * 31, true));
+        assert_eq!(r.stages, [Stage::Count(1), Stage::Share(0.1)]);
+        assert_eq!(
+            (r.analysis.late.min_difference, r.analysis.max_checks, r.auto_rollback),
+            (0.03, 3 * 31, true)
+        );
         let own = BuildPaths { old: "/a".into(), new: "/c".into() };
-        assert_eq!(r.machines, BTreeMap::from([("m7".to_string(), own)]));
+        assert_eq!(r.machine_paths, BTreeMap::from([("m7".to_string(), own)]));
     }
 
     #[test]
@@ -229,6 +245,6 @@
     #[test]
     fn the_example_is_good() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/release.example.toml");
-        assert!(read(&path).expect("good").waves.len() > 2 && is_rollout_file(&path));
+        assert!(read(&path).expect("good").stages.len() > 2 && is_rollout_file(&path));
     }
 }
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -391,7 +391,7 @@
         match self {
             Outage::Apply { file } => outage(&file, Command::Apply),
             Outage::Status { file, json } => outage(&file, Command::Status { json }),
-            Outage::Forget { file, unit } => outage(&file, Command::Forget { unit }),
+            Outage::Forget { file, unit } => outage(&file, Command::Forget { balancer: unit }),
         }
     }
 }
@@ -402,7 +402,14 @@
         let for_ms = ends.map(|e| u64::try_from(e.as_millis()).unwrap_or(u64::MAX));
         outage(
             &file,
-            disruption_agent::command::Command::Drain { unit, for_ms, why, wait, until_drained, overrides },
+            disruption_agent::command::Command::Drain {
+                endpoint: unit,
+                duration_ms: for_ms,
+                reason: why,
+                wait,
+                until_drained,
+                override_reason: overrides,
+            },
         )
     }
 }
@@ -534,7 +541,7 @@
         Command::Release(release) => release.run(),
         Command::Drain(drain) => drain.run(),
         Command::Undrain { file, unit } => {
-            outage(&file, disruption_agent::command::Command::Undrain { unit })
+            outage(&file, disruption_agent::command::Command::Undrain { endpoint: unit })
         }
         Command::Drains { file, json } => outage(&file, disruption_agent::command::Command::Drains { json }),
         Command::Members { operator, takeover, once, json } => members(operator, takeover, once, json),
