--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -26,13 +26,13 @@
 /// See the module's page.
 pub struct LocalBalancer {
     /// The view of members.
-    pub members: EndpointAggregator<Pools>,
+    pub endpoints: EndpointAggregator<Pools>,
     /// All pools.
     pub pools: Pools,
     /// An upstream is cold for so long after its start, in milliseconds.
-    pub ramp: f64,
+    pub slow_start_ms: f64,
     /// What it was asked and has served.
-    pub counts: Rc<RequestCounters>,
+    pub counters: Rc<RequestCounters>,
 }
 
 /// Begins the reporter, and waits a moment for the drains that hold now.
@@ -45,15 +45,15 @@
     let council = spawn_reader(file, "balancer", name);
     // Whoever started this process knows what it started.
     let build = std::env::var(BUILD).unwrap_or_default();
-    let counts = station.counts.clone();
+    let counts = station.counters.clone();
     let totals = move || rollout::MetricsSample {
-        asked: counts.asked.get(),
+        requests: counts.asked.get(),
         served: counts.served.get(),
         late: counts.late.get(),
-        memory: request_counters::memory(),
+        memory_mb: request_counters::memory(),
     };
     tokio::task::spawn_local(rollout_agent::sampler::run(council.clone(), name.into(), totals));
-    let setup = ReporterConfig { file: file.clone(), name: name.into(), warm: file.warm, build };
+    let setup = ReporterConfig { coordination: file.clone(), name: name.into(), warm_up: file.warm, build };
     let mut known = report(council.clone(), setup, Rc::new(station), states);
     if tokio::time::timeout(DRAINS_WITHIN, known.wait_for(|known| *known)).await.is_err() {
         info!("outage: the council has not said which upstreams are drained, and {name} begins without");
@@ -62,19 +62,19 @@
 }
 
 impl disruption_agent::reporter::BalancerView for LocalBalancer {
-    fn drained(&self, upstreams: &BTreeMap<String, String>) {
-        self.members.hold(upstreams);
+    fn apply_drains(&self, upstreams: &BTreeMap<String, String>) {
+        self.endpoints.hold(upstreams);
     }
 
     fn in_flight(&self, upstream: &str) -> usize {
         self.pools.in_flight(aggregator::id(upstream))
     }
 
-    fn sight(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>) {
+    fn observations(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>) {
         let pools = self.pools.in_use();
         let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.handle.ejected()).collect();
         let (mut list, mut out, now) = (EndpointList::default(), BTreeMap::new(), unix_ms());
-        self.members.each(|m| {
+        self.endpoints.each(|m| {
             let id = aggregator::id(&m.name);
             let named = |name: &str| if name.is_empty() { WHOLE.to_string() } else { name.to_string() };
             let within = pools.iter().filter(|pool| pool.has(id)).map(|pool| named(&pool.name));
@@ -82,13 +82,12 @@
             list.upstreams.insert(m.name.to_string(), place);
             let stand = match m.standing {
                 // A drain by agreement is the leave that is given for it, and not seen here once more.
-                EndpointState::Draining if self.members.holds(&m.name) => None,
+                EndpointState::Draining if self.endpoints.holds(&m.name) => None,
                 EndpointState::Draining => Some(EndpointCondition::Draining),
                 EndpointState::Unhealthy => Some(EndpointCondition::Unhealthy),
                 EndpointState::Ready if ejected.contains(&id) => Some(EndpointCondition::Ejected),
-                EndpointState::Ready => {
-                    (m.since > 0.0 && now - m.since < self.ramp).then_some(EndpointCondition::WarmingUp)
-                }
+                EndpointState::Ready => (m.since > 0.0 && now - m.since < self.slow_start_ms)
+                    .then_some(EndpointCondition::WarmingUp),
             };
             out.extend(stand.map(|stand| (m.name.to_string(), stand)));
         });
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -189,10 +189,10 @@
     let council = match &operator.council {
         Some(file) => {
             let station = LocalBalancer {
-                members: members.clone(),
+                endpoints: members.clone(),
                 pools: handle.clone(),
-                ramp: deployment.policy.ramp_time,
-                counts,
+                slow_start_ms: deployment.policy.ramp_time,
+                counters: counts,
             };
             Some(crate::disruption_reporting::begin(file, &name, station, standing).await)
         }
--- a/crates/herondock/src/supervise/event_loop.rs
+++ b/crates/herondock/src/supervise/event_loop.rs
@@ -84,10 +84,10 @@
     let client = council.map(|(c, machine)| {
         (coordination_server::client::spawn_with_presence(c, "supervisor", machine), machine)
     });
-    let agent = client.as_ref().map(|(client, machine)| LeaseAgentHandle::begin(client.clone(), machine));
+    let agent = client.as_ref().map(|(client, machine)| LeaseAgentHandle::spawn(client.clone(), machine));
     let releases = match client.zip(agent.as_ref()) {
         Some(((client, machine), agent)) => {
-            let of_releases = rollout_agent::agent::RolloutAgent::begin(client, agent.follows());
+            let of_releases = rollout_agent::agent::RolloutAgent::spawn(client, agent.subscribe());
             Some(Releases::new(file, machine, of_releases)?)
         }
         None => None,
@@ -208,7 +208,7 @@
         let units: BTreeMap<String, BalancerEntry> =
             self.units.iter().cloned().zip(self.fleet.instances().iter().map(unit)).collect();
         if units != self.declared {
-            agent.units(units.clone());
+            agent.set_balancers(units.clone());
             self.declared = units;
         }
     }
@@ -224,21 +224,21 @@
         let one =
             |((file, unit), i): ((&config::supervisor::InstanceConfig, &String), &supervisor::Instance)| {
                 LocalInstance {
-                    unit: unit.clone(),
+                    name: unit.clone(),
                     build: releases.build(&file.name).clone(),
                     ready: i.state == supervisor::InstanceState::Ready && i.successor.is_none(),
-                    given_up: match &i.state {
+                    start_failure: match &i.state {
                         supervisor::InstanceState::CrashLoop(why) => Some(why.clone()),
                         _ => None,
                     },
-                    slow: i.slow(),
+                    start_timed_out: i.slow(),
                     crashes: i.crashes(now, self.file.window),
                 }
             };
         let all = self.file.instances.iter().zip(&self.units).zip(self.fleet.instances());
         let all: Vec<LocalInstance> = all.map(one).collect();
         let at_once = if self.fleet.rolling().is_some() { 0 } else { self.file.at_once };
-        let acts = releases.next(&all, &agent.follows().borrow(), at_once, session);
+        let acts = releases.next(&all, &agent.subscribe().borrow(), at_once, session);
         for act in acts {
             let event = self.moved(act);
             self.take(event);
@@ -249,9 +249,11 @@
     fn moved(&mut self, act: Move) -> Event {
         let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Timeout };
         match act {
-            Move::RequestLease { unit, why } => agent.ask(&unit, DisruptionKind::Restart, &why, None),
-            Move::ReleaseLease { unit, acted } => agent.give_back(&unit, acted),
-            Move::Replace { unit, build } => {
+            Move::RequestLease { instance: unit, reason: why } => {
+                agent.request(&unit, DisruptionKind::Restart, &why, None)
+            }
+            Move::ReleaseLease { instance: unit, replaced: acted } => agent.release(&unit, acted),
+            Move::Replace { instance: unit, build } => {
                 let instance = self.units.iter().position(|u| *u == unit);
                 let Some((k, file)) = instance.and_then(|k| Some((k, self.file.instances.get(k)?))) else {
                     return Event::Timeout;
@@ -261,7 +263,9 @@
                         info!(unit, "release: goes over to build {}", rollout_agent::build_id::short(&build));
                         return Event::Command(Command::Replace(k));
                     }
-                    Err(Some(Move::ReleaseLease { unit, acted })) => agent.give_back(&unit, acted),
+                    Err(Some(Move::ReleaseLease { instance: unit, replaced: acted })) => {
+                        agent.release(&unit, acted)
+                    }
                     Err(_) => {}
                 }
             }
@@ -272,11 +276,11 @@
     /// Leave for a release is to be used, where the record could be read after it was given.
     fn confirmed(&mut self, given: &GrantedLease, done: bool) -> Event {
         let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Timeout };
-        if !done || !agent.may(given) {
-            agent.unused(&given.unit);
+        if !done || !agent.is_active(given) {
+            agent.mark_unused(&given.balancer);
             return Event::Timeout;
         }
-        match releases.confirmed(&given.unit, &agent.follows().borrow()) {
+        match releases.confirmed(&given.balancer, &agent.subscribe().borrow()) {
             Some(act) => self.moved(act),
             None => Event::Timeout,
         }
@@ -284,15 +288,15 @@
 
     /// Leave was given. It may have come late: what it allowed may be another's by now.
     fn given(&mut self, given: &GrantedLease) -> Event {
-        let instance = self.units.iter().position(|unit| *unit == given.unit);
+        let instance = self.units.iter().position(|unit| *unit == given.balancer);
         let (Some(agent), Some(instance)) = (&self.agent, instance) else { return Event::Timeout };
-        let (unit, number) = (&given.unit, given.number);
-        if !agent.may(given) {
+        let (unit, number) = (&given.balancer, given.fencing_token);
+        if !agent.is_active(given) {
             info!(unit, number, "outage: the leave came too late, and nothing is done by it");
-            agent.unused(unit);
+            agent.mark_unused(unit);
             return Event::Timeout;
         }
-        info!(unit, number, "outage: has leave to {}", given.act.word());
+        info!(unit, number, "outage: has leave to {}", given.kind.as_str());
         match &self.releases {
             Some(releases) if releases.given(given) => Event::Timeout,
             _ => Event::LeaseGranted(instance),
@@ -325,12 +329,12 @@
                 }
                 Action::RequestLease { instance, roll } => {
                     if let (Some(agent), Some(unit)) = (&self.agent, self.units.get(instance)) {
-                        agent.ask(unit, act(roll), word(roll), self.overrides.as_deref());
+                        agent.request(unit, act(roll), word(roll), self.overrides.as_deref());
                     }
                 }
                 Action::ReleaseLease { instance, acted } => {
                     if let (Some(agent), Some(unit)) = (&self.agent, self.units.get(instance)) {
-                        agent.give_back(unit, acted);
+                        agent.release(unit, acted);
                     }
                 }
                 Action::Rejected(why) => {
@@ -442,19 +446,18 @@
     /// What the leaves that it asks for wait for, in words.
     fn waits(&self) -> String {
         let Some(agent) = &self.agent else { return String::new() };
-        let board = agent.board();
-        let own =
-            |id: &str| board.asks.get(id).is_some_and(|a| Some(&a.value.owner) == self.file.machine.as_ref());
-        let mut waits: Vec<String> = match agent.heard() {
+        let board = agent.snapshot();
+        let own = |id: &str| {
+            board.requests.get(id).is_some_and(|a| Some(&a.value.owner) == self.file.machine.as_ref())
+        };
+        let mut waits: Vec<String> = match agent.is_connected() {
             true => Vec::new(),
             false => vec!["the council does not answer".into()],
         };
-        let asks = board.decide().into_iter().filter(|(id, _)| own(id));
-        waits.extend(
-            asks.filter_map(|(id, verdict)| {
-                Some(format!("{} {verdict}", board.asks.get(&id)?.value.unit.name))
-            }),
-        );
+        let asks = board.decisions().into_iter().filter(|(id, _)| own(id));
+        waits.extend(asks.filter_map(|(id, verdict)| {
+            Some(format!("{} {verdict}", board.requests.get(&id)?.value.resource.name))
+        }));
         waits.iter().fold(String::new(), |text, wait| text + "; " + wait)
     }
 
--- a/crates/herondock/src/supervise/rollouts.rs
+++ b/crates/herondock/src/supervise/rollouts.rs
@@ -125,21 +125,21 @@
 
     /// Why no roll may begin now.
     pub fn bars(&self) -> Option<String> {
-        let board = self.agent.board();
+        let board = self.agent.snapshot();
         match board.unfinished() {
             Some((plan, state)) if !matches!(state.value, rollout::RolloutState::Paused { .. }) => {
-                Some(format!("release {} goes on; halt it first", plan.release.number))
+                Some(format!("release {} goes on; halt it first", plan.spec.number))
             }
-            _ if self.mover.busy() => Some("a release is moving instances here".into()),
+            _ if self.mover.is_busy() => Some("a release is moving instances here".into()),
             _ => None,
         }
     }
 
     /// How often to look after releases; `None`: there was none yet.
     pub fn look_every(&self) -> Option<Duration> {
-        let board = self.agent.board();
+        let board = self.agent.snapshot();
         board.current()?;
-        let goes = self.mover.busy() || board.unfinished().is_some();
+        let goes = self.mover.is_busy() || board.unfinished().is_some();
         Some(if goes { GOES } else { OVER })
     }
 
@@ -147,7 +147,7 @@
     /// called again.
     pub async fn news(&mut self) -> Option<(GrantedLease, bool)> {
         tokio::select! {
-            news = self.agent.news() => match news {
+            news = self.agent.next_event() => match news {
                 AgentEvent::SnapshotChanged => {}
                 AgentEvent::LeaseConfirmed(given, done) => return Some((given, done)),
             },
@@ -169,7 +169,7 @@
             return;
         }
         self.looking = Some(of);
-        let (files, tell) = (RolloutExecutor::files(plan, &self.machine), self.tell.clone());
+        let (files, tell) = (RolloutExecutor::build_files(plan, &self.machine), self.tell.clone());
         tokio::task::spawn_blocking(move || {
             let read = |(build, path): (BuildId, String)| {
                 let found = Found::read(Path::new(&path), &build);
@@ -189,8 +189,8 @@
         let files = self.checked.iter().flat_map(|c| &c.files);
         let mut faults: BTreeMap<BuildId, String> =
             files.filter_map(|(b, f)| Some((b.clone(), f.as_ref().err()?.clone()))).collect();
-        if let (Some(why), Some((plan, _))) = (&self.unkept, self.agent.board().current()) {
-            faults.insert(plan.release.new.clone(), why.clone());
+        if let (Some(why), Some((plan, _))) = (&self.unkept, self.agent.snapshot().current()) {
+            faults.insert(plan.spec.new.clone(), why.clone());
         }
         faults
     }
@@ -203,10 +203,10 @@
         at_once: usize,
         session: SessionId,
     ) -> Vec<ExecutorAction> {
-        let board = self.agent.board().clone();
+        let board = self.agent.snapshot().clone();
         let Some((plan, state)) = board.unfinished() else {
-            self.agent.says(RolloutExecutor::places(all, &board, &BTreeMap::new()));
-            return self.mover.next(
+            self.agent.set_reports(RolloutExecutor::reports(all, &board, &BTreeMap::new()));
+            return self.mover.next_actions(
                 &self.machine,
                 all,
                 (fleet, &board),
@@ -214,28 +214,28 @@
                 unix_ms(),
             );
         };
-        let of = (plan.release.number, state.version);
+        let of = (plan.spec.number, state.version);
         if self.checked.as_ref().is_none_or(|c| c.of.0 != of.0) {
             // Of another release.
             self.unkept = None;
         }
         self.look(plan, of);
         let faults = self.faults();
-        self.agent.says(RolloutExecutor::places(all, &board, &faults));
+        self.agent.set_reports(RolloutExecutor::reports(all, &board, &faults));
         let known = self.checked.as_ref().is_some_and(|c| c.of.0 == of.0);
         let at_once = if known { at_once } else { 0 };
-        self.mover.next(&self.machine, all, (fleet, &board), (at_once, &faults, session), unix_ms())
+        self.mover.next_actions(&self.machine, all, (fleet, &board), (at_once, &faults, session), unix_ms())
     }
 
     /// Leave has come. Whether it is for a release, which first has the record read.
     pub fn given(&self, given: &GrantedLease) -> bool {
-        self.mover.asks(&given.unit) && self.agent.confirm(given)
+        self.mover.is_waiting_for_lease(&given.balancer) && self.agent.confirm_lease(given)
     }
 
     /// It may be used now: what is done by it.
     pub fn confirmed(&mut self, unit: &str, fleet: &Fleet) -> Option<ExecutorAction> {
-        let board = self.agent.board();
-        self.mover.given(&self.machine, unit, (fleet, &board), unix_ms())
+        let board = self.agent.snapshot();
+        self.mover.on_lease_granted(&self.machine, unit, (fleet, &board), unix_ms())
     }
 
     /// The file of a build, if it is still the one that was read.
@@ -266,7 +266,7 @@
                 if let Some(checked) = &mut self.checked {
                     checked.files.insert(build.clone(), Err(why));
                 }
-                return Err(self.mover.undone(unit));
+                return Err(self.mover.cancel(unit));
             }
         };
         let before = self.kept.insert(instance.into(), (build.clone(), path));
@@ -275,18 +275,18 @@
             self.store.save(&text).map_err(|e| format!("{}: {e}", self.store.path().display()))
         });
         self.unkept = kept.err().map(|why| format!("which build an instance is of can't be kept: {why}"));
-        let goes_back = self.agent.board().current().is_some_and(|(plan, _)| plan.release.old == *build);
+        let goes_back = self.agent.snapshot().current().is_some_and(|(plan, _)| plan.spec.old == *build);
         if let Some(why) = &self.unkept {
             info!("release: {unit}: {why}");
         }
         if self.unkept.is_none() || goes_back {
-            self.mover.done(unit, build);
+            self.mover.mark_replaced(unit, build);
             return Ok(());
         }
         match before {
             Some(before) => drop(self.kept.insert(instance.into(), before)),
             None => drop(self.kept.remove(instance)),
         }
-        Err(self.mover.undone(unit))
+        Err(self.mover.cancel(unit))
     }
 }
--- a/crates/verification/disruption-simulation/src/judge.rs
+++ b/crates/verification/disruption-simulation/src/judge.rs
@@ -29,7 +29,7 @@
     let taken: BTreeSet<&String> =
         units.iter().filter(|(name, t)| known(t) || leaves.contains(*name)).map(|(name, _)| name).collect();
     let mut wrong = Vec::new();
-    for budget in &budgets.all {
+    for budget in &budgets.budgets {
         let mut groups: BTreeMap<&str, (u32, Vec<&String>, bool)> = BTreeMap::new();
         for (name, truth) in units {
             for group in budget.groups(ResourceKind::Balancer, &truth.labels) {
--- a/crates/verification/disruption-simulation/src/plan.rs
+++ b/crates/verification/disruption-simulation/src/plan.rs
@@ -167,11 +167,11 @@
     DisruptionBudget {
         name: name.into(),
         kind: ResourceKind::Balancer,
-        per,
-        only: None,
-        most,
-        per_mille,
-        floor: 0,
+        group_by: per,
+        group: None,
+        max_unavailable: most,
+        max_unavailable_per_mille: per_mille,
+        min_available: 0,
     }
 }
 
@@ -233,7 +233,7 @@
         if release.is_some() {
             rolls.clear();
         }
-        let (at_once, budgets) = (1 + d.below(2), DisruptionBudgets { all });
+        let (at_once, budgets) = (1 + d.below(2), DisruptionBudgets { budgets: all });
         Plan { seed, machines, each, at_once, budgets, rolls, troubles, release }
     }
 }
--- a/crates/verification/disruption-simulation/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -303,8 +303,8 @@
                 }
             }
         }
-        all.extend(board.leaves.iter().map(|(id, l)| format!("leave for {id}: {:?}", l.value)));
-        all.extend(board.asks.values().map(|a| format!("asked: {:?}", a.value)));
+        all.extend(board.leases.iter().map(|(id, l)| format!("leave for {id}: {:?}", l.value)));
+        all.extend(board.requests.values().map(|a| format!("asked: {:?}", a.value)));
         all.extend(self.release_unfinished());
         all
     }
@@ -447,7 +447,7 @@
         match self.record.events_since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
                 for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
-                    board.put(&c.key, c.value.as_deref(), c.revision);
+                    board.apply(&c.key, c.value.as_deref(), c.revision);
                 }
                 board.revision = board.revision.max(self.record.revision());
             }
@@ -532,7 +532,7 @@
             down: sup.fleet.instances().get(k).is_none_or(down),
         };
         let units = (0..each).map(|k| (name(m, k), unit(k))).collect();
-        sup.agent.units(units);
+        sup.agent.set_balancers(units);
     }
 
     /// Tells the supervisor's machine and does what it wants.
@@ -580,12 +580,12 @@
                     RollingAction::Reload => DisruptionKind::Reload,
                 };
                 if let Some(sup) = &mut self.machines[m].sup {
-                    sup.agent.ask(&name(m, instance), act, "", None);
+                    sup.agent.request(&name(m, instance), act, "", None);
                 }
             }
             Action::ReleaseLease { instance, acted } => {
                 if let Some(sup) = &mut self.machines[m].sup {
-                    sup.agent.give_back(&name(m, instance), acted);
+                    sup.agent.release(&name(m, instance), acted);
                 }
             }
             Action::RollFinished(_) => {
@@ -653,7 +653,7 @@
         let board = self.board();
         let unit = ResourceId::balancer(name(m, k));
         let session = self.machines[m].sup.as_ref().and_then(|s| s.session).map(|(id, _)| id);
-        let leave = board.leaves.get(&unit).map(|l| &l.value);
+        let leave = board.leases.get(&unit).map(|l| &l.value);
         let good = leave.is_some_and(|l| l.owner == format!("m{m}") && Some(l.session) == session);
         if !good {
             self.report.wrong.push(format!("{unit} is taken out without leave: the record has {leave:?}"));
@@ -889,7 +889,7 @@
             let (Op::Put { key, .. } | Op::Delete(key)) = change;
             key.strip_prefix("outage/leave/balancer/").map(str::to_string)
         };
-        let before: BTreeSet<String> = self.board().leaves.keys().map(|id| id.name.clone()).collect();
+        let before: BTreeSet<String> = self.board().leases.keys().map(|id| id.name.clone()).collect();
         let new: BTreeSet<String> =
             plan.ops.iter().filter_map(leave).filter(|n| !before.contains(n)).collect();
         let write = Transaction { session, sequence: number, compares: plan.compares, ops: plan.ops };
@@ -937,25 +937,25 @@
             self.catch_up(&mut board);
         }
         if fresh && self.variant == Variant::MissingNotCounted {
-            let said: BTreeSet<String> = board.said.keys().cloned().collect();
-            board.units.retain(|name, _| said.contains(name));
+            let said: BTreeSet<String> = board.statuses.keys().cloned().collect();
+            board.balancers.retain(|name, _| said.contains(name));
         }
         let own = format!("m{m}");
         if fresh && !deciding {
             self.catch_up(&mut board);
-            board.leaves.retain(|_, l| l.value.owner == own);
+            board.leases.retain(|_, l| l.value.owner == own);
         }
         let Some(sup) = self.sup(m, inc) else { return };
         sup.busy = false;
         sup.board = board;
         if !fresh {
-            sup.agent.failed(now);
+            sup.agent.on_failure(now);
             return self.agent(m);
         }
         if !look {
             return self.agent(m);
         }
-        match sup.agent.decided(now, &sup.board) {
+        match sup.agent.on_consistent_read(now, &sup.board) {
             Step::Write(plan, _) => self.sends(m, inc, Some(plan)),
             Step::Wait(until) => self.wake(m, until),
             Step::ReadConsistent => {}
@@ -969,11 +969,11 @@
         if !held && self.variant != Variant::LateLeaveUsed {
             self.report.late += 1;
             if let Some(sup) = &mut self.machines[m].sup {
-                sup.agent.unused(&given.unit);
+                sup.agent.mark_unused(&given.balancer);
             }
             return self.agent(m);
         }
-        let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == given.unit) else { return };
+        let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == given.balancer) else { return };
         if !self.release_given(m, given) {
             self.feed(m, Event::LeaseGranted(k));
         }
--- a/crates/verification/disruption-simulation/src/world/releases.rs
+++ b/crates/verification/disruption-simulation/src/world/releases.rs
@@ -109,15 +109,15 @@
         let wanted = match &state.value {
             RolloutState::Complete => "new",
             RolloutState::RolledBack { .. } => "old",
-            other => return vec![format!("the release: {}", other.words())],
+            other => return vec![format!("the release: {}", other.summary())],
         };
         let mut all = Vec::new();
         for (m, machine) in self.machines.iter().enumerate() {
             for (k, b) in machine.balancers.iter().enumerate() {
                 let is = |p: &Proc| p.stage != ProcessPhase::Ready || p.build.0 == wanted;
                 if !b.procs.values().all(is) || machine.kept[k].0 != wanted {
-                    let place = board.places.get(&name(m, k)).map(|p| &p.value);
-                    let says = state.value.words();
+                    let place = board.reports.get(&name(m, k)).map(|p| &p.value);
+                    let says = state.value.summary();
                     all.push(format!("{} is not of the {wanted} build: {says}, {place:?}", name(m, k)));
                 }
             }
@@ -151,17 +151,18 @@
             number: 1,
             old: BuildId("old".into()),
             new: BuildId("new".into()),
-            waves,
+            stages: waves,
             bake_ms: BAKE * self.slower(),
-            look_ms: GATE * self.slower(),
-            cap_ms: CAP * self.slower(),
-            gate: CanaryAnalysis { requests: 10, looks, ..CanaryAnalysis::default() },
-            returns: release.returns,
-            by: "operator".into(),
-            why: String::new(),
+            check_interval_ms: GATE * self.slower(),
+            max_bake_ms: CAP * self.slower(),
+            analysis: CanaryAnalysis { min_requests: 10, max_checks: looks, ..CanaryAnalysis::default() },
+            auto_rollback: release.returns,
+            approved_by: "operator".into(),
+            reason: String::new(),
         };
-        let plan = RolloutPlan { release, paths: BuildPaths::default(), machines: BTreeMap::new() };
-        match self.record_of_releases().starts(&plan) {
+        let plan =
+            RolloutPlan { spec: release, paths: BuildPaths::default(), machine_paths: BTreeMap::new() };
+        match self.record_of_releases().start_rollout(&plan) {
             Ok(writes) => {
                 self.note(|| "the release begins".into());
                 self.release.began = Some(self.agenda.now());
@@ -186,18 +187,18 @@
                 // Until it is over.
                 self.agenda.after(ms(10_000.0), What::Order(k));
                 match &state.value {
-                    RolloutState::Paused { wave: Some(_), .. } if release.quality == Quality::Good => {
+                    RolloutState::Paused { stage: Some(_), .. } if release.quality == Quality::Good => {
                         OperatorCommand::Resume
                     }
-                    RolloutState::Paused { wave: None, .. } => OperatorCommand::Resume,
+                    RolloutState::Paused { stage: None, .. } => OperatorCommand::Resume,
                     RolloutState::Paused { .. } => OperatorCommand::RollBack("it is bad".into()),
                     _ => return,
                 }
             }
         };
-        if let Ok(next) = plan.release.ordered(&state.value, &order) {
-            self.note(|| format!("the operator: {}", next.words()));
-            if let Some(writes) = board.moves_to(&next) {
+        if let Ok(next) = plan.spec.apply_command(&state.value, &order) {
+            self.note(|| format!("the operator: {}", next.summary()));
+            if let Some(writes) = board.write_state(&next) {
                 self.release.ordered = true;
                 self.release.changed = Some(self.agenda.now());
                 self.operator(writes);
@@ -234,8 +235,9 @@
             let asked = (RATE * span as f64 / 1e9) as u64 + self.draws.below(4) as u64;
             let served = (0..asked).filter(|_| !self.draws.chance(fails)).count() as u64;
             let (late, memory) = (self.draws.below(2) as u64, 5.0 + self.draws.between((0.0, 0.5)));
-            let sample = MetricsSample { asked, served, late: late.min(served), memory };
-            let value = serde_json::to_string(&MetricsWindow { since, sample }).unwrap_or_default();
+            let sample = MetricsSample { requests: asked, served, late: late.min(served), memory_mb: memory };
+            let value = serde_json::to_string(&MetricsWindow { state_version: since, metrics: sample })
+                .unwrap_or_default();
             let put = Op::Put { key: metrics_key(&name(m, k)), value, ephemeral: true };
             let number = self
                 .record
@@ -257,11 +259,11 @@
         let Some(sup) = &machine.sup else { return Vec::new() };
         let now = super::span(self.agenda.now());
         let one = |(k, i): (usize, &supervisor::Instance)| LocalInstance {
-            unit: name(m, k),
+            name: name(m, k),
             build: machine.kept[k].clone(),
             ready: i.state == Stands::Ready && i.successor.is_none(),
-            given_up: matches!(i.state, Stands::CrashLoop(_)).then(|| "given up".to_string()),
-            slow: i.slow(),
+            start_failure: matches!(i.state, Stands::CrashLoop(_)).then(|| "given up".to_string()),
+            start_timed_out: i.slow(),
             crashes: i.crashes(now, WINDOW),
         };
         sup.fleet.instances().iter().enumerate().map(one).collect()
@@ -284,7 +286,7 @@
         match self.record.events_since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
                 for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
-                    board.put(&c.key, c.value.as_deref(), c.revision);
+                    board.apply(&c.key, c.value.as_deref(), c.revision);
                 }
                 board.revision = board.revision.max(self.record.revision());
             }
@@ -297,7 +299,7 @@
         let Some((session, _)) = sup.session.filter(|&(_, until)| now < until) else { return };
         let part = &mut sup.releases;
         let (machine, none) = (format!("m{m}"), BTreeMap::new());
-        let places = RolloutExecutor::places(&all, &part.board, &none);
+        let places = RolloutExecutor::reports(&all, &part.board, &none);
         if part.said.0 != session {
             part.said = (session, BTreeMap::new());
         }
@@ -312,13 +314,13 @@
                 Said::Places(session, places),
             ))
         } else if !part.busy {
-            part.board.follows(&sup.board, now_ms(now)).map(|(_, writes)| (writes, Said::State))
+            part.board.next_transition(&sup.board, now_ms(now)).map(|(_, writes)| (writes, Said::State))
         } else {
             None
         };
         let part = &mut sup.releases;
         part.busy |= writes.is_some();
-        let acts = part.mover.next(
+        let acts = part.mover.next_actions(
             &machine,
             &all,
             (&sup.board, &part.board),
@@ -332,8 +334,8 @@
         let acted = !acts.is_empty();
         for act in acts {
             let act = match act {
-                Move::RequestLease { unit, .. } if self.variant == Variant::MovedWithoutLeave => {
-                    Move::Replace { unit, build: BuildId("new".into()) }
+                Move::RequestLease { instance: unit, .. } if self.variant == Variant::MovedWithoutLeave => {
+                    Move::Replace { instance: unit, build: BuildId("new".into()) }
                 }
                 act => act,
             };
@@ -348,12 +350,14 @@
         self.note(|| format!("m{m} {act:?}"));
         let Some(sup) = &mut self.machines[m].sup else { return };
         match act {
-            Move::RequestLease { unit, why } => sup.agent.ask(&unit, DisruptionKind::Restart, &why, None),
-            Move::ReleaseLease { unit, acted } => sup.agent.give_back(&unit, acted),
-            Move::Replace { unit, build } => {
+            Move::RequestLease { instance: unit, reason: why } => {
+                sup.agent.request(&unit, DisruptionKind::Restart, &why, None)
+            }
+            Move::ReleaseLease { instance: unit, replaced: acted } => sup.agent.release(&unit, acted),
+            Move::Replace { instance: unit, build } => {
                 self.halted(&build);
                 let Some(sup) = &mut self.machines[m].sup else { return };
-                sup.releases.mover.done(&unit, &build);
+                sup.releases.mover.mark_replaced(&unit, &build);
                 let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == unit) else { return };
                 self.machines[m].kept[k] = build;
                 self.feed(m, Event::Command(supervisor::Command::Replace(k)));
@@ -366,13 +370,13 @@
         let board = self.record_of_releases();
         let Some((plan, state)) = board.current() else { return };
         let wanted = match &state.value {
-            RolloutState::InStage { .. } => Some(&plan.release.new),
-            RolloutState::RollingBack { .. } => Some(&plan.release.old),
+            RolloutState::InStage { .. } => Some(&plan.spec.new),
+            RolloutState::RollingBack { .. } => Some(&plan.spec.old),
             _ => None,
         };
         let long = self.release.changed.is_some_and(|at| self.agenda.now() > at + ms(NEWS));
         if long && wanted != Some(build) {
-            self.report.wrong.push(format!("goes over to {} while it is {}", build.0, state.value.words()));
+            self.report.wrong.push(format!("goes over to {} while it is {}", build.0, state.value.summary()));
         }
     }
 
@@ -380,7 +384,7 @@
     pub(super) fn release_given(&mut self, m: usize, given: &GrantedLease) -> bool {
         let Some(sup) = &self.machines[m].sup else { return false };
         let inc = sup.inc;
-        if !sup.releases.mover.asks(&given.unit) {
+        if !sup.releases.mover.is_waiting_for_lease(&given.balancer) {
             return false;
         }
         let (there, back) = (self.delay(), self.delay());
@@ -406,10 +410,10 @@
         let Some(sup) = self.sup(m, inc) else { return };
         let held = sup.session.filter(|&(id, until)| now < until && id == given.session).is_some();
         let Some(board) = board.filter(|_| held) else {
-            sup.agent.unused(&given.unit);
+            sup.agent.mark_unused(&given.balancer);
             return self.agent(m);
         };
-        let (now, unit) = (now_ms(now), given.unit.as_str());
+        let (now, unit) = (now_ms(now), given.balancer.as_str());
         let part = &mut sup.releases;
         if board.revision > part.board.revision {
             part.board = *board;
@@ -418,9 +422,10 @@
         let before = part.board.clone();
         let blind = variant == Variant::StateNotLookedAt;
         if let (true, Some(state)) = (blind, &mut part.board.state) {
-            state.value = RolloutState::InStage { wave: 9, since_ms: None, looks: 0, suspected: false };
+            state.value =
+                RolloutState::InStage { stage: 9, ready_since_ms: None, checks: 0, suspected: false };
         }
-        let act = part.mover.given(&format!("m{m}"), unit, (&sup.board, &part.board), now);
+        let act = part.mover.on_lease_granted(&format!("m{m}"), unit, (&sup.board, &part.board), now);
         part.board = before;
         if let Some(act) = act {
             self.moves(m, act);
@@ -457,14 +462,14 @@
     fn went_on(&mut self) {
         let board = self.record_of_releases();
         let Some((_, state)) = board.current() else { return };
-        let words = state.value.words();
+        let words = state.value.summary();
         self.note(|| words);
         let good = self.plan.release.as_ref().is_some_and(|r| r.quality == Quality::Good);
         let faults = self.plan.troubles.is_empty();
         match &state.value {
             RolloutState::Complete => {
                 self.report.whole += 1;
-                let limits = self.plan.budgets.all.iter().map(|b| match b.per {
+                let limits = self.plan.budgets.budgets.iter().map(|b| match b.group_by {
                     disruption::GroupBy::Fleet => b.limit((self.plan.machines * self.plan.each) as u32),
                     disruption::GroupBy::Machine => {
                         b.limit(self.plan.each as u32) * self.plan.machines as u32
