--- a/crates/control-plane/coordination-server/src/command.rs
+++ b/crates/control-plane/coordination-server/src/command.rs
@@ -260,7 +260,7 @@
     }
     match json {
         true => print(&serde_json::Value::from(all).to_string())?,
-        false => print(daemon::table::lines(&rows).trim_end())?,
+        false => print(daemon::table::format_rows(&rows).trim_end())?,
     }
     match heard {
         0 => Err("no voter answers".into()),
@@ -284,5 +284,5 @@
             known(m.match_index.map(|n| n.to_string())),
         ]);
     }
-    print(daemon::table::lines(&rows).trim_end())
+    print(daemon::table::format_rows(&rows).trim_end())
 }
--- a/crates/control-plane/coordination-server/src/server.rs
+++ b/crates/control-plane/coordination-server/src/server.rs
@@ -48,7 +48,7 @@
 pub fn lock(folder: &Path) -> Result<PidFile, String> {
     let named = |e: std::io::Error| format!("{}: {e}", folder.display());
     storage::files::Folder::new(folder).map_err(named)?;
-    PidFile::take(&folder.join("lock"))
+    PidFile::acquire(&folder.join("lock")).map_err(|e| e.to_string())
 }
 
 /// Runs a voter until it is told to end.
@@ -100,11 +100,11 @@
 }
 
 async fn serve(path: PathBuf, options: ServerOptions) -> Result<(), String> {
-    let mut signals = Signals::caught()?;
+    let mut signals = Signals::install().map_err(|e| e.to_string())?;
     let file = config::coordination::read(&path)?;
-    let manager = ServiceManager::of_environment();
+    let manager = ServiceManager::from_env();
     let lock = lock(&file.folder)?;
-    if let Some(why) = lock.unwritten() {
+    if let Some(why) = lock.write_error() {
         info!("council: {why}");
     }
     let (mut journal, mut frames) = journal_writer::open(&file.folder, options.halt)?;
@@ -268,9 +268,9 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut tries = interval(DISK_TRY);
         tries.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let watchdog = self.manager.watchdog();
+        let watchdog = self.manager.watchdog_interval();
         let mut alive = interval(watchdog.unwrap_or(DISK_TRY));
-        self.manager.ready(format!("listening on {}", self.file.listen()));
+        self.manager.notify_ready(format!("listening on {}", self.file.listen()));
         let (gone, mut is_gone) = mpsc::channel(1);
         let mut ends: Option<Instant> = None;
         loop {
@@ -279,7 +279,7 @@
                 return Ok(());
             }
             if ends.is_some_and(|at| !self.voter.leads() || Instant::now() >= at) {
-                self.manager.stopping();
+                self.manager.notify_stopping();
                 info!("council: {} ends", self.file.name);
                 return Ok(());
             }
@@ -328,7 +328,7 @@
                     continue;
                 }
                 _ = alive.tick(), if watchdog.is_some() => {
-                    self.manager.alive();
+                    self.manager.notify_watchdog();
                     continue;
                 }
             };
@@ -415,17 +415,17 @@
         match note {
             VoterEvent::BecameLeader(term) => {
                 info!(term, "council: {name} leads");
-                self.manager.ready("leads".into());
+                self.manager.notify_ready("leads".into());
             }
             VoterEvent::FollowsLeader(leader) => {
                 info!("council: {name} follows {leader}");
-                self.manager.ready(format!("follows {leader}"));
+                self.manager.notify_ready(format!("follows {leader}"));
             }
             VoterEvent::Leaderless => info!("council: {name} knows no leader"),
             VoterEvent::StorageFailed(why) => {
                 let why = format!("{}: {why}", self.file.folder.display());
                 info!("council: {name} stands aside and does not vote: {why}");
-                self.manager.ready(format!("stands aside: {why}"));
+                self.manager.notify_ready(format!("stands aside: {why}"));
             }
             VoterEvent::StorageRecovered => info!("council: {name} is back"),
             VoterEvent::Removed => self.removed = true,
@@ -445,7 +445,7 @@
 
     /// Names of voters may be added; all else stays as it is while the process runs.
     fn reload(&mut self) {
-        self.manager.reloading();
+        self.manager.notify_reloading();
         let next = config::coordination::read(&self.path);
         let told = match next {
             Err(why) => Err(why),
@@ -470,11 +470,11 @@
         match told {
             Ok(()) => {
                 info!("council: reloaded");
-                self.manager.ready(format!("listening on {}", self.file.listen()));
+                self.manager.notify_ready(format!("listening on {}", self.file.listen()));
             }
             Err(why) => {
                 info!("council: not reloaded: {why}");
-                self.manager.ready(format!("not reloaded: {why}"));
+                self.manager.notify_ready(format!("not reloaded: {why}"));
             }
         }
     }
--- a/crates/control-plane/disruption-agent/src/command.rs
+++ b/crates/control-plane/disruption-agent/src/command.rs
@@ -4,7 +4,7 @@
 use coordination::client::SessionConfig;
 use coordination::state_machine::{Compare, Op, SessionId};
 use coordination_server::client::{ClientConfig, ClientHandle, SessionState};
-use daemon::table::lines;
+use daemon::table::format_rows;
 use disruption::snapshot::{lease_key, request_key, BUDGETS, KEY_PREFIX};
 use disruption::{
     ConditionalWrite, DisruptionKind, FleetSnapshot, LeaseDecision, LeaseRequest, ResourceId, ResourceKind,
@@ -355,7 +355,7 @@
         let n = |n: u32| n.to_string();
         rows.push(row(&[&budget, &group, &n(c.size), &n(c.out), &n(c.limit), &n(c.floor)]));
     }
-    let mut text = lines(&rows);
+    let mut text = format_rows(&rows);
     let mut rows = vec![row(&["out", "why", "by", "reason"])];
     for (id, why) in board.out() {
         let why: Vec<String> = why.iter().map(ToString::to_string).collect();
@@ -364,14 +364,14 @@
         let reason = leave.map_or("", |l| l.overrides.as_ref().unwrap_or(&l.why));
         rows.push(row(&[&id.to_string(), &why.join(", "), by, reason]));
     }
-    text = text + "\n" + &lines(&rows);
+    text = text + "\n" + &format_rows(&rows);
     let mut rows = vec![row(&["asks", "for", "by", "verdict"])];
     for (id, verdict) in board.decide() {
         let Some(ask) = board.asks.get(&id) else { continue };
         let ask = &ask.value;
         rows.push(row(&[&ask.unit.to_string(), ask.act.word(), &ask.owner, &verdict.to_string()]));
     }
-    text = text + "\n" + &lines(&rows);
+    text = text + "\n" + &format_rows(&rows);
     print(text.trim_end())
 }
 
@@ -399,5 +399,5 @@
         let span = l.for_ms.map_or(String::new(), |ms| format!("{} s", ms / 1000));
         rows.push(row(&[&id.name, &l.owner, &l.why, &span, &state, &board.waits_for(id).join(", ")]));
     }
-    print(lines(&rows).trim_end())
+    print(format_rows(&rows).trim_end())
 }
--- a/crates/control-plane/rollout-agent/src/command.rs
+++ b/crates/control-plane/rollout-agent/src/command.rs
@@ -3,7 +3,7 @@
 use config::rollout::RolloutConfig as File;
 use coordination::client::SessionConfig;
 use coordination_server::client::{ClientConfig, ClientHandle};
-use daemon::table::lines;
+use daemon::table::format_rows;
 use disruption::FleetSnapshot as Fleet;
 use disruption_agent::command::{operator, print};
 use disruption_agent::informer::{write, Informer, WriteOutcome};
@@ -185,5 +185,5 @@
             text(i.broken.as_deref().unwrap_or_default()),
         ]);
     }
-    print(lines(&rows).trim_end())
+    print(format_rows(&rows).trim_end())
 }
--- a/crates/control-plane/supervisor/tests/fleet.rs
+++ b/crates/control-plane/supervisor/tests/supervisor.rs
@@ -12,7 +12,7 @@
 }
 
 fn ended(process: ProcessId) -> Event {
-    Event::Exited { process, clean: false, how: "signal 9".into() }
+    Event::Exited { process, clean: false, status: "signal 9".into() }
 }
 
 struct Run(Supervisor);
@@ -53,12 +53,13 @@
 /// Guards against a step that is taken before leave for it was given, and against leave that is kept when it is of no use.
 #[test]
 fn each_step_of_a_roll_waits_for_leave() {
-    let mut run = Run(Supervisor::new(3, SupervisorPolicy { asks: true, ..SupervisorPolicy::default() }));
+    let mut run =
+        Run(Supervisor::new(3, SupervisorPolicy { requires_lease: true, ..SupervisorPolicy::default() }));
     run.at(200, Event::Timeout);
     for p in 1..=3 {
         run.at(1000, Event::Ready(ProcessId(p)));
     }
-    let ask = |instance| Action::RequestLease { instance, roll: RollingAction::Restart };
+    let ask = |instance| Action::RequestLease { instance, action: RollingAction::Restart };
     let back = |instance, acted| Action::ReleaseLease { instance, acted };
     assert_eq!(run.at(2000, Event::Command(Command::Roll(RollingAction::Restart))), [ask(0)]);
     assert_eq!(run.at(50_000, Event::Timeout), [], "however long it takes");
@@ -80,7 +81,7 @@
 fn starts_are_spread_out() {
     let mut run = Run(Supervisor::new(3, SupervisorPolicy::default()));
     assert_eq!(run.at(0, Event::Timeout), [start(0, 1)]);
-    assert_eq!(run.0.wake(), Some(ms(100)));
+    assert_eq!(run.0.next_timeout(), Some(ms(100)));
     assert_eq!(run.at(99, Event::Timeout), []);
     assert_eq!(run.at(250, Event::Timeout), [start(1, 2), start(2, 3)]);
 }
@@ -91,8 +92,8 @@
     let (mut now, mut process, mut pauses) = (2000, 1, Vec::new());
     loop {
         let actions = run.at(now, ended(ProcessId(process)));
-        if let Some(Action::CrashLoop { instance: 0, why }) = actions.first() {
-            assert!(why.contains("5 crashes") && why.contains("signal 9"), "{why}");
+        if let Some(Action::CrashLoop { instance: 0, reason }) = actions.first() {
+            assert!(reason.contains("5 crashes") && reason.contains("signal 9"), "{reason}");
             break;
         }
         let InstanceState::BackingOff(at) = run.0.instances()[0].state else { panic!("{actions:?}") };
@@ -120,7 +121,7 @@
     let (mut run, actions) = Run::roll(RollingAction::Restart);
     assert_eq!(actions, [end(1)]);
     assert_eq!(
-        run.at(2500, Event::Exited { process: ProcessId(1), clean: true, how: String::new() }),
+        run.at(2500, Event::Exited { process: ProcessId(1), clean: true, status: String::new() }),
         [start(0, 4)]
     );
     assert_eq!(run.at(2600, Event::Timeout), []);
@@ -144,7 +145,7 @@
     run.at(2500, ended(ProcessId(1)));
     let actions = run.at(2600, ended(ProcessId(4)));
     assert!(
-        matches!(&actions[..], [Action::RollAborted { instance: 0, why }] if why.contains("signal 9")),
+        matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.contains("signal 9")),
         "{actions:?}"
     );
     assert_eq!(run.at(3200, Event::Timeout), [start(0, 5)], "it is started again, and the roll is over");
@@ -155,14 +156,14 @@
     let actions = run.at(32_500, Event::Timeout);
     assert_eq!(actions[0], Action::Signal(ProcessId(4), Signal::Kill));
     assert!(
-        matches!(&actions[1], Action::RollAborted { instance: 0, why } if why.contains("not ready after 30s"))
+        matches!(&actions[1], Action::RollAborted { instance: 0, reason } if reason.contains("not ready after 30s"))
     );
     // It does not take its files.
     let (mut run, actions) = Run::roll(RollingAction::Reload);
     assert_eq!(actions, [Action::Signal(ProcessId(1), Signal::Reload)]);
     let actions = run.at(2100, Event::ReloadFailed(ProcessId(1), "limits.head".into()));
     assert!(
-        matches!(&actions[..], [Action::RollAborted { instance: 0, why }] if why.contains("limits.head"))
+        matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.contains("limits.head"))
     );
     assert_eq!(run.0.instances()[0].state, InstanceState::Ready, "it serves on with what it had");
 }
@@ -197,7 +198,7 @@
     let process = run.0.instances()[0].process.expect("started again");
     let actions = run.at(now + 100, Event::Ready(process));
     assert!(
-        matches!(&actions[..], [Action::RollAborted { instance: 2, why }] if why == "is given up"),
+        matches!(&actions[..], [Action::RollAborted { instance: 2, reason }] if reason == "is given up"),
         "{actions:?}"
     );
 }
@@ -209,12 +210,12 @@
     assert_eq!(run.at(2100, Event::Ready(ProcessId(4))), [start(1, 5)]);
     assert_eq!(run.0.instances()[0].process, Some(ProcessId(4)));
     // The old one ends in its own time, and that is no crash.
-    assert_eq!(run.at(9000, Event::Exited { process: ProcessId(1), clean: true, how: String::new() }), []);
+    assert_eq!(run.at(9000, Event::Exited { process: ProcessId(1), clean: true, status: String::new() }), []);
     assert_eq!(run.0.instances()[0].state, InstanceState::Ready);
     // The next one never becomes ready: nothing has changed for the process that serves.
     let actions = run.at(9100, ended(ProcessId(5)));
     assert!(
-        matches!(&actions[..], [Action::RollAborted { instance: 1, why }] if why.contains("before it was ready"))
+        matches!(&actions[..], [Action::RollAborted { instance: 1, reason }] if reason.contains("before it was ready"))
     );
     assert_eq!(
         (run.0.instances()[1].process, &run.0.instances()[1].state),
@@ -234,7 +235,9 @@
 fn when_the_old_process_dies_during_a_take_over_the_new_one_is_the_instance() {
     let (mut run, _) = Run::roll(RollingAction::Handoff);
     let actions = run.at(2100, ended(ProcessId(1)));
-    assert!(matches!(&actions[..], [Action::RollAborted { instance: 0, why }] if why.starts_with("crashed")));
+    assert!(
+        matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.starts_with("crashed"))
+    );
     assert_eq!(run.at(9000, Event::Timeout), [], "no third one is started");
     run.at(9100, Event::Ready(ProcessId(4)));
     assert_eq!(
@@ -256,18 +259,18 @@
             run.at(k * 100 + 30, Event::Ready(ProcessId(k + 1))),
             [Action::RollFinished(RollingAction::Handoff)]
         );
-        assert_eq!(run.0.instances()[0].took, Some(ms(30)));
+        assert_eq!(run.0.instances()[0].time_to_ready, Some(ms(30)));
     }
     assert_eq!(run.at(1000, take_over()), [], "the first of five has to wait");
-    assert_eq!(run.0.wake(), Some(ms(76_000)));
+    assert_eq!(run.0.next_timeout(), Some(ms(76_000)));
     assert_eq!(run.at(9000, ended(ProcessId(2))), [start(0, 6)], "until one has gone");
     run.at(9030, Event::Ready(ProcessId(6)));
     run.at(10_000, take_over());
     let actions = run.at(85_000, Event::Timeout);
     assert!(
-        matches!(&actions[..], [Action::RollAborted { instance: 0, why }] if why.contains("have not ended after 75s"))
+        matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.contains("have not ended after 75s"))
     );
-    assert_eq!(run.0.wake(), None);
+    assert_eq!(run.0.next_timeout(), None);
 }
 
 /// Guards against figures that leave out the time in which nobody served.
@@ -276,18 +279,19 @@
     let (mut run, _) = Run::roll(RollingAction::Restart);
     run.at(4400, ended(ProcessId(1)));
     run.at(4450, Event::Ready(ProcessId(4)));
-    assert_eq!(run.0.instances()[0].took, Some(ms(2450)));
+    assert_eq!(run.0.instances()[0].time_to_ready, Some(ms(2450)));
     // After a crash it counts from the start of the next process: nobody sent a signal.
     let mut run = Run::ready();
     run.at(2000, ended(ProcessId(1)));
     run.at(2500, Event::Timeout);
     run.at(2540, Event::Ready(ProcessId(4)));
-    assert_eq!(run.0.instances()[0].took, Some(ms(40)));
+    assert_eq!(run.0.instances()[0].time_to_ready, Some(ms(40)));
 }
 
 #[test]
 fn several_are_taken_at_once_where_that_is_set() {
-    let mut run = Run(Supervisor::new(3, SupervisorPolicy { at_once: 2, ..SupervisorPolicy::default() }));
+    let mut run =
+        Run(Supervisor::new(3, SupervisorPolicy { max_parallel: 2, ..SupervisorPolicy::default() }));
     run.at(200, Event::Timeout);
     for p in 1..=3 {
         run.at(1000, Event::Ready(ProcessId(p)));
@@ -368,7 +372,7 @@
     /// signal to what has ended, and no crash loop.
     #[test]
     fn whatever_happens_no_more_is_taken_away_than_was_said(steps in steps(), asks in any::<bool>()) {
-        let mut fleet = Supervisor::new(4, SupervisorPolicy { asks, ..SupervisorPolicy::default() });
+        let mut fleet = Supervisor::new(4, SupervisorPolicy { requires_lease: asks, ..SupervisorPolicy::default() });
         // Instances for which leave is asked, and for which there is some.
         let (mut asked, mut has) = (BTreeSet::new(), BTreeSet::new());
         // Processes that run, and their instance.
@@ -410,7 +414,7 @@
                         let taking_over = fleet.instances()[instance].successor == Some(process);
                         prop_assert!(!asks || !taking_over || has.contains(&instance), "taken over without leave");
                         let others = running.iter().filter(|&(p, i)| *i == instance && *p != process).count();
-                        prop_assert!(taking_over || others == fleet.instances()[instance].leaving.len());
+                        prop_assert!(taking_over || others == fleet.instances()[instance].draining_predecessors.len());
                         prop_assert!(others <= 5, "bounded");
                     }
                     Action::Signal(process, signal) => {
@@ -437,7 +441,7 @@
                     prop_assert!(i.process.is_none(), "{i:?}");
                 }
             }
-            if let Some(wake) = fleet.wake() {
+            if let Some(wake) = fleet.next_timeout() {
                 prop_assert!(wake > ms(now), "it wants to be told of what it was told");
             }
         }
@@ -463,7 +467,7 @@
         now += 5000;
         run.at(now, Event::Timeout);
     }
-    let crashes = |run: &Run, now: u64| run.0.instances()[0].crashes(ms(now), ms(60_000));
+    let crashes = |run: &Run, now: u64| run.0.instances()[0].recent_crashes(ms(now), ms(60_000));
     assert_eq!((crashes(&run, now), crashes(&run, now + 60_000)), (5, 0));
     let actions = run.at(now, Event::Command(Command::Replace(0)));
     assert!(matches!(actions[..], [Action::Start { instance: 0, .. }]), "{actions:?}");
--- a/crates/foundations/config/src/discovery.rs
+++ b/crates/foundations/config/src/discovery.rs
@@ -1,5 +1,6 @@
-//! The tables of the operator's file that say where members come from: `[registry]`, `[[consul]]`, `[[static]]`.
-use crate::values::{fault_at, path_value, quantity, ConfigError, Quantity};
+//! Service discovery tables of the operator's file: `[registry]`, `[[consul]]` and `[[static]]`.
+use crate::table_reader::{DurationRange, TableReader};
+use crate::values::{ConfigError, Quantity};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,169 +8,192 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Most tables of one kind.
-const TABLES_MOST: usize = 4096;
-/// Longest text of a value.
-const TEXT_MOST: usize = 512;
+/// Maximum number of tables of one kind.
+const MAX_TABLES: usize = 4096;
+/// Maximum number of Consul agents of one service.
+const MAX_AGENTS: usize = 16;
+/// Maximum number of datacentres that are named for one service.
+const MAX_DATACENTRES: usize = 64;
 
-/// What members speak.
-const SPEAKS: &[(&str, bool)] = &[("http", false), ("fastcgi", true)];
+const ONE_HOUR_MS: u64 = 3_600_000;
+const ONE_DAY_MS: u64 = 86_400_000;
 
-/// Where members come from.
+const MAX_CACHE_AGE: DurationRange = DurationRange { default: ONE_HOUR_MS, min: 1000, max: 30 * ONE_DAY_MS };
+const CACHE_WRITE_INTERVAL: DurationRange = DurationRange { default: 1000, min: 100, max: ONE_HOUR_MS };
+const QUERY_WAIT: DurationRange = DurationRange { default: 10_000, min: 100, max: 600_000 };
+const MIN_POLL_INTERVAL: DurationRange = DurationRange { default: 100, min: 10, max: 500 };
+const INITIAL_BACKOFF: DurationRange = DurationRange { default: 250, min: 10, max: 60_000 };
+const MAX_BACKOFF: DurationRange = DurationRange { default: 10_000, min: 10, max: 600_000 };
+const MAX_STALENESS: DurationRange = DurationRange { default: 5000, min: 0, max: 600_000 };
+const REGROW_TIMEOUT: DurationRange = DurationRange { default: 120_000, min: 0, max: ONE_HOUR_MS };
+const CHECK_TTL: DurationRange = DurationRange { default: 15_000, min: 1000, max: ONE_HOUR_MS };
+const DEREGISTER_AFTER: DurationRange = DurationRange { default: 0, min: 0, max: ONE_DAY_MS };
+
+/// Values of `speaks`: whether endpoints speak FastCGI.
+const PROTOCOLS: &[(&str, bool)] = &[("http", false), ("fastcgi", true)];
+/// Values of `consistency`.
+const CONSISTENCY_MODES: &[(&str, Consistency)] = &[
+    ("default", Consistency::Default),
+    ("stale", Consistency::Stale),
+    ("consistent", Consistency::Consistent),
+];
+
+/// Sources of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryConfig {
-    /// Whether the platform's discovery is asked.
-    pub discovery: bool,
-    /// Whether members of the platform's discovery speak FastCGI, and not HTTP.
+    /// Whether the platform's discovery service is a source.
+    pub platform: bool,
+    /// Whether endpoints of the platform's discovery service speak FastCGI instead of HTTP.
     pub fastcgi: bool,
-    /// Whether members whose checks fail take work while none is ready.
+    /// Whether unhealthy endpoints receive requests while no endpoint is ready.
     pub last_resort: bool,
-    /// The file with the last view.
-    pub saved: Option<PathBuf>,
-    /// How old what a source told may be to be taken from it.
-    pub saved_most: Duration,
-    /// How often it is written at most.
-    pub saved_every: Duration,
-    /// Consul's services.
+    /// File in which the endpoint list is cached; `None`: it is not cached.
+    pub cache_file: Option<PathBuf>,
+    /// Maximum age of a source's cached endpoints at the start.
+    pub max_cache_age: Duration,
+    /// Minimum time between two writes of the cache file.
+    pub cache_write_interval: Duration,
+    /// Services of Consul.
     pub consul: Vec<ConsulConfig>,
-    /// Members named here.
-    pub fixed: Vec<Static>,
+    /// Endpoints listed in the file itself.
+    pub static_endpoints: Vec<StaticEndpoint>,
 }
 
 impl Default for DiscoveryConfig {
     fn default() -> Self {
         DiscoveryConfig {
-            discovery: true,
+            platform: true,
             fastcgi: false,
             last_resort: true,
-            saved: None,
-            saved_most: Duration::from_secs(3600),
-            saved_every: Duration::from_secs(1),
+            cache_file: None,
+            max_cache_age: Duration::from_millis(MAX_CACHE_AGE.default),
+            cache_write_interval: Duration::from_millis(CACHE_WRITE_INTERVAL.default),
             consul: Vec::new(),
-            fixed: Vec::new(),
+            static_endpoints: Vec::new(),
         }
     }
 }
 
-/// Which datacentres are watched.
+/// Datacentres in which a service is watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Datacentres {
-    /// The agent's own.
+    /// The agent's own datacentre.
     Own,
-    /// These.
+    /// The datacentres of these names.
     Named(Vec<String>),
-    /// All that the catalogue has.
+    /// All datacentres of the catalogue.
     All,
 }
 
-/// One service of Consul's.
+/// A service of Consul as a source of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConsulConfig {
-    /// What this source is called.
+    /// Unique name of this source.
     pub name: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The agents' HTTP addresses, in the order in which they are asked.
+    /// The agents' HTTP addresses, in order of preference.
     pub agents: Vec<SocketAddr>,
-    /// Which datacentres.
+    /// Datacentres in which the service is watched.
     pub datacentres: Datacentres,
-    /// `health` or `catalogue`.
+    /// Whether the health endpoint is queried, with all checks, instead of the catalogue.
     pub health: bool,
-    /// `default`, `stale` or `consistent`.
+    /// Consistency mode of the queries.
     pub consistency: Consistency,
-    /// The namespace.
+    /// Namespace; `None`: the agent's default.
     pub namespace: Option<String>,
-    /// The admin partition.
+    /// Admin partition; `None`: the agent's default.
     pub partition: Option<String>,
-    /// A filter expression.
+    /// Filter expression of the queries.
     pub filter: Option<String>,
-    /// The file with the token.
+    /// File that contains the ACL token.
     pub token_file: Option<PathBuf>,
-    /// How long a query waits for news.
+    /// Time that a blocking query waits for a change.
     pub wait: Duration,
-    /// The least time between two answers that bring news.
-    pub pace: Duration,
-    /// The first pause after a failure, and the longest.
-    pub pause: Duration,
-    /// The longest.
-    pub pause_most: Duration,
-    /// How old an answer may be in the stale mode.
-    pub stale_most: Duration,
-    /// How long what a list lacks stays after its index went backwards.
-    pub regrow: Duration,
-    /// Metadata keys.
-    pub meta: Meta,
-    /// Which tagged address is used.
-    pub tagged: String,
-    /// Whether its members speak FastCGI, and not HTTP.
+    /// Minimum time between two responses that bring changes.
+    pub min_poll_interval: Duration,
+    /// Delay after the first failure; it doubles with each further one.
+    pub initial_backoff: Duration,
+    /// Upper bound of the delay after a failure; at least `initial_backoff`.
+    pub max_backoff: Duration,
+    /// Maximum age of a response in the stale mode.
+    pub max_staleness: Duration,
+    /// Time that endpoints stay which a list lacks after its index went backwards.
+    pub regrow_timeout: Duration,
+    /// Metadata keys of the endpoints' attributes.
+    pub meta_keys: MetaKeys,
+    /// Name of the tagged address to use; empty: the service's address, or else its node's.
+    pub tagged_address: String,
+    /// Whether its endpoints speak FastCGI instead of HTTP.
     pub fastcgi: bool,
-    /// This instance as a service.
-    pub register: Option<RegistrationConfig>,
+    /// Registration of this instance as a service; `None`: it is not registered.
+    pub registration: Option<RegistrationConfig>,
 }
 
-/// Consul's consistency modes.
+/// Consistency mode of Consul queries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Consistency {
-    /// By the leader.
+    /// Answered by the leader.
     #[default]
     Default,
-    /// By any server.
+    /// Answered by any server.
     Stale,
-    /// By the leader, which asks the others first.
+    /// Answered by the leader after a quorum confirmed its leadership.
     Consistent,
 }
 
-/// Metadata keys of a member.
+/// Metadata keys that contain the attributes of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Meta {
-    /// Its name; `None`: node and service id.
+pub struct MetaKeys {
+    /// Key of the name; `None`: the name is made of node and service id.
     pub name: Option<String>,
-    /// Its zone.
+    /// Key of the zone.
     pub zone: String,
-    /// Its machine kind.
+    /// Key of the machine kind.
     pub kind: String,
-    /// Its group.
+    /// Key of the cell.
     pub cell: String,
-    /// Its start, in Unix milliseconds.
+    /// Key of the start time, in Unix milliseconds.
     pub started: String,
 }
 
-/// How this instance registers itself.
+/// Registration of this instance as a service at its Consul agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistrationConfig {
-    /// As what service.
+    /// Name of the service.
     pub service: String,
-    /// Its id; `None`: the service's and the instance's names.
+    /// Service id; `None`: made of the names of the service and the instance.
     pub id: Option<String>,
-    /// Tags.
+    /// Tags of the service.
     pub tags: Vec<String>,
-    /// Metadata.
+    /// Metadata of the service.
     pub meta: BTreeMap<String, String>,
-    /// The check's time to live.
+    /// Time to live of the check.
     pub ttl: Duration,
-    /// Critical for so long, it is forgotten; zero: never.
-    pub forget_after: Duration,
+    /// Time in the critical state after which Consul deregisters the service; zero: never.
+    pub deregister_after: Duration,
 }
 
-/// A member named in the file.
+/// An endpoint listed in the file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Static {
-    /// Its name.
+pub struct StaticEndpoint {
+    /// Unique name.
     pub id: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone; empty if there is none.
     pub zone: String,
-    /// Its kind.
+    /// Machine kind; empty if there is none.
     pub kind: String,
-    /// Its group.
+    /// Cell.
     pub cell: u16,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Whether it speaks FastCGI, and not HTTP.
+    /// Whether it speaks FastCGI instead of HTTP.
     pub fastcgi: bool,
 }
 
+/// `[registry]`
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawRegistry {
@@ -181,6 +205,7 @@
     saved_every: Option<Spanned<String>>,
 }
 
+/// `[[consul]]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawConsul {
@@ -210,6 +235,7 @@
     register: Option<RawRegister>,
 }
 
+/// `[consul.register]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawRegister {
@@ -223,6 +249,7 @@
     forget_after: Option<Spanned<String>>,
 }
 
+/// `[[static]]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawStatic {
@@ -235,228 +262,184 @@
     speaks: Option<Spanned<String>>,
 }
 
-/// Reads values of one table, naming what is wrong.
-struct Table<'a> {
-    text: &'a str,
-    path: String,
-}
-
-impl Table<'_> {
-    fn field(&self, name: &str) -> String {
-        format!("{}.{name}", self.path)
-    }
-
-    fn fault(&self, at: usize, name: &str, what: String) -> ConfigError {
-        fault_at(self.text, at, &self.field(name), what)
-    }
-
-    fn span(
-        &self,
-        name: &str,
-        given: Option<Spanned<String>>,
-        bounds: [u64; 3],
-    ) -> Result<Duration, ConfigError> {
-        let [default, least, most] = bounds.map(Duration::from_millis);
-        quantity(self.text, &self.field(name), given, default, least, most)
-    }
-
-    fn string(&self, name: &str, given: Spanned<String>) -> Result<String, ConfigError> {
-        let at = given.span().start;
-        let value = given.into_inner();
-        if value.is_empty() || value.len() > TEXT_MOST || value.chars().any(char::is_control) {
-            let what = format!("is no text of 1 to {TEXT_MOST} bytes without control characters");
-            return Err(self.fault(at, name, what));
-        }
-        Ok(value)
-    }
-
-    fn maybe(&self, name: &str, given: Option<Spanned<String>>) -> Result<Option<String>, ConfigError> {
-        given.map(|g| self.string(name, g)).transpose()
-    }
-
-    fn or(&self, name: &str, given: Option<Spanned<String>>, default: &str) -> Result<String, ConfigError> {
-        Ok(self.maybe(name, given)?.unwrap_or_else(|| default.into()))
-    }
-
-    fn addr(&self, name: &str, given: Spanned<String>) -> Result<SocketAddr, ConfigError> {
-        let what =
-            || format!("{:?} is no IP address with a port, such as \"127.0.0.1:8500\"", given.get_ref());
-        given.get_ref().parse().map_err(|_| self.fault(given.span().start, name, what()))
-    }
-
-    /// One of these words; the first is the default.
-    fn word<T: Copy>(
-        &self,
-        name: &str,
-        given: Option<Spanned<String>>,
-        words: &[(&str, T)],
-    ) -> Result<T, ConfigError> {
-        let Some(given) = given else { return Ok(words[0].1) };
-        let found = words.iter().find(|(word, _)| word == given.get_ref()).map(|&(_, value)| value);
-        found.ok_or_else(|| {
-            let names: Vec<&str> = words.iter().map(|&(word, _)| word).collect();
-            self.fault(
-                given.span().start,
-                name,
-                format!("{:?} is none of {}", given.get_ref(), names.join(", ")),
-            )
-        })
-    }
-}
-
-/// Reads the three kinds of tables.
+/// Reads `[registry]`, `[[consul]]` and `[[static]]`.
 pub(crate) fn resolve(
     text: &str,
-    raw: RawRegistry,
+    registry: RawRegistry,
     consul: Vec<RawConsul>,
     fixed: Vec<RawStatic>,
 ) -> Result<DiscoveryConfig, ConfigError> {
-    let d = DiscoveryConfig::default();
-    let t = Table { text, path: "registry".into() };
-    let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
-    if consul.len() > TABLES_MOST || fixed.len() > TABLES_MOST {
-        let what = format!("there are more than {TABLES_MOST} of one kind");
-        return Err(ConfigError { line: 0, column: 0, field: "consul, static".into(), what });
+    if consul.len() > MAX_TABLES || fixed.len() > MAX_TABLES {
+        return Err(file_error("consul, static", format!("there are more than {MAX_TABLES} of one kind")));
     }
+    let services = read_services(text, consul)?;
+    let members = read_static_endpoints(text, fixed)?;
+    read_registry(text, registry, services, members)
+}
+
+/// Fault of the file as a whole.
+fn file_error(field: &str, message: String) -> ConfigError {
+    ConfigError { line: 0, column: 0, field: field.into(), what: message }
+}
+
+/// Fault of a name that occurs twice.
+fn check_unique(
+    names: &mut BTreeSet<String>,
+    table: &TableReader,
+    key: &str,
+    name: &str,
+    offset: usize,
+) -> Result<(), ConfigError> {
+    if names.insert(name.to_string()) {
+        return Ok(());
+    }
+    Err(table.error(offset, key, format!("another is called {name:?}")))
+}
+
+fn read_services(text: &str, tables: Vec<RawConsul>) -> Result<Vec<ConsulConfig>, ConfigError> {
     let mut names = BTreeSet::new();
-    let mut unique = |t: &Table, field: &str, value: &str, at: usize| match names
-        .insert((t.path.split('[').next().map(String::from), value.to_string()))
-    {
-        true => Ok(()),
-        false => Err(t.fault(at, field, format!("another is called {value:?}"))),
-    };
     let mut services = Vec::new();
-    for (k, raw) in consul.into_iter().enumerate() {
-        let t = Table { text, path: format!("consul[{k}]") };
-        let at = raw.name.span().start;
-        let service = one(&t, raw)?;
-        unique(&t, "name", &service.name, at)?;
+    for (index, raw) in tables.into_iter().enumerate() {
+        let table = TableReader { text, path: format!("consul[{index}]") };
+        let offset = raw.name.span().start;
+        let service = read_service(&table, raw)?;
+        check_unique(&mut names, &table, "name", &service.name, offset)?;
         services.push(service);
     }
-    let mut members = Vec::new();
-    for (k, raw) in fixed.into_iter().enumerate() {
-        let t = Table { text, path: format!("static[{k}]") };
-        let at = raw.id.span().start;
-        let id = t.string("id", raw.id)?;
-        unique(&t, "id", &id, at)?;
+    Ok(services)
+}
+
+fn read_static_endpoints(text: &str, tables: Vec<RawStatic>) -> Result<Vec<StaticEndpoint>, ConfigError> {
+    let mut ids = BTreeSet::new();
+    let mut endpoints = Vec::new();
+    for (index, raw) in tables.into_iter().enumerate() {
+        let table = TableReader { text, path: format!("static[{index}]") };
+        let offset = raw.id.span().start;
+        let id = table.string("id", raw.id)?;
+        check_unique(&mut ids, &table, "id", &id, offset)?;
         let cell = match raw.cell {
             None => 0,
-            Some(c) => u16::try_from(*c.get_ref())
-                .map_err(|_| t.fault(c.span().start, "cell", "is not between 0 and 65535".into()))?,
+            Some(cell) => u16::try_from(*cell.get_ref())
+                .map_err(|_| table.error(cell.span().start, "cell", "is not between 0 and 65535".into()))?,
         };
-        members.push(Static {
+        endpoints.push(StaticEndpoint {
             id,
-            addr: t.addr("addr", raw.addr)?,
-            zone: t.or("zone", raw.zone, "")?,
-            kind: t.or("kind", raw.kind, "")?,
+            addr: table.socket_addr("addr", raw.addr)?,
+            zone: table.string_or("zone", raw.zone, "")?,
+            kind: table.string_or("kind", raw.kind, "")?,
             cell,
-            draining: t.word("state", raw.state, &[("active", false), ("draining", true)])?,
-            fastcgi: t.word("speaks", raw.speaks, SPEAKS)?,
+            draining: table.keyword("state", raw.state, &[("active", false), ("draining", true)])?,
+            fastcgi: table.keyword("speaks", raw.speaks, PROTOCOLS)?,
         });
     }
-    let discovery = raw.discovery.unwrap_or(d.discovery);
-    if !discovery && services.is_empty() && members.is_empty() {
-        let what = "is off, and there is no other source of members".into();
-        return Err(ConfigError { line: 0, column: 0, field: "registry.discovery".into(), what });
+    Ok(endpoints)
+}
+
+fn read_registry(
+    text: &str,
+    raw: RawRegistry,
+    services: Vec<ConsulConfig>,
+    static_endpoints: Vec<StaticEndpoint>,
+) -> Result<DiscoveryConfig, ConfigError> {
+    let table = TableReader { text, path: "registry".into() };
+    let defaults = DiscoveryConfig::default();
+    let platform = raw.discovery.unwrap_or(defaults.platform);
+    if !platform && services.is_empty() && static_endpoints.is_empty() {
+        let message = "is off, and there is no other source of members".into();
+        return Err(file_error("registry.discovery", message));
     }
     Ok(DiscoveryConfig {
-        discovery,
-        fastcgi: t.word("speaks", raw.speaks, SPEAKS)?,
-        last_resort: raw.last_resort.unwrap_or(d.last_resort),
-        saved: path_value(text, "registry.saved", raw.saved)?,
-        saved_most: t.span("saved_most", raw.saved_most, [ms(d.saved_most), 1000, 30 * 86_400_000])?,
-        saved_every: t.span("saved_every", raw.saved_every, [ms(d.saved_every), 100, 3_600_000])?,
+        platform,
+        fastcgi: table.keyword("speaks", raw.speaks, PROTOCOLS)?,
+        last_resort: raw.last_resort.unwrap_or(defaults.last_resort),
+        cache_file: table.path("saved", raw.saved)?,
+        max_cache_age: table.duration("saved_most", raw.saved_most, MAX_CACHE_AGE)?,
+        cache_write_interval: table.duration("saved_every", raw.saved_every, CACHE_WRITE_INTERVAL)?,
         consul: services,
-        fixed: members,
+        static_endpoints,
     })
 }
 
-fn one(t: &Table, raw: RawConsul) -> Result<ConsulConfig, ConfigError> {
-    let agents_at = raw.agents.span().start;
-    let agents: Vec<SocketAddr> =
-        raw.agents.into_inner().into_iter().map(|a| t.addr("agents", a)).collect::<Result<_, _>>()?;
-    if agents.is_empty() || agents.len() > 16 {
-        return Err(t.fault(agents_at, "agents", "are not 1 to 16 addresses".into()));
-    }
-    let datacentres = match raw.datacentres {
-        None => Datacentres::Own,
-        Some(given) => {
-            let at = given.span().start;
-            let names: Vec<String> = given
-                .into_inner()
-                .into_iter()
-                .map(|n| t.string("datacentres", n))
-                .collect::<Result<_, _>>()?;
-            match &names[..] {
-                [all] if all == "*" => Datacentres::All,
-                [] => {
-                    return Err(t.fault(
-                        at,
-                        "datacentres",
-                        "are none; leave it out for the agent's own".into(),
-                    ))
-                }
-                _ if names.len() > 64 => return Err(t.fault(at, "datacentres", "are more than 64".into())),
-                _ => Datacentres::Named(names),
-            }
-        }
-    };
-    let register = match raw.register {
-        None => None,
-        Some(r) => {
-            let t = Table { text: t.text, path: t.field("register") };
-            let meta = r.meta.into_iter().map(|(k, v)| Ok((k, t.string("meta", v)?)));
-            Some(RegistrationConfig {
-                service: t.string("service", r.service)?,
-                id: t.maybe("id", r.id)?,
-                tags: r.tags.into_iter().map(|v| t.string("tags", v)).collect::<Result<_, _>>()?,
-                meta: meta.collect::<Result<_, ConfigError>>()?,
-                ttl: t.span("ttl", r.ttl, [15_000, 1000, 3_600_000])?,
-                forget_after: t.span("forget_after", r.forget_after, [0, 0, 86_400_000])?,
-            })
-        }
-    };
-    let wait = t.span("wait", raw.wait, [10_000, 100, 600_000])?;
-    let (pause_at, most) = (raw.pause_most.as_ref().map_or(0, |p| p.span().start), raw.pause_most);
-    let (pause, pause_most) =
-        (t.span("pause", raw.pause, [250, 10, 60_000])?, t.span("pause_most", most, [10_000, 10, 600_000])?);
-    if pause_most < pause {
-        return Err(t.fault(pause_at, "pause_most", format!("is below pause, {}", pause.show())));
+fn read_service(table: &TableReader, raw: RawConsul) -> Result<ConsulConfig, ConfigError> {
+    let agents = read_agents(table, raw.agents)?;
+    let datacentres = read_datacentres(table, raw.datacentres)?;
+    let registration = raw.register.map(|raw| read_registration(table, raw)).transpose()?;
+    let wait = table.duration("wait", raw.wait, QUERY_WAIT)?;
+    let max_backoff_offset = raw.pause_most.as_ref().map_or(0, |value| value.span().start);
+    let initial_backoff = table.duration("pause", raw.pause, INITIAL_BACKOFF)?;
+    let max_backoff = table.duration("pause_most", raw.pause_most, MAX_BACKOFF)?;
+    if max_backoff < initial_backoff {
+        let message = format!("is below pause, {}", initial_backoff.show());
+        return Err(table.error(max_backoff_offset, "pause_most", message));
     }
     Ok(ConsulConfig {
-        name: t.string("name", raw.name)?,
-        service: t.string("service", raw.service)?,
+        name: table.string("name", raw.name)?,
+        service: table.string("service", raw.service)?,
         agents,
         datacentres,
-        health: t.word("list", raw.list, &[("health", true), ("catalogue", false)])?,
-        consistency: t.word(
-            "consistency",
-            raw.consistency,
-            &[
-                ("default", Consistency::Default),
-                ("stale", Consistency::Stale),
-                ("consistent", Consistency::Consistent),
-            ],
-        )?,
-        namespace: t.maybe("namespace", raw.namespace)?,
-        partition: t.maybe("partition", raw.partition)?,
-        filter: t.maybe("filter", raw.filter)?,
-        token_file: path_value(t.text, &t.field("token_file"), raw.token_file)?,
+        health: table.keyword("list", raw.list, &[("health", true), ("catalogue", false)])?,
+        consistency: table.keyword("consistency", raw.consistency, CONSISTENCY_MODES)?,
+        namespace: table.optional_string("namespace", raw.namespace)?,
+        partition: table.optional_string("partition", raw.partition)?,
+        filter: table.optional_string("filter", raw.filter)?,
+        token_file: table.path("token_file", raw.token_file)?,
         wait,
-        pace: t.span("pace", raw.pace, [100, 10, 500])?,
-        pause,
-        pause_most,
-        stale_most: t.span("stale_most", raw.stale_most, [5000, 0, 600_000])?,
-        regrow: t.span("regrow", raw.regrow, [120_000, 0, 3_600_000])?,
-        meta: Meta {
-            name: t.maybe("meta_name", raw.meta_name)?,
-            zone: t.or("meta_zone", raw.meta_zone, "zone")?,
-            kind: t.or("meta_kind", raw.meta_kind, "kind")?,
-            cell: t.or("meta_cell", raw.meta_cell, "cell")?,
-            started: t.or("meta_started", raw.meta_started, "started_ms")?,
+        min_poll_interval: table.duration("pace", raw.pace, MIN_POLL_INTERVAL)?,
+        initial_backoff,
+        max_backoff,
+        max_staleness: table.duration("stale_most", raw.stale_most, MAX_STALENESS)?,
+        regrow_timeout: table.duration("regrow", raw.regrow, REGROW_TIMEOUT)?,
+        meta_keys: MetaKeys {
+            name: table.optional_string("meta_name", raw.meta_name)?,
+            zone: table.string_or("meta_zone", raw.meta_zone, "zone")?,
+            kind: table.string_or("meta_kind", raw.meta_kind, "kind")?,
+            cell: table.string_or("meta_cell", raw.meta_cell, "cell")?,
+            started: table.string_or("meta_started", raw.meta_started, "started_ms")?,
         },
-        tagged: t.or("tagged", raw.tagged, "")?,
-        fastcgi: t.word("speaks", raw.speaks, SPEAKS)?,
-        register,
+        tagged_address: table.string_or("tagged", raw.tagged, "")?,
+        fastcgi: table.keyword("speaks", raw.speaks, PROTOCOLS)?,
+        registration,
+    })
+}
+
+fn read_agents(
+    table: &TableReader,
+    value: Spanned<Vec<Spanned<String>>>,
+) -> Result<Vec<SocketAddr>, ConfigError> {
+    let offset = value.span().start;
+    let addresses = value.into_inner().into_iter().map(|agent| table.socket_addr("agents", agent));
+    let agents = addresses.collect::<Result<Vec<_>, _>>()?;
+    if agents.is_empty() || agents.len() > MAX_AGENTS {
+        return Err(table.error(offset, "agents", format!("are not 1 to {MAX_AGENTS} addresses")));
+    }
+    Ok(agents)
+}
+
+fn read_datacentres(
+    table: &TableReader,
+    value: Option<Spanned<Vec<Spanned<String>>>>,
+) -> Result<Datacentres, ConfigError> {
+    let Some(value) = value else { return Ok(Datacentres::Own) };
+    let offset = value.span().start;
+    let names = table.strings("datacentres", value.into_inner())?;
+    let error = |message: String| Err(table.error(offset, "datacentres", message));
+    match &names[..] {
+        [all] if all == "*" => Ok(Datacentres::All),
+        [] => error("are none; leave it out for the agent's own".into()),
+        _ if names.len() > MAX_DATACENTRES => error(format!("are more than {MAX_DATACENTRES}")),
+        _ => Ok(Datacentres::Named(names)),
+    }
+}
+
+fn read_registration(service: &TableReader, raw: RawRegister) -> Result<RegistrationConfig, ConfigError> {
+    let table = TableReader { text: service.text, path: service.field("register") };
+    let meta = raw.meta.into_iter().map(|(key, value)| Ok((key, table.string("meta", value)?)));
+    Ok(RegistrationConfig {
+        service: table.string("service", raw.service)?,
+        id: table.optional_string("id", raw.id)?,
+        tags: table.strings("tags", raw.tags)?,
+        meta: meta.collect::<Result<_, ConfigError>>()?,
+        ttl: table.duration("ttl", raw.ttl, CHECK_TTL)?,
+        deregister_after: table.duration("forget_after", raw.forget_after, DEREGISTER_AFTER)?,
     })
 }
--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod rollout;
 pub mod routing;
 pub mod supervisor;
+mod table_reader;
 mod values;
 
 pub use values::duration;
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -354,13 +354,23 @@
             (&*consul.name, consul.datacentres == crate::discovery::Datacentres::Own),
             ("portal", false)
         );
-        assert!(consul.register.is_some() && all.registry.fixed.len() == 1 && all.fastcgi.params.len() == 2);
+        assert!(
+            consul.registration.is_some()
+                && all.registry.static_endpoints.len() == 1
+                && all.fastcgi.params.len() == 2
+        );
         assert!(all.budget.pool.is_some() && all.budget.secret_file.is_some());
         let plain =
             parse(b"[[consul]]\nname = \"a\"\nservice = \"s\"\nagents = [\"127.0.0.1:1\"]\n").expect("good");
         let plain = &plain.registry.consul[0];
-        assert_eq!((consul.wait, consul.pace, consul.pause), (plain.wait, plain.pace, plain.pause));
-        assert_eq!((consul.regrow, consul.stale_most), (plain.regrow, plain.stale_most));
+        assert_eq!(
+            (consul.wait, consul.min_poll_interval, consul.initial_backoff),
+            (plain.wait, plain.min_poll_interval, plain.initial_backoff)
+        );
+        assert_eq!(
+            (consul.regrow_timeout, consul.max_staleness),
+            (plain.regrow_timeout, plain.max_staleness)
+        );
     }
 
     #[test]
@@ -384,7 +394,7 @@
             let entry = |k| format!("[[static]]\nid = \"s-{k}\"\naddr = \"127.0.0.1:{}\"\n", 1024 + k);
             parse((0..n).map(entry).collect::<String>().as_bytes())
         };
-        assert_eq!(of(2000).expect("good").registry.fixed.len(), 2000);
+        assert_eq!(of(2000).expect("good").registry.static_endpoints.len(), 2000);
         let fault = of(4097).expect_err("too many").to_string();
         assert!(fault.contains("static") && fault.contains("more than 4096"), "{fault}");
     }
--- a/crates/foundations/config/src/supervisor.rs
+++ b/crates/foundations/config/src/supervisor.rs
@@ -1,74 +1,68 @@
-//! The fleet's file: TOML, for a supervisor of many instances on one machine. `deploy/fleet.example.toml` documents it.
+//! Configuration file of a supervisor: TOML, documented by `deploy/fleet.example.toml`.
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
-use crate::values::{fault_at, path_value, quantity, read_text, ConfigError};
+use crate::table_reader::{DurationRange, TableReader};
+use crate::values::{read_text, ConfigError};
+use ::supervisor::SupervisorPolicy;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use toml::Spanned;
 
-/// Most instances of one supervisor.
+/// Maximum number of instances of one supervisor.
 pub const MAX_INSTANCES: usize = 4096;
-/// Longest name of an instance.
-const NAME_MOST: usize = 32;
-/// Longest path of the folder: a Unix socket with the longest name in it still has a path that the system takes.
-const FOLDER_MOST: usize = 107 - NAME_MOST - 6;
-
-/// All that the fleet's file says.
+/// Longest name of an instance, in bytes.
+const MAX_NAME_BYTES: usize = 32;
+/// Longest path of a Unix socket, in bytes (`sun_path` of Linux, less its terminator).
+const MAX_SOCKET_PATH_BYTES: usize = 107;
+/// Longest path of the folder, in bytes, so that `FOLDER/NAME.sock` is a valid socket path.
+const MAX_FOLDER_BYTES: usize = MAX_SOCKET_PATH_BYTES - MAX_NAME_BYTES - "/.sock".len();
+/// Largest value of `crashes`.
+const MAX_CRASH_LIMIT: usize = 1000;
+/// Largest duration in the file, in milliseconds.
+const ONE_HOUR_MS: u64 = 3_600_000;
+
+/// Configuration of a supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Where pid files and Unix sockets go.
+    /// Folder of pid files and Unix sockets.
     pub folder: PathBuf,
-    /// The pause between two starts at the beginning.
-    pub spread: Duration,
-    /// How long a process may take until it is ready.
-    pub ready_within: Duration,
-    /// How long a process that was told to end may take.
-    pub stop_within: Duration,
-    /// The first pause before a restart of what crashed, and the longest.
-    pub pause: Duration,
-    /// The longest pause.
-    pub pause_most: Duration,
-    /// So many crashes within the window, and an instance is given up.
-    pub crashes: usize,
-    /// The window.
-    pub window: Duration,
-    /// Instances that a roll takes at once.
-    pub at_once: usize,
-    /// How long a take-over waits while too many old processes of its instance have not ended.
-    pub leaving_within: Duration,
-    /// `[council]`; `None`: this supervisor belongs to none.
-    pub council: Option<CoordinationClientConfig>,
-    /// What this machine is called in the council.
+    /// Timeouts and limits.
+    pub policy: SupervisorPolicy,
+    /// `[council]`: the coordination service; `None` if the supervisor does not use one.
+    pub coordination: Option<CoordinationClientConfig>,
+    /// Name of this machine in the coordination service.
     pub machine: Option<String>,
-    /// Its zone and the tier of its instances, by which budgets of outages group them; empty: none.
+    /// Zone of this machine, by which disruption budgets group its instances; empty if there is none.
     pub zone: String,
-    /// The tier.
+    /// Tier of the instances, by which disruption budgets group them; empty if there is none.
     pub tier: String,
     /// The instances, at least one.
     pub instances: Vec<InstanceConfig>,
 }
 
-/// One instance.
+/// Configuration of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceConfig {
-    /// Its name; no other has it.
+    /// Unique name.
     pub name: String,
-    /// Its platform configuration.
+    /// Path of its platform configuration.
     pub config: PathBuf,
-    /// Its operator's file.
+    /// Path of its operator's file.
     pub operator: Option<PathBuf>,
 }
 
+/// The file as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct RawFile {
     fleet: RawFleet,
     council: Option<RawClientConfig>,
     #[serde(default)]
     instance: Vec<RawInstance>,
 }
 
+/// `[fleet]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawFleet {
@@ -88,6 +82,7 @@
     leaving_within: Option<Spanned<String>>,
 }
 
+/// `[[instance]]`
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawInstance {
@@ -96,204 +91,145 @@
     operator: Option<Spanned<String>>,
 }
 
-fn count(
-    text: &str,
-    field: &str,
-    given: Option<Spanned<i64>>,
-    default: usize,
-    most: usize,
-) -> Result<usize, ConfigError> {
-    let Some(given) = given else { return Ok(default) };
-    let value = usize::try_from(*given.get_ref()).ok().filter(|n| (1..=most).contains(n));
-    value.ok_or_else(|| fault_at(text, given.span().start, field, format!("is not between 1 and {most}")))
-}
-
-/// Reads the text of a file.
+/// Parses the file's content.
 ///
 /// # Errors
 /// The first fault, with its place.
 pub fn parse(bytes: &[u8]) -> Result<FleetConfig, ConfigError> {
-    let (text, raw) = read_text::<Raw>(bytes)?;
-    let Raw { fleet: f, council, instance } = raw;
-    let span = |field: &str, given, default: u64, most: u64| {
-        let ms = Duration::from_millis;
-        quantity(text, &format!("fleet.{field}"), given, ms(default), ms(0), ms(most))
-    };
-    let hour = 3_600_000;
-    let at = f.folder.span().start;
-    let folder = path_value(text, "fleet.folder", Some(f.folder))?.unwrap_or_default();
-    if folder.as_os_str().len() > FOLDER_MOST {
-        let what = format!("has more than {FOLDER_MOST} bytes, too many for Unix sockets in it");
-        return Err(fault_at(text, at, "fleet.folder", what));
+    let (text, raw) = read_text::<RawFile>(bytes)?;
+    let RawFile { fleet, council, instance: raw_instances } = raw;
+    let table = TableReader { text, path: "fleet".into() };
+    let folder = read_folder(&table, fleet.folder.clone())?;
+    let default_operator = table.path("operator", fleet.operator.clone())?;
+    let machine = optional_name(&table, "machine", fleet.machine.clone())?;
+    let zone = optional_name(&table, "zone", fleet.zone.clone())?.unwrap_or_default();
+    let tier = optional_name(&table, "tier", fleet.tier.clone())?.unwrap_or_default();
+    let coordination = council.map(|raw| raw.resolve(text)).transpose()?;
+    if coordination.is_some() && machine.is_none() {
+        return Err(file_error("fleet.machine", "is needed with [council]"));
     }
-    let operator = path_value(text, "fleet.operator", f.operator)?;
-    let plain = |name: &str| {
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-        !name.is_empty() && name.len() <= NAME_MOST && name.chars().all(plain)
-    };
-    let name = |field: &str, given: Option<Spanned<String>>| match given {
-        Some(given) if !plain(given.get_ref()) => {
-            let what =
-                format!("{:?} is no name of 1 to {NAME_MOST} letters, digits, - and _", given.get_ref());
-            Err(fault_at(text, given.span().start, &format!("fleet.{field}"), what))
+    let instances = read_instances(text, raw_instances, default_operator.as_ref())?;
+    let policy = read_policy(&table, fleet, coordination.is_some())?;
+    Ok(FleetConfig { folder, policy, coordination, machine, zone, tier, instances })
+}
+
+/// Fault of the file as a whole.
+fn file_error(field: &str, message: &str) -> ConfigError {
+    ConfigError { line: 0, column: 0, field: field.into(), what: message.into() }
+}
+
+fn read_folder(table: &TableReader, value: Spanned<String>) -> Result<PathBuf, ConfigError> {
+    let offset = value.span().start;
+    let folder = table.path("folder", Some(value))?.unwrap_or_default();
+    if folder.as_os_str().len() > MAX_FOLDER_BYTES {
+        let message = format!("has more than {MAX_FOLDER_BYTES} bytes, too many for Unix sockets in it");
+        return Err(table.error(offset, "folder", message));
+    }
+    Ok(folder)
+}
+
+/// Whether a text is a valid name of an instance, machine, zone or tier.
+fn is_name(text: &str) -> bool {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed)
+}
+
+fn invalid_name(text: &str) -> String {
+    format!("{text:?} is no name of 1 to {MAX_NAME_BYTES} letters, digits, - and _")
+}
+
+fn optional_name(
+    table: &TableReader,
+    key: &str,
+    value: Option<Spanned<String>>,
+) -> Result<Option<String>, ConfigError> {
+    match value {
+        Some(value) if !is_name(value.get_ref()) => {
+            Err(table.error(value.span().start, key, invalid_name(value.get_ref())))
         }
-        given => Ok(given.map(Spanned::into_inner)),
-    };
-    let machine = name("machine", f.machine)?;
-    let (zone, tier) = (name("zone", f.zone)?.unwrap_or_default(), name("tier", f.tier)?.unwrap_or_default());
-    let council = council.map(|c| c.resolve(text)).transpose()?;
-    if council.is_some() && machine.is_none() {
-        let what = "is needed with [council]".into();
-        return Err(ConfigError { line: 0, column: 0, field: "fleet.machine".into(), what });
+        value => Ok(value.map(Spanned::into_inner)),
     }
+}
+
+fn read_instances(
+    text: &str,
+    raw_instances: Vec<RawInstance>,
+    default_operator: Option<&PathBuf>,
+) -> Result<Vec<InstanceConfig>, ConfigError> {
     let mut instances = Vec::new();
     let mut names = BTreeSet::new();
-    for (k, i) in instance.into_iter().enumerate() {
-        let field = |name: &str| format!("instance[{k}].{name}");
-        let name = i.name.get_ref().clone();
-        let what = if !plain(&name) {
-            Some(format!("{name:?} is no name of 1 to {NAME_MOST} letters, digits, - and _"))
+    for (index, raw) in raw_instances.into_iter().enumerate() {
+        let table = TableReader { text, path: format!("instance[{index}]") };
+        let offset = raw.name.span().start;
+        let name = raw.name.into_inner();
+        let fault = if !is_name(&name) {
+            Some(invalid_name(&name))
         } else if !names.insert(name.clone()) {
             Some(format!("another instance is called {name:?}"))
-        } else if k >= MAX_INSTANCES {
+        } else if index >= MAX_INSTANCES {
             Some(format!("there are more than {MAX_INSTANCES} instances"))
         } else {
             None
         };
-        if let Some(what) = what {
-            return Err(fault_at(text, i.name.span().start, &field("name"), what));
+        if let Some(message) = fault {
+            return Err(table.error(offset, "name", message));
         }
-        let config = path_value(text, &field("config"), Some(i.config))?.unwrap_or_default();
-        let own = path_value(text, &field("operator"), i.operator)?;
-        instances.push(InstanceConfig { name, config, operator: own.or_else(|| operator.clone()) });
+        let config = table.path("config", Some(raw.config))?.unwrap_or_default();
+        let operator = table.path("operator", raw.operator)?.or_else(|| default_operator.cloned());
+        instances.push(InstanceConfig { name, config, operator });
     }
     if instances.is_empty() {
-        return Err(ConfigError {
-            line: 0,
-            column: 0,
-            field: "instance".into(),
-            what: "there is none".into(),
-        });
+        return Err(file_error("instance", "there is none"));
     }
-    Ok(FleetConfig {
-        folder,
-        spread: span("spread", f.spread, 100, hour)?,
-        ready_within: span("ready_within", f.ready_within, 30_000, hour)?,
-        stop_within: span("stop_within", f.stop_within, 10_000, hour)?,
-        pause: span("pause", f.pause, 500, hour)?,
-        pause_most: span("pause_most", f.pause_most, 30_000, hour)?,
-        window: span("window", f.window, 60_000, hour)?,
-        crashes: count(text, "fleet.crashes", f.crashes, 5, 1000)?,
-        at_once: count(text, "fleet.at_once", f.at_once, 1, MAX_INSTANCES)?,
-        council,
-        machine,
-        zone,
-        tier,
-        leaving_within: span("leaving_within", f.leaving_within, 75_000, hour)?,
-        instances,
+    Ok(instances)
+}
+
+fn read_policy(
+    table: &TableReader,
+    raw: RawFleet,
+    requires_lease: bool,
+) -> Result<SupervisorPolicy, ConfigError> {
+    let defaults = SupervisorPolicy::default();
+    let duration = |key: &str, value, default: Duration| {
+        let default = u64::try_from(default.as_millis()).unwrap_or(u64::MAX);
+        table.duration(key, value, DurationRange { default, min: 0, max: ONE_HOUR_MS })
+    };
+    Ok(SupervisorPolicy {
+        start_interval: duration("spread", raw.spread, defaults.start_interval)?,
+        ready_timeout: duration("ready_within", raw.ready_within, defaults.ready_timeout)?,
+        stop_timeout: duration("stop_within", raw.stop_within, defaults.stop_timeout)?,
+        initial_backoff: duration("pause", raw.pause, defaults.initial_backoff)?,
+        max_backoff: duration("pause_most", raw.pause_most, defaults.max_backoff)?,
+        crash_window: duration("window", raw.window, defaults.crash_window)?,
+        crash_limit: table.count("crashes", raw.crashes, defaults.crash_limit, MAX_CRASH_LIMIT)?,
+        max_parallel: table.count("at_once", raw.at_once, defaults.max_parallel, MAX_INSTANCES)?,
+        predecessor_drain_timeout: duration(
+            "leaving_within",
+            raw.leaving_within,
+            defaults.predecessor_drain_timeout,
+        )?,
+        requires_lease,
     })
 }
 
-/// Reads a fleet's file. Paths in it are relative to its folder.
+/// Reads the file. Paths in it are relative to its folder.
 ///
 /// # Errors
-/// One line: the file's path, then line and column where there are any, the field, and what is wrong.
+/// One line: the file's path, then line and column where there are any, the field, and the fault.
 pub fn read(path: &Path) -> Result<FleetConfig, String> {
     let mut fleet = crate::operator::read_with(path, parse)?;
     let base = path.parent().unwrap_or(Path::new(""));
     fleet.folder = base.join(&fleet.folder);
-    for i in &mut fleet.instances {
-        i.config = base.join(&i.config);
-        i.operator = i.operator.as_ref().map(|o| base.join(o));
+    for instance in &mut fleet.instances {
+        instance.config = base.join(&instance.config);
+        instance.operator = instance.operator.as_ref().map(|operator| base.join(operator));
     }
     Ok(fleet)
 }
 
-/// Whether a TOML file is a fleet's, by its tables.
+/// Whether a TOML file is a supervisor's, by the tables in it.
 pub fn is_fleet_file(path: &Path) -> bool {
     let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     let text = String::from_utf8_lossy(&bytes);
     text.lines().any(|line| matches!(line.trim(), "[fleet]" | "[[instance]]"))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = "[fleet]\nfolder = \"/run/herondock\"\nat_once = 2\noperator = \"own.toml\"\n\
-        [[instance]]\nname = \"n1\"\nconfig = \"n1.json\"\n[[instance]]\nname = \"n2\"\nconfig = \"n2.json\"\n\
-        operator = \"other.toml\"\n";
-
-    #[test]
-    fn a_whole_file_is_read() {
-        let fleet = parse(GOOD.as_bytes()).expect("good");
-        assert_eq!((fleet.at_once, fleet.crashes, fleet.instances.len()), (2, 5, 2));
-        let operators: Vec<_> = fleet.instances.iter().map(|i| i.operator.clone()).collect();
-        assert_eq!(operators, [Some("own.toml".into()), Some("other.toml".into())]);
-    }
-
-    /// Guards against caps below what fleets have: 2,000 instances are read, and one too many is named.
-    #[test]
-    fn a_fleet_is_as_large_as_its_file_up_to_the_bound() {
-        let of = |n: usize| {
-            let instances =
-                (0..n).map(|k| format!("[[instance]]\nname = \"balancer-{k}\"\nconfig = \"{k}.json\"\n"));
-            parse(
-                format!("[fleet]\nfolder = \"/run/herondock\"\n{}", instances.collect::<String>()).as_bytes(),
-            )
-        };
-        assert_eq!(of(2000).expect("good").instances.len(), 2000);
-        let fault = of(MAX_INSTANCES + 1).expect_err("too many").to_string();
-        assert!(
-            fault.contains("instance[4096].name") && fault.contains("more than 4096 instances"),
-            "{fault}"
-        );
-    }
-
-    #[test]
-    fn what_is_wrong_is_named_with_its_place() {
-        for (from, to, wanted) in [
-            ("at_once = 2", "at_once = 0", "3:11: fleet.at_once: "),
-            ("at_once = 2", "at_once = -1", "3:11: fleet.at_once: "),
-            ("at_once = 2", "spread = \"1 s\"", "3:10: fleet.spread: "),
-            ("at_once = 2", "odd = 2", "3:1: "),
-            ("name = \"n2\"", "name = \"n1\"", "9:8: instance[1].name: another"),
-            ("name = \"n2\"", "name = \"../n1\"", "9:8: instance[1].name: "),
-            ("config = \"n2.json\"", "", "config"),
-            ("folder = \"/run/herondock\"\n", "", "folder"),
-        ] {
-            let error = parse(GOOD.replace(from, to).as_bytes()).expect_err(to).to_string();
-            assert!(error.contains(wanted), "{to:?}: {error}");
-        }
-        let long = GOOD.replace("/run/herondock", &"x".repeat(80));
-        assert!(parse(long.as_bytes()).expect_err("long").to_string().starts_with("2:10: fleet.folder: "));
-        assert!(parse(b"[fleet]\nfolder = \"x\"\n").expect_err("none").to_string().starts_with("instance: "));
-    }
-
-    #[test]
-    fn the_example_is_good_and_shows_every_key() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/fleet.example.toml");
-        let text = std::fs::read_to_string(&path).expect("the example");
-        let all = parse(text.as_bytes()).expect("good");
-        let least =
-            parse(b"[fleet]\nfolder = \"x\"\n[[instance]]\nname = \"n1\"\nconfig = \"y\"\n").expect("good");
-        let defaults =
-            |f: &FleetConfig| FleetConfig { folder: PathBuf::new(), instances: Vec::new(), ..f.clone() };
-        assert_eq!(defaults(&all), defaults(&least), "it states the defaults");
-        for key in [
-            "operator",
-            "spread",
-            "ready_within",
-            "stop_within",
-            "pause",
-            "pause_most",
-            "window",
-            "crashes",
-            "at_once",
-            "leaving_within",
-        ] {
-            assert!(text.contains(&format!("{key} = ")), "{key}");
-        }
-        assert!(is_fleet_file(&path) && !is_fleet_file(&path.with_file_name("herondock.example.toml")));
-    }
-}
--- a/crates/foundations/daemon/src/control.rs
+++ b/crates/foundations/daemon/src/control.rs
@@ -1,152 +1,167 @@
-//! Commands to a running daemon over its Unix socket: one line each, answered by lines, of which the last begins with
-//! `ok` or `failed`. Only the daemon's own user may connect.
+//! Control socket: commands to a running daemon over a Unix socket. Each connection carries one command line, answered
+//! by lines of which the last begins with `ok` or `failed`. Only the daemon's own user may connect.
 //!
 //! ```text
-//! who asks: COMMAND\n
-//! daemon:   LINE\n ...          as many as there is to tell, as it happens
-//! daemon:   ok\n  or  failed WHY\n
+//! client: COMMAND\n
+//! daemon: LINE\n ...          any number of progress lines
+//! daemon: ok\n  or  failed REASON\n
 //! ```
-use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::io::{self, BufRead, BufReader, ErrorKind, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Longest command, in bytes.
+/// Longest command line, in bytes.
 pub const MAX_COMMAND_BYTES: u64 = 256 << 10;
-/// How long whoever connects may take to say what it wants.
-const COMMAND_WAIT: Duration = Duration::from_secs(5);
-/// Commands that may wait for the daemon's loop.
-const WAITING: usize = 64;
-/// Lines that may wait for a command's sender; one that does not read is not waited for.
-const ANSWERS: usize = 256;
-/// How long those who were answered last have to read it.
-const LAST_WORD: Duration = Duration::from_secs(1);
-/// Pause after a connection that could not be accepted: descriptors are short.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time that a client has to send its command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Commands that are queued for the daemon's event loop.
+const MAX_QUEUED_COMMANDS: usize = 64;
+/// Reply lines that are queued for a client that does not read; further ones are dropped.
+const MAX_QUEUED_REPLY_LINES: usize = 256;
+/// Time that clients have to read their last reply when the socket closes.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a connection could not be accepted, as descriptors are short.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A command, and where its answer goes.
+/// A command of a client.
 pub struct ControlRequest {
-    /// What was asked.
-    pub line: String,
-    /// Who asks. Each line as it happens, the last one beginning with `ok` or `failed`; dropped, the conversation ends.
-    pub answer: mpsc::Sender<String>,
+    /// The command line, without surrounding white space.
+    pub command: String,
+    /// Receives the reply lines; the last one has to begin with `ok` or `failed`. Dropping it closes the connection.
+    pub reply: mpsc::Sender<String>,
 }
 
-/// The daemon's side.
+/// The daemon's side of the control socket.
 pub struct ControlSocket {
-    asked: mpsc::Receiver<ControlRequest>,
-    listening: tokio::task::JoinHandle<()>,
-    talks: mpsc::Receiver<()>,
+    requests: mpsc::Receiver<ControlRequest>,
+    accept_task: tokio::task::JoinHandle<()>,
+    /// Ends when all connections are closed: each holds a sender.
+    open_connections: mpsc::Receiver<()>,
 }
 
 impl ControlSocket {
-    /// Listens at `path`, in place of a daemon that has gone. In a local set of tasks.
+    /// Listens at `path`, which is replaced if it exists. To be called within a [`tokio::task::LocalSet`].
     ///
     /// # Errors
-    /// The path can't be had.
-    pub fn bind(path: &Path) -> std::io::Result<ControlSocket> {
+    /// The socket cannot be bound.
+    pub fn bind(path: &Path) -> io::Result<ControlSocket> {
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
             _ => {}
         }
         let listener = UnixListener::bind(path)?;
         std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
-        let (ask, asked) = mpsc::channel(WAITING);
-        let (talk, talks) = mpsc::channel::<()>(1);
-        let listening = tokio::task::spawn_local(listen(listener, ask, talk));
-        Ok(ControlSocket { asked, listening, talks })
+        let (request_sender, requests) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let (connection_guard, open_connections) = mpsc::channel::<()>(1);
+        let accept_task =
+            tokio::task::spawn_local(accept_connections(listener, request_sender, connection_guard));
+        Ok(ControlSocket { requests, accept_task, open_connections })
     }
 
-    /// The next command. Nothing is lost if the wait is given up.
+    /// Waits for the next command. Cancel safe.
     pub async fn next(&mut self) -> ControlRequest {
-        match self.asked.recv().await {
-            Some(asked) => asked,
-            // It listens for as long as this lives.
+        match self.requests.recv().await {
+            Some(request) => request,
+            // The accept task runs as long as `self` lives.
             None => std::future::pending().await,
         }
     }
 
-    /// Takes no further command; waits a moment for those who were answered to read it.
+    /// Accepts no further commands, and waits up to a second for clients to read their last reply.
     pub async fn close(mut self) {
-        self.listening.abort();
-        drop(self.asked);
-        // Each conversation holds a sender until it is over.
-        let _ = timeout(LAST_WORD, self.talks.recv()).await;
+        self.accept_task.abort();
+        drop(self.requests);
+        let _ = timeout(CLOSE_TIMEOUT, self.open_connections.recv()).await;
     }
 }
 
-/// Takes commands; each connection has one.
-async fn listen(listener: UnixListener, ask: mpsc::Sender<ControlRequest>, talk: mpsc::Sender<()>) {
+async fn accept_connections(
+    listener: UnixListener,
+    requests: mpsc::Sender<ControlRequest>,
+    connection_guard: mpsc::Sender<()>,
+) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (ask, talk) = (ask.clone(), talk.clone());
+        let (requests, connection_guard) = (requests.clone(), connection_guard.clone());
         tokio::task::spawn_local(async move {
-            converse(stream, ask).await;
-            drop(talk);
+            serve_connection(stream, requests).await;
+            drop(connection_guard);
         });
     }
 }
 
-async fn converse(stream: UnixStream, ask: mpsc::Sender<ControlRequest>) {
-    let (read, mut write) = stream.into_split();
+/// Reads the command and writes reply lines until the daemon drops the reply channel or the client is gone.
+async fn serve_connection(stream: UnixStream, requests: mpsc::Sender<ControlRequest>) {
+    let (reader, mut writer) = stream.into_split();
     let mut line = String::new();
-    let mut read = tokio::io::BufReader::new(read).take(MAX_COMMAND_BYTES);
-    if !matches!(timeout(COMMAND_WAIT, read.read_line(&mut line)).await, Ok(Ok(n)) if n > 0) {
+    let mut reader = tokio::io::BufReader::new(reader).take(MAX_COMMAND_BYTES);
+    if !matches!(timeout(COMMAND_TIMEOUT, reader.read_line(&mut line)).await, Ok(Ok(n)) if n > 0) {
         return;
     }
-    let (answer, mut answers) = mpsc::channel(ANSWERS);
-    if ask.send(ControlRequest { line: line.trim().into(), answer }).await.is_err() {
+    let (reply, mut reply_lines) = mpsc::channel(MAX_QUEUED_REPLY_LINES);
+    if requests.send(ControlRequest { command: line.trim().into(), reply }).await.is_err() {
         return;
     }
-    // Until whoever answers has said all, or nobody reads any more.
-    while let Some(line) = answers.recv().await {
-        if write.write_all(format!("{line}\n").as_bytes()).await.is_err() {
+    while let Some(line) = reply_lines.recv().await {
+        if writer.write_all(format!("{line}\n").as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// Why a command came to nothing.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// Nobody listens at the path.
-    Nobody,
-    /// The daemon's word.
-    Refused(String),
-    /// The conversation broke off, or took too long.
-    Broken(String),
+/// Why a command failed.
+#[derive(Debug, Error)]
+pub enum ControlError {
+    /// No daemon listens at the path.
+    #[error("no daemon runs")]
+    NotRunning,
+    /// The daemon reported this failure.
+    #[error("{0}")]
+    Failed(String),
+    /// The connection broke, or the daemon was silent for too long.
+    #[error("{0}")]
+    Connection(#[from] io::Error),
+    /// The daemon closed the connection before its last reply line.
+    #[error("it ended before it answered")]
+    Incomplete,
 }
 
-/// Sends a command to the daemon at `path` and passes its answer on, line by line; `silence` is how long it may say
-/// nothing.
+/// Sends a command to the daemon at `path` and passes each progress line to `on_line`. `read_timeout` limits the time
+/// between two reply lines.
 ///
 /// # Errors
-/// No daemon runs there, or it says why the command came to nothing.
-pub fn ask(path: &Path, command: &str, silence: Duration, mut tell: impl FnMut(&str)) -> Result<(), Failure> {
-    let broken = |e: std::io::Error| Failure::Broken(e.to_string());
+/// No daemon runs there, the connection breaks, or the daemon reports a failure.
+pub fn send_command(
+    path: &Path,
+    command: &str,
+    read_timeout: Duration,
+    mut on_line: impl FnMut(&str),
+) -> Result<(), ControlError> {
     let mut stream = match std::os::unix::net::UnixStream::connect(path) {
         Ok(stream) => stream,
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
-            return Err(Failure::Nobody);
+            return Err(ControlError::NotRunning);
         }
-        Err(e) => return Err(broken(e)),
+        Err(e) => return Err(e.into()),
     };
-    stream.set_read_timeout(Some(silence)).map_err(broken)?;
-    writeln!(stream, "{command}").map_err(broken)?;
+    stream.set_read_timeout(Some(read_timeout))?;
+    writeln!(stream, "{command}")?;
     for line in BufReader::new(stream).lines() {
-        let line = line.map_err(broken)?;
+        let line = line?;
         match line.split_once(' ').unwrap_or((&line, "")) {
             ("ok", _) => return Ok(()),
-            ("failed", why) => return Err(Failure::Refused(why.into())),
-            _ => tell(&line),
+            ("failed", reason) => return Err(ControlError::Failed(reason.into())),
+            _ => on_line(&line),
         }
     }
-    Err(Failure::Broken("it ended before it answered".into()))
+    Err(ControlError::Incomplete)
 }
--- a/crates/foundations/daemon/src/lib.rs
+++ b/crates/foundations/daemon/src/lib.rs
@@ -1,13 +1,13 @@
-//! What every daemon of herondock shares, whatever it serves.
+//! Parts that every daemon of herondock shares.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`control`] | commands to a running daemon over its Unix socket, on both sides |
-//! | [`log`] | where events of `tracing` go: one line each, on standard error |
-//! | [`service_manager`] | the service manager: readiness, watchdog, sockets that it passes |
-//! | [`pid_file`] | the pid file, held by a lock |
-//! | [`signals`] | the signals that a daemon catches |
-//! | [`table`] | rows of text, as commands print them |
+//! | [`control`] | control socket: commands to a running daemon, both sides |
+//! | [`log`] | log output: one line for each event of `tracing`, on standard error |
+//! | [`service_manager`] | notification of the service manager, watchdog, socket activation |
+//! | [`pid_file`] | pid file, held by a lock |
+//! | [`signals`] | signals that a daemon handles |
+//! | [`table`] | text tables, as commands print them |
 pub mod control;
 pub mod log;
 pub mod pid_file;
--- a/crates/foundations/daemon/src/service_manager.rs
+++ b/crates/foundations/daemon/src/service_manager.rs
@@ -1,103 +1,125 @@
-//! The service manager: what it is told (`sd_notify(3)`: NOTIFY_SOCKET, WATCHDOG_USEC) and the sockets that it passes
+//! Service manager protocol: notifications (`sd_notify(3)`: NOTIFY_SOCKET, WATCHDOG_USEC) and socket activation
 //! (`sd_listen_fds(3)`: LISTEN_FDS).
 use sd_notify::NotifyState;
+use std::io;
 use std::net::TcpListener;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::time::Duration;
+use thiserror::Error;
 
-/// News that may wait for a manager that does not read.
-const WAITING: usize = 16;
+/// Notifications that are queued for a service manager that does not read; further ones are dropped.
+const MAX_QUEUED_NOTIFICATIONS: usize = 16;
+/// Shortest interval of watchdog notifications.
+const MIN_WATCHDOG_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What it is told.
+/// The sockets that the service manager passed cannot be used.
+#[derive(Debug, Error)]
+pub enum ActivationError {
+    /// The descriptor is not a listening TCP socket.
+    #[error("LISTEN_FDS: {0}")]
+    NotATcpListener(#[source] io::Error),
+    /// This number of sockets was passed, and one is needed.
+    #[error("LISTEN_FDS: {0} sockets were passed, and there is one front")]
+    TooManySockets(usize),
+}
+
+/// A notification to the service manager.
 #[derive(Clone, Debug)]
-enum News {
-    /// Ready to serve, and what it does in words.
+enum Notification {
+    /// Ready to serve, with a status text.
     Ready(String),
     Reloading,
     Stopping,
-    Alive,
+    WatchdogKeepAlive,
 }
 
-/// The service manager as this process knows it. It is told from a thread of its own: without one, or when its socket
-/// is missing or full, news is lost and nothing waits, for it must not hold up requests.
+/// The service manager that started this process.
+///
+/// Notifications are sent by a thread of their own, so that a full or missing socket never delays requests; they are
+/// dropped if there is no service manager or its socket is full.
 pub struct ServiceManager {
-    watchdog: Option<Duration>,
-    tell: Option<SyncSender<News>>,
+    watchdog_interval: Option<Duration>,
+    notifications: Option<SyncSender<Notification>>,
 }
 
 impl ServiceManager {
-    /// The one that the environment names, or none.
-    pub fn of_environment() -> ServiceManager {
-        let tell = std::env::var_os("NOTIFY_SOCKET").and_then(|_| {
-            let (tell, told) = sync_channel(WAITING);
-            let pass = move || told.into_iter().for_each(pass_on);
-            std::thread::Builder::new().name("manager".into()).spawn(pass).ok().map(|_| tell)
-        });
-        // Twice as often as it wants to hear, as its manual page advises.
-        let watchdog = sd_notify::watchdog_enabled().map(|wait| (wait / 2).max(Duration::from_millis(1)));
-        ServiceManager { watchdog, tell }
+    /// The service manager named by the environment; without one, all notifications are dropped.
+    pub fn from_env() -> ServiceManager {
+        let notifications = std::env::var_os("NOTIFY_SOCKET").and_then(|_| spawn_sender());
+        // Half of the watchdog timeout, as recommended by sd_watchdog_enabled(3).
+        let watchdog_interval =
+            sd_notify::watchdog_enabled().map(|timeout| (timeout / 2).max(MIN_WATCHDOG_INTERVAL));
+        ServiceManager { watchdog_interval, notifications }
     }
 
-    /// How often it wants to hear that the process works.
-    pub fn watchdog(&self) -> Option<Duration> {
-        self.watchdog
+    /// Interval at which [`ServiceManager::notify_watchdog`] has to be called; `None` without a watchdog.
+    pub fn watchdog_interval(&self) -> Option<Duration> {
+        self.watchdog_interval
     }
 
-    fn tell(&self, news: News) {
-        if let Some(tell) = &self.tell {
-            let _ = tell.try_send(news);
+    fn notify(&self, notification: Notification) {
+        if let Some(notifications) = &self.notifications {
+            let _ = notifications.try_send(notification);
         }
     }
 
-    /// Ready to serve, also after a reload, and what it does in words.
-    pub fn ready(&self, status: String) {
-        self.tell(News::Ready(status));
+    /// Notifies that the process is ready to serve, also after a reload, with a status text.
+    pub fn notify_ready(&self, status: String) {
+        self.notify(Notification::Ready(status));
     }
 
-    /// Reading the files again.
-    pub fn reloading(&self) {
-        self.tell(News::Reloading);
+    /// Notifies that the process reloads its configuration.
+    pub fn notify_reloading(&self) {
+        self.notify(Notification::Reloading);
     }
 
-    /// Ending.
-    pub fn stopping(&self) {
-        self.tell(News::Stopping);
+    /// Notifies that the process shuts down.
+    pub fn notify_stopping(&self) {
+        self.notify(Notification::Stopping);
     }
 
-    /// The process works: its one thread has come round.
-    pub fn alive(&self) {
-        self.tell(News::Alive);
+    /// Notifies the watchdog that the event loop still runs.
+    pub fn notify_watchdog(&self) {
+        self.notify(Notification::WatchdogKeepAlive);
     }
 }
 
-/// Waits as long as the manager's socket is full; an error means that nobody listens.
-fn pass_on(news: News) {
-    let states = match news {
-        News::Ready(status) => {
+/// Starts the thread that sends notifications; `None` if the system has no thread to spare.
+fn spawn_sender() -> Option<SyncSender<Notification>> {
+    let (sender, receiver) = sync_channel(MAX_QUEUED_NOTIFICATIONS);
+    let send_all = move || receiver.into_iter().for_each(send);
+    std::thread::Builder::new().name("manager".into()).spawn(send_all).ok()?;
+    Some(sender)
+}
+
+/// Sends a notification; blocks while the socket is full. Errors mean that nobody listens and are ignored.
+fn send(notification: Notification) {
+    let states = match notification {
+        Notification::Ready(status) => {
             let status = status.replace('\n', " ");
             drop(sd_notify::notify(&[NotifyState::Ready, NotifyState::Status(&status)]));
             return;
         }
-        // The time stamp is what `Type=notify-reload` needs.
-        News::Reloading => match NotifyState::monotonic_usec_now() {
+        // `Type=notify-reload` needs the time stamp.
+        Notification::Reloading => match NotifyState::monotonic_usec_now() {
             Ok(stamp) => vec![NotifyState::Reloading, stamp, NotifyState::Status("reloading")],
             Err(_) => vec![NotifyState::Reloading],
         },
-        News::Stopping => vec![NotifyState::Stopping, NotifyState::Status("stopping")],
-        News::Alive => vec![NotifyState::Watchdog],
+        Notification::Stopping => vec![NotifyState::Stopping, NotifyState::Status("stopping")],
+        Notification::WatchdogKeepAlive => vec![NotifyState::Watchdog],
     };
     let _ = sd_notify::notify(&states);
 }
 
-/// The listener that the service manager has opened for this process, if it has.
+/// The listener that the service manager passed by socket activation, if any.
 ///
 /// # Errors
-/// What was passed is no listening TCP socket, or there are several.
-pub fn activated() -> Result<Option<TcpListener>, String> {
+/// The descriptor is not a listening TCP socket, or several were passed.
+pub fn activated_listener() -> Result<Option<TcpListener>, ActivationError> {
     let mut passed = listenfd::ListenFd::from_env();
     match passed.len() {
         0 => Ok(None),
-        1 => passed.take_tcp_listener(0).map_err(|e| format!("LISTEN_FDS: {e}")),
-        n => Err(format!("LISTEN_FDS: {n} sockets were passed, and there is one front")),
+        1 => passed.take_tcp_listener(0).map_err(ActivationError::NotATcpListener),
+        count => Err(ActivationError::TooManySockets(count)),
     }
 }
--- a/crates/foundations/daemon/src/signals.rs
+++ b/crates/foundations/daemon/src/signals.rs
@@ -1,47 +1,54 @@
-//! The signals that a daemon catches.
+//! Signals that a daemon handles.
+use std::io;
+use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a signal tells a daemon.
+/// A signal handler could not be installed.
+#[derive(Debug, Error)]
+#[error("signals: {0}")]
+pub struct SignalError(#[from] io::Error);
+
+/// Request that a signal makes to the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGHUP: to read its files again.
+    /// SIGHUP: reload the configuration.
     Reload,
-    /// SIGTERM or SIGINT: to end.
+    /// SIGTERM or SIGINT: shut down.
     Stop,
 }
 
-/// Signals that are caught.
+/// Installed handlers of SIGHUP, SIGTERM and SIGINT.
 pub struct Signals {
-    hup: Signal,
-    term: Signal,
-    int: Signal,
+    hangup: Signal,
+    terminate: Signal,
+    interrupt: Signal,
 }
 
 impl Signals {
-    /// Catches them from now on. SIGXFSZ as well, of which nothing is told: a write that would take a file over the
-    /// limit of its size then fails with EFBIG, as one on a full disk does with ENOSPC, and does not end the process.
-    /// To be called before anything else, in a runtime: a signal that is not caught ends the program.
+    /// Installs the handlers. To be called first, inside a tokio runtime: an unhandled signal ends the process.
+    ///
+    /// SIGXFSZ is caught as well and not reported: a write beyond the file size limit then fails with EFBIG, as a write
+    /// to a full disk fails with ENOSPC, and does not end the process.
     ///
     /// # Errors
-    /// The system does not let them be caught.
-    pub fn caught() -> Result<Signals, String> {
-        let caught = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-        // Caught for good, also when nobody waits for it any more.
-        drop(caught(SignalKind::from_raw(rustix::process::Signal::XFSZ.as_raw()))?);
+    /// The system rejects a handler.
+    pub fn install() -> Result<Signals, SignalError> {
+        // The handler stays installed when the stream is dropped.
+        drop(signal(SignalKind::from_raw(rustix::process::Signal::XFSZ.as_raw()))?);
         Ok(Signals {
-            hup: caught(SignalKind::hangup())?,
-            term: caught(SignalKind::terminate())?,
-            int: caught(SignalKind::interrupt())?,
+            hangup: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
         })
     }
 
-    /// What is told next. Nothing is lost if the wait is given up.
+    /// Waits for the next signal. Cancel safe.
     pub async fn next(&mut self) -> ProcessSignal {
-        // None of them ends while the runtime runs.
+        // The streams do not end while the runtime runs.
         tokio::select! {
-            _ = self.term.recv() => ProcessSignal::Stop,
-            _ = self.int.recv() => ProcessSignal::Stop,
-            _ = self.hup.recv() => ProcessSignal::Reload,
+            _ = self.terminate.recv() => ProcessSignal::Stop,
+            _ = self.interrupt.recv() => ProcessSignal::Stop,
+            _ = self.hangup.recv() => ProcessSignal::Reload,
         }
     }
 }
--- a/crates/foundations/daemon/src/table.rs
+++ b/crates/foundations/daemon/src/table.rs
@@ -1,16 +1,26 @@
-//! Rows of text with their columns one below the other.
+//! Text tables with aligned columns.
 use std::fmt::Write as _;
 
-/// Each row on a line; all have as many cells as the first.
-pub fn lines(rows: &[Vec<String>]) -> String {
+/// Separates two columns.
+const COLUMN_SEPARATOR: &str = "  ";
+
+/// Formats each row as a line, with cells padded to the width of their column. The first row determines the number of
+/// columns.
+pub fn format_rows(rows: &[Vec<String>]) -> String {
     let columns = rows.first().map_or(0, Vec::len);
-    let width = |k: usize| rows.iter().filter_map(|r| r.get(k)).map(|c| c.chars().count()).max().unwrap_or(0);
-    let widths: Vec<usize> = (0..columns).map(width).collect();
+    let widths: Vec<usize> = (0..columns).map(|column| column_width(rows, column)).collect();
     let mut text = String::new();
     for row in rows {
-        let line: Vec<String> = row.iter().zip(&widths).map(|(cell, &w)| format!("{cell:<w$}")).collect();
-        // Writing to a string can't fail.
-        let _ = writeln!(text, "{}", line.join("  ").trim_end());
+        let cells = row.iter().zip(&widths).map(|(cell, &width)| format!("{cell:<width$}"));
+        let line = cells.collect::<Vec<String>>().join(COLUMN_SEPARATOR);
+        // Writing to a string cannot fail.
+        let _ = writeln!(text, "{}", line.trim_end());
     }
     text
 }
+
+/// Width of a column, in characters.
+fn column_width(rows: &[Vec<String>], column: usize) -> usize {
+    let cells = rows.iter().filter_map(|row| row.get(column));
+    cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
+}
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -36,7 +36,7 @@
 
 /// A supervisor that asks for leave needs balancers that say how they stand: one that is never seen to be in keeps its leave.
 fn in_council(fleet: &supervisor::FleetConfig) -> Result<(), String> {
-    if fleet.council.is_none() {
+    if fleet.coordination.is_none() {
         return Ok(());
     }
     for instance in &fleet.instances {
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -466,7 +466,7 @@
     fn run(self) -> Result<(), String> {
         let roll = |file: PathBuf, command: &str| {
             let print = |line: &str| drop(writeln!(std::io::stdout(), "{line}"));
-            supervise::ask(&settings::read(&file)?, command, print)
+            supervise::send_command(&settings::read(&file)?, command, print).map_err(|e| e.to_string())
         };
         let over = |command: &str, why: Option<String>| match why {
             Some(why) => format!("{command} override {}", why.replace(['\n', '\r'], " ")),
@@ -474,7 +474,7 @@
         };
         match (self.file, self.command) {
             (_, Some(FleetCommand::Status { file, json })) => {
-                let text = supervise::status(&settings::read(&file)?, json)?;
+                let text = supervise::status(&settings::read(&file)?, json).map_err(|e| e.to_string())?;
                 std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))
             }
             (_, Some(FleetCommand::Restart { file, overrides })) => roll(file, &over("restart", overrides)),
@@ -484,7 +484,7 @@
             (_, Some(FleetCommand::Reload { file, overrides })) => roll(file, &over("reload", overrides)),
             (_, Some(FleetCommand::Start { file })) => roll(file, "start"),
             (_, Some(FleetCommand::Stop { file })) => roll(file, "stop"),
-            (Some(file), None) => supervise::run(&settings::read(&file)?),
+            (Some(file), None) => supervise::run(&settings::read(&file)?).map_err(|e| e.to_string()),
             // The command line asks for one of the two.
             (None, None) => Ok(()),
         }
@@ -515,7 +515,7 @@
 pub fn main() -> ExitCode {
     // Wrong usage ends in here with 2, help and version with 0.
     let line = Line::parse();
-    daemon::log::begin(line.log);
+    daemon::log::init(line.log);
     let done = match line.command.unwrap_or(Command::Run {
         operator: None,
         pid_file: None,
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -125,7 +125,7 @@
                 Err(why) => {
                     teller.stands(format!("datacentres: {why}"));
                     agent = (agent + 1) % self.settings.agents.len();
-                    self.settings.pause_most
+                    self.settings.max_backoff
                 }
             };
             sleep(backoff::jittered(pause, teller.draw())).await;
@@ -150,12 +150,12 @@
         let reading = Reading {
             kind: if s.health { Kind::Health } else { Kind::Catalogue },
             prefix,
-            name: s.meta.name.clone(),
-            zone: s.meta.zone.clone(),
-            machine: s.meta.kind.clone(),
-            cell: s.meta.cell.clone(),
-            started: s.meta.started.clone(),
-            tagged: s.tagged.clone(),
+            name: s.meta_keys.name.clone(),
+            zone: s.meta_keys.zone.clone(),
+            machine: s.meta_keys.kind.clone(),
+            cell: s.meta_keys.cell.clone(),
+            started: s.meta_keys.started.clone(),
+            tagged: s.tagged_address.clone(),
             speaks: if s.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
         };
         let target = Target {
@@ -172,11 +172,11 @@
         };
         let figures = WatchIntervals {
             wait: s.wait,
-            pace: s.pace,
-            pause: s.pause,
-            pause_most: s.pause_most,
-            stale_most: s.stale_most,
-            regrow: s.regrow,
+            pace: s.min_poll_interval,
+            pause: s.initial_backoff,
+            pause_most: s.max_backoff,
+            stale_most: s.max_staleness,
+            regrow: s.regrow_timeout,
         };
         Watch::new(target, reading, figures, s.agents.len(), index)
     }
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -6,7 +6,7 @@
 use crate::live_config::LiveConfig;
 use crate::node_config::{self, Config};
 use config::operator::OperatorConfig;
-use daemon::table::lines;
+use daemon::table::format_rows;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -84,7 +84,7 @@
             cell(&s["trouble"]),
         ]
     }));
-    let sources = lines(&rows);
+    let sources = format_rows(&rows);
     let mut rows = vec![["member", "address", "zone", "kind", "cell", "standing", "takes", "up", "why"]
         .map(String::from)
         .to_vec()];
@@ -106,5 +106,5 @@
             cell(&m["why"]),
         ]
     }));
-    format!("{sources}\n{}", lines(&rows))
+    format!("{sources}\n{}", format_rows(&rows))
 }
--- a/crates/herondock/src/endpoint_sources/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -38,7 +38,7 @@
     ) -> Registrations {
         let (wish, wishes) = watch::channel(DesiredState::Absent);
         let begin = |s: &ConsulConfig| {
-            let r = s.register.as_ref()?;
+            let r = s.registration.as_ref()?;
             let registration = Registration {
                 service: r.service.clone(),
                 id: r.id.clone().unwrap_or_else(|| format!("{}-{name}", r.service)),
@@ -46,7 +46,7 @@
                 tags: r.tags.clone(),
                 meta: r.meta.clone(),
                 ttl: r.ttl,
-                forget_after: r.forget_after,
+                forget_after: r.deregister_after,
             };
             let one = One {
                 client: Client::new(limits.clone()),
--- a/crates/herondock/src/endpoint_sources/sources.rs
+++ b/crates/herondock/src/endpoint_sources/sources.rs
@@ -4,7 +4,7 @@
 use super::discovery::Discovery;
 use super::Audience;
 use crate::live_config::LiveConfig;
-use config::discovery::Static;
+use config::discovery::StaticEndpoint;
 use config::operator::{Limits, OperatorConfig};
 use discovery::endpoint::{EndpointProtocol, EndpointReport, EndpointState, Meta, SourceUpdate};
 use discovery::platform::staleness::StalenessSettings;
@@ -30,7 +30,7 @@
     ) -> Sources<A> {
         let registry = &operator.registry;
         let discovery =
-            registry.discovery.then(|| (speaks(registry.fastcgi), gather.source(0, DISCOVERY, true)));
+            registry.platform.then(|| (speaks(registry.fastcgi), gather.source(0, DISCOVERY, true)));
         let mut services = Vec::new();
         for (k, settings) in registry.consul.iter().enumerate() {
             let rank = u16::try_from(k + 1).unwrap_or(u16::MAX);
@@ -42,8 +42,9 @@
             let teller = if tellers.len() == 1 { tellers.pop() } else { None };
             services.push((service, teller.unwrap_or_else(|| gather.quiet(rank, &own))));
         }
-        let fixed = (!registry.fixed.is_empty())
-            .then(|| (registry.fixed.iter().map(report).collect(), gather.source(u16::MAX, "static", false)));
+        let fixed = (!registry.static_endpoints.is_empty()).then(|| {
+            (registry.static_endpoints.iter().map(report).collect(), gather.source(u16::MAX, "static", false))
+        });
         Sources { discovery, consul: services, fixed }
     }
 
@@ -76,7 +77,7 @@
     }
 }
 
-fn report(s: &Static) -> EndpointReport {
+fn report(s: &StaticEndpoint) -> EndpointReport {
     EndpointReport {
         name: s.id.as_str().into(),
         addr: s.addr,
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -226,7 +226,7 @@
             ProcessEvent::Event(event) => event,
             ProcessEvent::Count => self.counts(),
             ProcessEvent::Beat => {
-                self.manager.alive();
+                self.manager.notify_watchdog();
                 Event::Timeout
             }
             ProcessEvent::Asked(HandoffRequest::Members(asker)) => {
@@ -274,7 +274,7 @@
             Action::Accept => self.accept().await?,
             Action::Claim => drop(self.claim.take().map(|claim| claim.send(()))),
             Action::NotifyReady => self.tell_ready(),
-            Action::NotifyReloading => self.manager.reloading(),
+            Action::NotifyReloading => self.manager.notify_reloading(),
             Action::NotifyStopping => self.tell_stopping(because),
             Action::ReadFiles => self.read_files().await,
             Action::HandOffListeners => self.hand_over()?,
@@ -306,9 +306,9 @@
         self.served = Some(tokio::task::spawn_local(self.server.clone().run(accepting)));
         self.side.begin()?;
         if let (Some(path), None) = (&self.daemon.pid_file, &self.pid_file) {
-            match PidFile::take_after(path, PID_FILE).await {
+            match PidFile::acquire_with_timeout(path, PID_FILE).await {
                 Ok(file) => {
-                    if let Some(why) = file.unwritten() {
+                    if let Some(why) = file.write_error() {
                         info!("daemon.pid_file: {why}");
                     }
                     self.pid_file = Some(file);
@@ -334,14 +334,14 @@
     fn tell_ready(&self) {
         self.stands.send_replace(disruption::InstanceState::Ready);
         self.registrations.wish(DesiredState::Passing);
-        self.manager.ready(match &self.refused {
+        self.manager.notify_ready(match &self.refused {
             None => format!("serving on {}", self.address),
             Some(why) => format!("not reloaded: {why}"),
         });
     }
 
     fn tell_stopping(&self, because: Event) {
-        self.manager.stopping();
+        self.manager.notify_stopping();
         self.stands.send_replace(disruption::InstanceState::ShuttingDown);
         // Whoever asks whether it is ready hears that it is not.
         self.comes_to(Phase::Leaving);
--- a/crates/herondock/src/run/listener_origin.rs
+++ b/crates/herondock/src/run/listener_origin.rs
@@ -50,12 +50,12 @@
         let others = std::mem::take(&mut taken.others);
         return Ok(ListenerOrigin { listener, pid_file: None, taken: Some(taken), others, along });
     }
-    let pid_file = daemon.pid_file.as_deref().map(PidFile::take).transpose();
+    let pid_file = daemon.pid_file.as_deref().map(PidFile::acquire).transpose();
     let pid_file = pid_file.map_err(|e| format!("daemon.pid_file: {e}"))?;
-    if let Some(why) = pid_file.as_ref().and_then(PidFile::unwritten) {
+    if let Some(why) = pid_file.as_ref().and_then(PidFile::write_error) {
         info!("daemon.pid_file: {why}");
     }
-    let listener = match service_manager::activated()? {
+    let listener = match service_manager::activated_listener().map_err(|e| e.to_string())? {
         Some(listener) => {
             fits(&listener)?;
             listener
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -87,7 +87,7 @@
 /// Wires an instance up, and drives it until it ends.
 async fn serve(options: Options) -> Result<(), String> {
     // Before anything else: a signal that is not caught ends the program.
-    let signals = Signals::caught()?;
+    let signals = Signals::install().map_err(|e| e.to_string())?;
     let (start, start_ms) = (Instant::now(), clock::unix_ms());
     let config = node_config::load()?;
     let path = options.operator;
@@ -96,7 +96,7 @@
     daemon.pid_file = options.pid_file.or(daemon.pid_file);
     daemon.takeover = options.takeover.or(daemon.takeover);
     waits(&mut daemon, config.deployment.policy.classes.iter().map(|c| c.deadline));
-    let manager = ServiceManager::of_environment();
+    let manager = ServiceManager::from_env();
     let world = routing::world(&config.deployment);
     let table = read_table(path.as_deref(), &operator, &world)?;
     let ListenerOrigin { listener, pid_file, taken, others, along } = origin(&config, &daemon).await?;
@@ -170,8 +170,8 @@
         random.clone(),
     );
     let sources = Sources::of(&members, &operator, &limits);
-    let store = operator.registry.saved.as_deref().map(cache::store);
-    let saved = || cache::load(store.as_ref()?, operator.registry.saved_most);
+    let store = operator.registry.cache_file.as_deref().map(cache::store);
+    let saved = || cache::load(store.as_ref()?, operator.registry.max_cache_age);
     // What a predecessor knew a moment ago is newer than what was saved here, and that than what the platform saved.
     let kept = along.and_then(|along| along.view(start_ms)).or_else(saved);
     let kept = kept
@@ -180,7 +180,7 @@
     let (address_of_discovery, addresses) = watch::channel(discovery);
     sources.begin(addresses, &limits, &node_config::terms(&deployment));
     if let Some(store) = store {
-        tokio::task::spawn_local(cache::run(members.clone(), store, operator.registry.saved_every));
+        tokio::task::spawn_local(cache::run(members.clone(), store, operator.registry.cache_write_interval));
     }
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     let registrations = Registrations::begin(&operator.registry.consul, &name, address, &limits, &random);
@@ -226,7 +226,7 @@
         course: courses,
         budgets,
     });
-    let (inbox, tell) = EventStream::new(signals, manager.watchdog(), timers);
+    let (inbox, tell) = EventStream::new(signals, manager.watchdog_interval(), timers);
     let wiring = Wiring {
         name,
         start,
--- a/crates/herondock/src/supervise/event_loop.rs
+++ b/crates/herondock/src/supervise/event_loop.rs
@@ -1,528 +1,156 @@
-//! The supervisor's loop: tells the state machine what happens, and carries out what it wants.
-use super::process::{Notify, Running};
-use super::rollouts::Releases;
-use super::Paths;
-use crate::node_config;
-use config::supervisor::FleetConfig as File;
+//! Event loop of the supervisor: opens its resources, waits for events and passes them to the driver.
+use super::driver::{Driver, Progress};
+use super::error::SupervisorError;
+use super::leases::Coordination;
+use super::process::{Notification, NotifySocket};
+use super::FleetPaths;
+use config::supervisor::FleetConfig;
 use daemon::control::{ControlRequest, ControlSocket};
-use daemon::pid_file::{self, PidFile};
+use daemon::pid_file::PidFile;
 use daemon::signals::{ProcessSignal, Signals};
-use disruption::{BalancerEntry, DisruptionKind};
-use disruption_agent::agent::{Agent, GrantedLease};
-use rollout::executor::{ExecutorAction as Move, LocalInstance};
-use std::collections::{BTreeMap, HashMap};
+use disruption_agent::agent::GrantedLease;
+use std::io;
 use std::os::unix::fs::DirBuilderExt;
-use std::time::Duration;
-use supervisor::{Action, Command, Event, ProcessId, RollingAction, SupervisorPolicy};
+use supervisor::{Event, ProcessId};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tracing::info;
 
-/// Ends of processes that may wait for the loop.
-const WAITING: usize = 64;
+/// Process exits that are queued for the event loop.
+const MAX_QUEUED_EXITS: usize = 64;
+/// Mode of the fleet's folder: pid files and sockets are for its owner only.
+const FOLDER_MODE: u32 = 0o700;
+
+/// Something that the event loop waits for.
+pub enum LoopEvent {
+    /// A signal to the supervisor.
+    Signal(ProcessSignal),
+    /// A process of an instance exited.
+    ProcessExited(ProcessId),
+    /// An instance sent a notification, or the notify socket cannot be read.
+    Notification(io::Result<Notification>),
+    /// A disruption lease was granted.
+    LeaseGranted(GrantedLease),
+    /// A lease for a rollout can be used now (`usable`), or not any more.
+    LeaseConfirmed {
+        /// The lease.
+        lease: GrantedLease,
+        /// Whether the rollout's state was read after the lease had been granted.
+        usable: bool,
+    },
+    /// The state of rollouts has changed.
+    RolloutChanged,
+    /// An operator sent a command.
+    Command(ControlRequest),
+    /// The time at which the driver wanted to be called has come.
+    Timeout,
+}
 
-/// Runs a supervisor until it is told to end, which leaves the instances running, or all were stopped.
+/// Runs a supervisor until SIGTERM, which leaves the instances running, or until all instances were stopped by command.
 ///
 /// # Errors
-/// Another supervisor has the folder, or something that it needs can't be had.
-pub fn run(file: &File) -> Result<(), String> {
+/// Another supervisor holds the folder, or a resource cannot be opened.
+pub fn run(config: &FleetConfig) -> Result<(), SupervisorError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
-    tokio::task::LocalSet::new().block_on(&runtime, supervise(file))
-}
-
-struct Supervisor<'a> {
-    file: &'a File,
-    fleet: supervisor::Supervisor,
-    began: Instant,
-    processes: HashMap<ProcessId, Running>,
-    /// What each process last said of itself.
-    says: HashMap<ProcessId, String>,
-    ends: mpsc::Sender<ProcessId>,
-    /// Who waits for the end of a roll, or of the stop.
-    waiting: Vec<mpsc::Sender<String>>,
-    /// Asks for leave, where there is a council.
-    agent: Option<Agent>,
-    /// What its instances are called in the council.
-    units: Vec<String>,
-    /// What the agent was told of them last.
-    declared: BTreeMap<String, BalancerEntry>,
-    /// An operator's reason to go over what budgets allow, in the roll that goes on.
-    overrides: Option<String>,
-    /// What it does for releases, where there is a council.
-    releases: Option<Releases>,
+    let runtime = runtime.map_err(SupervisorError::Runtime)?;
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        EventLoop::open(config)?.run().await;
+        Ok(())
+    })
 }
 
-async fn supervise(file: &File) -> Result<(), String> {
-    let mut signals = Signals::caught()?;
-    let paths = Paths(file);
-    let folder = |e: std::io::Error| format!("{}: {e}", file.folder.display());
-    if !file.folder.is_dir() {
-        std::fs::DirBuilder::new().recursive(true).mode(0o700).create(&file.folder).map_err(folder)?;
-    }
-    let lock = PidFile::take(&paths.lock())?;
-    if let Some(why) = lock.unwritten() {
-        info!("fleet: {why}");
-    }
-    let notify = Notify::bind(&paths.notify()).map_err(folder)?;
-    let mut control = ControlSocket::bind(&paths.control()).map_err(folder)?;
-    let (ends, mut ended) = mpsc::channel(WAITING);
-    let figures = SupervisorPolicy {
-        spread: file.spread,
-        ready_within: file.ready_within,
-        stop_within: file.stop_within,
-        pause: file.pause,
-        pause_most: file.pause_most,
-        crashes: file.crashes,
-        window: file.window,
-        at_once: file.at_once,
-        leaving_within: file.leaving_within,
-        asks: file.council.is_some(),
-    };
-    let fleet = supervisor::Supervisor::new(file.instances.len(), figures);
-    let council = file.council.as_ref().zip(file.machine.as_deref());
-    let client = council.map(|(c, machine)| {
-        (coordination_server::client::spawn_with_presence(c, "supervisor", machine), machine)
-    });
-    let agent = client.as_ref().map(|(client, machine)| Agent::begin(client.clone(), machine));
-    let releases = match client.zip(agent.as_ref()) {
-        Some(((client, machine), agent)) => {
-            let of_releases = rollout_agent::agent::RolloutAgent::begin(client, agent.follows());
-            Some(Releases::new(file, machine, of_releases)?)
-        }
-        None => None,
-    };
-    // In the council an instance has the name that its own configuration gives it.
-    let named = |i: &config::supervisor::InstanceConfig| {
-        node_config::read(&i.config).map_or_else(|_| i.name.clone(), |config| config.name)
-    };
-    let units = match agent {
-        Some(_) => file.instances.iter().map(named).collect(),
-        None => Vec::new(),
-    };
-    let (processes, says) = (HashMap::new(), HashMap::new());
-    let began = Instant::now();
-    let (waiting, declared, overrides) = (Vec::new(), BTreeMap::new(), None);
-    let mut s = Supervisor {
-        file,
-        fleet,
-        began,
-        processes,
-        says,
-        ends,
-        waiting,
-        agent,
-        units,
-        declared,
-        overrides,
-        releases,
-    };
-    s.find();
-    info!("fleet: supervisor of {} instances, {} found running", file.instances.len(), s.processes.len());
-    let mut event = Event::Timeout;
-    loop {
-        if s.take(event) {
-            // Whoever asked for it reads the answer first.
-            control.close().await;
-            return Ok(());
-        }
-        s.declare();
-        s.release();
-        let wake = s.fleet.wake().map(|at| s.began + at);
-        let look = s.releases.as_ref().and_then(Releases::look_every).map(|every| Instant::now() + every);
-        let wake = wake.into_iter().chain(look).min();
-        event = tokio::select! {
-            told = signals.next() => match told {
-                ProcessSignal::Stop => break,
-                // One command for all: a reload of the instances goes through 'fleet reload'.
-                ProcessSignal::Reload => Event::Timeout,
-            },
-            Some(process) = ended.recv() => {
-                let how = s.processes.remove(&process).map(|mut p| p.ending());
-                let (clean, how) = how.unwrap_or((false, "it ended".into()));
-                s.says.remove(&process);
-                Event::Exited { process, clean, how }
-            }
-            news = notify.next() => match news {
-                Ok(news) => s.heard(news),
-                Err(e) => {
-                    info!("fleet: {}: {e}", paths.notify().display());
-                    Event::Timeout
-                }
-            },
-            given = next_given(&mut s.agent) => s.given(&given),
-            news = news(&mut s.releases) => match news {
-                Some((given, done)) => s.confirmed(&given, done),
-                None => Event::Timeout,
-            },
-            ControlRequest { line, answer } = control.next() => s.asked(&line, answer),
-            () = async { tokio::time::sleep_until(wake.unwrap_or(s.began)).await }, if wake.is_some() => Event::Timeout,
-        };
-    }
-    info!("fleet: the supervisor ends, {} processes run on", s.processes.len());
-    Ok(())
+struct EventLoop<'a> {
+    config: &'a FleetConfig,
+    signals: Signals,
+    notify_socket: NotifySocket,
+    control_socket: ControlSocket,
+    exits: mpsc::Receiver<ProcessId>,
+    driver: Driver<'a>,
+    /// Held until the supervisor exits.
+    _lock: PidFile,
 }
 
-impl Supervisor<'_> {
-    /// Finds the instances that run already, by the pid files that they hold.
-    fn find(&mut self) {
-        for (k, instance) in self.file.instances.iter().enumerate() {
-            let Some(pid) = pid_file::holder(&Paths(self.file).pid(instance)) else { continue };
-            match Running::found(pid) {
-                Ok(running) => {
-                    // Where its address is known it can be asked; elsewhere what serves counts as ready.
-                    let listen =
-                        node_config::read(&instance.config).ok().map(|c| c.listen).filter(|l| l.port() != 0);
-                    let ready = listen.is_none_or(ready);
-                    let process = self.fleet.adopt(self.began.elapsed(), k, ready);
-                    self.watch(process, running);
-                }
-                Err(e) => info!("fleet: {}: process {pid}: {e}", instance.name),
+impl<'a> EventLoop<'a> {
+    /// Opens the supervisor's files and sockets, and adopts the instances that run.
+    fn open(config: &'a FleetConfig) -> Result<EventLoop<'a>, SupervisorError> {
+        let signals = Signals::install()?;
+        let paths = FleetPaths(config);
+        let folder_error =
+            |source: io::Error| SupervisorError::Folder { folder: config.folder.clone(), source };
+        create_folder(config).map_err(folder_error)?;
+        let lock = PidFile::acquire(&paths.lock())?;
+        if let Some(reason) = lock.write_error() {
+            info!("fleet: {reason}");
+        }
+        let notify_socket = NotifySocket::bind(&paths.notify()).map_err(folder_error)?;
+        let control_socket = ControlSocket::bind(&paths.control()).map_err(folder_error)?;
+        let (exit_sender, exits) = mpsc::channel(MAX_QUEUED_EXITS);
+        let coordination = Coordination::connect(config)?;
+        let mut driver = Driver::new(config, coordination, exit_sender);
+        driver.adopt_running();
+        Ok(EventLoop { config, signals, notify_socket, control_socket, exits, driver, _lock: lock })
+    }
+
+    async fn run(mut self) {
+        let (instances, adopted) = (self.config.instances.len(), self.driver.process_count());
+        info!("fleet: supervisor of {instances} instances, {adopted} found running");
+        let mut event = Event::Timeout;
+        loop {
+            if self.driver.handle(event) == Progress::Stopped {
+                // Lets the client that sent the command read the reply.
+                self.control_socket.close().await;
+                return;
             }
-        }
-    }
-
-    fn watch(&mut self, process: ProcessId, running: Running) {
-        let ends = self.ends.clone();
-        let tell = move || {
-            // The loop that takes it may have ended; then nobody needs to know.
-            let _ = ends.blocking_send(process);
-        };
-        if let Err(e) = running.watch(tell) {
-            info!("fleet: process {}: its end will not be noticed: {e}", running.pid);
-        }
-        self.processes.insert(process, running);
-    }
-
-    /// Says which balancers this machine has, where that has changed.
-    fn declare(&mut self) {
-        let Some(agent) = &self.agent else { return };
-        let down =
-            |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
-        let unit = |i: &supervisor::Instance| BalancerEntry {
-            machine: self.file.machine.clone().unwrap_or_default(),
-            zone: self.file.zone.clone(),
-            tier: self.file.tier.clone(),
-            down: down(i),
-        };
-        let units: BTreeMap<String, BalancerEntry> =
-            self.units.iter().cloned().zip(self.fleet.instances().iter().map(unit)).collect();
-        if units != self.declared {
-            agent.units(units.clone());
-            self.declared = units;
-        }
-    }
-
-    /// Does what a release wants of this machine's instances now.
-    fn release(&mut self) {
-        let Some(session) = self.agent.as_ref().and_then(Agent::session) else { return };
-        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return };
-        if releases.look_every().is_none() {
-            return;
-        }
-        let now = self.began.elapsed();
-        let one =
-            |((file, unit), i): ((&config::supervisor::InstanceConfig, &String), &supervisor::Instance)| {
-                LocalInstance {
-                    unit: unit.clone(),
-                    build: releases.build(&file.name).clone(),
-                    ready: i.state == supervisor::InstanceState::Ready && i.successor.is_none(),
-                    given_up: match &i.state {
-                        supervisor::InstanceState::CrashLoop(why) => Some(why.clone()),
-                        _ => None,
-                    },
-                    slow: i.slow(),
-                    crashes: i.crashes(now, self.file.window),
-                }
+            self.driver.publish_balancers();
+            self.driver.advance_rollout();
+            let wake_at = self.driver.next_timeout();
+            event = match self.next_event(wake_at).await {
+                LoopEvent::Signal(ProcessSignal::Stop) => break,
+                loop_event => self.dispatch(loop_event),
             };
-        let all = self.file.instances.iter().zip(&self.units).zip(self.fleet.instances());
-        let all: Vec<LocalInstance> = all.map(one).collect();
-        let at_once = if self.fleet.rolling().is_some() { 0 } else { self.file.at_once };
-        let acts = releases.next(&all, &agent.follows().borrow(), at_once, session);
-        for act in acts {
-            let event = self.moved(act);
-            self.take(event);
-        }
-    }
-
-    /// Carries out what a release wants.
-    fn moved(&mut self, act: Move) -> Event {
-        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Timeout };
-        match act {
-            Move::RequestLease { unit, why } => agent.ask(&unit, DisruptionKind::Restart, &why, None),
-            Move::ReleaseLease { unit, acted } => agent.give_back(&unit, acted),
-            Move::Replace { unit, build } => {
-                let instance = self.units.iter().position(|u| *u == unit);
-                let Some((k, file)) = instance.and_then(|k| Some((k, self.file.instances.get(k)?))) else {
-                    return Event::Timeout;
-                };
-                match releases.moved(&file.name, &unit, &build) {
-                    Ok(()) => {
-                        info!(unit, "release: goes over to build {}", rollout_agent::build_id::short(&build));
-                        return Event::Command(Command::Replace(k));
-                    }
-                    Err(Some(Move::ReleaseLease { unit, acted })) => agent.give_back(&unit, acted),
-                    Err(_) => {}
-                }
-            }
         }
-        Event::Timeout
+        info!("fleet: the supervisor ends, {} processes run on", self.driver.process_count());
     }
 
-    /// Leave for a release is to be used, where the record could be read after it was given.
-    fn confirmed(&mut self, given: &GrantedLease, done: bool) -> Event {
-        let (Some(agent), Some(releases)) = (&self.agent, &mut self.releases) else { return Event::Timeout };
-        if !done || !agent.may(given) {
-            agent.unused(&given.unit);
-            return Event::Timeout;
-        }
-        match releases.confirmed(&given.unit, &agent.follows().borrow()) {
-            Some(act) => self.moved(act),
-            None => Event::Timeout,
-        }
-    }
-
-    /// Leave was given. It may have come late: what it allowed may be another's by now.
-    fn given(&mut self, given: &GrantedLease) -> Event {
-        let instance = self.units.iter().position(|unit| *unit == given.unit);
-        let (Some(agent), Some(instance)) = (&self.agent, instance) else { return Event::Timeout };
-        let (unit, number) = (&given.unit, given.number);
-        if !agent.may(given) {
-            info!(unit, number, "outage: the leave came too late, and nothing is done by it");
-            agent.unused(unit);
-            return Event::Timeout;
-        }
-        info!(unit, number, "outage: has leave to {}", given.act.word());
-        match &self.releases {
-            Some(releases) if releases.given(given) => Event::Timeout,
-            _ => Event::LeaseGranted(instance),
-        }
-    }
-
-    fn name(&self, instance: usize) -> &str {
-        self.file.instances.get(instance).map_or("?", |i| &i.name)
-    }
-
-    /// Tells the machine and does what it wants; `true`: all is stopped.
-    fn take(&mut self, event: Event) -> bool {
-        let mut actions = Vec::new();
-        self.fleet.handle(self.began.elapsed(), event, &mut actions);
-        let mut failed = Vec::new();
-        for action in actions {
-            match action {
-                Action::Start { instance, process } => {
-                    let file = &self.file.instances[instance];
-                    let of = self.releases.as_ref().map(|r| (r.build(&file.name), r.path(&file.name)));
-                    match Running::start(self.file, file, of) {
-                        Ok(running) => self.watch(process, running),
-                        Err(e) => failed.push((process, e.to_string())),
-                    }
-                }
-                Action::Signal(process, signal) => {
-                    if let Some(running) = self.processes.get(&process) {
-                        running.signal(signal);
-                    }
-                }
-                Action::RequestLease { instance, roll } => {
-                    if let (Some(agent), Some(unit)) = (&self.agent, self.units.get(instance)) {
-                        agent.ask(unit, act(roll), word(roll), self.overrides.as_deref());
-                    }
-                }
-                Action::ReleaseLease { instance, acted } => {
-                    if let (Some(agent), Some(unit)) = (&self.agent, self.units.get(instance)) {
-                        agent.give_back(unit, acted);
-                    }
-                }
-                Action::Rejected(why) => {
-                    if let Some(answer) = self.waiting.pop() {
-                        let _ = answer.try_send(format!("failed {why}"));
-                    }
-                }
-                Action::RollFinished(roll) => {
-                    info!("fleet: {} done", word(roll));
-                    self.tell_all("ok");
-                }
-                Action::RollAborted { instance, why } => {
-                    let line = format!("halted at {}: {why}", self.name(instance));
-                    info!("fleet: {line}");
-                    self.tell_all(&format!("failed {line}"));
-                }
-                Action::CrashLoop { instance, why } => {
-                    info!("fleet: {} is given up: {why}", self.name(instance))
-                }
-                Action::Stopped => {
-                    info!("fleet: all are stopped");
-                    self.tell_all("ok");
-                    return true;
-                }
-            }
-        }
-        for (process, how) in failed {
-            if self.take(Event::Exited { process, clean: false, how }) {
-                return true;
+    /// Waits for the next event, until `wake_at` at most.
+    async fn next_event(&mut self, wake_at: Option<Instant>) -> LoopEvent {
+        let timeout = async {
+            match wake_at {
+                Some(at) => tokio::time::sleep_until(at).await,
+                None => std::future::pending().await,
             }
-        }
-        false
-    }
-
-    /// The last word to all who wait.
-    fn tell_all(&mut self, line: &str) {
-        for answer in self.waiting.drain(..) {
-            let _ = answer.try_send(line.into());
-        }
-    }
-
-    fn heard(&mut self, news: super::process::News) -> Event {
-        let Some(process) = self.processes.iter().find(|(_, r)| r.pid == news.pid).map(|(&p, _)| p) else {
-            return Event::Timeout;
         };
-        let refused = news.status.as_deref().and_then(|s| s.strip_prefix("not reloaded: ")).map(String::from);
-        if let Some(status) = news.status {
-            self.says.insert(process, status);
-        }
-        match (news.ready, refused) {
-            (true, Some(why)) => Event::ReloadFailed(process, why),
-            (true, None) => {
-                let of =
-                    |i: &supervisor::Instance| i.process == Some(process) || i.successor == Some(process);
-                let instance = self.fleet.instances().iter().position(of);
-                for answer in &self.waiting {
-                    let _ = answer.try_send(format!("{} is ready", instance.map_or("?", |k| self.name(k))));
-                }
-                Event::Ready(process)
+        tokio::select! {
+            signal = self.signals.next() => LoopEvent::Signal(signal),
+            Some(process) = self.exits.recv() => LoopEvent::ProcessExited(process),
+            notification = self.notify_socket.next() => LoopEvent::Notification(notification),
+            event = self.driver.next_coordination_event() => event,
+            request = self.control_socket.next() => LoopEvent::Command(request),
+            () = timeout => LoopEvent::Timeout,
+        }
+    }
+
+    /// Handles an event; returns the resulting event of the state machine.
+    fn dispatch(&mut self, event: LoopEvent) -> Event {
+        match event {
+            // Instances are reloaded by the command `fleet reload` only.
+            LoopEvent::Signal(_) | LoopEvent::RolloutChanged | LoopEvent::Timeout => Event::Timeout,
+            LoopEvent::ProcessExited(process) => self.driver.process_exited(process),
+            LoopEvent::Notification(Ok(notification)) => self.driver.notified(notification),
+            LoopEvent::Notification(Err(error)) => {
+                info!("fleet: {}: {error}", FleetPaths(self.config).notify().display());
+                Event::Timeout
             }
-            _ => Event::Timeout,
+            LoopEvent::LeaseGranted(lease) => self.driver.lease_granted(&lease),
+            LoopEvent::LeaseConfirmed { lease, usable } => self.driver.lease_confirmed(&lease, usable),
+            LoopEvent::Command(request) => self.driver.command(&request.command, request.reply),
         }
     }
-
-    fn asked(&mut self, line: &str, answer: mpsc::Sender<String>) -> Event {
-        let (line, overrides) = match line.split_once(" override ") {
-            Some((line, why)) => (line, Some(why.to_string())),
-            None => (line, None),
-        };
-        if self.fleet.rolling().is_none() {
-            self.overrides = overrides;
-        }
-        let command = match line {
-            "restart" | "take-over" | "reload" if self.bars().is_some() => {
-                let _ = answer.try_send(format!("failed {}", self.bars().unwrap_or_default()));
-                return Event::Timeout;
-            }
-            "status" => {
-                let _ = answer.try_send(self.state().to_string());
-                let _ = answer.try_send("ok".into());
-                return Event::Timeout;
-            }
-            "restart" => Command::Roll(RollingAction::Restart),
-            "take-over" => Command::Roll(RollingAction::Handoff),
-            "reload" => Command::Roll(RollingAction::Reload),
-            "start" => {
-                let _ = answer.try_send("ok".into());
-                return Event::Command(Command::Start);
-            }
-            "stop" => Command::Stop,
-            _ => {
-                let _ = answer.try_send("failed that is no command".into());
-                return Event::Timeout;
-            }
-        };
-        info!("fleet: {line}");
-        if command == Command::Stop {
-            self.tell_all("failed the fleet is being stopped");
-        }
-        self.waiting.push(answer);
-        Event::Command(command)
-    }
-
-    /// Why no roll may begin.
-    fn bars(&self) -> Option<String> {
-        self.releases.as_ref()?.bars()
-    }
-
-    /// What the leaves that it asks for wait for, in words.
-    fn waits(&self) -> String {
-        let Some(agent) = &self.agent else { return String::new() };
-        let board = agent.board();
-        let own =
-            |id: &str| board.asks.get(id).is_some_and(|a| Some(&a.value.owner) == self.file.machine.as_ref());
-        let mut waits: Vec<String> = match agent.heard() {
-            true => Vec::new(),
-            false => vec!["the council does not answer".into()],
-        };
-        let asks = board.decide().into_iter().filter(|(id, _)| own(id));
-        waits.extend(
-            asks.filter_map(|(id, verdict)| {
-                Some(format!("{} {verdict}", board.asks.get(&id)?.value.unit.name))
-            }),
-        );
-        waits.iter().fold(String::new(), |text, wait| text + "; " + wait)
-    }
-
-    fn state(&self) -> serde_json::Value {
-        let one = |(file, i): (&config::supervisor::InstanceConfig, &supervisor::Instance)| {
-            let running = i.process.and_then(|p| self.processes.get(&p));
-            let (memory, descriptors) = running.map_or((None, None), |r| {
-                let (memory, descriptors) = r.holds();
-                (Some(memory), Some(descriptors))
-            });
-            let says = match &i.state {
-                supervisor::InstanceState::CrashLoop(why) => Some(why),
-                _ => i.process.and_then(|p| self.says.get(&p)),
-            };
-            serde_json::json!({"name": file.name, "state": i.state.to_string(), "pid": running.map(|r| r.pid),
-                "restarts": i.restarts, "leaving": i.leaving.len(), "memory": memory, "descriptors": descriptors,
-                "ready_ms": i.took.map(|took| u64::try_from(took.as_millis()).unwrap_or(u64::MAX)), "says": says})
-        };
-        let instances: Vec<_> = self.file.instances.iter().zip(self.fleet.instances()).map(one).collect();
-        let waits = self.waits();
-        let roll = self.fleet.rolling().map(|(roll, left)| format!("{}, {left} to go{waits}", word(roll)));
-        serde_json::json!({"supervisor": std::process::id(), "roll": roll, "instances": instances})
-    }
-}
-
-/// News of releases; never, without a council.
-async fn news(releases: &mut Option<Releases>) -> Option<(GrantedLease, bool)> {
-    match releases {
-        Some(releases) => releases.news().await,
-        None => std::future::pending().await,
-    }
 }
 
-/// The next leave; never, without a council.
-async fn next_given(agent: &mut Option<Agent>) -> GrantedLease {
-    match agent {
-        Some(agent) => agent.next().await,
-        None => std::future::pending().await,
+fn create_folder(config: &FleetConfig) -> io::Result<()> {
+    if config.folder.is_dir() {
+        return Ok(());
     }
-}
-
-fn act(roll: RollingAction) -> DisruptionKind {
-    match roll {
-        RollingAction::Restart => DisruptionKind::Restart,
-        RollingAction::Handoff => DisruptionKind::Handoff,
-        RollingAction::Reload => DisruptionKind::Reload,
-    }
-}
-
-fn word(roll: RollingAction) -> &'static str {
-    match roll {
-        RollingAction::Restart => "restart",
-        RollingAction::Handoff => "take-over",
-        RollingAction::Reload => "reload",
-    }
-}
-
-/// Whether an instance says that it is ready; asked once, at the start of a supervisor.
-fn ready(addr: std::net::SocketAddr) -> bool {
-    use std::io::{Read, Write};
-    let wait = Duration::from_millis(500);
-    let ask = || {
-        let mut stream = std::net::TcpStream::connect_timeout(&addr, wait)?;
-        stream.set_read_timeout(Some(wait))?;
-        stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n")?;
-        let mut start = [0; 12];
-        stream.read_exact(&mut start)?;
-        Ok::<_, std::io::Error>(&start == b"HTTP/1.1 200")
-    };
-    ask().unwrap_or(false)
+    std::fs::DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(&config.folder)
 }
--- /dev/null
+++ b/crates/herondock/src/supervise/leases.rs
@@ -0,0 +1,224 @@
+//! Disruption leases and rollouts: what the supervisor does with the coordination service.
+use super::driver::{action_name, Driver};
+use super::error::SupervisorError;
+use super::event_loop::LoopEvent;
+use super::rollouts::Releases;
+use crate::node_config;
+use config::supervisor::{FleetConfig, InstanceConfig};
+use disruption::{BalancerEntry, DisruptionKind};
+use disruption_agent::agent::{Agent, GrantedLease};
+use rollout::executor::{ExecutorAction, LocalInstance};
+use rollout::BuildId;
+use rollout_agent::agent::RolloutAgent;
+use rollout_agent::build_id;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use supervisor::{Command, Event, Instance, InstanceState, RollingAction};
+use tracing::info;
+
+/// Kind under which a supervisor announces its presence to the coordination service.
+const PRESENCE_KIND: &str = "supervisor";
+
+/// Clients of the coordination service.
+pub struct Coordination {
+    pub(super) lease_agent: Agent,
+    pub(super) rollouts: Releases,
+    /// Name of each instance in the coordination service.
+    balancer_names: Vec<String>,
+    /// The balancers as they were last published.
+    published: BTreeMap<String, BalancerEntry>,
+}
+
+impl Coordination {
+    /// Connects to the coordination service that the fleet's file names; `None` if it names none. To be called within
+    /// a [`tokio::task::LocalSet`].
+    ///
+    /// # Errors
+    /// The supervisor's own build cannot be identified.
+    pub fn connect(config: &FleetConfig) -> Result<Option<Coordination>, SupervisorError> {
+        let Some((settings, machine)) = config.coordination.as_ref().zip(config.machine.as_deref()) else {
+            return Ok(None);
+        };
+        let client = coordination_server::client::spawn_with_presence(settings, PRESENCE_KIND, machine);
+        let lease_agent = Agent::begin(client.clone(), machine);
+        let rollout_agent = RolloutAgent::begin(client, lease_agent.follows());
+        let rollouts = Releases::new(config, machine, rollout_agent).map_err(SupervisorError::Rollouts)?;
+        let balancer_names = config.instances.iter().map(balancer_name).collect();
+        Ok(Some(Coordination { lease_agent, rollouts, balancer_names, published: BTreeMap::new() }))
+    }
+
+    /// Waits for the next event. Cancel safe.
+    pub async fn next_event(&mut self) -> LoopEvent {
+        tokio::select! {
+            lease = self.lease_agent.next() => LoopEvent::LeaseGranted(lease),
+            confirmed = self.rollouts.news() => match confirmed {
+                Some((lease, usable)) => LoopEvent::LeaseConfirmed { lease, usable },
+                None => LoopEvent::RolloutChanged,
+            },
+        }
+    }
+
+    /// Interval at which the rollout has to be advanced; `None` if there never was one.
+    pub fn rollout_poll_interval(&self) -> Option<Duration> {
+        self.rollouts.look_every()
+    }
+
+    fn instance_of(&self, balancer: &str) -> Option<usize> {
+        self.balancer_names.iter().position(|name| name == balancer)
+    }
+}
+
+/// Name of an instance in the coordination service: the one that its own configuration gives it.
+fn balancer_name(instance: &InstanceConfig) -> String {
+    node_config::read(&instance.config).map_or_else(|_| instance.name.clone(), |config| config.name)
+}
+
+fn disruption_kind(action: RollingAction) -> DisruptionKind {
+    match action {
+        RollingAction::Restart => DisruptionKind::Restart,
+        RollingAction::Handoff => DisruptionKind::Handoff,
+        RollingAction::Reload => DisruptionKind::Reload,
+    }
+}
+
+impl Driver<'_> {
+    /// Publishes the balancers of this machine, if they have changed.
+    pub fn publish_balancers(&mut self) {
+        let Some(coordination) = &mut self.coordination else { return };
+        let config = self.config;
+        let entry = |instance: &Instance| BalancerEntry {
+            machine: config.machine.clone().unwrap_or_default(),
+            zone: config.zone.clone(),
+            tier: config.tier.clone(),
+            down: instance.is_down(),
+        };
+        let entries = self.supervisor.instances().iter().map(entry);
+        let balancers: BTreeMap<String, BalancerEntry> =
+            coordination.balancer_names.iter().cloned().zip(entries).collect();
+        if balancers != coordination.published {
+            coordination.lease_agent.units(balancers.clone());
+            coordination.published = balancers;
+        }
+    }
+
+    pub(super) fn request_lease(&self, instance: usize, action: RollingAction) {
+        let Some(coordination) = &self.coordination else { return };
+        if let Some(balancer) = coordination.balancer_names.get(instance) {
+            let override_reason = self.override_reason.as_deref();
+            let kind = disruption_kind(action);
+            coordination.lease_agent.ask(balancer, kind, action_name(action), override_reason);
+        }
+    }
+
+    pub(super) fn release_lease(&self, instance: usize, acted: bool) {
+        let Some(coordination) = &self.coordination else { return };
+        if let Some(balancer) = coordination.balancer_names.get(instance) {
+            coordination.lease_agent.give_back(balancer, acted);
+        }
+    }
+
+    /// A lease was granted. It may have arrived late, and be another's by now.
+    pub fn lease_granted(&mut self, lease: &GrantedLease) -> Event {
+        let Some(coordination) = &self.coordination else { return Event::Timeout };
+        let Some(instance) = coordination.instance_of(&lease.unit) else { return Event::Timeout };
+        let (unit, number) = (&lease.unit, lease.number);
+        if !coordination.lease_agent.may(lease) {
+            info!(unit, number, "outage: the leave came too late, and nothing is done by it");
+            coordination.lease_agent.unused(unit);
+            return Event::Timeout;
+        }
+        info!(unit, number, "outage: has leave to {}", lease.act.word());
+        if coordination.rollouts.given(lease) {
+            return Event::Timeout;
+        }
+        Event::LeaseGranted(instance)
+    }
+
+    /// A lease for a rollout was confirmed (`usable`), or could not be.
+    pub fn lease_confirmed(&mut self, lease: &GrantedLease, usable: bool) -> Event {
+        let Some(coordination) = &mut self.coordination else { return Event::Timeout };
+        if !usable || !coordination.lease_agent.may(lease) {
+            coordination.lease_agent.unused(&lease.unit);
+            return Event::Timeout;
+        }
+        let snapshot = coordination.lease_agent.follows();
+        let action = coordination.rollouts.confirmed(&lease.unit, &snapshot.borrow());
+        action.map_or(Event::Timeout, |action| self.execute_rollout_action(action))
+    }
+
+    /// Does what the present rollout requires of this machine's instances.
+    pub fn advance_rollout(&mut self) {
+        for action in self.next_rollout_actions() {
+            let event = self.execute_rollout_action(action);
+            self.handle(event);
+        }
+    }
+
+    fn next_rollout_actions(&mut self) -> Vec<ExecutorAction> {
+        let instances = self.local_instances();
+        let Some(coordination) = &mut self.coordination else { return Vec::new() };
+        let Some(session) = coordination.lease_agent.session() else { return Vec::new() };
+        if coordination.rollouts.look_every().is_none() {
+            return Vec::new();
+        }
+        // While a rolling operation is in progress the rollout must not disrupt further instances.
+        let rolling = self.supervisor.rolling().is_some();
+        let max_parallel = if rolling { 0 } else { self.config.policy.max_parallel };
+        let snapshot = coordination.lease_agent.follows();
+        let actions = coordination.rollouts.next(&instances, &snapshot.borrow(), max_parallel, session);
+        actions
+    }
+
+    /// The instances as the rollout executor sees them.
+    fn local_instances(&self) -> Vec<LocalInstance> {
+        let Some(coordination) = &self.coordination else { return Vec::new() };
+        let now = self.started.elapsed();
+        let local_instance = |((config, balancer), instance): ((&InstanceConfig, &String), &Instance)| {
+            let crash_loop = match &instance.state {
+                InstanceState::CrashLoop(reason) => Some(reason.clone()),
+                _ => None,
+            };
+            LocalInstance {
+                unit: balancer.clone(),
+                build: coordination.rollouts.build(&config.name).clone(),
+                ready: instance.is_settled(),
+                given_up: crash_loop,
+                slow: instance.missed_ready_timeout(),
+                crashes: instance.recent_crashes(now, self.config.policy.crash_window),
+            }
+        };
+        let configs = self.config.instances.iter().zip(&coordination.balancer_names);
+        configs.zip(self.supervisor.instances()).map(local_instance).collect()
+    }
+
+    fn execute_rollout_action(&mut self, action: ExecutorAction) -> Event {
+        let Some(coordination) = &mut self.coordination else { return Event::Timeout };
+        let lease_agent = &coordination.lease_agent;
+        match action {
+            ExecutorAction::RequestLease { unit, why } => {
+                lease_agent.ask(&unit, DisruptionKind::Restart, &why, None);
+            }
+            ExecutorAction::ReleaseLease { unit, acted } => lease_agent.give_back(&unit, acted),
+            ExecutorAction::Replace { unit, build } => return self.replace_build(&unit, &build),
+        }
+        Event::Timeout
+    }
+
+    /// Has the next process of a balancer started from another build.
+    fn replace_build(&mut self, balancer: &str, build: &BuildId) -> Event {
+        let Some(coordination) = &mut self.coordination else { return Event::Timeout };
+        let Some(index) = coordination.instance_of(balancer) else { return Event::Timeout };
+        let Some(instance) = self.config.instances.get(index) else { return Event::Timeout };
+        match coordination.rollouts.moved(&instance.name, balancer, build) {
+            Ok(()) => {
+                info!(unit = balancer, "release: goes over to build {}", build_id::short(build));
+                Event::Command(Command::Replace(index))
+            }
+            Err(Some(ExecutorAction::ReleaseLease { unit, acted })) => {
+                coordination.lease_agent.give_back(&unit, acted);
+                Event::Timeout
+            }
+            Err(_) => Event::Timeout,
+        }
+    }
+}
--- a/crates/herondock/src/supervise/mod.rs
+++ b/crates/herondock/src/supervise/mod.rs
@@ -1,48 +1,63 @@
-//! `herondock fleet`: a supervisor of many instances on one machine, and the commands that talk to it.
+//! `herondock fleet`: supervisor of several instances on one machine, and the commands to it.
 //!
-//! What to do is decided by the crate `fleet`; here its actions are carried out. Instances are processes of their own
-//! that outlive the supervisor: a new one finds them by their pid files, which are locked while they run.
+//! Decisions are made by the crate `supervisor`; here its actions are carried out. Instances are processes of their own
+//! that outlive the supervisor: the next one finds them by their pid files, which are locked while they run.
+//!
+//! | module | contents |
+//! | --- | --- |
+//! | `event_loop` | opens the supervisor's resources and waits for events |
+//! | `driver` | passes events to the state machine and carries out its actions |
+//! | `leases` | disruption leases and rollouts |
+//! | `commands` | commands of operators, the supervisor's side |
+//! | `control` | commands of operators, the client's side |
+//! | `process` | processes of instances and their notifications |
+//! | `rollouts` | builds that instances are started from |
+//! | `error` | errors |
+mod commands;
 mod control;
+mod driver;
+mod error;
 mod event_loop;
+mod leases;
 mod process;
 mod rollouts;
 
-pub use control::{ask, status};
+pub use control::{send_command, status};
 pub use event_loop::run;
 
 use config::supervisor::{FleetConfig, InstanceConfig};
 use std::path::PathBuf;
 
-/// Where the files of a fleet are.
-struct Paths<'a>(&'a FleetConfig);
+/// Paths of the files in a fleet's folder.
+struct FleetPaths<'a>(&'a FleetConfig);
 
-impl Paths<'_> {
+impl FleetPaths<'_> {
     fn file(&self, name: &str) -> PathBuf {
         self.0.folder.join(name)
     }
 
-    /// Held by the supervisor.
+    /// Lock file of the supervisor.
     fn lock(&self) -> PathBuf {
         self.file("fleet.lock")
     }
 
-    /// Where the supervisor takes commands.
+    /// Control socket of the supervisor.
     fn control(&self) -> PathBuf {
         self.file("fleet.sock")
     }
 
-    /// Where instances tell of themselves.
+    /// Socket at which instances send their notifications.
     fn notify(&self) -> PathBuf {
         self.file("notify.sock")
     }
 
-    /// Held by an instance.
-    fn pid(&self, instance: &InstanceConfig) -> PathBuf {
+    /// Pid file of an instance.
+    fn pid_file(&self, instance: &InstanceConfig) -> PathBuf {
         self.file(&format!("{}.pid", instance.name))
     }
 
-    /// Where an instance passes its sockets on.
-    fn takeover(&self, instance: &InstanceConfig) -> PathBuf {
+    /// Socket at which an instance hands its listening sockets off.
+    fn handoff(&self, instance: &InstanceConfig) -> PathBuf {
         self.file(&format!("{}.sock", instance.name))
     }
 }
--- a/crates/herondock/src/supervise/process.rs
+++ b/crates/herondock/src/supervise/process.rs
@@ -1,5 +1,5 @@
-//! Processes of instances: started here or found running, watched until they end, and heard by the notify socket.
-use super::Paths;
+//! Processes of instances: start, adoption, exit notification, and the socket at which they report their status.
+use super::FleetPaths;
 use config::supervisor::{FleetConfig, InstanceConfig};
 use rollout::BuildId;
 use rustix::event::{poll, PollFd, PollFlags};
@@ -17,61 +17,81 @@
 use tokio::io::Interest;
 use tokio::net::UnixDatagram;
 
-/// The stack of a thread that waits.
-const STACK: usize = 64 << 10;
-/// Longest news of an instance.
-const NEWS_MOST: usize = 4096;
+#[cfg(test)]
+mod tests;
+
+/// Stack size of a thread that waits for the exit of a process.
+const WAITER_STACK_BYTES: usize = 64 << 10;
+/// Longest notification, in bytes.
+const MAX_NOTIFICATION_BYTES: usize = 4096;
+/// Variables of a service manager's own protocol, which are not meant for the instances.
+const SERVICE_MANAGER_VARIABLES: [&str; 5] =
+    ["LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES", "WATCHDOG_USEC", "WATCHDOG_PID"];
+
+/// Build of an instance's next process.
+#[derive(Clone, Copy, Debug)]
+pub struct Build<'a> {
+    /// Identifier, passed to the process.
+    pub id: &'a BuildId,
+    /// Executable; `None`: this program's own.
+    pub program: Option<&'a Path>,
+}
+
+/// How a process exited.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ExitReport {
+    /// Whether it exited by itself with status 0.
+    pub clean: bool,
+    /// Description of the exit status.
+    pub status: String,
+}
+
+impl ExitReport {
+    /// Of a process whose exit status is not known.
+    pub fn unknown() -> ExitReport {
+        ExitReport { clean: false, status: "it ended".into() }
+    }
+}
+
+/// Resources that a process uses; 0 where the system does not tell.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceUsage {
+    /// Resident memory, in bytes.
+    pub memory_bytes: u64,
+    /// Number of open file descriptors.
+    pub descriptors: usize,
+}
 
-/// A process that runs, or has ended and was not waited for yet.
-pub struct Running {
-    /// Its number with the system.
+/// A process of an instance, which runs or has exited and was not waited for yet.
+pub struct InstanceProcess {
+    /// Process id.
     pub pid: u32,
-    /// Its own child, if this supervisor started it.
+    /// The child process, if this supervisor started it.
     child: Option<Child>,
-    handle: Arc<OwnedFd>,
+    pidfd: Arc<OwnedFd>,
 }
 
-fn open(pid: u32) -> io::Result<Arc<OwnedFd>> {
+fn open_pidfd(pid: u32) -> io::Result<Arc<OwnedFd>> {
     let pid = i32::try_from(pid).ok().and_then(Pid::from_raw).ok_or(ErrorKind::InvalidInput)?;
     Ok(Arc::new(pidfd_open(pid, PidfdFlags::empty())?))
 }
 
-impl Running {
-    /// Starts a process of an instance, in a group of its own: what ends this one leaves it running.
-    /// `of`: its build, and the file to start it from where that is not this program's own.
-    pub fn start(
+impl InstanceProcess {
+    /// Starts a process of an instance, in a process group of its own, so that it outlives the supervisor.
+    ///
+    /// # Errors
+    /// The process cannot be started, or its exit cannot be observed.
+    pub fn spawn(
         fleet: &FleetConfig,
         instance: &InstanceConfig,
-        of: Option<(&BuildId, Option<&Path>)>,
-    ) -> io::Result<Running> {
-        let paths = Paths(fleet);
-        let program = match of.and_then(|(_, path)| path) {
-            Some(path) => path.to_path_buf(),
-            None => std::env::current_exe()?,
-        };
-        let mut command = Command::new(program);
-        if let Some((build, _)) = of {
-            command.env(crate::disruption_reporting::BUILD, &build.0);
-        }
-        command
-            .arg("run")
-            .arg("--pid-file")
-            .arg(paths.pid(instance))
-            .arg("--takeover")
-            .arg(paths.takeover(instance));
-        if let Some(operator) = &instance.operator {
-            command.arg("--operator").arg(operator);
-        }
-        // What this process was told by a service manager of its own is not meant for them.
-        for name in ["LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES", "WATCHDOG_USEC", "WATCHDOG_PID"] {
-            command.env_remove(name);
-        }
-        command.env("NODE_CONFIG", &instance.config).env("NOTIFY_SOCKET", paths.notify());
-        let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).process_group(0).spawn()?;
-        match open(child.id()) {
-            Ok(handle) => Ok(Running { pid: child.id(), child: Some(child), handle }),
+        build: Option<Build<'_>>,
+    ) -> io::Result<InstanceProcess> {
+        let mut command = run_command(fleet, instance, build)?;
+        let mut child = command.spawn()?;
+        match open_pidfd(child.id()) {
+            Ok(pidfd) => Ok(InstanceProcess { pid: child.id(), child: Some(child), pidfd }),
             Err(e) => {
-                // Without a way to hear of its end it would be lost from sight.
+                // Its exit would not be noticed.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(e)
@@ -79,127 +99,151 @@
         }
     }
 
-    /// A process that was found running.
-    pub fn found(pid: u32) -> io::Result<Running> {
-        Ok(Running { pid, child: None, handle: open(pid)? })
+    /// Adopts a process that was found running.
+    ///
+    /// # Errors
+    /// There is no such process.
+    pub fn adopt(pid: u32) -> io::Result<InstanceProcess> {
+        Ok(InstanceProcess { pid, child: None, pidfd: open_pidfd(pid)? })
     }
 
-    /// Sends a signal; one that has ended takes none.
+    /// Sends a signal; ignored by a process that has exited.
     pub fn signal(&self, signal: Signal) {
         let signal = match signal {
             Signal::Reload => rustix::process::Signal::HUP,
             Signal::Terminate => rustix::process::Signal::TERM,
             Signal::Kill => rustix::process::Signal::KILL,
         };
-        let _ = pidfd_send_signal(&*self.handle, signal);
+        let _ = pidfd_send_signal(&*self.pidfd, signal);
     }
 
-    /// Has `tell` called once it has ended, on a small thread that does nothing else.
-    pub fn watch(&self, tell: impl FnOnce() + Send + 'static) -> io::Result<()> {
-        let handle = self.handle.clone();
+    /// Calls `notify` once the process has exited, on a thread of its own.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
+    pub fn on_exit(&self, notify: impl FnOnce() + Send + 'static) -> io::Result<()> {
+        let pidfd = self.pidfd.clone();
         let wait = move || {
-            // Readable from its end on; a signal to this thread is none.
-            while poll(&mut [PollFd::new(&*handle, PollFlags::IN)], None) == Err(Errno::INTR) {}
-            tell();
+            // A pidfd becomes readable when the process exits.
+            while poll(&mut [PollFd::new(&*pidfd, PollFlags::IN)], None) == Err(Errno::INTR) {}
+            notify();
         };
-        std::thread::Builder::new().stack_size(STACK).spawn(wait).map(drop)
+        std::thread::Builder::new().stack_size(WAITER_STACK_BYTES).spawn(wait).map(drop)
     }
 
-    /// How it ended: cleanly or not, and in words. To be asked once it has.
-    pub fn ending(&mut self) -> (bool, String) {
+    /// How the process exited. To be called after its exit.
+    pub fn exit_report(&mut self) -> ExitReport {
         match self.child.as_mut().map(Child::wait) {
-            Some(Ok(status)) => (status.success(), status.to_string()),
-            Some(Err(e)) => (false, e.to_string()),
-            // Only its parent may ask; that has gone.
-            None => (false, "it ended".into()),
+            Some(Ok(status)) => ExitReport { clean: status.success(), status: status.to_string() },
+            Some(Err(e)) => ExitReport { clean: false, status: e.to_string() },
+            // Only the parent process can learn the status, and it was another supervisor.
+            None => ExitReport::unknown(),
         }
     }
 
-    /// The memory that it holds, in bytes, and its descriptors; 0 where the system does not tell.
-    pub fn holds(&self) -> (u64, usize) {
+    /// Resources that the process uses.
+    pub fn resource_usage(&self) -> ResourceUsage {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid)).unwrap_or_default();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kib = line.and_then(|l| l.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok()).unwrap_or(0);
+        let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+        let kib = resident.and_then(|value| value.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok());
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid)).map_or(0, Iterator::count);
-        (kib << 10, descriptors)
+        ResourceUsage { memory_bytes: kib.unwrap_or(0) << 10, descriptors }
     }
 }
 
-/// What an instance tells of itself (`sd_notify(3)`).
+/// The command that starts a process of an instance.
+fn run_command(
+    fleet: &FleetConfig,
+    instance: &InstanceConfig,
+    build: Option<Build<'_>>,
+) -> io::Result<Command> {
+    let paths = FleetPaths(fleet);
+    let program = match build.and_then(|build| build.program) {
+        Some(path) => path.to_path_buf(),
+        None => std::env::current_exe()?,
+    };
+    let mut command = Command::new(program);
+    if let Some(build) = build {
+        command.env(crate::disruption_reporting::BUILD, &build.id.0);
+    }
+    command.arg("run").arg("--pid-file").arg(paths.pid_file(instance));
+    command.arg("--takeover").arg(paths.handoff(instance));
+    if let Some(operator) = &instance.operator {
+        command.arg("--operator").arg(operator);
+    }
+    for name in SERVICE_MANAGER_VARIABLES {
+        command.env_remove(name);
+    }
+    command.env("NODE_CONFIG", &instance.config).env("NOTIFY_SOCKET", paths.notify());
+    command.stdin(Stdio::null()).stdout(Stdio::null()).process_group(0);
+    Ok(command)
+}
+
+/// A notification of an instance (`sd_notify(3)`).
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct News {
-    /// Who, by the system's word.
+pub struct Notification {
+    /// Process id of the sender, as reported by the kernel.
     pub pid: u32,
-    /// It is ready.
+    /// Whether it contains `READY=1`.
     pub ready: bool,
-    /// What it does, in words.
+    /// The status text.
     pub status: Option<String>,
 }
 
-/// The socket at which instances tell.
-pub struct Notify(UnixDatagram);
+impl Notification {
+    fn parse(message: &[u8], pid: u32) -> Notification {
+        let mut notification = Notification { pid, ..Notification::default() };
+        for line in String::from_utf8_lossy(message).lines() {
+            match line.split_once('=') {
+                Some(("READY", "1")) => notification.ready = true,
+                Some(("STATUS", status)) => notification.status = Some(status.into()),
+                _ => {}
+            }
+        }
+        notification
+    }
+}
+
+/// The socket at which instances send their notifications.
+pub struct NotifySocket(UnixDatagram);
 
-impl Notify {
-    /// Listens at `path`, in place of a supervisor that has gone.
-    pub fn bind(path: &Path) -> io::Result<Notify> {
+impl NotifySocket {
+    /// Binds the socket at `path`, which is replaced if it exists.
+    ///
+    /// # Errors
+    /// The socket cannot be bound.
+    pub fn bind(path: &Path) -> io::Result<NotifySocket> {
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
             _ => {}
         }
         let socket = UnixDatagram::bind(path)?;
-        // The system then adds who it is from: what a message says of that itself is not believed.
+        // Makes the kernel report the sender: a process id in the message itself is not trusted.
         rustix::net::sockopt::set_socket_passcred(socket.as_fd(), true)?;
-        Ok(Notify(socket))
+        Ok(NotifySocket(socket))
     }
 
-    /// The next news.
-    pub async fn next(&self) -> io::Result<News> {
-        let (text, pid) = self
-            .0
-            .async_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmCredentials(1))];
-                let mut control = RecvAncillaryBuffer::new(&mut space);
-                let mut text = vec![0; NEWS_MOST];
-                let got = recvmsg(
-                    &self.0,
-                    &mut [IoSliceMut::new(&mut text)],
-                    &mut control,
-                    RecvFlags::CMSG_CLOEXEC,
-                )?;
-                let pid = control.drain().find_map(|message| match message {
-                    RecvAncillaryMessage::ScmCredentials(who) => {
-                        u32::try_from(who.pid.as_raw_nonzero().get()).ok()
-                    }
-                    _ => None,
-                });
-                text.truncate(got.bytes);
-                Ok((text, pid))
-            })
-            .await?;
-        Ok(news(&text, pid.unwrap_or(0)))
+    /// Waits for the next notification. Cancel safe.
+    ///
+    /// # Errors
+    /// The socket cannot be read.
+    pub async fn next(&self) -> io::Result<Notification> {
+        self.0.async_io(Interest::READABLE, || self.receive()).await
     }
-}
 
-fn news(text: &[u8], pid: u32) -> News {
-    let mut news = News { pid, ..News::default() };
-    for line in String::from_utf8_lossy(text).lines() {
-        match line.split_once('=') {
-            Some(("READY", "1")) => news.ready = true,
-            Some(("STATUS", status)) => news.status = Some(status.into()),
-            _ => {}
-        }
-    }
-    news
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn news_is_read_line_by_line_and_what_is_unknown_is_passed_over() {
-        let got = news(b"READY=1\nSTATUS=serving on x=y\nX\nMONOTONIC_USEC=5\n", 7);
-        assert_eq!(got, News { pid: 7, ready: true, status: Some("serving on x=y".into()) });
-        assert_eq!(news(b"\xff\xfe=\n=\nREADY=0", 7), News { pid: 7, ..News::default() });
+    fn receive(&self) -> io::Result<Notification> {
+        let mut ancillary_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmCredentials(1))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut ancillary_space);
+        let mut message = vec![0; MAX_NOTIFICATION_BYTES];
+        let mut buffers = [IoSliceMut::new(&mut message)];
+        let received = recvmsg(&self.0, &mut buffers, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+        let sender = ancillary.drain().find_map(|message| match message {
+            RecvAncillaryMessage::ScmCredentials(credentials) => {
+                u32::try_from(credentials.pid.as_raw_nonzero().get()).ok()
+            }
+            _ => None,
+        });
+        message.truncate(received.bytes);
+        Ok(Notification::parse(&message, sender.unwrap_or(0)))
     }
 }
--- a/crates/verification/disruption-simulation/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -475,12 +475,12 @@
         self.incs += 1;
         let inc = self.incs;
         let figures = SupervisorPolicy {
-            spread: Duration::from_millis(20),
-            stop_within: Duration::from_secs(5),
-            ready_within: Duration::from_secs(20),
-            at_once: self.plan.at_once,
-            crashes: 100,
-            asks: true,
+            start_interval: Duration::from_millis(20),
+            stop_timeout: Duration::from_secs(5),
+            ready_timeout: Duration::from_secs(20),
+            max_parallel: self.plan.at_once,
+            crash_limit: 100,
+            requires_lease: true,
             ..SupervisorPolicy::default()
         };
         let mut sup = Sup {
@@ -523,13 +523,11 @@
     fn declare(&mut self, m: usize) {
         let each = self.plan.each;
         let Some(sup) = &mut self.machines[m].sup else { return };
-        let down =
-            |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
         let unit = |k: usize| BalancerEntry {
             machine: format!("m{m}"),
             zone: zone(m).into(),
             tier: "front".into(),
-            down: sup.fleet.instances().get(k).is_none_or(down),
+            down: sup.fleet.instances().get(k).is_none_or(supervisor::Instance::is_down),
         };
         let units = (0..each).map(|k| (name(m, k), unit(k))).collect();
         sup.agent.units(units);
@@ -557,7 +555,7 @@
     fn wake(&mut self, m: usize, also: Option<Duration>) {
         let now = self.agenda.now();
         let Some(sup) = &mut self.machines[m].sup else { return };
-        let at = sup.fleet.wake().into_iter().chain(also).min();
+        let at = sup.fleet.next_timeout().into_iter().chain(also).min();
         let Some(at) = at.map(|at| u64::try_from(at.as_nanos()).unwrap_or(u64::MAX).max(now + 1)) else {
             return;
         };
@@ -573,8 +571,8 @@
         match action {
             Action::Start { instance, process } => self.begin(m, instance, process),
             Action::Signal(process, signal) => self.signal(m, process, signal, by_leave),
-            Action::RequestLease { instance, roll } => {
-                let act = match roll {
+            Action::RequestLease { instance, action } => {
+                let act = match action {
                     RollingAction::Restart => DisruptionKind::Restart,
                     RollingAction::Handoff => DisruptionKind::Handoff,
                     RollingAction::Reload => DisruptionKind::Reload,
@@ -696,9 +694,9 @@
                     }
                 }
                 self.reckon(m, k, false);
-                let how = "it ended".to_string();
+                let status = "it ended".to_string();
                 if let Some(inc) = self.machines[m].sup.as_ref().map(|s| s.inc) {
-                    let ended = Event::Exited { process: proc.known_as, clean, how };
+                    let ended = Event::Exited { process: proc.known_as, clean, status };
                     self.agenda.after(ms(1.0), What::Told(m, inc, ended));
                 }
             }
--- a/crates/verification/disruption-simulation/src/world/releases.rs
+++ b/crates/verification/disruption-simulation/src/world/releases.rs
@@ -261,8 +261,8 @@
             build: machine.kept[k].clone(),
             ready: i.state == Stands::Ready && i.successor.is_none(),
             given_up: matches!(i.state, Stands::CrashLoop(_)).then(|| "given up".to_string()),
-            slow: i.slow(),
-            crashes: i.crashes(now, WINDOW),
+            slow: i.missed_ready_timeout(),
+            crashes: i.recent_crashes(now, WINDOW),
         };
         sup.fleet.instances().iter().enumerate().map(one).collect()
     }
