--- a/crates/foundations/lifecycle/tests/lifecycle.rs
+++ b/crates/foundations/lifecycle/tests/lifecycle.rs
@@ -1,5 +1,5 @@
 //! The lifecycle, path by path, and what holds on every path.
-use lifecycle::{Action, Event, Exit, Lifecycle, ShutdownTimeouts, State, SuccessorEvent};
+use lifecycle::{Action, Event, Exit, Lifecycle, ShutdownTimeouts, State, SuccessorEvent, TimeoutOrderError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
@@ -45,13 +45,13 @@
 #[test]
 fn told_to_end_it_keeps_the_platforms_times() {
     let mut run = Run::leaving();
-    assert_eq!(run.0.wake(), Some(ms(1500)));
+    assert_eq!(run.0.next_timeout(), Some(ms(1500)));
     assert_eq!(run.at(1499, counts(0, 0)), [], "callers may still come, though none is there");
     assert_eq!(run.at(1500, Event::Timeout), [Action::StopAccepting]);
     assert_eq!(run.at(1600, counts(3, 5)), []);
-    assert_eq!((run.0.state(), run.0.wake()), (State::Draining, Some(ms(2900))));
+    assert_eq!((run.0.state(), run.0.next_timeout()), (State::Draining, Some(ms(2900))));
     assert_eq!(run.at(2900, Event::Timeout), [Action::CloseConnections]);
-    assert_eq!((run.0.state(), run.0.wake()), (State::Closing, Some(ms(3400))));
+    assert_eq!((run.0.state(), run.0.next_timeout()), (State::Closing, Some(ms(3400))));
     assert_eq!(run.at(3000, counts(2, 5)), [], "they are told first");
     assert_eq!(run.at(3400, Event::Timeout), [Action::CloseIdleConnections]);
     assert_eq!(run.at(3500, counts(1, 1)), []);
@@ -79,7 +79,7 @@
         [Action::FailOpenRequests],
         "there may be some that were not counted yet"
     );
-    assert_eq!(stuck.0.wake(), Some(ms(4650)));
+    assert_eq!(stuck.0.next_timeout(), Some(ms(4650)));
     assert_eq!(stuck.at(4650, Event::Timeout), [Action::Exit(Exit::Done)]);
 }
 
@@ -102,7 +102,7 @@
 #[test]
 fn the_close_is_announced_between_accepting_and_the_end_of_serving() {
     for (announcing, closes) in [(0, 2400), (1900, 500), (5000, 500)] {
-        let figures = ShutdownTimeouts { announcing: ms(announcing), ..ShutdownTimeouts::default() };
+        let figures = ShutdownTimeouts { close_announcement: ms(announcing), ..ShutdownTimeouts::default() };
         let mut run = Run(Lifecycle::new(figures));
         run.at(0, Event::Listening);
         run.at(0, Event::Stop);
@@ -111,7 +111,7 @@
         assert_eq!(run.0.state() == State::Closing, closes == 500, "{announcing}");
         let first = run.at(closes, Event::Timeout);
         assert_eq!(first.contains(&Action::CloseIdleConnections), closes == 2400, "{announcing}");
-        assert!(run.0.wake() > Some(ms(closes)));
+        assert!(run.0.next_timeout() > Some(ms(closes)));
     }
 }
 
@@ -130,7 +130,7 @@
     let mut run = Run::leaving();
     assert_eq!(run.at(1100, Event::Stop), [Action::IgnoreSignal(Event::Stop)]);
     assert_eq!(run.at(1100, Event::Reload), [Action::IgnoreSignal(Event::Reload)]);
-    assert_eq!(run.0.wake(), Some(ms(1500)), "counted from the first");
+    assert_eq!(run.0.next_timeout(), Some(ms(1500)), "counted from the first");
 }
 
 #[test]
@@ -172,7 +172,7 @@
         [],
         "it never became ready: nothing has changed"
     );
-    assert!(run.0.accepting() && run.0.state() == State::Ready);
+    assert!(run.0.is_accepting() && run.0.state() == State::Ready);
     assert_eq!(run.at(50, Event::Successor(SuccessorEvent::Connected)), [Action::HandOffListeners]);
     run.at(60, counts(2, 3));
     let given = [
@@ -190,7 +190,7 @@
         "there is nothing to pass on"
     );
     assert_eq!(run.at(5000, counts(1, 1)), [], "no hurry");
-    assert_eq!(run.0.wake(), Some(ms(10_070)));
+    assert_eq!(run.0.next_timeout(), Some(ms(10_070)));
     assert_eq!(run.at(10_070, Event::Timeout), [Action::CloseIdleConnections]);
     assert_eq!(run.at(10_080, counts(1, 1)), [], "it is answered yet");
     assert_eq!(run.at(11_000, counts(0, 0)), [Action::Exit(Exit::Done)]);
@@ -205,7 +205,7 @@
     run.at(1001, counts(1, 1));
     let given = [Action::StopAccepting, Action::ReleaseSuccessor, Action::CloseConnections];
     assert_eq!(run.at(1100, Event::Successor(SuccessorEvent::Ready)), given);
-    assert_eq!(run.0.wake(), Some(ms(3400)), "counted from the stop");
+    assert_eq!(run.0.next_timeout(), Some(ms(3400)), "counted from the stop");
     // After that: what is open has the usual time from now on.
     let mut run = Run::ready();
     run.at(20, Event::Successor(SuccessorEvent::Connected));
@@ -219,7 +219,7 @@
 
 #[test]
 fn a_successor_accepts_once_it_was_released() {
-    let succeeding = || Run(Lifecycle::succeeding(ShutdownTimeouts::default()));
+    let succeeding = || Run(Lifecycle::new_successor(ShutdownTimeouts::default()));
     let mut run = succeeding();
     assert_eq!(run.at(0, Event::Listening), []);
     assert_eq!(run.at(9, Event::EndpointsKnown), [Action::Claim]);
@@ -239,10 +239,10 @@
 #[test]
 fn figures_out_of_order_are_named() {
     assert_eq!(ShutdownTimeouts::default().validate(), Ok(()));
-    let bad = ShutdownTimeouts { last_answer: ms(100), ..ShutdownTimeouts::default() };
-    assert_eq!(bad.validate(), Err("last_answer"));
-    let bad = ShutdownTimeouts { handed_over: ms(100), ..ShutdownTimeouts::default() };
-    assert_eq!(bad.validate(), Err("handed_over"));
+    let bad = ShutdownTimeouts { fail_requests_after: ms(100), ..ShutdownTimeouts::default() };
+    assert_eq!(bad.validate(), Err(TimeoutOrderError { field: "fail_requests_after" }));
+    let bad = ShutdownTimeouts { handoff_fail_requests_after: ms(100), ..ShutdownTimeouts::default() };
+    assert_eq!(bad.validate(), Err(TimeoutOrderError { field: "handoff_fail_requests_after" }));
 }
 
 fn events() -> impl Strategy<Value = Vec<(u64, Event)>> {
@@ -275,7 +275,7 @@
     #[test]
     fn whatever_happens_the_promises_hold(events in events(), succeeding: bool) {
         let figures = ShutdownTimeouts::default();
-        let mut l = if succeeding { Lifecycle::succeeding(figures.clone()) } else { Lifecycle::new(figures.clone()) };
+        let mut l = if succeeding { Lifecycle::new_successor(figures.clone()) } else { Lifecycle::new(figures.clone()) };
         let (mut now, mut all, mut stop, mut open) = (0, Vec::new(), None, (0, 0));
         let (mut released, mut listening, mut known) = (!succeeding, false, false);
         let drive = events.into_iter().map(|(gap, e)| (gap, Some(e)));
@@ -299,22 +299,22 @@
             for action in &actions {
                 match action {
                     Action::Accept => prop_assert!(released && listening),
-                    Action::NotifyReady => prop_assert!(released && listening && known && l.accepting()),
+                    Action::NotifyReady => prop_assert!(released && listening && known && l.is_accepting()),
                     Action::Exit(Exit::Done) if before >= State::ShuttingDown => {
-                        let late = stop.is_some_and(|at| ms(now) >= ms(at) + figures.end) || all.contains(&Action::FailOpenRequests);
+                        let late = stop.is_some_and(|at| ms(now) >= ms(at) + figures.exit_after) || all.contains(&Action::FailOpenRequests);
                         prop_assert!(open == (0, 0) || late || actions.contains(&Action::FailOpenRequests), "ended over {open:?}");
                     }
                     _ => {}
                 }
             }
             all.extend(actions);
-            if let Some(wake) = l.wake() {
+            if let Some(wake) = l.next_timeout() {
                 prop_assert!(wake > ms(now), "it wants to be told of what it was told");
             } else {
                 prop_assert!(l.state() < State::ShuttingDown || l.state() == State::Ended);
             }
             if let Some(at) = stop {
-                prop_assert!(ms(now) < ms(at) + figures.end || l.state() == State::Ended, "it goes on: {l:?}");
+                prop_assert!(ms(now) < ms(at) + figures.exit_after || l.state() == State::Ended, "it goes on: {l:?}");
             }
         }
         prop_assert_eq!(l.state(), State::Ended);
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -131,15 +131,15 @@
             accepting, serving, announcing, last_answer, end, handed_over_silent, handed_over, ..
         } = daemon;
         let figures = ShutdownTimeouts {
-            accepting,
-            serving,
-            announcing,
-            last_answer,
-            end,
-            handed_over_silent,
-            handed_over,
+            stop_accepting_after: accepting,
+            close_idle_after: serving,
+            close_announcement: announcing,
+            fail_requests_after: last_answer,
+            exit_after: end,
+            handoff_close_idle_after: handed_over_silent,
+            handoff_fail_requests_after: handed_over,
         };
-        let life = if taken.is_some() { Lifecycle::succeeding(figures) } else { Lifecycle::new(figures) };
+        let life = if taken.is_some() { Lifecycle::new_successor(figures) } else { Lifecycle::new(figures) };
         let (claim, claimed) = oneshot::channel::<()>();
         let instance = Instance {
             name,
@@ -243,7 +243,7 @@
 
     /// When its lifecycle wants to be told of the time.
     fn wake(&self) -> Option<Instant> {
-        self.life.wake().map(|wake| self.start + wake)
+        self.life.next_timeout().map(|wake| self.start + wake)
     }
 
     /// Whether it was told to end, so that what is open is to be counted.
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -769,7 +769,7 @@
                 _ => {}
             }
         }
-        if let Some(wake) = self.instances[instance].life.wake() {
+        if let Some(wake) = self.instances[instance].life.next_timeout() {
             let born = self.instances[instance].born;
             self.agenda.at(born.saturating_add(wake.as_nanos() as Nanos), Happening::Live(of));
         }
