--- a/crates/control-plane/coordination-server/src/crash_points.rs
+++ b/crates/control-plane/coordination-server/src/crash_points.rs
@@ -77,9 +77,9 @@
         self.files.write(file, at, bytes)
     }
 
-    fn cut(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()> {
         self.step("cut");
-        self.files.cut(file, length)
+        self.files.truncate(file, length)
     }
 
     fn sync(&mut self, file: &mut Self::Open) -> io::Result<()> {
@@ -97,8 +97,8 @@
         self.files.rename(from, to)
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         self.step("names");
-        self.files.sync_names()
+        self.files.sync_directory()
     }
 }
--- a/crates/control-plane/coordination-server/src/journal_writer.rs
+++ b/crates/control-plane/coordination-server/src/journal_writer.rs
@@ -11,7 +11,7 @@
 /// The journal in a voter's folder. Its bound is far above what the log may hold before it is folded (16 MiB) and the
 /// record with it (32 MiB).
 pub const FORM: JournalFormat =
-    JournalFormat { name: "journal", kind: "council", version: 1, most: 256 << 20 };
+    JournalFormat { name: "journal", kind: "council", version: 1, max_bytes: 256 << 20 };
 /// Saves that are written together, at most.
 const TOGETHER: usize = 256;
 /// Room that has to be there before a voter comes back from a full disk, in bytes.
@@ -140,7 +140,7 @@
                 match journal.replace(&save.frames) {
                     Ok(()) => all.push(Done::Saved(save.number)),
                     Err(e) => {
-                        let intact = save.folding && journal.intact();
+                        let intact = save.folding && journal.is_intact();
                         *broken = !intact;
                         all.push(Done::NotSaved { number: save.number, why: e.to_string(), intact });
                     }
--- a/crates/foundations/storage/src/files.rs
+++ b/crates/foundations/storage/src/files.rs
@@ -1,5 +1,5 @@
-//! The few things that a journal does with files, as a seam: the system's files, and in tests files whose disk is full,
-//! or whose process is killed between two of these steps.
+//! File operations of a journal, as a trait: the system's files, and in tests files whose disk is full, or whose process
+//! is killed between two operations.
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -7,50 +7,50 @@
 
 /// Files of one folder, by name.
 pub trait Files {
-    /// One of them, opened for reading and writing.
+    /// A file that is open for reading and writing.
     type Open;
 
-    /// All of a file's bytes, `most` at most; `None`: there is none.
+    /// Reads a file of up to `max_bytes`; `None` if there is none.
     ///
     /// # Errors
-    /// It can't be read, or is longer (`FileTooLarge`).
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>>;
+    /// It cannot be read, or is longer (`FileTooLarge`).
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>>;
 
-    /// Opens a file, made empty if there is none.
+    /// Opens a file; creates an empty one if there is none.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     fn open(&mut self, name: &str) -> io::Result<Self::Open>;
 
-    /// Writes at this place; nothing is promised before [`Files::sync`].
+    /// Writes at this offset. The bytes are durable only after [`Files::sync`].
     ///
     /// # Errors
-    /// The system's; any part of it may have been written.
-    fn write(&mut self, file: &mut Self::Open, at: u64, bytes: &[u8]) -> io::Result<()>;
+    /// The system's error; any part of the bytes may have been written.
+    fn write(&mut self, file: &mut Self::Open, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts the file off at this length.
+    /// Truncates the file to this length.
     ///
     /// # Errors
-    /// The system's.
-    fn cut(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()>;
+    /// The system's error.
+    fn truncate(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()>;
 
-    /// Waits until the disk has all that was written.
+    /// Waits until all that was written is on the disk.
     ///
     /// # Errors
-    /// The system's; what the disk has is unknown then.
+    /// The system's error; it is unknown then what is on the disk.
     fn sync(&mut self, file: &mut Self::Open) -> io::Result<()>;
 
-    /// Puts a file in the place of another; after a crash either may be there, before [`Files::sync_names`].
+    /// Replaces the file `to` by the file `from`. Before [`Files::sync_directory`], a crash may undo it.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Waits until the disk has the names as they are.
+    /// Waits until created and renamed files are on the disk.
     ///
     /// # Errors
-    /// The system's.
-    fn sync_names(&mut self) -> io::Result<()>;
+    /// The system's error.
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// The system's files in one folder.
@@ -58,17 +58,17 @@
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// This folder, which is made if there is none, for this user alone.
+    /// Opens a folder, which is created if there is none, for this user alone.
     ///
     /// # Errors
-    /// It can't be made.
+    /// It cannot be created.
     pub fn new(path: &Path) -> io::Result<Folder> {
         use std::os::unix::fs::DirBuilderExt;
         std::fs::DirBuilder::new().recursive(true).mode(0o700).create(path)?;
         Ok(Folder(path.into()))
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -77,7 +77,7 @@
 impl Files for Folder {
     type Open = File;
 
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
         let file = match File::open(self.0.join(name)) {
             Ok(file) => file,
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
@@ -87,8 +87,8 @@
             return Err(ErrorKind::InvalidInput.into());
         }
         let mut bytes = Vec::new();
-        file.take(most.saturating_add(1)).read_to_end(&mut bytes)?;
-        match bytes.len() as u64 > most {
+        file.take(max_bytes.saturating_add(1)).read_to_end(&mut bytes)?;
+        match bytes.len() as u64 > max_bytes {
             true => Err(ErrorKind::FileTooLarge.into()),
             false => Ok(Some(bytes)),
         }
@@ -99,12 +99,12 @@
         options.read(true).write(true).create(true).truncate(false).mode(0o600).open(self.0.join(name))
     }
 
-    fn write(&mut self, file: &mut File, at: u64, bytes: &[u8]) -> io::Result<()> {
-        file.seek(SeekFrom::Start(at))?;
+    fn write(&mut self, file: &mut File, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        file.seek(SeekFrom::Start(offset))?;
         file.write_all(bytes)
     }
 
-    fn cut(&mut self, file: &mut File, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, file: &mut File, length: u64) -> io::Result<()> {
         file.set_len(length)
     }
 
@@ -116,7 +116,7 @@
         std::fs::rename(self.0.join(from), self.0.join(to))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.0)?.sync_all()
     }
 }
