--- a/crates/data-plane/request-budget/src/grammar.rs
+++ b/crates/data-plane/request-budget/src/grammar.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 
 /// Longest value that is looked at, in bytes.
-pub const VALUE_MOST: usize = 256;
+pub const MAX_VALUE_BYTES: usize = 256;
 /// Keys in one value.
 const KEYS_MOST: usize = 16;
 /// Longest time, in milliseconds: a day.
@@ -20,10 +20,10 @@
 
 /// Why a field is not believed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Bad {
+pub enum MalformedBudget {
     /// It is there several times.
     Twice,
-    /// It is longer than [`VALUE_MOST`], or has too many keys.
+    /// It is longer than [`MAX_VALUE_BYTES`], or has too many keys.
     Long,
     /// It is no dictionary from this byte on.
     Grammar(usize),
@@ -35,22 +35,22 @@
     Conflict,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for MalformedBudget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Twice => f.write_str("the budget is there twice"),
-            Bad::Long => f.write_str("the budget is too long"),
-            Bad::Grammar(at) => write!(f, "the budget can't be read from byte {at}"),
-            Bad::Key(key) => write!(f, "the budget has {key} twice"),
-            Bad::Number(key) => write!(f, "the budget's {key} is no number that it can be"),
-            Bad::Conflict => f.write_str("the deadline is longer than the budget's left"),
+            MalformedBudget::Twice => f.write_str("the budget is there twice"),
+            MalformedBudget::Long => f.write_str("the budget is too long"),
+            MalformedBudget::Grammar(at) => write!(f, "the budget can't be read from byte {at}"),
+            MalformedBudget::Key(key) => write!(f, "the budget has {key} twice"),
+            MalformedBudget::Number(key) => write!(f, "the budget's {key} is no number that it can be"),
+            MalformedBudget::Conflict => f.write_str("the deadline is longer than the budget's left"),
         }
     }
 }
 
 /// What a caller says that a request may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Offer {
+pub struct BudgetOffer {
     /// Milliseconds.
     pub left: Option<f64>,
     /// Repeats.
@@ -122,9 +122,9 @@
     ((1..=15).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit())).then(|| text.parse().ok())?
 }
 
-fn once<T>(slot: &mut Option<T>, key: &'static str, value: Option<T>) -> Result<(), Bad> {
-    match slot.replace(value.ok_or(Bad::Number(key))?) {
-        Some(_) => Err(Bad::Key(key)),
+fn once<T>(slot: &mut Option<T>, key: &'static str, value: Option<T>) -> Result<(), MalformedBudget> {
+    match slot.replace(value.ok_or(MalformedBudget::Number(key))?) {
+        Some(_) => Err(MalformedBudget::Key(key)),
         None => Ok(()),
     }
 }
@@ -133,21 +133,21 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn read_budget(values: &[&[u8]]) -> Result<Option<Offer>, Bad> {
+pub fn read_budget(values: &[&[u8]]) -> Result<Option<BudgetOffer>, MalformedBudget> {
     let value = match values {
         [] => return Ok(None),
         [value] => *value,
-        _ => return Err(Bad::Twice),
+        _ => return Err(MalformedBudget::Twice),
     };
-    if value.len() > VALUE_MOST {
-        return Err(Bad::Long);
+    if value.len() > MAX_VALUE_BYTES {
+        return Err(MalformedBudget::Long);
     }
-    let mut offer = Offer::default();
+    let mut offer = BudgetOffer::default();
     for (k, member) in members(value).enumerate() {
         if k >= KEYS_MOST {
-            return Err(Bad::Long);
+            return Err(MalformedBudget::Long);
         }
-        let (key, value) = member.map_err(Bad::Grammar)?;
+        let (key, value) = member.map_err(MalformedBudget::Grammar)?;
         match key {
             b"left" => once(&mut offer.left, "left", decimal(value).filter(|&l| l <= LEFT_MOST))?,
             b"retries" => {
@@ -177,7 +177,7 @@
 /// Reads the field of an answer that tells what was used. What can't be read tells nothing: then all that was granted
 /// counts as used.
 pub fn read_used(value: &[u8]) -> Option<Used> {
-    if value.len() > VALUE_MOST {
+    if value.len() > MAX_VALUE_BYTES {
         return None;
     }
     let (mut retries, mut stop) = (None, None);
--- a/crates/data-plane/request-budget/src/lib.rs
+++ b/crates/data-plane/request-budget/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod retry_budget;
 pub mod usage_feedback;
 
-use grammar::{Bad, Offer};
+use grammar::{BudgetOffer, MalformedBudget};
 use path::{HopMarker, Path, PathRejection};
 
 /// The most that any caller is believed.
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetRejection {
     /// Its fields can't be believed: bad input.
-    Bad(Bad),
+    Bad(MalformedBudget),
     /// It has been here, or at too many places: refused, and nothing ran.
     Refused(PathRejection),
 }
@@ -85,9 +85,9 @@
             true => grammar::read_budget(given.budget).map_err(BudgetRejection::Bad)?,
             false => None,
         };
-        let Offer { left, retries, worth } = offer.unwrap_or_default();
+        let BudgetOffer { left, retries, worth } = offer.unwrap_or_default();
         if left.is_some_and(|left| given.patience > left + grammar::ROUNDING) {
-            return Err(BudgetRejection::Bad(Bad::Conflict));
+            return Err(BudgetRejection::Bad(MalformedBudget::Conflict));
         }
         let usual = if given.repeated { bounds.repeat_worth } else { 1.0 };
         Ok(Budget {
--- a/crates/data-plane/request-budget/src/log_throttle.rs
+++ b/crates/data-plane/request-budget/src/log_throttle.rs
@@ -2,9 +2,9 @@
 //! there are requests on it.
 
 /// Causes that are told apart; further ones share the last place.
-const CAUSES: usize = 32;
+const MAX_CAUSES: usize = 32;
 /// A cause is said again after this, in milliseconds.
-const AGAIN: f64 = 60_000.0;
+const REPEAT_INTERVAL_MS: f64 = 60_000.0;
 
 /// What was said, and how often since.
 #[derive(Debug, Default)]
@@ -15,15 +15,15 @@
     pub fn came(&mut self, cause: &str, now: f64) -> Option<u64> {
         let known = self.0.iter().position(|(c, ..)| c == cause);
         let k = match known {
-            None if self.0.len() < CAUSES => {
+            None if self.0.len() < MAX_CAUSES => {
                 self.0.push((cause.to_string(), now, 0));
                 return Some(1);
             }
-            known => known.unwrap_or(CAUSES - 1),
+            known => known.unwrap_or(MAX_CAUSES - 1),
         };
         let (_, said, count) = &mut self.0[k];
         *count += 1;
-        if now - *said < AGAIN {
+        if now - *said < REPEAT_INTERVAL_MS {
             return None;
         }
         *said = now;
--- a/crates/data-plane/request-budget/src/path.rs
+++ b/crates/data-plane/request-budget/src/path.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 /// Longest path that is looked at, in bytes.
-const PATH_MOST: usize = 2048;
+const MAX_PATH_BYTES: usize = 2048;
 
 /// The pseudonym of a pool: the same for all its instances, and for nobody to guess who has not its secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Path, PathRejection> {
         let mut text = String::new();
         for value in values {
-            if text.len() + value.len() + 2 > PATH_MOST {
+            if text.len() + value.len() + 2 > MAX_PATH_BYTES {
                 return Err(PathRejection::Hops);
             }
             if let Ok(value) = std::str::from_utf8(value) {
--- a/crates/data-plane/request-budget/src/usage_feedback.rs
+++ b/crates/data-plane/request-budget/src/usage_feedback.rs
@@ -2,7 +2,7 @@
 //! would be lost.
 
 /// Answers without a word after which one is not believed to tell any more.
-const FORGOTTEN_AFTER: u8 = 16;
+const SILENT_ANSWERS_LIMIT: u8 = 16;
 
 /// What was heard of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
@@ -11,7 +11,7 @@
 impl UsageFeedback {
     /// An answer came, and told or did not.
     pub fn answered(&mut self, told: bool) {
-        self.0 = if told { FORGOTTEN_AFTER } else { self.0.saturating_sub(1) };
+        self.0 = if told { SILENT_ANSWERS_LIMIT } else { self.0.saturating_sub(1) };
     }
 
     /// Whether it tells.
--- a/crates/data-plane/request-budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -2,7 +2,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use request_budget::grammar::Used;
-use request_budget::grammar::{read_budget, read_used, write_budget, write_used, Bad, Offer, Stop};
+use request_budget::grammar::{
+    read_budget, read_used, write_budget, write_used, BudgetOffer, MalformedBudget, Stop,
+};
 use request_budget::log_throttle::LogThrottle;
 use request_budget::path::{HopMarker, Path, PathRejection};
 use request_budget::retry_budget::{AttemptUsage, RetryBudget};
@@ -22,36 +24,36 @@
 #[test]
 fn what_is_known_is_read_strictly_and_the_rest_passed_over() {
     let read = |text: &str| read_budget(&[text.as_bytes()]);
-    let all = Offer { left: Some(480.125), retries: Some(2), worth: Some(0.25) };
+    let all = BudgetOffer { left: Some(480.125), retries: Some(2), worth: Some(0.25) };
     assert_eq!(read("left=480.125, retries=2, worth=0.25"), Ok(Some(all)));
     assert_eq!(read("worth=0.25,retries=2,left=480.125,later=x,flag"), Ok(Some(all)));
     assert_eq!(read("").map(|o| o.is_some()), Ok(true));
     assert_eq!(read_budget(&[]), Ok(None));
-    assert_eq!(read_budget(&[b"left=1", b"left=1"]), Err(Bad::Twice));
+    assert_eq!(read_budget(&[b"left=1", b"left=1"]), Err(MalformedBudget::Twice));
     for (text, wanted) in [
-        ("left=-1", Bad::Number("left")),
-        ("left=1e9", Bad::Number("left")),
-        ("left=inf", Bad::Number("left")),
-        ("left=86400001", Bad::Number("left")),
-        ("left=0.1234", Bad::Number("left")),
-        ("retries=-1", Bad::Number("retries")),
-        ("retries=1.5", Bad::Number("retries")),
-        ("retries=9999999999999999", Bad::Number("retries")),
-        ("worth=infinity", Bad::Number("worth")),
-        ("worth=NaN", Bad::Number("worth")),
-        ("worth", Bad::Number("worth")),
-        ("left=1, left=1", Bad::Key("left")),
-        ("retries=1, =2", Bad::Grammar(10)),
-        ("Left=1", Bad::Grammar(0)),
-        ("left=", Bad::Grammar(0)),
-        ("left=1,,retries=1", Bad::Grammar(7)),
-        ("left=1 2", Bad::Grammar(0)),
+        ("left=-1", MalformedBudget::Number("left")),
+        ("left=1e9", MalformedBudget::Number("left")),
+        ("left=inf", MalformedBudget::Number("left")),
+        ("left=86400001", MalformedBudget::Number("left")),
+        ("left=0.1234", MalformedBudget::Number("left")),
+        ("retries=-1", MalformedBudget::Number("retries")),
+        ("retries=1.5", MalformedBudget::Number("retries")),
+        ("retries=9999999999999999", MalformedBudget::Number("retries")),
+        ("worth=infinity", MalformedBudget::Number("worth")),
+        ("worth=NaN", MalformedBudget::Number("worth")),
+        ("worth", MalformedBudget::Number("worth")),
+        ("left=1, left=1", MalformedBudget::Key("left")),
+        ("retries=1, =2", MalformedBudget::Grammar(10)),
+        ("Left=1", MalformedBudget::Grammar(0)),
+        ("left=", MalformedBudget::Grammar(0)),
+        ("left=1,,retries=1", MalformedBudget::Grammar(7)),
+        ("left=1 2", MalformedBudget::Grammar(0)),
     ] {
         assert_eq!(read(text), Err(wanted), "{text:?}");
         assert!(!wanted.to_string().is_empty());
     }
-    assert_eq!(read(&"x".repeat(257)), Err(Bad::Long));
-    assert_eq!(read(&vec!["a=1"; 17].join(",")), Err(Bad::Long));
+    assert_eq!(read(&"x".repeat(257)), Err(MalformedBudget::Long));
+    assert_eq!(read(&vec!["a=1"; 17].join(",")), Err(MalformedBudget::Long));
     assert_eq!(read("retries=999999999999999").map(|o| o.and_then(|o| o.retries)), Ok(Some(u32::MAX)));
     assert_eq!(write_budget(480.1259, 2, 0.25), "left=480.125, retries=2, worth=0.250");
     assert_eq!(write_budget(-1.0, 0, 7.0), "left=0.000, retries=0");
@@ -77,7 +79,7 @@
         IncomingFields { trusted: false, ..given(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
     let stranger = of(stranger).expect("not looked at");
     assert_eq!((stranger.retries, stranger.worth, stranger.told), (2, 1.0, false));
-    assert_eq!(of(given(&[b"left=499"], &[])), Err(BudgetRejection::Bad(Bad::Conflict)));
+    assert_eq!(of(given(&[b"left=499"], &[])), Err(BudgetRejection::Bad(MalformedBudget::Conflict)));
     assert!(of(given(&[b"left=500"], &[])).is_ok() && of(given(&[b"left=501"], &[])).is_ok());
     let repeat = of(IncomingFields { repeated: true, ..given(&[], &[]) }).expect("good");
     assert_eq!(repeat.worth, 0.25);
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: what each command is called and takes, and what it ends with (0, 1 for a failure, 2 for wrong
 //! usage).
 use crate::endpoint_sources::inspect;
-use crate::routing::show as routes;
+use crate::routing::inspect as routes;
 use crate::{check, demo, node_config, run, supervise};
 use clap::{Args, Parser, Subcommand};
 use config::supervisor as settings;
@@ -15,7 +15,7 @@
 /// A load balancer for services that call services.
 #[derive(Parser)]
 #[command(version, about)]
-struct Line {
+struct CommandLine {
     /// What the log tells: info, or debug as well: each call to discovery, each choice of an upstream and each first
     /// byte, one line each
     #[arg(long, global = true, value_name = "LEVEL", default_value = "info", value_parser = level)]
@@ -59,18 +59,18 @@
         json: bool,
     },
     /// Supervise many instances on one machine, or talk to their supervisor
-    Fleet(Fleet),
+    Fleet(FleetArgs),
     /// Run a voter of the council, or talk to the council; see deploy/council.example.toml
     #[command(subcommand)]
-    Council(Council),
+    Council(CoordinationArgs),
     /// What of the fleet may be out at one time: budgets, who is out and why; see deploy/outages.example.toml
     #[command(subcommand)]
-    Outage(Outage),
+    Outage(DisruptionArgs),
     /// A new build over the whole fleet: waves, gates, a halt and a way back; see deploy/release.example.toml
     #[command(subcommand)]
-    Release(Release),
+    Release(RolloutArgs),
     /// Drain an upstream at all balancers, where budgets allow it
-    Drain(Drain),
+    Drain(DrainArgs),
     /// End the drain of an upstream; it begins cold
     Undrain {
         /// The file of outages
@@ -103,7 +103,7 @@
     },
     /// Show what a routing table does, with the names of the platform's configuration that NODE_CONFIG names
     #[command(subcommand)]
-    Routes(Routes),
+    Routes(RoutesArgs),
     /// Check operator's files (TOML) and platform configurations (.json); opens no socket
     Check {
         /// Files to check
@@ -113,7 +113,7 @@
 }
 
 #[derive(Subcommand)]
-enum Routes {
+enum RoutesArgs {
     /// Show the way that a request takes, and why
     Explain {
         /// The operator's file, which names the table
@@ -158,22 +158,30 @@
     Ok((name.to_ascii_lowercase(), value.into()))
 }
 
-impl Routes {
+impl RoutesArgs {
     fn run(self) -> Result<(), String> {
         let text = match self {
-            Routes::Explain { operator, club, class, path, host, method, front, key, header } => {
-                let described =
-                    routes::Described { club, class, path, host, method, front, key, headers: header };
+            RoutesArgs::Explain { operator, club, class, path, host, method, front, key, header } => {
+                let described = routes::RequestDescription {
+                    club,
+                    class,
+                    path,
+                    host,
+                    method,
+                    front,
+                    key,
+                    headers: header,
+                };
                 routes::explain(&operator, &described)?
             }
-            Routes::Diff { old, new } => routes::difference(&old, &new)?,
+            RoutesArgs::Diff { old, new } => routes::diff_tables(&old, &new)?,
         };
         std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))
     }
 }
 
 #[derive(Subcommand)]
-enum Council {
+enum CoordinationArgs {
     /// Run a voter
     Run {
         /// The voter's file
@@ -256,29 +264,29 @@
     },
 }
 
-impl Council {
+impl CoordinationArgs {
     fn run(self) -> Result<(), String> {
         use coordination_server::command::{run, Command};
         let (file, command) = match self {
-            Council::Run { file, halt_at } => {
+            CoordinationArgs::Run { file, halt_at } => {
                 return coordination_server::run(file, coordination_server::ServerOptions { halt: halt_at });
             }
-            Council::Form { file } => (file, Command::Form),
-            Council::Status { file, json } => (file, Command::Status { json }),
-            Council::Members { file, json } => (file, Command::Members { json }),
-            Council::Get { key, under, file } => (file, Command::Get { key, under }),
-            Council::Watch { under, file } => (file, Command::Watch { under }),
-            Council::Backup { to, file } => (file, Command::Backup { to }),
-            Council::Restore { from, file } => (file, Command::Restore { from }),
-            Council::Remove { name, file } => (file, Command::Remove { name }),
-            Council::Transfer { name, file } => (file, Command::Transfer { name }),
+            CoordinationArgs::Form { file } => (file, Command::Form),
+            CoordinationArgs::Status { file, json } => (file, Command::Status { json }),
+            CoordinationArgs::Members { file, json } => (file, Command::Members { json }),
+            CoordinationArgs::Get { key, under, file } => (file, Command::Get { key, under }),
+            CoordinationArgs::Watch { under, file } => (file, Command::Watch { under }),
+            CoordinationArgs::Backup { to, file } => (file, Command::Backup { to }),
+            CoordinationArgs::Restore { from, file } => (file, Command::Restore { from }),
+            CoordinationArgs::Remove { name, file } => (file, Command::Remove { name }),
+            CoordinationArgs::Transfer { name, file } => (file, Command::Transfer { name }),
         };
         run(&file, command)
     }
 }
 
 #[derive(Subcommand)]
-enum Outage {
+enum DisruptionArgs {
     /// Make the file's budgets those of the fleet
     Apply {
         /// The file of outages
@@ -302,7 +310,7 @@
 }
 
 #[derive(Subcommand)]
-enum Release {
+enum RolloutArgs {
     /// Begin a release
     Start {
         /// The release's file
@@ -339,23 +347,23 @@
     },
 }
 
-impl Release {
+impl RolloutArgs {
     fn run(self) -> Result<(), String> {
         use rollout::OperatorCommand;
         use rollout_agent::command::{run, Command};
         let (file, command) = match self {
-            Release::Start { file } => (file, Command::Start),
-            Release::Status { file, json } => (file, Command::Status { json }),
-            Release::Halt { file, why } => (file, Command::Order(OperatorCommand::Pause(why))),
-            Release::Resume { file } => (file, Command::Order(OperatorCommand::Resume)),
-            Release::Back { file, why } => (file, Command::Order(OperatorCommand::RollBack(why))),
+            RolloutArgs::Start { file } => (file, Command::Start),
+            RolloutArgs::Status { file, json } => (file, Command::Status { json }),
+            RolloutArgs::Halt { file, why } => (file, Command::Order(OperatorCommand::Pause(why))),
+            RolloutArgs::Resume { file } => (file, Command::Order(OperatorCommand::Resume)),
+            RolloutArgs::Back { file, why } => (file, Command::Order(OperatorCommand::RollBack(why))),
         };
         run(&config::rollout::read(&file)?, command)
     }
 }
 
 #[derive(Args)]
-struct Drain {
+struct DrainArgs {
     /// The file of outages
     file: PathBuf,
     /// POOL/UPSTREAM, or the upstream alone
@@ -385,20 +393,20 @@
     disruption_agent::command::run(&config::disruption::read(file)?, command)
 }
 
-impl Outage {
+impl DisruptionArgs {
     fn run(self) -> Result<(), String> {
         use disruption_agent::command::Command;
         match self {
-            Outage::Apply { file } => outage(&file, Command::Apply),
-            Outage::Status { file, json } => outage(&file, Command::Status { json }),
-            Outage::Forget { file, unit } => outage(&file, Command::Forget { unit }),
+            DisruptionArgs::Apply { file } => outage(&file, Command::Apply),
+            DisruptionArgs::Status { file, json } => outage(&file, Command::Status { json }),
+            DisruptionArgs::Forget { file, unit } => outage(&file, Command::Forget { unit }),
         }
     }
 }
 
-impl Drain {
+impl DrainArgs {
     fn run(self) -> Result<(), String> {
-        let Drain { file, unit, ends, why, wait, until_drained, overrides } = self;
+        let DrainArgs { file, unit, ends, why, wait, until_drained, overrides } = self;
         let for_ms = ends.map(|e| u64::try_from(e.as_millis()).unwrap_or(u64::MAX));
         outage(
             &file,
@@ -409,7 +417,7 @@
 
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true, arg_required_else_help = true)]
-struct Fleet {
+struct FleetArgs {
     /// Run a supervisor of this fleet; see deploy/fleet.example.toml
     file: Option<PathBuf>,
     #[command(subcommand)]
@@ -462,7 +470,7 @@
     },
 }
 
-impl Fleet {
+impl FleetArgs {
     fn run(self) -> Result<(), String> {
         let roll = |file: PathBuf, command: &str| {
             let print = |line: &str| drop(writeln!(std::io::stdout(), "{line}"));
@@ -514,7 +522,7 @@
 /// Carries out what the command line asks for.
 pub fn main() -> ExitCode {
     // Wrong usage ends in here with 2, help and version with 0.
-    let line = Line::parse();
+    let line = CommandLine::parse();
     daemon::log::begin(line.log);
     let done = match line.command.unwrap_or(Command::Run {
         operator: None,
--- a/crates/herondock/src/descriptor_budget.rs
+++ b/crates/herondock/src/descriptor_budget.rs
@@ -3,18 +3,18 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// Descriptors for everything else: the listener, discovery, the runtime, sockets that are just closing.
-const SPARE: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 
 /// Counts the sockets that are open and those that still may be.
 #[derive(Clone)]
 pub struct DescriptorBudget {
     all: Arc<Semaphore>,
     callers: Arc<Semaphore>,
-    callers_most: u32,
+    max_callers: u32,
 }
 
 /// A caller's place in the budget, given back when dropped.
-pub struct Places {
+pub struct CallerPermit {
     _all: OwnedSemaphorePermit,
     _caller: OwnedSemaphorePermit,
 }
@@ -23,26 +23,27 @@
     /// A budget under this many descriptors. Callers may hold three quarters of it, so that there is always a
     /// way on to the upstreams; upstreams may hold all that callers leave.
     pub fn new(descriptors: usize) -> DescriptorBudget {
-        let budget = u32::try_from(descriptors.saturating_sub(SPARE)).unwrap_or(u32::MAX).min(1 << 20);
+        let budget =
+            u32::try_from(descriptors.saturating_sub(RESERVED_DESCRIPTORS)).unwrap_or(u32::MAX).min(1 << 20);
         let callers_most = budget / 4 * 3;
         let places = |n: u32| Arc::new(Semaphore::new(n as usize));
-        DescriptorBudget { all: places(budget), callers: places(callers_most), callers_most }
+        DescriptorBudget { all: places(budget), callers: places(callers_most), max_callers: callers_most }
     }
 
     /// A place for a caller, if there is one now.
-    pub fn caller(&self) -> Option<Places> {
+    pub fn try_caller(&self) -> Option<CallerPermit> {
         let _caller = self.callers.clone().try_acquire_owned().ok()?;
-        Some(Places { _caller, _all: self.upstream()? })
+        Some(CallerPermit { _caller, _all: self.try_upstream()? })
     }
 
     /// A place for a caller, once there is one.
-    pub async fn caller_waits(&self) -> Option<Places> {
+    pub async fn acquire_caller(&self) -> Option<CallerPermit> {
         let _caller = self.callers.clone().acquire_owned().await.ok()?;
-        Some(Places { _caller, _all: self.all.clone().acquire_owned().await.ok()? })
+        Some(CallerPermit { _caller, _all: self.all.clone().acquire_owned().await.ok()? })
     }
 
     /// A place for a connection to an upstream, if there is one now.
-    pub fn upstream(&self) -> Option<OwnedSemaphorePermit> {
+    pub fn try_upstream(&self) -> Option<OwnedSemaphorePermit> {
         self.all.clone().try_acquire_owned().ok()
     }
 
@@ -52,17 +53,17 @@
     }
 
     /// Places that callers may hold.
-    pub fn callers_most(&self) -> usize {
-        self.callers_most as usize
+    pub fn max_callers(&self) -> usize {
+        self.max_callers as usize
     }
 
     /// Places that callers hold.
     pub fn callers(&self) -> usize {
-        self.callers_most as usize - self.callers.available_permits().min(self.callers_most as usize)
+        self.max_callers as usize - self.callers.available_permits().min(self.max_callers as usize)
     }
 
     /// Waits until no caller is connected.
-    pub async fn callers_left(&self) {
-        let _all = self.callers.acquire_many(self.callers_most).await;
+    pub async fn wait_for_no_callers(&self) {
+        let _all = self.callers.acquire_many(self.max_callers).await;
     }
 }
--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -47,10 +47,10 @@
     let build = std::env::var(BUILD).unwrap_or_default();
     let counts = station.counts.clone();
     let totals = move || rollout::MetricsSample {
-        asked: counts.asked.get(),
+        asked: counts.admitted.get(),
         served: counts.served.get(),
         late: counts.late.get(),
-        memory: request_counters::memory(),
+        memory: request_counters::resident_memory_mb(),
     };
     tokio::task::spawn_local(rollout_agent::sampler::run(council.clone(), name.into(), totals));
     let setup = ReporterConfig { file: file.clone(), name: name.into(), warm: file.warm, build };
@@ -71,13 +71,13 @@
     }
 
     fn sight(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>) {
-        let pools = self.pools.in_use();
-        let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.handle.ejected()).collect();
+        let pools = self.pools.active_pools();
+        let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.driver.ejected()).collect();
         let (mut list, mut out, now) = (EndpointList::default(), BTreeMap::new(), unix_ms());
         self.members.each(|m| {
             let id = aggregator::id(&m.name);
             let named = |name: &str| if name.is_empty() { WHOLE.to_string() } else { name.to_string() };
-            let within = pools.iter().filter(|pool| pool.has(id)).map(|pool| named(&pool.name));
+            let within = pools.iter().filter(|pool| pool.contains(id)).map(|pool| named(&pool.name));
             let place = EndpointLabels { pools: within.collect(), zone: m.zone.to_string() };
             list.upstreams.insert(m.name.to_string(), place);
             let stand = match m.standing {
--- a/crates/herondock/src/driver.rs
+++ b/crates/herondock/src/driver.rs
@@ -2,7 +2,7 @@
 //! its timers and the ids of requests and attempts. Nothing is decided here, and no protocol is known.
 use crate::descriptor_budget::DescriptorBudget;
 use crate::endpoint_sources::{Audience, Entry, Listing};
-use crate::exchange::{Answer, Attempt, Final, Gate, Hop, Request, Upstream};
+use crate::exchange::{Answer, Attempt, BudgetGrant, DrainGate, FinalAnswer, Request, Upstream};
 use crate::request_counters::{self, RequestCounters};
 use balancer::{
     Action, Availability, Balancer, Ending, Event, Learned, Membership, Millis, RequestId, UpstreamId,
@@ -21,121 +21,125 @@
 use tracing::{debug, info};
 
 /// Time for the last answer to reach the client before it stops waiting.
-const ANSWER_MARGIN: Millis = 5.0;
+const ANSWER_MARGIN_MS: Millis = 5.0;
 /// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(250);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest timer that the module may ask for.
-const TIMER_MOST: Millis = 71.0 * 60_000.0;
+const MAX_TIMER_MS: Millis = 71.0 * 60_000.0;
 
 /// Why a request was not taken.
 #[derive(Debug)]
-pub enum Untaken {
+pub enum AdmissionError {
     /// As many are open as may be.
-    Full,
+    TooManyOpen,
     /// One with its id is open.
-    Known,
+    DuplicateId,
 }
 
-struct Open {
+struct OpenRequest {
     /// Taken when the final answer is given or the client is gone.
-    reply: Option<oneshot::Sender<Final>>,
-    out: Rc<Request>,
+    reply: Option<oneshot::Sender<FinalAnswer>>,
+    request: Rc<Request>,
     deadline: Millis,
-    sends: u32,
-    running: u32,
+    attempts_sent: u32,
+    attempts_in_flight: u32,
     /// Whether an attempt that has ended may have run.
-    ran: bool,
+    may_have_run: bool,
     /// When the first one was sent that may have run, or an earlier one.
-    first: Option<Instant>,
+    first_sent: Option<Instant>,
     /// Its class may be sent again so long after that; `None`: for ever.
-    window: Option<Duration>,
+    dedup_window: Option<Duration>,
     /// Its repeats, where budgets are on.
-    purse: Option<RetryBudget>,
-    counts: Rc<RequestCounters>,
+    retry_budget: Option<RetryBudget>,
+    counters: Rc<RequestCounters>,
     /// Served from then on it is late.
     late_at: Instant,
 }
 
-impl Open {
+impl OpenRequest {
     /// The way to the client, once; the request is over with it.
-    fn end(&mut self) -> Option<oneshot::Sender<Final>> {
-        self.out.over.set(true);
+    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
+        self.request.finished.set(true);
         self.reply.take()
     }
 
     /// Gives the final answer, unless it was given.
     fn answer(&mut self, answer: Answer) -> bool {
-        let Some(reply) = self.end() else { return false };
+        let Some(reply) = self.take_reply() else { return false };
         if matches!(answer, Answer::Served { .. }) {
-            request_counters::more(&self.counts.served);
+            request_counters::increment(&self.counters.served);
             if Instant::now() > self.late_at {
-                request_counters::more(&self.counts.late);
+                request_counters::increment(&self.counters.late);
             }
         }
-        let used = self.purse.as_ref().map_or(Used::default(), RetryBudget::used);
+        let used = self.retry_budget.as_ref().map_or(Used::default(), RetryBudget::used);
         // A client that left in the same instant gets nothing; it is no longer owed anything.
-        let _ = reply.send(Final { answer, ran: self.ran || self.running > 0, used });
+        let _ = reply.send(FinalAnswer {
+            answer,
+            may_have_run: self.may_have_run || self.attempts_in_flight > 0,
+            used,
+        });
         true
     }
 }
 
 /// An attempt that is out.
-struct Out {
+struct InFlightAttempt {
     upstream: UpstreamId,
     sent: Instant,
     task: AbortHandle,
-    due: (Instant, u64),
-    hop: Option<Rc<Hop>>,
+    timer: (Instant, u64),
+    budget_grant: Option<Rc<BudgetGrant>>,
 }
 
-enum Due {
-    Module(u32),
-    Attempt(RequestId, u32),
-    Sweep,
+enum TimerKind {
+    Balancer(u32),
+    AttemptTimeout(RequestId, u32),
+    IdleSweep,
 }
 
 /// An upstream that the module may name.
-struct Known {
+struct UpstreamEntry {
     upstream: Rc<dyn Upstream>,
-    gate: Rc<Gate>,
+    gate: Rc<DrainGate>,
     /// Its newest line.
     entry: Entry,
     /// Whether it tells what was used below it.
-    hearing: UsageFeedback,
+    usage_feedback: UsageFeedback,
 }
 
 /// Chooses the transport for an upstream by what it speaks.
-pub type Transports = Box<dyn Fn(&Entry) -> Rc<dyn Upstream>>;
+pub type TransportFactory = Box<dyn Fn(&Entry) -> Rc<dyn Upstream>>;
 
 struct Driver {
     balancer: Balancer,
     start: Instant,
     start_ms: Millis,
-    transports: Transports,
-    sockets: DescriptorBudget,
+    transports: TransportFactory,
+    descriptors: DescriptorBudget,
     max_open: usize,
     late_shedding: bool,
     /// Every request has its answer by then.
-    last: Millis,
+    shutdown_deadline: Millis,
     next_id: u32,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     /// The callers' names of the requests that are open, in every pool.
-    names: Names,
-    counts: Rc<RequestCounters>,
+    open_ids: OpenRequestIds,
+    counters: Rc<RequestCounters>,
     /// By class, within this time an answer is not late.
     objectives: Vec<Duration>,
     /// By class, how long repeats are dropped for.
-    windows: Vec<Option<Duration>>,
-    attempts: HashMap<(RequestId, u32), Out>,
+    dedup_windows: Vec<Option<Duration>>,
+    attempts: HashMap<(RequestId, u32), InFlightAttempt>,
     /// Every upstream that the module may name: those listed, and those with attempts out.
-    upstreams: HashMap<UpstreamId, Known>,
-    timers: BTreeMap<(Instant, u64), Due>,
-    timer_seq: u64,
+    upstreams: HashMap<UpstreamId, UpstreamEntry>,
+    timers: BTreeMap<(Instant, u64), TimerKind>,
+    timer_sequence: u64,
     events: VecDeque<Event>,
 }
 
 /// The callers' names of open requests, shared by all drivers.
-pub type Names = Rc<RefCell<HashSet<Bytes>>>;
+pub type OpenRequestIds = Rc<RefCell<HashSet<Bytes>>>;
 
 struct Shared {
     driver: RefCell<Driver>,
@@ -144,17 +148,17 @@
 
 /// The driver as everything else sees it.
 #[derive(Clone)]
-pub struct Handle(Rc<Shared>);
+pub struct DriverHandle(Rc<Shared>);
 
-impl Audience for Handle {
+impl Audience for DriverHandle {
     fn listed(&self, listing: &Listing) {
-        self.0.driver.borrow_mut().note_list(listing);
-        self.feed(Event::Membership(Membership::Delta(listing.members().collect())));
+        self.0.driver.borrow_mut().update_upstreams(listing);
+        self.handle_event(Event::Membership(Membership::Delta(listing.members().collect())));
     }
 }
 
 /// What a driver is built from.
-pub struct Parts {
+pub struct DriverConfig {
     /// The module.
     pub balancer: Balancer,
     /// When the module's clock read `start_ms`.
@@ -162,42 +166,42 @@
     /// The clock at the start; it goes on by elapsed time alone, whatever is done to the system's clock.
     pub start_ms: Millis,
     /// Attempts and connections.
-    pub transports: Transports,
+    pub transports: TransportFactory,
     /// The budget of sockets.
-    pub sockets: DescriptorBudget,
+    pub descriptors: DescriptorBudget,
     /// Most requests open at once.
     pub max_open: usize,
     /// Whether upstreams also turn away what they had begun.
     pub late_shedding: bool,
     /// The callers' names of open requests.
-    pub names: Names,
+    pub open_ids: OpenRequestIds,
     /// What is counted, over all pools.
-    pub counts: Rc<RequestCounters>,
+    pub counters: Rc<RequestCounters>,
     /// By class, within this time an answer is not late.
     pub objectives: Vec<Duration>,
     /// By class, for how long upstreams drop repeats; `None`: repeats do no harm, or there are none.
-    pub windows: Vec<Option<Duration>>,
+    pub dedup_windows: Vec<Option<Duration>>,
 }
 
 /// A request that waits for its final answer. Dropping it tells the module that the client is gone.
-pub struct Waiting {
-    handle: Handle,
+pub struct PendingAnswer {
+    handle: DriverHandle,
     id: RequestId,
-    answer: oneshot::Receiver<Final>,
+    answer: oneshot::Receiver<FinalAnswer>,
     done: bool,
 }
 
-impl Waiting {
+impl PendingAnswer {
     /// The final answer.
-    pub async fn answer(mut self) -> Final {
-        let lost = |_| Final { answer: Answer::Failed, ran: true, used: Used::default() };
+    pub async fn answer(mut self) -> FinalAnswer {
+        let lost = |_| FinalAnswer { answer: Answer::Failed, may_have_run: true, used: Used::default() };
         let answer = (&mut self.answer).await.unwrap_or_else(lost);
         self.done = true;
         answer
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if !self.done {
             self.handle.client_gone(self.id);
@@ -205,45 +209,54 @@
     }
 }
 
-impl Handle {
-    /// Sets the driver up; [`Handle::run`] must run for its timers to fire.
-    pub fn new(parts: Parts) -> Handle {
-        let Parts { balancer, start, start_ms, transports, sockets, max_open, late_shedding, .. } = parts;
-        let (names, counts) = (parts.names, parts.counts);
-        let (objectives, windows) = (parts.objectives, parts.windows);
+impl DriverHandle {
+    /// Sets the driver up; [`DriverHandle::run`] must run for its timers to fire.
+    pub fn new(parts: DriverConfig) -> DriverHandle {
+        let DriverConfig {
+            balancer,
+            start,
+            start_ms,
+            transports,
+            descriptors: sockets,
+            max_open,
+            late_shedding,
+            ..
+        } = parts;
+        let (names, counts) = (parts.open_ids, parts.counters);
+        let (objectives, windows) = (parts.objectives, parts.dedup_windows);
         let driver = Driver {
             balancer,
             start,
             start_ms,
             transports,
-            sockets,
+            descriptors: sockets,
             max_open,
             late_shedding,
-            last: f64::INFINITY,
+            shutdown_deadline: f64::INFINITY,
             next_id: 0,
             open: HashMap::new(),
-            names,
-            counts,
+            open_ids: names,
+            counters: counts,
             objectives,
-            windows,
+            dedup_windows: windows,
             attempts: HashMap::new(),
             upstreams: HashMap::new(),
             timers: BTreeMap::new(),
-            timer_seq: 0,
+            timer_sequence: 0,
             events: VecDeque::new(),
         };
         let driver = RefCell::new(driver);
         let shared = Shared { driver, timers: Notify::new() };
-        Handle(Rc::new(shared))
+        DriverHandle(Rc::new(shared))
     }
 
     /// Fires timers for ever.
     pub async fn run(&self) {
-        self.0.driver.borrow_mut().set_timer(Instant::now() + SWEEP, Due::Sweep);
+        self.0.driver.borrow_mut().set_timer(Instant::now() + IDLE_SWEEP_INTERVAL, TimerKind::IdleSweep);
         loop {
             let next = self.0.driver.borrow().timers.first_key_value().map(|(&(at, _), _)| at);
             match next {
-                Some(at) if at <= Instant::now() => self.fire(),
+                Some(at) if at <= Instant::now() => self.fire_next_timer(),
                 Some(at) => tokio::select! {
                     () = tokio::time::sleep_until(at) => {}
                     () = self.0.timers.notified() => {}
@@ -253,18 +266,18 @@
         }
     }
 
-    fn fire(&self) {
+    fn fire_next_timer(&self) {
         let Some((_, due)) = self.0.driver.borrow_mut().timers.pop_first() else { return };
         match due {
-            Due::Module(token) => self.feed(Event::Timer(token)),
-            Due::Attempt(id, number) => self.ended(id, number, Ending::Timeout, None),
-            Due::Sweep => {
+            TimerKind::Balancer(token) => self.handle_event(Event::Timer(token)),
+            TimerKind::AttemptTimeout(id, number) => self.attempt_ended(id, number, Ending::Timeout, None),
+            TimerKind::IdleSweep => {
                 let mut d = self.0.driver.borrow_mut();
                 let now = Instant::now();
                 for known in d.upstreams.values() {
-                    known.upstream.sweep(now);
+                    known.upstream.close_expired(now);
                 }
-                d.set_timer(now + SWEEP, Due::Sweep);
+                d.set_timer(now + IDLE_SWEEP_INTERVAL, TimerKind::IdleSweep);
             }
         }
     }
@@ -281,37 +294,37 @@
     }
 
     /// Requests that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.0.driver.borrow().open.values().filter(|o| o.reply.is_some()).count()
     }
 
     /// Requests that are taken from now on have their answer after this time at the latest.
-    pub fn ends_by(&self, time: Duration) {
+    pub fn answer_within(&self, time: Duration) {
         let mut d = self.0.driver.borrow_mut();
-        d.last = d.now() + time.as_secs_f64() * 1000.0;
+        d.shutdown_deadline = d.now() + time.as_secs_f64() * 1000.0;
     }
 
     /// Ends every request that is open: no answer of its own comes in time. It may have run.
-    pub fn fail_open(&self) {
+    pub fn fail_open_requests(&self) {
         let open: Vec<RequestId> = {
             let mut d = self.0.driver.borrow_mut();
             let open = d.open.iter_mut().filter_map(|(&id, o)| o.answer(Answer::Failed).then_some(id));
             open.collect()
         };
         for id in open {
-            self.0.driver.borrow_mut().forget(id);
-            self.feed(Event::ClientGone(id));
+            self.0.driver.borrow_mut().remove_if_done(id);
+            self.handle_event(Event::ClientGone(id));
         }
     }
 
     /// Closes an idle connection to an upstream, if there is one: its socket is needed elsewhere.
-    pub fn free_socket(&self) {
-        self.0.driver.borrow_mut().free_socket();
+    pub fn close_oldest_idle(&self) {
+        self.0.driver.borrow_mut().close_oldest_idle();
     }
 
     /// Since when the connection that rested longest is idle, of all upstreams.
-    pub fn oldest_idle(&self) -> Option<Instant> {
-        self.0.driver.borrow().upstreams.values().filter_map(|k| k.upstream.oldest_idle()).min()
+    pub fn oldest_idle_since(&self) -> Option<Instant> {
+        self.0.driver.borrow().upstreams.values().filter_map(|k| k.upstream.oldest_idle_since()).min()
     }
 
     /// What the module has learned.
@@ -320,88 +333,88 @@
     }
 
     /// Takes a saved list, before any other news of members.
-    pub fn cached(&self, listing: &Listing) {
-        self.0.driver.borrow_mut().note_list(listing);
-        self.feed(Event::Membership(Membership::Cached(listing.members().collect())));
+    pub fn apply_cached(&self, listing: &Listing) {
+        self.0.driver.borrow_mut().update_upstreams(listing);
+        self.handle_event(Event::Membership(Membership::Cached(listing.members().collect())));
     }
 
     /// Takes a request: from now on one final answer is owed.
-    pub fn take(
+    pub fn admit(
         &self,
         class: usize,
         tenant: usize,
         patience: Millis,
         out: Request,
-    ) -> Result<Waiting, Untaken> {
+    ) -> Result<PendingAnswer, AdmissionError> {
         let (reply, answer) = oneshot::channel();
         let (id, deadline, given) = {
             let mut d = self.0.driver.borrow_mut();
             if d.open.len() >= d.max_open {
-                return Err(Untaken::Full);
+                return Err(AdmissionError::TooManyOpen);
             }
             // Guards against one request's id on another while anything of the first is out: upstreams tell
             // repeats by it.
-            if out.name.as_ref().is_some_and(|name| !d.names.borrow_mut().insert(name.clone())) {
-                return Err(Untaken::Known);
+            if out.id.as_ref().is_some_and(|name| !d.open_ids.borrow_mut().insert(name.clone())) {
+                return Err(AdmissionError::DuplicateId);
             }
             while d.open.contains_key(&RequestId(d.next_id)) {
                 d.next_id = d.next_id.wrapping_add(1);
             }
             let id = RequestId(d.next_id);
             d.next_id = d.next_id.wrapping_add(1);
-            let deadline = (d.now() + (patience - ANSWER_MARGIN).max(0.0)).min(d.last);
-            let route = out.attempts.map_or(u32::MAX, |attempts| attempts.saturating_sub(1));
+            let deadline = (d.now() + (patience - ANSWER_MARGIN_MS).max(0.0)).min(d.shutdown_deadline);
+            let route = out.max_attempts.map_or(u32::MAX, |attempts| attempts.saturating_sub(1));
             let budget = out.budget.as_ref().map(|carried| &carried.budget);
             let given = budget.map_or((route, 1.0), |b| (b.retries.min(route), b.worth));
             let purse = budget.map(|_| RetryBudget::new(given.0));
             let out = Rc::new(out);
-            request_counters::more(&d.counts.asked);
+            request_counters::increment(&d.counters.admitted);
             let late_at =
                 Instant::now() + d.objectives.get(class).copied().unwrap_or(Duration::from_secs(86_400));
-            let counts = d.counts.clone();
-            let open = Open {
+            let counts = d.counters.clone();
+            let open = OpenRequest {
                 reply: Some(reply),
-                out,
+                request: out,
                 deadline,
-                sends: 0,
-                running: 0,
-                ran: false,
-                first: None,
-                window: d.windows.get(class).copied().flatten(),
-                purse,
-                counts,
+                attempts_sent: 0,
+                attempts_in_flight: 0,
+                may_have_run: false,
+                first_sent: None,
+                dedup_window: d.dedup_windows.get(class).copied().flatten(),
+                retry_budget: purse,
+                counters: counts,
                 late_at,
             };
             d.open.insert(id, open);
             (id, deadline, given)
         };
         let (retries, worth) = given;
-        self.feed(Event::Request(balancer::Request { id, class, tenant, deadline, retries, worth }));
-        Ok(Waiting { handle: self.clone(), id, answer, done: false })
+        self.handle_event(Event::Request(balancer::Request { id, class, tenant, deadline, retries, worth }));
+        Ok(PendingAnswer { handle: self.clone(), id, answer, done: false })
     }
 
     fn client_gone(&self, id: RequestId) {
         {
             let mut d = self.0.driver.borrow_mut();
             // Answered in the same instant: the module has ended it already.
-            if d.open.get_mut(&id).and_then(Open::end).is_none() {
+            if d.open.get_mut(&id).and_then(OpenRequest::take_reply).is_none() {
                 return;
             }
-            d.forget(id);
+            d.remove_if_done(id);
         }
-        self.feed(Event::ClientGone(id));
+        self.handle_event(Event::ClientGone(id));
     }
 
     /// An attempt has ended: tells the module, unless an earlier end of it counts.
-    fn ended(&self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) {
-        let event = self.0.driver.borrow_mut().end(id, number, ending, answer);
+    fn attempt_ended(&self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) {
+        let event = self.0.driver.borrow_mut().finish_attempt(id, number, ending, answer);
         if let Some(event) = event {
-            self.feed(event);
+            self.handle_event(event);
         }
     }
 
     /// Hands the module an event and carries out what it wants, and so on for what follows at once from that.
-    fn feed(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let mut d = self.0.driver.borrow_mut();
         d.events.push_back(event);
         let mut actions = Vec::new();
@@ -418,11 +431,11 @@
         match action {
             Action::Send { request, upstream, timeout } => self.send(d, request, upstream, timeout),
             Action::Cancel { request, attempt } => {
-                if let Some(event) = d.end(request, attempt, Ending::Cancelled, None) {
+                if let Some(event) = d.finish_attempt(request, attempt, Ending::Cancelled, None) {
                     d.events.push_back(event);
                 }
             }
-            Action::Refuse { request, retry_after } => d.answer(request, Answer::Refused { retry_after }),
+            Action::Refuse { request, retry_after } => d.answer(request, Answer::Rejected { retry_after }),
             Action::Fail { request } => d.answer(request, Answer::Failed),
             Action::CloseIdle(id) => {
                 if let Some(known) = d.upstreams.get(&id) {
@@ -432,8 +445,8 @@
             // The sources of members call by themselves.
             Action::Subscribe => {}
             Action::SetTimer { after, token } => {
-                let after = Duration::from_secs_f64(after.clamp(0.0, TIMER_MOST) / 1000.0);
-                d.set_timer(Instant::now() + after, Due::Module(token));
+                let after = Duration::from_secs_f64(after.clamp(0.0, MAX_TIMER_MS) / 1000.0);
+                d.set_timer(Instant::now() + after, TimerKind::Balancer(token));
                 self.0.timers.notify_one();
             }
             Action::Log(line) => info!("{line}"),
@@ -443,10 +456,11 @@
     fn send(&self, d: &mut Driver, id: RequestId, to: UpstreamId, timeout: Millis) {
         let (now, now_ms) = (Instant::now(), d.now());
         let Some(open) = d.open.get_mut(&id) else { return };
-        let number = open.sends;
-        open.sends += 1;
+        let number = open.attempts_sent;
+        open.attempts_sent += 1;
         let target = d.upstreams.get(&to);
-        let target = target.map(|k| (k.upstream.clone(), k.gate.clone(), k.hearing.tells(), k.entry.addr));
+        let target =
+            target.map(|k| (k.upstream.clone(), k.gate.clone(), k.usage_feedback.tells(), k.entry.addr));
         let (Some((target, gate, tells, addr)), true) = (target, open.reply.is_some()) else {
             let closed = open.reply.is_none();
             let ending = Ending::Moot;
@@ -459,33 +473,45 @@
             });
             return;
         };
-        debug!("request {}: attempt {number} goes to {}", open.out.label(), addr);
+        debug!("request {}: attempt {number} goes to {}", open.request.label(), addr);
         let left = (open.deadline - now_ms).max(0.0);
         let wait = if timeout > 0.0 { timeout.min(left) } else { left };
         let until = now + Duration::from_secs_f64(wait / 1000.0);
         // Between the choice and the first byte lie a dial and a queue, and the time in which repeats are dropped goes on.
-        let repeats = open.running > 0 || open.ran;
-        let first = *open.first.get_or_insert(now);
-        let by = open.window.filter(|_| repeats).map(|window| first + window);
+        let repeats = open.attempts_in_flight > 0 || open.may_have_run;
+        let first = *open.first_sent.get_or_insert(now);
+        let by = open.dedup_window.filter(|_| repeats).map(|window| first + window);
         if !repeats {
-            open.first = Some(now);
+            open.first_sent = Some(now);
         }
-        open.running += 1;
-        let hop = open.purse.as_mut().map(|purse| {
+        open.attempts_in_flight += 1;
+        let hop = open.retry_budget.as_mut().map(|purse| {
             let grant = purse.send(number, tells);
-            Rc::new(Hop { grant, ..Hop::default() })
+            Rc::new(BudgetGrant { retries: grant, ..BudgetGrant::default() })
         });
-        let attempt = Attempt { request: open.out.clone(), gate, until, by, hop: hop.clone() };
+        let attempt = Attempt {
+            request: open.request.clone(),
+            gate,
+            deadline: until,
+            dedup_deadline: by,
+            budget_grant: hop.clone(),
+        };
         let handle = self.clone();
-        if target.oldest_idle().is_none() && d.sockets.exhausted() {
-            d.free_socket();
+        if target.oldest_idle_since().is_none() && d.descriptors.exhausted() {
+            d.close_oldest_idle();
         }
         let task = tokio::task::spawn_local(async move {
             let (ending, answer) = target.attempt(attempt).await;
-            handle.ended(id, number, ending, answer);
+            handle.attempt_ended(id, number, ending, answer);
         });
-        let due = d.set_timer(until, Due::Attempt(id, number));
-        let attempt = Out { upstream: to, sent: now, task: task.abort_handle(), due, hop };
+        let due = d.set_timer(until, TimerKind::AttemptTimeout(id, number));
+        let attempt = InFlightAttempt {
+            upstream: to,
+            sent: now,
+            task: task.abort_handle(),
+            timer: due,
+            budget_grant: hop,
+        };
         d.attempts.insert((id, number), attempt);
         self.0.timers.notify_one();
     }
@@ -496,32 +522,38 @@
         self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn set_timer(&mut self, at: Instant, due: Due) -> (Instant, u64) {
-        self.timer_seq += 1;
-        self.timers.insert((at, self.timer_seq), due);
-        (at, self.timer_seq)
+    fn set_timer(&mut self, at: Instant, due: TimerKind) -> (Instant, u64) {
+        self.timer_sequence += 1;
+        self.timers.insert((at, self.timer_sequence), due);
+        (at, self.timer_sequence)
     }
 
     /// Books the end of an attempt; only the first one counts. What still runs for it stops, and its connection
     /// is closed. The event is the module's one outcome for its send.
-    fn end(&mut self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) -> Option<Event> {
+    fn finish_attempt(
+        &mut self,
+        id: RequestId,
+        number: u32,
+        ending: Ending,
+        answer: Option<Answer>,
+    ) -> Option<Event> {
         let attempt = self.attempts.remove(&(id, number))?;
         attempt.task.abort();
-        self.timers.remove(&attempt.due);
-        self.forget_upstream(attempt.upstream);
+        self.timers.remove(&attempt.timer);
+        self.remove_if_gone(attempt.upstream);
         let duration = attempt.sent.elapsed().as_secs_f64() * 1000.0;
         let mut closed = true;
-        let told = attempt.hop.as_ref().and_then(|hop| hop.told.get());
+        let told = attempt.budget_grant.as_ref().and_then(|hop| hop.reported_usage.get());
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Full) {
             if let Some(known) = self.upstreams.get_mut(&attempt.upstream) {
-                known.hearing.answered(told.is_some());
+                known.usage_feedback.answered(told.is_some());
             }
         }
         let never_ran = ending.never_ran() && !(ending == Ending::Full && self.late_shedding);
         if let Some(open) = self.open.get_mut(&id) {
-            open.running -= 1;
-            open.ran |= !never_ran;
-            if let Some(purse) = &mut open.purse {
+            open.attempts_in_flight -= 1;
+            open.may_have_run |= !never_ran;
+            if let Some(purse) = &mut open.retry_budget {
                 purse.ended(
                     number,
                     match told {
@@ -538,7 +570,7 @@
             }
             closed = open.reply.is_none();
         }
-        self.forget(id);
+        self.remove_if_done(id);
         Some(Event::Outcome { request: id, attempt: number, ending, duration, closed })
     }
 
@@ -546,20 +578,20 @@
         if let Some(open) = self.open.get_mut(&id) {
             open.answer(answer);
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
     /// Forgets a request that is answered and has nothing out.
-    fn forget(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.reply.is_none() && o.running == 0) {
-            if let Some(name) = self.open.remove(&id).and_then(|o| o.out.name.clone()) {
-                self.names.borrow_mut().remove(&name);
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.open.get(&id).is_some_and(|o| o.reply.is_none() && o.attempts_in_flight == 0) {
+            if let Some(name) = self.open.remove(&id).and_then(|o| o.request.id.clone()) {
+                self.open_ids.borrow_mut().remove(&name);
             }
         }
     }
 
     /// Forgets an upstream that is gone once nothing is out to it.
-    fn forget_upstream(&mut self, id: UpstreamId) {
+    fn remove_if_gone(&mut self, id: UpstreamId) {
         let gone = self
             .upstreams
             .get(&id)
@@ -570,30 +602,31 @@
     }
 
     /// Closes the idle connection that rested longest, of all upstreams: its socket is needed elsewhere.
-    fn free_socket(&mut self) {
-        let oldest = self.upstreams.values().filter_map(|k| Some((k.upstream.oldest_idle()?, &k.upstream)));
+    fn close_oldest_idle(&mut self) {
+        let oldest =
+            self.upstreams.values().filter_map(|k| Some((k.upstream.oldest_idle_since()?, &k.upstream)));
         if let Some((_, upstream)) = oldest.min_by_key(|&(since, _)| since) {
-            upstream.drop_oldest();
+            upstream.close_oldest_idle();
         }
     }
 
     /// Keeps addresses and connections in step with the list.
-    fn note_list(&mut self, listing: &Listing) {
+    fn update_upstreams(&mut self, listing: &Listing) {
         // When the news was written, or counted as told, is not known: part of the grace may be over. What is on its way
         // and has not begun goes elsewhere.
         let now = Instant::now();
         for entry in &listing.entries {
             let m = &entry.member;
             debug!("list: {} is {:?}", entry.addr, m.availability);
-            let known = self.upstreams.entry(m.id).or_insert_with(|| Known {
+            let known = self.upstreams.entry(m.id).or_insert_with(|| UpstreamEntry {
                 upstream: (self.transports)(entry),
                 gate: Rc::default(),
                 entry: entry.clone(),
-                hearing: UsageFeedback::default(),
+                usage_feedback: UsageFeedback::default(),
             });
             // Another address or another start: the old connections lead nowhere.
             if known.entry.addr != entry.addr || known.entry.member.since != m.since {
-                known.upstream.replaced(entry.addr);
+                known.upstream.process_replaced(entry.addr);
             }
             if known.entry.speaks != entry.speaks {
                 known.upstream = (self.transports)(entry);
@@ -607,7 +640,7 @@
                 }
             }
             if m.availability == Availability::Gone {
-                self.forget_upstream(m.id);
+                self.remove_if_gone(m.id);
             }
         }
     }
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -31,7 +31,7 @@
 /// None does, or it does not say.
 pub fn of_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::members(socket))?;
+    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::request_endpoints(socket))?;
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
@@ -49,7 +49,7 @@
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
-        let terms = node_config::terms(&config.deployment);
+        let terms = node_config::staleness_settings(&config.deployment);
         Sources::of(&gather, operator, &limits).begin(addresses, &limits, &terms);
         // Until each has said something, good or bad.
         let said = async {
--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -32,7 +32,7 @@
 pub struct Fields {
     text: Bytes,
     /// Where each name and each value ends.
-    ends: Vec<(u32, u32)>,
+    field_ends: Vec<(u32, u32)>,
 }
 
 impl Fields {
@@ -49,13 +49,13 @@
             text.put_slice(value);
             ends.push((name_ends, value_ends));
         }
-        Fields { text: text.freeze(), ends }
+        Fields { text: text.freeze(), field_ends: ends }
     }
 
     /// Each name and value; the value shares the text.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], Bytes)> + '_ {
         let mut start = 0;
-        self.ends.iter().map(move |&(name, value)| {
+        self.field_ends.iter().map(move |&(name, value)| {
             let (name, value) = (name as usize, value as usize);
             let field = (&self.text[start..name], self.text.slice(name..value));
             start = value;
@@ -65,14 +65,14 @@
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.ends.len()
+        self.field_ends.len()
     }
 }
 
 /// A request as it goes on to upstreams, whole.
 pub struct Request {
     /// The caller's id for it: upstreams tell repeats by it.
-    pub name: Option<Bytes>,
+    pub id: Option<Bytes>,
     /// Its method.
     pub method: Method,
     /// Path and query, as the caller wrote them.
@@ -82,37 +82,37 @@
     /// The whole body.
     pub body: Bytes,
     /// What it may still use, where budgets are on.
-    pub budget: Option<Box<Carried>>,
+    pub budget: Option<Box<CarriedBudget>>,
     /// Most attempts, if its route allows fewer than its class.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Set when the request has ended: what has not been written for it by then must not be.
-    pub over: Cell<bool>,
+    pub finished: Cell<bool>,
 }
 
 impl Request {
     /// Its caller's id for the log.
     pub fn label(&self) -> Cow<'_, str> {
-        self.name.as_deref().map_or(Cow::Borrowed("without an id"), String::from_utf8_lossy)
+        self.id.as_deref().map_or(Cow::Borrowed("without an id"), String::from_utf8_lossy)
     }
 
     /// The same request, not yet over.
-    pub fn again(&self) -> Request {
+    pub fn duplicate(&self) -> Request {
         Request {
-            name: self.name.clone(),
+            id: self.id.clone(),
             method: self.method,
             target: self.target.clone(),
             fields: self.fields.clone(),
             body: self.body.clone(),
             budget: self.budget.clone(),
-            attempts: self.attempts,
-            over: Cell::new(false),
+            max_attempts: self.max_attempts,
+            finished: Cell::new(false),
         }
     }
 }
 
 /// A budget, and the fields in which it is carried on.
 #[derive(Clone, Debug)]
-pub struct Carried {
+pub struct CarriedBudget {
     /// What the request may use.
     pub budget: Budget,
     /// Names of the fields.
@@ -121,11 +121,11 @@
 
 /// The one final answer to a request, with what its caller may be told besides.
 #[derive(Debug)]
-pub struct Final {
+pub struct FinalAnswer {
     /// The answer.
     pub answer: Answer,
     /// Whether an attempt may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
     /// What was used of its budget.
     pub used: Used,
 }
@@ -141,25 +141,25 @@
         body: Bytes,
     },
     /// Refused: another try does no harm.
-    Refused {
+    Rejected {
         /// How long the client should stay away; zero: no advice.
         retry_after: Millis,
     },
     /// Turned away by the upstream as something it can't use, with this status (400 to 499).
-    Unusable(u16),
+    ClientError(u16),
     /// Failed, with no promise about its effect.
     Failed,
 }
 
 /// How an attempt ended, and the answer if it brought one.
-pub type Ended = (Ending, Option<Answer>);
+pub type AttemptResult = (Ending, Option<Answer>);
 
 /// Until when something may be written to an upstream. Shared by the driver, which hears the news, and the
 /// attempts that are on their way.
 #[derive(Debug, Default)]
-pub struct Gate(Cell<Option<Instant>>);
+pub struct DrainGate(Cell<Option<Instant>>);
 
-impl Gate {
+impl DrainGate {
     /// Nothing may be written from `at` on, nor after an earlier time that was set before.
     pub fn close_at(&self, at: Instant) {
         self.0.set(Some(self.0.get().map_or(at, |before| before.min(at))));
@@ -178,11 +178,11 @@
 
 /// What an attempt carries of its request's budget, and what its answer told.
 #[derive(Debug, Default)]
-pub struct Hop {
+pub struct BudgetGrant {
     /// Repeats that what is below may use.
-    pub grant: u32,
+    pub retries: u32,
     /// What it used, where the answer said so.
-    pub told: Cell<Option<Used>>,
+    pub reported_usage: Cell<Option<Used>>,
 }
 
 /// One request to one upstream, once.
@@ -191,29 +191,33 @@
     /// The request.
     pub request: Rc<Request>,
     /// The upstream's gate.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<DrainGate>,
     /// When it is given up.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Nothing is written from then on, where an earlier attempt may have run: repeats are not dropped any more.
-    pub by: Option<Instant>,
+    pub dedup_deadline: Option<Instant>,
     /// Its part of the budget, where budgets are on.
-    pub hop: Option<Rc<Hop>>,
+    pub budget_grant: Option<Rc<BudgetGrant>>,
 }
 
 impl Attempt {
     /// The fields of the budget, to be written with the request: what is left of the time counts from now, so that no
     /// clock is passed on.
-    pub fn carried(&self, now: Instant) -> Option<[(&str, String); 2]> {
-        let Carried { budget, names } = self.request.budget.as_deref()?;
-        let left = self.until.saturating_duration_since(now).as_secs_f64() * 1000.0;
-        let value = grammar::write_budget(left, self.hop.as_ref().map_or(0, |hop| hop.grant), budget.worth);
+    pub fn budget_fields(&self, now: Instant) -> Option<[(&str, String); 2]> {
+        let CarriedBudget { budget, names } = self.request.budget.as_deref()?;
+        let left = self.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
+        let value = grammar::write_budget(
+            left,
+            self.budget_grant.as_ref().map_or(0, |hop| hop.retries),
+            budget.worth,
+        );
         Some([(&names.budget, value), (&names.path, budget.path.text().into())])
     }
 
     /// Takes note of what an answer tells, given its field of this name; the field goes no further.
-    pub fn answered<'a>(&self, field: impl FnOnce(&str) -> Option<&'a [u8]>) {
-        if let (Some(carried), Some(hop)) = (&self.request.budget, &self.hop) {
-            hop.told.set(field(&carried.names.used).and_then(grammar::read_used));
+    pub fn record_usage<'a>(&self, field: impl FnOnce(&str) -> Option<&'a [u8]>) {
+        if let (Some(carried), Some(hop)) = (&self.request.budget, &self.budget_grant) {
+            hop.reported_usage.set(field(&carried.names.used).and_then(grammar::read_used));
         }
     }
 
@@ -225,11 +229,11 @@
     /// Whether its first byte may be written now. A transport asks right before it writes: what was decided before
     /// dialling must not go out once the upstream's grace, the attempt's time, the time in which repeats are dropped or the
     /// request itself is over.
-    pub fn may_be_written(&self, now: Instant) -> bool {
+    pub fn may_write(&self, now: Instant) -> bool {
         let may = !self.gate.closed(now)
-            && now < self.until
-            && self.by.is_none_or(|by| now < by)
-            && !self.request.over.get();
+            && now < self.deadline
+            && self.dedup_deadline.is_none_or(|by| now < by)
+            && !self.request.finished.get();
         debug!(
             "request {}: {}",
             self.request.label(),
@@ -240,28 +244,28 @@
 }
 
 /// An attempt that is carried out. Dropping it closes the connection that it is on.
-pub type Running = Pin<Box<dyn Future<Output = Ended>>>;
+pub type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
 /// One upstream, reached by its protocol, and the connections kept to it.
 pub trait Upstream {
     /// Carries one attempt out: its request is written once at most.
-    fn attempt(self: Rc<Self>, attempt: Attempt) -> Running;
+    fn attempt(self: Rc<Self>, attempt: Attempt) -> AttemptFuture;
 
     /// Another process has taken its place at `addr`: connections to the old one, those in use too, carry nothing
     /// more.
-    fn replaced(&self, addr: SocketAddr);
+    fn process_replaced(&self, addr: SocketAddr);
 
     /// Closes the connections that carry no call now.
     fn close_idle(&self);
 
     /// Closes the connections that have been idle for too long, and those that the other side closed.
-    fn sweep(&self, now: Instant);
+    fn close_expired(&self, now: Instant);
 
     /// Since when the connection that rested longest is idle.
-    fn oldest_idle(&self) -> Option<Instant>;
+    fn oldest_idle_since(&self) -> Option<Instant>;
 
     /// Closes the connection that rested longest.
-    fn drop_oldest(&self);
+    fn close_oldest_idle(&self);
 }
 
 #[cfg(test)]
@@ -281,7 +285,7 @@
     /// Guards against later news of a drain giving an upstream more time than the first.
     #[test]
     fn a_gate_keeps_its_earliest_end() {
-        let (gate, now) = (Gate::default(), Instant::now());
+        let (gate, now) = (DrainGate::default(), Instant::now());
         let later = now + Duration::from_secs(1);
         gate.close_at(later);
         gate.close_at(later + Duration::from_secs(9));
--- a/crates/herondock/src/front/fastcgi.rs
+++ b/crates/herondock/src/front/fastcgi.rs
@@ -3,16 +3,16 @@
 //!
 //! Bad params get a whole answer with a 4xx status; what makes a connection's bytes uncertain ends it. An ABORT, or the
 //! end of the connection, calls off what is out.
-use super::classify::{classify, Class, Field, Given, KEY};
-use super::{Course, Phase};
+use super::classify::{classify, Classification, RequestField, RequestHead, KEY};
+use super::{ShutdownPhase, ShutdownProgress};
 use crate::descriptor_budget::DescriptorBudget;
-use crate::driver::Untaken;
-use crate::exchange::{Answer, Fields, Final, Method, Request};
+use crate::driver::AdmissionError;
+use crate::exchange::{Answer, Fields, FinalAnswer, Method, Request};
 use crate::http::{belongs_to_a_hop, DECLINED, REPEATED};
 use crate::live_config::LiveConfig;
-use crate::request_budgets::{Budgets, Side};
-use crate::routing::ask::{Asked, Turned as NotRouted};
-use crate::routing::{Pools, Taken};
+use crate::request_budgets::{BudgetPolicy, FrontKind};
+use crate::routing::request_attributes::{RequestAttributes, RoutingError as NotRouted};
+use crate::routing::{AdmittedRequest, Pools};
 use bytes::{Buf, Bytes, BytesMut};
 use config::fastcgi::{FastCgi, Listen, Names};
 use config::operator::Limits;
@@ -40,89 +40,89 @@
 use tracing::info;
 
 /// What is read at once, in the middle of a request and before one.
-const READ: usize = 16 << 10;
-const READ_FIRST: usize = 4 << 10;
+const READ_BYTES: usize = 16 << 10;
+const FIRST_READ_BYTES: usize = 4 << 10;
 /// Less room than this is made more.
-const READ_LEAST: usize = 1 << 10;
+const MIN_READ_BYTES: usize = 1 << 10;
 /// Pause after an accept that failed, for want of descriptors for one.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// What a front is built from.
-pub struct Parts {
+pub struct FastCgiFrontConfig {
     /// The pools.
-    pub driver: Pools,
+    pub pools: Pools,
     /// The settings.
     pub deployment: Deployment,
     /// `[fastcgi]` of the operator's file.
     pub settings: FastCgi,
     /// All descriptors.
-    pub sockets: DescriptorBudget,
+    pub descriptors: DescriptorBudget,
     /// Sizes and waits.
     pub limits: LiveConfig<Limits>,
     /// How far the end of the program has come.
-    pub course: watch::Receiver<Course>,
+    pub shutdown: watch::Receiver<ShutdownProgress>,
     /// Budgets, where they are on.
-    pub budgets: Option<Rc<Budgets>>,
+    pub budgets: Option<Rc<BudgetPolicy>>,
     /// Its listeners.
-    pub doors: Vec<Door>,
+    pub listeners: Vec<FrontListener>,
 }
 
 /// What every connection needs.
-pub struct Server {
-    driver: Pools,
+pub struct FastCgiFront {
+    pools: Pools,
     deployment: Deployment,
     settings: FastCgi,
-    sockets: DescriptorBudget,
+    descriptors: DescriptorBudget,
     limits: LiveConfig<Limits>,
-    course: watch::Receiver<Course>,
-    budgets: Option<Rc<Budgets>>,
+    shutdown: watch::Receiver<ShutdownProgress>,
+    budgets: Option<Rc<BudgetPolicy>>,
     /// Its listeners, to be passed on; those that are accepted on are their clones.
-    doors: RefCell<Vec<Door>>,
+    listeners: RefCell<Vec<FrontListener>>,
 }
 
 /// A listener of this front's.
-pub enum Door {
+pub enum FrontListener {
     /// TCP.
     Tcp(std::net::TcpListener),
     /// A Unix socket.
     Unix(std::os::unix::net::UnixListener),
 }
 
-impl Door {
-    fn of(passed: OwnedFd) -> Door {
+impl FrontListener {
+    fn from_descriptor(passed: OwnedFd) -> FrontListener {
         let tcp = std::net::TcpListener::from(passed);
         match tcp.local_addr() {
-            Ok(_) => Door::Tcp(tcp),
-            Err(_) => Door::Unix(OwnedFd::from(tcp).into()),
+            Ok(_) => FrontListener::Tcp(tcp),
+            Err(_) => FrontListener::Unix(OwnedFd::from(tcp).into()),
         }
     }
 
     /// Whether this is the one that the operator's file means.
-    fn is(&self, listen: &Listen) -> bool {
+    fn matches(&self, listen: &Listen) -> bool {
         match (self, listen) {
-            (Door::Tcp(l), Listen::Tcp(addr)) => l
+            (FrontListener::Tcp(l), Listen::Tcp(addr)) => l
                 .local_addr()
                 .is_ok_and(|at| at.ip() == addr.ip() && (addr.port() == 0 || at.port() == addr.port())),
-            (Door::Unix(l), Listen::Unix(path)) => {
+            (FrontListener::Unix(l), Listen::Unix(path)) => {
                 l.local_addr().is_ok_and(|at| at.as_pathname() == Some(path))
             }
             _ => false,
         }
     }
 
-    fn another(&self) -> io::Result<Door> {
+    fn try_clone(&self) -> io::Result<FrontListener> {
         Ok(match self {
-            Door::Tcp(l) => Door::Tcp(l.try_clone()?),
-            Door::Unix(l) => Door::Unix(l.try_clone()?),
+            FrontListener::Tcp(l) => FrontListener::Tcp(l.try_clone()?),
+            FrontListener::Unix(l) => FrontListener::Unix(l.try_clone()?),
         })
     }
 
-    fn bind(listen: &Listen) -> io::Result<Door> {
+    fn bind(listen: &Listen) -> io::Result<FrontListener> {
         match listen {
             Listen::Tcp(addr) => {
                 let door = std::net::TcpListener::bind(addr)?;
                 door.set_nonblocking(true)?;
-                Ok(Door::Tcp(door))
+                Ok(FrontListener::Tcp(door))
             }
             Listen::Unix(path) => {
                 // What a process left there that has ended makes way.
@@ -132,7 +132,7 @@
                 }
                 let door = std::os::unix::net::UnixListener::bind(path)?;
                 door.set_nonblocking(true)?;
-                Ok(Door::Unix(door))
+                Ok(FrontListener::Unix(door))
             }
         }
     }
@@ -142,20 +142,20 @@
 ///
 /// # Errors
 /// The address or path that can't be had.
-pub fn open(listen: &[Listen], passed: Vec<OwnedFd>) -> Result<Vec<Door>, String> {
-    let mut passed: Vec<Door> = passed.into_iter().map(Door::of).collect();
+pub fn open_listeners(listen: &[Listen], passed: Vec<OwnedFd>) -> Result<Vec<FrontListener>, String> {
+    let mut passed: Vec<FrontListener> = passed.into_iter().map(FrontListener::from_descriptor).collect();
     let one = |listen: &Listen| {
         let name = match listen {
             Listen::Tcp(addr) => addr.to_string(),
             Listen::Unix(path) => path.display().to_string(),
         };
-        let door = match passed.iter().position(|door| door.is(listen)) {
+        let door = match passed.iter().position(|door| door.matches(listen)) {
             Some(k) => passed.swap_remove(k),
-            None => Door::bind(listen).map_err(|e| format!("fastcgi.listen: {name}: {e}"))?,
+            None => FrontListener::bind(listen).map_err(|e| format!("fastcgi.listen: {name}: {e}"))?,
         };
         let at = match &door {
-            Door::Tcp(l) => l.local_addr().map_or(name, |at| at.to_string()),
-            Door::Unix(_) => name,
+            FrontListener::Tcp(l) => l.local_addr().map_or(name, |at| at.to_string()),
+            FrontListener::Unix(_) => name,
         };
         info!("fastcgi: callers may connect to {at}");
         Ok(door)
@@ -164,55 +164,73 @@
 }
 
 /// A request of a connection: its id, which comes again, and its number, which does not.
-type Turn = (u16, u64);
+type RequestTurn = (u16, u64);
 /// An answer on its way to its connection: the request, the head and the body.
-type Answered = (Turn, Bytes, Bytes);
+type ReadyAnswer = (RequestTurn, Bytes, Bytes);
 
 /// What a connection's requests are waited for by. Ends all when it is dropped: nobody waits for their answers any more.
 #[derive(Default)]
-struct Tasks {
+struct OpenRequests {
     open: HashMap<u16, (u64, AbortHandle)>,
-    begun: u64,
+    started: u64,
 }
 
-impl Tasks {
+impl OpenRequests {
     /// The number of the next request.
-    fn next(&mut self) -> u64 {
-        self.begun += 1;
-        self.begun
+    fn next_number(&mut self) -> u64 {
+        self.started += 1;
+        self.started
     }
 
     /// Guards against the answer to a request that was called off, on its way meanwhile, reaching the next one with
     /// its id.
-    fn answered(&mut self, (id, number): Turn) -> bool {
+    fn remove_answered(&mut self, (id, number): RequestTurn) -> bool {
         let known = self.open.get(&id).is_some_and(|(open, _)| *open == number);
         known && self.open.remove(&id).is_some()
     }
 }
 
-impl Drop for Tasks {
+impl Drop for OpenRequests {
     fn drop(&mut self) {
         self.open.values().for_each(|(_, task)| task.abort());
     }
 }
 
-impl Server {
+impl FastCgiFront {
     /// A front that does not accept yet.
-    pub fn new(parts: Parts) -> Rc<Server> {
-        let Parts { driver, deployment, settings, sockets, limits, course, budgets, doors } = parts;
+    pub fn new(parts: FastCgiFrontConfig) -> Rc<FastCgiFront> {
+        let FastCgiFrontConfig {
+            pools: driver,
+            deployment,
+            settings,
+            descriptors: sockets,
+            limits,
+            shutdown: course,
+            budgets,
+            listeners: doors,
+        } = parts;
         let doors = RefCell::new(doors);
-        Rc::new(Server { driver, deployment, settings, sockets, limits, course, budgets, doors })
+        Rc::new(FastCgiFront {
+            pools: driver,
+            deployment,
+            settings,
+            descriptors: sockets,
+            limits,
+            shutdown: course,
+            budgets,
+            listeners: doors,
+        })
     }
 
     /// Accepts until the program drains, or another process does.
     ///
     /// # Errors
     /// A listener can't be used.
-    pub fn begin(self: &Rc<Server>) -> Result<(), String> {
+    pub fn start_accepting(self: &Rc<FastCgiFront>) -> Result<(), String> {
         let fault = |e: io::Error| format!("fastcgi.listen: {e}");
-        for door in self.doors.borrow().iter() {
-            match door.another().map_err(fault)? {
-                Door::Tcp(l) => {
+        for door in self.listeners.borrow().iter() {
+            match door.try_clone().map_err(fault)? {
+                FrontListener::Tcp(l) => {
                     let listener = TcpListener::from_std(l).map_err(fault)?;
                     tokio::task::spawn_local(self.clone().accept(move |cx: &mut Context<'_>| {
                         let accepted = ready!(listener.poll_accept(cx));
@@ -223,7 +241,7 @@
                         }))
                     }));
                 }
-                Door::Unix(l) => {
+                FrontListener::Unix(l) => {
                     let listener = UnixListener::from_std(l).map_err(fault)?;
                     tokio::task::spawn_local(self.clone().accept(move |cx: &mut Context<'_>| {
                         Poll::Ready(ready!(listener.poll_accept(cx)).map(|(stream, _)| stream))
@@ -239,26 +257,26 @@
     /// # Errors
     /// There is no descriptor left.
     pub fn listeners(&self) -> Result<Vec<OwnedFd>, String> {
-        let one = |door: &Door| {
-            Ok(match door.another()? {
-                Door::Tcp(l) => OwnedFd::from(l),
-                Door::Unix(l) => OwnedFd::from(l),
+        let one = |door: &FrontListener| {
+            Ok(match door.try_clone()? {
+                FrontListener::Tcp(l) => OwnedFd::from(l),
+                FrontListener::Unix(l) => OwnedFd::from(l),
             })
         };
-        let all: io::Result<Vec<OwnedFd>> = self.doors.borrow().iter().map(one).collect();
+        let all: io::Result<Vec<OwnedFd>> = self.listeners.borrow().iter().map(one).collect();
         all.map_err(|e| format!("fastcgi.listen: {e}"))
     }
 
     /// Holds no listener any more; those that are accepted on close once nobody waits.
     pub fn close(&self) {
-        self.doors.borrow_mut().clear();
+        self.listeners.borrow_mut().clear();
     }
 
     async fn accept<S: AsyncRead + AsyncWrite + Unpin + 'static>(
-        self: Rc<Server>,
+        self: Rc<FastCgiFront>,
         mut poll: impl FnMut(&mut Context<'_>) -> Poll<io::Result<S>>,
     ) {
-        let (mut course, mut handed) = (self.course.clone(), self.course.clone());
+        let (mut course, mut handed) = (self.shutdown.clone(), self.shutdown.clone());
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -266,30 +284,30 @@
                 _ = handed.wait_for(|c| c.handed_over) => return,
                 accepted = poll_fn(&mut poll) => accepted,
                 // Only once nobody waits to be accepted: what they have written counts as taken.
-                _ = course.wait_for(|c| c.phase >= Phase::Draining) => return,
+                _ = course.wait_for(|c| c.phase >= ShutdownPhase::Draining) => return,
             };
             match accepted {
                 Ok(stream) => self.spawn(stream),
                 Err(e) => {
                     info!("fastcgi: accept: {e}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    fn spawn(self: &Rc<Server>, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
+    fn spawn(self: &Rc<FastCgiFront>, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
         let server = self.clone();
         tokio::task::spawn_local(async move {
             // Within the one budget of sockets; one that finds no room within its time for a request has to go.
             let wait = server.limits.get().request_wait;
-            if let Ok(Some(_places)) = timeout(wait, server.sockets.caller_waits()).await {
+            if let Ok(Some(_places)) = timeout(wait, server.descriptors.acquire_caller()).await {
                 server.connection(stream).await;
             }
         });
     }
 
-    async fn connection(self: Rc<Server>, stream: impl AsyncRead + AsyncWrite + Unpin) {
+    async fn connection(self: Rc<FastCgiFront>, stream: impl AsyncRead + AsyncWrite + Unpin) {
         let limits = self.limits.get();
         let bounds = Bounds {
             params: limits.head,
@@ -300,9 +318,9 @@
         };
         let mut machine = Machine::new(bounds);
         let (mut reader, mut writer) = tokio::io::split(stream);
-        let (tell, mut told) = mpsc::channel::<Answered>(self.settings.requests);
-        let (mut tasks, mut events, mut buffer) = (Tasks::default(), Vec::new(), BytesMut::new());
-        let mut course = self.course.clone();
+        let (tell, mut told) = mpsc::channel::<ReadyAnswer>(self.settings.requests);
+        let (mut tasks, mut events, mut buffer) = (OpenRequests::default(), Vec::new(), BytesMut::new());
+        let mut course = self.shutdown.clone();
         // Since when the caller is waited for, and since when it takes nothing of what is ready for it.
         let (mut since, mut untaken) = (Instant::now(), Instant::now());
         // One that has not asked yet keeps its time, whatever ends.
@@ -315,7 +333,8 @@
             }
             let rests = machine.open() == 0 && !machine.midway();
             // The end is announced by closing behind an answer: the protocol has no other way.
-            let ends = phase == Phase::Silencing || (finished && phase >= Phase::Closing);
+            let ends = phase == ShutdownPhase::ClosingIdle
+                || (finished && phase >= ShutdownPhase::ClosingConnections);
             if machine.closes() || (rests && !newcomer && ends) {
                 break;
             }
@@ -323,8 +342,8 @@
             // Nobody waits for the caller while all that is open is on its way to be answered.
             let waits = rests || machine.midway();
             let writes = machine.outgoing().has_remaining();
-            if buffer.capacity() - buffer.len() < READ_LEAST {
-                buffer.reserve(if machine.midway() { READ } else { READ_FIRST });
+            if buffer.capacity() - buffer.len() < MIN_READ_BYTES {
+                buffer.reserve(if machine.midway() { READ_BYTES } else { FIRST_READ_BYTES });
             }
             tokio::select! {
                 wrote = writer.write_buf(machine.outgoing()), if writes => {
@@ -345,7 +364,7 @@
                     for event in events.drain(..) {
                         match event {
                             Event::Request(request) => {
-                                let turn = (request.id, tasks.next());
+                                let turn = (request.id, tasks.next_number());
                                 let task = self.clone().request(request, turn, tell.clone());
                                 let task = tokio::task::spawn_local(task).abort_handle();
                                 tasks.open.insert(turn.0, (turn.1, task));
@@ -369,7 +388,7 @@
                     untaken = if writes { untaken } else { Instant::now() };
                 }
                 Some((turn, head, body)) = told.recv() => {
-                    if tasks.answered(turn) {
+                    if tasks.remove_answered(turn) {
                         machine.answer(turn.0, &head, body);
                     }
                     untaken = if writes { untaken } else { Instant::now() };
@@ -382,24 +401,29 @@
         let _ = timeout(limits.flush_wait, writer.shutdown()).await;
     }
 
-    async fn request(self: Rc<Server>, request: server::Request, turn: Turn, tell: mpsc::Sender<Answered>) {
+    async fn request(
+        self: Rc<FastCgiFront>,
+        request: server::Request,
+        turn: RequestTurn,
+        tell: mpsc::Sender<ReadyAnswer>,
+    ) {
         let (head, body) = match self.take(request) {
             Ok((waiting, told)) => {
-                let Final { answer, ran, used } = waiting.answer().await;
-                let harmless = matches!(answer, Answer::Refused { .. }) && !ran;
+                let FinalAnswer { answer, may_have_run: ran, used } = waiting.answer().await;
+                let harmless = matches!(answer, Answer::Rejected { .. }) && !ran;
                 let more = self.more(told.then_some(used), harmless);
                 match answer {
                     Answer::Served { fields, body } => (head_with(200, None, &fields, &more), body),
-                    Answer::Refused { retry_after } => {
+                    Answer::Rejected { retry_after } => {
                         (head_with(503, Some(retry_after), &Fields::default(), &more), Bytes::new())
                     }
-                    Answer::Unusable(status) => {
+                    Answer::ClientError(status) => {
                         (head_with(status, None, &Fields::default(), &more), Bytes::new())
                     }
                     Answer::Failed => (head_with(502, None, &Fields::default(), &more), Bytes::new()),
                 }
             }
-            Err(Turned { status, pause, why, more }) => {
+            Err(Rejection { status, pause, why, more }) => {
                 let text = if why.is_empty() { Bytes::new() } else { Bytes::from(format!("{why}\n")) };
                 (head_with(status, pause, &Fields::default(), &more), text)
             }
@@ -417,21 +441,21 @@
     }
 
     /// Hands a request to the driver. Whether its caller is told what was used.
-    fn take(&self, request: server::Request) -> Result<(Taken, bool), Turned> {
+    fn take(&self, request: server::Request) -> Result<(AdmittedRequest, bool), Rejection> {
         let limits = self.limits.get();
         let names = &self.settings.names;
-        let param = |name: &str| only(&request.params, name);
-        let one = |field: &Field| param(named(names, field));
+        let param = |name: &str| single_param(&request.params, name);
+        let one = |field: &RequestField| param(param_name(names, field));
         let method = param("REQUEST_METHOD").unwrap_or("");
-        let given = Given {
-            one: &one,
-            keyed: request.params.iter().any(|(n, _)| n == names.key.as_bytes()),
-            get: method == "GET",
-            post: method == "POST",
+        let given = RequestHead {
+            single_value: &one,
+            has_key: request.params.iter().any(|(n, _)| n == names.key.as_bytes()),
+            is_get: method == "GET",
+            is_post: method == "POST",
         };
-        let bad = |why: &str| Turned { status: 400, pause: None, why: why.into(), more: Vec::new() };
+        let bad = |why: &str| Rejection { status: 400, pause: None, why: why.into(), more: Vec::new() };
         let class = classify(&self.deployment, limits.request_id, &given).map_err(bad)?;
-        let Class { class, tenant, patience, method } = class;
+        let Classification { class, tenant, deadline_ms: patience, method } = class;
         if method == Method::Get && !request.body.is_empty() {
             return Err(bad("GET has no body"));
         }
@@ -445,15 +469,15 @@
             None => None,
             Some(budgets) => {
                 let all = |name: &str| -> Vec<&[u8]> {
-                    let name = param_of(name);
+                    let name = header_param(name);
                     request.params.iter().filter(|(n, _)| n == name.as_bytes()).map(|(_, v)| &v[..]).collect()
                 };
                 let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
-                let repeated = param(&param_of(REPEATED.as_str())) == Some("1");
-                let carried = budgets.carried(Side::FastCgi, (&budget, &path), patience, repeated);
+                let repeated = param(&header_param(REPEATED.as_str())) == Some("1");
+                let carried = budgets.carried(FrontKind::FastCgi, (&budget, &path), patience, repeated);
                 Some(carried.map_err(|why| match why {
                     NotTaken::Bad(why) => bad(&why.to_string()),
-                    NotTaken::Refused(why) => Turned {
+                    NotTaken::Refused(why) => Rejection {
                         status: 503,
                         pause: None,
                         why: why.to_string(),
@@ -466,10 +490,10 @@
         let told = budget.as_ref().is_some_and(|carried| carried.budget.told);
         let own: Vec<String> = match &self.budgets {
             None => Vec::new(),
-            Some(b) => [&b.names.budget, &b.names.path, &b.names.used].map(|name| param_of(name)).into(),
+            Some(b) => [&b.names.budget, &b.names.path, &b.names.used].map(|name| header_param(name)).into(),
         };
         let out = Request {
-            name: param(&names.id).map(|id| Bytes::copy_from_slice(id.as_bytes())),
+            id: param(&names.id).map(|id| Bytes::copy_from_slice(id.as_bytes())),
             method,
             target: target.as_str().into(),
             fields: fields(
@@ -478,14 +502,14 @@
             ),
             body: request.body.clone(),
             budget,
-            attempts: None,
-            over: Cell::new(false),
+            max_attempts: None,
+            finished: Cell::new(false),
         };
         let headers = |name: &str| -> Vec<&[u8]> {
-            let name = if name == "content-type" { "CONTENT_TYPE".into() } else { param_of(name) };
+            let name = if name == "content-type" { "CONTENT_TYPE".into() } else { header_param(name) };
             request.params.iter().filter(|(n, _)| n == name.as_bytes()).map(|(_, v)| &v[..]).collect()
         };
-        let asked = Asked {
+        let asked = RequestAttributes {
             front: 1,
             method: usize::from(method == Method::Post),
             host: &|| match request.params.iter().filter(|(n, _)| n == "HTTP_HOST").count() {
@@ -494,39 +518,44 @@
             },
             target: &target,
             key: &|| request.params.iter().find(|(n, _)| n == names.key.as_bytes()).map(|(_, v)| &v[..]),
-            id: &|| param(&names.id).unwrap_or("").as_bytes(),
+            request_id: &|| param(&names.id).unwrap_or("").as_bytes(),
             headers: &headers,
         };
-        let taken = self.driver.take(&asked, class, tenant, patience, out);
+        let taken = self.pools.admit(&asked, class, tenant, patience, out);
         taken.map(|taken| (taken, told)).map_err(|turned| {
-            let refused = |pause: Option<Duration>, why: String| Turned {
+            let refused = |pause: Option<Duration>, why: String| Rejection {
                 status: 503,
                 pause: pause.map(|p| p.as_secs_f64() * 1000.0),
                 why,
                 more: self.more(None, true),
             };
-            let input = |status, why: &str| Turned { status, pause: None, why: why.into(), more: Vec::new() };
+            let input =
+                |status, why: &str| Rejection { status, pause: None, why: why.into(), more: Vec::new() };
             match turned {
-                NotRouted::Untaken(Untaken::Full) => refused(Some(limits.full_pause), String::new()),
-                NotRouted::Untaken(Untaken::Known) => input(409, "a request with this id is open"),
-                NotRouted::Unclear(why) => input(400, why),
+                NotRouted::NotAdmitted(AdmissionError::TooManyOpen) => {
+                    refused(Some(limits.full_pause), String::new())
+                }
+                NotRouted::NotAdmitted(AdmissionError::DuplicateId) => {
+                    input(409, "a request with this id is open")
+                }
+                NotRouted::Ambiguous(why) => input(400, why),
                 NotRouted::NoRoute => input(404, "there is no route for it"),
-                NotRouted::Refused(why) => refused(None, why),
-                NotRouted::Moving(left) => refused(Some(left), "its club is being moved".into()),
+                NotRouted::Rejected(why) => refused(None, why),
+                NotRouted::Migrating(left) => refused(Some(left), "its club is being moved".into()),
             }
         })
     }
 }
 
 /// The one value of a param; `None`: absent, no text, or there several times.
-fn only<'a>(params: &'a [Pair], name: &str) -> Option<&'a str> {
+fn single_param<'a>(params: &'a [Pair], name: &str) -> Option<&'a str> {
     let mut all = params.iter().filter(|(n, _)| n == name.as_bytes());
     let value = std::str::from_utf8(&all.next()?.1).ok()?;
     all.next().is_none().then_some(value)
 }
 
 /// The param in which a field is.
-fn named<'a>(names: &'a Names, field: &Field) -> &'a str {
+fn param_name<'a>(names: &'a Names, field: &RequestField) -> &'a str {
     match field.header {
         "req-id" => &names.id,
         "req-kind" => &names.class,
@@ -575,12 +604,12 @@
 }
 
 /// The param that stands for a header (RFC 3875, section 4.1.18).
-fn param_of(header: &str) -> String {
+fn header_param(header: &str) -> String {
     format!("HTTP_{}", header.replace('-', "_").to_ascii_uppercase())
 }
 
 /// A request that was not taken, and its answer.
-struct Turned {
+struct Rejection {
     status: u16,
     pause: Option<f64>,
     why: String,
@@ -622,15 +651,15 @@
     /// Guards against an answer that crosses an abort and reaches the next request with the same id.
     #[tokio::test]
     async fn an_answer_belongs_to_its_request_and_not_to_its_id() {
-        let mut tasks = Tasks::default();
+        let mut tasks = OpenRequests::default();
         let handle = || tokio::spawn(async {}).abort_handle();
-        let first = tasks.next();
+        let first = tasks.next_number();
         tasks.open.insert(1, (first, handle()));
         // Called off while its answer is on its way, and the id begins again.
         tasks.open.remove(&1);
-        let second = tasks.next();
+        let second = tasks.next_number();
         tasks.open.insert(1, (second, handle()));
-        assert!(!tasks.answered((1, first)));
-        assert!(tasks.answered((1, second)) && !tasks.answered((1, second)));
+        assert!(!tasks.remove_answered((1, first)));
+        assert!(tasks.remove_answered((1, second)) && !tasks.remove_answered((1, second)));
     }
 }
--- a/crates/herondock/src/front/http.rs
+++ b/crates/herondock/src/front/http.rs
@@ -1,16 +1,16 @@
 //! Callers that speak HTTP/1.1: takes requests whole, hands them to the driver and writes the one final answer.
-use super::classify::{classify, Class, Field, Given, KEY};
-use super::watched::{Watch, Watched};
-use super::{Course, Phase};
-use crate::descriptor_budget::{DescriptorBudget, Places};
-use crate::driver::Untaken;
-use crate::exchange::{Answer, Carried, Final, Method, Request};
+use super::classify::{classify, Classification, RequestField, RequestHead, KEY};
+use super::observed_stream::{ConnectionActivity, ObservedStream};
+use super::{ShutdownPhase, ShutdownProgress};
+use crate::descriptor_budget::{CallerPermit, DescriptorBudget};
+use crate::driver::AdmissionError;
+use crate::exchange::{Answer, CarriedBudget, FinalAnswer, Method, Request};
 use crate::http::{fields, headers, DEADLINE, DECLINED, REPEATED};
 use crate::live_config::LiveConfig;
-use crate::request_budgets::{Budgets, Side};
-use crate::routing::ask::{Asked, Turned};
-use crate::routing::{Pools, Taken};
-use crate::stream::Shared;
+use crate::request_budgets::{BudgetPolicy, FrontKind};
+use crate::routing::request_attributes::{RequestAttributes, RoutingError};
+use crate::routing::{AdmittedRequest, Pools};
+use crate::stream::SharedStream;
 use bytes::Bytes;
 use config::operator::Limits;
 use config::Deployment;
@@ -36,85 +36,102 @@
 use tracing::info;
 
 /// A connection that has asked for nothing yet makes way for new ones after this long.
-const NEWCOMER: Duration = Duration::from_millis(30);
-/// Or, while none that was used has rested for [`RESTED`], after this long.
-const NEWCOMER_LEAST: Duration = Duration::from_millis(5);
+const NEWCOMER_GRACE: Duration = Duration::from_millis(30);
+/// Or, while none that was used has rested for [`IDLE_BEFORE_EVICTION`], after this long.
+const MIN_NEWCOMER_GRACE: Duration = Duration::from_millis(5);
 /// A connection that was used makes way before young newcomers after this long.
-const RESTED: Duration = Duration::from_secs(2);
+const IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 /// Or at once, while newcomers hold less than one in so many of the callers' places: so few do not make room for those that
 /// wait to be accepted, whose requests count as taken.
-const NEWCOMERS_FEW: usize = 4;
+const FEW_NEWCOMERS_DIVISOR: usize = 4;
 /// How often a connection's waits are looked at.
-const LOOK: Duration = Duration::from_secs(1);
+const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after an accept that failed, for want of descriptors for one.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// While all callers' connections are busy, the next look for one that may be closed comes after this.
-const CROWDED_PAUSE: Duration = Duration::from_millis(10);
+const EVICTION_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// What is read at once of that which is thrown away.
-const DRAIN_STEP: usize = 16 << 10;
-const READY: &str = "/-/ready";
-const SERVICE: &str = "/api";
+const DISCARD_CHUNK_BYTES: usize = 16 << 10;
+const READINESS_PATH: &str = "/-/ready";
+const SERVICE_PATH: &str = "/api";
 
 /// A connection between requests: whether it has carried one, and its turn.
-type Place = (bool, u64);
+type IdleSlot = (bool, u64);
 
 /// What every connection needs.
-pub struct Server {
-    driver: Pools,
+pub struct HttpFront {
+    pools: Pools,
     deployment: Deployment,
-    sockets: DescriptorBudget,
+    descriptors: DescriptorBudget,
     limits: LiveConfig<Limits>,
-    course: watch::Receiver<Course>,
-    budgets: Option<Rc<Budgets>>,
+    shutdown: watch::Receiver<ShutdownProgress>,
+    budgets: Option<Rc<BudgetPolicy>>,
     /// Connections between requests and how to close them, those that never asked for anything first, and among
     /// these the one that rested longest.
-    idle: RefCell<BTreeMap<Place, (Instant, Rc<Notify>)>>,
+    idle: RefCell<BTreeMap<IdleSlot, (Instant, Rc<Notify>)>>,
     /// Of these, those that never asked for anything.
     newcomers: Cell<usize>,
     /// Orders the connections by when they last fell idle.
-    turn: Cell<u64>,
+    next_turn: Cell<u64>,
 }
 
 /// Marks an answer to a request whose body was not read.
 #[derive(Clone, Copy)]
-struct Unread;
+struct BodyNotRead;
 
 /// What a front is built from.
-pub struct Parts {
+pub struct HttpFrontConfig {
     /// The pools.
-    pub driver: Pools,
+    pub pools: Pools,
     /// The settings.
     pub deployment: Deployment,
     /// All descriptors; callers have what it leaves them.
-    pub sockets: DescriptorBudget,
+    pub descriptors: DescriptorBudget,
     /// Sizes and waits.
     pub limits: LiveConfig<Limits>,
     /// How far the end of the program has come.
-    pub course: watch::Receiver<Course>,
+    pub shutdown: watch::Receiver<ShutdownProgress>,
     /// Budgets, where they are on.
-    pub budgets: Option<Rc<Budgets>>,
+    pub budgets: Option<Rc<BudgetPolicy>>,
 }
 
-impl Server {
+impl HttpFront {
     /// A front that does not accept yet.
-    pub fn new(parts: Parts) -> Rc<Server> {
-        let Parts { driver, deployment, sockets, limits, course, budgets } = parts;
+    pub fn new(parts: HttpFrontConfig) -> Rc<HttpFront> {
+        let HttpFrontConfig {
+            pools: driver,
+            deployment,
+            descriptors: sockets,
+            limits,
+            shutdown: course,
+            budgets,
+        } = parts;
         let (idle, newcomers, turn) = (RefCell::default(), Cell::new(0), Cell::new(0));
-        Rc::new(Server { driver, deployment, sockets, limits, course, budgets, idle, newcomers, turn })
+        Rc::new(HttpFront {
+            pools: driver,
+            deployment,
+            descriptors: sockets,
+            limits,
+            shutdown: course,
+            budgets,
+            idle,
+            newcomers,
+            next_turn: turn,
+        })
     }
 
     /// Notes that a connection is between requests, `used` once it has carried one. Its number is to be taken
     /// out when that ends.
-    fn rests(&self, used: bool, close: &Rc<Notify>) -> Option<Place> {
-        self.turn.set(self.turn.get() + 1);
-        let number = (used, self.turn.get());
+    fn mark_idle(&self, used: bool, close: &Rc<Notify>) -> Option<IdleSlot> {
+        self.next_turn.set(self.next_turn.get() + 1);
+        let number = (used, self.next_turn.get());
         self.idle.borrow_mut().insert(number, (Instant::now(), close.clone()));
         self.newcomers.set(self.newcomers.get() + usize::from(!used));
         Some(number)
     }
 
     /// Takes a connection out of those between requests, if it is there still.
-    fn rests_no_more(&self, number: Option<Place>) -> Option<Rc<Notify>> {
+    fn unmark_idle(&self, number: Option<IdleSlot>) -> Option<Rc<Notify>> {
         let number = number?;
         let (_, close) = self.idle.borrow_mut().remove(&number)?;
         self.newcomers.set(self.newcomers.get() - usize::from(!number.0));
@@ -125,22 +142,22 @@
     /// would shut out those that ask: they go first, once what they may have sent had time to be read. And against
     /// waiting for that time while connections rest that nobody has used for long, or that hold nearly all places: each
     /// accept would take as long, and what waits to be accepted grows stale.
-    fn close_one(&self) -> bool {
+    fn evict_idle(&self) -> bool {
         let first = |used| {
             let idle = self.idle.borrow();
             let first = idle.range((used, 0)..=(used, u64::MAX)).next();
             first.map(|(&n, at)| (n, at.0.elapsed()))
         };
-        let few = self.newcomers.get() < self.sockets.callers_most() / NEWCOMERS_FEW;
+        let few = self.newcomers.get() < self.descriptors.max_callers() / FEW_NEWCOMERS_DIVISOR;
         let chosen = match (first(false), first(true)) {
-            (Some((n, age)), _) if age >= NEWCOMER => n,
-            (_, Some((n, rested))) if rested >= RESTED => n,
-            (Some((n, age)), _) if age >= NEWCOMER_LEAST => n,
+            (Some((n, age)), _) if age >= NEWCOMER_GRACE => n,
+            (_, Some((n, rested))) if rested >= IDLE_BEFORE_EVICTION => n,
+            (Some((n, age)), _) if age >= MIN_NEWCOMER_GRACE => n,
             (_, Some((n, _))) if few => n,
             (None, Some((n, _))) => n,
             _ => return false,
         };
-        self.rests_no_more(Some(chosen)).is_some_and(|close| {
+        self.unmark_idle(Some(chosen)).is_some_and(|close| {
             close.notify_one();
             true
         })
@@ -148,24 +165,24 @@
 
     /// Room for one more caller. Guards against idle connections that callers keep shutting others out: what is
     /// written to a connection that waits to be accepted counts as taken, so one between requests makes way.
-    async fn room(&self) -> Option<Places> {
+    async fn acquire_permit(&self) -> Option<CallerPermit> {
         loop {
-            if let Some(places) = self.sockets.caller() {
+            if let Some(places) = self.descriptors.try_caller() {
                 return Some(places);
             }
-            if !self.close_one() && self.sockets.exhausted() {
-                self.driver.free_socket();
+            if !self.evict_idle() && self.descriptors.exhausted() {
+                self.pools.close_oldest_idle();
             }
             // Whoever closes gives its place back; while all are busy, look again a little later.
-            if let Ok(places) = timeout(CROWDED_PAUSE, self.sockets.caller_waits()).await {
+            if let Ok(places) = timeout(EVICTION_RETRY_DELAY, self.descriptors.acquire_caller()).await {
                 return places;
             }
         }
     }
 
     /// Accepts callers until the program closes. Returns once every connection has ended.
-    pub async fn run(self: Rc<Server>, listener: TcpListener) {
-        let (mut course, mut handed, mut failing) = (self.course.clone(), self.course.clone(), false);
+    pub async fn run(self: Rc<HttpFront>, listener: TcpListener) {
+        let (mut course, mut handed, mut failing) = (self.shutdown.clone(), self.shutdown.clone(), false);
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -173,15 +190,15 @@
                 _ = handed.wait_for(|c| c.handed_over) => break,
                 accepted = listener.accept() => accepted,
                 // Only once nobody waits to be accepted: what they have written counts as taken.
-                _ = course.wait_for(|c| c.phase >= Phase::Draining) => break,
+                _ = course.wait_for(|c| c.phase >= ShutdownPhase::Draining) => break,
             };
             match accepted {
                 Ok((stream, _)) => {
                     failing = false;
-                    let Some(places) = self.room().await else { break };
+                    let Some(places) = self.acquire_permit().await else { break };
                     // Without it answers wait for the caller's acknowledgements; where it fails the caller is gone.
                     if stream.set_nodelay(true).is_ok() {
-                        let link = self.welcome(stream);
+                        let link = self.register(stream);
                         tokio::task::spawn_local(self.clone().connection(link, places));
                     }
                 }
@@ -190,46 +207,46 @@
                     if !std::mem::replace(&mut failing, true) {
                         info!("accept: {e}");
                     }
-                    self.close_one();
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    self.evict_idle();
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
         drop(listener);
-        self.sockets.callers_left().await;
+        self.descriptors.wait_for_no_callers().await;
     }
 
     /// Notes a new connection, at once, so that it is the one to make way and not an older one in use.
-    fn welcome(&self, stream: TcpStream) -> Rc<Link> {
-        let link = Rc::new(Link {
-            watch: Watch::new(),
-            stream: Shared::new(stream),
-            close: Rc::new(Notify::new()),
-            place: Cell::new(None),
-            refused: Cell::new(false),
+    fn register(&self, stream: TcpStream) -> Rc<CallerConnection> {
+        let link = Rc::new(CallerConnection {
+            activity: ConnectionActivity::new(),
+            stream: SharedStream::new(stream),
+            evicted: Rc::new(Notify::new()),
+            idle_slot: Cell::new(None),
+            rejected_input: Cell::new(false),
         });
-        link.place.set(self.rests(false, &link.close));
+        link.idle_slot.set(self.mark_idle(false, &link.evicted));
         link
     }
 
-    async fn connection(self: Rc<Server>, link: Rc<Link>, _places: Places) {
+    async fn connection(self: Rc<HttpFront>, link: Rc<CallerConnection>, _places: CallerPermit) {
         let mut stream = link.stream.clone();
         let (server, at) = (self.clone(), link.clone());
         let service = service_fn(move |request| {
             let (server, link) = (server.clone(), at.clone());
             async move {
-                server.rests_no_more(link.place.take());
+                server.unmark_idle(link.idle_slot.take());
                 let response = server.respond(request, &link).await;
-                link.watch.since.set(Instant::now());
-                link.place.set(server.rests(true, &link.close));
+                link.activity.waiting_since.set(Instant::now());
+                link.idle_slot.set(server.mark_idle(true, &link.evicted));
                 Ok::<_, Infallible>(response)
             }
         });
         let head_most = self.limits.get().head;
-        let io = TokioIo::new(Watched::new(stream.clone(), link.watch.clone(), head_most));
+        let io = TokioIo::new(ObservedStream::new(stream.clone(), link.activity.clone(), head_most));
         let connection = http1::Builder::new().max_buf_size(head_most).serve_connection(io, service);
         let mut connection = std::pin::pin!(connection);
-        let mut course = self.course.clone();
+        let mut course = self.shutdown.clone();
         let mut silencing = false;
         loop {
             let mut crowded = false;
@@ -240,66 +257,75 @@
                 // way for a caller that has left ends here, and what waits behind it is not begun.
                 () = link.stream.hung_up() => break,
                 // Nothing is owed, and half a request may be in the way of a graceful end.
-                () = link.overdue(&self.limits) => break,
-                () = link.close.notified() => crowded = true,
-                _ = course.wait_for(|c| c.phase == Phase::Silencing), if !silencing => silencing = true,
+                () = link.wait_timed_out(&self.limits) => break,
+                () = link.evicted.notified() => crowded = true,
+                _ = course.wait_for(|c| c.phase == ShutdownPhase::ClosingIdle), if !silencing => silencing = true,
             }
             // Guards against cutting off a caller that has just connected: it has its time to ask, after a hand-over
             // as before, and nobody else will take what it is about to write.
-            let newcomer = link.watch.given.get() == 0;
+            let newcomer = link.activity.heads_delivered.get() == 0;
             if newcomer && !crowded {
                 continue;
             }
             // What has been written whole to this connection counts as taken, also if nobody has read it yet; half
             // a head on a connection that never asked for anything does not.
-            let half = link.watch.midway.get();
+            let half = link.activity.partial_head.get();
             if half && newcomer {
                 break;
             }
-            if link.place.get().is_some() && !half && stream.quiet() {
+            if link.idle_slot.get().is_some() && !half && stream.quiet() {
                 connection.as_mut().graceful_shutdown();
                 // Guards against callers that never read their answer: no hold on us.
                 let _ = timeout(self.limits.get().flush_wait, connection.as_mut()).await;
                 break;
             }
         }
-        self.rests_no_more(link.place.take());
-        if link.refused.get() {
+        self.unmark_idle(link.idle_slot.take());
+        if link.rejected_input.get() {
             let limits = self.limits.get();
-            let _ = timeout(limits.linger_wait, drain(&mut stream, limits.linger)).await;
+            let _ = timeout(limits.linger_wait, discard_input(&mut stream, limits.linger)).await;
         }
     }
 
-    async fn respond(&self, request: hyper::Request<Incoming>, link: &Link) -> Response<Full<Bytes>> {
-        let watch = &link.watch;
-        watch.given.set(watch.given.get() + 1);
+    async fn respond(
+        &self,
+        request: hyper::Request<Incoming>,
+        link: &CallerConnection,
+    ) -> Response<Full<Bytes>> {
+        let watch = &link.activity;
+        watch.heads_delivered.set(watch.heads_delivered.get() + 1);
         // Guards against requests hidden in the body of another: behind a head that states its length in two
         // ways nothing is read, and behind chunks, whose end the watch does not follow, neither.
-        let ambiguous = watch.ambiguous.get() == Some(watch.given.get());
+        let ambiguous = watch.ambiguous_head.get() == Some(watch.heads_delivered.get());
         let last = ambiguous || request.headers().contains_key(header::TRANSFER_ENCODING);
         let mut response = match request.uri().path() {
-            _ if ambiguous => refuse_input(StatusCode::BAD_REQUEST, "the length is stated in two ways"),
-            READY if self.driver.ready() && self.up() => plain(StatusCode::OK),
-            READY => plain(StatusCode::SERVICE_UNAVAILABLE),
-            path if path == SERVICE || path.starts_with("/api/") => {
-                let due = watch.since.get() + self.limits.get().request_wait;
-                match self.take(request, due, watch).await {
+            _ if ambiguous => reject_input(StatusCode::BAD_REQUEST, "the length is stated in two ways"),
+            READINESS_PATH if self.pools.has_endpoints() && self.is_serving() => {
+                empty_response(StatusCode::OK)
+            }
+            READINESS_PATH => empty_response(StatusCode::SERVICE_UNAVAILABLE),
+            path if path == SERVICE_PATH || path.starts_with("/api/") => {
+                let due = watch.waiting_since.get() + self.limits.get().request_wait;
+                match self.admit(request, due, watch).await {
                     Ok((waiting, told)) => {
-                        let Final { answer, ran, used } = waiting.answer().await;
-                        let harmless = matches!(answer, Answer::Refused { .. }) && !ran;
+                        let FinalAnswer { answer, may_have_run: ran, used } = waiting.answer().await;
+                        let harmless = matches!(answer, Answer::Rejected { .. }) && !ran;
                         let mut response = final_answer(answer);
-                        self.tell(&mut response, told.then_some(used), harmless);
+                        self.add_budget_fields(&mut response, told.then_some(used), harmless);
                         response
                     }
                     Err(response) => response,
                 }
             }
-            _ => plain(StatusCode::NOT_FOUND),
+            _ => empty_response(StatusCode::NOT_FOUND),
         };
-        let refused = response.status().is_client_error() || response.extensions().get::<Unread>().is_some();
-        link.refused.set(refused);
+        let refused =
+            response.status().is_client_error() || response.extensions().get::<BodyNotRead>().is_some();
+        link.rejected_input.set(refused);
         // At the end of the program what has been sent behind this request is still answered.
-        let leaving = self.course.borrow().phase >= Phase::Closing && !watch.more() && link.stream.quiet();
+        let leaving = self.shutdown.borrow().phase >= ShutdownPhase::ClosingConnections
+            && !watch.has_undelivered()
+            && link.stream.quiet();
         if refused || last || leaving {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -308,14 +334,14 @@
 
     /// Whether whoever connects to this address now is served. Guards against a front that meets the old process's
     /// last connections after a hand-over and takes the address for one that is going.
-    fn up(&self) -> bool {
-        let course = *self.course.borrow();
-        course.phase == Phase::Up || course.handed_over
+    fn is_serving(&self) -> bool {
+        let course = *self.shutdown.borrow();
+        course.phase == ShutdownPhase::Serving || course.handed_over
     }
 
     /// Says what was used of a budget, and that nothing ran where that is certain: whoever stands above may then try
     /// elsewhere.
-    fn tell(&self, response: &mut Response<Full<Bytes>>, used: Option<Used>, nothing_ran: bool) {
+    fn add_budget_fields(&self, response: &mut Response<Full<Bytes>>, used: Option<Used>, nothing_ran: bool) {
         let Some(budgets) = &self.budgets else { return };
         if nothing_ran {
             response.headers_mut().insert(DECLINED, HeaderValue::from_static("1"));
@@ -329,63 +355,67 @@
     }
 
     /// What a request may use; or the answer to one that goes no further.
-    fn budget(
+    fn carried_budget(
         &self,
         headers: &HeaderMap,
         patience: f64,
-    ) -> Result<Option<Box<Carried>>, Box<Response<Full<Bytes>>>> {
+    ) -> Result<Option<Box<CarriedBudget>>, Box<Response<Full<Bytes>>>> {
         let Some(budgets) = &self.budgets else { return Ok(None) };
         let all =
             |name: &str| -> Vec<&[u8]> { headers.get_all(name).iter().map(HeaderValue::as_bytes).collect() };
         let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
         let repeated = headers.get(REPEATED).is_some_and(|v| v == "1");
         budgets
-            .carried(Side::Http, (&budget, &path), patience, repeated)
+            .carried(FrontKind::Http, (&budget, &path), patience, repeated)
             .map(|carried| Some(Box::new(carried)))
             .map_err(|why| match why {
-                NotTaken::Bad(bad) => Box::new(refuse_input(StatusCode::BAD_REQUEST, &bad.to_string())),
+                NotTaken::Bad(bad) => Box::new(reject_input(StatusCode::BAD_REQUEST, &bad.to_string())),
                 NotTaken::Refused(why) => {
-                    let mut response = refuse_input(StatusCode::SERVICE_UNAVAILABLE, &why.to_string());
-                    self.tell(&mut response, Some(Used { retries: 0, stop: Some(why.stop()) }), true);
+                    let mut response = reject_input(StatusCode::SERVICE_UNAVAILABLE, &why.to_string());
+                    self.add_budget_fields(
+                        &mut response,
+                        Some(Used { retries: 0, stop: Some(why.stop()) }),
+                        true,
+                    );
                     Box::new(response)
                 }
             })
     }
 
     /// Reads a request whole and hands it to the driver. Whether its caller is told what was used.
-    async fn take(
+    async fn admit(
         &self,
         request: hyper::Request<Incoming>,
         due: Instant,
-        watch: &Watch,
-    ) -> Result<(Taken, bool), Response<Full<Bytes>>> {
-        let (number, first) = (watch.given.get(), watch.first.get());
+        watch: &ConnectionActivity,
+    ) -> Result<(AdmittedRequest, bool), Response<Full<Bytes>>> {
+        let (number, first) = (watch.heads_delivered.get(), watch.head_started.get());
         let (head, body) = request.into_parts();
         let limits = self.limits.get();
-        let bad = |what: &str| refuse_input(StatusCode::BAD_REQUEST, what);
-        let one = |field: &Field| {
+        let bad = |what: &str| reject_input(StatusCode::BAD_REQUEST, what);
+        let one = |field: &RequestField| {
             let mut all = head.headers.get_all(field.header).iter();
             let value = all.next()?.to_str().ok()?;
             all.next().is_none().then_some(value)
         };
-        let given = Given {
-            one: &one,
-            keyed: head.headers.contains_key(KEY.header),
-            get: head.method == hyper::Method::GET,
-            post: head.method == hyper::Method::POST,
+        let given = RequestHead {
+            single_value: &one,
+            has_key: head.headers.contains_key(KEY.header),
+            is_get: head.method == hyper::Method::GET,
+            is_post: head.method == hyper::Method::POST,
         };
         let id_most = limits.request_id;
-        let Class { class, tenant, patience, method } =
+        let Classification { class, tenant, deadline_ms: patience, method } =
             classify(&self.deployment, id_most, &given).map_err(bad)?;
         // Before its body has come: what goes no further is answered at once.
-        let mut budget = self.budget(&head.headers, patience).map_err(|mut response| {
+        let mut budget = self.carried_budget(&head.headers, patience).map_err(|mut response| {
             if !body.is_end_stream() {
-                response.extensions_mut().insert(Unread);
+                response.extensions_mut().insert(BodyNotRead);
             }
             *response
         })?;
         if body.size_hint().lower() > limits.body as u64 {
-            return Err(refuse_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+            return Err(reject_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
         }
         if method == Method::Get && !body.is_end_stream() {
             return Err(bad("GET has no body"));
@@ -393,13 +423,13 @@
         let body = match timeout_at(due, Limited::new(body, limits.body).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                return Err(refuse_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+                return Err(reject_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
             }
             Ok(Err(_)) => return Err(bad("the body is broken")),
-            Err(_) => return Err(refuse_input(StatusCode::REQUEST_TIMEOUT, "the body did not come")),
+            Err(_) => return Err(reject_input(StatusCode::REQUEST_TIMEOUT, "the body did not come")),
         };
         // What it waited here behind others of its connection is part of the time that its caller gave it.
-        let waited = watch.read_whole(number).map_or(Duration::ZERO, |at| at.elapsed());
+        let waited = watch.completed_at(number).map_or(Duration::ZERO, |at| at.elapsed());
         // And with budgets what its way here took, as far as it can be seen: no clock of another machine's is needed for it.
         let waited = if budget.is_some() { waited.max(first.elapsed()) } else { waited };
         let patience = (patience - waited.as_secs_f64() * 1000.0).max(0.0);
@@ -416,14 +446,14 @@
             }
         };
         let request = Request {
-            name: head.headers.get("req-id").map(|id| Bytes::copy_from_slice(id.as_bytes())),
+            id: head.headers.get("req-id").map(|id| Bytes::copy_from_slice(id.as_bytes())),
             method,
             target: head.uri.path_and_query().map_or("/", |p| p.as_str()).into(),
             fields: fields(&head.headers, |name| *name == DEADLINE || own.contains(name)),
             body,
             budget,
-            attempts: None,
-            over: Cell::new(false),
+            max_attempts: None,
+            finished: Cell::new(false),
         };
         // Upstreams get the header, so that a target with a host of its own must say the same.
         let host = || {
@@ -434,75 +464,80 @@
                 _ => None,
             }
         };
-        let asked = Asked {
+        let asked = RequestAttributes {
             front: 0,
             method: usize::from(method == Method::Post),
             host: &host,
             target: head.uri.path_and_query().map_or("/", |p| p.as_str()),
             key: &|| head.headers.get(KEY.header).map(HeaderValue::as_bytes),
-            id: &|| head.headers.get("req-id").map_or(b"", |id| id.as_bytes()),
+            request_id: &|| head.headers.get("req-id").map_or(b"", |id| id.as_bytes()),
             headers: &|name| head.headers.get_all(name).iter().map(HeaderValue::as_bytes).collect(),
         };
-        let taken = self.driver.take(&asked, class, tenant, patience, request);
+        let taken = self.pools.admit(&asked, class, tenant, patience, request);
         taken.map(|taken| (taken, told)).map_err(|turned| {
             let refused = |pause: Duration, why: &str| {
                 let mut response =
-                    final_answer(Answer::Refused { retry_after: pause.as_secs_f64() * 1000.0 });
+                    final_answer(Answer::Rejected { retry_after: pause.as_secs_f64() * 1000.0 });
                 if !why.is_empty() {
                     *response.body_mut() = Full::new(Bytes::from(format!("{why}\n")));
                 }
-                self.tell(&mut response, None, true);
+                self.add_budget_fields(&mut response, None, true);
                 response
             };
             match turned {
-                Turned::Untaken(Untaken::Full) => refused(limits.full_pause, ""),
-                Turned::Untaken(Untaken::Known) => {
-                    refuse_input(StatusCode::CONFLICT, "a request with this Req-Id is open")
+                RoutingError::NotAdmitted(AdmissionError::TooManyOpen) => refused(limits.full_pause, ""),
+                RoutingError::NotAdmitted(AdmissionError::DuplicateId) => {
+                    reject_input(StatusCode::CONFLICT, "a request with this Req-Id is open")
                 }
-                Turned::Unclear(why) => bad(why),
-                Turned::NoRoute => refuse_input(StatusCode::NOT_FOUND, "there is no route for it"),
-                Turned::Refused(why) => refused(Duration::ZERO, &why),
-                Turned::Moving(left) => refused(left, "its club is being moved"),
+                RoutingError::Ambiguous(why) => bad(why),
+                RoutingError::NoRoute => reject_input(StatusCode::NOT_FOUND, "there is no route for it"),
+                RoutingError::Rejected(why) => refused(Duration::ZERO, &why),
+                RoutingError::Migrating(left) => refused(left, "its club is being moved"),
             }
         })
     }
 }
 
 /// One caller's connection, as its task and its requests see it.
-struct Link {
-    watch: Rc<Watch>,
-    stream: Shared,
+struct CallerConnection {
+    activity: Rc<ConnectionActivity>,
+    stream: SharedStream,
     /// Told when it is to make way for another.
-    close: Rc<Notify>,
+    evicted: Rc<Notify>,
     /// Its number while it is between requests.
-    place: Cell<Option<Place>>,
+    idle_slot: Cell<Option<IdleSlot>>,
     /// Whether its last answer turned bad input away.
-    refused: Cell<bool>,
+    rejected_input: Cell<bool>,
 }
 
-impl Link {
+impl CallerConnection {
     /// Returns once the caller has been waited for long enough.
-    async fn overdue(&self, limits: &LiveConfig<Limits>) {
-        let watch = &self.watch;
+    async fn wait_timed_out(&self, limits: &LiveConfig<Limits>) {
+        let watch = &self.activity;
         loop {
             let now = Instant::now();
-            let waiting = self.place.get().is_some();
+            let waiting = self.idle_slot.get().is_some();
             let limits = limits.get();
-            let rests = watch.given.get() > 0 && !watch.midway.get();
+            let rests = watch.heads_delivered.get() > 0 && !watch.partial_head.get();
             let most = if rests { limits.idle_wait } else { limits.request_wait };
-            let due = watch.since.get() + most;
+            let due = watch.waiting_since.get() + most;
             if waiting && now >= due {
                 return;
             }
             // Half a head may come at any time, so that the next look is never far.
-            sleep_until(if waiting { due.min(now + LOOK) } else { now + LOOK }).await;
+            sleep_until(if waiting {
+                due.min(now + DEADLINE_CHECK_INTERVAL)
+            } else {
+                now + DEADLINE_CHECK_INTERVAL
+            })
+            .await;
         }
     }
 }
 
 /// Reads what still comes, to throw it away.
-async fn drain(stream: &mut Shared, mut most: usize) {
-    let mut buffer = vec![0; DRAIN_STEP];
+async fn discard_input(stream: &mut SharedStream, mut most: usize) {
+    let mut buffer = vec![0; DISCARD_CHUNK_BYTES];
     while most > 0 {
         match stream.read(&mut buffer).await {
             Ok(n) if n > 0 => most = most.saturating_sub(n),
@@ -511,13 +546,13 @@
     }
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-fn refuse_input(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
+fn reject_input(status: StatusCode, what: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{what}\n"))));
     *response.status_mut() = status;
     response
@@ -530,8 +565,8 @@
             *response.headers_mut() = headers(&fields);
             response
         }
-        Answer::Refused { retry_after } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+        Answer::Rejected { retry_after } => {
+            let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
             if retry_after > 0.0 {
                 // Digits and a point only, so this cannot fail.
                 if let Ok(after) = HeaderValue::try_from(format!("{:.3}", retry_after / 1000.0)) {
@@ -540,10 +575,10 @@
             }
             response
         }
-        Answer::Unusable(status) => {
+        Answer::ClientError(status) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
-            refuse_input(status, "turned away by the service")
+            reject_input(status, "turned away by the service")
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
+        Answer::Failed => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
--- a/crates/herondock/src/front/mod.rs
+++ b/crates/herondock/src/front/mod.rs
@@ -2,33 +2,33 @@
 mod classify;
 pub mod fastcgi;
 pub mod http;
-mod watched;
+mod observed_stream;
 
 /// How far the end of the program has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// Serving.
-    Up,
+    Serving,
     /// Told to end: new connections are still accepted, and kept ones go on being served.
-    Leaving,
+    Announced,
     /// No connection is accepted any more, once nobody waits to be; those that there are go on being served.
     Draining,
     /// Connections end with their next answer.
-    Closing,
+    ClosingConnections,
     /// And those that are between requests are closed.
-    Silencing,
+    ClosingIdle,
 }
 
 /// What a front is told of the end of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Course {
+pub struct ShutdownProgress {
     /// How far it has come.
-    pub phase: Phase,
+    pub phase: ShutdownPhase,
     /// Those that wait to be accepted are another process's, which serves at the same address.
     pub handed_over: bool,
 }
 
-impl Course {
+impl ShutdownProgress {
     /// At the beginning.
-    pub const UP: Course = Course { phase: Phase::Up, handed_over: false };
+    pub const UP: ShutdownProgress = ShutdownProgress { phase: ShutdownPhase::Serving, handed_over: false };
 }
--- a/crates/herondock/src/front/watched.rs
+++ b/crates/herondock/src/front/observed_stream.rs
@@ -1,6 +1,6 @@
 //! What callers' bytes tell before hyper has them: hyper drops `Content-Length` beside `Transfer-Encoding`, and
 //! does not tell of half a head.
-use crate::stream::Shared;
+use crate::stream::SharedStream;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -11,45 +11,45 @@
 use tokio::time::Instant;
 
 /// Room for a usual head, which is kept for each connection.
-const HEAD_USUAL: usize = 512;
+const TYPICAL_HEAD_BYTES: usize = 512;
 
 /// What a caller's bytes have told.
-pub struct Watch {
+pub struct ConnectionActivity {
     /// Whole heads read.
-    pub heads: Cell<u64>,
+    pub heads_read: Cell<u64>,
     /// Of these, those that the service has been given.
-    pub given: Cell<u64>,
+    pub heads_delivered: Cell<u64>,
     /// Whether part of a head has been read.
-    pub midway: Cell<bool>,
+    pub partial_head: Cell<bool>,
     /// Since when the caller is waited for: its connection, the first byte of a head, or the last answer.
-    pub since: Cell<Instant>,
+    pub waiting_since: Cell<Instant>,
     /// When the first byte of the last head came.
-    pub first: Cell<Instant>,
+    pub head_started: Cell<Instant>,
     /// Requests that were read whole and that nobody has asked about yet, by number from 1, and when. Bounded by what hyper
     /// reads ahead.
-    whole: RefCell<VecDeque<(u64, Instant)>>,
+    complete_requests: RefCell<VecDeque<(u64, Instant)>>,
     /// The head, by number from 1, whose body has no one end: it states its length in two ways.
-    pub ambiguous: Cell<Option<u64>>,
+    pub ambiguous_head: Cell<Option<u64>>,
 }
 
-impl Watch {
+impl ConnectionActivity {
     /// Begins with the connection.
-    pub fn new() -> Rc<Watch> {
-        Rc::new(Watch {
-            heads: Cell::new(0),
-            given: Cell::new(0),
-            midway: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            first: Cell::new(Instant::now()),
-            whole: RefCell::default(),
-            ambiguous: Cell::new(None),
+    pub fn new() -> Rc<ConnectionActivity> {
+        Rc::new(ConnectionActivity {
+            heads_read: Cell::new(0),
+            heads_delivered: Cell::new(0),
+            partial_head: Cell::new(false),
+            waiting_since: Cell::new(Instant::now()),
+            head_started: Cell::new(Instant::now()),
+            complete_requests: RefCell::default(),
+            ambiguous_head: Cell::new(None),
         })
     }
 
     /// When the request with this number had been read whole: its caller's time counts from then, not from when those before it
     /// on the connection were answered. `None`: where its end is not followed. Numbers must not go back.
-    pub fn read_whole(&self, number: u64) -> Option<Instant> {
-        let mut whole = self.whole.borrow_mut();
+    pub fn completed_at(&self, number: u64) -> Option<Instant> {
+        let mut whole = self.complete_requests.borrow_mut();
         while whole.front().is_some_and(|&(n, _)| n < number) {
             whole.pop_front();
         }
@@ -57,106 +57,116 @@
     }
 
     /// Whether more has been read than the service has been given.
-    pub fn more(&self) -> bool {
-        self.midway.get() || self.heads.get() > self.given.get()
+    pub fn has_undelivered(&self) -> bool {
+        self.partial_head.get() || self.heads_read.get() > self.heads_delivered.get()
     }
 }
 
-enum At {
+enum FramePosition {
     /// Within a head, or before one.
     Head,
     /// Within a body with this much to come.
     Body(u64),
     /// Behind a head after which the connection closes, or that hyper refuses.
-    Lost,
+    Untracked,
 }
 
 /// A caller's stream, watched while it is read.
-pub struct Watched {
-    stream: Shared,
-    watch: Rc<Watch>,
+pub struct ObservedStream {
+    stream: SharedStream,
+    activity: Rc<ConnectionActivity>,
     head: Vec<u8>,
     /// Largest head; hyper turns away more.
-    head_most: usize,
-    at: At,
+    max_head_bytes: usize,
+    position: FramePosition,
 }
 
-impl Watched {
+impl ObservedStream {
     /// Watches a new stream, whose heads hold at most `head_most` bytes.
-    pub fn new(stream: Shared, watch: Rc<Watch>, head_most: usize) -> Watched {
-        Watched { stream, watch, head: Vec::new(), head_most, at: At::Head }
+    pub fn new(stream: SharedStream, watch: Rc<ConnectionActivity>, head_most: usize) -> ObservedStream {
+        ObservedStream {
+            stream,
+            activity: watch,
+            head: Vec::new(),
+            max_head_bytes: head_most,
+            position: FramePosition::Head,
+        }
     }
 
-    fn saw(&mut self, mut bytes: &[u8]) {
+    fn observe(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.at {
-                At::Lost => return,
-                At::Body(left) => {
+            match self.position {
+                FramePosition::Untracked => return,
+                FramePosition::Body(left) => {
                     let n = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
                     bytes = &bytes[n..];
-                    self.at = if left > n as u64 { At::Body(left - n as u64) } else { self.whole() };
+                    self.position =
+                        if left > n as u64 { FramePosition::Body(left - n as u64) } else { self.whole() };
                 }
-                At::Head => bytes = self.saw_head(bytes),
+                FramePosition::Head => bytes = self.observe_head(bytes),
             }
         }
-        self.watch.midway.set(!self.head.is_empty());
+        self.activity.partial_head.set(!self.head.is_empty());
     }
 
     /// The last byte of a request has been read.
-    fn whole(&self) -> At {
-        self.watch.whole.borrow_mut().push_back((self.watch.heads.get(), Instant::now()));
-        At::Head
+    fn whole(&self) -> FramePosition {
+        self.activity
+            .complete_requests
+            .borrow_mut()
+            .push_back((self.activity.heads_read.get(), Instant::now()));
+        FramePosition::Head
     }
 
     /// Takes what belongs to the head and returns what is behind it.
-    fn saw_head<'a>(&mut self, mut bytes: &'a [u8]) -> &'a [u8] {
+    fn observe_head<'a>(&mut self, mut bytes: &'a [u8]) -> &'a [u8] {
         if self.head.is_empty() {
             // Empty lines before a request are allowed.
             let blank = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
             bytes = &bytes[blank..];
             if !bytes.is_empty() {
                 let now = Instant::now();
-                self.watch.first.set(now);
-                if self.watch.given.get() > 0 {
-                    self.watch.since.set(now);
+                self.activity.head_started.set(now);
+                if self.activity.heads_delivered.get() > 0 {
+                    self.activity.waiting_since.set(now);
                 }
             }
         }
         if self.head.capacity() == 0 && !bytes.is_empty() {
-            self.head.reserve(HEAD_USUAL);
+            self.head.reserve(TYPICAL_HEAD_BYTES);
         }
         while let Some(end) = bytes.iter().position(|&b| b == b'\n') {
             let (line, rest) = bytes.split_at(end + 1);
             self.head.extend_from_slice(line);
             bytes = rest;
             if self.head.ends_with(b"\n\r\n") || self.head.ends_with(b"\n\n") {
-                self.watch.heads.set(self.watch.heads.get() + 1);
-                self.at = match framing(&self.head) {
-                    Ok(At::Body(0)) => self.whole(),
+                self.activity.heads_read.set(self.activity.heads_read.get() + 1);
+                self.position = match framing(&self.head) {
+                    Ok(FramePosition::Body(0)) => self.whole(),
                     Ok(at) => at,
-                    Err(Ambiguous) => {
-                        self.watch.ambiguous.set(Some(self.watch.heads.get()));
-                        At::Lost
+                    Err(AmbiguousLength) => {
+                        self.activity.ambiguous_head.set(Some(self.activity.heads_read.get()));
+                        FramePosition::Untracked
                     }
                 };
                 // Kept for the next head, unless this one was large.
                 self.head.clear();
-                self.head.shrink_to(HEAD_USUAL);
+                self.head.shrink_to(TYPICAL_HEAD_BYTES);
                 return bytes;
             }
         }
         self.head.extend_from_slice(bytes);
-        if self.head.len() > self.head_most {
-            (self.head, self.at) = (Vec::new(), At::Lost);
+        if self.head.len() > self.max_head_bytes {
+            (self.head, self.position) = (Vec::new(), FramePosition::Untracked);
         }
         &[]
     }
 }
 
-struct Ambiguous;
+struct AmbiguousLength;
 
 /// Where the bytes behind a head belong.
-fn framing(head: &[u8]) -> Result<At, Ambiguous> {
+fn framing(head: &[u8]) -> Result<FramePosition, AmbiguousLength> {
     let (mut lengths, mut codings) = (0, 0);
     let mut length = Some(0);
     for line in head.split(|&b| b == b'\n') {
@@ -172,13 +182,13 @@
         }
     }
     match (lengths, codings) {
-        (0 | 1, 0) => Ok(length.map_or(At::Lost, At::Body)),
-        (0, 1) => Ok(At::Lost),
-        _ => Err(Ambiguous),
+        (0 | 1, 0) => Ok(length.map_or(FramePosition::Untracked, FramePosition::Body)),
+        (0, 1) => Ok(FramePosition::Untracked),
+        _ => Err(AmbiguousLength),
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -186,12 +196,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.saw(&buf.filled()[before..]);
+        self.observe(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -223,9 +233,9 @@
 
     fn kind(head: &str) -> String {
         match framing(head.as_bytes()) {
-            Ok(At::Body(n)) => n.to_string(),
+            Ok(FramePosition::Body(n)) => n.to_string(),
             Ok(_) => "lost".into(),
-            Err(Ambiguous) => "ambiguous".into(),
+            Err(AmbiguousLength) => "ambiguous".into(),
         }
     }
 
--- a/crates/herondock/src/listener_handoff/protocol.rs
+++ b/crates/herondock/src/listener_handoff/protocol.rs
@@ -31,13 +31,13 @@
 use tokio::time::timeout;
 
 /// Longest line of the exchange.
-const LINE_MOST: u64 = 256;
+const MAX_LINE_BYTES: u64 = 256;
 /// Most that goes along with the sockets.
-const ALONG_MOST: usize = 64 << 20;
+const MAX_STATE_BYTES: usize = 64 << 20;
 /// How long one side waits for the next step of the other that takes no time of its own.
-const STEP: Duration = Duration::from_secs(5);
+const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Most listeners that are passed on.
-const LISTENERS_MOST: usize = 65;
+const MAX_LISTENERS: usize = 65;
 
 /// The side of the process that holds the socket.
 pub struct HandoffListener(UnixListener);
@@ -52,9 +52,9 @@
 /// What somebody wants who has connected.
 pub enum HandoffRequest {
     /// The sockets.
-    Sockets(Successor),
+    Listeners(Successor),
     /// The members, as JSON.
-    Members(EndpointsQuery),
+    Endpoints(EndpointsQuery),
 }
 
 /// Whoever asks for members.
@@ -65,8 +65,8 @@
     pub async fn answer(mut self, view: Vec<u8>) {
         // It may have gone already.
         let head = format!("view {}\n", view.len());
-        let _ = timeout(STEP, self.0.write_all(head.as_bytes())).await;
-        let _ = timeout(STEP, self.0.write_all(&view)).await;
+        let _ = timeout(STEP_TIMEOUT, self.0.write_all(head.as_bytes())).await;
+        let _ = timeout(STEP_TIMEOUT, self.0.write_all(&view)).await;
     }
 }
 
@@ -74,18 +74,18 @@
 ///
 /// # Errors
 /// Nobody listens there, or it does not keep to the exchange.
-pub async fn members(path: &Path) -> Result<Vec<u8>, String> {
+pub async fn request_endpoints(path: &Path) -> Result<Vec<u8>, String> {
     let asked = async {
         let mut stream = BufReader::new(UnixStream::connect(path).await?);
         stream.write_all(b"members 1\n").await?;
         let head = line(&mut stream).await?;
         let length = head.strip_prefix("view ").and_then(|n| n.parse::<usize>().ok());
-        let length = length.filter(|&n| n <= ALONG_MOST);
+        let length = length.filter(|&n| n <= MAX_STATE_BYTES);
         let mut view = vec![0; length.ok_or_else(|| io::Error::other(format!("it said {head:?}")))?];
         stream.read_exact(&mut view).await?;
         Ok::<_, io::Error>(view)
     };
-    let asked = timeout(STEP, asked).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
+    let asked = timeout(STEP_TIMEOUT, asked).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
     asked.map_err(|e| format!("daemon.takeover: {}: {e}", path.display()))
 }
 
@@ -119,12 +119,12 @@
                 continue;
             }
             let mut stream = BufReader::new(stream);
-            if let Ok(Ok(line)) = timeout(STEP, line(&mut stream)).await {
+            if let Ok(Ok(line)) = timeout(STEP_TIMEOUT, line(&mut stream)).await {
                 if let Some(name) = line.strip_prefix("take-over 1 ") {
-                    return HandoffRequest::Sockets(Successor { name: name.into(), stream });
+                    return HandoffRequest::Listeners(Successor { name: name.into(), stream });
                 }
                 if line == "members 1" {
-                    return HandoffRequest::Members(EndpointsQuery(stream));
+                    return HandoffRequest::Endpoints(EndpointsQuery(stream));
                 }
                 let _ = stream.write_all(b"refused this is version 1\n").await;
             }
@@ -134,47 +134,47 @@
 
 impl Successor {
     /// Turns it away.
-    pub async fn refuse(mut self, why: &str) {
+    pub async fn reject(mut self, why: &str) {
         // It may have gone already.
-        let _ = timeout(STEP, self.stream.write_all(format!("refused {why}\n").as_bytes())).await;
+        let _ = timeout(STEP_TIMEOUT, self.stream.write_all(format!("refused {why}\n").as_bytes())).await;
     }
 
     /// Passes the listeners on, that of the platform's callers first, and waits until the other could serve.
     ///
     /// # Errors
     /// It broke off, or took too long to read; or there are too many listeners.
-    pub async fn pass(mut self, listeners: Vec<OwnedFd>, along: &[u8]) -> io::Result<Claimant> {
+    pub async fn hand_off(mut self, listeners: Vec<OwnedFd>, along: &[u8]) -> io::Result<ReadySuccessor> {
         let head = format!("sockets {}\n", along.len());
-        timeout(STEP, send(self.stream.get_ref(), head.as_bytes(), &listeners)).await??;
+        timeout(STEP_TIMEOUT, send(self.stream.get_ref(), head.as_bytes(), &listeners)).await??;
         // Whoever holds them keeps them open.
         drop(listeners);
-        timeout(STEP, self.stream.write_all(along)).await??;
+        timeout(STEP_TIMEOUT, self.stream.write_all(along)).await??;
         match line(&mut self.stream).await?.as_str() {
-            "ready" => Ok(Claimant(self.stream)),
+            "ready" => Ok(ReadySuccessor(self.stream)),
             other => Err(io::Error::other(format!("it said {other:?}"))),
         }
     }
 }
 
 /// A process that could serve, and waits to be told to.
-pub struct Claimant(BufReader<UnixStream>);
+pub struct ReadySuccessor(BufReader<UnixStream>);
 
-impl Claimant {
+impl ReadySuccessor {
     /// Tells it to accept.
     pub async fn release(mut self) {
         // If it has gone, whoever starts next finds the sockets closed, as after any end.
-        let _ = timeout(STEP, self.0.write_all(b"released\n")).await;
+        let _ = timeout(STEP_TIMEOUT, self.0.write_all(b"released\n")).await;
     }
 }
 
 /// What a new process got.
-pub struct Taken {
+pub struct ReceivedListeners {
     /// The listener; the old process accepts on it still.
     pub listener: TcpListener,
     /// Those of other fronts.
-    pub others: Vec<OwnedFd>,
+    pub other_fronts: Vec<OwnedFd>,
     /// What went along.
-    pub along: Vec<u8>,
+    pub state: Vec<u8>,
     stream: BufReader<UnixStream>,
 }
 
@@ -182,7 +182,7 @@
 ///
 /// # Errors
 /// It refuses, breaks off, or does not keep to the exchange.
-pub async fn ask(path: &Path, name: &str) -> Result<Option<Taken>, String> {
+pub async fn request_listeners(path: &Path, name: &str) -> Result<Option<ReceivedListeners>, String> {
     let fault = |e: io::Error| format!("daemon.takeover: {}: {e}", path.display());
     let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
@@ -196,7 +196,7 @@
         let (head, passed) = receive(stream.get_ref()).await?;
         let mut words = head.splitn(2, ' ');
         let length = match (words.next(), words.next().unwrap_or("")) {
-            (Some("sockets"), length) => length.parse::<usize>().ok().filter(|&n| n <= ALONG_MOST),
+            (Some("sockets"), length) => length.parse::<usize>().ok().filter(|&n| n <= MAX_STATE_BYTES),
             (Some("refused"), why) => return Err(io::Error::other(format!("refused: {why}"))),
             _ => None,
         };
@@ -205,15 +205,24 @@
         let listener = passed.next().ok_or_else(|| io::Error::other("no socket came"))?;
         let mut along = vec![0; length];
         stream.read_exact(&mut along).await?;
-        Ok(Taken { listener: TcpListener::from(listener), others: passed.collect(), along, stream })
+        Ok(ReceivedListeners {
+            listener: TcpListener::from(listener),
+            other_fronts: passed.collect(),
+            state: along,
+            stream,
+        })
     };
-    timeout(STEP, asked).await.map_err(|_| fault(ErrorKind::TimedOut.into()))?.map(Some).map_err(fault)
+    timeout(STEP_TIMEOUT, asked)
+        .await
+        .map_err(|_| fault(ErrorKind::TimedOut.into()))?
+        .map(Some)
+        .map_err(fault)
 }
 
-impl Taken {
+impl ReceivedListeners {
     /// Waits until the listener is this process's own. Once `ready` ends, the old process is told so; it may also end
     /// before, which leaves the listener as well.
-    pub async fn released(mut self, ready: impl std::future::Future<Output = ()>) {
+    pub async fn wait_until_released(mut self, ready: impl std::future::Future<Output = ()>) {
         let mut ready = std::pin::pin!(ready);
         let mut told = false;
         loop {
@@ -232,7 +241,7 @@
 
 async fn line(stream: &mut BufReader<UnixStream>) -> io::Result<String> {
     let mut text = String::new();
-    stream.take(LINE_MOST).read_line(&mut text).await?;
+    stream.take(MAX_LINE_BYTES).read_line(&mut text).await?;
     match text.strip_suffix('\n') {
         Some(line) => Ok(line.into()),
         None => Err(ErrorKind::UnexpectedEof.into()),
@@ -243,7 +252,7 @@
 async fn send(stream: &UnixStream, text: &[u8], listeners: &[OwnedFd]) -> io::Result<()> {
     stream
         .async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS_MOST))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
             let passed: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
             if !control.push(SendAncillaryMessage::ScmRights(&passed)) {
@@ -263,10 +272,10 @@
 /// Reads a line byte by byte, so that nothing behind it is taken, and the descriptors that came with it.
 async fn receive(stream: &UnixStream) -> io::Result<(String, Vec<OwnedFd>)> {
     let (mut text, mut passed) = (Vec::new(), Vec::new());
-    while text.last() != Some(&b'\n') && (text.len() as u64) < LINE_MOST {
+    while text.last() != Some(&b'\n') && (text.len() as u64) < MAX_LINE_BYTES {
         let byte = stream
             .async_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS_MOST))];
+                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
                 let mut control = RecvAncillaryBuffer::new(&mut space);
                 let mut byte = [0];
                 let got = recvmsg(
--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -6,19 +6,21 @@
 use serde::{Deserialize, Serialize};
 
 /// What a source told longer ago, in milliseconds, is not taken: asking anew is better than going by it.
-const AGE_MOST: f64 = 60_000.0;
+const MAX_AGE_MS: f64 = 60_000.0;
 
 /// What goes along.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransferredState {
     /// Tells the settings apart that the rest is meant for.
-    settings: u64,
-    view: EndpointCache,
-    learned: Figures,
+    #[serde(rename = "settings")]
+    settings_fingerprint: u64,
+    #[serde(rename = "view")]
+    endpoints: EndpointCache,
+    learned: LearnedCapacity,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Figures {
+struct LearnedCapacity {
     capacity: f64,
     peak: f64,
     unloaded: f64,
@@ -29,30 +31,36 @@
     /// Gathers it.
     pub fn new(settings: u64, view: EndpointCache, learned: Learned) -> TransferredState {
         let Learned { capacity, peak, unloaded, demands } = learned;
-        TransferredState { settings, view, learned: Figures { capacity, peak, unloaded, demands } }
+        TransferredState {
+            settings_fingerprint: settings,
+            endpoints: view,
+            learned: LearnedCapacity { capacity, peak, unloaded, demands },
+        }
     }
 
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Numbers and texts only: this can't fail, and without it the successor starts like any other.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
     /// From bytes, for a process with these settings. `None`: it is for other settings, or nothing that can be read.
-    pub fn read(bytes: &[u8], settings: u64) -> Option<TransferredState> {
-        serde_json::from_slice::<TransferredState>(bytes).ok().filter(|along| along.settings == settings)
+    pub fn decode(bytes: &[u8], settings: u64) -> Option<TransferredState> {
+        serde_json::from_slice::<TransferredState>(bytes)
+            .ok()
+            .filter(|along| along.settings_fingerprint == settings)
     }
 
     /// The view, at this Unix time in milliseconds, without what is too old; `None`: nothing is left of it.
-    pub fn view(self, now: f64) -> Option<EndpointCache> {
-        let mut view = self.view;
-        view.prune(now, AGE_MOST);
+    pub fn endpoints(self, now: f64) -> Option<EndpointCache> {
+        let mut view = self.endpoints;
+        view.prune(now, MAX_AGE_MS);
         (!view.reports.is_empty()).then_some(view)
     }
 
     /// What was learned; the module checks it.
     pub fn learned(&self) -> Learned {
-        let Figures { capacity, peak, unloaded, ref demands } = self.learned;
+        let LearnedCapacity { capacity, peak, unloaded, ref demands } = self.learned;
         Learned { capacity, peak, unloaded, demands: demands.clone() }
     }
 }
@@ -77,18 +85,24 @@
     #[test]
     fn what_goes_along_arrives_as_it_was() {
         let learned = Learned { capacity: 12.5, peak: 9.0, unloaded: 80.0, demands: vec![1.0, 0.0] };
-        let bytes = TransferredState::new(5, view(), learned.clone()).write();
-        let along = TransferredState::read(&bytes, 5).expect("for these settings");
+        let bytes = TransferredState::new(5, view(), learned.clone()).encode();
+        let along = TransferredState::decode(&bytes, 5).expect("for these settings");
         assert_eq!(along.learned(), learned);
-        assert_eq!(along.view(2000.0), Some(view()));
+        assert_eq!(along.endpoints(2000.0), Some(view()));
     }
 
     /// Guards against going by positions that mean something else, by an old list, and against garbage.
     #[test]
     fn what_is_not_fitting_is_left() {
-        let bytes = TransferredState::new(5, view(), Learned::default()).write();
-        assert!(TransferredState::read(&bytes, 6).is_none(), "other settings");
-        assert!(TransferredState::read(&bytes[1..], 5).is_none() && TransferredState::read(b"", 5).is_none());
-        assert_eq!(TransferredState::read(&bytes, 5).and_then(|along| along.view(61_001.0)), None, "too old");
+        let bytes = TransferredState::new(5, view(), Learned::default()).encode();
+        assert!(TransferredState::decode(&bytes, 6).is_none(), "other settings");
+        assert!(
+            TransferredState::decode(&bytes[1..], 5).is_none() && TransferredState::decode(b"", 5).is_none()
+        );
+        assert_eq!(
+            TransferredState::decode(&bytes, 5).and_then(|along| along.endpoints(61_001.0)),
+            None,
+            "too old"
+        );
     }
 }
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 /// Largest configuration that is read; its list of upstreams is the most of it.
-const FILE_MOST: u64 = 16 << 20;
+const MAX_FILE_BYTES: u64 = 16 << 20;
 /// Descriptors where the configuration states no limit.
-const SOCKETS: usize = 1024;
+const DEFAULT_DESCRIPTORS: usize = 1024;
 /// Fewer descriptors than this leave no room for callers and upstreams.
-const SOCKETS_LEAST: usize = 64;
+const MIN_DESCRIPTORS: usize = 64;
 
 #[derive(Deserialize)]
-struct File {
+struct RawNodeConfig {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -62,7 +62,7 @@
 /// Reads a file.
 pub fn read(path: &Path) -> Result<Config, String> {
     let named = |what: String| format!("{}: {what}", path.display());
-    let text = read_whole(path, FILE_MOST).map_err(named)?;
+    let text = read_whole(path, MAX_FILE_BYTES).map_err(named)?;
     Config::parse(&text).map_err(named)
 }
 
@@ -70,7 +70,7 @@
     /// Reads a configuration.
     pub fn parse(json: &[u8]) -> Result<Config, String> {
         let mut json = serde_json::Deserializer::from_slice(json);
-        let file: File =
+        let file: RawNodeConfig =
             serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
                 path if path == "." => e.inner().to_string(),
                 path => format!("{path}: {}", e.inner()),
@@ -86,9 +86,9 @@
         }
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| format!("seed: {:?} is no hexadecimal number of 64 bits", file.seed))?;
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS);
-        if sockets < SOCKETS_LEAST {
-            return Err(format!("limits.sockets: must be at least {SOCKETS_LEAST}"));
+        let sockets = file.limits.sockets.unwrap_or(DEFAULT_DESCRIPTORS);
+        if sockets < MIN_DESCRIPTORS {
+            return Err(format!("limits.sockets: must be at least {MIN_DESCRIPTORS}"));
         }
         let known = file.known.as_ref().map(|k| k.get()).filter(|k| *k != "null");
         let known = known.map(|known| platform::read(known.as_bytes()).map_err(|e| format!("known: {e}")));
@@ -100,7 +100,7 @@
 }
 
 /// What the settings say of discovery.
-pub fn terms(deployment: &Deployment) -> StalenessSettings {
+pub fn staleness_settings(deployment: &Deployment) -> StalenessSettings {
     StalenessSettings {
         pushed: !deployment.policy.ask_for_list,
         drain_grace: Duration::from_secs_f64(deployment.drain_grace.clamp(0.0, 60_000.0) / 1000.0),
--- a/crates/herondock/src/request_budgets.rs
+++ b/crates/herondock/src/request_budgets.rs
@@ -1,5 +1,5 @@
 //! Budgets as this program reads them: what the operator's file allows, the pool's mark, and what is said of loops.
-use crate::exchange::Carried;
+use crate::exchange::CarriedBudget;
 use config::request_budget::{BudgetTable, FieldNames};
 use request_budget::log_throttle::LogThrottle;
 use request_budget::path::{HopMarker, Path};
@@ -12,11 +12,11 @@
 use tracing::info;
 
 /// Largest file with a secret, in bytes.
-const SECRET_MOST: u64 = 4096;
+const MAX_SECRET_BYTES: u64 = 4096;
 
 /// Which front a request came in by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum FrontKind {
     /// HTTP.
     Http,
     /// FastCGI.
@@ -24,7 +24,7 @@
 }
 
 /// Budgets, where the operator's file turns them on.
-pub struct Budgets {
+pub struct BudgetPolicy {
     bounds: Bounds,
     mark: HopMarker,
     /// The fields.
@@ -35,21 +35,23 @@
     start: Instant,
 }
 
-impl Budgets {
+impl BudgetPolicy {
     /// `None`: they are off.
     ///
     /// # Errors
     /// The secret can't be read.
-    pub fn of(table: &BudgetTable, tier: u32) -> Result<Option<Rc<Budgets>>, String> {
+    pub fn of(table: &BudgetTable, tier: u32) -> Result<Option<Rc<BudgetPolicy>>, String> {
         let Some(pool) = &table.pool else { return Ok(None) };
         // Several tiers may share a file.
         let pool = pool.replace("{tier}", &tier.to_string());
         let mut secret = Vec::new();
         if let Some(path) = &table.secret_file {
             let fault = |e| format!("budget.secret_file: {}: {e}", path.display());
-            File::open(path).and_then(|f| f.take(SECRET_MOST).read_to_end(&mut secret)).map_err(fault)?;
+            File::open(path)
+                .and_then(|f| f.take(MAX_SECRET_BYTES).read_to_end(&mut secret))
+                .map_err(fault)?;
         }
-        Ok(Some(Rc::new(Budgets {
+        Ok(Some(Rc::new(BudgetPolicy {
             bounds: Bounds { retries: table.retries, hops: table.hops, repeat_worth: table.repeat_worth },
             mark: HopMarker::new(secret.trim_ascii(), &pool),
             names: Rc::new(table.names.clone()),
@@ -66,18 +68,18 @@
     /// Why it is not taken. A loop is said in the log, once for each place that it comes from.
     pub fn carried(
         &self,
-        side: Side,
+        side: FrontKind,
         (budget, path): (&[&[u8]], &[&[u8]]),
         patience: f64,
         repeated: bool,
-    ) -> Result<Carried, BudgetRejection> {
+    ) -> Result<CarriedBudget, BudgetRejection> {
         let trusted = match side {
-            Side::Http => self.trust_http,
-            Side::FastCgi => self.trust_fastcgi,
+            FrontKind::Http => self.trust_http,
+            FrontKind::FastCgi => self.trust_fastcgi,
         };
         let given = IncomingFields { budget, path, patience, repeated, trusted };
         match Budget::of(&given, &self.bounds, &self.mark) {
-            Ok(budget) => Ok(Carried { budget, names: self.names.clone() }),
+            Ok(budget) => Ok(CarriedBudget { budget, names: self.names.clone() }),
             Err(BudgetRejection::Refused(why)) => {
                 let cause = format!("{why}; it came from {}", Path::last(path));
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
--- a/crates/herondock/src/request_counters.rs
+++ b/crates/herondock/src/request_counters.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Default)]
 pub struct RequestCounters {
     /// Requests taken.
-    pub asked: Cell<u64>,
+    pub admitted: Cell<u64>,
     /// Of them answered with what an upstream said.
     pub served: Cell<u64>,
     /// Of these after their class's objective.
@@ -13,12 +13,12 @@
 }
 
 /// One more.
-pub fn more(count: &Cell<u64>) {
+pub fn increment(count: &Cell<u64>) {
     count.set(count.get().saturating_add(1));
 }
 
 /// The memory that this process holds, in MB; 0 where the system does not tell.
-pub fn memory() -> f64 {
+pub fn resident_memory_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
     // Page sizes are not asked for: the same machine's instances are of one, and the gate compares.
--- a/crates/herondock/src/routing/show.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -1,5 +1,5 @@
 //! `herondock routes`: which way a request takes and why, and who moves between two tables.
-use super::ask::{Asked, Query, Turned};
+use super::request_attributes::{Query, RequestAttributes, RoutingError};
 use crate::node_config;
 use config::{operator, routing};
 use route_table::diff::diff;
@@ -11,10 +11,10 @@
 use std::path::Path;
 
 /// Most moves that are shown.
-const MOVES_MOST: usize = 100;
+const MAX_SHOWN_MOVES: usize = 100;
 
 /// A request as the command line describes it.
-pub struct Described {
+pub struct RequestDescription {
     /// Its club; the first one where none is given.
     pub club: Option<String>,
     /// Its class; the first one where none is given.
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// The files can't be used, or it names what is not there.
-pub fn explain(file: &Path, d: &Described) -> Result<String, String> {
+pub fn explain(file: &Path, d: &RequestDescription) -> Result<String, String> {
     let world = routing::world(&node_config::load()?.deployment);
     let (table, _) = table(file, &world)?;
     let class = position("class", &world.classes, d.class.as_deref())?;
@@ -59,18 +59,18 @@
     let headers = |name: &str| -> Vec<&[u8]> {
         d.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_bytes()).collect()
     };
-    let asked = Asked {
+    let asked = RequestAttributes {
         front: position("front", &fronts, Some(&d.front))?,
         method: position("method", &methods, Some(&d.method))?,
         host: &|| Some(&d.host),
         target: &d.path,
         key: &|| d.key.as_deref().map(str::as_bytes),
-        id: &|| b"",
+        request_id: &|| b"",
         headers: &headers,
     };
     let query = match Query::of(&asked, table.headers.iter()) {
         Ok(query) => query,
-        Err(Turned::Unclear(why)) => return Ok(format!("turned away with 400: {why}\n")),
+        Err(RoutingError::Ambiguous(why)) => return Ok(format!("turned away with 400: {why}\n")),
         Err(other) => return Err(format!("{other:?}")),
     };
     let Some((route, pool)) = query.in_table(&table, class, club) else {
@@ -113,10 +113,10 @@
 ///
 /// # Errors
 /// The files can't be used.
-pub fn difference(old: &Path, new: &Path) -> Result<String, String> {
+pub fn diff_tables(old: &Path, new: &Path) -> Result<String, String> {
     let world = routing::world(&node_config::load()?.deployment);
     let ((before, old_expects), (after, new_expects)) = (table(old, &world)?, table(new, &world)?);
-    let (moves, whole) = diff(&before, &after, MOVES_MOST);
+    let (moves, whole) = diff(&before, &after, MAX_SHOWN_MOVES);
     let mut text = String::new();
     for m in &moves {
         let _ = writeln!(text, "{} -> {}: such as {}", m.from, m.to, m.example);
--- a/crates/herondock/src/routing/pool.rs
+++ b/crates/herondock/src/routing/pool.rs
@@ -1,6 +1,6 @@
 //! A pool at work: a driver with a decision module of its own, and the members that belong to it.
-use super::Maker;
-use crate::driver::Handle;
+use super::DriverFactory;
+use crate::driver::DriverHandle;
 use crate::endpoint_sources::{Audience, Entry, Listing, Protocol};
 use balancer::{Availability, UpstreamId};
 use route_table::spec::{Pool as Spec, Traits};
@@ -15,10 +15,10 @@
     /// Its name; empty for the pool of all members.
     pub name: String,
     /// Its driver.
-    pub handle: Handle,
+    pub driver: DriverHandle,
     spec: RefCell<Option<Spec>>,
     /// The members that it was told of.
-    has: RefCell<BTreeSet<UpstreamId>>,
+    contains: RefCell<BTreeSet<UpstreamId>>,
     timers: AbortHandle,
 }
 
@@ -36,7 +36,7 @@
 
 impl Pool {
     /// A pool that knows no members yet; without conditions all belong to it.
-    pub fn start(maker: &Maker, name: &str, spec: Option<Spec>, broken: &Rc<Notify>) -> Rc<Pool> {
+    pub fn start(maker: &DriverFactory, name: &str, spec: Option<Spec>, broken: &Rc<Notify>) -> Rc<Pool> {
         let handle = maker(name);
         let running = handle.clone();
         let timers = tokio::task::spawn_local(async move { running.run().await });
@@ -47,10 +47,10 @@
             }
         });
         let (spec, has) = (RefCell::new(spec), RefCell::default());
-        Rc::new(Pool { name: name.into(), handle, spec, has, timers: abort })
+        Rc::new(Pool { name: name.into(), driver: handle, spec, contains: has, timers: abort })
     }
 
-    fn wants(&self, entry: &Entry) -> bool {
+    fn selects(&self, entry: &Entry) -> bool {
         let spec = self.spec.borrow();
         let Some(spec) = &*spec else { return true };
         let speaks = match entry.speaks {
@@ -63,14 +63,14 @@
     }
 
     /// What a listing means to it: its own members, and those that are not its own any more as gone.
-    pub fn own(&self, listing: &Listing) -> Listing {
+    pub fn filter_changes(&self, listing: &Listing) -> Listing {
         if self.spec.borrow().is_none() {
             return listing.clone();
         }
-        let mut has = self.has.borrow_mut();
+        let mut has = self.contains.borrow_mut();
         let one = |entry: &Entry| {
             let id = entry.member.id;
-            if entry.member.availability == Availability::Gone || !self.wants(entry) {
+            if entry.member.availability == Availability::Gone || !self.selects(entry) {
                 return has.remove(&id).then(|| gone(entry));
             }
             has.insert(id);
@@ -80,32 +80,32 @@
     }
 
     /// Begins with all members as they are.
-    pub fn begin(&self, view: &BTreeMap<UpstreamId, Entry>, listed: bool) {
+    pub fn load(&self, view: &BTreeMap<UpstreamId, Entry>, listed: bool) {
         if listed {
             let all = Listing { entries: view.values().cloned().collect() };
-            self.handle.cached(&self.own(&all));
+            self.driver.apply_cached(&self.filter_changes(&all));
         }
     }
 
     /// Takes other conditions: members that came to it or left it are told, the others stay as they are.
-    pub fn change(&self, spec: Spec, view: &BTreeMap<UpstreamId, Entry>) {
+    pub fn update_spec(&self, spec: Spec, view: &BTreeMap<UpstreamId, Entry>) {
         if self.spec.borrow().as_ref() == Some(&spec) {
             return;
         }
-        let before = self.has.borrow().clone();
+        let before = self.contains.borrow().clone();
         self.spec.replace(Some(spec));
-        let entries = view.values().filter(|e| before.contains(&e.member.id) != self.wants(e));
+        let entries = view.values().filter(|e| before.contains(&e.member.id) != self.selects(e));
         let changed = Listing { entries: entries.cloned().collect() };
-        self.handle.listed(&self.own(&changed));
+        self.driver.listed(&self.filter_changes(&changed));
     }
 
     /// Whether it has this member.
-    pub fn has(&self, id: UpstreamId) -> bool {
-        self.spec.borrow().is_none() || self.has.borrow().contains(&id)
+    pub fn contains(&self, id: UpstreamId) -> bool {
+        self.spec.borrow().is_none() || self.contains.borrow().contains(&id)
     }
 
     /// How many members it has.
     pub fn members(&self) -> usize {
-        self.has.borrow().len()
+        self.contains.borrow().len()
     }
 }
--- a/crates/herondock/src/routing/ask.rs
+++ b/crates/herondock/src/routing/request_attributes.rs
@@ -1,5 +1,5 @@
 //! What the table is asked of a request, by either front; and why one is turned away.
-use crate::driver::Untaken;
+use crate::driver::AdmissionError;
 use route_table::cube;
 use route_table::path::segments;
 use route_table::spec::{Route, To};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// What a front knows of a request; what has to be looked up is asked for only where there is a table.
-pub struct Asked<'a> {
+pub struct RequestAttributes<'a> {
     /// The front, by its position in [`cube::FRONTS`].
     pub front: usize,
     /// The method, by its position in [`cube::METHODS`].
@@ -20,40 +20,40 @@
     /// The key by which upstreams drop repeats.
     pub key: &'a dyn Fn() -> Option<&'a [u8]>,
     /// The request's id.
-    pub id: &'a dyn Fn() -> &'a [u8],
+    pub request_id: &'a dyn Fn() -> &'a [u8],
     /// Every value of a header, by its name in small letters.
     pub headers: &'a dyn Fn(&str) -> Vec<&'a [u8]>,
 }
 
 /// Why a request was not taken. Nothing ran for it.
 #[derive(Debug)]
-pub enum Turned {
+pub enum RoutingError {
     /// The driver has no place, or knows its id.
-    Untaken(Untaken),
+    NotAdmitted(AdmissionError),
     /// What it says can be read in several ways: bad input.
-    Unclear(&'static str),
+    Ambiguous(&'static str),
     /// No route is there for it.
     NoRoute,
     /// Its route refuses it, for this reason.
-    Refused(String),
+    Rejected(String),
     /// Its key went by another pool before a change, and may be repeated until then.
-    Moving(Duration),
+    Migrating(Duration),
 }
 
-impl Turned {
+impl RoutingError {
     /// The route's refusal.
-    pub fn refused(route: &Route) -> Turned {
+    pub fn refused(route: &Route) -> RoutingError {
         match &route.to {
-            To::Refuse(why) => Turned::Refused(why.clone()),
+            To::Refuse(why) => RoutingError::Rejected(why.clone()),
             // All parts are 0, which the table's checks do not let pass.
-            _ => Turned::NoRoute,
+            _ => RoutingError::NoRoute,
         }
     }
 }
 
 /// A request as the table sees it.
 pub struct Query<'q, 'a> {
-    asked: &'q Asked<'a>,
+    asked: &'q RequestAttributes<'a>,
     host: Vec<String>,
     path: Vec<Cow<'a, str>>,
     headers: Vec<(&'q str, &'a str)>,
@@ -65,12 +65,12 @@
     /// # Errors
     /// It can be read in several ways.
     pub fn of(
-        asked: &'q Asked<'a>,
+        asked: &'q RequestAttributes<'a>,
         needed: impl Iterator<Item = &'q String>,
-    ) -> Result<Query<'q, 'a>, Turned> {
+    ) -> Result<Query<'q, 'a>, RoutingError> {
         let path = asked.target.split('?').next().unwrap_or("");
-        let path = segments(path).map_err(|why| Turned::Unclear(why.words()))?;
-        let host = (asked.host)().ok_or(Turned::Unclear("there are several hosts"))?;
+        let path = segments(path).map_err(|why| RoutingError::Ambiguous(why.words()))?;
+        let host = (asked.host)().ok_or(RoutingError::Ambiguous("there are several hosts"))?;
         let name = match host.rsplit_once(':') {
             Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
             _ => host,
@@ -84,9 +84,11 @@
                 [] => {}
                 [value] => match std::str::from_utf8(value) {
                     Ok(value) => headers.push((name.as_str(), value)),
-                    Err(_) => return Err(Turned::Unclear("a header that routes go by is no text")),
+                    Err(_) => return Err(RoutingError::Ambiguous("a header that routes go by is no text")),
                 },
-                _ => return Err(Turned::Unclear("a header that routes go by is there several times")),
+                _ => {
+                    return Err(RoutingError::Ambiguous("a header that routes go by is there several times"))
+                }
             }
         }
         Ok(Query { asked, host, path, headers })
@@ -105,7 +107,7 @@
         club: usize,
     ) -> Option<(&'t Compiled, Option<usize>)> {
         let route = self.asks(class, club, |query| table.route(query))?;
-        Some((route, table.pool(route, (self.asked.key)(), club, (self.asked.id)())))
+        Some((route, table.pool(route, (self.asked.key)(), club, (self.asked.request_id)())))
     }
 
     fn asks<R>(&self, class: usize, club: usize, ask: impl FnOnce(&cube::Query) -> R) -> R {
--- a/crates/herondock/src/run/event_stream.rs
+++ b/crates/herondock/src/run/event_stream.rs
@@ -8,9 +8,9 @@
 use tokio::time::{Instant, Interval};
 
 /// How often what is open is counted while the process ends.
-const COUNT: Duration = Duration::from_millis(10);
+const OPEN_COUNT_INTERVAL: Duration = Duration::from_millis(10);
 /// Events that may wait for the one loop that takes them; whoever has more to tell waits.
-const EVENTS: usize = 16;
+const EVENT_QUEUE_CAPACITY: usize = 16;
 
 /// Where tasks of the instance tell what happens.
 #[derive(Clone)]
@@ -18,27 +18,27 @@
     /// To its lifecycle.
     pub events: mpsc::Sender<Event>,
     /// Of processes that ask at the Unix socket, one at a time.
-    pub asked: mpsc::Sender<HandoffRequest>,
+    pub handoff_requests: mpsc::Sender<HandoffRequest>,
 }
 
 /// What has come.
 pub enum ProcessEvent {
     /// Something for the lifecycle.
-    Event(Event),
+    Lifecycle(Event),
     /// Somebody asks at the Unix socket.
-    Asked(HandoffRequest),
+    Handoff(HandoffRequest),
     /// The watchdog is to hear that the loop has come round.
-    Beat,
+    WatchdogTick,
     /// What is open is to be counted.
-    Count,
+    CountOpen,
 }
 
 /// All that an instance waits for.
 pub struct EventStream {
     signals: Signals,
-    told: mpsc::Receiver<Event>,
-    asked: mpsc::Receiver<HandoffRequest>,
-    alive: Option<Interval>,
+    events: mpsc::Receiver<Event>,
+    handoff_requests: mpsc::Receiver<HandoffRequest>,
+    watchdog: Option<Interval>,
     timers: JoinHandle<()>,
 }
 
@@ -49,10 +49,13 @@
         watchdog: Option<Duration>,
         timers: JoinHandle<()>,
     ) -> (EventStream, EventSender) {
-        let (events, told) = mpsc::channel(EVENTS);
+        let (events, told) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (ask, asked) = mpsc::channel(1);
         let alive = watchdog.map(tokio::time::interval);
-        (EventStream { signals, told, asked, alive, timers }, EventSender { events, asked: ask })
+        (
+            EventStream { signals, events: told, handoff_requests: asked, watchdog: alive, timers },
+            EventSender { events, handoff_requests: ask },
+        )
     }
 
     /// The next thing that happens. `wake`: when the lifecycle wants to be told of the time; `counts`: whether what is
@@ -62,7 +65,7 @@
     /// The timers stopped. Without them no request would end: better to stop at once, seen by all.
     pub async fn next(&mut self, wake: Option<Instant>, counts: bool) -> Result<ProcessEvent, String> {
         let alive = async {
-            match &mut self.alive {
+            match &mut self.watchdog {
                 Some(alive) => drop(alive.tick().await),
                 None => std::future::pending().await,
             }
@@ -74,15 +77,15 @@
             }
         };
         Ok(tokio::select! {
-            told = self.signals.next() => ProcessEvent::Event(match told {
+            told = self.signals.next() => ProcessEvent::Lifecycle(match told {
                 ProcessSignal::Stop => Event::Stop,
                 ProcessSignal::Reload => Event::Reload,
             }),
-            Some(event) = self.told.recv() => ProcessEvent::Event(event),
-            Some(asked) = self.asked.recv() => ProcessEvent::Asked(asked),
-            () = time => ProcessEvent::Event(Event::Timeout),
-            () = tokio::time::sleep(COUNT), if counts => ProcessEvent::Count,
-            () = alive => ProcessEvent::Beat,
+            Some(event) = self.events.recv() => ProcessEvent::Lifecycle(event),
+            Some(asked) = self.handoff_requests.recv() => ProcessEvent::Handoff(asked),
+            () = time => ProcessEvent::Lifecycle(Event::Timeout),
+            () = tokio::time::sleep(OPEN_COUNT_INTERVAL), if counts => ProcessEvent::CountOpen,
+            () = alive => ProcessEvent::WatchdogTick,
             end = &mut self.timers => return Err(format!("the timers stopped: {end:?}")),
         })
     }
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -1,12 +1,12 @@
 //! One instance: its lifecycle, and a method for each action that this wants.
 use super::event_stream::{EventSender, EventStream, ProcessEvent};
-use super::reload::Changes;
+use super::reload::Reloader;
 use crate::descriptor_budget::DescriptorBudget;
 use crate::endpoint_sources::aggregator::EndpointAggregator;
 use crate::endpoint_sources::registration::Registrations;
-use crate::front::{fastcgi, http::Server, Course, Phase};
+use crate::front::{fastcgi, http::HttpFront, ShutdownPhase, ShutdownProgress};
 use crate::listener_handoff::protocol::{
-    Claimant, EndpointsQuery, HandoffListener, HandoffRequest, Successor, Taken,
+    EndpointsQuery, HandoffListener, HandoffRequest, ReadySuccessor, ReceivedListeners, Successor,
 };
 use crate::listener_handoff::transferred_state::TransferredState;
 use crate::routing::Pools;
@@ -28,12 +28,12 @@
 use tracing::info;
 
 /// How long the pid file of a predecessor that has passed its sockets on is waited for.
-const PID_FILE: Duration = Duration::from_secs(2);
+const PID_FILE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the end waits for the council to hear of it; its session ends by itself as well.
-const LAST_WORD: Duration = Duration::from_millis(200);
+const SESSION_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What an instance consists of.
-pub struct Wiring {
+pub struct InstanceConfig {
     /// What it calls itself.
     pub name: String,
     /// When the process began.
@@ -51,15 +51,15 @@
     /// This instance in registries.
     pub registrations: Registrations,
     /// The front.
-    pub server: Rc<Server>,
+    pub server: Rc<HttpFront>,
     /// The front for FastCGI.
-    pub side: Rc<fastcgi::Server>,
+    pub side: Rc<fastcgi::FastCgiFront>,
     /// All descriptors.
     pub budget: DescriptorBudget,
     /// How far its end has come, as the front sees it.
-    pub course: watch::Sender<Course>,
+    pub course: watch::Sender<ShutdownProgress>,
     /// What may change while it runs.
-    pub changes: Changes,
+    pub changes: Reloader,
     /// The listener; see `origin.rs`.
     pub listener: std::net::TcpListener,
     /// The pid file, unless a predecessor still holds it.
@@ -83,11 +83,11 @@
     handle: Pools,
     members: EndpointAggregator<Pools>,
     registrations: Registrations,
-    server: Rc<Server>,
-    side: Rc<fastcgi::Server>,
+    server: Rc<HttpFront>,
+    side: Rc<fastcgi::FastCgiFront>,
     budget: DescriptorBudget,
-    course: watch::Sender<Course>,
-    changes: Changes,
+    course: watch::Sender<ShutdownProgress>,
+    changes: Reloader,
     tell: EventSender,
     council: Option<ClientHandle>,
     stands: watch::Sender<disruption::InstanceState>,
@@ -100,7 +100,7 @@
     /// Finds those that ask for the sockets.
     holder: Option<AbortHandle>,
     comer: Option<Successor>,
-    claimant: Rc<RefCell<Option<Claimant>>>,
+    claimant: Rc<RefCell<Option<ReadySuccessor>>>,
     served: Option<JoinHandle<()>>,
     /// Why the files were not taken when they were read last.
     refused: Option<String>,
@@ -111,9 +111,9 @@
     ///
     /// # Errors
     /// The listener has no address.
-    pub fn new(wiring: Wiring, taken: Option<Taken>) -> Result<Instance, String> {
-        let Wiring { name, start, fingerprint, daemon, manager, handle, server, budget, .. } = wiring;
-        let Wiring {
+    pub fn new(wiring: InstanceConfig, taken: Option<ReceivedListeners>) -> Result<Instance, String> {
+        let InstanceConfig { name, start, fingerprint, daemon, manager, handle, server, budget, .. } = wiring;
+        let InstanceConfig {
             side,
             members,
             registrations,
@@ -177,7 +177,7 @@
     }
 
     /// Tells the lifecycle once the predecessor accepts nothing any more.
-    fn awaits_release(&self, taken: Taken, claimed: oneshot::Receiver<()>) {
+    fn awaits_release(&self, taken: ReceivedListeners, claimed: oneshot::Receiver<()>) {
         let tell = self.tell.events.clone();
         tokio::task::spawn_local(async move {
             let ready = async {
@@ -186,7 +186,7 @@
                     std::future::pending::<()>().await;
                 }
             };
-            taken.released(ready).await;
+            taken.wait_until_released(ready).await;
             let _ = tell.send(Event::Released).await;
         });
     }
@@ -195,7 +195,7 @@
     fn awaits_members(&self) {
         let (tell, handle) = (self.tell.events.clone(), self.handle.clone());
         tokio::task::spawn_local(async move {
-            handle.known().await;
+            handle.wait_for_endpoints().await;
             let _ = tell.send(Event::EndpointsKnown).await;
         });
     }
@@ -223,18 +223,18 @@
     /// What has come, as the lifecycle is told of it.
     fn came(&mut self, came: ProcessEvent) -> Event {
         match came {
-            ProcessEvent::Event(event) => event,
-            ProcessEvent::Count => self.counts(),
-            ProcessEvent::Beat => {
+            ProcessEvent::Lifecycle(event) => event,
+            ProcessEvent::CountOpen => self.counts(),
+            ProcessEvent::WatchdogTick => {
                 self.manager.alive();
                 Event::Timeout
             }
-            ProcessEvent::Asked(HandoffRequest::Members(asker)) => {
+            ProcessEvent::Handoff(HandoffRequest::Endpoints(asker)) => {
                 self.tells_members(asker);
                 Event::Timeout
             }
             // The lifecycle says what it gets.
-            ProcessEvent::Asked(HandoffRequest::Sockets(comer)) => {
+            ProcessEvent::Handoff(HandoffRequest::Listeners(comer)) => {
                 self.comer = Some(comer);
                 Event::Successor(SuccessorEvent::Connected)
             }
@@ -254,7 +254,7 @@
     /// What is open now.
     fn counts(&self) -> Event {
         let connections = self.budget.callers().max(usize::from(self.serving()));
-        Event::OpenCounts { requests: self.handle.open(), connections }
+        Event::OpenCounts { requests: self.handle.open_requests(), connections }
     }
 
     /// Whether callers are connected, or may be accepted.
@@ -281,10 +281,10 @@
             Action::RejectSuccessor => self.refuse(),
             Action::StopAccepting => self.stop_accepting(),
             Action::ReleaseSuccessor => self.release(),
-            Action::AnswerBy(at) => self.handle.ends_by(at.saturating_sub(self.start.elapsed())),
-            Action::CloseConnections => self.comes_to(Phase::Closing),
-            Action::CloseIdleConnections => self.comes_to(Phase::Silencing),
-            Action::FailOpenRequests => self.handle.fail_open(),
+            Action::AnswerBy(at) => self.handle.answer_within(at.saturating_sub(self.start.elapsed())),
+            Action::CloseConnections => self.comes_to(ShutdownPhase::ClosingConnections),
+            Action::CloseIdleConnections => self.comes_to(ShutdownPhase::ClosingIdle),
+            Action::FailOpenRequests => self.handle.fail_open_requests(),
             Action::IgnoreSignal(event) => info!("{}: {event:?} comes too late, it is ending", self.name),
             Action::Exit(exit) => self.end(exit).await,
         }
@@ -304,9 +304,9 @@
         let accepting = TcpListener::from_std(self.another_listener()?);
         let accepting = accepting.map_err(|e| format!("listen: {address}: {e}"))?;
         self.served = Some(tokio::task::spawn_local(self.server.clone().run(accepting)));
-        self.side.begin()?;
+        self.side.start_accepting()?;
         if let (Some(path), None) = (&self.daemon.pid_file, &self.pid_file) {
-            match PidFile::take_after(path, PID_FILE).await {
+            match PidFile::take_after(path, PID_FILE_TIMEOUT).await {
                 Ok(file) => {
                     if let Some(why) = file.unwritten() {
                         info!("daemon.pid_file: {why}");
@@ -320,7 +320,7 @@
         if let Some(path) = &self.daemon.takeover {
             match HandoffListener::bind(path) {
                 Ok(bound) => {
-                    let found = self.tell.asked.clone();
+                    let found = self.tell.handoff_requests.clone();
                     let seek = async move { while found.send(bound.next().await).await.is_ok() {} };
                     self.holder = Some(tokio::task::spawn_local(seek).abort_handle());
                 }
@@ -344,7 +344,7 @@
         self.manager.stopping();
         self.stands.send_replace(disruption::InstanceState::ShuttingDown);
         // Whoever asks whether it is ready hears that it is not.
-        self.comes_to(Phase::Leaving);
+        self.comes_to(ShutdownPhase::Announced);
         // After a hand-over the successor is what is registered here.
         if because == Event::Stop {
             self.registrations.wish(DesiredState::Leaving);
@@ -353,7 +353,7 @@
     }
 
     async fn read_files(&mut self) {
-        self.refused = self.changes.read_again().await.err();
+        self.refused = self.changes.reload().await.err();
         match &self.refused {
             None => info!("reloaded"),
             Some(why) => info!("not reloaded: {why}"),
@@ -367,12 +367,12 @@
         let Some(comer) = self.comer.take() else { return Ok(()) };
         info!("{}: {} asks for the sockets", self.name, comer.name);
         let along =
-            TransferredState::new(self.fingerprint, self.members.saved(), self.handle.learned()).write();
+            TransferredState::new(self.fingerprint, self.members.saved(), self.handle.learned()).encode();
         let mut passed = vec![OwnedFd::from(self.another_listener()?)];
         passed.extend(self.side.listeners()?);
         let (tell, claimant) = (self.tell.events.clone(), self.claimant.clone());
         tokio::task::spawn_local(async move {
-            let what = match comer.pass(passed, &along).await {
+            let what = match comer.hand_off(passed, &along).await {
                 Ok(ready) => {
                     claimant.replace(Some(ready));
                     SuccessorEvent::Ready
@@ -390,7 +390,7 @@
     fn refuse(&mut self) {
         if let Some(comer) = self.comer.take() {
             let why = "another process is taking over, or this one is ending";
-            tokio::task::spawn_local(comer.refuse(why));
+            tokio::task::spawn_local(comer.reject(why));
         }
     }
 
@@ -400,11 +400,11 @@
         self.side.close();
         let handed_over = self.claimant.borrow().is_some();
         self.course.send_modify(|course| course.handed_over = handed_over);
-        self.comes_to(Phase::Draining);
+        self.comes_to(ShutdownPhase::Draining);
     }
 
     /// The front is to go on to this phase.
-    fn comes_to(&self, phase: Phase) {
+    fn comes_to(&self, phase: ShutdownPhase) {
         self.course.send_modify(|course| course.phase = course.phase.max(phase));
     }
 
@@ -424,11 +424,11 @@
         if !self.course.borrow().handed_over {
             self.registrations.end().await;
             if let Some(council) = &self.council {
-                council.close_session(LAST_WORD).await;
+                council.close_session(SESSION_CLOSE_TIMEOUT).await;
             }
         }
         if self.serving() {
-            let open = self.handle.open();
+            let open = self.handle.open_requests();
             info!("{}: callers are still connected at the end, {open} requests unanswered", self.name);
         }
         if let Exit::Failed(n) = exit {
--- a/crates/herondock/src/run/listener_origin.rs
+++ b/crates/herondock/src/run/listener_origin.rs
@@ -1,5 +1,5 @@
 //! Where an instance's listener comes from.
-use crate::listener_handoff::protocol::{self, Taken};
+use crate::listener_handoff::protocol::{self, ReceivedListeners};
 use crate::listener_handoff::transferred_state::TransferredState;
 use crate::node_config::Config;
 use config::operator::Daemon;
@@ -16,11 +16,11 @@
     /// Not yet, where a predecessor holds it until it has passed its sockets on.
     pub pid_file: Option<PidFile>,
     /// The predecessor, where there is one.
-    pub taken: Option<Taken>,
+    pub predecessor: Option<ReceivedListeners>,
     /// Listeners of other fronts that a predecessor passed on.
-    pub others: Vec<OwnedFd>,
+    pub other_fronts: Vec<OwnedFd>,
     /// What came along with them.
-    pub along: Option<TransferredState>,
+    pub transferred: Option<TransferredState>,
 }
 
 /// The listener: of a predecessor that runs, of the service manager, or a new one.
@@ -40,15 +40,21 @@
         }
     };
     let asked = match &daemon.takeover {
-        Some(path) => protocol::ask(path, &config.name).await?,
+        Some(path) => protocol::request_listeners(path, &config.name).await?,
         None => None,
     };
     if let Some(mut taken) = asked {
         fits(&taken.listener)?;
         let listener = taken.listener.try_clone().map_err(at)?;
-        let along = TransferredState::read(&taken.along, config.fingerprint);
-        let others = std::mem::take(&mut taken.others);
-        return Ok(ListenerOrigin { listener, pid_file: None, taken: Some(taken), others, along });
+        let along = TransferredState::decode(&taken.state, config.fingerprint);
+        let others = std::mem::take(&mut taken.other_fronts);
+        return Ok(ListenerOrigin {
+            listener,
+            pid_file: None,
+            predecessor: Some(taken),
+            other_fronts: others,
+            transferred: along,
+        });
     }
     let pid_file = daemon.pid_file.as_deref().map(PidFile::take).transpose();
     let pid_file = pid_file.map_err(|e| format!("daemon.pid_file: {e}"))?;
@@ -65,5 +71,5 @@
             listener.into_std().map_err(at)?
         }
     };
-    Ok(ListenerOrigin { listener, pid_file, taken: None, others: Vec::new(), along: None })
+    Ok(ListenerOrigin { listener, pid_file, predecessor: None, other_fronts: Vec::new(), transferred: None })
 }
