--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -14,17 +14,17 @@
 use crate::clock;
 use crate::descriptor_budget::DescriptorBudget;
 use crate::disruption_reporting::LocalBalancer;
-use crate::driver::{self, Handle, Parts};
+use crate::driver::{self, DriverConfig, DriverHandle};
 use crate::endpoint_sources::aggregator::{EndpointAggregator, Names};
 use crate::endpoint_sources::cache;
 use crate::endpoint_sources::discovery::FAULTS_SHOWN;
 use crate::endpoint_sources::registration::Registrations;
 use crate::endpoint_sources::sources::{speaks, Sources, DISCOVERY};
-use crate::front::{fastcgi, http, Course};
+use crate::front::{fastcgi, http, ShutdownProgress};
 use crate::listener_handoff::transferred_state::TransferredState;
 use crate::live_config::LiveConfig;
 use crate::node_config::{self, Config};
-use crate::request_budgets::Budgets;
+use crate::request_budgets::BudgetPolicy;
 use crate::request_counters::RequestCounters;
 use crate::routing::Pools;
 use crate::transport;
@@ -38,11 +38,11 @@
 use discovery::endpoint_set::Source;
 use discovery::platform::Answer;
 use event_stream::EventStream;
-use instance::{Instance, Wiring};
+use instance::{Instance, InstanceConfig};
 use listener_origin::{origin, ListenerOrigin};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use reload::Changes;
+use reload::Reloader;
 pub use reload::{read_operator, read_table};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -99,9 +99,10 @@
     let manager = ServiceManager::of_environment();
     let world = routing::world(&config.deployment);
     let table = read_table(path.as_deref(), &operator, &world)?;
-    let ListenerOrigin { listener, pid_file, taken, others, along } = origin(&config, &daemon).await?;
+    let ListenerOrigin { listener, pid_file, predecessor: taken, other_fronts: others, transferred: along } =
+        origin(&config, &daemon).await?;
     let Config { name, discovery, seed, sockets, known, mut deployment, fingerprint, .. } = config;
-    let budgets = Budgets::of(&operator.budget, deployment.policy.stage)?;
+    let budgets = BudgetPolicy::of(&operator.budget, deployment.policy.stage)?;
     if budgets.is_some() {
         deployment.policy.refuse_hopeless = operator.budget.refuse_hopeless;
         deployment.policy.tenant_retries = operator.budget.tenant_retries;
@@ -111,10 +112,10 @@
     let learned = along.as_ref().map(TransferredState::learned);
     let span = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
     let budget = DescriptorBudget::new(sockets);
-    let reach = transport::pool::Reach {
+    let reach = transport::connection_pool::ConnectionSettings {
         dial_timeout: span(deployment.dial_timeout),
         idle_close: span(deployment.policy.idle_close.min(86_400_000.0)),
-        sockets: budget.clone(),
+        descriptors: budget.clone(),
         limits: limits.clone(),
     };
     let operator_fastcgi = operator.fastcgi.clone();
@@ -122,7 +123,7 @@
         params: transport::fastcgi::Params(operator_fastcgi.params.clone()),
         multiplex: operator_fastcgi.multiplex,
     };
-    let (names, to_members) = (driver::Names::default(), Rc::new(to_members));
+    let (names, to_members) = (driver::OpenRequestIds::default(), Rc::new(to_members));
     let counts = Rc::new(RequestCounters::default());
     let made = (deployment.clone(), budget.clone(), counts.clone());
     let maker = move |pool: &str| {
@@ -144,24 +145,24 @@
         if let (true, Some(learned)) = (pool.is_empty(), &learned) {
             balancer.recall(learned, now);
         }
-        Handle::new(Parts {
+        DriverHandle::new(DriverConfig {
             balancer,
             start,
             start_ms,
             transports: Box::new(transport::choose(reach.clone(), to_members.clone())),
-            sockets: sockets.clone(),
+            descriptors: sockets.clone(),
             max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
             late_shedding: deployment.policy.late_shedding,
-            names: names.clone(),
-            counts: counts.clone(),
+            open_ids: names.clone(),
+            counters: counts.clone(),
             objectives: deployment.policy.classes.iter().map(objective).collect(),
-            windows: deployment.policy.classes.iter().map(window).collect(),
+            dedup_windows: deployment.policy.classes.iter().map(window).collect(),
         })
     };
     let handle = Pools::new(Box::new(maker), deployment.clone());
-    handle.take_table(table)?;
+    handle.replace_table(table)?;
     let broken = handle.clone();
-    let timers = tokio::task::spawn_local(async move { broken.broken().await });
+    let timers = tokio::task::spawn_local(async move { broken.wait_for_failure().await });
     let random = Pcg64Mcg::seed_from_u64(seed);
     let members = EndpointAggregator::new(
         handle.clone(),
@@ -173,12 +174,12 @@
     let store = operator.registry.saved.as_deref().map(cache::store);
     let saved = || cache::load(store.as_ref()?, operator.registry.saved_most);
     // What a predecessor knew a moment ago is newer than what was saved here, and that than what the platform saved.
-    let kept = along.and_then(|along| along.view(start_ms)).or_else(saved);
+    let kept = along.and_then(|along| along.endpoints(start_ms)).or_else(saved);
     let kept = kept
         .or_else(|| known.map(|known| platform_knows(known, speaks(operator.registry.fastcgi), start_ms)));
-    handle.cached(&members.recall(kept.unwrap_or_default()));
+    handle.apply_cached(&members.recall(kept.unwrap_or_default()));
     let (address_of_discovery, addresses) = watch::channel(discovery);
-    sources.begin(addresses, &limits, &node_config::terms(&deployment));
+    sources.begin(addresses, &limits, &node_config::staleness_settings(&deployment));
     if let Some(store) = store {
         tokio::task::spawn_local(cache::run(members.clone(), store, operator.registry.saved_every));
     }
@@ -198,7 +199,7 @@
         }
         None => None,
     };
-    let changes = Changes {
+    let changes = Reloader {
         path,
         operator,
         limits: limits.clone(),
@@ -206,28 +207,28 @@
         pools: handle.clone(),
         world,
     };
-    let (course, courses) = watch::channel(Course::UP);
-    let doors = fastcgi::open(&operator_fastcgi.listen, others)?;
-    let side = fastcgi::Server::new(fastcgi::Parts {
-        driver: handle.clone(),
+    let (course, courses) = watch::channel(ShutdownProgress::UP);
+    let doors = fastcgi::open_listeners(&operator_fastcgi.listen, others)?;
+    let side = fastcgi::FastCgiFront::new(fastcgi::FastCgiFrontConfig {
+        pools: handle.clone(),
         deployment: deployment.clone(),
         settings: operator_fastcgi,
-        sockets: budget.clone(),
+        descriptors: budget.clone(),
         limits: limits.clone(),
-        course: courses.clone(),
+        shutdown: courses.clone(),
         budgets: budgets.clone(),
-        doors,
+        listeners: doors,
     });
-    let server = http::Server::new(http::Parts {
-        driver: handle.clone(),
+    let server = http::HttpFront::new(http::HttpFrontConfig {
+        pools: handle.clone(),
         deployment,
-        sockets: budget.clone(),
+        descriptors: budget.clone(),
         limits,
-        course: courses,
+        shutdown: courses,
         budgets,
     });
     let (inbox, tell) = EventStream::new(signals, manager.watchdog(), timers);
-    let wiring = Wiring {
+    let wiring = InstanceConfig {
         name,
         start,
         fingerprint,
--- a/crates/herondock/src/run/reload.rs
+++ b/crates/herondock/src/run/reload.rs
@@ -32,7 +32,7 @@
 }
 
 /// What can change while the program runs.
-pub struct Changes {
+pub struct Reloader {
     /// The operator's file, if one was named.
     pub path: Option<PathBuf>,
     /// What it said when it was last taken.
@@ -47,12 +47,12 @@
     pub world: World,
 }
 
-impl Changes {
+impl Reloader {
     /// Reads the files again. Of the platform's configuration only where discovery is can change.
     ///
     /// # Errors
     /// A file can't be read, or changes what can't change. Then nothing changes.
-    pub async fn read_again(&mut self) -> Result<(), String> {
+    pub async fn reload(&mut self) -> Result<(), String> {
         let next = read_operator(self.path.as_deref())?;
         let fixed = self.operator.fixed(&next);
         if !fixed.is_empty() {
@@ -64,7 +64,7 @@
         // In a thread of its own: a large table takes its time, and requests go on meanwhile.
         let read = move || read_table(path.as_deref(), &asked, &world);
         let table = tokio::task::spawn_blocking(read).await.map_err(|e| format!("routing.table: {e}"))??;
-        self.pools.take_table(table)?;
+        self.pools.replace_table(table)?;
         self.limits.set(next.limits.clone());
         self.operator = next;
         self.discovery.send_if_modified(|now| std::mem::replace(now, config.discovery) != config.discovery);
--- a/crates/herondock/src/stream.rs
+++ b/crates/herondock/src/stream.rs
@@ -11,12 +11,12 @@
 
 /// A stream with more than one holder; closed when the last one drops it.
 #[derive(Clone)]
-pub struct Shared(Rc<TcpStream>);
+pub struct SharedStream(Rc<TcpStream>);
 
-impl Shared {
+impl SharedStream {
     /// Shares a stream.
-    pub fn new(stream: TcpStream) -> Shared {
-        Shared(Rc::new(stream))
+    pub fn new(stream: TcpStream) -> SharedStream {
+        SharedStream(Rc::new(stream))
     }
 
     /// Whether the socket is open and holds nothing unread. Asks the system: the runtime learns of bytes and of
@@ -37,7 +37,7 @@
     }
 }
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -53,7 +53,7 @@
     }
 }
 
-impl Shared {
+impl SharedStream {
     /// Writes once the socket takes something.
     fn written(
         &self,
@@ -70,7 +70,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.written(cx, |stream| stream.try_write(buf))
     }
--- a/crates/herondock/src/transport/pool.rs
+++ b/crates/herondock/src/transport/connection_pool.rs
@@ -1,8 +1,8 @@
 //! An upstream, and the connections that are kept to it, whatever it speaks.
 use crate::descriptor_budget::DescriptorBudget;
-use crate::exchange::{Attempt, Ended, Gate, Running, Upstream};
+use crate::exchange::{Attempt, AttemptFuture, AttemptResult, DrainGate, Upstream};
 use crate::live_config::LiveConfig;
-use crate::stream::Shared;
+use crate::stream::SharedStream;
 use balancer::Ending;
 use config::operator::Limits;
 use std::cell::{Cell, RefCell};
@@ -16,48 +16,48 @@
 use tokio::time::{timeout_at, Instant};
 
 /// A connection that may be kept.
-pub trait Kept {
+pub trait PooledConnection {
     /// Whether it can carry a request now: it is open, and nothing unread is on it.
-    fn clean(&self) -> bool;
+    fn is_reusable(&self) -> bool;
     /// Whether the other side has closed it.
-    fn closed(&self) -> bool;
+    fn is_closed(&self) -> bool;
 }
 
 /// A protocol that upstreams speak.
-pub trait Speaks: Sized + 'static {
+pub trait UpstreamProtocol: Sized + 'static {
     /// Its connections.
-    type Conn: Kept;
+    type Conn: PooledConnection;
 
     /// Carries one attempt out: its request is written once at most. Dropping the future closes the connection.
-    fn carry_out(peer: &Rc<Peer<Self>>, attempt: Attempt) -> impl Future<Output = Ended> + '_;
+    fn execute(peer: &Rc<Peer<Self>>, attempt: Attempt) -> impl Future<Output = AttemptResult> + '_;
 }
 
 /// How upstreams are reached.
 #[derive(Clone)]
-pub struct Reach {
+pub struct ConnectionSettings {
     /// A connection that is not up after this long counts as refused.
     pub dial_timeout: Duration,
     /// When upstreams close idle connections.
     pub idle_close: Duration,
     /// Sockets that may still be opened.
-    pub sockets: DescriptorBudget,
+    pub descriptors: DescriptorBudget,
     /// Sizes and waits.
     pub limits: LiveConfig<Limits>,
 }
 
-impl Reach {
+impl ConnectionSettings {
     /// How long connections may rest: the time-out of idle ones is undercut, for what is sent on one that the
     /// upstream is about to close ends as a reset, and the upstream counts from its last byte, not from when we
     /// read it.
-    fn idle(&self) -> Duration {
+    fn max_idle(&self) -> Duration {
         self.idle_close.saturating_sub(self.limits.get().upstream_idle_margin).max(self.idle_close / 2)
     }
 }
 
 /// A connection that was just made.
-pub struct Dialled {
+pub struct DialedConnection {
     /// The socket.
-    pub socket: Shared,
+    pub socket: SharedStream,
     /// The upstream's generation that it was made for.
     pub generation: u64,
     /// Its place in the budget.
@@ -65,11 +65,11 @@
 }
 
 /// One upstream: where it is, and the connections to it that carry nothing now.
-pub struct Peer<P: Speaks> {
+pub struct Peer<P: UpstreamProtocol> {
     /// How it is reached.
-    pub reach: Reach,
+    pub settings: ConnectionSettings,
     /// What its protocol needs.
-    pub own: P,
+    pub protocol: P,
     addr: Cell<SocketAddr>,
     /// Counts the processes that have been there.
     generation: Cell<u64>,
@@ -77,12 +77,12 @@
     idle: RefCell<Vec<(P::Conn, Instant)>>,
 }
 
-impl<P: Speaks> Upstream for Peer<P> {
-    fn attempt(self: Rc<Self>, attempt: Attempt) -> Running {
-        Box::pin(async move { P::carry_out(&self, attempt).await })
+impl<P: UpstreamProtocol> Upstream for Peer<P> {
+    fn attempt(self: Rc<Self>, attempt: Attempt) -> AttemptFuture {
+        Box::pin(async move { P::execute(&self, attempt).await })
     }
 
-    fn replaced(&self, addr: SocketAddr) {
+    fn process_replaced(&self, addr: SocketAddr) {
         self.addr.set(addr);
         self.generation.set(self.generation.get() + 1);
         self.close_idle();
@@ -92,16 +92,16 @@
         self.idle.borrow_mut().clear();
     }
 
-    fn sweep(&self, now: Instant) {
-        let most = self.reach.idle();
-        self.idle.borrow_mut().retain(|(conn, since)| !conn.closed() && now - *since < most);
+    fn close_expired(&self, now: Instant) {
+        let most = self.settings.max_idle();
+        self.idle.borrow_mut().retain(|(conn, since)| !conn.is_closed() && now - *since < most);
     }
 
-    fn oldest_idle(&self) -> Option<Instant> {
+    fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|&(_, since)| since)
     }
 
-    fn drop_oldest(&self) {
+    fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
             idle.remove(0);
@@ -109,19 +109,19 @@
     }
 }
 
-impl<P: Speaks> Peer<P> {
+impl<P: UpstreamProtocol> Peer<P> {
     /// An upstream that nothing is connected to yet.
-    pub fn new(reach: Reach, own: P, addr: SocketAddr) -> Rc<Peer<P>> {
+    pub fn new(reach: ConnectionSettings, own: P, addr: SocketAddr) -> Rc<Peer<P>> {
         let (addr, generation) = (Cell::new(addr), Cell::new(0));
-        Rc::new(Peer { reach, own, addr, generation, idle: RefCell::default() })
+        Rc::new(Peer { settings: reach, protocol: own, addr, generation, idle: RefCell::default() })
     }
 
     /// The connection used last: the others then go idle and close, instead of all being kept warm by turns.
-    pub fn take(&self) -> Option<P::Conn> {
-        let (now, most) = (Instant::now(), self.reach.idle());
+    pub fn take_idle(&self) -> Option<P::Conn> {
+        let (now, most) = (Instant::now(), self.settings.max_idle());
         let mut idle = self.idle.borrow_mut();
         while let Some((conn, since)) = idle.pop() {
-            if now - since < most && conn.clean() {
+            if now - since < most && conn.is_reusable() {
                 return Some(conn);
             }
         }
@@ -129,14 +129,14 @@
     }
 
     /// Keeps a connection of this generation for the next request, unless its upstream takes none.
-    pub fn keep(&self, conn: P::Conn, generation: u64, gate: &Gate) {
-        if !gate.closed(Instant::now()) && self.current(generation) {
+    pub fn return_idle(&self, conn: P::Conn, generation: u64, gate: &DrainGate) {
+        if !gate.closed(Instant::now()) && self.is_current(generation) {
             self.idle.borrow_mut().push((conn, Instant::now()));
         }
     }
 
     /// Whether connections of this generation lead to the process that is there now.
-    pub fn current(&self, generation: u64) -> bool {
+    pub fn is_current(&self, generation: u64) -> bool {
         generation == self.generation.get()
     }
 
@@ -149,21 +149,22 @@
     ///
     /// # Errors
     /// How the attempt ended that it was for.
-    pub async fn dial(&self, until: Instant) -> Result<Dialled, Ending> {
+    pub async fn dial(&self, until: Instant) -> Result<DialedConnection, Ending> {
         // Guards against blaming an upstream for a shortage of our own.
-        let permit = self.reach.sockets.upstream().ok_or(Ending::Moot)?;
-        let until = until.min(Instant::now() + self.reach.dial_timeout);
+        let permit = self.settings.descriptors.try_upstream().ok_or(Ending::Moot)?;
+        let until = until.min(Instant::now() + self.settings.dial_timeout);
         let generation = self.generation.get();
         let dialled = timeout_at(until, TcpStream::connect(self.addr.get())).await;
         let dialled = dialled.map_err(|_| Ending::ConnectFailed)?;
-        let stream = dialled.map_err(|e| if short(&e) { Ending::Moot } else { Ending::ConnectFailed })?;
+        let stream =
+            dialled.map_err(|e| if is_local_shortage(&e) { Ending::Moot } else { Ending::ConnectFailed })?;
         stream.set_nodelay(true).map_err(|_| Ending::ConnectFailed)?;
-        Ok(Dialled { socket: Shared::new(stream), generation, permit })
+        Ok(DialedConnection { socket: SharedStream::new(stream), generation, permit })
     }
 }
 
 /// Whether a connection was not made for want of something on this machine.
-fn short(e: &io::Error) -> bool {
+fn is_local_shortage(e: &io::Error) -> bool {
     // ENFILE, EMFILE, EADDRNOTAVAIL and ENOBUFS of Linux.
     matches!(e.raw_os_error(), Some(23 | 24 | 99 | 105))
 }
--- a/crates/herondock/src/transport/fastcgi/asked.rs
+++ b/crates/herondock/src/transport/fastcgi/capabilities.rs
@@ -2,10 +2,10 @@
 //!
 //! It is asked on a connection of its own: some answer and close (PHP-FPM), and others close on what they don't know, and a
 //! request beside the question would go down with it. Until it has said so it gets one request at a time.
-use super::alone::Alone;
+use super::exclusive::ExclusiveConnection;
 use super::FastCgi;
 use crate::exchange::Attempt;
-use crate::transport::pool::Peer;
+use crate::transport::connection_pool::Peer;
 use fastcgi::client::Event;
 use fastcgi::pairs::Pair;
 use std::cell::Cell;
@@ -15,10 +15,10 @@
 use tokio::time::{timeout, Instant};
 
 /// One that did not say is asked again after this, by the next attempt.
-const AGAIN: Duration = Duration::from_secs(60);
+const RECHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy)]
-enum Known {
+enum Multiplexing {
     Nothing,
     /// One at a time, as far as is known since then.
     One(Instant),
@@ -27,41 +27,43 @@
 }
 
 /// What is known of the process of one generation.
-pub struct Asked(Cell<(u64, Known)>);
+pub struct CapabilityCache(Cell<(u64, Multiplexing)>);
 
-impl Default for Asked {
+impl Default for CapabilityCache {
     fn default() -> Self {
-        Asked(Cell::new((0, Known::Nothing)))
+        CapabilityCache(Cell::new((0, Multiplexing::Nothing)))
     }
 }
 
-impl Asked {
+impl CapabilityCache {
     /// It refuses a second request on a connection, whatever it said before.
     pub fn refused(&self) {
-        self.0.set((self.0.get().0, Known::One(Instant::now())));
+        self.0.set((self.0.get().0, Multiplexing::One(Instant::now())));
     }
 }
 
 /// How many requests the application takes at once on a connection, if more than one; asks where that is not known.
 pub(super) fn at_once(peer: &Rc<Peer<FastCgi>>, attempt: &Attempt) -> Option<usize> {
-    let most = peer.own.settings.multiplex;
+    let most = peer.protocol.settings.multiplex;
     if most <= 1 {
         return None;
     }
     let now = Instant::now();
-    let (generation, known) = peer.own.asked.0.get();
+    let (generation, known) = peer.protocol.asked.0.get();
     match known {
-        Known::Several(n) if peer.current(generation) => return Some(n),
-        Known::One(since) if peer.current(generation) && now - since < AGAIN => return None,
+        Multiplexing::Several(n) if peer.is_current(generation) => return Some(n),
+        Multiplexing::One(since) if peer.is_current(generation) && now - since < RECHECK_INTERVAL => {
+            return None
+        }
         _ => {}
     }
-    peer.own.asked.0.set((peer.generation(), Known::One(now)));
-    if attempt.may_be_written(now) {
+    peer.protocol.asked.0.set((peer.generation(), Multiplexing::One(now)));
+    if attempt.may_write(now) {
         let (peer, gate) = (peer.clone(), attempt.gate.clone());
         tokio::task::spawn_local(async move {
-            let wait = peer.reach.limits.get().flush_wait;
+            let wait = peer.settings.limits.get().flush_wait;
             let asking = async {
-                let alone = Alone::dial(&peer, Instant::now() + wait).await.ok()?;
+                let alone = ExclusiveConnection::dial(&peer, Instant::now() + wait).await.ok()?;
                 // Nothing new goes to one that drains, a question neither.
                 if gate.closed(Instant::now()) {
                     return None;
@@ -70,9 +72,9 @@
                 Some((generation, values(alone).await?))
             };
             if let Ok(Some((generation, values))) = timeout(wait, asking).await {
-                let n = several(&values, peer.own.settings.multiplex);
-                if let (Some(n), true) = (n, peer.current(generation)) {
-                    peer.own.asked.0.set((generation, Known::Several(n)));
+                let n = several(&values, peer.protocol.settings.multiplex);
+                if let (Some(n), true) = (n, peer.is_current(generation)) {
+                    peer.protocol.asked.0.set((generation, Multiplexing::Several(n)));
                 }
             }
         });
@@ -80,7 +82,7 @@
     None
 }
 
-async fn values(mut alone: Alone) -> Option<Vec<Pair>> {
+async fn values(mut alone: ExclusiveConnection) -> Option<Vec<Pair>> {
     let (mut events, mut unsent) = (Vec::new(), Vec::new());
     alone.wire.client.ask();
     loop {
--- a/crates/herondock/src/transport/fastcgi/wire.rs
+++ b/crates/herondock/src/transport/fastcgi/connection.rs
@@ -1,5 +1,5 @@
 //! A connection to an application: the machine and its socket.
-use crate::stream::Shared;
+use crate::stream::SharedStream;
 use bytes::{Buf, BytesMut};
 use fastcgi::client::{Client, Event};
 use std::future::Future;
@@ -9,18 +9,18 @@
 use tokio::io::{AsyncReadExt, AsyncWrite};
 
 /// What is read at once.
-const READ: usize = 16 << 10;
+const READ_BYTES: usize = 16 << 10;
 /// Less room than this in the buffer is made more.
-const READ_LEAST: usize = 2 << 10;
+const MIN_READ_BYTES: usize = 2 << 10;
 /// Parts that are written with one call.
-const PARTS: usize = 16;
+const MAX_WRITE_SLICES: usize = 16;
 
 /// The connection has ended, or what came on it can't be read.
-pub struct Over;
+pub struct ConnectionClosed;
 
 /// See the module's page.
-pub struct Wire {
-    socket: Shared,
+pub struct FastCgiConnection {
+    socket: SharedStream,
     /// What is open on it.
     pub client: Client,
     buffer: BytesMut,
@@ -30,10 +30,10 @@
     over: bool,
 }
 
-impl Wire {
+impl FastCgiConnection {
     /// A new connection.
-    pub fn new(socket: Shared, client: Client) -> Wire {
-        Wire { socket, client, buffer: BytesMut::new(), deaf: false, over: false }
+    pub fn new(socket: SharedStream, client: Client) -> FastCgiConnection {
+        FastCgiConnection { socket, client, buffer: BytesMut::new(), deaf: false, over: false }
     }
 
     /// Whether it can carry a request now.
@@ -53,17 +53,17 @@
         mut may_begin: impl FnMut(u16) -> bool,
         unsent: &mut Vec<u16>,
         events: &mut Vec<Event>,
-    ) -> Poll<Result<(), Over>> {
+    ) -> Poll<Result<(), ConnectionClosed>> {
         loop {
             self.write(cx, &mut may_begin, unsent);
             if !unsent.is_empty() || !events.is_empty() {
                 return Poll::Ready(Ok(()));
             }
             if self.over {
-                return Poll::Ready(Err(Over));
+                return Poll::Ready(Err(ConnectionClosed));
             }
-            if self.buffer.capacity() - self.buffer.len() < READ_LEAST {
-                self.buffer.reserve(READ);
+            if self.buffer.capacity() - self.buffer.len() < MIN_READ_BYTES {
+                self.buffer.reserve(READ_BYTES);
             }
             let read = pin!(self.socket.read_buf(&mut self.buffer)).poll(cx);
             match read {
@@ -95,7 +95,7 @@
             if !out.has_remaining() {
                 return;
             }
-            let mut parts = [IoSlice::new(&[]); PARTS];
+            let mut parts = [IoSlice::new(&[]); MAX_WRITE_SLICES];
             let n = out.chunks_vectored(&mut parts);
             match Pin::new(&mut self.socket).poll_write_vectored(cx, &parts[..n]) {
                 Poll::Pending => return,
--- a/crates/herondock/src/transport/fastcgi/mod.rs
+++ b/crates/herondock/src/transport/fastcgi/mod.rs
@@ -24,22 +24,22 @@
 //! | `shared.rs` | several, where the application said that it takes them |
 //! | `asked.rs` | asks it |
 //! | `wire.rs` | a connection: the machine and its socket |
-mod alone;
-mod asked;
-mod shared;
-mod wire;
+mod capabilities;
+mod connection;
+mod exclusive;
+mod multiplexed;
 
-use super::pool::{Kept, Peer, Reach, Speaks};
-use crate::exchange::{Answer, Attempt, Ended, Fields, Method, Request, Upstream};
+use super::connection_pool::{ConnectionSettings, Peer, PooledConnection, UpstreamProtocol};
+use crate::exchange::{Answer, Attempt, AttemptResult, Fields, Method, Request, Upstream};
 use crate::http::{belongs_to_a_hop, DEADLINE};
-use alone::Alone;
-use asked::Asked;
 use balancer::Ending;
 use bytes::Bytes;
+use capabilities::CapabilityCache;
+use exclusive::ExclusiveConnection;
 use fastcgi::cgi::Head;
 use fastcgi::client::{Client, Outcome};
 use fastcgi::Limits;
-use shared::{Held, Links};
+use multiplexed::{Links, PooledLink};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -59,15 +59,15 @@
 }
 
 /// An upstream that speaks FastCGI.
-pub fn upstream(reach: Reach, addr: SocketAddr, settings: Rc<Settings>) -> Rc<dyn Upstream> {
-    Peer::new(reach, FastCgi { settings, asked: Asked::default(), links: Links::default() }, addr)
+pub fn upstream(reach: ConnectionSettings, addr: SocketAddr, settings: Rc<Settings>) -> Rc<dyn Upstream> {
+    Peer::new(reach, FastCgi { settings, asked: CapabilityCache::default(), links: Links::default() }, addr)
 }
 
 /// FastCGI 1.0, to a responder.
 pub struct FastCgi {
     settings: Rc<Settings>,
     /// Whether it takes several requests at once.
-    asked: Asked,
+    asked: CapabilityCache,
     /// Connections with several requests, or with one that was called off and has not ended.
     links: Links,
 }
@@ -75,20 +75,20 @@
 /// A connection that carries nothing.
 pub enum Conn {
     /// One request at a time.
-    Alone(Box<Alone>),
+    Alone(Box<ExclusiveConnection>),
     /// Several.
-    Shared(Held),
+    Shared(PooledLink),
 }
 
-impl Kept for Conn {
-    fn clean(&self) -> bool {
+impl PooledConnection for Conn {
+    fn is_reusable(&self) -> bool {
         match self {
             Conn::Alone(alone) => alone.wire.clean(),
             Conn::Shared(held) => held.clean(),
         }
     }
 
-    fn closed(&self) -> bool {
+    fn is_closed(&self) -> bool {
         match self {
             Conn::Alone(alone) => alone.wire.closed(),
             Conn::Shared(held) => held.closed(),
@@ -96,18 +96,19 @@
     }
 }
 
-impl Speaks for FastCgi {
+impl UpstreamProtocol for FastCgi {
     type Conn = Conn;
 
-    async fn carry_out(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> Ended {
-        let outcome = match asked::at_once(peer, &attempt) {
-            Some(most) => shared::carry_out(peer, attempt.clone(), most).await,
-            None => alone::carry_out(peer, attempt.clone()).await,
+    async fn execute(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> AttemptResult {
+        let outcome = match capabilities::at_once(peer, &attempt) {
+            Some(most) => multiplexed::carry_out(peer, attempt.clone(), most).await,
+            None => exclusive::carry_out(peer, attempt.clone()).await,
         };
         match outcome {
             Ok(Outcome::Answered(head, body)) => {
                 let is = |name: &str, field: &[u8]| field.eq_ignore_ascii_case(name.as_bytes());
-                attempt.answered(|name| head.fields.iter().find(|(n, _)| is(name, n)).map(|(_, v)| &v[..]));
+                attempt
+                    .record_usage(|name| head.fields.iter().find(|(n, _)| is(name, n)).map(|(_, v)| &v[..]));
                 answered(&head, body, attempt.used_field())
             }
             Ok(Outcome::Refused(_)) => (Ending::Full, None),
@@ -119,24 +120,24 @@
 
 /// The machine of a new connection.
 fn machine(peer: &Peer<FastCgi>) -> Client {
-    let limits = peer.reach.limits.get();
-    let requests = peer.own.settings.multiplex.max(1);
+    let limits = peer.settings.limits.get();
+    let requests = peer.protocol.settings.multiplex.max(1);
     Client::new(Limits { head: limits.head, body: limits.body, requests, ..Limits::default() })
 }
 
 /// Begins an attempt's request: its id.
 fn begin(peer: &Peer<FastCgi>, client: &mut Client, attempt: &Attempt) -> Option<u16> {
     let now = Instant::now();
-    let left = format!("{}u", (attempt.until - now).as_micros());
-    let (deadline, carried) = (DEADLINE, attempt.carried(now));
+    let left = format!("{}u", (attempt.deadline - now).as_micros());
+    let (deadline, carried) = (DEADLINE, attempt.budget_fields(now));
     let own = [(deadline.as_str(), left)].into_iter().chain(carried.into_iter().flatten());
-    let params = params(&attempt.request, &peer.own.settings.params, own);
+    let params = params(&attempt.request, &peer.protocol.settings.params, own);
     let all = params.iter().map(|(name, value)| (&name[..], &value[..]));
     client.begin(all, attempt.request.body.clone(), true)
 }
 
 /// What an answer says. Only a mark that the request was turned away proves that it never ran.
-fn answered(head: &Head, body: Bytes, used: Option<&str>) -> Ended {
+fn answered(head: &Head, body: Bytes, used: Option<&str>) -> AttemptResult {
     let declined = head.fields.iter().any(|(n, v)| n.eq_ignore_ascii_case(b"srv-declined") && &v[..] == b"1");
     match head.status {
         200 => {
@@ -149,7 +150,7 @@
         }
         503 | 504 if declined => (Ending::Full, None),
         // Guards against callers whose bad input makes upstreams look bad.
-        status @ 400..=499 => (Ending::Cancelled, Some(Answer::Unusable(status))),
+        status @ 400..=499 => (Ending::Cancelled, Some(Answer::ClientError(status))),
         _ => (Ending::Error, None),
     }
 }
@@ -219,14 +220,14 @@
     fn params_are_those_that_a_responder_expects() {
         let fields = [("x-a", &b"1"[..]), ("x-a", b"2"), ("proxy", b"evil"), ("content-type", b"text/x")];
         let request = Request {
-            name: None,
+            id: None,
             method: Method::Post,
             target: "/dues/pay.php?club=1".into(),
             fields: Fields::new(fields.into_iter()),
             body: Bytes::from_static(b"body"),
             budget: None,
-            attempts: None,
-            over: Cell::new(false),
+            max_attempts: None,
+            finished: Cell::new(false),
         };
         let declared = Params(vec![("SCRIPT_FILENAME".into(), "/srv{path}".into())]);
         let all = params(&request, &declared, [("req-deadline", "5u".into())].into_iter());
--- a/crates/herondock/src/transport/fastcgi/shared.rs
+++ b/crates/herondock/src/transport/fastcgi/multiplexed.rs
@@ -1,10 +1,10 @@
 //! Several requests at once on a connection. Each has its own fate: what is called off is aborted and keeps its id until
 //! its END; when the connection breaks, only those that were written whole may have run.
-use super::alone::Alone;
-use super::wire::Wire;
+use super::connection::FastCgiConnection;
+use super::exclusive::ExclusiveConnection;
 use super::{begin, Conn, FastCgi};
-use crate::exchange::{Attempt, Gate};
-use crate::transport::pool::Peer;
+use crate::exchange::{Attempt, DrainGate};
+use crate::transport::connection_pool::Peer;
 use balancer::Ending;
 use fastcgi::client::{Event, Outcome};
 use fastcgi::record::Protocol;
@@ -18,7 +18,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// How a request on a shared connection ended.
-enum How {
+enum AttemptEnd {
     Ended(Outcome),
     /// It was not written: its time, its upstream's or itself was over.
     Unsent,
@@ -26,39 +26,39 @@
     Broken(bool),
 }
 
-struct Waiter {
+struct PendingAttempt {
     attempt: Attempt,
-    tell: oneshot::Sender<How>,
+    tell: oneshot::Sender<AttemptEnd>,
 }
 
 /// A connection with several requests, its task beside it.
 pub struct Link {
-    wire: RefCell<Wire>,
-    waiters: RefCell<BTreeMap<u16, Waiter>>,
+    wire: RefCell<FastCgiConnection>,
+    waiters: RefCell<BTreeMap<u16, PendingAttempt>>,
     /// Something is to be written, or was called off.
     changed: Notify,
     /// Since when there is a request that was called off and has not ended.
     aborted: Cell<Option<Instant>>,
     over: Cell<bool>,
     used: Cell<bool>,
-    gate: RefCell<Rc<Gate>>,
+    gate: RefCell<Rc<DrainGate>>,
     generation: u64,
     _permit: OwnedSemaphorePermit,
 }
 
 /// A link and its task, which ends with it.
-pub struct Held {
+pub struct PooledLink {
     link: Rc<Link>,
     task: AbortHandle,
 }
 
-impl Drop for Held {
+impl Drop for PooledLink {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Held {
+impl PooledLink {
     /// Whether it can carry a request now.
     pub fn clean(&self) -> bool {
         !self.link.over.get() && self.link.wire.borrow().clean()
@@ -72,10 +72,10 @@
 
 /// The connections of an upstream that carry something.
 #[derive(Default)]
-pub struct Links(RefCell<Vec<Held>>);
+pub struct Links(RefCell<Vec<PooledLink>>);
 
 impl Links {
-    fn take_out(&self, link: &Rc<Link>) -> Option<Held> {
+    fn take_out(&self, link: &Rc<Link>) -> Option<PooledLink> {
         let mut all = self.0.borrow_mut();
         let k = all.iter().position(|held| Rc::ptr_eq(&held.link, link))?;
         Some(all.swap_remove(k))
@@ -83,12 +83,12 @@
 }
 
 /// Calls a request off when its attempt is dropped.
-struct Calling {
+struct CancelOnDrop {
     link: Rc<Link>,
     id: u16,
 }
 
-impl Drop for Calling {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         // Gone from the books: it has ended.
         if self.link.waiters.borrow_mut().remove(&self.id).is_none() {
@@ -110,11 +110,11 @@
     loop {
         let link = match with_room(peer, most) {
             Some(link) => link,
-            None => match peer.take() {
+            None => match peer.take_idle() {
                 Some(Conn::Shared(held)) => hold(peer, held),
                 Some(Conn::Alone(alone)) => hold(peer, start(peer, *alone, &attempt)),
                 None => {
-                    let alone = Alone::dial(peer, attempt.until).await?;
+                    let alone = ExclusiveConnection::dial(peer, attempt.deadline).await?;
                     hold(peer, start(peer, alone, &attempt))
                 }
             },
@@ -122,7 +122,7 @@
         let reused = link.used.replace(true);
         let begun = {
             let mut wire = link.wire.borrow_mut();
-            attempt.may_be_written(Instant::now()).then(|| begin(peer, &mut wire.client, &attempt)).flatten()
+            attempt.may_write(Instant::now()).then(|| begin(peer, &mut wire.client, &attempt)).flatten()
         };
         let Some(id) = begun else {
             link.changed.notify_one();
@@ -130,48 +130,48 @@
         };
         link.gate.replace(attempt.gate.clone());
         let (tell, told) = oneshot::channel();
-        link.waiters.borrow_mut().insert(id, Waiter { attempt: attempt.clone(), tell });
+        link.waiters.borrow_mut().insert(id, PendingAttempt { attempt: attempt.clone(), tell });
         link.changed.notify_one();
-        let calling = Calling { link, id };
+        let calling = CancelOnDrop { link, id };
         let how = told.await;
         drop(calling);
         match how {
-            Ok(How::Ended(outcome)) => {
+            Ok(AttemptEnd::Ended(outcome)) => {
                 if outcome == Outcome::Refused(Protocol::CantMultiplex) {
-                    peer.own.asked.refused();
+                    peer.protocol.asked.refused();
                 }
                 return Ok(outcome);
             }
-            Ok(How::Unsent) => return Err(Ending::Moot),
+            Ok(AttemptEnd::Unsent) => return Err(Ending::Moot),
             // As alone: one that had carried something and was closed meanwhile says nothing about the upstream.
-            Ok(How::Broken(false)) if reused => {}
-            Ok(How::Broken(false)) => return Err(Ending::ConnectFailed),
+            Ok(AttemptEnd::Broken(false)) if reused => {}
+            Ok(AttemptEnd::Broken(false)) => return Err(Ending::ConnectFailed),
             // Dropped with its connection: nobody knows.
-            Ok(How::Broken(true)) | Err(_) => return Err(Ending::Reset),
+            Ok(AttemptEnd::Broken(true)) | Err(_) => return Err(Ending::Reset),
         }
     }
 }
 
 /// The first connection with room: the others then fall idle and close.
 fn with_room(peer: &Peer<FastCgi>, most: usize) -> Option<Rc<Link>> {
-    let (now, patience) = (Instant::now(), peer.reach.limits.get().flush_wait);
+    let (now, patience) = (Instant::now(), peer.settings.limits.get().flush_wait);
     let fits = |link: &Link| {
         let open = link.wire.borrow().client.open();
         // One that does not end what was called off can't be trusted with more.
         let stuck = link.aborted.get().is_some_and(|since| now - since >= patience);
-        !link.over.get() && !stuck && open < most && peer.current(link.generation)
+        !link.over.get() && !stuck && open < most && peer.is_current(link.generation)
     };
-    peer.own.links.0.borrow().iter().map(|held| &held.link).find(|link| fits(link)).cloned()
+    peer.protocol.links.0.borrow().iter().map(|held| &held.link).find(|link| fits(link)).cloned()
 }
 
-fn hold(peer: &Peer<FastCgi>, held: Held) -> Rc<Link> {
+fn hold(peer: &Peer<FastCgi>, held: PooledLink) -> Rc<Link> {
     let link = held.link.clone();
-    peer.own.links.0.borrow_mut().push(held);
+    peer.protocol.links.0.borrow_mut().push(held);
     link
 }
 
 /// Gives a connection its task.
-fn start(peer: &Rc<Peer<FastCgi>>, alone: Alone, attempt: &Attempt) -> Held {
+fn start(peer: &Rc<Peer<FastCgi>>, alone: ExclusiveConnection, attempt: &Attempt) -> PooledLink {
     let link = Rc::new(Link {
         wire: RefCell::new(alone.wire),
         waiters: RefCell::default(),
@@ -183,9 +183,9 @@
         generation: alone.generation,
         _permit: alone.permit,
     });
-    let patience = peer.reach.limits.get().flush_wait;
+    let patience = peer.settings.limits.get().flush_wait;
     let task = tokio::task::spawn_local(link.clone().run(Rc::downgrade(peer), patience));
-    Held { link, task: task.abort_handle() }
+    PooledLink { link, task: task.abort_handle() }
 }
 
 impl Link {
@@ -204,11 +204,11 @@
                 () = sleep_until(given_up.unwrap_or_else(Instant::now)), if given_up.is_some() => true,
             };
             for id in unsent.drain(..) {
-                self.tell(id, How::Unsent);
+                self.tell(id, AttemptEnd::Unsent);
             }
             for event in events.drain(..) {
                 if let Event::Ended(id, outcome) = event {
-                    self.tell(id, How::Ended(outcome));
+                    self.tell(id, AttemptEnd::Ended(outcome));
                 }
             }
             if over {
@@ -221,18 +221,18 @@
         for (id, waiter) in waiters {
             let whole = self.wire.borrow().client.whole(id);
             // One that was called off meanwhile is not waited for.
-            let _ = waiter.tell.send(How::Broken(whole));
+            let _ = waiter.tell.send(AttemptEnd::Broken(whole));
         }
         // Out of use; nobody holds it once its attempts have heard.
-        drop(peer.upgrade().and_then(|peer| peer.own.links.take_out(&self)));
+        drop(peer.upgrade().and_then(|peer| peer.protocol.links.take_out(&self)));
     }
 
     fn may_begin(&self, id: u16) -> bool {
         let now = Instant::now();
-        self.waiters.borrow().get(&id).is_some_and(|w| w.attempt.may_be_written(now))
+        self.waiters.borrow().get(&id).is_some_and(|w| w.attempt.may_write(now))
     }
 
-    fn tell(&self, id: u16, how: How) {
+    fn tell(&self, id: u16, how: AttemptEnd) {
         if let Some(waiter) = self.waiters.borrow_mut().remove(&id) {
             // One that was called off meanwhile is not waited for.
             let _ = waiter.tell.send(how);
@@ -252,8 +252,8 @@
             return;
         }
         if let Some(peer) = peer.upgrade() {
-            if let Some(held) = peer.own.links.take_out(self) {
-                peer.keep(Conn::Shared(held), self.generation, &self.gate.borrow());
+            if let Some(held) = peer.protocol.links.take_out(self) {
+                peer.return_idle(Conn::Shared(held), self.generation, &self.gate.borrow());
             }
         }
     }
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -1,8 +1,8 @@
 //! Attempts over HTTP/1.1: one request to one upstream, once; and the connections that are kept for the next.
-use super::pool::{Dialled, Kept, Peer, Speaks};
-use crate::exchange::{Answer, Attempt, Ended};
+use super::connection_pool::{DialedConnection, Peer, PooledConnection, UpstreamProtocol};
+use crate::exchange::{Answer, Attempt, AttemptResult};
 use crate::http::{fields, headers, method, DEADLINE, DECLINED};
-use crate::stream::Shared;
+use crate::stream::SharedStream;
 use balancer::Ending;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,12 +18,12 @@
 use tokio::time::{timeout, Instant};
 
 /// How long a connection may take to be ready for its next request once an answer has been read whole.
-const SETTLE: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// One open connection; closed when dropped.
 pub struct Conn {
     sender: http1::SendRequest<Full<Bytes>>,
-    socket: Shared,
+    socket: SharedStream,
     /// The upstream's generation that it was made for.
     generation: u64,
     task: AbortHandle,
@@ -36,14 +36,14 @@
     }
 }
 
-impl Kept for Conn {
+impl PooledConnection for Conn {
     /// Guards against requests written to one that the other side has closed, and against reading what came behind an
     /// answer, a second copy or noise, as the answer to the next.
-    fn clean(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.socket.quiet()
     }
 
-    fn closed(&self) -> bool {
+    fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 }
@@ -52,9 +52,9 @@
 pub struct Http;
 
 async fn dial(peer: &Peer<Http>, until: Instant) -> Result<Conn, Ending> {
-    let Dialled { socket, generation, permit } = peer.dial(until).await?;
+    let DialedConnection { socket, generation, permit } = peer.dial(until).await?;
     let io = TokioIo::new(socket.clone());
-    let made = http1::Builder::new().max_buf_size(peer.reach.limits.get().head).handshake(io).await;
+    let made = http1::Builder::new().max_buf_size(peer.settings.limits.get().head).handshake(io).await;
     let (sender, conn) = made.map_err(|_| Ending::ConnectFailed)?;
     let task = tokio::task::spawn_local(async move {
         // How the connection ended shows in the attempt that was on it.
@@ -63,29 +63,29 @@
     Ok(Conn { sender, socket, generation, task: task.abort_handle(), _permit: permit })
 }
 
-impl Speaks for Http {
+impl UpstreamProtocol for Http {
     type Conn = Conn;
 
-    async fn carry_out(peer: &Rc<Peer<Http>>, attempt: Attempt) -> Ended {
+    async fn execute(peer: &Rc<Peer<Http>>, attempt: Attempt) -> AttemptResult {
         let Ok(mut request) = message(&attempt.request) else { return (Ending::Moot, None) };
-        let body_most = peer.reach.limits.get().body;
+        let body_most = peer.settings.limits.get().body;
         let (mut conn, answer) = loop {
-            let (mut conn, reused) = match peer.take() {
+            let (mut conn, reused) = match peer.take_idle() {
                 Some(conn) => (conn, true),
-                None => match dial(peer, attempt.until).await {
+                None => match dial(peer, attempt.deadline).await {
                     Ok(conn) => (conn, false),
                     Err(ending) => return (ending, None),
                 },
             };
             let now = Instant::now();
-            if !attempt.may_be_written(now) {
+            if !attempt.may_write(now) {
                 return (Ending::Moot, None);
             }
-            let left = (attempt.until - now).as_micros();
+            let left = (attempt.deadline - now).as_micros();
             if let Ok(left) = HeaderValue::try_from(format!("{left}u")) {
                 request.headers_mut().insert(DEADLINE, left);
             }
-            for (name, value) in attempt.carried(now).into_iter().flatten() {
+            for (name, value) in attempt.budget_fields(now).into_iter().flatten() {
                 if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
                     request.headers_mut().insert(name, value);
                 }
@@ -101,7 +101,7 @@
                 },
             }
         };
-        attempt.answered(|name| answer.headers().get(name).map(HeaderValue::as_bytes));
+        attempt.record_usage(|name| answer.headers().get(name).map(HeaderValue::as_bytes));
         if !has_an_end(&answer) || answer.body().size_hint().lower() > body_most as u64 {
             return (Ending::Reset, None);
         }
@@ -109,10 +109,10 @@
         let (head, body) = answer.into_parts();
         let Ok(body) = Limited::new(body, body_most).collect().await else { return (Ending::Reset, None) };
         // Back before the outcome is told: what the module sends next may go on this connection.
-        if let Ok(Ok(())) = timeout(SETTLE, conn.sender.ready()).await {
+        if let Ok(Ok(())) = timeout(READY_TIMEOUT, conn.sender.ready()).await {
             // Whether something unread is on it is asked when it is taken again.
             let generation = conn.generation;
-            peer.keep(conn, generation, &attempt.gate);
+            peer.return_idle(conn, generation, &attempt.gate);
         }
         let answer = match ending {
             Ending::Ok => {
@@ -122,7 +122,7 @@
             }
             // Guards against callers whose bad input makes upstreams look bad: it says nothing about the upstream,
             // and sent to another it would be turned away again.
-            Ending::Cancelled => Some(Answer::Unusable(head.status.as_u16())),
+            Ending::Cancelled => Some(Answer::ClientError(head.status.as_u16())),
             _ => None,
         };
         (ending, answer)
@@ -163,9 +163,9 @@
 mod tests {
     use super::*;
     use crate::descriptor_budget::DescriptorBudget;
-    use crate::exchange::{Fields, Gate, Method, Upstream};
+    use crate::exchange::{DrainGate, Fields, Method, Upstream};
     use crate::live_config::LiveConfig;
-    use crate::transport::pool::Reach;
+    use crate::transport::connection_pool::ConnectionSettings;
     use config::operator::Limits;
     use std::cell::Cell;
     use std::io::{Read, Write};
@@ -176,23 +176,23 @@
     fn upstream(sockets: DescriptorBudget, addr: SocketAddr) -> Rc<Peer<Http>> {
         let limits = LiveConfig::new(Limits::default());
         let (dial_timeout, idle_close) = (Duration::from_secs(5), Duration::from_secs(60));
-        Peer::new(Reach { dial_timeout, idle_close, sockets, limits }, Http, addr)
+        Peer::new(ConnectionSettings { dial_timeout, idle_close, descriptors: sockets, limits }, Http, addr)
     }
 
     fn attempt() -> Attempt {
         let request = crate::exchange::Request {
-            name: None,
+            id: None,
             method: Method::Get,
             target: "/api".into(),
             fields: Fields::default(),
             body: Bytes::new(),
             budget: None,
-            attempts: None,
-            over: Cell::new(false),
+            max_attempts: None,
+            finished: Cell::new(false),
         };
         let until = Instant::now() + Duration::from_secs(5);
-        let (gate, hop) = (Rc::new(Gate::default()), None);
-        Attempt { request: Rc::new(request), gate, until, by: None, hop }
+        let (gate, hop) = (Rc::new(DrainGate::default()), None);
+        Attempt { request: Rc::new(request), gate, deadline: until, dedup_deadline: None, budget_grant: hop }
     }
 
     fn alone(test: impl std::future::Future<Output = ()>) {
@@ -207,7 +207,7 @@
         alone(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
             let upstream = upstream(DescriptorBudget::new(64), listener.local_addr().expect("an address"));
-            let late = Attempt { by: Some(Instant::now()), ..attempt() };
+            let late = Attempt { dedup_deadline: Some(Instant::now()), ..attempt() };
             let (ending, answer) = upstream.attempt(late).await;
             assert!(ending == balancer::Ending::Moot && answer.is_none(), "{ending:?}");
             let (stream, _) = listener.accept().expect("a connection");
@@ -231,12 +231,12 @@
                     let mut conn = dial(&upstream, until).await.expect("connects");
                     let (mut peer, _) = listener.accept().expect("accepts");
                     conn.sender.ready().await.expect("it is open");
-                    upstream.keep(conn, 0, &attempt().gate);
+                    upstream.return_idle(conn, 0, &attempt().gate);
                     match extra {
                         Some(extra) => peer.write_all(extra).expect("writes"),
                         None => drop(peer.shutdown(std::net::Shutdown::Both)),
                     }
-                    let taken = upstream.take().is_some();
+                    let taken = upstream.take_idle().is_some();
                     drop(peer);
                     taken
                 }
@@ -253,7 +253,7 @@
         alone(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
             let sockets = DescriptorBudget::new(64);
-            let all: Vec<_> = std::iter::from_fn(|| sockets.upstream()).collect();
+            let all: Vec<_> = std::iter::from_fn(|| sockets.try_upstream()).collect();
             let to = upstream(sockets, listener.local_addr().expect("an address"));
             let attempt = attempt();
             let (ending, _) = to.attempt(attempt).await;
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -1,15 +1,18 @@
 //! Transports: how an attempt reaches its upstream, by what that speaks.
+pub mod connection_pool;
 pub mod fastcgi;
 pub mod http;
-pub mod pool;
 
 use crate::endpoint_sources::{Entry, Protocol};
 use crate::exchange::Upstream;
-use pool::{Peer, Reach};
+use connection_pool::{ConnectionSettings, Peer};
 use std::rc::Rc;
 
 /// Chooses the transport of each upstream.
-pub fn choose(reach: Reach, fastcgi: Rc<fastcgi::Settings>) -> impl Fn(&Entry) -> Rc<dyn Upstream> {
+pub fn choose(
+    reach: ConnectionSettings,
+    fastcgi: Rc<fastcgi::Settings>,
+) -> impl Fn(&Entry) -> Rc<dyn Upstream> {
     move |entry| match entry.speaks {
         Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
         Protocol::FastCgi => fastcgi::upstream(reach.clone(), entry.addr, fastcgi.clone()),
