--- /dev/null
+++ b/crates/herondock/src/cli/endpoints.rs
@@ -0,0 +1,41 @@
+//! `herondock endpoints`: the endpoints that an instance has, or that its sources say.
+use crate::endpoint_sources::inspect;
+use crate::{node_config, run};
+use anyhow::Context;
+use clap::Args;
+use std::path::PathBuf;
+
+#[derive(Args)]
+pub struct EndpointsArgs {
+    /// The operator's file, which names the instance's Unix socket (daemon.takeover) and its sources
+    #[arg(long, value_name = "FILE")]
+    operator: Option<PathBuf>,
+    /// The instance's Unix socket, in place of daemon.takeover
+    #[arg(long, value_name = "PATH")]
+    takeover: Option<PathBuf>,
+    /// Ask the sources themselves, with the platform's configuration in the file that NODE_CONFIG names
+    #[arg(long)]
+    once: bool,
+    /// As JSON
+    #[arg(long)]
+    json: bool,
+}
+
+impl EndpointsArgs {
+    pub fn run(self) -> anyhow::Result<()> {
+        let operator = run::read_operator(self.operator.as_deref()).map_err(anyhow::Error::msg)?;
+        let view = if self.once {
+            let config = node_config::load().map_err(anyhow::Error::msg)?;
+            inspect::of_sources(config, &operator)
+        } else {
+            let socket = self.takeover.or_else(|| operator.daemon.takeover.clone());
+            let socket = socket.context(
+                "members: name the instance's socket with --takeover or in --operator, or ask with --once",
+            )?;
+            inspect::of_instance(&socket)
+        };
+        let view = view.map_err(anyhow::Error::msg)?;
+        let text = if self.json { format!("{view}\n") } else { inspect::table(&view) };
+        super::print(&text)
+    }
+}
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -76,7 +76,7 @@
 
 /// Ends the process as soon as standard input ends, whatever it is doing: who held the other end is gone, and with it
 /// everyone that was served.
-pub fn end_with_input() {
+pub fn exit_with_standard_input() {
     std::thread::spawn(|| {
         // What comes is of no interest; an error ends it as well.
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
