--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -68,7 +68,7 @@
         for instance in &fleet.instances {
             one(&instance.config, None)?;
             if let Some(operator) = &instance.operator {
-                let config = node_config::read(&instance.config)?;
+                let config = node_config::read(&instance.config).map_err(|e| e.to_string())?;
                 one(operator, Some(&routing::world(&config.deployment)))?;
             }
         }
@@ -83,7 +83,7 @@
         let world = world.ok_or_else(|| format!("{}: {what}", path.display()))?;
         return read_table(Some(path), &operator, world).map(|_| ());
     }
-    let config = node_config::read(path)?;
+    let config = node_config::read(path).map_err(|e| e.to_string())?;
     let settings = Balancer::new(config.deployment.policy, config.seed, 0.0);
     settings.map(|_| ()).map_err(|e| format!("{}: settings: {e}", path.display()))
 }
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -4,7 +4,7 @@
 use super::{Audience, Listing};
 use crate::listener_handoff::protocol;
 use crate::live_config::LiveConfig;
-use crate::node_config::{self, Config};
+use crate::node_config::{self, NodeConfig};
 use config::operator::OperatorConfig;
 use daemon::table::lines;
 use rand_core::SeedableRng;
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// No runtime could be had.
-pub fn of_sources(config: Config, operator: &OperatorConfig) -> Result<Value, String> {
+pub fn of_sources(config: NodeConfig, operator: &OperatorConfig) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration file as typed values. Whatever is wrong with it is named with the field at fault.
+//! The platform's configuration of one balancer (`NODE_CONFIG`, JSON) as typed values.
 use config::operator::read_whole;
 use config::Deployment;
 use discovery::platform::staleness::StalenessSettings;
@@ -6,15 +6,68 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Largest configuration that is read; its list of upstreams is the most of it.
+/// Environment variable that names the file.
+const VARIABLE: &str = "NODE_CONFIG";
+/// Largest configuration that is read, in bytes; its endpoint list is most of it.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// Descriptors where the configuration states no limit.
+/// Limit on descriptors where the configuration states none.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// Fewer descriptors than this leave no room for callers and upstreams.
+/// Fewer descriptors than this are not enough for clients and upstreams.
 const MIN_DESCRIPTORS: usize = 64;
+/// Longest grace of drains that is taken, in milliseconds.
+const MAX_DRAIN_GRACE_MS: f64 = 60_000.0;
+
+/// Why a configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeConfigError {
+    /// The environment variable is not set, or is no text.
+    #[error("{VARIABLE}: {0}")]
+    Variable(std::env::VarError),
+    /// The file that the environment variable names can't be used.
+    #[error("{VARIABLE}: {0}")]
+    NamedFile(Box<NodeConfigError>),
+    /// The file can't be read.
+    #[error("{}: {reason}", .path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        reason: String,
+    },
+    /// The content of the file is not valid.
+    #[error("{}: {source}", .path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong.
+        source: InvalidNodeConfig,
+    },
+}
+
+/// What is wrong with the content of a configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidNodeConfig {
+    /// It is not valid JSON, or more follows.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// A field has a value that it can't have.
+    #[error("{field}: {reason}")]
+    Field {
+        /// Path of the field.
+        field: String,
+        /// What is wrong with it.
+        reason: String,
+    },
+}
+
+impl InvalidNodeConfig {
+    fn field(field: impl Into<String>, reason: impl ToString) -> InvalidNodeConfig {
+        InvalidNodeConfig::Field { field: field.into(), reason: reason.to_string() }
+    }
+}
 
 #[derive(Deserialize)]
 struct RawNodeConfig {
@@ -23,129 +76,111 @@
     discovery: SocketAddr,
     seed: String,
     #[serde(default)]
-    limits: Limits,
+    limits: RawLimits,
     known: Option<Box<RawValue>>,
     settings: Box<RawValue>,
 }
 
 #[derive(Deserialize, Default)]
-struct Limits {
+struct RawLimits {
     sockets: Option<usize>,
 }
 
-/// All that a balancer is told at its start.
-pub struct Config {
-    /// Its name, for the log.
+/// The configuration of one balancer.
+pub struct NodeConfig {
+    /// Its name.
     pub name: String,
-    /// Where callers connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// Feeds the module's random choices.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// Most file descriptors the process may hold.
-    pub sockets: usize,
-    /// The list of upstreams as this balancer last had it.
-    pub known: Option<Answer>,
-    /// The settings, for the module and for the sockets.
+    /// Maximum number of file descriptors of the process.
+    pub max_descriptors: usize,
+    /// The endpoint list as this balancer last had it; its age is unknown.
+    pub cached_endpoints: Option<Answer>,
+    /// Settings of the decision module and of the sockets.
     pub deployment: Deployment,
-    /// The same for the same text of the settings.
+    /// Hash of the settings' text: equal for equal settings.
     pub fingerprint: u64,
 }
 
 /// Reads the file that `NODE_CONFIG` names.
-pub fn load() -> Result<Config, String> {
-    let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    read(Path::new(&path)).map_err(|e| format!("NODE_CONFIG: {e}"))
+///
+/// # Errors
+/// The variable is not set, or its file can't be used.
+pub fn load() -> Result<NodeConfig, NodeConfigError> {
+    let path = std::env::var(VARIABLE).map_err(NodeConfigError::Variable)?;
+    read(Path::new(&path)).map_err(|e| NodeConfigError::NamedFile(Box::new(e)))
 }
 
 /// Reads a file.
-pub fn read(path: &Path) -> Result<Config, String> {
-    let named = |what: String| format!("{}: {what}", path.display());
-    let text = read_whole(path, MAX_FILE_BYTES).map_err(named)?;
-    Config::parse(&text).map_err(named)
+///
+/// # Errors
+/// It can't be read, or is not valid.
+pub fn read(path: &Path) -> Result<NodeConfig, NodeConfigError> {
+    let unreadable = |reason: String| NodeConfigError::Unreadable { path: path.into(), reason };
+    let text = read_whole(path, MAX_FILE_BYTES).map_err(unreadable)?;
+    NodeConfig::parse(&text).map_err(|source| NodeConfigError::Invalid { path: path.into(), source })
 }
 
-impl Config {
-    /// Reads a configuration.
-    pub fn parse(json: &[u8]) -> Result<Config, String> {
-        let mut json = serde_json::Deserializer::from_slice(json);
-        let file: RawNodeConfig =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
-                path if path == "." => e.inner().to_string(),
-                path => format!("{path}: {}", e.inner()),
-            })?;
-        json.end().map_err(|e| e.to_string())?;
-        let deployment =
-            config::deployment(file.settings.get().as_bytes()).map_err(|e| format!("settings: {e}"))?;
+impl NodeConfig {
+    /// Parses a configuration.
+    ///
+    /// # Errors
+    /// The field at fault, and what is wrong with it.
+    pub fn parse(json: &[u8]) -> Result<NodeConfig, InvalidNodeConfig> {
+        let raw = parse_raw(json)?;
+        let deployment = config::deployment(raw.settings.get().as_bytes())
+            .map_err(|e| InvalidNodeConfig::field("settings", e))?;
         if let Some(i) = deployment.classes.iter().position(String::is_empty) {
-            return Err(format!("settings.classes[{i}].name: missing"));
+            return Err(InvalidNodeConfig::field(format!("settings.classes[{i}].name"), "missing"));
         }
         if let Some(i) = deployment.tenants.iter().position(String::is_empty) {
-            return Err(format!("settings.tenants[{i}].name: missing"));
+            return Err(InvalidNodeConfig::field(format!("settings.tenants[{i}].name"), "missing"));
         }
-        let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|_| format!("seed: {:?} is no hexadecimal number of 64 bits", file.seed))?;
-        let sockets = file.limits.sockets.unwrap_or(DEFAULT_DESCRIPTORS);
-        if sockets < MIN_DESCRIPTORS {
-            return Err(format!("limits.sockets: must be at least {MIN_DESCRIPTORS}"));
+        let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| {
+            InvalidNodeConfig::field("seed", format!("{:?} is no hexadecimal number of 64 bits", raw.seed))
+        })?;
+        let max_descriptors = raw.limits.sockets.unwrap_or(DEFAULT_DESCRIPTORS);
+        if max_descriptors < MIN_DESCRIPTORS {
+            let reason = format!("must be at least {MIN_DESCRIPTORS}");
+            return Err(InvalidNodeConfig::field("limits.sockets", reason));
         }
-        let known = file.known.as_ref().map(|k| k.get()).filter(|k| *k != "null");
-        let known = known.map(|known| platform::read(known.as_bytes()).map_err(|e| format!("known: {e}")));
-        let known = known.transpose()?;
-        let (name, listen, discovery) = (file.name, file.listen, file.discovery);
-        let fingerprint = hashing::stable(file.settings.get().as_bytes());
-        Ok(Config { name, listen, discovery, seed, sockets, known, deployment, fingerprint })
+        let known = raw.known.as_ref().map(|known| known.get()).filter(|known| *known != "null");
+        let known = known.map(|known| platform::read(known.as_bytes())).transpose();
+        Ok(NodeConfig {
+            name: raw.name,
+            listen: raw.listen,
+            discovery: raw.discovery,
+            seed,
+            max_descriptors,
+            cached_endpoints: known.map_err(|e| InvalidNodeConfig::field("known", e))?,
+            deployment,
+            fingerprint: hashing::stable(raw.settings.get().as_bytes()),
+        })
     }
 }
 
-/// What the settings say of discovery.
+fn parse_raw(json: &[u8]) -> Result<RawNodeConfig, InvalidNodeConfig> {
+    let mut json = serde_json::Deserializer::from_slice(json);
+    let raw = serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
+        path if path == "." => InvalidNodeConfig::Json(e.into_inner()),
+        path => InvalidNodeConfig::field(path, e.inner()),
+    })?;
+    json.end()?;
+    Ok(raw)
+}
+
+/// What the settings say of notifications by service discovery.
 pub fn staleness_settings(deployment: &Deployment) -> StalenessSettings {
+    let drain_grace = deployment.drain_grace.clamp(0.0, MAX_DRAIN_GRACE_MS);
     StalenessSettings {
         pushed: !deployment.policy.ask_for_list,
-        drain_grace: Duration::from_secs_f64(deployment.drain_grace.clamp(0.0, 60_000.0) / 1000.0),
+        drain_grace: Duration::from_secs_f64(drain_grace / 1000.0),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
-        "seed":"8c1f30d27a5be964","limits":{"sockets":1024},
-        "known":{"version":4,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:10","zone":"a","kind":"m2",
-            "cell":3,"state":"active","weight":1.0,"started_ms":0}]},
-        "settings":{"balancers":2,"index":1,"membership_mode":"on_request","dcs":["a"],"kinds":["m1","m2"],
-            "classes":[{"name":"read","objective":100,"deadline":400,"effect":"free"}],
-            "permissions":{"attempts_cap":3},
-            "invariants":{"cold_from":0.2,"ramp_time":9000,"tip_multiple":3}}}"#;
-
-    #[test]
-    fn a_whole_configuration_is_read() {
-        let c = Config::parse(GOOD.as_bytes()).unwrap();
-        assert_eq!((c.seed, c.sockets, c.deployment.dial_timeout), (0x8c1f_30d2_7a5b_e964, 1024, 250.0));
-        let known = c.known.expect("a list");
-        assert_eq!((known.version, &*known.reports()[0].kind, known.reports()[0].cell), (4, "m2", 3));
-    }
-
-    /// Guards against a balancer that does not start for one bad entry of an old list: the rest is asked for again.
-    #[test]
-    fn a_bad_entry_of_the_known_list_is_passed_over() {
-        let c = Config::parse(GOOD.replace("\"state\":\"active\"", "\"state\":\"odd\"").as_bytes()).unwrap();
-        let known = c.known.expect("a list");
-        assert!(known.reports().is_empty() && known.faults[0].contains("\"s-1\""), "{known:?}");
-    }
-
-    #[test]
-    fn what_is_wrong_is_named() {
-        let error = |from: &str, to: &str| Config::parse(GOOD.replace(from, to).as_bytes()).err().unwrap();
-        assert!(error("\"seed\":\"8c1f30d27a5be964\",", "").contains("seed"));
-        assert!(error("8c1f30d27a5be964", "xyz").starts_with("seed"));
-        assert!(error("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\"").starts_with("listen"));
-        assert!(error("\"sockets\":1024", "\"sockets\":3").starts_with("limits.sockets"));
-        assert!(error("\"objective\":100", "\"objective\":\"x\"").contains("classes[0].objective"));
-        assert!(error("\"name\":\"read\",", "").contains("settings.classes[0].name"));
-        assert!(error("\"version\":4", "\"version\":\"x\"").starts_with("known"));
-        assert!(Config::parse(b"{").is_err());
-    }
-}
+mod tests;
--- a/crates/herondock/src/routing/inspect.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -50,7 +50,7 @@
 /// # Errors
 /// The files can't be used, or it names what is not there.
 pub fn explain(file: &Path, d: &RequestDescription) -> Result<String, String> {
-    let world = routing::world(&node_config::load()?.deployment);
+    let world = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
     let (table, _) = table(file, &world)?;
     let class = position("class", &world.classes, d.class.as_deref())?;
     let club = position("club", &world.clubs, d.club.as_deref())?;
@@ -114,7 +114,7 @@
 /// # Errors
 /// The files can't be used.
 pub fn diff_tables(old: &Path, new: &Path) -> Result<String, String> {
-    let world = routing::world(&node_config::load()?.deployment);
+    let world = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
     let ((before, old_expects), (after, new_expects)) = (table(old, &world)?, table(new, &world)?);
     let (moves, whole) = diff(&before, &after, MAX_SHOWN_MOVES);
     let mut text = String::new();
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -1,10 +1,12 @@
-//! One instance: its lifecycle, and a method for each action that this wants.
+//! One running instance: its lifecycle decides, and each of its actions is performed here.
 use super::event_stream::{EventSender, EventStream, ProcessEvent};
 use super::reload::Reloader;
 use crate::descriptor_budget::DescriptorBudget;
 use crate::endpoint_sources::aggregator::EndpointAggregator;
 use crate::endpoint_sources::registration::Registrations;
-use crate::front::{fastcgi, http::HttpFront, ShutdownPhase, ShutdownProgress};
+use crate::front::fastcgi::FastCgiFront;
+use crate::front::http::HttpFront;
+use crate::front::{ShutdownPhase, ShutdownProgress};
 use crate::listener_handoff::protocol::{
     EndpointsQuery, HandoffListener, HandoffRequest, ReadySuccessor, ReceivedListeners, Successor,
 };
@@ -29,271 +31,223 @@
 
 /// How long the pid file of a predecessor that has passed its sockets on is waited for.
 const PID_FILE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the end waits for the council to hear of it; its session ends by itself as well.
+/// How long the exit waits for the coordination service to close the session; it expires by itself as well.
 const SESSION_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What an instance consists of.
 pub struct InstanceConfig {
-    /// What it calls itself.
+    /// Its name.
     pub name: String,
     /// When the process began.
     pub start: Instant,
-    /// Tells its settings from others.
+    /// Hash of the platform's settings: a successor uses transferred state only if its settings have the same.
     pub fingerprint: u64,
-    /// `[daemon]` of the operator's file, and what the command line put in its place.
+    /// `[daemon]` of the operator's file, with what the command line put in its place.
     pub daemon: Daemon,
     /// The service manager.
     pub manager: ServiceManager,
-    /// The driver.
-    pub handle: Pools,
-    /// The view of members.
+    /// The pools and their drivers.
+    pub pools: Pools,
+    /// The endpoints of all sources.
     pub members: EndpointAggregator<Pools>,
-    /// This instance in registries.
+    /// Registrations of this instance in service discovery.
     pub registrations: Registrations,
-    /// The front.
-    pub server: Rc<HttpFront>,
+    /// The front for HTTP.
+    pub http_front: Rc<HttpFront>,
     /// The front for FastCGI.
-    pub side: Rc<fastcgi::FastCgiFront>,
-    /// All descriptors.
-    pub budget: DescriptorBudget,
-    /// How far its end has come, as the front sees it.
-    pub course: watch::Sender<ShutdownProgress>,
-    /// What may change while it runs.
-    pub changes: Reloader,
-    /// The listener; see `origin.rs`.
-    pub listener: std::net::TcpListener,
+    pub fastcgi_front: Rc<FastCgiFront>,
+    /// Descriptors of the process.
+    pub descriptors: DescriptorBudget,
+    /// Tells the fronts how far a graceful shutdown has come.
+    pub progress: watch::Sender<ShutdownProgress>,
+    /// Applies changed files.
+    pub reloader: Reloader,
+    /// A handle of the listening socket to accept on and to pass on; `None` once accepting has stopped.
+    pub listener: Option<std::net::TcpListener>,
     /// The pid file, unless a predecessor still holds it.
     pub pid_file: Option<PidFile>,
-    /// Where its tasks tell what happens.
-    pub tell: EventSender,
-    /// Its part in the council, if it has one.
-    pub council: Option<ClientHandle>,
-    /// How it stands, as others in the council are told.
-    pub stands: watch::Sender<disruption::InstanceState>,
+    /// Receives the events of the instance's tasks.
+    pub sender: EventSender,
+    /// Client of the coordination service, if the instance has one.
+    pub coordination: Option<ClientHandle>,
+    /// State of the instance as reported to the coordination service.
+    pub states: watch::Sender<disruption::InstanceState>,
 }
 
 /// A running instance.
 pub struct Instance {
-    name: String,
+    config: InstanceConfig,
     address: SocketAddr,
-    start: Instant,
-    fingerprint: u64,
-    daemon: Daemon,
-    manager: ServiceManager,
-    handle: Pools,
-    members: EndpointAggregator<Pools>,
-    registrations: Registrations,
-    server: Rc<HttpFront>,
-    side: Rc<fastcgi::FastCgiFront>,
-    budget: DescriptorBudget,
-    course: watch::Sender<ShutdownProgress>,
-    changes: Reloader,
-    tell: EventSender,
-    council: Option<ClientHandle>,
-    stands: watch::Sender<disruption::InstanceState>,
-    life: Lifecycle,
-    /// One to pass on, besides the one that is accepted on.
-    listener: Option<std::net::TcpListener>,
-    pid_file: Option<PidFile>,
-    /// Lets the claim go to the predecessor.
+    lifecycle: Lifecycle,
+    /// Sends the claim of the sockets to the predecessor.
     claim: Option<oneshot::Sender<()>>,
-    /// Finds those that ask for the sockets.
-    holder: Option<AbortHandle>,
-    comer: Option<Successor>,
-    claimant: Rc<RefCell<Option<ReadySuccessor>>>,
-    served: Option<JoinHandle<()>>,
-    /// Why the files were not taken when they were read last.
-    refused: Option<String>,
+    /// The task that receives requests for a handoff.
+    handoff_listener: Option<AbortHandle>,
+    /// A process that has asked for the sockets.
+    successor: Option<Successor>,
+    /// The same, once it could serve.
+    ready_successor: Rc<RefCell<Option<ReadySuccessor>>>,
+    /// The HTTP front's task.
+    http_task: Option<JoinHandle<()>>,
+    /// Why the last reload was rejected.
+    reload_error: Option<String>,
 }
 
 impl Instance {
-    /// An instance that has not begun to accept; with `taken`, it succeeds another.
+    /// An instance that does not accept yet; with a predecessor, it takes the sockets over from it.
     ///
     /// # Errors
     /// The listener has no address.
-    pub fn new(wiring: InstanceConfig, taken: Option<ReceivedListeners>) -> Result<Instance, String> {
-        let InstanceConfig { name, start, fingerprint, daemon, manager, handle, server, budget, .. } = wiring;
-        let InstanceConfig {
-            side,
-            members,
-            registrations,
-            course,
-            changes,
-            listener,
-            pid_file,
-            tell,
-            council,
-            stands,
-            ..
-        } = wiring;
-        let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-        let Daemon {
-            accepting, serving, announcing, last_answer, end, handed_over_silent, handed_over, ..
-        } = daemon;
-        let figures = ShutdownTimeouts {
-            accepting,
-            serving,
-            announcing,
-            last_answer,
-            end,
-            handed_over_silent,
-            handed_over,
+    pub fn new(config: InstanceConfig, predecessor: Option<ReceivedListeners>) -> Result<Instance, String> {
+        let address = config.listener.as_ref().ok_or("listen: there is no listener")?.local_addr();
+        let address = address.map_err(|e| format!("listen: {e}"))?;
+        let timeouts = shutdown_timeouts(&config.daemon);
+        let lifecycle = match predecessor {
+            Some(_) => Lifecycle::succeeding(timeouts),
+            None => Lifecycle::new(timeouts),
         };
-        let life = if taken.is_some() { Lifecycle::succeeding(figures) } else { Lifecycle::new(figures) };
         let (claim, claimed) = oneshot::channel::<()>();
         let instance = Instance {
-            name,
+            config,
             address,
-            start,
-            fingerprint,
-            daemon,
-            manager,
-            handle,
-            members,
-            registrations,
-            server,
-            side,
-            budget,
-            course,
-            changes,
-            tell,
-            council,
-            stands,
-            life,
-            listener: Some(listener),
-            pid_file,
+            lifecycle,
             claim: Some(claim),
-            holder: None,
-            comer: None,
-            claimant: Rc::default(),
-            served: None,
-            refused: None,
+            handoff_listener: None,
+            successor: None,
+            ready_successor: Rc::default(),
+            http_task: None,
+            reload_error: None,
         };
-        if let Some(taken) = taken {
-            instance.awaits_release(taken, claimed);
+        if let Some(predecessor) = predecessor {
+            instance.wait_for_release(predecessor, claimed);
         }
-        instance.awaits_members();
+        instance.wait_for_endpoints();
         Ok(instance)
     }
 
-    /// Tells the lifecycle once the predecessor accepts nothing any more.
-    fn awaits_release(&self, taken: ReceivedListeners, claimed: oneshot::Receiver<()>) {
-        let tell = self.tell.events.clone();
+    /// Reports to the lifecycle once the predecessor accepts no connections any more.
+    fn wait_for_release(&self, predecessor: ReceivedListeners, claimed: oneshot::Receiver<()>) {
+        let events = self.config.sender.events.clone();
         tokio::task::spawn_local(async move {
             let ready = async {
-                // Guards against a process that ends before it is ready: that it will not claim any more is no claim.
+                // Guards against a process that ends before it is ready: a sender that is dropped is no claim.
                 if claimed.await.is_err() {
                     std::future::pending::<()>().await;
                 }
             };
-            taken.wait_until_released(ready).await;
-            let _ = tell.send(Event::Released).await;
+            predecessor.wait_until_released(ready).await;
+            let _ = events.send(Event::Released).await;
         });
     }
 
-    /// Tells the lifecycle once upstreams are known.
-    fn awaits_members(&self) {
-        let (tell, handle) = (self.tell.events.clone(), self.handle.clone());
+    /// Reports to the lifecycle once endpoints are known.
+    fn wait_for_endpoints(&self) {
+        let (events, pools) = (self.config.sender.events.clone(), self.config.pools.clone());
         tokio::task::spawn_local(async move {
-            handle.wait_for_endpoints().await;
-            let _ = tell.send(Event::EndpointsKnown).await;
+            pools.wait_for_endpoints().await;
+            let _ = events.send(Event::EndpointsKnown).await;
         });
     }
 
-    /// Lives to its end.
+    /// Runs until the lifecycle has ended.
     ///
     /// # Errors
-    /// The listener can't be used, or the timers stopped.
-    pub async fn live(mut self, mut inbox: EventStream) -> Result<(), String> {
+    /// The listener can't be used, or the drivers' timers stopped.
+    pub async fn run(mut self, mut events: EventStream) -> Result<(), String> {
         let mut actions = Vec::new();
         let mut event = Event::Listening;
         loop {
-            self.life.handle(self.start.elapsed(), event, &mut actions);
+            self.lifecycle.handle(self.config.start.elapsed(), event, &mut actions);
             for action in actions.drain(..) {
                 self.perform(action, event).await?;
             }
-            if self.life.state() == State::Ended {
+            if self.lifecycle.state() == State::Ended {
                 return Ok(());
             }
-            let came = inbox.next(self.wake(), self.ending()).await?;
-            event = self.came(came);
+            let next = events.next(self.next_timeout(), self.is_shutting_down()).await?;
+            event = self.lifecycle_event(next);
         }
     }
 
-    /// What has come, as the lifecycle is told of it.
-    fn came(&mut self, came: ProcessEvent) -> Event {
-        match came {
+    /// Handles an event of the process, and what of it the lifecycle is told.
+    fn lifecycle_event(&mut self, event: ProcessEvent) -> Event {
+        match event {
             ProcessEvent::Lifecycle(event) => event,
-            ProcessEvent::CountOpen => self.counts(),
+            ProcessEvent::CountOpen => self.open_counts(),
             ProcessEvent::WatchdogTick => {
-                self.manager.alive();
+                self.config.manager.alive();
                 Event::Timeout
             }
-            ProcessEvent::Handoff(HandoffRequest::Endpoints(asker)) => {
-                self.tells_members(asker);
+            ProcessEvent::Handoff(HandoffRequest::Endpoints(query)) => {
+                self.answer_endpoints(query);
                 Event::Timeout
             }
-            // The lifecycle says what it gets.
-            ProcessEvent::Handoff(HandoffRequest::Listeners(comer)) => {
-                self.comer = Some(comer);
+            // The lifecycle decides whether it gets the sockets.
+            ProcessEvent::Handoff(HandoffRequest::Listeners(successor)) => {
+                self.successor = Some(successor);
                 Event::Successor(SuccessorEvent::Connected)
             }
         }
     }
 
-    /// When its lifecycle wants to be told of the time.
-    fn wake(&self) -> Option<Instant> {
-        self.life.wake().map(|wake| self.start + wake)
+    /// When the lifecycle's next timeout is due.
+    fn next_timeout(&self) -> Option<Instant> {
+        self.lifecycle.wake().map(|wake| self.config.start + wake)
     }
 
-    /// Whether it was told to end, so that what is open is to be counted.
-    fn ending(&self) -> bool {
-        self.life.state() >= State::ShuttingDown
+    /// Whether a graceful shutdown goes on, so that open requests and connections are counted.
+    fn is_shutting_down(&self) -> bool {
+        self.lifecycle.state() >= State::ShuttingDown
     }
 
-    /// What is open now.
-    fn counts(&self) -> Event {
-        let connections = self.budget.callers().max(usize::from(self.serving()));
-        Event::OpenCounts { requests: self.handle.open_requests(), connections }
+    /// The requests and connections that are open now.
+    fn open_counts(&self) -> Event {
+        let connections = self.config.descriptors.callers().max(usize::from(self.is_serving()));
+        Event::OpenCounts { requests: self.config.pools.open_requests(), connections }
     }
 
-    /// Whether callers are connected, or may be accepted.
-    fn serving(&self) -> bool {
-        self.served.as_ref().is_some_and(|served| !served.is_finished())
+    /// Whether clients are connected, or may be accepted.
+    fn is_serving(&self) -> bool {
+        self.http_task.as_ref().is_some_and(|task| !task.is_finished())
     }
 
-    /// Tells whoever asks at the Unix socket of the members.
-    fn tells_members(&self, asker: EndpointsQuery) {
+    /// Answers a query for the endpoints at the Unix socket.
+    fn answer_endpoints(&self, query: EndpointsQuery) {
         // Texts and numbers only: this can't fail.
-        let view = serde_json::to_vec(&self.members.table()).unwrap_or_default();
-        tokio::task::spawn_local(asker.answer(view));
+        let endpoints = serde_json::to_vec(&self.config.members.table()).unwrap_or_default();
+        tokio::task::spawn_local(query.answer(endpoints));
     }
 
     async fn perform(&mut self, action: Action, because: Event) -> Result<(), String> {
         match action {
             Action::Accept => self.accept().await?,
             Action::Claim => drop(self.claim.take().map(|claim| claim.send(()))),
-            Action::NotifyReady => self.tell_ready(),
-            Action::NotifyReloading => self.manager.reloading(),
-            Action::NotifyStopping => self.tell_stopping(because),
-            Action::ReadFiles => self.read_files().await,
-            Action::HandOffListeners => self.hand_over()?,
-            Action::RejectSuccessor => self.refuse(),
+            Action::NotifyReady => self.notify_ready(),
+            Action::NotifyReloading => self.config.manager.reloading(),
+            Action::NotifyStopping => self.notify_stopping(because),
+            Action::ReadFiles => self.reload().await,
+            Action::HandOffListeners => self.hand_off_listeners()?,
+            Action::RejectSuccessor => self.reject_successor(),
             Action::StopAccepting => self.stop_accepting(),
-            Action::ReleaseSuccessor => self.release(),
-            Action::AnswerBy(at) => self.handle.answer_within(at.saturating_sub(self.start.elapsed())),
-            Action::CloseConnections => self.comes_to(ShutdownPhase::ClosingConnections),
-            Action::CloseIdleConnections => self.comes_to(ShutdownPhase::ClosingIdle),
-            Action::FailOpenRequests => self.handle.fail_open_requests(),
-            Action::IgnoreSignal(event) => info!("{}: {event:?} comes too late, it is ending", self.name),
-            Action::Exit(exit) => self.end(exit).await,
+            Action::ReleaseSuccessor => self.release_successor(),
+            Action::AnswerBy(at) => {
+                self.config.pools.answer_within(at.saturating_sub(self.config.start.elapsed()));
+            }
+            Action::CloseConnections => self.advance_to(ShutdownPhase::ClosingConnections),
+            Action::CloseIdleConnections => self.advance_to(ShutdownPhase::ClosingIdle),
+            Action::FailOpenRequests => self.config.pools.fail_open_requests(),
+            Action::IgnoreSignal(event) => {
+                info!("{}: {event:?} comes too late, it is ending", self.config.name);
+            }
+            Action::Exit(exit) => self.shut_down(exit).await,
         }
         Ok(())
     }
 
-    fn another_listener(&self) -> Result<std::net::TcpListener, String> {
+    /// Another handle of the listening socket.
+    fn clone_listener(&self) -> Result<std::net::TcpListener, String> {
         let address = self.address;
-        match &self.listener {
+        match &self.config.listener {
             Some(listener) => listener.try_clone().map_err(|e| format!("listen: {address}: {e}")),
             None => Err(format!("listen: {address}: closed already")),
         }
@@ -301,80 +255,87 @@
 
     async fn accept(&mut self) -> Result<(), String> {
         let address = self.address;
-        let accepting = TcpListener::from_std(self.another_listener()?);
+        let accepting = TcpListener::from_std(self.clone_listener()?);
         let accepting = accepting.map_err(|e| format!("listen: {address}: {e}"))?;
-        self.served = Some(tokio::task::spawn_local(self.server.clone().run(accepting)));
-        self.side.start_accepting()?;
-        if let (Some(path), None) = (&self.daemon.pid_file, &self.pid_file) {
-            match PidFile::take_after(path, PID_FILE_TIMEOUT).await {
-                Ok(file) => {
-                    if let Some(why) = file.unwritten() {
-                        info!("daemon.pid_file: {why}");
-                    }
-                    self.pid_file = Some(file);
+        self.http_task = Some(tokio::task::spawn_local(self.config.http_front.clone().run(accepting)));
+        self.config.fastcgi_front.start_accepting()?;
+        self.take_pid_file().await;
+        self.listen_for_successors();
+        info!("{}: serving on {address}", self.config.name);
+        Ok(())
+    }
+
+    /// Takes the pid file, where a predecessor held it until it had passed its sockets on. Without it the instance serves on:
+    /// to exit would harm more than a file that another process holds.
+    async fn take_pid_file(&mut self) {
+        let (Some(path), None) = (&self.config.daemon.pid_file, &self.config.pid_file) else { return };
+        match PidFile::take_after(path, PID_FILE_TIMEOUT).await {
+            Ok(file) => {
+                if let Some(why) = file.unwritten() {
+                    info!("daemon.pid_file: {why}");
                 }
-                // It serves by now; to end would harm more than a file that somebody else holds.
-                Err(message) => info!("daemon.pid_file: {message}"),
+                self.config.pid_file = Some(file);
             }
+            Err(message) => info!("daemon.pid_file: {message}"),
         }
-        if let Some(path) = &self.daemon.takeover {
-            match HandoffListener::bind(path) {
-                Ok(bound) => {
-                    let found = self.tell.handoff_requests.clone();
-                    let seek = async move { while found.send(bound.next().await).await.is_ok() {} };
-                    self.holder = Some(tokio::task::spawn_local(seek).abort_handle());
-                }
-                Err(message) => info!("{message}"),
+    }
+
+    fn listen_for_successors(&mut self) {
+        let Some(path) = &self.config.daemon.takeover else { return };
+        match HandoffListener::bind(path) {
+            Ok(bound) => {
+                let requests = self.config.sender.handoff_requests.clone();
+                let receive = async move { while requests.send(bound.next().await).await.is_ok() {} };
+                self.handoff_listener = Some(tokio::task::spawn_local(receive).abort_handle());
             }
+            Err(message) => info!("{message}"),
         }
-        info!("{}: serving on {address}", self.name);
-        Ok(())
     }
 
-    fn tell_ready(&self) {
-        self.stands.send_replace(disruption::InstanceState::Ready);
-        self.registrations.wish(DesiredState::Passing);
-        self.manager.ready(match &self.refused {
+    fn notify_ready(&self) {
+        self.config.states.send_replace(disruption::InstanceState::Ready);
+        self.config.registrations.wish(DesiredState::Passing);
+        self.config.manager.ready(match &self.reload_error {
             None => format!("serving on {}", self.address),
             Some(why) => format!("not reloaded: {why}"),
         });
     }
 
-    fn tell_stopping(&self, because: Event) {
-        self.manager.stopping();
-        self.stands.send_replace(disruption::InstanceState::ShuttingDown);
-        // Whoever asks whether it is ready hears that it is not.
-        self.comes_to(ShutdownPhase::Announced);
-        // After a hand-over the successor is what is registered here.
+    fn notify_stopping(&self, because: Event) {
+        self.config.manager.stopping();
+        self.config.states.send_replace(disruption::InstanceState::ShuttingDown);
+        // From now on the readiness check fails.
+        self.advance_to(ShutdownPhase::Announced);
+        // After a handoff the successor is what is registered here.
         if because == Event::Stop {
-            self.registrations.wish(DesiredState::Leaving);
-            info!("{}: told to end", self.name);
+            self.config.registrations.wish(DesiredState::Leaving);
+            info!("{}: told to end", self.config.name);
         }
     }
 
-    async fn read_files(&mut self) {
-        self.refused = self.changes.reload().await.err();
-        match &self.refused {
+    async fn reload(&mut self) {
+        self.reload_error = self.config.reloader.reload().await.err();
+        match &self.reload_error {
             None => info!("reloaded"),
             Some(why) => info!("not reloaded: {why}"),
         }
         // There is room: at most one reload goes on.
-        let _ = self.tell.events.try_send(Event::Reloaded);
+        let _ = self.config.sender.events.try_send(Event::Reloaded);
     }
 
-    /// Passes the listener on, and what goes along, while it serves on.
-    fn hand_over(&mut self) -> Result<(), String> {
-        let Some(comer) = self.comer.take() else { return Ok(()) };
-        info!("{}: {} asks for the sockets", self.name, comer.name);
-        let along =
-            TransferredState::new(self.fingerprint, self.members.saved(), self.handle.learned()).encode();
-        let mut passed = vec![OwnedFd::from(self.another_listener()?)];
-        passed.extend(self.side.listeners()?);
-        let (tell, claimant) = (self.tell.events.clone(), self.claimant.clone());
+    /// Passes the listeners and the transferred state to the successor, while this process serves on.
+    fn hand_off_listeners(&mut self) -> Result<(), String> {
+        let Some(successor) = self.successor.take() else { return Ok(()) };
+        info!("{}: {} asks for the sockets", self.config.name, successor.name);
+        let (endpoints, learned) = (self.config.members.saved(), self.config.pools.learned());
+        let state = TransferredState::new(self.config.fingerprint, endpoints, learned).encode();
+        let mut listeners = vec![OwnedFd::from(self.clone_listener()?)];
+        listeners.extend(self.config.fastcgi_front.listeners()?);
+        let (events, ready) = (self.config.sender.events.clone(), self.ready_successor.clone());
         tokio::task::spawn_local(async move {
-            let what = match comer.hand_off(passed, &along).await {
-                Ok(ready) => {
-                    claimant.replace(Some(ready));
+            let event = match successor.hand_off(listeners, &state).await {
+                Ok(successor) => {
+                    ready.replace(Some(successor));
                     SuccessorEvent::Ready
                 }
                 Err(e) => {
@@ -382,61 +343,75 @@
                     SuccessorEvent::Disconnected
                 }
             };
-            let _ = tell.send(Event::Successor(what)).await;
+            let _ = events.send(Event::Successor(event)).await;
         });
         Ok(())
     }
 
-    fn refuse(&mut self) {
-        if let Some(comer) = self.comer.take() {
+    fn reject_successor(&mut self) {
+        if let Some(successor) = self.successor.take() {
             let why = "another process is taking over, or this one is ending";
-            tokio::task::spawn_local(comer.reject(why));
+            tokio::task::spawn_local(successor.reject(why));
         }
     }
 
     fn stop_accepting(&mut self) {
-        // Guards against callers whose connections the system would go on taking, for nobody.
-        self.listener = None;
-        self.side.close();
-        let handed_over = self.claimant.borrow().is_some();
-        self.course.send_modify(|course| course.handed_over = handed_over);
-        self.comes_to(ShutdownPhase::Draining);
+        // Guards against clients whose connections the system would go on accepting, for nobody.
+        self.config.listener = None;
+        self.config.fastcgi_front.close();
+        let handed_over = self.ready_successor.borrow().is_some();
+        self.config.progress.send_modify(|progress| progress.handed_over = handed_over);
+        self.advance_to(ShutdownPhase::Draining);
     }
 
-    /// The front is to go on to this phase.
-    fn comes_to(&self, phase: ShutdownPhase) {
-        self.course.send_modify(|course| course.phase = course.phase.max(phase));
+    /// Advances the fronts to this phase of graceful shutdown.
+    fn advance_to(&self, phase: ShutdownPhase) {
+        self.config.progress.send_modify(|progress| progress.phase = progress.phase.max(phase));
     }
 
     /// Gives up all that the successor needs, and tells it to accept.
-    fn release(&mut self) {
-        self.pid_file = None;
-        if let Some(holder) = self.holder.take() {
-            holder.abort();
+    fn release_successor(&mut self) {
+        self.config.pid_file = None;
+        if let Some(task) = self.handoff_listener.take() {
+            task.abort();
         }
-        if let Some(claimant) = self.claimant.take() {
-            info!("{}: the sockets are another process's now", self.name);
-            tokio::task::spawn_local(claimant.release());
+        if let Some(successor) = self.ready_successor.take() {
+            info!("{}: the sockets are another process's now", self.config.name);
+            tokio::task::spawn_local(successor.release());
         }
     }
 
-    async fn end(&mut self, exit: Exit) {
-        if !self.course.borrow().handed_over {
-            self.registrations.end().await;
-            if let Some(council) = &self.council {
-                council.close_session(SESSION_CLOSE_TIMEOUT).await;
+    async fn shut_down(&mut self, exit: Exit) {
+        let name = &self.config.name;
+        if !self.config.progress.borrow().handed_over {
+            self.config.registrations.end().await;
+            if let Some(coordination) = &self.config.coordination {
+                coordination.close_session(SESSION_CLOSE_TIMEOUT).await;
             }
         }
-        if self.serving() {
-            let open = self.handle.open_requests();
-            info!("{}: callers are still connected at the end, {open} requests unanswered", self.name);
+        if self.is_serving() {
+            let open = self.config.pools.open_requests();
+            info!("{name}: callers are still connected at the end, {open} requests unanswered");
         }
         if let Exit::Failed(n) = exit {
-            info!("{}: {n} requests had no answer in time and were failed", self.name);
+            info!("{name}: {n} requests had no answer in time and were failed");
         }
-        if let (Some(path), Some(_)) = (&self.daemon.takeover, &self.holder) {
-            // What stays behind is no obstacle.
+        if let (Some(path), Some(_)) = (&self.config.daemon.takeover, &self.handoff_listener) {
+            // A file that stays behind is no obstacle to the next process.
             let _ = std::fs::remove_file(path);
         }
     }
 }
+
+/// The phases of graceful shutdown, as the lifecycle takes them.
+fn shutdown_timeouts(daemon: &Daemon) -> ShutdownTimeouts {
+    ShutdownTimeouts {
+        accepting: daemon.accepting,
+        serving: daemon.serving,
+        announcing: daemon.announcing,
+        last_answer: daemon.last_answer,
+        end: daemon.end,
+        handed_over_silent: daemon.handed_over_silent,
+        handed_over: daemon.handed_over,
+    }
+}
--- a/crates/herondock/src/run/listener_origin.rs
+++ b/crates/herondock/src/run/listener_origin.rs
@@ -1,7 +1,7 @@
 //! Where an instance's listener comes from.
 use crate::listener_handoff::protocol::{self, ReceivedListeners};
 use crate::listener_handoff::transferred_state::TransferredState;
-use crate::node_config::Config;
+use crate::node_config::NodeConfig;
 use config::operator::Daemon;
 use daemon::pid_file::PidFile;
 use daemon::service_manager;
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// One line: the address can't be listened on, what was passed does not fit, or the pid file is held.
-pub async fn origin(config: &Config, daemon: &Daemon) -> Result<ListenerOrigin, String> {
+pub async fn origin(config: &NodeConfig, daemon: &Daemon) -> Result<ListenerOrigin, String> {
     let at = |e: std::io::Error| format!("listen: {}: {e}", config.listen);
     let fits = |listener: &std::net::TcpListener| {
         let got = listener.local_addr().map_err(at)?;
--- a/crates/herondock/src/run/reload.rs
+++ b/crates/herondock/src/run/reload.rs
@@ -58,7 +58,7 @@
         if !fixed.is_empty() {
             return Err(format!("{}: can't change while the program runs", fixed.join(", ")));
         }
-        let config = node_config::load()?;
+        let config = node_config::load().map_err(|e| e.to_string())?;
         // Proved before anything is applied.
         let (path, world, asked) = (self.path.clone(), self.world.clone(), next.clone());
         // In a thread of its own: a large table takes its time, and requests go on meanwhile.
