--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -1,5 +1,5 @@
 //! What goes along with the sockets to a successor: the view of members with its ages, and what the module has learned
-//! of capacity and demand. It is taken only by a process with the same settings; see `docs/design/fleet.md` for what is
+//! of capacity and demand. It is taken only by a process with the same settings; see `docs/design/supervisor.md` for what is
 //! left behind, and why.
 use balancer::Learned;
 use discovery::endpoint_cache::EndpointCache;
