--- /dev/null
+++ b/crates/herondock/src/front/fastcgi/connection.rs
@@ -0,0 +1,228 @@
+//! One connection of a web server.
+use super::admission::{Admitted, Rejection};
+use super::open_requests::{OpenRequests, ReadyAnswer, RequestKey};
+use super::response::{head, head_with};
+use super::FastCgiFront;
+use crate::exchange::{Answer, Fields, FinalAnswer};
+use crate::front::{ShutdownPhase, ShutdownProgress};
+use bytes::{Buf, Bytes, BytesMut};
+use config::operator::Limits;
+use fastcgi::server::{Event, Request, Server as Protocol};
+use fastcgi::Limits as ProtocolLimits;
+use std::rc::Rc;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::sync::{mpsc, watch};
+use tokio::time::{sleep_until, timeout, Instant};
+use tracing::info;
+
+/// Bytes that are read at once in the middle of a request.
+const READ_BYTES: usize = 16 << 10;
+/// Bytes that are read at once before a request.
+const FIRST_READ_BYTES: usize = 4 << 10;
+/// A buffer with less space than this is extended.
+const MIN_READ_BYTES: usize = 1 << 10;
+
+struct Connection {
+    front: Rc<FastCgiFront>,
+    /// The protocol's state.
+    protocol: Protocol,
+    requests: OpenRequests,
+    answers: mpsc::Sender<ReadyAnswer>,
+    limits: Rc<Limits>,
+    /// Since when the client is waited for.
+    waiting_since: Instant,
+    /// Whether it has carried no request; such a connection keeps its time whatever shuts down.
+    newcomer: bool,
+}
+
+/// What a connection waits for.
+struct Waits {
+    /// No request is open or partly read.
+    idle: bool,
+    /// When the client has been waited for long enough; `None`: all that is open is on its way to be answered.
+    client_due: Option<Instant>,
+    /// Output is ready for the client.
+    writes: bool,
+}
+
+impl Connection {
+    fn new(front: Rc<FastCgiFront>, answers: mpsc::Sender<ReadyAnswer>) -> Connection {
+        let limits = front.limits.get();
+        let protocol = Protocol::new(ProtocolLimits {
+            params: limits.head,
+            body: limits.body,
+            head: limits.head,
+            requests: front.settings.requests,
+            ..ProtocolLimits::default()
+        });
+        Connection {
+            front,
+            protocol,
+            requests: OpenRequests::default(),
+            answers,
+            limits,
+            waiting_since: Instant::now(),
+            newcomer: true,
+        }
+    }
+
+    /// Moves answers into the output. `None`: the connection is to close now.
+    fn advance(&mut self, phase: ShutdownPhase) -> Option<Waits> {
+        let finished = self.protocol.fill() > 0;
+        if finished {
+            (self.waiting_since, self.newcomer) = (Instant::now(), false);
+        }
+        let idle = self.protocol.open() == 0 && !self.protocol.midway();
+        // The end is announced by closing behind an answer: the protocol has no other way.
+        let shutting_down =
+            phase == ShutdownPhase::ClosingIdle || (finished && phase >= ShutdownPhase::ClosingConnections);
+        if self.protocol.closes() || (idle && !self.newcomer && shutting_down) {
+            return None;
+        }
+        let wait = if idle && !self.newcomer { self.limits.idle_wait } else { self.limits.request_wait };
+        let waits_for_client = idle || self.protocol.midway();
+        let client_due = waits_for_client.then(|| self.waiting_since + wait);
+        Some(Waits { idle, client_due, writes: self.protocol.outgoing().has_remaining() })
+    }
+
+    /// Handles an event of the protocol.
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Request(request) => {
+                let key = self.requests.next_key(request.id);
+                let answered = self.front.clone().answer(request, key, self.answers.clone());
+                self.requests.insert(key, tokio::task::spawn_local(answered).abort_handle());
+            }
+            Event::Bad(id, status, reason) => {
+                self.protocol.answer(id, &head(status), format!("{reason}\n").into());
+            }
+            Event::Aborted(id) => self.requests.abort(id),
+        }
+    }
+
+    /// Hands an answer to the protocol, unless its request was aborted.
+    fn send_answer(&mut self, answer: ReadyAnswer) {
+        if self.requests.remove_answered(answer.request) {
+            self.protocol.answer(answer.request.id, &answer.head, answer.body);
+        }
+    }
+
+    /// Extends the read buffer where little space is left.
+    fn reserve(&self, buffer: &mut BytesMut) {
+        if buffer.capacity() - buffer.len() < MIN_READ_BYTES {
+            buffer.reserve(if self.protocol.midway() { READ_BYTES } else { FIRST_READ_BYTES });
+        }
+    }
+}
+
+impl Connection {
+    /// Reads, writes and answers until the connection has to close.
+    async fn run(
+        &mut self,
+        mut reader: impl AsyncRead + Unpin,
+        writer: &mut (impl AsyncWrite + Unpin),
+        ready: &mut mpsc::Receiver<ReadyAnswer>,
+        shutdown: &mut watch::Receiver<ShutdownProgress>,
+    ) {
+        let mut buffer = BytesMut::new();
+        // Since when the client has taken nothing of the output.
+        let mut unread_since = Instant::now();
+        loop {
+            let phase = shutdown.borrow_and_update().phase;
+            let Some(waits) = self.advance(phase) else { return };
+            self.reserve(&mut buffer);
+            let clogged = self.protocol.clogged();
+            let client_due = waits.client_due.unwrap_or_else(Instant::now);
+            tokio::select! {
+                wrote = writer.write_buf(self.protocol.outgoing()), if waits.writes => {
+                    if !matches!(wrote, Ok(n) if n > 0) {
+                        return;
+                    }
+                    unread_since = Instant::now();
+                }
+                // A client that does not read its answers may still abort them, and send more requests within its bound.
+                read = reader.read_buf(&mut buffer), if !clogged => {
+                    if !matches!(read, Ok(n) if n > 0) {
+                        return;
+                    }
+                    if waits.idle && !self.newcomer {
+                        self.waiting_since = Instant::now();
+                    }
+                    if let Err(e) = self.receive(buffer.split().freeze()) {
+                        info!("fastcgi: {e}");
+                        // What was answered before the fault still goes out.
+                        let rest = self.protocol.drain();
+                        let _ = timeout(self.limits.flush_wait, writer.write_all(&rest)).await;
+                        return;
+                    }
+                    unread_since = if waits.writes { unread_since } else { Instant::now() };
+                }
+                Some(answer) = ready.recv() => {
+                    self.send_answer(answer);
+                    unread_since = if waits.writes { unread_since } else { Instant::now() };
+                }
+                () = sleep_until(unread_since + self.limits.flush_wait), if waits.writes => return,
+                () = sleep_until(client_due), if waits.client_due.is_some() => return,
+                changed = shutdown.changed() => if changed.is_err() { return },
+            }
+        }
+    }
+
+    /// Takes in bytes, and handles the events before a fault as well.
+    fn receive(&mut self, bytes: Bytes) -> Result<(), fastcgi::Error> {
+        let mut events = Vec::new();
+        let received = self.protocol.receive(bytes, &mut events);
+        for event in events {
+            self.handle(event);
+        }
+        received
+    }
+}
+
+impl FastCgiFront {
+    /// Serves a connection until it ends.
+    pub(super) async fn serve(self: Rc<FastCgiFront>, stream: impl AsyncRead + AsyncWrite + Unpin) {
+        let (answers, mut ready) = mpsc::channel::<ReadyAnswer>(self.settings.requests);
+        let mut shutdown = self.shutdown.clone();
+        let mut connection = Connection::new(self, answers);
+        let (reader, mut writer) = tokio::io::split(stream);
+        connection.run(reader, &mut writer, &mut ready, &mut shutdown).await;
+        let _ = timeout(connection.limits.flush_wait, writer.shutdown()).await;
+    }
+
+    /// Waits for the answer to a request and sends it to the connection.
+    async fn answer(
+        self: Rc<FastCgiFront>,
+        request: Request,
+        key: RequestKey,
+        answers: mpsc::Sender<ReadyAnswer>,
+    ) {
+        let (head, body) = match self.admit(&request) {
+            Ok(admitted) => {
+                drop(request);
+                self.final_answer(admitted).await
+            }
+            Err(Rejection { status, retry_after, reason, fields }) => {
+                let body = if reason.is_empty() { Bytes::new() } else { Bytes::from(format!("{reason}\n")) };
+                (head_with(status, retry_after, &Fields::default(), &fields), body)
+            }
+        };
+        // The connection may have ended meanwhile.
+        let _ = answers.send(ReadyAnswer { request: key, head, body }).await;
+    }
+
+    /// Head and body of the final answer.
+    async fn final_answer(&self, admitted: Admitted) -> (Bytes, Bytes) {
+        let FinalAnswer { answer, may_have_run, used } = admitted.request.answer().await;
+        let nothing_ran = matches!(answer, Answer::Rejected { .. }) && !may_have_run;
+        let more = self.budget_fields(admitted.reports_usage.then_some(used), nothing_ran);
+        let without_body =
+            |status, retry_after| (head_with(status, retry_after, &Fields::default(), &more), Bytes::new());
+        match answer {
+            Answer::Served { fields, body } => (head_with(200, None, &fields, &more), body),
+            Answer::Rejected { retry_after } => without_body(503, Some(retry_after)),
+            Answer::ClientError(status) => without_body(status, None),
+            Answer::Failed => without_body(502, None),
+        }
+    }
+}
--- /dev/null
+++ b/crates/herondock/src/front/http/admission.rs
@@ -0,0 +1,231 @@
+//! From a request's head to its admission: reads the whole request, classifies it, and hands it to the pools.
+use super::response::{final_answer, reject_input, BodyNotRead, Response};
+use super::HttpFront;
+use crate::driver::AdmissionError;
+use crate::exchange::{Answer, CarriedBudget, Method, Request};
+use crate::front::classify::{classify, Classification, RequestField, RequestHead, KEY};
+use crate::front::observed_stream::ConnectionActivity;
+use crate::http::{fields, DEADLINE, DECLINED, REPEATED};
+use crate::request_budgets::FrontKind;
+use crate::routing::request_attributes::{RequestAttributes, RoutingError};
+use crate::routing::AdmittedRequest;
+use bytes::Bytes;
+use config::operator::Limits;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::StatusCode;
+use request_budget::grammar::{write_used, Used};
+use request_budget::BudgetRejection;
+use std::cell::Cell;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+
+/// Position of this front in the routing table's fronts.
+const FRONT: usize = 0;
+/// Header with the client's id of a request.
+const REQUEST_ID: &str = "req-id";
+
+/// An admitted request, and whether its client is told what was used of its budget.
+pub(super) struct Admitted {
+    /// Yields the final answer.
+    pub(super) request: AdmittedRequest,
+    /// Whether the request came with a budget.
+    pub(super) reports_usage: bool,
+}
+
+/// Why a request goes no further: the response to its client.
+type Rejection = Box<Response>;
+
+impl HttpFront {
+    /// Reads a whole request and hands it to the pools. `body_due`: when its body has to be complete.
+    pub(super) async fn admit(
+        &self,
+        request: hyper::Request<Incoming>,
+        body_due: Instant,
+        activity: &ConnectionActivity,
+    ) -> Result<Admitted, Rejection> {
+        let (number, head_started) = (activity.heads_delivered.get(), activity.head_started.get());
+        let (head, body) = request.into_parts();
+        let limits = self.limits.get();
+        let classification = self.classify(&head, limits.request_id)?;
+        // Before its body has come: what goes no further is answered at once.
+        let mut budget =
+            self.carried_budget(&head.headers, classification.deadline_ms).map_err(|mut response| {
+                if !body.is_end_stream() {
+                    response.extensions_mut().insert(BodyNotRead);
+                }
+                response
+            })?;
+        let body = read_body(body, classification.method, body_due, &limits).await?;
+        // What it waited here behind others of its connection is part of the time that its client gave it.
+        let waited = activity.completed_at(number).map_or(Duration::ZERO, |at| at.elapsed());
+        // With a budget so is what its way here took, as far as it can be seen: no clock of another machine is needed.
+        let waited = if budget.is_some() { waited.max(head_started.elapsed()) } else { waited };
+        let patience = (classification.deadline_ms - waited.as_secs_f64() * 1000.0).max(0.0);
+        if let Some(carried) = &mut budget {
+            carried.budget.left = patience;
+        }
+        let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.told);
+        let request = upstream_request(&head, classification.method, body, budget);
+        let Classification { class, tenant, method, .. } = classification;
+        let host = || request_host(&head);
+        let attributes = RequestAttributes {
+            front: FRONT,
+            method: usize::from(method == Method::Post),
+            host: &host,
+            target: target(&head),
+            key: &|| head.headers.get(KEY.header).map(HeaderValue::as_bytes),
+            request_id: &|| head.headers.get(REQUEST_ID).map_or(b"", |id| id.as_bytes()),
+            headers: &|name| head.headers.get_all(name).iter().map(HeaderValue::as_bytes).collect(),
+        };
+        match self.pools.admit(&attributes, class, tenant, patience, request) {
+            Ok(request) => Ok(Admitted { request, reports_usage }),
+            Err(error) => Err(Box::new(self.routing_rejection(error, limits.full_pause))),
+        }
+    }
+
+    fn classify(&self, head: &Parts, max_id_bytes: usize) -> Result<Classification, Rejection> {
+        let single_value = |field: &RequestField| {
+            let mut all = head.headers.get_all(field.header).iter();
+            let value = all.next()?.to_str().ok()?;
+            all.next().is_none().then_some(value)
+        };
+        let request_head = RequestHead {
+            single_value: &single_value,
+            has_key: head.headers.contains_key(KEY.header),
+            is_get: head.method == hyper::Method::GET,
+            is_post: head.method == hyper::Method::POST,
+        };
+        classify(&self.deployment, max_id_bytes, &request_head).map_err(bad_request)
+    }
+
+    /// What a request may use; or the response to one that goes no further.
+    fn carried_budget(
+        &self,
+        headers: &HeaderMap,
+        patience: f64,
+    ) -> Result<Option<Box<CarriedBudget>>, Rejection> {
+        let Some(budgets) = &self.budgets else { return Ok(None) };
+        let all =
+            |name: &str| -> Vec<&[u8]> { headers.get_all(name).iter().map(HeaderValue::as_bytes).collect() };
+        let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
+        let is_retry = headers.get(REPEATED).is_some_and(|v| v == "1");
+        match budgets.carried(FrontKind::Http, (&budget, &path), patience, is_retry) {
+            Ok(carried) => Ok(Some(Box::new(carried))),
+            Err(BudgetRejection::Bad(malformed)) => Err(bad_request(&malformed.to_string())),
+            Err(BudgetRejection::Refused(rejection)) => {
+                let mut response = reject_input(StatusCode::SERVICE_UNAVAILABLE, &rejection.to_string());
+                let used = Used { retries: 0, stop: Some(rejection.stop()) };
+                self.add_budget_fields(&mut response, Some(used), true);
+                Err(Box::new(response))
+            }
+        }
+    }
+
+    /// Reports what was used of a budget, and that nothing ran where that is certain: the tier above may then try elsewhere.
+    pub(super) fn add_budget_fields(&self, response: &mut Response, used: Option<Used>, nothing_ran: bool) {
+        let Some(budgets) = &self.budgets else { return };
+        if nothing_ran {
+            response.headers_mut().insert(DECLINED, HeaderValue::from_static("1"));
+        }
+        let name = HeaderName::try_from(&budgets.names.used);
+        if let (Some(used), Ok(name)) = (used, name) {
+            if let Ok(value) = HeaderValue::try_from(write_used(used)) {
+                response.headers_mut().insert(name, value);
+            }
+        }
+    }
+
+    /// The response to a request that the pools did not admit. `full_pause`: advice to clients that found too many open.
+    fn routing_rejection(&self, error: RoutingError, full_pause: Duration) -> Response {
+        let reject = |pause: Duration, reason: &str| {
+            let mut response = final_answer(Answer::Rejected { retry_after: pause.as_secs_f64() * 1000.0 });
+            if !reason.is_empty() {
+                *response.body_mut() = Full::new(Bytes::from(format!("{reason}\n")));
+            }
+            self.add_budget_fields(&mut response, None, true);
+            response
+        };
+        match error {
+            RoutingError::NotAdmitted(AdmissionError::TooManyOpen) => reject(full_pause, ""),
+            RoutingError::NotAdmitted(AdmissionError::DuplicateId) => {
+                reject_input(StatusCode::CONFLICT, "a request with this Req-Id is open")
+            }
+            RoutingError::Ambiguous(reason) => reject_input(StatusCode::BAD_REQUEST, reason),
+            RoutingError::NoRoute => reject_input(StatusCode::NOT_FOUND, "there is no route for it"),
+            RoutingError::Rejected(reason) => reject(Duration::ZERO, &reason),
+            RoutingError::Migrating(left) => reject(left, "its club is being moved"),
+        }
+    }
+}
+
+fn bad_request(reason: &str) -> Rejection {
+    Box::new(reject_input(StatusCode::BAD_REQUEST, reason))
+}
+
+/// Reads the whole body within its bounds of size and time.
+async fn read_body(
+    body: Incoming,
+    method: Method,
+    due: Instant,
+    limits: &Limits,
+) -> Result<Bytes, Rejection> {
+    let too_large = || Box::new(reject_input(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
+    if body.size_hint().lower() > limits.body as u64 {
+        return Err(too_large());
+    }
+    if method == Method::Get && !body.is_end_stream() {
+        return Err(bad_request("GET has no body"));
+    }
+    match timeout_at(due, Limited::new(body, limits.body).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large()),
+        Ok(Err(_)) => Err(bad_request("the body is broken")),
+        Err(_) => Err(Box::new(reject_input(StatusCode::REQUEST_TIMEOUT, "the body did not come"))),
+    }
+}
+
+/// The request as it goes to upstreams, without the fields of this hop.
+fn upstream_request(
+    head: &Parts,
+    method: Method,
+    body: Bytes,
+    budget: Option<Box<CarriedBudget>>,
+) -> Request {
+    let own: Vec<HeaderName> = match &budget {
+        None => Vec::new(),
+        Some(carried) => {
+            let names = &carried.names;
+            let all = [&names.budget, &names.path, &names.used];
+            all.into_iter().flat_map(HeaderName::try_from).collect()
+        }
+    };
+    Request {
+        id: head.headers.get(REQUEST_ID).map(|id| Bytes::copy_from_slice(id.as_bytes())),
+        method,
+        target: target(head).into(),
+        fields: fields(&head.headers, |name| *name == DEADLINE || own.contains(name)),
+        body,
+        budget,
+        max_attempts: None,
+        finished: Cell::new(false),
+    }
+}
+
+/// Path and query.
+fn target(head: &Parts) -> &str {
+    head.uri.path_and_query().map_or("/", |target| target.as_str())
+}
+
+/// The host of a request, empty if there is none; `None`: there are several. Upstreams get the header, so that a target with
+/// a host of its own must say the same.
+fn request_host(head: &Parts) -> Option<&str> {
+    let mut hosts = head.headers.get_all(header::HOST).iter().map(|host| host.to_str().ok());
+    match (hosts.next(), hosts.next(), head.uri.authority()) {
+        (None, _, authority) => Some(authority.map_or("", |a| a.as_str())),
+        (Some(host), None, authority) => host.filter(|h| authority.is_none_or(|a| a.as_str() == *h)),
+        _ => None,
+    }
+}
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -258,7 +258,7 @@
         let accepting = TcpListener::from_std(self.clone_listener()?);
         let accepting = accepting.map_err(|e| format!("listen: {address}: {e}"))?;
         self.http_task = Some(tokio::task::spawn_local(self.config.http_front.clone().run(accepting)));
-        self.config.fastcgi_front.start_accepting()?;
+        self.config.fastcgi_front.start_accepting().map_err(|e| e.to_string())?;
         self.take_pid_file().await;
         self.listen_for_successors();
         info!("{}: serving on {address}", self.config.name);
@@ -330,7 +330,7 @@
         let (endpoints, learned) = (self.config.members.saved(), self.config.pools.learned());
         let state = TransferredState::new(self.config.fingerprint, endpoints, learned).encode();
         let mut listeners = vec![OwnedFd::from(self.clone_listener()?)];
-        listeners.extend(self.config.fastcgi_front.listeners()?);
+        listeners.extend(self.config.fastcgi_front.listeners().map_err(|e| e.to_string())?);
         let (events, ready) = (self.config.sender.events.clone(), self.ready_successor.clone());
         tokio::task::spawn_local(async move {
             let event = match successor.hand_off(listeners, &state).await {
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -144,7 +144,8 @@
         }
         None => None,
     };
-    let listeners = fastcgi::open_listeners(&operator.fastcgi.listen, other_fronts)?;
+    let listeners =
+        fastcgi::open_listeners(&operator.fastcgi.listen, other_fronts).map_err(|e| e.to_string())?;
     let fastcgi_front = shared.fastcgi_front(&pools, operator.fastcgi.clone(), listeners);
     let http_front = shared.http_front(&pools);
     let (events, sender) = EventStream::new(signals, manager.watchdog(), timers);
