--- a/crates/herondock/src/supervise/commands.rs
+++ b/crates/herondock/src/supervise/commands.rs
@@ -126,10 +126,10 @@
         if !lease_agent.is_connected() {
             pending.push("the council does not answer".to_string());
         }
-        for (id, decision) in snapshot.decide() {
-            let Some(request) = snapshot.asks.get(&id) else { continue };
+        for (id, decision) in snapshot.decisions() {
+            let Some(request) = snapshot.requests.get(&id) else { continue };
             if Some(&request.value.owner) == self.config.machine.as_ref() {
-                pending.push(format!("{} {decision}", request.value.unit.name));
+                pending.push(format!("{} {decision}", request.value.resource.name));
             }
         }
         pending
