--- a/crates/data-plane/discovery/src/consul/mod.rs
+++ b/crates/data-plane/discovery/src/consul/mod.rs
@@ -10,7 +10,7 @@
 pub mod watch;
 
 /// Escapes what goes into a path segment or a query (RFC 3986, section 2.3: unreserved characters stay).
-pub fn escape(text: &str) -> String {
+pub fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~') {
@@ -26,7 +26,7 @@
 mod tests {
     #[test]
     fn only_what_is_unreserved_stays() {
-        assert_eq!(super::escape("a-b_c.d~1"), "a-b_c.d~1");
-        assert_eq!(super::escape("Meta.zone == \"á/b\""), "Meta.zone%20%3D%3D%20%22%C3%A1%2Fb%22");
+        assert_eq!(super::percent_encode("a-b_c.d~1"), "a-b_c.d~1");
+        assert_eq!(super::percent_encode("Meta.zone == \"á/b\""), "Meta.zone%20%3D%3D%20%22%C3%A1%2Fb%22");
     }
 }
--- a/crates/data-plane/discovery/src/consul/registration.rs
+++ b/crates/data-plane/discovery/src/consul/registration.rs
@@ -11,7 +11,7 @@
 //!
 //! It is registered as passing at once, and only when it is ready: after a take-over the successor registers under the
 //! same id, and nobody must see it critical in between.
-use super::escape;
+use super::percent_encode;
 use backoff::Backoff;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -54,9 +54,9 @@
     /// To be sent to.
     Passing,
     /// Known, and not to be sent to any more.
-    Leaving,
+    ShuttingDown,
     /// Not known.
-    Gone,
+    Deregistered,
 }
 
 /// What to do now.
@@ -72,7 +72,7 @@
 
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-struct Body<'a> {
+struct RegisterBody<'a> {
     #[serde(rename = "ID")]
     id: &'a str,
     name: &'a str,
@@ -82,12 +82,12 @@
     tags: &'a [String],
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     meta: &'a BTreeMap<String, String>,
-    check: Check,
+    check: RegisterCheck,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-struct Check {
+struct RegisterCheck {
     #[serde(rename = "CheckID")]
     check_id: String,
     #[serde(rename = "TTL")]
@@ -139,10 +139,12 @@
     /// What to do now.
     pub fn next(&mut self, now: Duration) -> NextStep {
         match (self.told, self.wish) {
-            (Some(DesiredState::Gone), _) | (None, DesiredState::Gone) => return NextStep::Done,
+            (Some(DesiredState::Deregistered), _) | (None, DesiredState::Deregistered) => {
+                return NextStep::Done
+            }
             // Whoever never told the agent of itself has nothing to take back.
-            (None, DesiredState::Leaving | DesiredState::Absent)
-            | (Some(DesiredState::Leaving), DesiredState::Leaving) => {
+            (None, DesiredState::ShuttingDown | DesiredState::Absent)
+            | (Some(DesiredState::ShuttingDown), DesiredState::ShuttingDown) => {
                 return NextStep::Wait(Duration::MAX);
             }
             _ if now < self.due => return NextStep::Wait(self.due),
@@ -151,9 +153,9 @@
         let (wish, call) = match (self.told, self.wish) {
             (None, _) => (DesiredState::Passing, self.register()),
             (_, DesiredState::Passing) => (DesiredState::Passing, self.state("pass", "")),
-            (_, DesiredState::Gone) => {
-                let path = format!("/v1/agent/service/deregister/{}", escape(&self.registration.id));
-                (DesiredState::Gone, Call { path, body: String::new() })
+            (_, DesiredState::Deregistered) => {
+                let path = format!("/v1/agent/service/deregister/{}", percent_encode(&self.registration.id));
+                (DesiredState::Deregistered, Call { path, body: String::new() })
             }
             (_, wish) => (wish, self.state("fail", "leaving")),
         };
@@ -162,22 +164,25 @@
     }
 
     fn state(&self, state: &str, note: &str) -> Call {
-        let note = if note.is_empty() { String::new() } else { format!("?note={}", escape(note)) };
-        Call { path: format!("/v1/agent/check/{state}/{}{note}", escape(&self.check())), body: String::new() }
+        let note = if note.is_empty() { String::new() } else { format!("?note={}", percent_encode(note)) };
+        Call {
+            path: format!("/v1/agent/check/{state}/{}{note}", percent_encode(&self.check())),
+            body: String::new(),
+        }
     }
 
     fn register(&self) -> Call {
         let r = &self.registration;
         let ms = |d: Duration| format!("{}ms", d.as_millis());
         let after = (!r.forget_after.is_zero()).then(|| ms(r.forget_after));
-        let body = Body {
+        let body = RegisterBody {
             id: &r.id,
             name: &r.service,
             address: r.addr.ip().to_string(),
             port: r.addr.port(),
             tags: &r.tags,
             meta: &r.meta,
-            check: Check {
+            check: RegisterCheck {
                 check_id: self.check(),
                 ttl: ms(r.ttl),
                 status: "passing",
@@ -202,12 +207,12 @@
                 None
             }
             // What it does not know need not be taken back.
-            404 if telling == DesiredState::Gone => {
-                self.told = Some(DesiredState::Gone);
+            404 if telling == DesiredState::Deregistered => {
+                self.told = Some(DesiredState::Deregistered);
                 None
             }
             // An agent that knows no such check says so with 404, older ones with 500: it began anew.
-            404 | 500 if self.told.is_some() && telling != DesiredState::Gone => {
+            404 | 500 if self.told.is_some() && telling != DesiredState::Deregistered => {
                 (self.told, self.due) = (None, now + self.backoff.failed(draw));
                 Some(format!("the agent answered {status}: it is registered again"))
             }
@@ -277,7 +282,7 @@
         r.wish(s(1), DesiredState::Passing);
         r.next(s(1));
         r.answered(s(1), 200, 0.0);
-        r.wish(s(2), DesiredState::Leaving);
+        r.wish(s(2), DesiredState::ShuttingDown);
         assert_eq!(path(r.next(s(2))), "/v1/agent/check/fail/service%3An%203?note=leaving");
         r.failed(s(2), 1.0);
         assert!(matches!(r.next(s(2)), NextStep::Wait(_)));
@@ -285,7 +290,7 @@
         assert!(path(r.next(s(3))).starts_with("/v1/agent/check/fail"), "it does not come back");
         r.answered(s(3), 200, 0.0);
         assert_eq!(r.next(s(3)), NextStep::Wait(Duration::MAX));
-        r.wish(s(4), DesiredState::Gone);
+        r.wish(s(4), DesiredState::Deregistered);
         assert_eq!(path(r.next(s(4))), "/v1/agent/service/deregister/n%203");
         assert_eq!(r.answered(s(4), 404, 0.0), None, "it is not known, which was wanted");
         assert_eq!(r.next(s(5)), NextStep::Done);
@@ -294,7 +299,7 @@
         never.wish(s(0), DesiredState::Passing);
         never.next(s(0));
         never.failed(s(0), 0.5);
-        never.wish(s(1), DesiredState::Gone);
+        never.wish(s(1), DesiredState::Deregistered);
         assert_eq!(never.next(s(1)), NextStep::Done);
     }
 
--- a/crates/data-plane/discovery/src/consul/service_list.rs
+++ b/crates/data-plane/discovery/src/consul/service_list.rs
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 
 /// Faults of single entries that are kept to be told.
-const FAULTS_MOST: usize = 8;
+const MAX_ENTRY_ERRORS: usize = 8;
 
 /// Which list is asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Kind {
+pub enum ListKind {
     /// `/v1/health/service/:name`: with all checks.
     #[default]
     Health,
@@ -29,9 +29,9 @@
 
 /// How entries become members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct EntryMapping {
     /// Which list it is.
-    pub kind: Kind,
+    pub kind: ListKind,
     /// Put before names, where several datacentres are asked: node names are each datacentre's own.
     pub prefix: String,
     /// The metadata key with the member's name; absent or without it: node and service id.
@@ -51,11 +51,11 @@
 }
 
 /// Most keys of a member's metadata, and longest one with its value (Consul's own bounds for a service).
-const META_MOST: usize = 64;
-const META_TEXT_MOST: usize = 128 + 512;
+const MAX_META_KEYS: usize = 64;
+const MAX_META_ENTRY_BYTES: usize = 128 + 512;
 
 #[derive(Deserialize)]
-struct Checked<'a> {
+struct HealthEntry<'a> {
     #[serde(rename = "Node", borrow)]
     node: Node<'a>,
     #[serde(rename = "Service", borrow)]
@@ -87,7 +87,7 @@
     #[serde(rename = "Meta", default)]
     meta: Option<HashMap<String, String>>,
     #[serde(rename = "TaggedAddresses", default)]
-    tagged: Option<HashMap<String, Tagged>>,
+    tagged: Option<HashMap<String, TaggedAddress>>,
     #[serde(rename = "Weights", default)]
     weights: Option<Weights>,
     #[serde(rename = "CreateIndex", default)]
@@ -95,7 +95,7 @@
 }
 
 #[derive(Deserialize)]
-struct Tagged {
+struct TaggedAddress {
     #[serde(alias = "Address", default)]
     address: String,
     #[serde(alias = "Port", default)]
@@ -125,7 +125,7 @@
 }
 
 #[derive(Deserialize)]
-struct Catalogued<'a> {
+struct CatalogueEntry<'a> {
     #[serde(rename = "Node", borrow)]
     node: Cow<'a, str>,
     #[serde(rename = "Address", borrow, default)]
@@ -143,7 +143,7 @@
     #[serde(rename = "ServiceMeta", default)]
     meta: Option<HashMap<String, String>>,
     #[serde(rename = "ServiceTaggedAddresses", default)]
-    tagged: Option<HashMap<String, Tagged>>,
+    tagged: Option<HashMap<String, TaggedAddress>>,
     #[serde(rename = "ServiceWeights", default)]
     weights: Option<Weights>,
     #[serde(rename = "CreateIndex", default)]
@@ -151,7 +151,7 @@
 }
 
 /// An entry as it was read last.
-struct Line {
+struct CachedEntry {
     text: Box<str>,
     /// `None`: it can't be used, for this reason.
     report: Result<EndpointReport, String>,
@@ -160,10 +160,10 @@
 
 /// A list as it was told last, for one watch.
 #[derive(Default)]
-pub struct List {
-    reading: Reading,
+pub struct ServiceList {
+    reading: EntryMapping,
     /// By node and service id.
-    lines: HashMap<u64, Line>,
+    lines: HashMap<u64, CachedEntry>,
     /// Whose line each name is.
     names: HashMap<Name, u64>,
     round: u64,
@@ -171,7 +171,7 @@
 
 /// What came of a list.
 #[derive(Debug, PartialEq)]
-pub struct Read {
+pub struct ListUpdate {
     /// What has changed since the last one.
     pub news: SourceUpdate,
     /// Entries that can't be used, named, and why; the others hold.
@@ -180,10 +180,10 @@
     pub anew: usize,
 }
 
-impl List {
+impl ServiceList {
     /// An empty one.
-    pub fn new(reading: Reading) -> List {
-        List { reading, ..List::default() }
+    pub fn new(reading: EntryMapping) -> ServiceList {
+        ServiceList { reading, ..ServiceList::default() }
     }
 
     /// All that it has.
@@ -205,7 +205,7 @@
     ///
     /// # Errors
     /// It is no list of this kind. Then nothing has changed.
-    pub fn read(&mut self, body: &[u8], keep: bool) -> Result<Read, String> {
+    pub fn read(&mut self, body: &[u8], keep: bool) -> Result<ListUpdate, String> {
         let raw: Vec<&RawValue> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         let round = self.round + 1;
         // First everything is read, so that a list that is bad at its end changes nothing.
@@ -217,12 +217,12 @@
                 lines.push((key, None));
             } else {
                 let report = self.entry(text).map_err(|e| format!("entry {k}: {e}"))?;
-                lines.push((key, Some(Line { text: text.into(), report, round })));
+                lines.push((key, Some(CachedEntry { text: text.into(), report, round })));
             }
         }
         self.round = round;
         let (mut anew, mut faults, mut changed, mut gone) = (0, Vec::new(), Vec::new(), Vec::new());
-        let mut fresh: Vec<(u64, Line)> = Vec::new();
+        let mut fresh: Vec<(u64, CachedEntry)> = Vec::new();
         for (key, line) in lines {
             match line {
                 Some(line) => fresh.push((key, line)),
@@ -246,7 +246,7 @@
                         changed.push(report.clone());
                     }
                 }
-                Err(why) if faults.len() < FAULTS_MOST => faults.push(why.clone()),
+                Err(why) if faults.len() < MAX_ENTRY_ERRORS => faults.push(why.clone()),
                 Err(_) => {}
             }
             self.lines.insert(key, line);
@@ -269,7 +269,7 @@
             }
         });
         gone.sort();
-        Ok(Read { news: SourceUpdate::Delta(changed, gone), faults, anew })
+        Ok(ListUpdate { news: SourceUpdate::Delta(changed, gone), faults, anew })
     }
 
     /// One entry: structure that is not as published is an error of the whole list; what its owner wrote into it is a
@@ -277,10 +277,10 @@
     fn entry(&self, text: &str) -> Result<Result<EndpointReport, String>, serde_json::Error> {
         let r = &self.reading;
         match r.kind {
-            Kind::Health => {
-                let Checked { node, service: s, checks } = serde_json::from_str(text)?;
+            ListKind::Health => {
+                let HealthEntry { node, service: s, checks } = serde_json::from_str(text)?;
                 let (standing, why) = standing(&checks, s.weights.as_ref());
-                let whose = Whose {
+                let whose = ServiceEntry {
                     node: &node.node,
                     datacenter: &node.datacenter,
                     id: &s.id,
@@ -292,10 +292,10 @@
                 };
                 Ok(whose.report(r, standing, why))
             }
-            Kind::Catalogue => {
-                let c: Catalogued = serde_json::from_str(text)?;
+            ListKind::Catalogue => {
+                let c: CatalogueEntry = serde_json::from_str(text)?;
                 let (standing, why) = standing(&[], c.weights.as_ref());
-                let whose = Whose {
+                let whose = ServiceEntry {
                     node: &c.node,
                     datacenter: &c.datacenter,
                     id: &c.id,
@@ -340,30 +340,35 @@
 }
 
 /// An entry of either list.
-struct Whose<'a> {
+struct ServiceEntry<'a> {
     node: &'a str,
     datacenter: &'a str,
     id: &'a str,
     addresses: [&'a str; 2],
     port: u32,
     metas: [Option<&'a HashMap<String, String>>; 2],
-    tagged: Option<&'a HashMap<String, Tagged>>,
+    tagged: Option<&'a HashMap<String, TaggedAddress>>,
     created: u64,
 }
 
-impl Whose<'_> {
+impl ServiceEntry<'_> {
     /// The service's metadata, and its node's where it has none of that key.
     fn all_meta(&self) -> Meta {
         let mut all = BTreeMap::new();
         for (key, value) in self.metas.iter().flatten().flat_map(|m| m.iter()) {
-            if all.len() < META_MOST && key.len() + value.len() <= META_TEXT_MOST {
+            if all.len() < MAX_META_KEYS && key.len() + value.len() <= MAX_META_ENTRY_BYTES {
                 all.entry(key.clone()).or_insert_with(|| value.clone());
             }
         }
         Meta::new(all)
     }
 
-    fn report(&self, r: &Reading, standing: EndpointState, why: Arc<str>) -> Result<EndpointReport, String> {
+    fn report(
+        &self,
+        r: &EntryMapping,
+        standing: EndpointState,
+        why: Arc<str>,
+    ) -> Result<EndpointReport, String> {
         let named = |what: &str| format!("{}/{}: {what}", self.node, self.id);
         let meta = |key: &str| {
             let found = self.metas.iter().flatten().find_map(|m| m.get(key)).map(String::as_str);
--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -16,20 +16,20 @@
 //! then lacks what its agents have not yet registered again (anti-entropy takes a minute and more). What it says of a
 //! member is as good as ever, and a drain binds; that it does not name one is no statement. After the wait its list
 //! counts whole. A true mass removal moves the index on, and is obeyed.
-use super::escape;
-use super::service_list::{Kind, List, Reading};
+use super::percent_encode;
+use super::service_list::{EntryMapping, ListKind, ServiceList};
 use crate::endpoint::SourceUpdate;
 use crate::watch::{self, CallKind as Call, Step, WatchTiming};
 use std::time::Duration;
 
 /// Consul adds up to this part of a query's wait to it.
-const LATE: u32 = 16;
+const WAIT_EXTENSION_DIVISOR: u32 = 16;
 /// Beyond its wait and that, a query gets this long to answer.
-const ANSWER: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Where an answer has no index that can be waited on, the next query comes after this.
-const POLL: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest pause that an agent may ask for.
-const RETRY_MOST: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// What holds for all watches of a source.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,13 +68,13 @@
     fn plan(&self) -> WatchTiming {
         WatchTiming {
             wait: self.wait,
-            answer: ANSWER,
-            late: Some(LATE),
+            answer: RESPONSE_TIMEOUT,
+            late: Some(WAIT_EXTENSION_DIVISOR),
             // No queue at an agent, and no watch that begins: each query stands for itself.
             opening: self.wait,
-            open: ANSWER,
-            whole: ANSWER,
-            slow: ANSWER,
+            open: RESPONSE_TIMEOUT,
+            whole: RESPONSE_TIMEOUT,
+            slow: RESPONSE_TIMEOUT,
             pause: self.pause,
             pause_most: self.pause_most,
             turned_away_most: self.pause_most,
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Make this query, and say how it ended.
-    Ask(Request),
+    Call(Request),
     /// Wait until then.
     Wait(Duration),
 }
@@ -182,8 +182,8 @@
     figures: WatchIntervals,
     agents: usize,
     agent: usize,
-    list: List,
-    kind: Kind,
+    list: ServiceList,
+    kind: ListKind,
     /// The newest index that counts, also from before a restart.
     index: Option<u64>,
     /// The last query told the list, so that news can be waited for. After a failure the list is asked for at once:
@@ -200,14 +200,14 @@
     /// A watch that begins at once. `index` is how far an earlier process had come: an older one is noticed.
     pub fn new(
         target: Target,
-        reading: Reading,
+        reading: EntryMapping,
         figures: WatchIntervals,
         agents: usize,
         index: Option<u64>,
     ) -> Watch {
         Watch {
             kind: reading.kind,
-            list: List::new(reading),
+            list: ServiceList::new(reading),
             watch: watch::Watch::new(figures.plan()),
             target,
             figures,
@@ -252,10 +252,10 @@
         self.watch.called(now, kind, patience);
         let t = &self.target;
         let what = match self.kind {
-            Kind::Health => "health",
-            Kind::Catalogue => "catalog",
+            ListKind::Health => "health",
+            ListKind::Catalogue => "catalog",
         };
-        let mut path = format!("/v1/{what}/service/{}?", escape(&t.service));
+        let mut path = format!("/v1/{what}/service/{}?", percent_encode(&t.service));
         let mut add = |name: &str, value: &str| {
             if !path.ends_with('?') {
                 path.push('&');
@@ -263,7 +263,7 @@
             path.push_str(name);
             if !value.is_empty() {
                 path.push('=');
-                path.push_str(&escape(value));
+                path.push_str(&percent_encode(value));
             }
         };
         for (name, value) in
@@ -290,7 +290,7 @@
         if path.ends_with('?') {
             path.pop();
         }
-        NextStep::Ask(Request { agent: self.agent, path, patience })
+        NextStep::Call(Request { agent: self.agent, path, patience })
     }
 
     /// An answer has come whole.
@@ -305,13 +305,13 @@
             Ok(verdict) => {
                 self.watch.answered(now);
                 if self.index.is_none() {
-                    self.watch.postpone(now + POLL);
+                    self.watch.postpone(now + POLL_INTERVAL);
                 }
                 verdict
             }
             Err(why) => {
                 self.told = false;
-                let asked = Duration::from_secs(head.retry_after.unwrap_or(0)).min(RETRY_MOST);
+                let asked = Duration::from_secs(head.retry_after.unwrap_or(0)).min(MAX_RETRY_AFTER);
                 self.watch.broke(now, draw);
                 let pause = self.watch.due().saturating_sub(now);
                 // Jitter on what it asked for as well: all were told the same.
--- a/crates/data-plane/discovery/src/endpoint_cache.rs
+++ b/crates/data-plane/discovery/src/endpoint_cache.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The form of the content.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// What is kept.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/data-plane/discovery/src/platform/mod.rs
+++ b/crates/data-plane/discovery/src/platform/mod.rs
@@ -9,7 +9,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct EndpointListResponse {
     /// Grows with each change.
     pub version: u64,
     /// Whether this is the whole list, or only what changed.
@@ -20,7 +20,7 @@
     pub faults: Vec<String>,
 }
 
-impl Answer {
+impl EndpointListResponse {
     /// The reports of a whole list.
     pub fn reports(&self) -> &[EndpointReport] {
         match &self.news {
@@ -31,14 +31,14 @@
 }
 
 #[derive(Deserialize)]
-struct Raw<T> {
+struct RawResponse<T> {
     version: u64,
     full: bool,
     servers: Vec<T>,
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct RawEndpoint {
     id: String,
     addr: SocketAddr,
     #[serde(default)]
@@ -54,19 +54,19 @@
 
 /// What one entry says.
 enum EntryUpdate {
-    Is(EndpointReport),
-    Gone(Name),
+    Updated(EndpointReport),
+    Removed(Name),
     /// It finishes what it has, and the rest of its entry can't be used.
-    Leaves(Name, String),
+    Draining(Name, String),
 }
 
 /// Reads an answer.
 ///
 /// # Errors
-/// It is no list. Entries that can't be used are [`Answer::faults`] and change nothing, but for what says that an upstream
+/// It is no list. Entries that can't be used are [`EndpointListResponse::faults`] and change nothing, but for what says that an upstream
 /// leaves: that binds whatever else is wrong with it.
-pub fn read(json: &[u8]) -> Result<Answer, String> {
-    let mut answer = Answer {
+pub fn parse_response(json: &[u8]) -> Result<EndpointListResponse, String> {
+    let mut answer = EndpointListResponse {
         version: 0,
         full: false,
         news: SourceUpdate::Unavailable(String::new()),
@@ -74,23 +74,23 @@
     };
     let (mut reports, mut gone) = (Vec::new(), Vec::new());
     let mut take = |said: Result<EntryUpdate, String>| match said {
-        Ok(EntryUpdate::Is(report)) => reports.push(report),
-        Ok(EntryUpdate::Gone(name)) => gone.push(name),
-        Ok(EntryUpdate::Leaves(name, fault)) => {
+        Ok(EntryUpdate::Updated(report)) => reports.push(report),
+        Ok(EntryUpdate::Removed(name)) => gone.push(name),
+        Ok(EntryUpdate::Draining(name, fault)) => {
             gone.push(name);
             answer.faults.push(fault);
         }
         Err(fault) => answer.faults.push(fault),
     };
     // Entry by entry, at several times the cost, only where one of them is not as it should be.
-    let (version, full) = match serde_json::from_slice::<Raw<Line>>(json) {
+    let (version, full) = match serde_json::from_slice::<RawResponse<RawEndpoint>>(json) {
         Ok(raw) => {
-            raw.servers.into_iter().for_each(|line| take(said(line)));
+            raw.servers.into_iter().for_each(|line| take(entry_update(line)));
             (raw.version, raw.full)
         }
         Err(_) => {
-            let raw: Raw<Value> = serde_json::from_slice(json).map_err(|e| e.to_string())?;
-            raw.servers.into_iter().for_each(|entry| take(salvaged(entry)));
+            let raw: RawResponse<Value> = serde_json::from_slice(json).map_err(|e| e.to_string())?;
+            raw.servers.into_iter().for_each(|entry| take(salvage_entry(entry)));
             (raw.version, raw.full)
         }
     };
@@ -99,46 +99,46 @@
     Ok(answer)
 }
 
-fn said(line: Line) -> Result<EntryUpdate, String> {
+fn entry_update(line: RawEndpoint) -> Result<EntryUpdate, String> {
     if line.id.is_empty() {
         return Err("an upstream without an id".into());
     }
     if line.state == "left" {
-        return Ok(EntryUpdate::Gone(line.id.into()));
+        return Ok(EntryUpdate::Removed(line.id.into()));
     }
     if !(0.0..1e15).contains(&line.started_ms) {
         let fault = format!("upstream {:?}: started_ms reads {}", line.id, line.started_ms);
         return if line.state == "leaving" {
-            Ok(EntryUpdate::Leaves(line.id.into(), fault))
+            Ok(EntryUpdate::Draining(line.id.into(), fault))
         } else {
             Err(fault)
         };
     }
     match line.state.as_str() {
-        "active" => Ok(EntryUpdate::Is(report(line, EndpointState::Ready, ""))),
-        "leaving" => Ok(EntryUpdate::Is(report(line, EndpointState::Draining, "leaving"))),
+        "active" => Ok(EntryUpdate::Updated(report(line, EndpointState::Ready, ""))),
+        "leaving" => Ok(EntryUpdate::Updated(report(line, EndpointState::Draining, "leaving"))),
         other => Err(format!("upstream {:?}: unknown state {other:?}", line.id)),
     }
 }
 
 /// What can be had of an entry of a list in which one is broken.
-fn salvaged(entry: Value) -> Result<EntryUpdate, String> {
+fn salvage_entry(entry: Value) -> Result<EntryUpdate, String> {
     let text = |field: &str| entry.get(field).and_then(Value::as_str).unwrap_or_default().to_string();
     let (id, state) = (text("id"), text("state"));
-    match serde_json::from_value::<Line>(entry) {
-        Ok(line) => said(line),
-        Err(_) if !id.is_empty() && state == "left" => Ok(EntryUpdate::Gone(id.into())),
+    match serde_json::from_value::<RawEndpoint>(entry) {
+        Ok(line) => entry_update(line),
+        Err(_) if !id.is_empty() && state == "left" => Ok(EntryUpdate::Removed(id.into())),
         Err(e) => {
             let fault = format!("upstream {id:?}: {e}");
             if id.is_empty() || state != "leaving" {
                 return Err(fault);
             }
-            Ok(EntryUpdate::Leaves(id.into(), fault))
+            Ok(EntryUpdate::Draining(id.into(), fault))
         }
     }
 }
 
-fn report(line: Line, standing: EndpointState, why: &str) -> EndpointReport {
+fn report(line: RawEndpoint, standing: EndpointState, why: &str) -> EndpointReport {
     EndpointReport {
         name: line.id.into(),
         addr: line.addr,
@@ -165,7 +165,7 @@
             {"id":"s-1","addr":"127.0.0.1:10","zone":"a","kind":"m2","cell":3,"state":"leaving","weight":1.0,"started_ms":7},
             {"id":"s-2","addr":"127.0.0.1:11","state":"left"}]}"#;
         let told = |text: &str| {
-            let answer = read(text.as_bytes()).expect("a list");
+            let answer = parse_response(text.as_bytes()).expect("a list");
             let SourceUpdate::Delta(reports, gone) = answer.news else { panic!("{:?}", answer.news) };
             let stands = reports.iter().map(|r| (r.name.to_string(), r.standing, r.started_ms));
             (stands.collect::<Vec<_>>(), gone, answer.faults.len())
@@ -185,6 +185,6 @@
         ] {
             assert_eq!(told(&text.replace(from, to)), known, "{from} for {to}");
         }
-        assert!(read(text.replace("]}", "").as_bytes()).is_err(), "cut off");
+        assert!(parse_response(text.replace("]}", "").as_bytes()).is_err(), "cut off");
     }
 }
--- a/crates/data-plane/discovery/src/platform/watch.rs
+++ b/crates/data-plane/discovery/src/platform/watch.rs
@@ -9,7 +9,7 @@
 //! | 200, changes of an older version | no news; the whole list is asked for |
 //! | 200 that is unreadable, any other status, none in time | no news |
 use super::staleness::StalenessSettings;
-use super::{read, Answer};
+use super::{parse_response, EndpointListResponse};
 use crate::endpoint::SourceUpdate;
 use crate::watch::{self, CallKind, Step, WatchTiming};
 use std::time::Duration;
@@ -92,11 +92,11 @@
         if status != 200 {
             return self.failed(now, &format!("answered {status}"), draw);
         }
-        let answer = match read(body) {
+        let answer = match parse_response(body) {
             Ok(answer) => answer,
             Err(why) => return self.failed(now, &why, draw),
         };
-        let Answer { version, full, news, faults } = answer;
+        let EndpointListResponse { version, full, news, faults } = answer;
         if !full && self.version.is_none_or(|v| version < v) {
             // Guards against asking for ever for what follows a version that discovery no longer knows.
             let known = self.version.take().unwrap_or(0);
--- a/crates/data-plane/discovery/tests/consul.rs
+++ b/crates/data-plane/discovery/tests/consul.rs
@@ -1,5 +1,5 @@
 //! What answers of Consul count as: lists entry by entry, and the watch answer by answer.
-use discovery::consul::service_list::{Kind, List, Reading};
+use discovery::consul::service_list::{EntryMapping, ListKind, ServiceList};
 use discovery::consul::watch::{Consistency, NextStep, Request, ResponseHead, Target, Watch, WatchIntervals};
 use discovery::endpoint::{EndpointReport, EndpointState, SourceUpdate};
 use std::time::Duration;
@@ -8,14 +8,14 @@
     Duration::from_millis(n)
 }
 
-fn reading() -> Reading {
+fn reading() -> EntryMapping {
     let text = |t: &str| t.to_string();
-    Reading {
+    EntryMapping {
         zone: text("zone"),
         machine: text("kind"),
         cell: text("cell"),
         started: text("started_ms"),
-        ..Reading::default()
+        ..EntryMapping::default()
     }
 }
 
@@ -38,7 +38,7 @@
 }
 
 fn read_one(text: &str) -> EndpointReport {
-    let read = List::new(reading()).read(list(&[text.to_string()]).as_bytes(), false).expect("a list");
+    let read = ServiceList::new(reading()).read(list(&[text.to_string()]).as_bytes(), false).expect("a list");
     let SourceUpdate::Delta(reports, _) = read.news else { panic!("{read:?}") };
     reports.into_iter().next().unwrap_or_else(|| panic!("{:?}", read.faults))
 }
@@ -53,15 +53,17 @@
         "the node's metadata where the service has none"
     );
     assert_eq!((r.started_ms, r.registered, r.standing), (Some(1.7e12), 10, EndpointState::Ready));
-    let with = |reading: Reading, text: &str| {
-        let read = List::new(reading).read(list(&[text.to_string()]).as_bytes(), false).expect("a list");
+    let with = |reading: EntryMapping, text: &str| {
+        let read =
+            ServiceList::new(reading).read(list(&[text.to_string()]).as_bytes(), false).expect("a list");
         let SourceUpdate::Delta(reports, _) = read.news else { panic!() };
         reports[0].clone()
     };
-    let named = Reading { name: Some("kind".into()), prefix: "dc".into(), tagged: "wan".into(), ..reading() };
+    let named =
+        EntryMapping { name: Some("kind".into()), prefix: "dc".into(), tagged: "wan".into(), ..reading() };
     let r = with(named, &entry("redis1", 8000, "", ""));
     assert_eq!((&*r.name, r.addr.to_string().as_str()), ("m2", "198.18.0.1:80"));
-    let r = with(Reading { prefix: "dc".into(), ..reading() }, &entry("redis1", 8000, "", ""));
+    let r = with(EntryMapping { prefix: "dc".into(), ..reading() }, &entry("redis1", 8000, "", ""));
     assert_eq!(&*r.name, "dc1/foobar/redis1");
     // Without an address of its own it is at its node's; IPv6 as well.
     let six = entry("r", 1, "", "")
@@ -97,7 +99,8 @@
         (entry("bad", 1, "", "").replace("127.0.0.1", "a host"), "IP address"),
         (entry("", 1, "", ""), "no name"),
     ] {
-        let read = List::new(reading()).read(list(&[bad, good.clone()]).as_bytes(), false).expect("a list");
+        let read =
+            ServiceList::new(reading()).read(list(&[bad, good.clone()]).as_bytes(), false).expect("a list");
         let SourceUpdate::Delta(reports, _) = read.news else { panic!() };
         assert!(reports.len() == 1 && read.faults[0].contains(what), "{:?}", read.faults);
     }
@@ -107,7 +110,7 @@
         .replace("\"cell\":\"3\"", "\"cell\":\"-3\"");
     let r = read_one(&odd);
     assert_eq!((r.started_ms, r.cell), (None, 0));
-    let mut l = List::new(reading());
+    let mut l = ServiceList::new(reading());
     l.read(list(std::slice::from_ref(&good)).as_bytes(), false).expect("a list");
     for none in ["{}", "[{}]", "[1]", "", "[", &list(&[good.replace("\"Checks\":[", "\"Other\":[")])] {
         assert!(l.read(none.as_bytes(), false).is_err(), "{none}");
@@ -118,7 +121,7 @@
 /// Guards against a cost that grows with the list: what has not changed is not read again.
 #[test]
 fn only_what_changed_is_read_again() {
-    let mut l = List::new(reading());
+    let mut l = ServiceList::new(reading());
     let mut all: Vec<String> = (0..100).map(|k| entry(&format!("r{k}"), 1 + k, "", "")).collect();
     assert_eq!(l.read(list(&all).as_bytes(), false).expect("a list").anew, 100);
     all[7] = entry("r7", 8, &check("c", "critical"), "");
@@ -135,7 +138,7 @@
     let SourceUpdate::Delta(reports, gone) = &read.news else { panic!() };
     assert_eq!((read.anew, reports.len(), gone.len()), (2, 1, 0));
     let catalogue = r#"[{"ID":"","Node":"n","Address":"127.0.0.9","Datacenter":"dc1","NodeMeta":{},"ServiceID":"s","ServiceName":"x","ServiceAddress":"","ServicePort":9,"ServiceMeta":{"zone":"z"},"ServiceWeights":{"Passing":1,"Warning":1},"CreateIndex":4}]"#;
-    let mut l = List::new(Reading { kind: Kind::Catalogue, ..reading() });
+    let mut l = ServiceList::new(EntryMapping { kind: ListKind::Catalogue, ..reading() });
     let SourceUpdate::Delta(reports, _) = l.read(catalogue.as_bytes(), false).expect("a list").news else {
         panic!()
     };
@@ -160,7 +163,7 @@
 
 fn asks(w: &mut Watch, now: u64) -> Request {
     match w.next(ms(now), 1.0) {
-        NextStep::Ask(ask) => ask,
+        NextStep::Call(ask) => ask,
         NextStep::Wait(until) => panic!("it waits until {until:?}"),
     }
 }
@@ -244,7 +247,7 @@
         w.failed(ms(10_000), "gone", draw);
         match w.next(ms(10_000), 0.0) {
             NextStep::Wait(until) => until - ms(10_000),
-            NextStep::Ask(_) => Duration::ZERO,
+            NextStep::Call(_) => Duration::ZERO,
         }
     };
     assert_eq!((pause(&mut w, 0.0), pause(&mut w, 1.0)), (ms(500), ms(2000)));
--- a/crates/data-plane/discovery/tests/encoding.rs
+++ b/crates/data-plane/discovery/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! The bytes of a saved list of endpoints, against those that earlier builds wrote.
 use discovery::endpoint::{EndpointProtocol, EndpointReport, EndpointState};
-use discovery::endpoint_cache::{EndpointCache, VERSION};
+use discovery::endpoint_cache::{EndpointCache, FORMAT_VERSION};
 use discovery::endpoint_set::Source;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_saved_list_keeps_its_encoding() {
-    assert_eq!(VERSION, 1);
+    assert_eq!(FORMAT_VERSION, 1);
     assert_eq!(String::from_utf8(saved().write()).expect("text"), FIXTURE.trim_end());
     assert_eq!(EndpointCache::read(FIXTURE.as_bytes()).expect("reads"), saved());
 }
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -500,14 +500,14 @@
     let operator = run::read_operator(operator.as_deref())?;
     let view =
         match takeover.or_else(|| operator.daemon.takeover.clone()) {
-            _ if once => inspect::of_sources(node_config::load()?, &operator)?,
-            Some(path) => inspect::of_instance(&path)?,
+            _ if once => inspect::query_sources(node_config::load()?, &operator)?,
+            Some(path) => inspect::query_instance(&path)?,
             None => return Err(
                 "members: name the instance's socket with --takeover or in --operator, or ask with --once"
                     .into(),
             ),
         };
-    let text = if json { format!("{view}\n") } else { inspect::table(&view) };
+    let text = if json { format!("{view}\n") } else { inspect::format_table(&view) };
     std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))
 }
 
--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -67,7 +67,7 @@
     }
 
     fn in_flight(&self, upstream: &str) -> usize {
-        self.pools.in_flight(aggregator::id(upstream))
+        self.pools.in_flight(aggregator::upstream_id(upstream))
     }
 
     fn sight(&self) -> (EndpointList, BTreeMap<String, EndpointCondition>) {
@@ -75,7 +75,7 @@
         let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.handle.ejected()).collect();
         let (mut list, mut out, now) = (EndpointList::default(), BTreeMap::new(), unix_ms());
         self.members.each(|m| {
-            let id = aggregator::id(&m.name);
+            let id = aggregator::upstream_id(&m.name);
             let named = |name: &str| if name.is_empty() { WHOLE.to_string() } else { name.to_string() };
             let within = pools.iter().filter(|pool| pool.has(id)).map(|pool| named(&pool.name));
             let place = EndpointLabels { pools: within.collect(), zone: m.zone.to_string() };
--- a/crates/herondock/src/driver.rs
+++ b/crates/herondock/src/driver.rs
@@ -1,7 +1,7 @@
 //! The one owner of the decision module: feeds it events in order, carries out its actions, keeps its clock,
 //! its timers and the ids of requests and attempts. Nothing is decided here, and no protocol is known.
 use crate::descriptor_budget::DescriptorBudget;
-use crate::endpoint_sources::{Audience, Entry, Listing};
+use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, Attempt, Final, Gate, Hop, Request, Upstream};
 use crate::request_counters::{self, RequestCounters};
 use balancer::{
@@ -99,13 +99,13 @@
     upstream: Rc<dyn Upstream>,
     gate: Rc<Gate>,
     /// Its newest line.
-    entry: Entry,
+    entry: ListedEndpoint,
     /// Whether it tells what was used below it.
     hearing: UsageFeedback,
 }
 
 /// Chooses the transport for an upstream by what it speaks.
-pub type Transports = Box<dyn Fn(&Entry) -> Rc<dyn Upstream>>;
+pub type Transports = Box<dyn Fn(&ListedEndpoint) -> Rc<dyn Upstream>>;
 
 struct Driver {
     balancer: Balancer,
@@ -146,8 +146,8 @@
 #[derive(Clone)]
 pub struct Handle(Rc<Shared>);
 
-impl Audience for Handle {
-    fn listed(&self, listing: &Listing) {
+impl EndpointSubscriber for Handle {
+    fn listed(&self, listing: &EndpointUpdate) {
         self.0.driver.borrow_mut().note_list(listing);
         self.feed(Event::Membership(Membership::Delta(listing.members().collect())));
     }
@@ -320,7 +320,7 @@
     }
 
     /// Takes a saved list, before any other news of members.
-    pub fn cached(&self, listing: &Listing) {
+    pub fn cached(&self, listing: &EndpointUpdate) {
         self.0.driver.borrow_mut().note_list(listing);
         self.feed(Event::Membership(Membership::Cached(listing.members().collect())));
     }
@@ -578,7 +578,7 @@
     }
 
     /// Keeps addresses and connections in step with the list.
-    fn note_list(&mut self, listing: &Listing) {
+    fn note_list(&mut self, listing: &EndpointUpdate) {
         // When the news was written, or counted as told, is not known: part of the grace may be over. What is on its way
         // and has not begun goes elsewhere.
         let now = Instant::now();
--- a/crates/herondock/src/endpoint_sources/aggregator.rs
+++ b/crates/herondock/src/endpoint_sources/aggregator.rs
@@ -1,5 +1,5 @@
 //! All sources in one view: what each tells goes in, and what changes in the view goes to the audience.
-use super::{Audience, Entry, Listing, Protocol, Told};
+use super::{EndpointAttributes, EndpointSubscriber, EndpointUpdate, ListedEndpoint, Protocol};
 use crate::clock::unix_ms;
 use balancer::{Availability, Member, UpstreamId};
 use config::Deployment;
@@ -17,25 +17,25 @@
 use tracing::info;
 
 /// Names of zones and kinds, by the position that the module knows them by.
-pub struct Names {
+pub struct NameIndex {
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
 /// The number by which the module knows a member of this name: the same at every instance.
-pub fn id(name: &str) -> UpstreamId {
+pub fn upstream_id(name: &str) -> UpstreamId {
     UpstreamId(hashing::stable(name.as_bytes()))
 }
 
-impl Names {
+impl NameIndex {
     /// The names that the settings list.
-    pub fn of(d: &Deployment) -> Names {
-        Names { zones: d.zones.clone(), kinds: d.kinds.clone() }
+    pub fn of(d: &Deployment) -> NameIndex {
+        NameIndex { zones: d.zones.clone(), kinds: d.kinds.clone() }
     }
 
     /// A member as the module and the driver have it. A zone or kind that the settings do not list gets a position that
     /// no class is bound to.
-    fn entry(&self, m: &Endpoint, gone: bool) -> Entry {
+    fn entry(&self, m: &Endpoint, gone: bool) -> ListedEndpoint {
         let zone = self.zones.iter().position(|z| **z == *m.zone);
         let kind = self.kinds.iter().position(|k| **k == *m.kind);
         let availability = match (gone, m.takes) {
@@ -46,7 +46,7 @@
         let member = Member {
             // The module spreads the balancers over the upstreams by a ring of these ids: numbers given in order of
             // arrival would crowd some of them.
-            id: id(&m.name),
+            id: upstream_id(&m.name),
             zone: zone.and_then(|z| u16::try_from(z).ok()).unwrap_or(u16::MAX),
             kind: kind.and_then(|k| u8::try_from(k).ok()).unwrap_or(u8::MAX),
             group: m.cell,
@@ -58,14 +58,14 @@
             EndpointProtocol::FastCgi => Protocol::FastCgi,
         };
         let (zone, kind) = (m.zone.clone(), m.kind.clone());
-        let told = Told { zone, kind, sources: m.sources.clone(), meta: m.meta.clone() };
-        Entry { member, addr: m.addr, speaks, told: Arc::new(told) }
+        let told = EndpointAttributes { zone, kind, sources: m.sources.clone(), meta: m.meta.clone() };
+        ListedEndpoint { member, addr: m.addr, speaks, told: Arc::new(told) }
     }
 }
 
 struct Inner<A> {
     audience: A,
-    names: Names,
+    names: NameIndex,
     view: RefCell<EndpointSet>,
     /// The newest index or version that each source was told.
     indices: RefCell<BTreeMap<Source, u64>>,
@@ -82,9 +82,9 @@
     }
 }
 
-impl<A: Audience> EndpointAggregator<A> {
+impl<A: EndpointSubscriber> EndpointAggregator<A> {
     /// An empty view. `random` spreads the pauses and waits of its sources.
-    pub fn new(audience: A, names: Names, last_resort: bool, random: Pcg64Mcg) -> EndpointAggregator<A> {
+    pub fn new(audience: A, names: NameIndex, last_resort: bool, random: Pcg64Mcg) -> EndpointAggregator<A> {
         let view = RefCell::new(EndpointSet::new(last_resort));
         let (indices, random, changed) = (RefCell::default(), RefCell::new(random), Notify::new());
         EndpointAggregator(Rc::new(Inner { audience, names, view, indices, random, changed }))
@@ -103,16 +103,16 @@
         SourceHandle { gather: self.clone(), source: Source { rank, label: label.into() }, answers: false }
     }
 
-    fn listing(&self, changes: &[EndpointChange]) -> Listing {
+    fn listing(&self, changes: &[EndpointChange]) -> EndpointUpdate {
         let entry = |change: &EndpointChange| match change {
             EndpointChange::Updated(m) => self.0.names.entry(m, false),
             EndpointChange::Removed(m) => self.0.names.entry(m, true),
         };
-        Listing { entries: changes.iter().map(entry).collect() }
+        EndpointUpdate { entries: changes.iter().map(entry).collect() }
     }
 
     /// Begins with what was kept, before any source has told anything. Returns the members for the module.
-    pub fn recall(&self, saved: EndpointCache) -> Listing {
+    pub fn recall(&self, saved: EndpointCache) -> EndpointUpdate {
         let EndpointCache { reports, told, indices } = saved;
         self.0.indices.borrow_mut().extend(indices);
         let changes = self.0.view.borrow_mut().recall(reports, told);
@@ -179,7 +179,7 @@
     answers: bool,
 }
 
-impl<A: Audience> SourceHandle<A> {
+impl<A: EndpointSubscriber> SourceHandle<A> {
     /// Another source of the same view, of the same rank.
     pub fn beside(&self, label: &str) -> SourceHandle<A> {
         self.gather.source(self.source.rank, label, false)
@@ -231,7 +231,7 @@
     /// It has answered for the first time, perhaps with nothing new.
     pub fn answers(&self) {
         if self.answers {
-            self.gather.0.audience.listed(&Listing::default());
+            self.gather.0.audience.listed(&EndpointUpdate::default());
         }
     }
 
--- a/crates/herondock/src/endpoint_sources/cache.rs
+++ b/crates/herondock/src/endpoint_sources/cache.rs
@@ -1,6 +1,6 @@
 //! The last view on disk: read at the start, and written as it changes.
 use super::aggregator::EndpointAggregator;
-use super::Audience;
+use super::EndpointSubscriber;
 use crate::clock::unix_ms;
 use discovery::endpoint_cache::{self, EndpointCache};
 use std::path::Path;
@@ -10,13 +10,13 @@
 use tracing::info;
 
 /// Largest file.
-const MOST: usize = 64 << 20;
+const MAX_CACHE_BYTES: usize = 64 << 20;
 /// Written at least so often, so that the ages in it are true.
-const REFRESH: Duration = Duration::from_secs(30);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
 /// The file.
-pub fn store(path: &Path) -> AtomicFile {
-    AtomicFile::new(path, "members", endpoint_cache::VERSION, MOST)
+pub fn cache_file(path: &Path) -> AtomicFile {
+    AtomicFile::new(path, "members", endpoint_cache::FORMAT_VERSION, MAX_CACHE_BYTES)
 }
 
 /// What was kept, without what is older than `most`. A file that is damaged, or what is too old in it, is named in the
@@ -44,10 +44,14 @@
 }
 
 /// Writes the view for ever: after it changed, no more often than `every`.
-pub async fn run<A: Audience>(gather: EndpointAggregator<A>, store: AtomicFile, every: Duration) {
+pub async fn write_changes<A: EndpointSubscriber>(
+    gather: EndpointAggregator<A>,
+    store: AtomicFile,
+    every: Duration,
+) {
     let mut trouble = false;
     loop {
-        let _ = timeout(REFRESH, gather.changed()).await;
+        let _ = timeout(REFRESH_INTERVAL, gather.changed()).await;
         sleep(every).await;
         let (bytes, store) = (gather.saved().write(), store.clone());
         let path = store.path().display().to_string();
--- a/crates/herondock/src/endpoint_sources/client.rs
+++ b/crates/herondock/src/endpoint_sources/client.rs
@@ -14,10 +14,10 @@
 use tokio::time::timeout;
 
 /// A connection that is not up after this long has failed: it must not use up a call's time.
-const DIAL: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A call.
-pub struct Call<'a> {
+pub struct ApiRequest<'a> {
     /// `GET` or `PUT`.
     pub method: Method,
     /// Path and query.
@@ -28,15 +28,15 @@
     pub body: Bytes,
 }
 
-impl<'a> Call<'a> {
+impl<'a> ApiRequest<'a> {
     /// Asks for this.
-    pub fn get(path: &'a str) -> Call<'a> {
-        Call { method: Method::GET, path, headers: &[], body: Bytes::new() }
+    pub fn get(path: &'a str) -> ApiRequest<'a> {
+        ApiRequest { method: Method::GET, path, headers: &[], body: Bytes::new() }
     }
 }
 
 /// A whole answer.
-pub struct Reply {
+pub struct ApiResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -46,21 +46,21 @@
 }
 
 /// One connection; closed when dropped.
-struct Link {
+struct Connection {
     addr: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Link {
-    async fn open(addr: SocketAddr) -> Result<Link, String> {
-        let dial = timeout(DIAL, TcpStream::connect(addr)).await;
+impl Connection {
+    async fn open(addr: SocketAddr) -> Result<Connection, String> {
+        let dial = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let stream = dial.map_err(|_| "not connected in time".to_string())?.map_err(|e| e.to_string())?;
         // What is small is not held back, on no stream.
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
@@ -69,14 +69,14 @@
             // How the connection ended shows in the call that was on it.
             let _ = conn.await;
         });
-        Ok(Link { addr, sender, task: task.abort_handle() })
+        Ok(Connection { addr, sender, task: task.abort_handle() })
     }
 }
 
 /// Makes calls, one at a time.
 pub struct Client {
     limits: LiveConfig<Limits>,
-    link: Option<Link>,
+    link: Option<Connection>,
 }
 
 impl Client {
@@ -94,7 +94,12 @@
     ///
     /// # Errors
     /// Why no whole answer came.
-    pub async fn call(&mut self, addr: SocketAddr, call: &Call<'_>, most: Duration) -> Result<Reply, String> {
+    pub async fn call(
+        &mut self,
+        addr: SocketAddr,
+        call: &ApiRequest<'_>,
+        most: Duration,
+    ) -> Result<ApiResponse, String> {
         let done = timeout(most, self.fetch(addr, call)).await;
         let done = done.unwrap_or_else(|_| Err("no answer in time".into()));
         if done.is_err() {
@@ -103,14 +108,14 @@
         done
     }
 
-    async fn fetch(&mut self, addr: SocketAddr, call: &Call<'_>) -> Result<Reply, String> {
+    async fn fetch(&mut self, addr: SocketAddr, call: &ApiRequest<'_>) -> Result<ApiResponse, String> {
         // Guards against a connection that the other side closed after its last answer: that is no failed call.
         let up = match self.link.as_mut().filter(|link| link.addr == addr) {
             Some(link) => link.sender.ready().await.is_ok(),
             None => false,
         };
         if !up {
-            self.link = Some(Link::open(addr).await?);
+            self.link = Some(Connection::open(addr).await?);
         }
         let Some(link) = self.link.as_mut() else { return Err("not connected".into()) };
         let mut request = Request::builder().method(&call.method).uri(call.path);
@@ -122,6 +127,6 @@
         let answer = link.sender.send_request(request).await.map_err(|e| e.to_string())?;
         let (head, body) = answer.into_parts();
         let body = Limited::new(body, self.limits.get().list).collect().await.map_err(|e| e.to_string())?;
-        Ok(Reply { status: head.status, headers: head.headers, body: body.to_bytes() })
+        Ok(ApiResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
     }
 }
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -1,12 +1,12 @@
 //! Consul's services as sources of members: makes the queries that `discovery::consul::watch` wants, and passes on what
 //! it says of their answers.
 use super::aggregator::SourceHandle;
-use super::client::{Call, Client};
-use super::Audience;
+use super::client::{ApiRequest, Client};
+use super::EndpointSubscriber;
 use crate::live_config::LiveConfig;
 use config::discovery::{Consistency, ConsulConfig, Datacentres};
 use config::operator::Limits;
-use discovery::consul::service_list::{Kind, Reading};
+use discovery::consul::service_list::{EntryMapping, ListKind};
 use discovery::consul::watch::{self, NextStep, ResponseHead, Target, Watch, WatchIntervals};
 use discovery::endpoint::{EndpointProtocol, SourceUpdate};
 use hyper::StatusCode;
@@ -26,12 +26,12 @@
 const TOKEN_MOST: u64 = 4096;
 
 /// The file with the token, read again before each query: it is rotated while the program runs.
-pub struct Token(Option<PathBuf>);
+pub struct AclToken(Option<PathBuf>);
 
-impl Token {
+impl AclToken {
     /// The file, if there is one.
-    pub fn new(path: Option<PathBuf>) -> Token {
-        Token(path)
+    pub fn new(path: Option<PathBuf>) -> AclToken {
+        AclToken(path)
     }
 
     /// The token as it is now.
@@ -59,14 +59,14 @@
 
 /// Everything that one service needs.
 #[derive(Clone)]
-pub struct Service {
+pub struct ConsulSource {
     /// Its table of the operator's file.
     pub settings: ConsulConfig,
     /// Bounds of answers.
     pub limits: LiveConfig<Limits>,
 }
 
-impl Service {
+impl ConsulSource {
     /// The labels of its sources, where the file names its datacentres.
     pub fn labels(&self) -> Vec<String> {
         match &self.settings.datacentres {
@@ -84,7 +84,7 @@
     }
 
     /// Watches it for ever, in each of its datacentres. `teller` is its one source, or a quiet one of its rank.
-    pub async fn run<A: Audience + 'static>(self, teller: SourceHandle<A>) {
+    pub async fn run<A: EndpointSubscriber + 'static>(self, teller: SourceHandle<A>) {
         match &self.settings.datacentres {
             Datacentres::Own => self.clone().watch(None, teller).await,
             Datacentres::Named(names) if names.len() == 1 => {
@@ -106,7 +106,7 @@
 
     /// Watches each datacentre that the catalogue has ever named: one that it names no longer may be cut off, and its
     /// last list stands as that of a registry in trouble does.
-    async fn all<A: Audience + 'static>(&self, teller: SourceHandle<A>) {
+    async fn all<A: EndpointSubscriber + 'static>(&self, teller: SourceHandle<A>) {
         let (mut client, mut watches) =
             (Client::new(self.limits.clone()), BTreeMap::<String, JoinHandle<()>>::new());
         let mut agent = 0;
@@ -133,9 +133,9 @@
     }
 
     async fn datacentres(&self, client: &mut Client, agent: usize) -> Result<Vec<String>, String> {
-        let token = Token::new(self.settings.token_file.clone()).read().await?;
+        let token = AclToken::new(self.settings.token_file.clone()).read().await?;
         let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
-        let call = Call { headers: &headers, ..Call::get("/v1/catalog/datacenters") };
+        let call = ApiRequest { headers: &headers, ..ApiRequest::get("/v1/catalog/datacenters") };
         let reply = client.call(self.settings.agents[agent], &call, ANSWER).await?;
         match reply.status {
             StatusCode::OK => serde_json::from_slice(&reply.body).map_err(|e| e.to_string()),
@@ -147,8 +147,8 @@
     fn begin(&self, datacentre: Option<String>, index: Option<u64>) -> Watch {
         let s = &self.settings;
         let prefix = if s.datacentres == Datacentres::Own { String::new() } else { "datacentre".into() };
-        let reading = Reading {
-            kind: if s.health { Kind::Health } else { Kind::Catalogue },
+        let reading = EntryMapping {
+            kind: if s.health { ListKind::Health } else { ListKind::Catalogue },
             prefix,
             name: s.meta_keys.name.clone(),
             zone: s.meta_keys.zone.clone(),
@@ -181,11 +181,11 @@
         Watch::new(target, reading, figures, s.agents.len(), index)
     }
 
-    async fn watch<A: Audience>(self, datacentre: Option<String>, teller: SourceHandle<A>) {
+    async fn watch<A: EndpointSubscriber>(self, datacentre: Option<String>, teller: SourceHandle<A>) {
         let start = Instant::now();
         let mut watch = self.begin(datacentre, teller.index());
         let (mut client, token) =
-            (Client::new(self.limits.clone()), Token::new(self.settings.token_file.clone()));
+            (Client::new(self.limits.clone()), AclToken::new(self.settings.token_file.clone()));
         let mut trouble: Option<String> = None;
         loop {
             let ask = match watch.next(start.elapsed(), teller.draw()) {
@@ -193,12 +193,12 @@
                     sleep_until(start + until).await;
                     continue;
                 }
-                NextStep::Ask(ask) => ask,
+                NextStep::Call(ask) => ask,
             };
             let reply = match token.read().await {
                 Ok(token) => {
                     let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
-                    let call = Call { headers: &headers, ..Call::get(&ask.path) };
+                    let call = ApiRequest { headers: &headers, ..ApiRequest::get(&ask.path) };
                     client.call(self.settings.agents[ask.agent], &call, ask.patience).await
                 }
                 Err(why) => Err(why),
--- a/crates/herondock/src/endpoint_sources/discovery.rs
+++ b/crates/herondock/src/endpoint_sources/discovery.rs
@@ -3,8 +3,8 @@
 //! When to ask is decided by [`discovery::platform::watch`], whose calls are carried out here. The module's own wish for the
 //! list ([`balancer::Action::Subscribe`]) is granted by that: its pauses know nothing of what counts as told.
 use super::aggregator::SourceHandle;
-use super::client::{Call, Client};
-use super::Audience;
+use super::client::{ApiRequest, Client};
+use super::EndpointSubscriber;
 use crate::live_config::LiveConfig;
 use config::operator::Limits;
 use discovery::endpoint::{EndpointProtocol, SourceUpdate};
@@ -16,10 +16,10 @@
 use tracing::{debug, info};
 
 /// Entries that can't be used, of one answer, that the log names.
-pub const FAULTS_SHOWN: usize = 3;
+pub const MAX_LOGGED_ENTRY_ERRORS: usize = 3;
 
 /// Keeps the list fresh.
-pub struct Discovery {
+pub struct PlatformSource {
     addr: SocketAddr,
     addresses: Receiver<SocketAddr>,
     client: Client,
@@ -30,7 +30,7 @@
     speaks: EndpointProtocol,
 }
 
-impl Discovery {
+impl PlatformSource {
     /// Begins with the version of the list that the balancer already has, if any. The newest of `addresses` is
     /// where discovery is.
     pub fn new(
@@ -39,14 +39,14 @@
         terms: &StalenessSettings,
         version: Option<u64>,
         speaks: EndpointProtocol,
-    ) -> Discovery {
+    ) -> PlatformSource {
         let addr = *addresses.borrow();
         let (watch, begun) = (Watch::new(terms, version), Instant::now());
-        Discovery { addr, addresses, client: Client::new(limits), watch, begun, speaks }
+        PlatformSource { addr, addresses, client: Client::new(limits), watch, begun, speaks }
     }
 
     /// Keeps the watch for ever.
-    pub async fn run<A: Audience>(mut self, teller: SourceHandle<A>) {
+    pub async fn run<A: EndpointSubscriber>(mut self, teller: SourceHandle<A>) {
         let mut addresses = self.addresses.clone();
         loop {
             // Guards against a dial, a call or a pause at the old address holding up the move to a new one:
@@ -72,7 +72,7 @@
     }
 
     /// Carries out what the watch asks for, for ever.
-    async fn serve<A: Audience>(&mut self, teller: &SourceHandle<A>) {
+    async fn serve<A: EndpointSubscriber>(&mut self, teller: &SourceHandle<A>) {
         loop {
             let next = self.watch.next(self.begun.elapsed(), teller.draw());
             match next {
@@ -88,7 +88,7 @@
     /// Makes one call and has the watch judge it.
     async fn call(&mut self, ask: &Request, draw: f64) -> ResponseOutcome {
         debug!("discovery: asks {} within {:?}", ask.path, ask.patience);
-        let reply = self.client.call(self.addr, &Call::get(&ask.path), ask.patience).await;
+        let reply = self.client.call(self.addr, &ApiRequest::get(&ask.path), ask.patience).await;
         let now = self.begun.elapsed();
         match reply {
             Ok(reply) => {
@@ -100,13 +100,16 @@
     }
 
     /// Passes on what a call came to.
-    fn tell<A: Audience>(&mut self, teller: &SourceHandle<A>, verdict: ResponseOutcome) {
+    fn tell<A: EndpointSubscriber>(&mut self, teller: &SourceHandle<A>, verdict: ResponseOutcome) {
         let ResponseOutcome { news, version, answers, faults } = verdict;
-        for fault in faults.iter().take(FAULTS_SHOWN) {
+        for fault in faults.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
             info!("discovery: {fault}");
         }
-        if faults.len() > FAULTS_SHOWN {
-            info!("discovery: and {} more entries that can't be used", faults.len() - FAULTS_SHOWN);
+        if faults.len() > MAX_LOGGED_ENTRY_ERRORS {
+            info!(
+                "discovery: and {} more entries that can't be used",
+                faults.len() - MAX_LOGGED_ENTRY_ERRORS
+            );
         }
         // Also where nothing is new: who waits for a list has it.
         if answers {
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -1,7 +1,7 @@
 //! `herondock members`: the present view with ages and reasons, from a running instance or, once, from the sources.
-use super::aggregator::{EndpointAggregator, Names};
+use super::aggregator::{EndpointAggregator, NameIndex};
 use super::sources::Sources;
-use super::{Audience, Listing};
+use super::{EndpointSubscriber, EndpointUpdate};
 use crate::listener_handoff::protocol;
 use crate::live_config::LiveConfig;
 use crate::node_config::{self, Config};
@@ -16,20 +16,20 @@
 use tokio::time::timeout;
 
 /// How long the sources have to answer once.
-const ONCE: Duration = Duration::from_secs(10);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Nobody is told.
-struct Nobody;
+struct NoSubscriber;
 
-impl Audience for Nobody {
-    fn listed(&self, _: &Listing) {}
+impl EndpointSubscriber for NoSubscriber {
+    fn listed(&self, _: &EndpointUpdate) {}
 }
 
 /// The view of the instance that listens at this Unix socket.
 ///
 /// # Errors
 /// None does, or it does not say.
-pub fn of_instance(socket: &Path) -> Result<Value, String> {
+pub fn query_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::members(socket))?;
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
@@ -39,13 +39,13 @@
 ///
 /// # Errors
 /// No runtime could be had.
-pub fn of_sources(config: Config, operator: &OperatorConfig) -> Result<Value, String> {
+pub fn query_sources(config: Config, operator: &OperatorConfig) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let random = Pcg64Mcg::seed_from_u64(config.seed);
-        let names = Names::of(&config.deployment);
-        let gather = EndpointAggregator::new(Nobody, names, operator.registry.last_resort, random);
+        let names = NameIndex::of(&config.deployment);
+        let gather = EndpointAggregator::new(NoSubscriber, names, operator.registry.last_resort, random);
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
@@ -60,13 +60,13 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = timeout(ONCE, said).await;
+        let _ = timeout(QUERY_TIMEOUT, said).await;
         Ok(gather.table())
     })
 }
 
 /// As a table.
-pub fn table(view: &Value) -> String {
+pub fn format_table(view: &Value) -> String {
     let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{:.1}s", ms as f64 / 1000.0));
     let cell = |v: &Value| match v {
         Value::Null => "-".to_string(),
--- a/crates/herondock/src/endpoint_sources/mod.rs
+++ b/crates/herondock/src/endpoint_sources/mod.rs
@@ -5,7 +5,7 @@
 //! | `discovery.rs` | the platform's discovery as a source |
 //! | `consul.rs` | Consul's services as sources: carries out what `discovery::consul::watch` asks |
 //! | `registration.rs` | this instance at its Consul agent |
-//! | `gather.rs` | all sources in one view; tells the [`Audience`] of what changes in it |
+//! | `gather.rs` | all sources in one view; tells the [`EndpointSubscriber`] of what changes in it |
 //! | `keep.rs` | the last view on disk |
 //! | `show.rs` | `herondock members` |
 //! | `sources.rs` | all sources that the operator's file names |
@@ -37,7 +37,7 @@
 
 /// One upstream of a list: its line for the module, and how it is reached.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ListedEndpoint {
     /// What the module is told.
     pub member: Member,
     /// Where it listens, as this balancer sees it.
@@ -45,12 +45,12 @@
     /// Its protocol.
     pub speaks: Protocol,
     /// What pools tell members by, besides.
-    pub told: Arc<Told>,
+    pub told: Arc<EndpointAttributes>,
 }
 
 /// What is told of a member, as names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct EndpointAttributes {
     /// Its zone.
     pub zone: Arc<str>,
     /// Its kind.
@@ -63,12 +63,12 @@
 
 /// What has changed in the view.
 #[derive(Clone, Debug, Default)]
-pub struct Listing {
+pub struct EndpointUpdate {
     /// The upstreams that are new, differ, or are gone.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListedEndpoint>,
 }
 
-impl Listing {
+impl EndpointUpdate {
     /// The lines for the module.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         self.entries.iter().map(|e| e.member.clone())
@@ -76,7 +76,7 @@
 }
 
 /// Who is told of members: the driver, and in tests whoever listens.
-pub trait Audience {
+pub trait EndpointSubscriber {
     /// What has changed; perhaps nothing, at a source's first answer.
-    fn listed(&self, listing: &Listing);
+    fn listed(&self, listing: &EndpointUpdate);
 }
--- a/crates/herondock/src/endpoint_sources/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -1,6 +1,6 @@
 //! This instance as a service at its Consul agent: makes the calls that `discovery::consul::register` wants.
-use super::client::{Call, Client};
-use super::consul::Token;
+use super::client::{ApiRequest, Client};
+use super::consul::AclToken;
 use crate::live_config::LiveConfig;
 use bytes::Bytes;
 use config::discovery::ConsulConfig;
@@ -17,9 +17,9 @@
 use tracing::info;
 
 /// How long one call may take.
-const ANSWER: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the end of the process waits for the agent to hear of it.
-const LAST_CALL: Duration = Duration::from_millis(500);
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// All registrations of an instance.
 pub struct Registrations {
@@ -48,10 +48,10 @@
                 ttl: r.ttl,
                 forget_after: r.deregister_after,
             };
-            let one = One {
+            let one = RegistrationTask {
                 client: Client::new(limits.clone()),
                 agents: s.agents.clone(),
-                token: Token::new(s.token_file.clone()),
+                token: AclToken::new(s.token_file.clone()),
                 random: random.clone(),
             };
             Some(tokio::task::spawn_local(one.run(Registrar::new(registration), wishes.clone())))
@@ -66,13 +66,13 @@
 
     /// Takes all back, and waits for that for a moment.
     pub async fn end(&mut self) {
-        self.wish(DesiredState::Gone);
+        self.wish(DesiredState::Deregistered);
         let all = async {
             for task in &mut self.tasks {
                 let _ = task.await;
             }
         };
-        let _ = timeout(LAST_CALL, all).await;
+        let _ = timeout(DEREGISTER_TIMEOUT, all).await;
     }
 }
 
@@ -82,14 +82,14 @@
     }
 }
 
-struct One {
+struct RegistrationTask {
     client: Client,
     agents: Vec<SocketAddr>,
-    token: Token,
+    token: AclToken,
     random: Pcg64Mcg,
 }
 
-impl One {
+impl RegistrationTask {
     async fn run(mut self, mut register: Registrar, mut wishes: watch::Receiver<DesiredState>) {
         let (start, mut trouble) = (Instant::now(), None);
         loop {
@@ -126,8 +126,8 @@
     async fn call(&mut self, path: &str, body: String) -> Result<u16, String> {
         let token = self.token.read().await?;
         let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
-        let call = Call { method: Method::PUT, path, headers: &headers, body: Bytes::from(body) };
+        let call = ApiRequest { method: Method::PUT, path, headers: &headers, body: Bytes::from(body) };
         let addr = *self.agents.first().ok_or("no agent is named")?;
-        Ok(self.client.call(addr, &call, ANSWER).await?.status.as_u16())
+        Ok(self.client.call(addr, &call, RESPONSE_TIMEOUT).await?.status.as_u16())
     }
 }
--- a/crates/herondock/src/endpoint_sources/sources.rs
+++ b/crates/herondock/src/endpoint_sources/sources.rs
@@ -1,8 +1,8 @@
 //! All sources of members that the operator's file names.
 use super::aggregator::{EndpointAggregator, SourceHandle};
-use super::consul::Service;
-use super::discovery::Discovery;
-use super::Audience;
+use super::consul::ConsulSource;
+use super::discovery::PlatformSource;
+use super::EndpointSubscriber;
 use crate::live_config::LiveConfig;
 use config::discovery::StaticEndpoint;
 use config::operator::{Limits, OperatorConfig};
@@ -12,16 +12,16 @@
 use tokio::sync::watch;
 
 /// What the platform's discovery is called as a source.
-pub const DISCOVERY: &str = "discovery";
+pub const PLATFORM_LABEL: &str = "discovery";
 
 /// All sources that the operator's file names, in their order, not yet begun.
 pub struct Sources<A> {
     discovery: Option<(EndpointProtocol, SourceHandle<A>)>,
-    consul: Vec<(Service, SourceHandle<A>)>,
+    consul: Vec<(ConsulSource, SourceHandle<A>)>,
     fixed: Option<(Vec<EndpointReport>, SourceHandle<A>)>,
 }
 
-impl<A: Audience + 'static> Sources<A> {
+impl<A: EndpointSubscriber + 'static> Sources<A> {
     /// Adds them to a view.
     pub fn of(
         gather: &EndpointAggregator<A>,
@@ -30,11 +30,11 @@
     ) -> Sources<A> {
         let registry = &operator.registry;
         let discovery =
-            registry.platform.then(|| (speaks(registry.fastcgi), gather.source(0, DISCOVERY, true)));
+            registry.platform.then(|| (protocol(registry.fastcgi), gather.source(0, PLATFORM_LABEL, true)));
         let mut services = Vec::new();
         for (k, settings) in registry.consul.iter().enumerate() {
             let rank = u16::try_from(k + 1).unwrap_or(u16::MAX);
-            let service = Service { settings: settings.clone(), limits: limits.clone() };
+            let service = ConsulSource { settings: settings.clone(), limits: limits.clone() };
             let labels = service.labels();
             // Named here, so that what was kept of them is taken.
             let mut tellers: Vec<_> = labels.iter().map(|label| gather.source(rank, label, false)).collect();
@@ -43,7 +43,10 @@
             services.push((service, teller.unwrap_or_else(|| gather.quiet(rank, &own))));
         }
         let fixed = (!registry.static_endpoints.is_empty()).then(|| {
-            (registry.static_endpoints.iter().map(report).collect(), gather.source(u16::MAX, "static", false))
+            (
+                registry.static_endpoints.iter().map(static_report).collect(),
+                gather.source(u16::MAX, "static", false),
+            )
         });
         Sources { discovery, consul: services, fixed }
     }
@@ -56,7 +59,7 @@
         terms: &StalenessSettings,
     ) {
         if let Some((speaks, teller)) = self.discovery {
-            let source = Discovery::new(addresses, limits.clone(), terms, teller.index(), speaks);
+            let source = PlatformSource::new(addresses, limits.clone(), terms, teller.index(), speaks);
             tokio::task::spawn_local(source.run(teller));
         }
         for (service, teller) in self.consul {
@@ -69,7 +72,7 @@
 }
 
 /// What members speak, as the operator's file has it.
-pub fn speaks(fastcgi: bool) -> EndpointProtocol {
+pub fn protocol(fastcgi: bool) -> EndpointProtocol {
     if fastcgi {
         EndpointProtocol::FastCgi
     } else {
@@ -77,14 +80,14 @@
     }
 }
 
-fn report(s: &StaticEndpoint) -> EndpointReport {
+fn static_report(s: &StaticEndpoint) -> EndpointReport {
     EndpointReport {
         name: s.id.as_str().into(),
         addr: s.addr,
         zone: s.zone.as_str().into(),
         kind: s.kind.as_str().into(),
         cell: s.cell,
-        speaks: speaks(s.fastcgi),
+        speaks: protocol(s.fastcgi),
         standing: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
         why: if s.draining { "so the operator's file says".into() } else { "".into() },
         // Who writes a member down does not say that it has just started.
--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -66,7 +66,7 @@
     fn view() -> EndpointCache {
         let list =
             r#"{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","state":"leaving"}]}"#;
-        let answer = discovery::platform::read(list.as_bytes()).expect("good");
+        let answer = discovery::platform::parse_response(list.as_bytes()).expect("good");
         let source = Source { rank: 0, label: "discovery".into() };
         let mut view = EndpointSet::new(true);
         assert!(matches!(answer.news, SourceUpdate::Full(_)));
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -2,7 +2,7 @@
 use config::operator::read_whole;
 use config::Deployment;
 use discovery::platform::staleness::StalenessSettings;
-use discovery::platform::{self, Answer};
+use discovery::platform::{self, EndpointListResponse};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     /// Most file descriptors the process may hold.
     pub sockets: usize,
     /// The list of upstreams as this balancer last had it.
-    pub known: Option<Answer>,
+    pub known: Option<EndpointListResponse>,
     /// The settings, for the module and for the sockets.
     pub deployment: Deployment,
     /// The same for the same text of the settings.
@@ -91,7 +91,8 @@
             return Err(format!("limits.sockets: must be at least {SOCKETS_LEAST}"));
         }
         let known = file.known.as_ref().map(|k| k.get()).filter(|k| *k != "null");
-        let known = known.map(|known| platform::read(known.as_bytes()).map_err(|e| format!("known: {e}")));
+        let known =
+            known.map(|known| platform::parse_response(known.as_bytes()).map_err(|e| format!("known: {e}")));
         let known = known.transpose()?;
         let (name, listen, discovery) = (file.name, file.listen, file.discovery);
         let fingerprint = hashing::stable(file.settings.get().as_bytes());
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -12,7 +12,7 @@
 pub mod show;
 
 use crate::driver::{Handle, Untaken, Waiting};
-use crate::endpoint_sources::{Audience, Entry, Listing};
+use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, Final, Request};
 use ask::{Asked, Turned};
 use balancer::{Availability, Effect, Learned, Millis, UpstreamId};
@@ -52,7 +52,7 @@
     /// Former tables, and until when a repeat of what went by them may come.
     past: RefCell<Vec<(Rc<Current>, Instant)>>,
     /// All members as they are.
-    view: RefCell<BTreeMap<UpstreamId, Entry>>,
+    view: RefCell<BTreeMap<UpstreamId, ListedEndpoint>>,
     listed: Cell<bool>,
     /// Told once members are known.
     known: Notify,
@@ -192,7 +192,7 @@
     }
 
     /// Takes a saved list, before any other news of members.
-    pub fn cached(&self, listing: &Listing) {
+    pub fn cached(&self, listing: &EndpointUpdate) {
         self.note(listing);
         for pool in self.each() {
             let own = pool.own(listing);
@@ -200,7 +200,7 @@
         }
     }
 
-    fn note(&self, listing: &Listing) {
+    fn note(&self, listing: &EndpointUpdate) {
         let mut view = self.0.view.borrow_mut();
         if listing.entries.iter().any(|e| e.member.availability != Availability::Gone) {
             self.0.listed.set(true);
@@ -391,8 +391,8 @@
     }
 }
 
-impl Audience for Pools {
-    fn listed(&self, listing: &Listing) {
+impl EndpointSubscriber for Pools {
+    fn listed(&self, listing: &EndpointUpdate) {
         self.note(listing);
         for pool in self.each() {
             let own = pool.own(listing);
--- a/crates/herondock/src/routing/pool.rs
+++ b/crates/herondock/src/routing/pool.rs
@@ -1,7 +1,7 @@
 //! A pool at work: a driver with a decision module of its own, and the members that belong to it.
 use super::Maker;
 use crate::driver::Handle;
-use crate::endpoint_sources::{Audience, Entry, Listing, Protocol};
+use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint, Protocol};
 use balancer::{Availability, UpstreamId};
 use route_table::spec::{Pool as Spec, Traits};
 use std::cell::RefCell;
@@ -28,7 +28,7 @@
     }
 }
 
-fn gone(entry: &Entry) -> Entry {
+fn gone(entry: &ListedEndpoint) -> ListedEndpoint {
     let mut entry = entry.clone();
     entry.member.availability = Availability::Gone;
     entry
@@ -50,7 +50,7 @@
         Rc::new(Pool { name: name.into(), handle, spec, has, timers: abort })
     }
 
-    fn wants(&self, entry: &Entry) -> bool {
+    fn wants(&self, entry: &ListedEndpoint) -> bool {
         let spec = self.spec.borrow();
         let Some(spec) = &*spec else { return true };
         let speaks = match entry.speaks {
@@ -63,12 +63,12 @@
     }
 
     /// What a listing means to it: its own members, and those that are not its own any more as gone.
-    pub fn own(&self, listing: &Listing) -> Listing {
+    pub fn own(&self, listing: &EndpointUpdate) -> EndpointUpdate {
         if self.spec.borrow().is_none() {
             return listing.clone();
         }
         let mut has = self.has.borrow_mut();
-        let one = |entry: &Entry| {
+        let one = |entry: &ListedEndpoint| {
             let id = entry.member.id;
             if entry.member.availability == Availability::Gone || !self.wants(entry) {
                 return has.remove(&id).then(|| gone(entry));
@@ -76,26 +76,26 @@
             has.insert(id);
             Some(entry.clone())
         };
-        Listing { entries: listing.entries.iter().filter_map(one).collect() }
+        EndpointUpdate { entries: listing.entries.iter().filter_map(one).collect() }
     }
 
     /// Begins with all members as they are.
-    pub fn begin(&self, view: &BTreeMap<UpstreamId, Entry>, listed: bool) {
+    pub fn begin(&self, view: &BTreeMap<UpstreamId, ListedEndpoint>, listed: bool) {
         if listed {
-            let all = Listing { entries: view.values().cloned().collect() };
+            let all = EndpointUpdate { entries: view.values().cloned().collect() };
             self.handle.cached(&self.own(&all));
         }
     }
 
     /// Takes other conditions: members that came to it or left it are told, the others stay as they are.
-    pub fn change(&self, spec: Spec, view: &BTreeMap<UpstreamId, Entry>) {
+    pub fn change(&self, spec: Spec, view: &BTreeMap<UpstreamId, ListedEndpoint>) {
         if self.spec.borrow().as_ref() == Some(&spec) {
             return;
         }
         let before = self.has.borrow().clone();
         self.spec.replace(Some(spec));
         let entries = view.values().filter(|e| before.contains(&e.member.id) != self.wants(e));
-        let changed = Listing { entries: entries.cloned().collect() };
+        let changed = EndpointUpdate { entries: entries.cloned().collect() };
         self.handle.listed(&self.own(&changed));
     }
 
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -347,7 +347,7 @@
         self.comes_to(Phase::Leaving);
         // After a hand-over the successor is what is registered here.
         if because == Event::Stop {
-            self.registrations.wish(DesiredState::Leaving);
+            self.registrations.wish(DesiredState::ShuttingDown);
             info!("{}: told to end", self.name);
         }
     }
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -15,11 +15,11 @@
 use crate::descriptor_budget::DescriptorBudget;
 use crate::disruption_reporting::LocalBalancer;
 use crate::driver::{self, Handle, Parts};
-use crate::endpoint_sources::aggregator::{EndpointAggregator, Names};
+use crate::endpoint_sources::aggregator::{EndpointAggregator, NameIndex};
 use crate::endpoint_sources::cache;
-use crate::endpoint_sources::discovery::FAULTS_SHOWN;
+use crate::endpoint_sources::discovery::MAX_LOGGED_ENTRY_ERRORS;
 use crate::endpoint_sources::registration::Registrations;
-use crate::endpoint_sources::sources::{speaks, Sources, DISCOVERY};
+use crate::endpoint_sources::sources::{protocol, Sources, PLATFORM_LABEL};
 use crate::front::{fastcgi, http, Course};
 use crate::listener_handoff::transferred_state::TransferredState;
 use crate::live_config::LiveConfig;
@@ -36,7 +36,7 @@
 use discovery::endpoint::{EndpointProtocol, EndpointReport};
 use discovery::endpoint_cache::EndpointCache;
 use discovery::endpoint_set::Source;
-use discovery::platform::Answer;
+use discovery::platform::EndpointListResponse;
 use event_stream::EventStream;
 use instance::{Instance, Wiring};
 use listener_origin::{origin, ListenerOrigin};
@@ -165,22 +165,26 @@
     let random = Pcg64Mcg::seed_from_u64(seed);
     let members = EndpointAggregator::new(
         handle.clone(),
-        Names::of(&deployment),
+        NameIndex::of(&deployment),
         operator.registry.last_resort,
         random.clone(),
     );
     let sources = Sources::of(&members, &operator, &limits);
-    let store = operator.registry.cache_file.as_deref().map(cache::store);
+    let store = operator.registry.cache_file.as_deref().map(cache::cache_file);
     let saved = || cache::load(store.as_ref()?, operator.registry.max_cache_age);
     // What a predecessor knew a moment ago is newer than what was saved here, and that than what the platform saved.
     let kept = along.and_then(|along| along.view(start_ms)).or_else(saved);
     let kept = kept
-        .or_else(|| known.map(|known| platform_knows(known, speaks(operator.registry.fastcgi), start_ms)));
+        .or_else(|| known.map(|known| platform_knows(known, protocol(operator.registry.fastcgi), start_ms)));
     handle.cached(&members.recall(kept.unwrap_or_default()));
     let (address_of_discovery, addresses) = watch::channel(discovery);
     sources.begin(addresses, &limits, &node_config::terms(&deployment));
     if let Some(store) = store {
-        tokio::task::spawn_local(cache::run(members.clone(), store, operator.registry.cache_write_interval));
+        tokio::task::spawn_local(cache::write_changes(
+            members.clone(),
+            store,
+            operator.registry.cache_write_interval,
+        ));
     }
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     let registrations = Registrations::begin(&operator.registry.consul, &name, address, &limits, &random);
@@ -270,14 +274,14 @@
 
 /// The list of the platform's configuration, as if the platform's discovery had told it just now: how old it is, the
 /// platform does not say.
-fn platform_knows(known: Answer, speaks: EndpointProtocol, now: f64) -> EndpointCache {
-    let source = Source { rank: 0, label: DISCOVERY.into() };
+fn platform_knows(known: EndpointListResponse, speaks: EndpointProtocol, now: f64) -> EndpointCache {
+    let source = Source { rank: 0, label: PLATFORM_LABEL.into() };
     let reports = known
         .reports()
         .iter()
         .map(|r| (source.clone(), EndpointReport { speaks, ..r.clone() }, None))
         .collect();
-    for fault in known.faults.iter().take(FAULTS_SHOWN) {
+    for fault in known.faults.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
         info!("known: {fault}");
     }
     // What could not be read has to be asked for again.
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -3,13 +3,13 @@
 pub mod http;
 pub mod pool;
 
-use crate::endpoint_sources::{Entry, Protocol};
+use crate::endpoint_sources::{ListedEndpoint, Protocol};
 use crate::exchange::Upstream;
 use pool::{Peer, Reach};
 use std::rc::Rc;
 
 /// Chooses the transport of each upstream.
-pub fn choose(reach: Reach, fastcgi: Rc<fastcgi::Settings>) -> impl Fn(&Entry) -> Rc<dyn Upstream> {
+pub fn choose(reach: Reach, fastcgi: Rc<fastcgi::Settings>) -> impl Fn(&ListedEndpoint) -> Rc<dyn Upstream> {
     move |entry| match entry.speaks {
         Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
         Protocol::FastCgi => fastcgi::upstream(reach.clone(), entry.addr, fastcgi.clone()),
