--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -10,7 +10,7 @@
 mod state;
 
 use crate::descriptor_budget::DescriptorBudget;
-use crate::endpoint_sources::{Audience, Entry, Listing};
+use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, Attempt, BudgetGrant, FinalAnswer, Request, Upstream};
 use crate::request_counters::RequestCounters;
 use balancer::{Action, Balancer, Ending, Event, Learned, Membership, Millis, RequestId, UpstreamId};
@@ -45,7 +45,7 @@
 }
 
 /// Creates the transport for an upstream, by the protocol that it speaks.
-pub type TransportFactory = Box<dyn Fn(&Entry) -> Rc<dyn Upstream>>;
+pub type TransportFactory = Box<dyn Fn(&ListedEndpoint) -> Rc<dyn Upstream>>;
 
 /// Clients' ids of the requests that are open, shared by the drivers of all pools.
 pub type OpenRequestIds = Rc<RefCell<HashSet<Bytes>>>;
@@ -87,8 +87,8 @@
     timers: Notify,
 }
 
-impl Audience for DriverHandle {
-    fn listed(&self, listing: &Listing) {
+impl EndpointSubscriber for DriverHandle {
+    fn listed(&self, listing: &EndpointUpdate) {
         self.0.driver.borrow_mut().update_upstreams(listing);
         self.handle_event(Event::Membership(Membership::Delta(listing.members().collect())));
     }
@@ -210,7 +210,7 @@
     }
 
     /// Applies a cached endpoint list, before any update from an endpoint source.
-    pub fn apply_cached(&self, listing: &Listing) {
+    pub fn apply_cached(&self, listing: &EndpointUpdate) {
         self.0.driver.borrow_mut().update_upstreams(listing);
         self.handle_event(Event::Membership(Membership::Cached(listing.members().collect())));
     }
--- a/crates/herondock/src/driver/state.rs
+++ b/crates/herondock/src/driver/state.rs
@@ -2,7 +2,7 @@
 use super::open_request::{InFlightAttempt, OpenRequest};
 use super::{AdmissionError, DriverConfig, OpenRequestIds, TransportFactory, ANSWER_MARGIN_MS};
 use crate::descriptor_budget::DescriptorBudget;
-use crate::endpoint_sources::{Entry, Listing};
+use crate::endpoint_sources::{EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, DrainGate, FinalAnswer, Request, Upstream};
 use crate::request_counters::{self, RequestCounters};
 use balancer::{Availability, Balancer, Ending, Event, Millis, RequestId, UpstreamId};
@@ -36,7 +36,7 @@
     /// Closed while it drains.
     pub(super) gate: Rc<DrainGate>,
     /// Its newest entry in the endpoint list.
-    pub(super) entry: Entry,
+    pub(super) entry: ListedEndpoint,
     /// Whether its answers report the retries that were used below it.
     pub(super) usage_feedback: UsageFeedback,
 }
@@ -271,7 +271,7 @@
 
     /// Brings upstreams, their connections and drain gates in step with the endpoint list. Gates close at once: when the
     /// change was written, or counted as notified, is not known, and part of the grace may be over.
-    pub(super) fn update_upstreams(&mut self, listing: &Listing) {
+    pub(super) fn update_upstreams(&mut self, listing: &EndpointUpdate) {
         let now = Instant::now();
         for entry in &listing.entries {
             let member = &entry.member;
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -2,7 +2,7 @@
 use config::operator::read_whole;
 use config::Deployment;
 use discovery::platform::staleness::StalenessSettings;
-use discovery::platform::{self, Answer};
+use discovery::platform::{self, EndpointListResponse};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
     /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
     /// The endpoint list as this balancer last had it; its age is unknown.
-    pub cached_endpoints: Option<Answer>,
+    pub cached_endpoints: Option<EndpointListResponse>,
     /// Settings of the decision module and of the sockets.
     pub deployment: Deployment,
     /// Hash of the settings' text: equal for equal settings.
@@ -149,7 +149,7 @@
             return Err(InvalidNodeConfig::field("limits.sockets", reason));
         }
         let known = raw.known.as_ref().map(|known| known.get()).filter(|known| *known != "null");
-        let known = known.map(|known| platform::read(known.as_bytes())).transpose();
+        let known = known.map(|known| platform::parse_response(known.as_bytes())).transpose();
         Ok(NodeConfig {
             name: raw.name,
             listen: raw.listen,
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -12,7 +12,7 @@
 pub mod request_attributes;
 
 use crate::driver::{AdmissionError, DriverHandle, PendingAnswer};
-use crate::endpoint_sources::{Audience, Entry, Listing};
+use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, FinalAnswer, Request};
 use balancer::{Availability, Effect, Learned, Millis, UpstreamId};
 use config::Deployment;
@@ -52,7 +52,7 @@
     /// Former tables, and until when a repeat of what went by them may come.
     former_tables: RefCell<Vec<(Rc<ActiveTable>, Instant)>>,
     /// All members as they are.
-    endpoints: RefCell<BTreeMap<UpstreamId, Entry>>,
+    endpoints: RefCell<BTreeMap<UpstreamId, ListedEndpoint>>,
     has_endpoints: Cell<bool>,
     /// Told once members are known.
     endpoints_known: Notify,
@@ -192,7 +192,7 @@
     }
 
     /// Takes a saved list, before any other news of members.
-    pub fn apply_cached(&self, listing: &Listing) {
+    pub fn apply_cached(&self, listing: &EndpointUpdate) {
         self.record_changes(listing);
         for pool in self.all_pools() {
             let own = pool.filter_changes(listing);
@@ -200,7 +200,7 @@
         }
     }
 
-    fn record_changes(&self, listing: &Listing) {
+    fn record_changes(&self, listing: &EndpointUpdate) {
         let mut view = self.0.endpoints.borrow_mut();
         if listing.entries.iter().any(|e| e.member.availability != Availability::Gone) {
             self.0.has_endpoints.set(true);
@@ -403,8 +403,8 @@
     }
 }
 
-impl Audience for Pools {
-    fn listed(&self, listing: &Listing) {
+impl EndpointSubscriber for Pools {
+    fn listed(&self, listing: &EndpointUpdate) {
         self.record_changes(listing);
         for pool in self.all_pools() {
             let own = pool.filter_changes(listing);
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -3,7 +3,7 @@
 pub mod fastcgi;
 pub mod http;
 
-use crate::endpoint_sources::{Entry, Protocol};
+use crate::endpoint_sources::{ListedEndpoint, Protocol};
 use crate::exchange::Upstream;
 use connection_pool::{ConnectionSettings, Peer};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 pub fn choose(
     reach: ConnectionSettings,
     fastcgi: Rc<fastcgi::Settings>,
-) -> impl Fn(&Entry) -> Rc<dyn Upstream> {
+) -> impl Fn(&ListedEndpoint) -> Rc<dyn Upstream> {
     move |entry| match entry.speaks {
         Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
         Protocol::FastCgi => fastcgi::upstream(reach.clone(), entry.addr, fastcgi.clone()),
