--- a/crates/control-plane/coordination-server/src/client_connections.rs
+++ b/crates/control-plane/coordination-server/src/client_connections.rs
@@ -1,162 +1,179 @@
-//! Connections that come in: of clients, whose calls are passed on and whose replies are brought, and of other voters,
-//! whose messages are passed on.
-use crate::framing::{from_json, handshake, read, to_json, write, Connection};
+//! Incoming connections: clients, whose calls are passed to the voter and whose replies are sent back, and other voters,
+//! whose messages are passed to the voter.
+use crate::framing::{from_json, read, to_json, write, FrameError};
+use crate::handshake::{handshake, ConnectError, Connection};
 use crate::transport::{Listener, Stream};
 use coordination::protocol::{Call, Handshake, Reply, MAX_CALL_BYTES, MAX_RAFT_MESSAGE_BYTES};
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::io::ErrorKind;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::io::BufReader;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc::{self, error::TrySendError};
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// Replies that may wait for a client; one that takes them no faster is cut off, and comes again.
-const REPLIES: usize = 1_024;
-/// What may wait for the voter's loop; whoever has more to say waits.
-const WAITING: usize = 1_024;
-/// Connections of voters.
-const VOTERS: usize = 64;
-/// Pause after a connection that could not be taken: descriptors are short.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Replies that may be queued for a client; a client that reads too slowly is disconnected.
+const MAX_QUEUED_REPLIES: usize = 1_024;
+/// Events that may be queued for the voter; beyond that, connections are not read.
+const MAX_QUEUED_EVENTS: usize = 1_024;
+/// Maximum number of incoming connections of voters.
+const MAX_VOTER_CONNECTIONS: usize = 64;
+/// Delay after a failed accept, for instance when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What came in.
+/// An event on an incoming connection.
 pub enum ConnectionEvent {
-    /// A voter is here, with this number and address.
-    Voter(u64, Option<String>),
+    /// A voter connected.
+    VoterConnected {
+        /// Id of the voter.
+        id: u64,
+        /// Address of the voter.
+        address: Option<String>,
+    },
     /// A message of a voter.
     Message(Vec<u8>),
-    /// A client's call, by its connection.
-    Call(u64, Call),
-    /// A client's connection is gone.
-    Gone(u64),
+    /// A call of a client.
+    Call {
+        /// Id of the client's connection.
+        client: u64,
+        /// The call.
+        call: Call,
+    },
+    /// The connection of this client was closed.
+    ClientDisconnected(u64),
 }
 
-struct Inside {
+struct ClientConnection {
+    replies: mpsc::Sender<Reply>,
+    reader: AbortHandle,
+}
+
+struct Shared {
     own: RefCell<Handshake>,
-    most: usize,
-    clients: RefCell<BTreeMap<u64, (mpsc::Sender<Reply>, AbortHandle)>>,
-    voters: RefCell<usize>,
-    count: RefCell<u64>,
-    came: mpsc::Sender<ConnectionEvent>,
+    max_clients: usize,
+    clients: RefCell<BTreeMap<u64, ClientConnection>>,
+    voter_connections: Cell<usize>,
+    last_client_id: Cell<u64>,
+    events: mpsc::Sender<ConnectionEvent>,
 }
 
-/// All connections that came in.
+/// All incoming connections.
 #[derive(Clone)]
-pub struct ClientConnections(Rc<Inside>);
+pub struct ClientConnections(Rc<Shared>);
 
 impl ClientConnections {
-    /// None yet; `clients` at most. What comes is told to the receiver.
-    pub fn new(own: Handshake, clients: usize) -> (ClientConnections, mpsc::Receiver<ConnectionEvent>) {
-        let (came, coming) = mpsc::channel(WAITING);
-        let inside = Inside {
+    /// No connections, and at most `max_clients` of clients. Events are sent to the returned receiver.
+    pub fn new(own: Handshake, max_clients: usize) -> (ClientConnections, mpsc::Receiver<ConnectionEvent>) {
+        let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let shared = Shared {
             own: RefCell::new(own),
-            most: clients,
+            max_clients,
             clients: RefCell::default(),
-            voters: RefCell::new(0),
-            count: RefCell::new(0),
-            came,
+            voter_connections: Cell::new(0),
+            last_client_id: Cell::new(0),
+            events,
         };
-        (ClientConnections(Rc::new(inside)), coming)
+        (ClientConnections(Rc::new(shared)), receiver)
     }
 
-    /// Says this to those that come from now on.
-    pub fn says(&self, own: Handshake) {
+    /// Sets the handshake for new connections.
+    pub fn set_handshake(&self, own: Handshake) {
         self.0.own.replace(own);
     }
 
-    /// Takes connections for ever.
-    pub async fn run(self, door: Listener) {
+    /// Accepts connections forever.
+    pub async fn run(self, listener: Listener) {
         loop {
-            match door.next().await {
+            match listener.accept().await {
                 Ok(stream) => {
-                    let callers = self.clone();
-                    tokio::task::spawn_local(async move { callers.serve(stream).await });
+                    let connections = self.clone();
+                    tokio::task::spawn_local(async move { connections.serve(stream).await });
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
+    /// Sends a reply to a client, if it is still connected.
+    pub fn reply(&self, client: u64, reply: Reply) {
+        let clients = self.0.clients.borrow();
+        let Some(connection) = clients.get(&client) else { return };
+        if let Err(TrySendError::Full(_)) = connection.replies.try_send(reply) {
+            connection.reader.abort();
+        }
+    }
+
     async fn serve(self, stream: Stream) {
         let own = self.0.own.borrow().clone();
         match handshake(stream, &own).await {
-            Ok(met) if met.other.voter.is_some() => self.serve_voter(met).await,
-            Ok(met) => self.serve_client(met).await,
-            // A port that is looked at says nothing, and is no news.
-            Err(why) if why.contains("end of file") || why.contains("reset") => {}
-            Err(why) => info!("council: turned away: {why}"),
+            Ok(connection) if connection.other.voter.is_some() => self.serve_voter(connection).await,
+            Ok(connection) => self.serve_client(connection).await,
+            // Port scans and interrupted connections are not worth a log line.
+            Err(ConnectError::Frame(FrameError::Truncated)) => {}
+            Err(ConnectError::Frame(FrameError::Io(error))) if error.kind() == ErrorKind::ConnectionReset => {
+            }
+            Err(error) => info!("council: turned away: {error}"),
         }
     }
 
-    async fn serve_voter(&self, mut met: Connection) {
-        if *self.0.voters.borrow() >= VOTERS {
+    async fn serve_voter(&self, mut connection: Connection) {
+        let count = &self.0.voter_connections;
+        if count.get() >= MAX_VOTER_CONNECTIONS {
             return;
         }
-        *self.0.voters.borrow_mut() += 1;
-        let came = &self.0.came;
-        if let Some(id) = met.other.voter {
-            let _ = came.send(ConnectionEvent::Voter(id, met.other.addr.take())).await;
+        count.set(count.get() + 1);
+        let events = &self.0.events;
+        if let Some(id) = connection.other.voter {
+            let address = connection.other.addr.take();
+            let _ = events.send(ConnectionEvent::VoterConnected { id, address }).await;
         }
-        while let Ok(message) = read(&mut met.read, MAX_RAFT_MESSAGE_BYTES).await {
-            if came.send(ConnectionEvent::Message(message)).await.is_err() {
+        while let Ok(message) = read(&mut connection.read, MAX_RAFT_MESSAGE_BYTES).await {
+            if events.send(ConnectionEvent::Message(message)).await.is_err() {
                 break;
             }
         }
-        *self.0.voters.borrow_mut() -= 1;
+        count.set(count.get() - 1);
     }
 
-    async fn serve_client(&self, met: Connection) {
-        let Connection { read: mut from, write: mut to, .. } = met;
-        if self.0.clients.borrow().len() >= self.0.most {
-            return info!("council: {} clients are connected, no more are taken", self.0.most);
+    async fn serve_client(&self, connection: Connection) {
+        let shared = &self.0;
+        if shared.clients.borrow().len() >= shared.max_clients {
+            return info!("council: {} clients are connected, no more are taken", shared.max_clients);
         }
-        let client = {
-            let mut count = self.0.count.borrow_mut();
-            *count += 1;
-            *count
-        };
-        let (replies, mut waiting) = mpsc::channel::<Reply>(REPLIES);
-        let writer = tokio::task::spawn_local(async move {
-            while let Some(reply) = waiting.recv().await {
-                if write(&mut to, &to_json(&reply)).await.is_err() {
-                    return;
-                }
-            }
-        });
-        let (came, callers) = (self.0.came.clone(), self.clone());
-        let reader = tokio::task::spawn_local(async move {
-            loop {
-                let call = match read(&mut from, MAX_CALL_BYTES).await {
-                    Ok(bytes) => from_json::<Call>(&bytes),
-                    Err(_) => break,
-                };
-                match call {
-                    Ok(call) => {
-                        if came.send(ConnectionEvent::Call(client, call)).await.is_err() {
-                            break;
-                        }
-                    }
-                    Err(e) => {
-                        info!("council: a client's call is none: {e}");
-                        break;
-                    }
-                }
-            }
-        });
-        self.0.clients.borrow_mut().insert(client, (replies, reader.abort_handle()));
+        let client = shared.last_client_id.get() + 1;
+        shared.last_client_id.set(client);
+        let (replies, queue) = mpsc::channel(MAX_QUEUED_REPLIES);
+        let writer = tokio::task::spawn_local(write_replies(connection.write, queue));
+        let reader = tokio::task::spawn_local(read_calls(connection.read, client, shared.events.clone()));
+        let entry = ClientConnection { replies, reader: reader.abort_handle() };
+        shared.clients.borrow_mut().insert(client, entry);
         let _ = reader.await;
-        callers.0.clients.borrow_mut().remove(&client);
+        shared.clients.borrow_mut().remove(&client);
         writer.abort();
-        let _ = callers.0.came.send(ConnectionEvent::Gone(client)).await;
+        let _ = shared.events.send(ConnectionEvent::ClientDisconnected(client)).await;
     }
+}
 
-    /// Brings a reply to a client, if it is still there.
-    pub fn reply(&self, client: u64, reply: Reply) {
-        let clients = self.0.clients.borrow();
-        let Some((replies, reader)) = clients.get(&client) else { return };
-        if let Err(TrySendError::Full(_)) = replies.try_send(reply) {
-            reader.abort();
+async fn write_replies(mut to: OwnedWriteHalf, mut queue: mpsc::Receiver<Reply>) {
+    while let Some(reply) = queue.recv().await {
+        if write(&mut to, &to_json(&reply)).await.is_err() {
+            return;
+        }
+    }
+}
+
+async fn read_calls(mut from: BufReader<OwnedReadHalf>, client: u64, events: mpsc::Sender<ConnectionEvent>) {
+    while let Ok(bytes) = read(&mut from, MAX_CALL_BYTES).await {
+        match from_json::<Call>(&bytes) {
+            Ok(call) => {
+                if events.send(ConnectionEvent::Call { client, call }).await.is_err() {
+                    return;
+                }
+            }
+            Err(error) => return info!("council: a client's call is none: {error}"),
         }
     }
 }
--- a/crates/control-plane/coordination-server/src/crash_points.rs
+++ b/crates/control-plane/coordination-server/src/crash_points.rs
@@ -1,57 +1,73 @@
-//! For tests: a process that is killed at a step of its disk that they name, or whose disk is slow.
+//! Fault injection for tests (hidden option `--halt-at`): the process is killed at a given disk operation, or its disk is
+//! slow.
 use std::io;
+use std::time::Duration;
 use storage::files::Files;
 
-/// At which step: its kind (`read`, `open`, `write`, `cut`, `sync`, `rename`, `names`), and how many of these go well before.
-/// `slow`: none, and each sync takes so many milliseconds longer.
+/// Kind of a crash point that delays each sync instead of crashing.
+const SLOW: &str = "slow";
+
+/// A disk operation at which the process is killed, written as `KIND:COUNT`: `COUNT` operations of this kind (`read`, `open`,
+/// `write`, `cut`, `sync`, `rename` or `names`) succeed before. With the kind `slow`, the process is not killed, and each sync
+/// takes `COUNT` milliseconds longer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashPoint {
     kind: String,
-    left: u64,
+    remaining: u64,
 }
 
+/// The text is not a crash point.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("is no KIND:COUNT")]
+pub struct ParseCrashPointError;
+
 impl std::str::FromStr for CrashPoint {
-    type Err = String;
+    type Err = ParseCrashPointError;
 
-    fn from_str(text: &str) -> Result<CrashPoint, String> {
-        let (kind, left) = text.split_once(':').ok_or("is no KIND:COUNT")?;
-        let left = left.parse().map_err(|_| "is no KIND:COUNT")?;
-        Ok(CrashPoint { kind: kind.into(), left })
+    fn from_str(text: &str) -> Result<CrashPoint, ParseCrashPointError> {
+        let (kind, count) = text.split_once(':').ok_or(ParseCrashPointError)?;
+        let remaining = count.parse().map_err(|_| ParseCrashPointError)?;
+        Ok(CrashPoint { kind: kind.into(), remaining })
     }
 }
 
-const SLOW: &str = "slow";
-
-/// Files whose process is killed at a step.
+/// Files with a crash point.
 pub struct CrashingFiles<F> {
     files: F,
-    halt: Option<CrashPoint>,
+    crash_point: Option<CrashPoint>,
 }
 
 impl<F> CrashingFiles<F> {
-    pub fn new(files: F, halt: Option<CrashPoint>) -> CrashingFiles<F> {
-        CrashingFiles { files, halt }
+    /// Wraps files; `None` for no crash point.
+    pub fn new(files: F, crash_point: Option<CrashPoint>) -> CrashingFiles<F> {
+        CrashingFiles { files, crash_point }
     }
 
-    fn now(&mut self, kind: &str) -> bool {
-        match &mut self.halt {
-            Some(halt) if halt.kind == kind => {
-                halt.left = halt.left.wrapping_sub(1);
-                halt.left == u64::MAX
+    /// Counts an operation; returns whether it is the one to crash at.
+    fn is_crash_point(&mut self, kind: &str) -> bool {
+        match &mut self.crash_point {
+            Some(point) if point.kind == kind => {
+                point.remaining = point.remaining.wrapping_sub(1);
+                point.remaining == u64::MAX
             }
             _ => false,
         }
     }
 
-    fn step(&mut self, kind: &str) {
-        if self.now(kind) {
-            die();
+    fn crash_at(&mut self, kind: &str) {
+        if self.is_crash_point(kind) {
+            kill_process();
         }
     }
+
+    fn sync_delay(&self) -> Option<Duration> {
+        let point = self.crash_point.as_ref().filter(|point| point.kind == SLOW)?;
+        Some(Duration::from_millis(point.remaining))
+    }
 }
 
-fn die() {
-    // As kill -9 would: nothing is flushed, nobody is told.
+/// Ends the process without any cleanup, as `kill -9` does.
+fn kill_process() {
     let _ = rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::KILL);
 }
 
@@ -59,46 +75,44 @@
     type Open = F::Open;
 
     fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
-        self.step("read");
+        self.crash_at("read");
         self.files.read(name, most)
     }
 
     fn open(&mut self, name: &str) -> io::Result<Self::Open> {
-        self.step("open");
+        self.crash_at("open");
         self.files.open(name)
     }
 
     fn write(&mut self, file: &mut Self::Open, at: u64, bytes: &[u8]) -> io::Result<()> {
-        if self.now("write") {
-            // In the middle of it.
+        if self.is_crash_point("write") {
+            // A torn write.
             let _ = self.files.write(file, at, &bytes[..bytes.len() / 2]);
-            die();
+            kill_process();
         }
         self.files.write(file, at, bytes)
     }
 
     fn cut(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()> {
-        self.step("cut");
+        self.crash_at("cut");
         self.files.cut(file, length)
     }
 
     fn sync(&mut self, file: &mut Self::Open) -> io::Result<()> {
-        self.step("sync");
-        if let Some(CrashPoint { kind, left }) = &self.halt {
-            if kind == SLOW {
-                std::thread::sleep(std::time::Duration::from_millis(*left));
-            }
+        self.crash_at("sync");
+        if let Some(delay) = self.sync_delay() {
+            std::thread::sleep(delay);
         }
         self.files.sync(file)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step("rename");
+        self.crash_at("rename");
         self.files.rename(from, to)
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        self.step("names");
+        self.crash_at("names");
         self.files.sync_names()
     }
 }
--- a/crates/control-plane/coordination-server/src/framing.rs
+++ b/crates/control-plane/coordination-server/src/framing.rs
@@ -1,102 +1,88 @@
-//! Frames over a connection: a length in four bytes, the low one first, and so many bytes. The first one each way is a
-//! [`Handshake`].
-use crate::transport::Stream;
-use coordination::protocol::Handshake;
+//! Frames: a length of four bytes, little-endian, and as many bytes of content.
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, BufReader};
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Longest first frame, in bytes.
-const HELLO_MOST: usize = 4 << 10;
-/// How long the first frame may take.
-const HELLO_WAIT: Duration = Duration::from_secs(5);
-/// How long the other side may take nothing of what is written.
-const WRITE_WAIT: Duration = Duration::from_secs(10);
+/// Time without progress after which a write fails.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes of the length prefix.
+const LENGTH_BYTES: usize = 4;
 
-/// Reads a frame of `most` bytes at most.
+/// A frame could not be read.
+#[derive(Debug, thiserror::Error)]
+pub enum FrameError {
+    /// The connection failed or was closed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The connection was closed within a frame.
+    #[error("unexpected end of file")]
+    Truncated,
+    /// The frame is longer than allowed.
+    #[error("a frame of {length} bytes, {maximum} at most")]
+    TooLong {
+        /// Announced length in bytes.
+        length: usize,
+        /// Maximum length in bytes.
+        maximum: usize,
+    },
+    /// The content is not the expected JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+/// Reads a frame of at most `maximum` bytes.
 ///
 /// # Errors
-/// The connection ended, or the frame is longer.
-pub async fn read(from: &mut (impl AsyncRead + Unpin), most: usize) -> io::Result<Vec<u8>> {
-    let mut length = [0; 4];
-    from.read_exact(&mut length).await?;
-    let length = u32::from_le_bytes(length) as usize;
-    if length > most {
-        return Err(io::Error::new(
-            ErrorKind::InvalidData,
-            format!("a frame of {length} bytes, {most} at most"),
-        ));
+/// The connection failed or was closed, or the frame is longer.
+pub async fn read(from: &mut (impl AsyncRead + Unpin), maximum: usize) -> Result<Vec<u8>, FrameError> {
+    let mut prefix = [0; LENGTH_BYTES];
+    from.read_exact(&mut prefix).await?;
+    let length = u32::from_le_bytes(prefix) as usize;
+    if length > maximum {
+        return Err(FrameError::TooLong { length, maximum });
     }
-    // What is announced is believed as it comes.
-    let mut bytes = Vec::new();
-    from.take(length as u64).read_to_end(&mut bytes).await?;
-    match bytes.len() == length {
-        true => Ok(bytes),
-        false => Err(ErrorKind::UnexpectedEof.into()),
+    // Memory is allocated as the bytes arrive, not as they are announced.
+    let mut content = Vec::new();
+    from.take(length as u64).read_to_end(&mut content).await?;
+    match content.len() == length {
+        true => Ok(content),
+        false => Err(FrameError::Truncated),
     }
 }
 
 /// Writes a frame.
 ///
 /// # Errors
-/// The connection ended, or the other side takes nothing.
-pub async fn write(to: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
-    let length = u32::try_from(bytes.len()).map_err(|_| ErrorKind::FileTooLarge)?;
-    let mut frame = Vec::with_capacity(bytes.len() + 4);
+/// The connection failed, or the other side does not read.
+pub async fn write(to: &mut (impl AsyncWrite + Unpin), content: &[u8]) -> io::Result<()> {
+    let length = u32::try_from(content.len()).map_err(|_| ErrorKind::FileTooLarge)?;
+    let mut frame = Vec::with_capacity(LENGTH_BYTES + content.len());
     frame.extend_from_slice(&length.to_le_bytes());
-    frame.extend_from_slice(bytes);
+    frame.extend_from_slice(content);
     let mut rest = &frame[..];
     while !rest.is_empty() {
-        let n = timeout(WRITE_WAIT, to.write(rest)).await.map_err(|_| ErrorKind::TimedOut)??;
-        if n == 0 {
+        let written = timeout(WRITE_TIMEOUT, to.write(rest)).await.map_err(|_| ErrorKind::TimedOut)??;
+        if written == 0 {
             return Err(ErrorKind::WriteZero.into());
         }
-        rest = &rest[n..];
+        rest = &rest[written..];
     }
     Ok(())
 }
 
-/// As JSON.
-pub fn to_json(value: &impl Serialize) -> Vec<u8> {
-    // Texts and numbers only: this can't fail.
-    serde_json::to_vec(value).unwrap_or_default()
-}
-
-/// Of JSON.
-///
-/// # Errors
-/// It is none, or says something else.
-pub fn from_json<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
-    serde_json::from_slice(bytes).map_err(|e| io::Error::new(ErrorKind::InvalidData, e.to_string()))
-}
-
-/// A connection on which both have said who they are.
-pub struct Connection {
-    /// From the other.
-    pub read: BufReader<OwnedReadHalf>,
-    /// To the other.
-    pub write: OwnedWriteHalf,
-    /// Who it is.
-    pub other: Handshake,
+/// Encodes a message as JSON.
+pub fn to_json(message: &impl Serialize) -> Vec<u8> {
+    // Strings and numbers only, so serialization can't fail.
+    serde_json::to_vec(message).unwrap_or_default()
 }
 
-/// Says who this is, and hears who the other is.
+/// Decodes a message from JSON.
 ///
 /// # Errors
-/// It says nothing, or does not fit; one line for the log.
-pub async fn handshake(stream: Stream, own: &Handshake) -> Result<Connection, String> {
-    let (read_half, mut write_half) = stream.into_split();
-    let mut from = BufReader::new(read_half);
-    let met = async {
-        write(&mut write_half, &to_json(own)).await?;
-        from_json::<Handshake>(&read(&mut from, HELLO_MOST).await?)
-    };
-    let other = timeout(HELLO_WAIT, met).await.map_err(|_| "says nothing".to_string())?;
-    let other = other.map_err(|e| e.to_string())?;
-    other.check_compatible(own).map_err(|e| e.to_string())?;
-    Ok(Connection { read: from, write: write_half, other })
+/// The bytes are not the expected JSON.
+pub fn from_json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
+    Ok(serde_json::from_slice(bytes)?)
 }
--- a/crates/control-plane/coordination-server/src/journal_writer.rs
+++ b/crates/control-plane/coordination-server/src/journal_writer.rs
@@ -1,5 +1,6 @@
-//! The thread that writes a voter's journal. What waits is written together and synced once.
+//! The thread that writes a voter's journal. Queued requests are written together and synced once.
 use crate::crash_points::{CrashPoint, CrashingFiles};
+use crate::error::ServerError;
 use coordination::voter::PersistRequest;
 use std::path::Path;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -8,158 +9,195 @@
 use storage::journal::{Journal, JournalError, JournalFormat};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The journal in a voter's folder. Its bound is far above what the log may hold before it is folded (16 MiB) and the
-/// record with it (32 MiB).
-pub const FORM: JournalFormat =
+/// Format of a voter's journal. Name and kind are the stored form and must not change. The size limit is far above a log
+/// (16 MiB) and a state machine (32 MiB) of maximum size.
+const JOURNAL_FORMAT: JournalFormat =
     JournalFormat { name: "journal", kind: "council", version: 1, most: 256 << 20 };
-/// Saves that are written together, at most.
-const TOGETHER: usize = 256;
-/// Room that has to be there before a voter comes back from a full disk, in bytes.
-const ROOM: usize = 1 << 20;
-/// A disk on which a save takes longer than this is said to be slow.
-const SLOW: Duration = Duration::from_millis(500);
+/// Requests that are written together, at most.
+const MAX_BATCH: usize = 256;
+/// Requests that may be queued. A voter has few in flight: each waits for the one before, or covers what came meanwhile.
+const MAX_QUEUED_REQUESTS: usize = 4 * MAX_BATCH;
+/// Free bytes that a full disk needs before the voter recovers.
+const RECOVERY_CAPACITY_BYTES: usize = 1 << 20;
+/// A batch that takes longer than this is reported as slow.
+const SLOW_BATCH: Duration = Duration::from_millis(500);
 
-/// A journal in a folder.
-pub type OnDisk = Journal<CrashingFiles<Folder>>;
+/// A voter's journal on disk.
+pub type VoterJournal = Journal<CrashingFiles<Folder>>;
 
-/// Opens a voter's journal.
+/// A journal and the records that it holds.
+pub struct OpenedJournal {
+    /// The journal.
+    pub journal: VoterJournal,
+    /// Its records.
+    pub records: Vec<Vec<u8>>,
+}
+
+/// Opens the journal in a voter's folder.
 ///
 /// # Errors
-/// One line that names the file.
-pub fn open(folder: &Path, halt: Option<CrashPoint>) -> Result<(OnDisk, Vec<Vec<u8>>), String> {
-    let fault = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
-    let files = Folder::new(folder).map_err(|e| fault(&e))?;
-    Journal::open(CrashingFiles::new(files, halt), FORM).map_err(|e| match e {
-        JournalError::Damaged { .. } => format!(
-            "{}; what this voter promised is lost: remove it from the council, empty the folder, and it joins anew",
-            fault(&e)
-        ),
-        e => fault(&e),
-    })
+/// The folder can't be used, or the journal is damaged.
+pub fn open(folder: &Path, crash_point: Option<CrashPoint>) -> Result<OpenedJournal, ServerError> {
+    let files = Folder::new(folder).map_err(|source| ServerError::folder(folder, source))?;
+    match Journal::open(CrashingFiles::new(files, crash_point), JOURNAL_FORMAT) {
+        Ok((journal, records)) => Ok(OpenedJournal { journal, records }),
+        Err(source @ JournalError::Damaged { .. }) => {
+            Err(ServerError::DamagedJournal { folder: folder.into(), source })
+        }
+        Err(source) => Err(ServerError::Journal { folder: folder.into(), source }),
+    }
 }
 
-/// What the thread is to do.
-pub enum Job {
-    /// Save this.
-    Save(PersistRequest),
-    /// See whether there is room again.
-    Try,
+/// A request to the thread.
+pub enum JournalRequest {
+    /// Write these records.
+    Persist(PersistRequest),
+    /// Try to recover from a failure.
+    Recover,
 }
 
-/// What it has done.
-pub enum Done {
-    /// This save, and all before it.
-    Saved(u64),
-    /// Not this save, and none behind it.
-    NotSaved {
-        /// Which.
+/// A result of the thread.
+pub enum JournalEvent {
+    /// This persist request, and all before it, are on disk.
+    Persisted(u64),
+    /// This persist request failed, and so do all after it.
+    PersistFailed {
+        /// Number of the request.
         number: u64,
-        /// Why.
+        /// Error message.
         why: String,
-        /// Whether the journal is as it was.
+        /// Whether the journal is unchanged.
         intact: bool,
     },
-    /// There is room again, and this is what the journal holds.
+    /// The journal recovered, and holds these records.
     Recovered(Vec<Vec<u8>>),
-    /// There is none yet.
-    Still,
-    /// A save took long.
+    /// The journal has not recovered yet.
+    RecoveryFailed,
+    /// A batch took this long.
     Slow(Duration),
 }
 
-/// Begins the thread.
-pub fn begin(mut journal: OnDisk, done: UnboundedSender<Done>) -> std::io::Result<SyncSender<Job>> {
-    // The voter has few saves under way at a time: each waits for the one before, or carries what came meanwhile.
-    let (jobs, todo) = sync_channel(4 * TOGETHER);
-    let work = move || {
-        let mut broken = false;
-        while let Some(batch) = next(&todo) {
-            let began = Instant::now();
-            for done_now in together(&mut journal, batch, &mut broken) {
-                if done.send(done_now).is_err() {
+/// Starts the thread.
+///
+/// # Errors
+/// The thread can't be started.
+pub fn spawn(
+    journal: VoterJournal,
+    events: UnboundedSender<JournalEvent>,
+) -> std::io::Result<SyncSender<JournalRequest>> {
+    let (requests, queue) = sync_channel(MAX_QUEUED_REQUESTS);
+    let mut writer = JournalWriter { journal, failed: false, unsynced: None, events: Vec::new() };
+    let run = move || {
+        while let Some(batch) = next_batch(&queue) {
+            let started = Instant::now();
+            for event in writer.write(batch) {
+                if events.send(event).is_err() {
                     return;
                 }
             }
-            if began.elapsed() > SLOW && done.send(Done::Slow(began.elapsed())).is_err() {
+            let elapsed = started.elapsed();
+            if elapsed > SLOW_BATCH && events.send(JournalEvent::Slow(elapsed)).is_err() {
                 return;
             }
         }
     };
-    std::thread::Builder::new().name("disk".into()).spawn(work)?;
-    Ok(jobs)
+    std::thread::Builder::new().name("disk".into()).spawn(run)?;
+    Ok(requests)
 }
 
-fn next(todo: &Receiver<Job>) -> Option<Vec<Job>> {
-    let mut batch = vec![todo.recv().ok()?];
-    while batch.len() < TOGETHER {
-        match todo.try_recv() {
-            Ok(job) => batch.push(job),
+fn next_batch(queue: &Receiver<JournalRequest>) -> Option<Vec<JournalRequest>> {
+    let mut batch = vec![queue.recv().ok()?];
+    while batch.len() < MAX_BATCH {
+        match queue.try_recv() {
+            Ok(request) => batch.push(request),
             Err(_) => break,
         }
     }
     Some(batch)
 }
 
-fn together(journal: &mut OnDisk, batch: Vec<Job>, broken: &mut bool) -> Vec<Done> {
-    let mut all = Vec::new();
-    // The last one that is written and not synced.
-    let mut written = None;
-    let sync = |journal: &mut OnDisk, written: &mut Option<u64>, all: &mut Vec<Done>| match written.take() {
-        None => true,
-        Some(number) => match journal.sync() {
-            Ok(()) => {
-                all.push(Done::Saved(number));
-                true
+struct JournalWriter {
+    journal: VoterJournal,
+    /// A write failed, and the journal has not recovered since.
+    failed: bool,
+    /// Number of the last request that is written but not synced.
+    unsynced: Option<u64>,
+    events: Vec<JournalEvent>,
+}
+
+impl JournalWriter {
+    /// Handles a batch of requests and returns the resulting events.
+    fn write(&mut self, batch: Vec<JournalRequest>) -> Vec<JournalEvent> {
+        for request in batch {
+            match request {
+                JournalRequest::Recover if self.failed => self.recover(),
+                JournalRequest::Recover => {}
+                // The voter knows of the failure already, and has discarded what was in flight.
+                JournalRequest::Persist(_) if self.failed => {}
+                JournalRequest::Persist(request) if request.replace => self.replace(&request),
+                JournalRequest::Persist(request) => self.append(&request),
             }
-            Err(e) => {
-                all.push(Done::NotSaved { number, why: e.to_string(), intact: false });
-                false
+        }
+        if !self.failed && !self.sync() {
+            self.failed = true;
+        }
+        std::mem::take(&mut self.events)
+    }
+
+    fn recover(&mut self) {
+        match self.journal.recover(RECOVERY_CAPACITY_BYTES) {
+            Ok(records) => {
+                self.failed = false;
+                self.events.push(JournalEvent::Recovered(records));
             }
-        },
-    };
-    for job in batch {
-        match job {
-            Job::Try => {
-                if *broken {
-                    match journal.recover(ROOM) {
-                        Ok(frames) => {
-                            *broken = false;
-                            all.push(Done::Recovered(frames));
-                        }
-                        Err(_) => all.push(Done::Still),
-                    }
-                }
+            Err(_) => self.events.push(JournalEvent::RecoveryFailed),
+        }
+    }
+
+    fn replace(&mut self, request: &PersistRequest) {
+        if !self.sync() {
+            self.failed = true;
+            return;
+        }
+        match self.journal.replace(&request.records) {
+            Ok(()) => self.events.push(JournalEvent::Persisted(request.number)),
+            Err(error) => {
+                let intact = request.compaction && self.journal.intact();
+                self.failed = !intact;
+                self.persist_failed(request.number, &error, intact);
             }
-            // Its voter is told already, and forgets what was under way.
-            Job::Save(_) if *broken => {}
-            Job::Save(save) if save.replace => {
-                if !sync(journal, &mut written, &mut all) {
-                    *broken = true;
-                    continue;
-                }
-                match journal.replace(&save.records) {
-                    Ok(()) => all.push(Done::Saved(save.number)),
-                    Err(e) => {
-                        let intact = save.compaction && journal.intact();
-                        *broken = !intact;
-                        all.push(Done::NotSaved { number: save.number, why: e.to_string(), intact });
-                    }
+        }
+    }
+
+    fn append(&mut self, request: &PersistRequest) {
+        match self.journal.append(&request.records) {
+            Ok(()) => self.unsynced = Some(request.number),
+            Err(error) => {
+                self.failed = true;
+                // What was written before may still be acknowledged.
+                if self.sync() {
+                    self.persist_failed(request.number, &error, false);
                 }
             }
-            Job::Save(save) => match journal.append(&save.records) {
-                Ok(()) => written = Some(save.number),
-                Err(e) => {
-                    // What was written before it may still be promised.
-                    *broken = true;
-                    if sync(journal, &mut written, &mut all) {
-                        all.push(Done::NotSaved { number: save.number, why: e.to_string(), intact: false });
-                    }
-                }
-            },
         }
     }
-    if !*broken && !sync(journal, &mut written, &mut all) {
-        *broken = true;
+
+    /// Syncs what is written; returns whether that succeeded.
+    fn sync(&mut self) -> bool {
+        let Some(number) = self.unsynced.take() else { return true };
+        match self.journal.sync() {
+            Ok(()) => {
+                self.events.push(JournalEvent::Persisted(number));
+                true
+            }
+            Err(error) => {
+                self.persist_failed(number, &error, false);
+                false
+            }
+        }
+    }
+
+    fn persist_failed(&mut self, number: u64, error: &std::io::Error, intact: bool) {
+        self.events.push(JournalEvent::PersistFailed { number, why: error.to_string(), intact });
     }
-    all
 }
--- a/crates/control-plane/coordination-server/src/lib.rs
+++ b/crates/control-plane/coordination-server/src/lib.rs
@@ -1,37 +1,36 @@
-//! The council on real sockets and disks, around the machines of the crate `council`, which decide.
+//! The coordination service on real sockets and disks, around the sans-I/O state machines of the crate `coordination`.
 //!
-//! | file | its job |
+//! | module | contents |
 //! | --- | --- |
-//! | `transport.rs` | where connections come from; the one place for a transport with identity |
-//! | `frames.rs` | frames over a connection, and the first one each way |
-//! | `disk.rs` | the thread that writes a voter's journal |
-//! | `peers.rs` | connections to other voters |
-//! | `callers.rs` | connections of clients |
-//! | `node.rs` | a voter's process, from its start to its end |
+//! | `transport` | how connections are made |
+//! | `framing` | frames on a connection |
+//! | `handshake` | establishing connections |
+//! | `journal_writer` | the thread that writes a voter's journal |
+//! | `peer_connections` | outgoing connections to other voters |
+//! | `client_connections` | incoming connections of clients and other voters |
+//! | `server` | a voter's process |
 //! | [`client`] | a client inside another process |
-//! | [`command`] | what an operator's commands do |
+//! | [`command`] | operator commands |
+//! | `crash_points` | fault injection for tests |
 pub mod client;
 mod client_connections;
 pub mod command;
 mod crash_points;
+mod error;
 mod framing;
+mod handshake;
 mod journal_writer;
 mod peer_connections;
 mod server;
 mod transport;
 
-pub use crash_points::CrashPoint;
+pub use crash_points::{CrashPoint, ParseCrashPointError};
+pub use error::{CommandError, ServerError};
 pub use server::{run, ServerOptions};
 
-use coordination::limits::Limits;
 use rand::Rng;
 
-/// A number that no other has: drawn, never 0.
+/// Draws a random id, never 0.
 pub fn random_id() -> u64 {
     rand::rngs::OsRng.gen_range(1..u64::MAX)
 }
-
-/// The bounds of a new council's record.
-fn bounds() -> Limits {
-    Limits::default()
-}
--- a/crates/control-plane/coordination-server/src/peer_connections.rs
+++ b/crates/control-plane/coordination-server/src/peer_connections.rs
@@ -1,6 +1,7 @@
-//! Connections to other voters: one to each, for what this one sends. What can't be sent is lost, and the voter told.
-use crate::framing::{handshake, write};
-use crate::transport::connect;
+//! Outgoing connections to the other voters, one to each. Messages that can't be sent are dropped, and the voter is reported
+//! as unreachable.
+use crate::framing::write;
+use crate::handshake::{connect, Connection};
 use backoff::Backoff;
 use coordination::protocol::Handshake;
 use rand::Rng;
@@ -8,30 +9,30 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc::{self, error::TrySendError};
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 use tracing::info;
 
-/// Messages that may wait for a connection. The agreement sends again what is lost.
-const WAITING: usize = 256;
-/// First pause before a connection is tried again, and the longest.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest.
-const PAUSE_MOST: Duration = Duration::from_secs(1);
-
-/// A message of more bytes is a snapshot; one at a time waits for a connection.
-const LARGE: usize = 1 << 20;
+/// Messages that may be queued for a connection. Raft sends dropped ones again.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Delay before the first reconnection.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper bound of the delay between reconnections.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// A message of more bytes holds a snapshot; one of them may be queued at a time.
+const LARGE_MESSAGE_BYTES: usize = 1 << 20;
 
 struct Peer {
-    addr: String,
-    /// Whether a large message waits, or is on its way.
-    large: Rc<Cell<bool>>,
+    address: String,
+    /// Whether a large message is queued or being sent.
+    large_message_pending: Rc<Cell<bool>>,
     messages: mpsc::Sender<Vec<u8>>,
     task: AbortHandle,
 }
 
-/// All of them.
+/// The connections to all other voters.
 pub struct PeerConnections {
     own: Handshake,
     peers: BTreeMap<u64, Peer>,
@@ -39,109 +40,133 @@
 }
 
 impl PeerConnections {
-    /// None yet. `unreachable` hears of voters to which a connection failed.
+    /// No connections. The ids of voters to which a connection failed are sent to `unreachable`.
     pub fn new(own: Handshake, unreachable: mpsc::Sender<u64>) -> PeerConnections {
         PeerConnections { own, peers: BTreeMap::new(), unreachable }
     }
 
-    /// Sends a message to the voter with this number at this address.
-    pub fn send(&mut self, id: u64, addr: &str, message: Vec<u8>) {
-        if self.peers.get(&id).is_none_or(|p| p.addr != addr) {
-            let (messages, queue) = mpsc::channel(WAITING);
-            let own = Handshake { to: Some(id), ..self.own.clone() };
-            let large = Rc::<Cell<bool>>::default();
-            let (lost, at) = (self.unreachable.clone(), addr.to_string());
-            let task = tokio::task::spawn_local(bring(own, id, at, queue, large.clone(), lost));
-            let peer = Peer { addr: addr.into(), large, messages, task: task.abort_handle() };
-            if let Some(old) = self.peers.insert(id, peer) {
-                old.task.abort();
-            }
+    /// Sends a message to the voter with this id at this address.
+    pub fn send(&mut self, id: u64, address: &str, message: Vec<u8>) {
+        if self.peers.get(&id).is_none_or(|peer| peer.address != address) {
+            self.add_peer(id, address);
         }
-        if let Some(peer) = self.peers.get(&id) {
-            // One more of the same would only take memory; it is asked for again.
-            if message.len() > LARGE && peer.large.replace(true) {
-                return;
-            }
-            if let Err(TrySendError::Full(message)) = peer.messages.try_send(message) {
-                if message.len() > LARGE {
-                    peer.large.set(false);
-                }
-                let _ = self.unreachable.try_send(id);
+        let Some(peer) = self.peers.get(&id) else { return };
+        // Another snapshot would only take memory; it is requested again.
+        if message.len() > LARGE_MESSAGE_BYTES && peer.large_message_pending.replace(true) {
+            return;
+        }
+        if let Err(TrySendError::Full(message)) = peer.messages.try_send(message) {
+            if message.len() > LARGE_MESSAGE_BYTES {
+                peer.large_message_pending.set(false);
             }
+            let _ = self.unreachable.try_send(id);
         }
     }
 
-    /// Only these are voters and learners now.
+    fn add_peer(&mut self, id: u64, address: &str) {
+        let (messages, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let large_message_pending = Rc::<Cell<bool>>::default();
+        let connection = PeerConnection {
+            own: Handshake { to: Some(id), ..self.own.clone() },
+            id,
+            address: address.into(),
+            queue,
+            large_message_pending: large_message_pending.clone(),
+            unreachable: self.unreachable.clone(),
+        };
+        let task = tokio::task::spawn_local(connection.run()).abort_handle();
+        let peer = Peer { address: address.into(), large_message_pending, messages, task };
+        if let Some(former) = self.peers.insert(id, peer) {
+            former.task.abort();
+        }
+    }
+
+    /// Closes the connections to all but these voters.
     pub fn retain(&mut self, ids: &[u64]) {
         self.peers.retain(|id, peer| {
-            let stays = ids.contains(id);
-            if !stays {
+            let is_member = ids.contains(id);
+            if !is_member {
                 peer.task.abort();
             }
-            stays
+            is_member
         });
     }
 }
 
 impl Drop for PeerConnections {
     fn drop(&mut self) {
-        self.peers.values().for_each(|p| p.task.abort());
+        self.peers.values().for_each(|peer| peer.task.abort());
     }
 }
 
-async fn bring(
+/// Whether more messages may come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueueState {
+    Open,
+    Closed,
+}
+
+/// The task that connects to one voter and sends its messages.
+struct PeerConnection {
     own: Handshake,
     id: u64,
-    addr: String,
-    mut queue: mpsc::Receiver<Vec<u8>>,
-    large: Rc<Cell<bool>>,
+    address: String,
+    queue: mpsc::Receiver<Vec<u8>>,
+    large_message_pending: Rc<Cell<bool>>,
     unreachable: mpsc::Sender<u64>,
-) {
-    let mut pauses = Backoff::new(PAUSE, PAUSE_MOST);
-    let mut said = None;
-    loop {
-        let came = async {
-            let to = addr.parse().map_err(|_| format!("{addr:?} is no address"))?;
-            let stream = connect(to).await.map_err(|e| e.to_string())?;
-            handshake(stream, &own).await
-        };
-        match came.await {
-            Ok(mut met) => {
-                pauses.worked();
-                if said.take().is_some() {
-                    info!("council: {addr} is reached again");
-                }
-                // What it sends back here is nothing but the end of the connection.
-                let mut nothing = [0; 1];
-                loop {
-                    use tokio::io::AsyncReadExt;
-                    let message = tokio::select! {
-                        message = queue.recv() => message,
-                        _ = met.read.read(&mut nothing) => break,
-                    };
-                    let Some(message) = message else { return };
-                    if write(&mut met.write, &message).await.is_err() {
-                        break;
+}
+
+impl PeerConnection {
+    async fn run(mut self) {
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
+        // The last logged error; it is logged once in a row.
+        let mut last_error: Option<String> = None;
+        loop {
+            match connect(&self.address, &self.own).await {
+                Ok(connection) => {
+                    backoff.worked();
+                    if last_error.take().is_some() {
+                        info!("council: {} is reached again", self.address);
                     }
-                    if message.len() > LARGE {
-                        large.set(false);
+                    if self.send_queued(connection).await == QueueState::Closed {
+                        return;
                     }
                 }
-            }
-            Err(why) => {
-                if said.as_ref() != Some(&why) {
-                    info!("council: {addr}: {why}");
-                    said = Some(why);
+                Err(error) => {
+                    let error = error.to_string();
+                    if last_error.as_ref() != Some(&error) {
+                        info!("council: {}: {error}", self.address);
+                        last_error = Some(error);
+                    }
                 }
             }
+            let _ = self.unreachable.try_send(self.id);
+            // Queued messages are outdated by now.
+            while self.queue.try_recv().is_ok() {}
+            self.large_message_pending.set(false);
+            sleep(backoff.failed(rand::rngs::OsRng.gen())).await;
+            if self.queue.is_closed() {
+                return;
+            }
         }
-        let _ = unreachable.try_send(id);
-        // What waited for it is old by now.
-        while queue.try_recv().is_ok() {}
-        large.set(false);
-        sleep(pauses.failed(rand::rngs::OsRng.gen())).await;
-        if queue.is_closed() {
-            return;
+    }
+
+    /// Sends messages until the connection or the queue is closed.
+    async fn send_queued(&mut self, mut connection: Connection) -> QueueState {
+        // The other side sends nothing after the handshake; a read only shows the end of the connection.
+        let mut unused = [0; 1];
+        loop {
+            let message = tokio::select! {
+                message = self.queue.recv() => message,
+                _ = connection.read.read(&mut unused) => return QueueState::Open,
+            };
+            let Some(message) = message else { return QueueState::Closed };
+            if write(&mut connection.write, &message).await.is_err() {
+                return QueueState::Open;
+            }
+            if message.len() > LARGE_MESSAGE_BYTES {
+                self.large_message_pending.set(false);
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/control-plane/coordination-server/src/server/event_loop.rs
@@ -0,0 +1,284 @@
+//! The running voter: feeds signals, connections, disk events and time to the state machine and performs its actions.
+use super::startup::VoterAddresses;
+use super::{client_of_others, other_voters};
+use crate::client_connections::{ClientConnections, ConnectionEvent};
+use crate::error::ServerError;
+use crate::journal_writer::{JournalEvent, JournalRequest};
+use crate::peer_connections::PeerConnections;
+use config::coordination::CoordinationConfig;
+use coordination::client::{ClientRequest, RequestOutcome};
+use coordination::protocol::{Answer, Request};
+use coordination::voter::{Action, Event, PersistedState, Voter, VoterEvent};
+use daemon::service_manager::ServiceManager;
+use daemon::signals::{ProcessSignal, Signals};
+use std::path::PathBuf;
+use std::sync::mpsc::SyncSender;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{interval, Instant, Interval, MissedTickBehavior};
+use tracing::info;
+
+/// Interval of checks: whether a failed disk works again, and whether a leaderless voter was removed.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a stopping leader waits for another voter to take over.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time without a leader after which a voter asks whether it is still a member: a removed voter gets no more messages.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// What a voter's process reacts to.
+pub(super) struct Inputs {
+    pub signals: Signals,
+    pub connections: mpsc::Receiver<ConnectionEvent>,
+    pub journal: mpsc::UnboundedReceiver<JournalEvent>,
+    pub unreachable: mpsc::Receiver<u64>,
+}
+
+pub(super) struct VoterProcess {
+    /// Path of the configuration file.
+    pub path: PathBuf,
+    pub config: CoordinationConfig,
+    pub manager: ServiceManager,
+    pub started_at: Instant,
+    pub voter: Voter,
+    pub journal: SyncSender<JournalRequest>,
+    pub peers: PeerConnections,
+    pub clients: ClientConnections,
+    pub voter_addresses: VoterAddresses,
+    /// The voter is no longer a member.
+    pub removed: bool,
+    pub leaderless_since: Option<Instant>,
+    /// Set when the process was told to stop.
+    pub stop_deadline: Option<Instant>,
+}
+
+/// An interval whose missed ticks are not made up for.
+fn delayed_interval(period: Duration) -> Interval {
+    let mut interval = interval(period);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    interval
+}
+
+impl VoterProcess {
+    /// Runs until the voter is told to stop or is removed.
+    pub async fn run(mut self, mut inputs: Inputs) -> Result<(), ServerError> {
+        let mut ticks = delayed_interval(self.config.tick);
+        let mut maintenance = delayed_interval(MAINTENANCE_INTERVAL);
+        let watchdog = self.manager.watchdog();
+        let mut watchdog_ticks = interval(watchdog.unwrap_or(MAINTENANCE_INTERVAL));
+        self.manager.ready(format!("listening on {}", self.config.listen()));
+        let (removed, mut is_removed) = mpsc::channel(1);
+        while !self.is_finished() {
+            let event = tokio::select! {
+                // Disk events before messages, which wait for them.
+                biased;
+                signal = inputs.signals.next() => self.handle_signal(signal),
+                Some(event) = inputs.journal.recv() => self.handle_journal_event(event),
+                _ = ticks.tick() => Some(Event::Tick),
+                Some(event) = inputs.connections.recv() => self.handle_connection_event(event),
+                Some(id) = inputs.unreachable.recv() => Some(Event::Unreachable(id)),
+                Some(()) = is_removed.recv() => {
+                    self.removed = true;
+                    None
+                }
+                _ = maintenance.tick() => {
+                    self.maintain(&removed);
+                    None
+                }
+                _ = watchdog_ticks.tick(), if watchdog.is_some() => {
+                    self.manager.alive();
+                    None
+                }
+            };
+            if let Some(event) = event {
+                self.handle(event)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Whether the process ends now; logs the reason.
+    fn is_finished(&self) -> bool {
+        if self.removed {
+            info!("council: {} is a voter no more, and ends", self.config.name);
+            return true;
+        }
+        let has_stopped = self
+            .stop_deadline
+            .is_some_and(|deadline| !self.voter.is_serving_leader() || Instant::now() >= deadline);
+        if has_stopped {
+            self.manager.stopping();
+            info!("council: {} ends", self.config.name);
+        }
+        has_stopped
+    }
+
+    fn handle_signal(&mut self, signal: ProcessSignal) -> Option<Event> {
+        match signal {
+            ProcessSignal::Stop if self.stop_deadline.is_some() => None,
+            ProcessSignal::Stop => {
+                info!("council: {} is told to end", self.config.name);
+                self.stop_deadline = Some(Instant::now() + HANDOVER_TIMEOUT);
+                Some(Event::TransferLeadership)
+            }
+            ProcessSignal::Reload => {
+                self.reload();
+                None
+            }
+        }
+    }
+
+    fn handle_journal_event(&mut self, event: JournalEvent) -> Option<Event> {
+        let folder = self.config.folder.display();
+        match event {
+            JournalEvent::Persisted(number) => Some(Event::Persisted(number)),
+            JournalEvent::PersistFailed { number, why, intact } => {
+                Some(Event::PersistFailed { number, why, intact })
+            }
+            JournalEvent::Recovered(records) => match PersistedState::read(&records) {
+                Ok(persisted) => Some(Event::Recovered(persisted)),
+                Err(error) => {
+                    info!("council: {folder}: {error}");
+                    None
+                }
+            },
+            // The failure was logged when it began.
+            JournalEvent::RecoveryFailed => None,
+            JournalEvent::Slow(elapsed) => {
+                info!("council: {folder}: the disk took {} ms for a save", elapsed.as_millis());
+                None
+            }
+        }
+    }
+
+    fn handle_connection_event(&mut self, event: ConnectionEvent) -> Option<Event> {
+        match event {
+            ConnectionEvent::VoterConnected { id, address } => {
+                self.voter_addresses.insert(id, address);
+                None
+            }
+            ConnectionEvent::Message(message) => Some(Event::Message(message)),
+            ConnectionEvent::Call { client, call } => Some(Event::Call { client, call }),
+            ConnectionEvent::ClientDisconnected(client) => Some(Event::ClientDisconnected(client)),
+        }
+    }
+
+    fn maintain(&mut self, removed: &mpsc::Sender<()>) {
+        if self.leaderless_since.is_some_and(|since| since.elapsed() > LEADERLESS_TIMEOUT) {
+            self.leaderless_since = Some(Instant::now());
+            self.check_membership(removed.clone());
+        }
+        if self.voter.awaits_storage_recovery() {
+            let _ = self.journal.try_send(JournalRequest::Recover);
+        }
+    }
+
+    /// Asks the other voters whether this one is still a member.
+    fn check_membership(&self, removed: mpsc::Sender<()>) {
+        if other_voters(&self.config).is_empty() {
+            return;
+        }
+        let client = client_of_others(&self.config);
+        let request = ClientRequest::Call(Request::IsMember { voter: self.voter.id() });
+        tokio::task::spawn_local(async move {
+            let outcome = client.request(request, LEADERLESS_TIMEOUT).await;
+            if outcome == RequestOutcome::Answered(Answer::NotMember) {
+                let _ = removed.send(()).await;
+            }
+        });
+    }
+
+    fn handle(&mut self, event: Event) -> Result<(), ServerError> {
+        let mut actions = Vec::new();
+        self.voter.handle(self.started_at.elapsed(), event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { to, message } => self.send(to, message),
+                Action::Persist(request) => {
+                    let request = JournalRequest::Persist(request);
+                    self.journal.send(request).map_err(|_| ServerError::JournalThreadEnded)?;
+                }
+                Action::Reply { client, reply } => self.clients.reply(client, reply),
+                Action::Report(event) => self.report(event),
+            }
+        }
+        Ok(())
+    }
+
+    fn send(&mut self, to: u64, message: Vec<u8>) {
+        let address = self.voter.member_address(to).or_else(|| self.voter_addresses.get(to));
+        if let Some(address) = address {
+            self.peers.send(to, address, message);
+        }
+    }
+
+    fn report(&mut self, event: VoterEvent) {
+        let name = &self.config.name;
+        let folder = self.config.folder.display();
+        match event {
+            VoterEvent::BecameLeader(term) => {
+                self.leaderless_since = None;
+                info!(term, "council: {name} leads");
+                self.manager.ready("leads".into());
+            }
+            VoterEvent::FollowsLeader(leader) => {
+                self.leaderless_since = None;
+                info!("council: {name} follows {leader}");
+                self.manager.ready(format!("follows {leader}"));
+            }
+            VoterEvent::Leaderless => {
+                self.leaderless_since = Some(Instant::now());
+                info!("council: {name} knows no leader");
+            }
+            VoterEvent::StorageFailed(why) => {
+                info!("council: {name} stands aside and does not vote: {folder}: {why}");
+                self.manager.ready(format!("stands aside: {folder}: {why}"));
+            }
+            VoterEvent::StorageRecovered => info!("council: {name} is back"),
+            VoterEvent::Removed => self.removed = true,
+            VoterEvent::SnapshotFailed(why) => info!("council: {folder}: the log was not folded: {why}"),
+            VoterEvent::MembershipChanged(change) => {
+                info!("council: {change}");
+                let ids: Vec<u64> = self.voter.status().members.iter().map(|member| member.id).collect();
+                self.peers.retain(&ids);
+            }
+            VoterEvent::SessionExpired(session) => {
+                info!("council: the session of {session} has ended, it was not renewed")
+            }
+        }
+    }
+
+    /// Reads the configuration again. Only the list of voters may change while the process runs.
+    fn reload(&mut self) {
+        self.manager.reloading();
+        let changed = config::coordination::read(&self.path).map_err(|error| error.to_string());
+        match changed.and_then(|new| self.check_reload(&new).map(|()| new)) {
+            Ok(new) => {
+                let names = new.voters.iter().map(|(name, _)| name.clone()).collect();
+                self.voter.set_expected_members(names);
+                self.config = new;
+                info!("council: reloaded");
+                self.manager.ready(format!("listening on {}", self.config.listen()));
+            }
+            Err(why) => {
+                info!("council: not reloaded: {why}");
+                self.manager.ready(format!("not reloaded: {why}"));
+            }
+        }
+    }
+
+    /// Checks that nothing but the list of voters has changed; the error names what has.
+    fn check_reload(&self, new: &CoordinationConfig) -> Result<(), String> {
+        let current = &self.config;
+        let own_address = |config: &CoordinationConfig| (config.listen(), config.addr());
+        if new.folder != current.folder {
+            return Err("council.folder: can't change while it runs".into());
+        }
+        if own_address(new) != own_address(current) || new.name != current.name {
+            return Err("council.name and its address: can't change while it runs".into());
+        }
+        if new.tick != current.tick || new.clients != current.clients {
+            return Err("council.tick, council.clients: can't change while it runs".into());
+        }
+        Ok(())
+    }
+}
--- a/crates/control-plane/coordination-server/src/transport.rs
+++ b/crates/control-plane/coordination-server/src/transport.rs
@@ -1,47 +1,47 @@
-//! Where connections come from: plain TCP, on loopback or a network that is trusted as the platform's is. A transport that
-//! proves who is at the other end goes in here, in place of these two functions and the type: nothing else of the council
-//! knows what a connection is made of.
+//! The transport: plain TCP, for loopback or a trusted network. A transport that authenticates the other side would replace
+//! the items of this module; nothing else depends on what a connection is made of.
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// How long a connection may take to come up.
-const WAIT: Duration = Duration::from_secs(2);
+/// Timeout of establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection, both ways.
+/// A bidirectional connection.
 pub type Stream = TcpStream;
 
-/// Where connections come in.
+/// Accepts connections.
 pub struct Listener(TcpListener);
 
 impl Listener {
-    /// Listens at this address.
+    /// Listens on an address.
     ///
     /// # Errors
-    /// The system's.
-    pub async fn open(addr: SocketAddr) -> io::Result<Listener> {
-        Ok(Listener(TcpListener::bind(addr).await?))
+    /// The address can't be bound.
+    pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
+        Ok(Listener(TcpListener::bind(address).await?))
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     ///
     /// # Errors
-    /// The system's; the next may work.
-    pub async fn next(&self) -> io::Result<Stream> {
+    /// An error of the operating system; the next call may succeed.
+    pub async fn accept(&self) -> io::Result<Stream> {
         let (stream, _) = self.0.accept().await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
 }
 
-/// A connection to this address.
+/// Connects to an address.
 ///
 /// # Errors
-/// The system's, or it took too long.
-pub async fn connect(addr: SocketAddr) -> io::Result<Stream> {
-    let stream = timeout(WAIT, TcpStream::connect(addr)).await.map_err(|_| io::ErrorKind::TimedOut)??;
+/// An error of the operating system, or the timeout.
+pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
+    let attempt = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
+    let stream = attempt.await.map_err(|_| io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
--- a/crates/foundations/config/src/coordination.rs
+++ b/crates/foundations/config/src/coordination.rs
@@ -1,6 +1,7 @@
 //! What the council's files say: `[council]` of a voter's own file with its `[[voter]]`s, and `[council]` of the files of
 //! those that are its clients. `deploy/council.example.toml` documents the voter's.
-use crate::values::{fault_at, path_value, quantity, read_text, ConfigError};
+use crate::file::{read_config, ConfigFileError};
+use crate::values::{fault_at, path_value, quantity, read_text, read_whole, ConfigError, MAX_FILE_BYTES};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -191,50 +192,14 @@
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<CoordinationConfig, String> {
-    let mut council = crate::operator::read_with(path, parse)?;
-    council.folder = path.parent().unwrap_or(Path::new("")).join(&council.folder);
-    Ok(council)
+pub fn read(path: &Path) -> Result<CoordinationConfig, ConfigFileError> {
+    let mut config = read_config(path, parse)?;
+    config.folder = path.parent().unwrap_or(Path::new("")).join(&config.folder);
+    Ok(config)
 }
 
 /// Whether a TOML file is a voter's, by its tables.
 pub fn is_coordination_file(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
+    let bytes = read_whole(path, MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[voter]]")
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = "[council]\nname = \"c1\"\nfolder = \"c1\"\ntick = \"50ms\"\n\
-        [[voter]]\nname = \"c1\"\naddr = \"127.0.0.1:7801\"\n[[voter]]\nname = \"c2\"\naddr = \"127.0.0.1:7802\"\n";
-
-    #[test]
-    fn a_whole_file_is_read() {
-        let council = parse(GOOD.as_bytes()).expect("good");
-        assert_eq!((council.voters.len(), council.clients), (2, 1024));
-        assert_eq!((council.tick, council.listen().port()), (ms(50), 7801));
-    }
-
-    #[test]
-    fn what_is_wrong_is_named_with_its_place() {
-        for (from, to, wanted) in [
-            (
-                "name = \"c1\"\nfolder",
-                "name = \"c9\"\nfolder",
-                "2:8: council.name: \"c9\" is none of the voters",
-            ),
-            ("tick = \"50ms\"", "tick = \"1ms\"", "4:8: council.tick: "),
-            ("tick = \"50ms\"", "clients = 0", "4:11: council.clients: "),
-            ("127.0.0.1:7802", "127.0.0.1:7801", "10:8: voter[1].addr: is the address of \"c1\" too"),
-            ("127.0.0.1:7802", "here", "10:8: voter[1].addr: \"here\" is no address"),
-            ("name = \"c2\"", "name = \"c1\"", "9:8: voter[1].name: another voter"),
-            ("[[voter]]", "[[voters]]", "voters"),
-        ] {
-            let text = GOOD.replacen(from, to, 1);
-            let error = parse(text.as_bytes()).expect_err(to).to_string();
-            assert!(error.contains(wanted), "{error}");
-        }
-    }
-}
--- /dev/null
+++ b/crates/foundations/config/src/file.rs
@@ -0,0 +1,34 @@
+//! Reading configuration files; an error names the file and, where there is one, the place.
+use crate::values::{read_whole, ConfigError, MAX_FILE_BYTES};
+use std::path::{Path, PathBuf};
+
+/// A configuration file can't be read or is invalid.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ConfigFileError {
+    /// The file can't be read.
+    #[error("{}: {reason}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why it can't be read.
+        reason: String,
+    },
+    /// The content is invalid.
+    #[error("{}:{}{error}", path.display(), if error.line == 0 { " " } else { "" })]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is invalid, and where.
+        error: ConfigError,
+    },
+}
+
+/// Reads a configuration file.
+pub(crate) fn read_config<T>(
+    path: &Path,
+    parse: fn(&[u8]) -> Result<T, ConfigError>,
+) -> Result<T, ConfigFileError> {
+    let bytes = read_whole(path, MAX_FILE_BYTES)
+        .map_err(|reason| ConfigFileError::Unreadable { path: path.into(), reason })?;
+    parse(&bytes).map_err(|error| ConfigFileError::Invalid { path: path.into(), error })
+}
--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod discovery;
 pub mod disruption;
 pub mod fastcgi;
+pub mod file;
 pub mod operator;
 pub mod request_budget;
 pub mod rollout;
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -236,12 +236,7 @@
 }
 
 pub(crate) fn read_with<T>(path: &Path, parse: fn(&[u8]) -> Result<T, ConfigError>) -> Result<T, String> {
-    let named = |what: String| format!("{}: {what}", path.display());
-    let bytes = read_whole(path, MAX_FILE_BYTES).map_err(named)?;
-    parse(&bytes).map_err(|fault| match fault.line {
-        0 => named(fault.to_string()),
-        _ => format!("{}:{fault}", path.display()),
-    })
+    crate::file::read_config(path, parse).map_err(|error| error.to_string())
 }
 
 #[cfg(test)]
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -53,7 +53,7 @@
 
 fn one(path: &Path, world: Option<&World>) -> Result<(), String> {
     if path.extension().is_none_or(|e| e != "json") && coordination::is_coordination_file(path) {
-        return coordination::read(path).map(|_| ());
+        return coordination::read(path).map(|_| ()).map_err(|error| error.to_string());
     }
     if path.extension().is_none_or(|e| e != "json") && disruption::is_disruption_file(path) {
         return disruption::read(path).map(|_| ());
--- a/crates/herondock/src/cli.rs
+++ b/crates/herondock/src/cli.rs
@@ -261,7 +261,8 @@
         use coordination_server::command::{run, Command};
         let (file, command) = match self {
             Council::Run { file, halt_at } => {
-                return coordination_server::run(file, coordination_server::ServerOptions { halt: halt_at });
+                let options = coordination_server::ServerOptions { halt: halt_at };
+                return coordination_server::run(file, options).map_err(|error| error.to_string());
             }
             Council::Form { file } => (file, Command::Form),
             Council::Status { file, json } => (file, Command::Status { json }),
@@ -273,7 +274,7 @@
             Council::Remove { name, file } => (file, Command::Remove { name }),
             Council::Transfer { name, file } => (file, Command::Transfer { name }),
         };
-        run(&file, command)
+        run(&file, command).map_err(|error| error.to_string())
     }
 }
 
