--- a/crates/data-plane/discovery/src/consul/registration.rs
+++ b/crates/data-plane/discovery/src/consul/registration.rs
@@ -34,7 +34,7 @@
     /// Without a renewal for so long the check turns critical.
     pub ttl: Duration,
     /// Critical for so long, the agent forgets the service (Consul: a minute at the least); zero: never.
-    pub forget_after: Duration,
+    pub deregister_after: Duration,
 }
 
 /// A call to be made, by PUT.
@@ -100,7 +100,7 @@
 /// See the module's page. Times are spans since any fixed moment, and never go back.
 pub struct Registrar {
     registration: Registration,
-    wish: DesiredState,
+    set_desired_state: DesiredState,
     /// What the agent was last told, as far as is known.
     told: Option<DesiredState>,
     /// What the call that is out would tell.
@@ -116,7 +116,7 @@
         Registrar {
             backoff: Backoff::new(Duration::from_millis(250).min(most), most),
             registration,
-            wish: DesiredState::Absent,
+            set_desired_state: DesiredState::Absent,
             told: None,
             telling: None,
             due: Duration::ZERO,
@@ -128,17 +128,17 @@
     }
 
     /// What the instance wants to be from now on; it never goes back from leaving.
-    pub fn wish(&mut self, now: Duration, wish: DesiredState) {
-        if wish > self.wish {
-            self.wish = wish;
+    pub fn set_desired_state(&mut self, now: Duration, wish: DesiredState) {
+        if wish > self.set_desired_state {
+            self.set_desired_state = wish;
             // At once, whatever pause there was.
             self.due = now;
         }
     }
 
     /// What to do now.
-    pub fn next(&mut self, now: Duration) -> NextStep {
-        match (self.told, self.wish) {
+    pub fn next_step(&mut self, now: Duration) -> NextStep {
+        match (self.told, self.set_desired_state) {
             (Some(DesiredState::Deregistered), _) | (None, DesiredState::Deregistered) => {
                 return NextStep::Done
             }
@@ -150,7 +150,7 @@
             _ if now < self.due => return NextStep::Wait(self.due),
             _ => {}
         }
-        let (wish, call) = match (self.told, self.wish) {
+        let (wish, call) = match (self.told, self.set_desired_state) {
             (None, _) => (DesiredState::Passing, self.register()),
             (_, DesiredState::Passing) => (DesiredState::Passing, self.state("pass", "")),
             (_, DesiredState::Deregistered) => {
@@ -174,7 +174,7 @@
     fn register(&self) -> Call {
         let r = &self.registration;
         let ms = |d: Duration| format!("{}ms", d.as_millis());
-        let after = (!r.forget_after.is_zero()).then(|| ms(r.forget_after));
+        let after = (!r.deregister_after.is_zero()).then(|| ms(r.deregister_after));
         let body = RegisterBody {
             id: &r.id,
             name: &r.service,
@@ -195,7 +195,7 @@
     }
 
     /// The call's answer. Returns what went wrong, if anything did.
-    pub fn answered(&mut self, now: Duration, status: u16, draw: f64) -> Option<String> {
+    pub fn on_response(&mut self, now: Duration, status: u16, draw: f64) -> Option<String> {
         let telling = self.telling.take()?;
         match status {
             200 => {
@@ -224,7 +224,7 @@
     }
 
     /// No answer has come.
-    pub fn failed(&mut self, now: Duration, draw: f64) {
+    pub fn on_failure(&mut self, now: Duration, draw: f64) {
         self.telling = None;
         self.due = now + self.backoff.failed(draw);
     }
@@ -246,7 +246,7 @@
             tags: vec![],
             meta: BTreeMap::from([("cell".into(), "4".into())]),
             ttl: s(15),
-            forget_after: s(60),
+            deregister_after: s(60),
         })
     }
 
@@ -260,61 +260,61 @@
     #[test]
     fn it_is_registered_once_it_is_ready_and_renewed() {
         let mut r = register();
-        assert_eq!(r.next(s(0)), NextStep::Wait(Duration::MAX), "not ready yet");
-        r.wish(s(2), DesiredState::Passing);
-        let NextStep::Call(call) = r.next(s(2)) else { panic!("a call") };
+        assert_eq!(r.next_step(s(0)), NextStep::Wait(Duration::MAX), "not ready yet");
+        r.set_desired_state(s(2), DesiredState::Passing);
+        let NextStep::Call(call) = r.next_step(s(2)) else { panic!("a call") };
         assert_eq!(call.path, "/v1/agent/service/register?replace-existing-checks=true");
         assert_eq!(
             call.body,
             r#"{"ID":"n 3","Name":"portal","Address":"127.0.0.1","Port":8443,"Meta":{"cell":"4"},"Check":{"CheckID":"service:n 3","TTL":"15000ms","Status":"passing","DeregisterCriticalServiceAfter":"60000ms"}}"#
         );
-        assert_eq!(r.answered(s(2), 200, 0.5), None);
-        assert_eq!(r.next(s(3)), NextStep::Wait(s(7)));
-        assert_eq!(path(r.next(s(7))), "/v1/agent/check/pass/service%3An%203");
+        assert_eq!(r.on_response(s(2), 200, 0.5), None);
+        assert_eq!(r.next_step(s(3)), NextStep::Wait(s(7)));
+        assert_eq!(path(r.next_step(s(7))), "/v1/agent/check/pass/service%3An%203");
         // Guards against an agent that began anew: nobody would be sent here again.
-        assert!(r.answered(s(7), 404, 0.0).expect("said").contains("again"));
-        assert!(path(r.next(s(9))).starts_with("/v1/agent/service/register"));
+        assert!(r.on_response(s(7), 404, 0.0).expect("said").contains("again"));
+        assert!(path(r.next_step(s(9))).starts_with("/v1/agent/service/register"));
     }
 
     #[test]
     fn leaving_is_told_at_once_and_the_end_once() {
         let mut r = register();
-        r.wish(s(1), DesiredState::Passing);
-        r.next(s(1));
-        r.answered(s(1), 200, 0.0);
-        r.wish(s(2), DesiredState::ShuttingDown);
-        assert_eq!(path(r.next(s(2))), "/v1/agent/check/fail/service%3An%203?note=leaving");
-        r.failed(s(2), 1.0);
-        assert!(matches!(r.next(s(2)), NextStep::Wait(_)));
-        r.wish(s(2), DesiredState::Passing);
-        assert!(path(r.next(s(3))).starts_with("/v1/agent/check/fail"), "it does not come back");
-        r.answered(s(3), 200, 0.0);
-        assert_eq!(r.next(s(3)), NextStep::Wait(Duration::MAX));
-        r.wish(s(4), DesiredState::Deregistered);
-        assert_eq!(path(r.next(s(4))), "/v1/agent/service/deregister/n%203");
-        assert_eq!(r.answered(s(4), 404, 0.0), None, "it is not known, which was wanted");
-        assert_eq!(r.next(s(5)), NextStep::Done);
+        r.set_desired_state(s(1), DesiredState::Passing);
+        r.next_step(s(1));
+        r.on_response(s(1), 200, 0.0);
+        r.set_desired_state(s(2), DesiredState::ShuttingDown);
+        assert_eq!(path(r.next_step(s(2))), "/v1/agent/check/fail/service%3An%203?note=leaving");
+        r.on_failure(s(2), 1.0);
+        assert!(matches!(r.next_step(s(2)), NextStep::Wait(_)));
+        r.set_desired_state(s(2), DesiredState::Passing);
+        assert!(path(r.next_step(s(3))).starts_with("/v1/agent/check/fail"), "it does not come back");
+        r.on_response(s(3), 200, 0.0);
+        assert_eq!(r.next_step(s(3)), NextStep::Wait(Duration::MAX));
+        r.set_desired_state(s(4), DesiredState::Deregistered);
+        assert_eq!(path(r.next_step(s(4))), "/v1/agent/service/deregister/n%203");
+        assert_eq!(r.on_response(s(4), 404, 0.0), None, "it is not known, which was wanted");
+        assert_eq!(r.next_step(s(5)), NextStep::Done);
         // One that could never tell the agent of itself has nothing to take back.
         let mut never = register();
-        never.wish(s(0), DesiredState::Passing);
-        never.next(s(0));
-        never.failed(s(0), 0.5);
-        never.wish(s(1), DesiredState::Deregistered);
-        assert_eq!(never.next(s(1)), NextStep::Done);
+        never.set_desired_state(s(0), DesiredState::Passing);
+        never.next_step(s(0));
+        never.on_failure(s(0), 0.5);
+        never.set_desired_state(s(1), DesiredState::Deregistered);
+        assert_eq!(never.next_step(s(1)), NextStep::Done);
     }
 
     /// Guards against hundreds of instances at an agent that has just come back.
     #[test]
     fn what_fails_is_tried_again_with_growing_pauses() {
         let mut r = register();
-        r.wish(s(0), DesiredState::Passing);
+        r.set_desired_state(s(0), DesiredState::Passing);
         let mut now = Duration::ZERO;
         let mut calls = 0;
         while now < s(60) {
-            match r.next(now) {
+            match r.next_step(now) {
                 NextStep::Call(_) => {
                     calls += 1;
-                    r.failed(now, 1.0);
+                    r.on_failure(now, 1.0);
                 }
                 NextStep::Wait(until) => now = until,
                 NextStep::Done => panic!("it goes on"),
--- a/crates/data-plane/discovery/src/consul/service_list.rs
+++ b/crates/data-plane/discovery/src/consul/service_list.rs
@@ -33,21 +33,21 @@
     /// Which list it is.
     pub kind: ListKind,
     /// Put before names, where several datacentres are asked: node names are each datacentre's own.
-    pub prefix: String,
+    pub datacentre_prefix: String,
     /// The metadata key with the member's name; absent or without it: node and service id.
-    pub name: Option<String>,
+    pub name_key: Option<String>,
     /// Metadata keys of zone, kind, cell and start (Unix time in milliseconds), of the service or else of its node.
-    pub zone: String,
+    pub zone_key: String,
     /// See `zone`.
-    pub machine: String,
+    pub kind_key: String,
     /// See `zone`.
-    pub cell: String,
+    pub cell_key: String,
     /// See `zone`.
-    pub started: String,
+    pub start_key: String,
     /// Which tagged address is used; empty: the address itself.
-    pub tagged: String,
+    pub tagged_address: String,
     /// What its members speak.
-    pub speaks: EndpointProtocol,
+    pub protocol: EndpointProtocol,
 }
 
 /// Most keys of a member's metadata, and longest one with its value (Consul's own bounds for a service).
@@ -173,11 +173,11 @@
 #[derive(Debug, PartialEq)]
 pub struct ListUpdate {
     /// What has changed since the last one.
-    pub news: SourceUpdate,
+    pub update: SourceUpdate,
     /// Entries that can't be used, named, and why; the others hold.
-    pub faults: Vec<String>,
+    pub entry_errors: Vec<String>,
     /// Entries that were read anew.
-    pub anew: usize,
+    pub parsed_entries: usize,
 }
 
 impl ServiceList {
@@ -205,7 +205,7 @@
     ///
     /// # Errors
     /// It is no list of this kind. Then nothing has changed.
-    pub fn read(&mut self, body: &[u8], keep: bool) -> Result<ListUpdate, String> {
+    pub fn apply(&mut self, body: &[u8], keep: bool) -> Result<ListUpdate, String> {
         let raw: Vec<&RawValue> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         let round = self.round + 1;
         // First everything is read, so that a list that is bad at its end changes nothing.
@@ -269,7 +269,11 @@
             }
         });
         gone.sort();
-        Ok(ListUpdate { news: SourceUpdate::Delta(changed, gone), faults, anew })
+        Ok(ListUpdate {
+            update: SourceUpdate::Delta(changed, gone),
+            entry_errors: faults,
+            parsed_entries: anew,
+        })
     }
 
     /// One entry: structure that is not as published is an error of the whole list; what its owner wrote into it is a
@@ -377,14 +381,15 @@
         if self.node.is_empty() || self.id.is_empty() {
             return Err(named("it has no name"));
         }
-        let own = r.name.as_deref().map_or("", &meta);
-        let prefix = if r.prefix.is_empty() { "" } else { self.datacenter };
+        let own = r.name_key.as_deref().map_or("", &meta);
+        let prefix = if r.datacentre_prefix.is_empty() { "" } else { self.datacenter };
         let name: Name = match (own, prefix) {
             ("", "") => format!("{}/{}", self.node, self.id).into(),
             ("", dc) => format!("{dc}/{}/{}", self.node, self.id).into(),
             (own, _) => own.into(),
         };
-        let tagged = self.tagged.and_then(|t| t.get(&r.tagged)).filter(|_| !r.tagged.is_empty());
+        let tagged =
+            self.tagged.and_then(|t| t.get(&r.tagged_address)).filter(|_| !r.tagged_address.is_empty());
         let (address, port) = match tagged {
             Some(t) => (t.address.as_str(), t.port),
             None => (self.addresses.into_iter().find(|a| !a.is_empty()).unwrap_or(""), self.port),
@@ -394,20 +399,20 @@
         let port = u16::try_from(port).ok().filter(|&p| p > 0);
         let port = port.ok_or_else(|| named("its port is not between 1 and 65535"))?;
         // What its owner wrote wrongly counts as not written: without a start it is cold, and nothing is gone for it.
-        let started_ms = meta(&r.started).parse::<f64>().ok().filter(|ms| (0.0..1e15).contains(ms));
-        let cell = meta(&r.cell).parse().unwrap_or(0);
+        let started_ms = meta(&r.start_key).parse::<f64>().ok().filter(|ms| (0.0..1e15).contains(ms));
+        let cell = meta(&r.cell_key).parse().unwrap_or(0);
         let text = |key: &str| -> Arc<str> { meta(key).into() };
         Ok(EndpointReport {
             name,
             addr: SocketAddr::new(ip, port),
-            zone: text(&r.zone),
-            kind: text(&r.machine),
+            zone: text(&r.zone_key),
+            kind: text(&r.kind_key),
             cell,
-            speaks: r.speaks,
-            standing,
-            why,
+            protocol: r.protocol,
+            state: standing,
+            reason: why,
             started_ms,
-            registered: self.created,
+            registration_index: self.created,
             meta: self.all_meta(),
         })
     }
--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -37,15 +37,15 @@
     /// How long a query waits for news: Consul's `wait`.
     pub wait: Duration,
     /// The least time between two answers that bring news: what changes more often is told together.
-    pub pace: Duration,
+    pub min_poll_interval: Duration,
     /// The first pause after a failure, which doubles up to the most.
-    pub pause: Duration,
+    pub initial_backoff: Duration,
     /// The longest.
-    pub pause_most: Duration,
+    pub max_backoff: Duration,
     /// How old an answer may be in the stale mode (`X-Consul-LastContact`).
-    pub stale_most: Duration,
+    pub max_staleness: Duration,
     /// How long what a list lacks stays after its index went backwards.
-    pub regrow: Duration,
+    pub regrow_timeout: Duration,
 }
 
 impl Default for WatchIntervals {
@@ -53,11 +53,11 @@
         let ms = Duration::from_millis;
         WatchIntervals {
             wait: ms(10_000),
-            pace: ms(100),
-            pause: ms(250),
-            pause_most: ms(10_000),
-            stale_most: ms(5000),
-            regrow: ms(120_000),
+            min_poll_interval: ms(100),
+            initial_backoff: ms(250),
+            max_backoff: ms(10_000),
+            max_staleness: ms(5000),
+            regrow_timeout: ms(120_000),
         }
     }
 }
@@ -67,20 +67,20 @@
     /// for the answer, a pause, and 2 s for the call after it.
     fn plan(&self) -> WatchTiming {
         WatchTiming {
-            wait: self.wait,
-            answer: RESPONSE_TIMEOUT,
-            late: Some(WAIT_EXTENSION_DIVISOR),
+            max_wait: self.wait,
+            response_timeout: RESPONSE_TIMEOUT,
+            wait_extension_divisor: Some(WAIT_EXTENSION_DIVISOR),
             // No queue at an agent, and no watch that begins: each query stands for itself.
-            opening: self.wait,
-            open: RESPONSE_TIMEOUT,
-            whole: RESPONSE_TIMEOUT,
-            slow: RESPONSE_TIMEOUT,
-            pause: self.pause,
-            pause_most: self.pause_most,
-            turned_away_most: self.pause_most,
-            pace: self.pace,
-            gap: Duration::MAX,
-            spread: None,
+            open_wait: self.wait,
+            open_timeout: RESPONSE_TIMEOUT,
+            full_list_timeout: RESPONSE_TIMEOUT,
+            max_timeout: RESPONSE_TIMEOUT,
+            initial_backoff: self.initial_backoff,
+            max_backoff: self.max_backoff,
+            max_rejected_backoff: self.max_backoff,
+            min_interval: self.min_poll_interval,
+            max_gap: Duration::MAX,
+            retry_spread: None,
         }
     }
 }
@@ -122,7 +122,7 @@
     /// Path and query.
     pub path: String,
     /// How long it may take until its answer is whole.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What to do now.
@@ -171,9 +171,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseOutcome {
     /// For the view; `Changes` without any: nothing has changed.
-    pub news: SourceUpdate,
+    pub update: SourceUpdate,
     /// Entries that can't be used, and why.
-    pub faults: Vec<String>,
+    pub entry_errors: Vec<String>,
 }
 
 /// See the module's page. Times are spans since any fixed moment, and never go back.
@@ -232,7 +232,7 @@
     }
 
     /// Members that it has told of.
-    pub fn members(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.list.len()
     }
 
@@ -242,11 +242,11 @@
     }
 
     /// What to do now. `draw`, from 0 to 1, spreads the waits of many instances.
-    pub fn next(&mut self, now: Duration, draw: f64) -> NextStep {
+    pub fn next_step(&mut self, now: Duration, draw: f64) -> NextStep {
         // The list is asked for whole where nothing can be waited on.
         let index = self.index.filter(|&i| self.told && i > 0);
         let (kind, wait, patience) = match self.watch.step(now, draw, index.is_some()) {
-            Step::Call { kind, wait, patience } => (kind, wait, patience),
+            Step::Call { kind, wait, timeout: patience } => (kind, wait, patience),
             Step::Wait(until) => return NextStep::Wait(until),
         };
         self.watch.called(now, kind, patience);
@@ -290,11 +290,11 @@
         if path.ends_with('?') {
             path.pop();
         }
-        NextStep::Call(Request { agent: self.agent, path, patience })
+        NextStep::Call(Request { agent: self.agent, path, timeout: patience })
     }
 
     /// An answer has come whole.
-    pub fn answered(
+    pub fn on_response(
         &mut self,
         now: Duration,
         head: &ResponseHead,
@@ -313,23 +313,23 @@
                 self.told = false;
                 let asked = Duration::from_secs(head.retry_after.unwrap_or(0)).min(MAX_RETRY_AFTER);
                 self.watch.broke(now, draw);
-                let pause = self.watch.due().saturating_sub(now);
+                let pause = self.watch.next_call_at().saturating_sub(now);
                 // Jitter on what it asked for as well: all were told the same.
                 self.watch.postpone(now + pause.max(asked + pause.min(asked)));
                 if head.status != 429 {
                     self.agent = (self.agent + 1) % self.agents;
                 }
-                ResponseOutcome { news: SourceUpdate::Unavailable(why), faults: Vec::new() }
+                ResponseOutcome { update: SourceUpdate::Unavailable(why), entry_errors: Vec::new() }
             }
         }
     }
 
     /// No whole answer has come.
-    pub fn failed(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
+    pub fn on_failure(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
         self.told = false;
         self.watch.broke(now, draw);
         self.agent = (self.agent + 1) % self.agents;
-        ResponseOutcome { news: SourceUpdate::Unavailable(why.into()), faults: Vec::new() }
+        ResponseOutcome { update: SourceUpdate::Unavailable(why.into()), entry_errors: Vec::new() }
     }
 
     fn judge(&mut self, now: Duration, head: &ResponseHead, body: &[u8]) -> Result<ResponseOutcome, String> {
@@ -344,7 +344,7 @@
         if head.filtered {
             return Err("its answer was filtered: the token may not read all of it".into());
         }
-        let most = u64::try_from(self.figures.stale_most.as_millis()).unwrap_or(u64::MAX);
+        let most = u64::try_from(self.figures.max_staleness.as_millis()).unwrap_or(u64::MAX);
         if let Some(old) =
             head.last_contact.filter(|&ms| self.target.consistency == Consistency::Stale && ms > most)
         {
@@ -355,15 +355,15 @@
         let backwards = matches!((index, self.index), (Some(new), Some(known)) if new < known);
         let mut regrows = self.regrows.filter(|&until| now < until);
         if backwards {
-            regrows = Some(now + self.figures.regrow);
+            regrows = Some(now + self.figures.regrow_timeout);
         }
-        let mut read = self.list.read(body, regrows.is_some())?;
+        let mut read = self.list.apply(body, regrows.is_some())?;
         (self.regrows, self.told) = (regrows, true);
         if regrows.is_none() && !std::mem::replace(&mut self.whole, true) {
-            read.news = SourceUpdate::Full(self.list.reports());
+            read.update = SourceUpdate::Full(self.list.reports());
         }
         // While a new history grows, the next answer follows it.
         self.index = index;
-        Ok(ResponseOutcome { news: read.news, faults: read.faults })
+        Ok(ResponseOutcome { update: read.update, entry_errors: read.entry_errors })
     }
 }
--- a/crates/data-plane/discovery/src/endpoint.rs
+++ b/crates/data-plane/discovery/src/endpoint.rs
@@ -46,16 +46,19 @@
     /// The group whose members share the keys that they have seen.
     pub cell: u16,
     /// What it speaks.
-    #[serde(default)]
-    pub speaks: EndpointProtocol,
+    #[serde(rename = "speaks", default)]
+    pub protocol: EndpointProtocol,
     /// How it stands.
-    pub standing: EndpointState,
+    #[serde(rename = "standing")]
+    pub state: EndpointState,
     /// Why, in a few words, where it does not stand ready.
-    pub why: Arc<str>,
+    #[serde(rename = "why")]
+    pub reason: Arc<str>,
     /// When its process last started, in Unix milliseconds; 0: long ago; `None`: the source does not say.
     pub started_ms: Option<f64>,
     /// Grows with each registration at its source: of two names at one address the one registered last is there.
-    pub registered: u64,
+    #[serde(rename = "registered")]
+    pub registration_index: u64,
     /// What its owner wrote down of it; as much as Consul takes, 64 keys.
     #[serde(default)]
     pub meta: Meta,
--- a/crates/data-plane/discovery/src/endpoint_cache.rs
+++ b/crates/data-plane/discovery/src/endpoint_cache.rs
@@ -12,21 +12,22 @@
     /// What each source told.
     pub reports: Vec<CachedReport>,
     /// When each source last told something that counts, in Unix milliseconds.
-    pub told: Vec<(Source, f64)>,
+    #[serde(rename = "told")]
+    pub updated: Vec<(Source, f64)>,
     /// The newest index or version that each source was told.
     pub indices: Vec<(Source, u64)>,
 }
 
 impl EndpointCache {
     /// Of a view, and how far its sources have come.
-    pub fn of(view: &EndpointSet, indices: Vec<(Source, u64)>) -> EndpointCache {
-        let told = view.sources().filter_map(|(s, told)| Some((s.clone(), told.at?))).collect();
-        EndpointCache { reports: view.kept().collect(), told, indices }
+    pub fn capture(view: &EndpointSet, indices: Vec<(Source, u64)>) -> EndpointCache {
+        let told = view.sources().filter_map(|(s, told)| Some((s.clone(), told.updated_ms?))).collect();
+        EndpointCache { reports: view.cached_reports().collect(), updated: told, indices }
     }
 
     /// Leaves out what sources told longer ago than this, and returns them.
-    pub fn prune(&mut self, now: f64, most: f64) -> Vec<Source> {
-        let young = |s: &Source| self.told.iter().any(|(t, at)| t == s && now - at <= most);
+    pub fn remove_stale(&mut self, now: f64, most: f64) -> Vec<Source> {
+        let young = |s: &Source| self.updated.iter().any(|(t, at)| t == s && now - at <= most);
         let named: std::collections::BTreeSet<Source> =
             self.reports.iter().map(|(s, ..)| s.clone()).collect();
         let old: Vec<Source> = named.into_iter().filter(|s| !young(s)).collect();
@@ -41,7 +42,7 @@
     }
 
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Numbers and texts only: this can't fail. Nothing at all is found out when it is read.
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -50,7 +51,7 @@
     ///
     /// # Errors
     /// It can't be read.
-    pub fn read(bytes: &[u8]) -> Result<EndpointCache, String> {
+    pub fn decode(bytes: &[u8]) -> Result<EndpointCache, String> {
         serde_json::from_slice(bytes).map_err(|e| e.to_string())
     }
 }
--- a/crates/data-plane/discovery/src/endpoint_set.rs
+++ b/crates/data-plane/discovery/src/endpoint_set.rs
@@ -42,17 +42,23 @@
     /// Its group.
     pub cell: u16,
     /// What it speaks.
-    pub speaks: EndpointProtocol,
+    #[serde(rename = "speaks")]
+    pub protocol: EndpointProtocol,
     /// The worst that a source says of it.
-    pub standing: EndpointState,
+    #[serde(rename = "standing")]
+    pub state: EndpointState,
     /// Whether it takes new work.
-    pub takes: bool,
+    #[serde(rename = "takes")]
+    pub accepts_requests: bool,
     /// Why it does not stand ready.
-    pub why: Arc<str>,
+    #[serde(rename = "why")]
+    pub reason: Arc<str>,
     /// When its process started, in Unix milliseconds: stated, or when it was first heard of; 0: long ago.
-    pub since: f64,
+    #[serde(rename = "since")]
+    pub started_ms: f64,
     /// Whether a source states it.
-    pub stated: bool,
+    #[serde(rename = "stated")]
+    pub start_reported: bool,
     /// The sources that tell of it, in their order.
     pub sources: Vec<Arc<str>>,
     /// What its owner wrote down of it, by the first source that has some of that.
@@ -72,11 +78,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SourceStatus {
     /// When it last told something that counts, in Unix milliseconds.
-    pub at: Option<f64>,
+    pub updated_ms: Option<f64>,
     /// Why what it said last does not count; `None`: it does.
-    pub trouble: Option<String>,
+    pub error: Option<String>,
     /// Members that it lists.
-    pub members: usize,
+    pub endpoint_count: usize,
 }
 
 /// What is remembered of a process whose start nobody states.
@@ -115,7 +121,7 @@
     }
 
     /// Adds a source that has not told anything yet.
-    pub fn add(&mut self, source: &Source) {
+    pub fn add_source(&mut self, source: &Source) {
         self.sources.entry(source.clone()).or_default();
     }
 
@@ -125,20 +131,20 @@
     }
 
     /// The members, by name.
-    pub fn members(&self) -> impl Iterator<Item = &Endpoint> {
+    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.merged.values()
     }
 
     /// Begins with what was kept of an earlier process, and when its sources had told it; those that this view does not
     /// have are left out. Starts that were heard of hold for the same names at the same addresses.
-    pub fn recall(
+    pub fn restore(
         &mut self,
         kept: impl IntoIterator<Item = CachedReport>,
         told: impl IntoIterator<Item = (Source, f64)>,
     ) -> Vec<EndpointChange> {
         for (source, at) in told {
             if let Some(told) = self.sources.get_mut(&source).filter(|_| at.is_finite()) {
-                told.at = Some(at);
+                told.updated_ms = Some(at);
             }
         }
         let mut touched = BTreeSet::new();
@@ -147,7 +153,7 @@
                 continue;
             }
             if let Some(since) = since.filter(|s| s.is_finite() && *s >= 0.0) {
-                let registered = BTreeMap::from([(source.clone(), report.registered)]);
+                let registered = BTreeMap::from([(source.clone(), report.registration_index)]);
                 let seen = self.seen.entry(report.name.clone()).or_default();
                 seen.insert(report.addr, FirstSeen { since, registered });
             }
@@ -157,7 +163,7 @@
     }
 
     /// Every report with its source, and the start that was heard of where none is stated: what [`EndpointSet::recall`] takes.
-    pub fn kept(&self) -> impl Iterator<Item = CachedReport> + '_ {
+    pub fn cached_reports(&self) -> impl Iterator<Item = CachedReport> + '_ {
         self.reports.iter().map(|((name, source), report)| {
             let seen = self.seen.get(name).and_then(|at| at.get(&report.addr)).map(|s| s.since);
             (source.clone(), report.clone(), seen.filter(|_| report.started_ms.is_none()))
@@ -166,11 +172,11 @@
 
     /// Takes what a source tells, and returns what has changed: those that go before those that come. `now` is Unix
     /// time in milliseconds.
-    pub fn take(&mut self, now: f64, source: &Source, news: SourceUpdate) -> Vec<EndpointChange> {
+    pub fn apply_update(&mut self, now: f64, source: &Source, news: SourceUpdate) -> Vec<EndpointChange> {
         let told = self.sources.entry(source.clone()).or_default();
         let (reports, gone) = match news {
             SourceUpdate::Unavailable(why) => {
-                told.trouble = Some(why);
+                told.error = Some(why);
                 return Vec::new();
             }
             SourceUpdate::Delta(reports, gone) => (reports, gone),
@@ -181,7 +187,7 @@
                 (reports, gone)
             }
         };
-        (told.at, told.trouble) = (Some(now), None);
+        (told.updated_ms, told.error) = (Some(now), None);
         let mut touched = BTreeSet::new();
         for name in gone {
             self.drop(source, &name, &mut touched);
@@ -193,13 +199,13 @@
     }
 
     /// Whether a name is held out.
-    pub fn is_held(&self, name: &str) -> bool {
+    pub fn is_held_out(&self, name: &str) -> bool {
         self.held.contains_key(name)
     }
 
     /// From now on these names are held out, for these reasons, and no others, whatever sources say of them. Returns what has
     /// changed. A name that is held no more counts as started now, at `now` in Unix milliseconds.
-    pub fn hold(&mut self, now: f64, names: &BTreeMap<String, String>) -> Vec<EndpointChange> {
+    pub fn set_held_out(&mut self, now: f64, names: &BTreeMap<String, String>) -> Vec<EndpointChange> {
         let next: BTreeMap<Name, Arc<str>> =
             names.iter().map(|(name, why)| (name.as_str().into(), why.as_str().into())).collect();
         let mut touched = BTreeSet::new();
@@ -230,7 +236,7 @@
 
     fn count(&mut self, source: &Source, by: isize) {
         if let Some(told) = self.sources.get_mut(source) {
-            told.members = told.members.saturating_add_signed(by);
+            told.endpoint_count = told.endpoint_count.saturating_add_signed(by);
         }
     }
 
@@ -295,8 +301,8 @@
         for (name, old) in before {
             match self.merged.get_mut(&name) {
                 Some(member) => {
-                    member.takes = member.standing == EndpointState::Ready
-                        || (resort && member.standing == EndpointState::Unhealthy);
+                    member.accepts_requests = member.state == EndpointState::Ready
+                        || (resort && member.state == EndpointState::Unhealthy);
                     if old.as_ref() != Some(member) {
                         come.push(EndpointChange::Updated(member.clone()));
                     }
@@ -311,19 +317,19 @@
     /// Puts a member in the place of what there was, which it returns.
     fn replace(&mut self, name: &Name, next: Option<Endpoint>) -> Option<Endpoint> {
         if let Some(next) = &next {
-            self.ready += usize::from(next.standing == EndpointState::Ready);
-            if next.standing == EndpointState::Unhealthy {
+            self.ready += usize::from(next.state == EndpointState::Ready);
+            if next.state == EndpointState::Unhealthy {
                 self.critical.insert(name.clone());
             }
         }
-        let critical = next.as_ref().is_some_and(|n| n.standing == EndpointState::Unhealthy);
+        let critical = next.as_ref().is_some_and(|n| n.state == EndpointState::Unhealthy);
         let before = match next {
             Some(next) => self.merged.insert(name.clone(), next),
             None => self.merged.remove(name),
         };
         if let Some(before) = &before {
-            self.ready -= usize::from(before.standing == EndpointState::Ready);
-            if before.standing == EndpointState::Unhealthy && !critical {
+            self.ready -= usize::from(before.state == EndpointState::Ready);
+            if before.state == EndpointState::Unhealthy && !critical {
                 self.critical.remove(name);
             }
         }
@@ -366,31 +372,32 @@
         let here: Vec<(&Source, &EndpointReport)> =
             told.filter_map(|key| Some((&key.1, self.reports.get(key)?))).collect();
         // Within one source the last registration counts; several that are as new are one process under two names.
-        let last =
-            |source: &Source| here.iter().filter(|(s, _)| *s == source).map(|(_, r)| r.registered).max();
+        let last = |source: &Source| {
+            here.iter().filter(|(s, _)| *s == source).map(|(_, r)| r.registration_index).max()
+        };
         let mut present: Vec<(&Source, &EndpointReport)> =
-            here.iter().filter(|(s, r)| last(s) == Some(r.registered)).copied().collect();
+            here.iter().filter(|(s, r)| last(s) == Some(r.registration_index)).copied().collect();
         present.sort_by(|a, b| (a.0, &a.1.name).cmp(&(b.0, &b.1.name)));
         // Its name is that by which the first source knows it.
         let first = present.first()?.1;
         if first.name != *name {
             return None;
         }
-        let standing = present.iter().map(|(_, r)| r.standing).max()?;
-        let worst = present.iter().map(|(_, r)| *r).find(|r| r.standing == standing)?;
+        let standing = present.iter().map(|(_, r)| r.state).max()?;
+        let worst = present.iter().map(|(_, r)| *r).find(|r| r.state == standing)?;
         let stated = present.iter().filter_map(|(_, r)| r.started_ms).reduce(f64::max);
         let text = |of: fn(&EndpointReport) -> &Arc<str>| {
             let said = present.iter().map(|(_, r)| of(r)).find(|t| !t.is_empty());
             said.unwrap_or(of(first)).clone()
         };
-        let (zone, kind, mut why) = (text(|r| &r.zone), text(|r| &r.kind), worst.why.clone());
+        let (zone, kind, mut why) = (text(|r| &r.zone), text(|r| &r.kind), worst.reason.clone());
         let mut standing = standing;
         if let Some(held) = self.held.get(name) {
             (standing, why) = (EndpointState::Draining, held.clone());
         }
-        let (cell, speaks) = (first.cell, first.speaks);
+        let (cell, speaks) = (first.cell, first.protocol);
         let registered: BTreeMap<Source, u64> =
-            present.iter().map(|(s, r)| ((*s).clone(), r.registered)).collect();
+            present.iter().map(|(s, r)| ((*s).clone(), r.registration_index)).collect();
         let names: BTreeSet<Name> = present.iter().map(|(_, r)| r.name.clone()).collect();
         let mut sources: Vec<Arc<str>> = present.iter().map(|(s, _)| s.label.clone()).collect();
         sources.dedup();
@@ -409,12 +416,12 @@
             zone,
             kind,
             cell,
-            speaks,
-            standing,
-            takes,
-            why,
-            since,
-            stated,
+            protocol: speaks,
+            state: standing,
+            accepts_requests: takes,
+            reason: why,
+            started_ms: since,
+            start_reported: stated,
             sources,
             meta,
         })
--- a/crates/data-plane/discovery/src/platform/mod.rs
+++ b/crates/data-plane/discovery/src/platform/mod.rs
@@ -15,15 +15,15 @@
     /// Whether this is the whole list, or only what changed.
     pub full: bool,
     /// What it tells.
-    pub news: SourceUpdate,
+    pub update: SourceUpdate,
     /// Entries that can't be used, and why.
-    pub faults: Vec<String>,
+    pub entry_errors: Vec<String>,
 }
 
 impl EndpointListResponse {
     /// The reports of a whole list.
     pub fn reports(&self) -> &[EndpointReport] {
-        match &self.news {
+        match &self.update {
             SourceUpdate::Full(reports) | SourceUpdate::Delta(reports, _) => reports,
             SourceUpdate::Unavailable(_) => &[],
         }
@@ -69,8 +69,8 @@
     let mut answer = EndpointListResponse {
         version: 0,
         full: false,
-        news: SourceUpdate::Unavailable(String::new()),
-        faults: Vec::new(),
+        update: SourceUpdate::Unavailable(String::new()),
+        entry_errors: Vec::new(),
     };
     let (mut reports, mut gone) = (Vec::new(), Vec::new());
     let mut take = |said: Result<EntryUpdate, String>| match said {
@@ -78,9 +78,9 @@
         Ok(EntryUpdate::Removed(name)) => gone.push(name),
         Ok(EntryUpdate::Draining(name, fault)) => {
             gone.push(name);
-            answer.faults.push(fault);
+            answer.entry_errors.push(fault);
         }
-        Err(fault) => answer.faults.push(fault),
+        Err(fault) => answer.entry_errors.push(fault),
     };
     // Entry by entry, at several times the cost, only where one of them is not as it should be.
     let (version, full) = match serde_json::from_slice::<RawResponse<RawEndpoint>>(json) {
@@ -95,7 +95,7 @@
         }
     };
     (answer.version, answer.full) = (version, full);
-    answer.news = if full { SourceUpdate::Full(reports) } else { SourceUpdate::Delta(reports, gone) };
+    answer.update = if full { SourceUpdate::Full(reports) } else { SourceUpdate::Delta(reports, gone) };
     Ok(answer)
 }
 
@@ -145,12 +145,12 @@
         zone: line.zone.into(),
         kind: line.kind.into(),
         cell: line.cell,
-        speaks: EndpointProtocol::Http,
-        standing,
-        why: why.into(),
+        protocol: EndpointProtocol::Http,
+        state: standing,
+        reason: why.into(),
         started_ms: Some(line.started_ms),
         // Of two names at one address the one whose process started last is there.
-        registered: line.started_ms as u64,
+        registration_index: line.started_ms as u64,
         meta: Meta::default(),
     }
 }
@@ -166,9 +166,9 @@
             {"id":"s-2","addr":"127.0.0.1:11","state":"left"}]}"#;
         let told = |text: &str| {
             let answer = parse_response(text.as_bytes()).expect("a list");
-            let SourceUpdate::Delta(reports, gone) = answer.news else { panic!("{:?}", answer.news) };
-            let stands = reports.iter().map(|r| (r.name.to_string(), r.standing, r.started_ms));
-            (stands.collect::<Vec<_>>(), gone, answer.faults.len())
+            let SourceUpdate::Delta(reports, gone) = answer.update else { panic!("{:?}", answer.update) };
+            let stands = reports.iter().map(|r| (r.name.to_string(), r.state, r.started_ms));
+            (stands.collect::<Vec<_>>(), gone, answer.entry_errors.len())
         };
         let (leaves, left) = ((String::from("s-1"), EndpointState::Draining, Some(7.0)), Name::from("s-2"));
         assert_eq!(told(text), (vec![leaves.clone()], vec![left.clone()], 0));
--- a/crates/data-plane/discovery/src/platform/staleness.rs
+++ b/crates/data-plane/discovery/src/platform/staleness.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StalenessSettings {
     /// Whether lists are pushed to an agent on this machine.
-    pub pushed: bool,
+    pub lists_are_pushed: bool,
     /// Within this time after the news sends to an upstream that leaves must end.
     pub drain_grace: Duration,
 }
@@ -76,50 +76,50 @@
 impl StalenessSettings {
     /// By when what a silent watch missed must have been read, counted from the beginning of the call that fell silent,
     /// whatever moment after that it did so.
-    pub fn silent_read_by(&self, wait: Duration) -> Duration {
+    pub fn silent_read_deadline(&self, wait: Duration) -> Duration {
         SILENT_WATCH_DEADLINE.max(wait + AFTER_WAIT_DEADLINE) + self.drain_grace + SOCKET_SLACK
     }
 
     /// How a watch goes about it.
-    pub fn plan(&self) -> WatchTiming {
+    pub fn watch_timing(&self) -> WatchTiming {
         let asked = WatchTiming {
-            wait: WAIT,
-            answer: ANSWER,
-            late: None,
-            opening: OPENING,
-            open: OPEN,
-            whole: OPEN,
-            slow: SLOW,
-            pause: PAUSE,
-            pause_most: PAUSE_MOST,
-            turned_away_most: TURNED_AWAY_MOST,
-            pace: Duration::ZERO,
-            gap: MAX_WATCH_GAP,
-            spread: Some(RetrySpread {
-                least: SPREAD,
-                read_by: SILENT_WATCH_DEADLINE + self.drain_grace + SOCKET_SLACK,
-                moved_by: ADDRESS_CHANGE_DEADLINE + self.drain_grace + SOCKET_SLACK,
-                answer: SPREAD_ANSWER,
+            max_wait: WAIT,
+            response_timeout: ANSWER,
+            wait_extension_divisor: None,
+            open_wait: OPENING,
+            open_timeout: OPEN,
+            full_list_timeout: OPEN,
+            max_timeout: SLOW,
+            initial_backoff: PAUSE,
+            max_backoff: PAUSE_MOST,
+            max_rejected_backoff: TURNED_AWAY_MOST,
+            min_interval: Duration::ZERO,
+            max_gap: MAX_WATCH_GAP,
+            retry_spread: Some(RetrySpread {
+                min_delay: SPREAD,
+                read_deadline: SILENT_WATCH_DEADLINE + self.drain_grace + SOCKET_SLACK,
+                moved_read_deadline: ADDRESS_CHANGE_DEADLINE + self.drain_grace + SOCKET_SLACK,
+                response_reserve: SPREAD_ANSWER,
             }),
         };
-        if !self.pushed {
+        if !self.lists_are_pushed {
             return asked;
         }
         // Of the grace one half waits, a quarter is for the answer, and the last for the call after it.
         let grace = self.drain_grace + SOCKET_SLACK;
         let (wait, answer) = ((grace / 2).clamp(ms(100), ms(500)), (grace / 4).clamp(ms(50), ms(250)));
         WatchTiming {
-            wait,
-            answer,
-            opening: OPENING.min(wait),
-            open: OPENING.min(wait) + answer,
+            max_wait: wait,
+            response_timeout: answer,
+            open_wait: OPENING.min(wait),
+            open_timeout: OPENING.min(wait) + answer,
             // Asked for at the start and after a move alone, and as long as the list is.
-            whole: ms(1000),
-            slow: Duration::ZERO,
-            pause: AGENT_PAUSE,
-            pause_most: answer,
-            turned_away_most: answer,
-            spread: None,
+            full_list_timeout: ms(1000),
+            max_timeout: Duration::ZERO,
+            initial_backoff: AGENT_PAUSE,
+            max_backoff: answer,
+            max_rejected_backoff: answer,
+            retry_spread: None,
             ..asked
         }
     }
@@ -133,25 +133,38 @@
     #[test]
     fn every_constant_fits_into_what_counts_as_told() {
         for grace in [0, 50, 200, 1000, 5000] {
-            let asked = StalenessSettings { pushed: false, drain_grace: ms(grace) };
-            let plan = asked.plan();
-            let by = asked.silent_read_by(plan.wait);
+            let asked = StalenessSettings { lists_are_pushed: false, drain_grace: ms(grace) };
+            let plan = asked.watch_timing();
+            let by = asked.silent_read_deadline(plan.max_wait);
             assert!(
-                plan.wait + AFTER_WAIT_DEADLINE <= SILENT_WATCH_DEADLINE,
+                plan.max_wait + AFTER_WAIT_DEADLINE <= SILENT_WATCH_DEADLINE,
                 "the wait does not put off what counts"
             );
-            assert!(plan.wait + plan.answer + plan.pause + plan.open / 2 <= by, "{grace}: {plan:?}");
-            assert!(plan.open + plan.pause + plan.open / 2 - ms(500) <= by, "{grace}: {plan:?}");
-            assert!(plan.pause_most <= ADDRESS_CHANGE_DEADLINE / 4);
-            let pushed = StalenessSettings { pushed: true, ..asked };
-            let plan = pushed.plan();
-            assert!(plan.wait + plan.answer + plan.pause < SILENT_WATCH_DEADLINE + SOCKET_SLACK);
+            assert!(
+                plan.max_wait + plan.response_timeout + plan.initial_backoff + plan.open_timeout / 2 <= by,
+                "{grace}: {plan:?}"
+            );
+            assert!(
+                plan.open_timeout + plan.initial_backoff + plan.open_timeout / 2 - ms(500) <= by,
+                "{grace}: {plan:?}"
+            );
+            assert!(plan.max_backoff <= ADDRESS_CHANGE_DEADLINE / 4);
+            let pushed = StalenessSettings { lists_are_pushed: true, ..asked };
+            let plan = pushed.watch_timing();
+            assert!(
+                plan.max_wait + plan.response_timeout + plan.initial_backoff
+                    < SILENT_WATCH_DEADLINE + SOCKET_SLACK
+            );
             if grace >= 200 {
                 assert!(
-                    plan.wait + plan.answer + plan.pause < asked.drain_grace + SOCKET_SLACK,
+                    plan.max_wait + plan.response_timeout + plan.initial_backoff
+                        < asked.drain_grace + SOCKET_SLACK,
+                    "{grace}: {plan:?}"
+                );
+                assert!(
+                    plan.open_timeout + plan.max_backoff < asked.drain_grace + SOCKET_SLACK,
                     "{grace}: {plan:?}"
                 );
-                assert!(plan.open + plan.pause_most < asked.drain_grace + SOCKET_SLACK, "{grace}: {plan:?}");
             }
         }
     }
--- a/crates/data-plane/discovery/src/platform/watch.rs
+++ b/crates/data-plane/discovery/src/platform/watch.rs
@@ -22,7 +22,7 @@
     /// What it is for.
     pub kind: CallKind,
     /// How long it may take until its answer is whole.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What to do now.
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseOutcome {
     /// For the view; `Changes` without any: nothing has changed.
-    pub news: SourceUpdate,
+    pub update: SourceUpdate,
     /// The version that the view now has.
     pub version: Option<u64>,
     /// This is the first answer of all, with news or without.
-    pub answers: bool,
+    pub is_first_response: bool,
     /// Entries that can't be used, and why.
-    pub faults: Vec<String>,
+    pub entry_errors: Vec<String>,
 }
 
 /// See the module's page. Times are spans since any fixed moment, and never go back.
@@ -58,49 +58,49 @@
 impl Watch {
     /// A watch. `version` is that of the list that is held, if any.
     pub fn new(terms: &StalenessSettings, version: Option<u64>) -> Watch {
-        Watch::by(terms.plan(), version)
+        Watch::with_timing(terms.watch_timing(), version)
     }
 
     /// A watch by a plan of one's own.
-    pub fn by(plan: WatchTiming, version: Option<u64>) -> Watch {
+    pub fn with_timing(plan: WatchTiming, version: Option<u64>) -> Watch {
         Watch { watch: watch::Watch::new(plan), version, answers: true }
     }
 
     /// Discovery is elsewhere from now on, where the versions of the old place mean nothing.
-    pub fn moved(&mut self, now: Duration) {
+    pub fn address_changed(&mut self, now: Duration) {
         self.watch.moved(now);
         self.version = None;
     }
 
     /// What to do now. `draw`, from 0 to 1, spreads the waits of many instances.
-    pub fn next(&mut self, now: Duration, draw: f64) -> NextStep {
+    pub fn next_step(&mut self, now: Duration, draw: f64) -> NextStep {
         match self.watch.step(now, draw, self.version.is_some()) {
             Step::Wait(until) => NextStep::Wait(until),
-            Step::Call { kind, wait, patience } => {
+            Step::Call { kind, wait, timeout: patience } => {
                 self.watch.called(now, kind, patience);
                 let path = match self.version {
                     Some(v) => format!("/api/targets?since={v}&timeout_ms={}", wait.as_millis()),
                     None => "/api/targets".to_string(),
                 };
-                NextStep::Call(Request { path, kind, patience })
+                NextStep::Call(Request { path, kind, timeout: patience })
             }
         }
     }
 
     /// An answer has come whole.
-    pub fn answered(&mut self, now: Duration, status: u16, body: &[u8], draw: f64) -> ResponseOutcome {
+    pub fn on_response(&mut self, now: Duration, status: u16, body: &[u8], draw: f64) -> ResponseOutcome {
         if status != 200 {
-            return self.failed(now, &format!("answered {status}"), draw);
+            return self.on_failure(now, &format!("answered {status}"), draw);
         }
         let answer = match parse_response(body) {
             Ok(answer) => answer,
-            Err(why) => return self.failed(now, &why, draw),
+            Err(why) => return self.on_failure(now, &why, draw),
         };
-        let EndpointListResponse { version, full, news, faults } = answer;
+        let EndpointListResponse { version, full, update: news, entry_errors: faults } = answer;
         if !full && self.version.is_none_or(|v| version < v) {
             // Guards against asking for ever for what follows a version that discovery no longer knows.
             let known = self.version.take().unwrap_or(0);
-            return self.failed(now, &format!("version {version} does not follow {known}"), draw);
+            return self.on_failure(now, &format!("version {version} does not follow {known}"), draw);
         }
         if !faults.is_empty() {
             // What can be read binds; that the rest is not there says nothing.
@@ -108,19 +108,29 @@
                 SourceUpdate::Full(reports) => SourceUpdate::Delta(reports, Vec::new()),
                 news => news,
             };
-            let failed = self.failed(now, "", draw);
-            return ResponseOutcome { news, faults, ..failed };
+            let failed = self.on_failure(now, "", draw);
+            return ResponseOutcome { update: news, entry_errors: faults, ..failed };
         }
         self.version = Some(version);
         self.watch.answered(now);
         let answers = std::mem::take(&mut self.answers);
-        ResponseOutcome { news, version: self.version, answers, faults }
+        ResponseOutcome {
+            update: news,
+            version: self.version,
+            is_first_response: answers,
+            entry_errors: faults,
+        }
     }
 
     /// No whole answer has come.
-    pub fn failed(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
+    pub fn on_failure(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
         self.watch.broke(now, draw);
         let news = SourceUpdate::Unavailable(why.into());
-        ResponseOutcome { news, version: self.version, answers: false, faults: Vec::new() }
+        ResponseOutcome {
+            update: news,
+            version: self.version,
+            is_first_response: false,
+            entry_errors: Vec::new(),
+        }
     }
 }
--- a/crates/data-plane/discovery/src/watch.rs
+++ b/crates/data-plane/discovery/src/watch.rs
@@ -13,34 +13,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchTiming {
     /// The longest wait for news that a call of a standing watch asks for; each asks for half of it to all of it.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Beyond its wait such a call gets this long until its answer is whole.
-    pub answer: Duration,
+    pub response_timeout: Duration,
     /// What the other side may add to a wait, as a part of it: one in so many; `None`: nothing.
-    pub late: Option<u32>,
+    pub wait_extension_divisor: Option<u32>,
     /// The wait of the call that opens a watch. Short: how long the queue at the registry is does not show otherwise.
-    pub opening: Duration,
+    pub open_wait: Duration,
     /// How long that call gets, the queue included.
-    pub open: Duration,
+    pub open_timeout: Duration,
     /// How long a call for the whole list gets, the queue included.
-    pub whole: Duration,
+    pub full_list_timeout: Duration,
     /// Both double with each such call that is not answered in time, up to this: giving up calls that were about to be
     /// answered, again and again, would keep a slow registry busy with what nobody waits for.
-    pub slow: Duration,
+    pub max_timeout: Duration,
     /// The longest first pause after a call that brought nothing, and before a watch that broke is opened again; it doubles
     /// with each further one.
-    pub pause: Duration,
+    pub initial_backoff: Duration,
     /// The longest of these.
-    pub pause_most: Duration,
+    pub max_backoff: Duration,
     /// The longest after calls that were turned away while no watch stood, and nothing had moved.
-    pub turned_away_most: Duration,
+    pub max_rejected_backoff: Duration,
     /// The least time between an answer that told something and the next call.
-    pub pace: Duration,
+    pub min_interval: Duration,
     /// A watch stands for so long after an answer; a later call opens another.
-    pub gap: Duration,
+    pub max_gap: Duration,
     /// Where one registry works through the calls of all instances in turn: how far apart calls are that fail while no
     /// watch stands. `None`: by the pauses above.
-    pub spread: Option<RetrySpread>,
+    pub retry_spread: Option<RetrySpread>,
 }
 
 /// When the next call is made after one that waited and failed while no watch stood, counted from that one's beginning: drawn
@@ -49,14 +49,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySpread {
     /// At the earliest, where there is time.
-    pub least: Duration,
+    pub min_delay: Duration,
     /// What a watch missed must have been read so long after it broke, or after its last call if that fell silent.
-    pub read_by: Duration,
+    pub read_deadline: Duration,
     /// And so long after the list has moved.
-    pub moved_by: Duration,
+    pub moved_read_deadline: Duration,
     /// The part of that which is left for the last answer, and the least in which calls are spread. A call that failed sooner
     /// has not waited.
-    pub answer: Duration,
+    pub response_reserve: Duration,
 }
 
 /// What a call is for.
@@ -82,7 +82,7 @@
         /// How long the call may wait for news.
         wait: Duration,
         /// How long it may take until its answer is whole.
-        patience: Duration,
+        timeout: Duration,
     },
 }
 
@@ -101,7 +101,7 @@
     moved: bool,
     /// What was missed must have been read by then.
     read_by: Duration,
-    due: Duration,
+    next_call_at: Duration,
     /// The last call: its kind, when it was made, and when it is given up.
     called: Option<(CallKind, Duration, Duration)>,
     /// Calls in a row, not of a standing watch, that were not answered in time.
@@ -114,15 +114,15 @@
 impl Watch {
     /// A watch that begins at once.
     pub fn new(plan: WatchTiming) -> Watch {
-        let again = Backoff::new(plan.pause, plan.pause_most.max(plan.turned_away_most));
+        let again = Backoff::new(plan.initial_backoff, plan.max_backoff.max(plan.max_rejected_backoff));
         let (due, answered) = (Duration::ZERO, Duration::ZERO);
-        let read_by = plan.spread.map_or(Duration::ZERO, |spread| spread.read_by);
+        let read_by = plan.retry_spread.map_or(Duration::ZERO, |spread| spread.read_deadline);
         Watch {
             plan,
             phase: Phase::Opening,
             moved: false,
             read_by,
-            due,
+            next_call_at: due,
             called: None,
             unanswered: 0,
             answered,
@@ -132,8 +132,9 @@
 
     /// The list is elsewhere from now on: whatever stood stands no more, and it is asked for at once.
     pub fn moved(&mut self, now: Duration) {
-        (self.phase, self.due, self.moved) = (Phase::Opening, now, true);
-        self.read_by = now + self.plan.spread.map_or(Duration::ZERO, |spread| spread.moved_by);
+        (self.phase, self.next_call_at, self.moved) = (Phase::Opening, now, true);
+        self.read_by =
+            now + self.plan.retry_spread.map_or(Duration::ZERO, |spread| spread.moved_read_deadline);
         self.again.worked();
     }
 
@@ -146,23 +147,27 @@
     /// can be asked for by.
     pub fn step(&self, now: Duration, draw: f64, knows: bool) -> Step {
         let plan = &self.plan;
-        if now < self.due {
-            return Step::Wait(self.due);
+        if now < self.next_call_at {
+            return Step::Wait(self.next_call_at);
         }
-        let patient = |least: Duration| backoff::doubled(least, plan.slow.max(least), self.unanswered);
+        let patient = |least: Duration| backoff::doubled(least, plan.max_timeout.max(least), self.unanswered);
         if !knows {
             return Step::Call {
                 kind: CallKind::FullList,
                 wait: Duration::ZERO,
-                patience: patient(plan.whole),
+                timeout: patient(plan.full_list_timeout),
             };
         }
-        if self.phase == Phase::Established && now.saturating_sub(self.answered) <= plan.gap {
-            let wait = backoff::jittered(plan.wait, draw);
-            let late = plan.late.map_or(Duration::ZERO, |part| wait / part.max(1));
-            return Step::Call { kind: CallKind::LongPoll, wait, patience: wait + late + plan.answer };
+        if self.phase == Phase::Established && now.saturating_sub(self.answered) <= plan.max_gap {
+            let wait = backoff::jittered(plan.max_wait, draw);
+            let late = plan.wait_extension_divisor.map_or(Duration::ZERO, |part| wait / part.max(1));
+            return Step::Call {
+                kind: CallKind::LongPoll,
+                wait,
+                timeout: wait + late + plan.response_timeout,
+            };
         }
-        Step::Call { kind: CallKind::OpenWatch, wait: plan.opening, patience: patient(plan.open) }
+        Step::Call { kind: CallKind::OpenWatch, wait: plan.open_wait, timeout: patient(plan.open_timeout) }
     }
 
     /// The call that [`Watch::step`] asked for has been made.
@@ -178,7 +183,8 @@
         }
         self.unanswered = 0;
         self.moved = false;
-        (self.phase, self.answered, self.due) = (Phase::Established, now, now + self.plan.pace);
+        (self.phase, self.answered, self.next_call_at) =
+            (Phase::Established, now, now + self.plan.min_interval);
     }
 
     /// It brought nothing: no answer in time, a broken connection, or an answer that can't be used.
@@ -187,35 +193,35 @@
         if self.called.is_some_and(|(kind, _, until)| kind != CallKind::LongPoll && now >= until) {
             self.unanswered = self.unanswered.saturating_add(1);
         }
-        let after = match (self.plan.spread, self.called) {
+        let after = match (self.plan.retry_spread, self.called) {
             (Some(spread), Some((_, begun, until))) if stood => {
-                self.read_by = if now >= until { begun } else { now } + spread.read_by;
+                self.read_by = if now >= until { begun } else { now } + spread.read_deadline;
                 Duration::ZERO
             }
             // Turned away at once: that cost the registry nothing, and its queue moves on.
-            (Some(spread), Some((_, begun, _))) if now < begun + spread.answer => Duration::ZERO,
+            (Some(spread), Some((_, begun, _))) if now < begun + spread.response_reserve => Duration::ZERO,
             (Some(spread), Some((_, begun, _))) => {
-                let left = self.read_by.saturating_sub(begun + spread.answer);
+                let left = self.read_by.saturating_sub(begun + spread.response_reserve);
                 // Too late for what was missed: what changes from now on has as long again.
-                let again = spread.read_by.saturating_sub(spread.answer);
-                let most = if left < spread.answer { again } else { left.min(again) };
-                let least = spread.least.min(most);
+                let again = spread.read_deadline.saturating_sub(spread.response_reserve);
+                let most = if left < spread.response_reserve { again } else { left.min(again) };
+                let least = spread.min_delay.min(most);
                 begun + least + (most - least).mul_f64(backoff::fraction(draw))
             }
             _ => Duration::ZERO,
         };
-        let most = if stood || self.moved { self.plan.pause_most } else { self.plan.turned_away_most };
+        let most = if stood || self.moved { self.plan.max_backoff } else { self.plan.max_rejected_backoff };
         let pause = self.again.failed(draw).min(backoff::jittered(most, draw));
-        (self.phase, self.due) = (Phase::Opening, after.max(now + pause));
+        (self.phase, self.next_call_at) = (Phase::Opening, after.max(now + pause));
     }
 
     /// When the next call is made at the earliest.
-    pub fn due(&self) -> Duration {
-        self.due
+    pub fn next_call_at(&self) -> Duration {
+        self.next_call_at
     }
 
     /// The next call is not made before this.
     pub fn postpone(&mut self, until: Duration) {
-        self.due = self.due.max(until);
+        self.next_call_at = self.next_call_at.max(until);
     }
 }
--- a/crates/data-plane/discovery/tests/encoding.rs
+++ b/crates/data-plane/discovery/tests/encoding.rs
@@ -15,24 +15,23 @@
         zone: "a".into(),
         kind: "large".into(),
         cell: 2,
-        speaks: EndpointProtocol::Http,
-        standing: EndpointState::Ready,
-        why: "".into(),
+        protocol: EndpointProtocol::Http,
+        state: EndpointState::Ready,
+        reason: "".into(),
         started_ms: Some(1000.0),
-        registered: 5,
+        registration_index: 5,
         meta: Arc::new(BTreeMap::from([("k".to_string(), "v".to_string())])),
     };
     let draining = EndpointReport {
         name: "u2".into(),
-        speaks: EndpointProtocol::FastCgi,
-        standing: EndpointState::Draining,
-        why: "told".into(),
+        protocol: EndpointProtocol::FastCgi,
+        state: EndpointState::Draining,
+        reason: "told".into(),
         started_ms: None,
         meta: Arc::default(),
         ..report.clone()
     };
-    let critical =
-        EndpointReport { name: "u3".into(), standing: EndpointState::Unhealthy, ..draining.clone() };
+    let critical = EndpointReport { name: "u3".into(), state: EndpointState::Unhealthy, ..draining.clone() };
     let consul = source(1, "consul dc1");
     EndpointCache {
         reports: vec![
@@ -40,7 +39,7 @@
             (consul.clone(), draining, Some(2000.0)),
             (consul.clone(), critical, None),
         ],
-        told: vec![(source(0, "discovery"), 3000.0), (consul.clone(), 4000.0)],
+        updated: vec![(source(0, "discovery"), 3000.0), (consul.clone(), 4000.0)],
         indices: vec![(consul, 77)],
     }
 }
@@ -48,6 +47,6 @@
 #[test]
 fn a_saved_list_keeps_its_encoding() {
     assert_eq!(FORMAT_VERSION, 1);
-    assert_eq!(String::from_utf8(saved().write()).expect("text"), FIXTURE.trim_end());
-    assert_eq!(EndpointCache::read(FIXTURE.as_bytes()).expect("reads"), saved());
+    assert_eq!(String::from_utf8(saved().encode()).expect("text"), FIXTURE.trim_end());
+    assert_eq!(EndpointCache::decode(FIXTURE.as_bytes()).expect("reads"), saved());
 }
--- a/crates/data-plane/discovery/tests/watch.rs
+++ b/crates/data-plane/discovery/tests/watch.rs
@@ -117,7 +117,7 @@
         }
         let draw = if self.spread { self.draw() } else { 1.0 };
         let (now, day) = (self.now, self.day.clone());
-        let ask = match self.instances[k].watch.next(now, draw) {
+        let ask = match self.instances[k].watch.next_step(now, draw) {
             NextStep::Wait(until) => return self.at(until, Event::Step(k)),
             NextStep::Call(ask) => ask,
         };
@@ -134,7 +134,7 @@
         for change in std::mem::take(&mut self.instances[k].between).into_iter().filter(|_| !goes_on) {
             self.told[change][k] += ms(day.ask_within);
         }
-        self.at(now + ask.patience, Event::Patience(id));
+        self.at(now + ask.timeout, Event::Patience(id));
         if self.down {
             if !day.pushed {
                 self.at(now + ms(1), Event::Answer(id, None));
@@ -178,10 +178,10 @@
                 let body = format!(r#"{{"version":{version},"full":{full},"servers":[]}}"#);
                 let read = &mut self.instances[k].read;
                 read.resize(read.len().max(version as usize + 1), now);
-                self.instances[k].watch.answered(now, 200, body.as_bytes(), draw);
+                self.instances[k].watch.on_response(now, 200, body.as_bytes(), draw);
             }
             None => {
-                self.instances[k].watch.failed(now, "", draw);
+                self.instances[k].watch.on_failure(now, "", draw);
             }
         }
         self.at(now, Event::Step(k));
@@ -290,7 +290,7 @@
 /// `gated`: nothing more begins once the news is read.
 fn held(day: &Day, plan: &WatchTiming, spread: bool, gated: bool) -> Vec<(usize, usize, Duration, Duration)> {
     let instance = |_| Instance {
-        watch: Watch::by(plan.clone(), Some(0)),
+        watch: Watch::with_timing(plan.clone(), Some(0)),
         call: None,
         written: None,
         between: Vec::new(),
@@ -391,7 +391,8 @@
         ..Default::default()
     };
     let result = TestRunner::new(config).run(&days(pushed, SOON), |day| {
-        let mut plan = StalenessSettings { pushed, drain_grace: ms(day.grace) }.plan();
+        let mut plan =
+            StalenessSettings { lists_are_pushed: pushed, drain_grace: ms(day.grace) }.watch_timing();
         alter(&mut plan);
         play(&day, &plan, spread, gated).map_err(TestCaseError::fail)
     });
@@ -412,7 +413,8 @@
     let mut late = 0;
     for _ in 0..300 {
         let day = days(false, all..all + 1).new_tree(&mut runner).expect("a day").current();
-        let mut plan = StalenessSettings { pushed: false, drain_grace: ms(day.grace) }.plan();
+        let mut plan =
+            StalenessSettings { lists_are_pushed: false, drain_grace: ms(day.grace) }.watch_timing();
         alter(&mut plan);
         late += usize::from(play(&day, &plan, spread, true).is_err());
     }
@@ -444,12 +446,12 @@
         troubles: vec![(20_000, Trouble::Down(8000)), (50_000, Trouble::Change)],
         draws: 42,
     };
-    let plan = StalenessSettings { pushed: false, drain_grace: ms(day.grace) }.plan();
+    let plan = StalenessSettings { lists_are_pushed: false, drain_grace: ms(day.grace) }.watch_timing();
     // Of the change that is made 22 s after its return.
     let late = |plan: &WatchTiming| held(&day, plan, true, true).iter().filter(|late| late.0 == 1).count();
     assert_eq!(late(&plan), 0, "all have a watch again");
     let mut hasty = plan;
-    (hasty.spread, hasty.turned_away_most) = (None, ms(1000));
+    (hasty.retry_spread, hasty.max_rejected_backoff) = (None, ms(1000));
     assert!(late(&hasty) > 100, "{} with pauses of a second at most", late(&hasty));
 }
 
@@ -457,7 +459,7 @@
 #[test]
 fn plans_that_are_wrong_are_found() {
     for pushed in [false, true] {
-        let long = |plan: &mut WatchTiming| (plan.wait, plan.answer) = (ms(20_000), ms(2000));
+        let long = |plan: &mut WatchTiming| (plan.max_wait, plan.response_timeout) = (ms(20_000), ms(2000));
         if pushed {
             assert!(search(pushed, long, true, true).is_err(), "waits as long as before");
         } else {
@@ -465,7 +467,8 @@
             assert!(late > 45, "waits as long as before: {late} of 300, where 30 are borne");
         }
         let slow = |plan: &mut WatchTiming| {
-            (plan.pause, plan.pause_most, plan.turned_away_most) = (ms(8000), ms(8000), ms(8000))
+            (plan.initial_backoff, plan.max_backoff, plan.max_rejected_backoff) =
+                (ms(8000), ms(8000), ms(8000))
         };
         assert!(search(pushed, slow, true, true).is_err(), "rests after a silence");
         assert!(search(pushed, |_| {}, true, false).is_err(), "sends on for a grace after the news");
@@ -480,15 +483,15 @@
 fn after_any_failure_the_next_call_comes_in_time() {
     let (wait, most) = (ms(2000), SILENT_WATCH_DEADLINE + ms(1000) + SOCKET_SLACK - ms(500));
     for (lasts, draw) in [(ms(20), 0.0), (ms(20), 1.0), (wait, 0.0), (wait, 0.5), (wait, 1.0)] {
-        let terms = StalenessSettings { pushed: false, drain_grace: ms(1000) };
+        let terms = StalenessSettings { lists_are_pushed: false, drain_grace: ms(1000) };
         let mut watch = Watch::new(&terms, Some(0));
         let (mut now, mut begun) = (Duration::ZERO, None);
         for row in 0..100 {
-            match watch.next(now, draw) {
+            match watch.next_step(now, draw) {
                 NextStep::Call(_) => {}
                 NextStep::Wait(until) => {
                     now = until;
-                    assert!(matches!(watch.next(now, draw), NextStep::Call(_)), "row {row}");
+                    assert!(matches!(watch.next_step(now, draw), NextStep::Call(_)), "row {row}");
                 }
             }
             if let Some(begun) = begun {
@@ -499,7 +502,7 @@
             }
             begun = Some(now);
             now += lasts;
-            watch.failed(now, "503", draw);
+            watch.on_failure(now, "503", draw);
         }
     }
 }
--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -63,7 +63,7 @@
 
 impl disruption_agent::reporter::BalancerView for LocalBalancer {
     fn drained(&self, upstreams: &BTreeMap<String, String>) {
-        self.members.hold(upstreams);
+        self.members.set_held_out(upstreams);
     }
 
     fn in_flight(&self, upstream: &str) -> usize {
@@ -74,21 +74,20 @@
         let pools = self.pools.in_use();
         let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.handle.ejected()).collect();
         let (mut list, mut out, now) = (EndpointList::default(), BTreeMap::new(), unix_ms());
-        self.members.each(|m| {
+        self.members.for_each(|m| {
             let id = aggregator::upstream_id(&m.name);
             let named = |name: &str| if name.is_empty() { WHOLE.to_string() } else { name.to_string() };
             let within = pools.iter().filter(|pool| pool.has(id)).map(|pool| named(&pool.name));
             let place = EndpointLabels { pools: within.collect(), zone: m.zone.to_string() };
             list.upstreams.insert(m.name.to_string(), place);
-            let stand = match m.standing {
+            let stand = match m.state {
                 // A drain by agreement is the leave that is given for it, and not seen here once more.
-                EndpointState::Draining if self.members.holds(&m.name) => None,
+                EndpointState::Draining if self.members.is_held_out(&m.name) => None,
                 EndpointState::Draining => Some(EndpointCondition::Draining),
                 EndpointState::Unhealthy => Some(EndpointCondition::Unhealthy),
                 EndpointState::Ready if ejected.contains(&id) => Some(EndpointCondition::Ejected),
-                EndpointState::Ready => {
-                    (m.since > 0.0 && now - m.since < self.ramp).then_some(EndpointCondition::WarmingUp)
-                }
+                EndpointState::Ready => (m.started_ms > 0.0 && now - m.started_ms < self.ramp)
+                    .then_some(EndpointCondition::WarmingUp),
             };
             out.extend(stand.map(|stand| (m.name.to_string(), stand)));
         });
--- a/crates/herondock/src/driver.rs
+++ b/crates/herondock/src/driver.rs
@@ -147,7 +147,7 @@
 pub struct Handle(Rc<Shared>);
 
 impl EndpointSubscriber for Handle {
-    fn listed(&self, listing: &EndpointUpdate) {
+    fn endpoints_changed(&self, listing: &EndpointUpdate) {
         self.0.driver.borrow_mut().note_list(listing);
         self.feed(Event::Membership(Membership::Delta(listing.members().collect())));
     }
@@ -582,7 +582,7 @@
         // When the news was written, or counted as told, is not known: part of the grace may be over. What is on its way
         // and has not begun goes elsewhere.
         let now = Instant::now();
-        for entry in &listing.entries {
+        for entry in &listing.endpoints {
             let m = &entry.member;
             debug!("list: {} is {:?}", entry.addr, m.availability);
             let known = self.upstreams.entry(m.id).or_insert_with(|| Known {
@@ -595,7 +595,7 @@
             if known.entry.addr != entry.addr || known.entry.member.since != m.since {
                 known.upstream.replaced(entry.addr);
             }
-            if known.entry.speaks != entry.speaks {
+            if known.entry.protocol != entry.protocol {
                 known.upstream = (self.transports)(entry);
             }
             known.entry = entry.clone();
--- a/crates/herondock/src/endpoint_sources/aggregator.rs
+++ b/crates/herondock/src/endpoint_sources/aggregator.rs
@@ -29,7 +29,7 @@
 
 impl NameIndex {
     /// The names that the settings list.
-    pub fn of(d: &Deployment) -> NameIndex {
+    pub fn new(d: &Deployment) -> NameIndex {
         NameIndex { zones: d.zones.clone(), kinds: d.kinds.clone() }
     }
 
@@ -38,7 +38,7 @@
     fn entry(&self, m: &Endpoint, gone: bool) -> ListedEndpoint {
         let zone = self.zones.iter().position(|z| **z == *m.zone);
         let kind = self.kinds.iter().position(|k| **k == *m.kind);
-        let availability = match (gone, m.takes) {
+        let availability = match (gone, m.accepts_requests) {
             (true, _) => Availability::Gone,
             (false, true) => Availability::Ready,
             (false, false) => Availability::Draining,
@@ -51,15 +51,15 @@
             kind: kind.and_then(|k| u8::try_from(k).ok()).unwrap_or(u8::MAX),
             group: m.cell,
             availability,
-            since: m.since,
+            since: m.started_ms,
         };
-        let speaks = match m.speaks {
+        let speaks = match m.protocol {
             EndpointProtocol::Http => Protocol::Http,
             EndpointProtocol::FastCgi => Protocol::FastCgi,
         };
         let (zone, kind) = (m.zone.clone(), m.kind.clone());
         let told = EndpointAttributes { zone, kind, sources: m.sources.clone(), meta: m.meta.clone() };
-        ListedEndpoint { member, addr: m.addr, speaks, told: Arc::new(told) }
+        ListedEndpoint { member, addr: m.addr, protocol: speaks, attributes: Arc::new(told) }
     }
 }
 
@@ -92,15 +92,19 @@
 
     /// Adds a source. One that `answers` the module's subscriptions tells it also of what fails, and of answers that
     /// change nothing.
-    pub fn source(&self, rank: u16, label: &str, answers: bool) -> SourceHandle<A> {
+    pub fn add_source(&self, rank: u16, label: &str, answers: bool) -> SourceHandle<A> {
         let source = Source { rank, label: label.into() };
-        self.0.view.borrow_mut().add(&source);
-        SourceHandle { gather: self.clone(), source, answers }
+        self.0.view.borrow_mut().add_source(&source);
+        SourceHandle { gather: self.clone(), source, notify_first_response: answers }
     }
 
     /// A place in the order of sources that is no source itself.
-    pub fn quiet(&self, rank: u16, label: &str) -> SourceHandle<A> {
-        SourceHandle { gather: self.clone(), source: Source { rank, label: label.into() }, answers: false }
+    pub fn add_placeholder(&self, rank: u16, label: &str) -> SourceHandle<A> {
+        SourceHandle {
+            gather: self.clone(),
+            source: Source { rank, label: label.into() },
+            notify_first_response: false,
+        }
     }
 
     fn listing(&self, changes: &[EndpointChange]) -> EndpointUpdate {
@@ -108,21 +112,21 @@
             EndpointChange::Updated(m) => self.0.names.entry(m, false),
             EndpointChange::Removed(m) => self.0.names.entry(m, true),
         };
-        EndpointUpdate { entries: changes.iter().map(entry).collect() }
+        EndpointUpdate { endpoints: changes.iter().map(entry).collect() }
     }
 
     /// Begins with what was kept, before any source has told anything. Returns the members for the module.
-    pub fn recall(&self, saved: EndpointCache) -> EndpointUpdate {
-        let EndpointCache { reports, told, indices } = saved;
+    pub fn restore(&self, saved: EndpointCache) -> EndpointUpdate {
+        let EndpointCache { reports, updated: told, indices } = saved;
         self.0.indices.borrow_mut().extend(indices);
-        let changes = self.0.view.borrow_mut().recall(reports, told);
+        let changes = self.0.view.borrow_mut().restore(reports, told);
         self.listing(&changes)
     }
 
     /// What is to be kept.
-    pub fn saved(&self) -> EndpointCache {
+    pub fn cache(&self) -> EndpointCache {
         let indices = self.0.indices.borrow().iter().map(|(s, &i)| (s.clone(), i)).collect();
-        EndpointCache::of(&self.0.view.borrow(), indices)
+        EndpointCache::capture(&self.0.view.borrow(), indices)
     }
 
     /// Waits until something was told that counts.
@@ -131,41 +135,41 @@
     }
 
     /// These members are held out by agreement from now on, and no others; see [`EndpointSet::hold`].
-    pub fn hold(&self, names: &BTreeMap<String, String>) {
-        let changes = self.0.view.borrow_mut().hold(unix_ms(), names);
+    pub fn set_held_out(&self, names: &BTreeMap<String, String>) {
+        let changes = self.0.view.borrow_mut().set_held_out(unix_ms(), names);
         if !changes.is_empty() {
-            self.0.audience.listed(&self.listing(&changes));
+            self.0.audience.endpoints_changed(&self.listing(&changes));
         }
     }
 
     /// Whether a member is held out by agreement.
-    pub fn holds(&self, name: &str) -> bool {
-        self.0.view.borrow().is_held(name)
+    pub fn is_held_out(&self, name: &str) -> bool {
+        self.0.view.borrow().is_held_out(name)
     }
 
     /// Calls `each` with every member as all sources together have it.
-    pub fn each(&self, mut each: impl FnMut(&Endpoint)) {
-        self.0.view.borrow().members().for_each(&mut each);
+    pub fn for_each(&self, mut each: impl FnMut(&Endpoint)) {
+        self.0.view.borrow().endpoints().for_each(&mut each);
     }
 
     /// The view for an operator: sources with their ages, members with their reasons.
-    pub fn table(&self) -> Value {
+    pub fn status(&self) -> Value {
         let (view, now) = (self.0.view.borrow(), unix_ms());
         let age = |at: f64| ((now - at).max(0.0)) as u64;
         let sources: Vec<Value> = view
             .sources()
             .map(|(s, t)| {
-                json!({"source": &*s.label, "members": t.members, "age_ms": t.at.map(age), "trouble": t.trouble,
+                json!({"source": &*s.label, "members": t.endpoint_count, "age_ms": t.updated_ms.map(age), "trouble": t.error,
                     "index": self.0.indices.borrow().get(s)})
             })
             .collect();
         let members: Vec<Value> = view
-            .members()
+            .endpoints()
             .map(|m| {
-                let since = (m.since > 0.0).then(|| age(m.since));
+                let since = (m.started_ms > 0.0).then(|| age(m.started_ms));
                 json!({"member": &*m.name, "id": format!("{:016x}", hashing::stable(m.name.as_bytes())),
-                    "addr": m.addr.to_string(), "zone": &*m.zone, "kind": &*m.kind, "cell": m.cell, "speaks": m.speaks,
-                    "standing": m.standing, "takes": m.takes, "why": &*m.why, "up_ms": since, "stated": m.stated})
+                    "addr": m.addr.to_string(), "zone": &*m.zone, "kind": &*m.kind, "cell": m.cell, "speaks": m.protocol,
+                    "standing": m.state, "takes": m.accepts_requests, "why": &*m.reason, "up_ms": since, "stated": m.start_reported})
             })
             .collect();
         json!({"sources": sources, "members": members})
@@ -176,13 +180,13 @@
 pub struct SourceHandle<A> {
     gather: EndpointAggregator<A>,
     source: Source,
-    answers: bool,
+    notify_first_response: bool,
 }
 
 impl<A: EndpointSubscriber> SourceHandle<A> {
     /// Another source of the same view, of the same rank.
-    pub fn beside(&self, label: &str) -> SourceHandle<A> {
-        self.gather.source(self.source.rank, label, false)
+    pub fn add_sibling(&self, label: &str) -> SourceHandle<A> {
+        self.gather.add_source(self.source.rank, label, false)
     }
 
     /// A draw from 0 to 1.
@@ -191,25 +195,25 @@
     }
 
     /// The newest index or version that it was told, also by an earlier process.
-    pub fn index(&self) -> Option<u64> {
+    pub fn last_index(&self) -> Option<u64> {
         self.gather.0.indices.borrow().get(&self.source).copied()
     }
 
     /// It tells this, of members that speak this.
-    pub fn told_of(&self, speaks: EndpointProtocol, news: SourceUpdate, index: Option<u64>) {
+    pub fn publish_with_protocol(&self, speaks: EndpointProtocol, news: SourceUpdate, index: Option<u64>) {
         let with = |reports: Vec<EndpointReport>| {
-            reports.into_iter().map(|r| EndpointReport { speaks, ..r }).collect()
+            reports.into_iter().map(|r| EndpointReport { protocol: speaks, ..r }).collect()
         };
         let news = match news {
             SourceUpdate::Full(reports) => SourceUpdate::Full(with(reports)),
             SourceUpdate::Delta(reports, gone) => SourceUpdate::Delta(with(reports), gone),
             SourceUpdate::Unavailable(why) => SourceUpdate::Unavailable(why),
         };
-        self.told(news, index);
+        self.publish(news, index);
     }
 
     /// It tells this.
-    pub fn told(&self, news: SourceUpdate, index: Option<u64>) {
+    pub fn publish(&self, news: SourceUpdate, index: Option<u64>) {
         let inner = &self.gather.0;
         let counts = !matches!(news, SourceUpdate::Unavailable(_));
         if counts {
@@ -219,9 +223,9 @@
                 None => drop(indices.remove(&self.source)),
             }
         }
-        let changes = inner.view.borrow_mut().take(unix_ms(), &self.source, news);
+        let changes = inner.view.borrow_mut().apply_update(unix_ms(), &self.source, news);
         if !changes.is_empty() {
-            inner.audience.listed(&self.gather.listing(&changes));
+            inner.audience.endpoints_changed(&self.gather.listing(&changes));
         }
         if counts {
             inner.changed.notify_one();
@@ -229,19 +233,19 @@
     }
 
     /// It has answered for the first time, perhaps with nothing new.
-    pub fn answers(&self) {
-        if self.answers {
-            self.gather.0.audience.listed(&EndpointUpdate::default());
+    pub fn notify_first_response(&self) {
+        if self.notify_first_response {
+            self.gather.0.audience.endpoints_changed(&EndpointUpdate::default());
         }
     }
 
     /// Nothing that counts has come, for this reason; the list stands.
-    pub fn stands(&self, why: String) {
-        self.gather.0.view.borrow_mut().take(unix_ms(), &self.source, SourceUpdate::Unavailable(why));
+    pub fn report_unavailable(&self, why: String) {
+        self.gather.0.view.borrow_mut().apply_update(unix_ms(), &self.source, SourceUpdate::Unavailable(why));
     }
 
     /// Says so in the log.
-    pub fn says(&self, what: &str) {
+    pub fn log(&self, what: &str) {
         info!("{}: {what}", self.source.label);
     }
 }
--- a/crates/herondock/src/endpoint_sources/cache.rs
+++ b/crates/herondock/src/endpoint_sources/cache.rs
@@ -30,14 +30,14 @@
             return None;
         }
     };
-    let mut saved = match EndpointCache::read(&kept.content) {
+    let mut saved = match EndpointCache::decode(&kept.content) {
         Ok(saved) => saved,
         Err(e) => {
             named(e);
             return None;
         }
     };
-    for source in saved.prune(unix_ms(), most.as_secs_f64() * 1000.0) {
+    for source in saved.remove_stale(unix_ms(), most.as_secs_f64() * 1000.0) {
         named(format!("what {} told is older than {most:?}", source.label));
     }
     Some(saved)
@@ -53,7 +53,7 @@
     loop {
         let _ = timeout(REFRESH_INTERVAL, gather.changed()).await;
         sleep(every).await;
-        let (bytes, store) = (gather.saved().write(), store.clone());
+        let (bytes, store) = (gather.cache().encode(), store.clone());
         let path = store.path().display().to_string();
         let done = tokio::task::spawn_blocking(move || store.save(&bytes)).await;
         let failed = match done {
--- a/crates/herondock/src/endpoint_sources/client.rs
+++ b/crates/herondock/src/endpoint_sources/client.rs
@@ -86,7 +86,7 @@
     }
 
     /// Drops the connection: a call that failed or was given up may leave an answer on it.
-    pub fn hang_up(&mut self) {
+    pub fn disconnect(&mut self) {
         self.link = None;
     }
 
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// Why no whole answer came.
-    pub async fn call(
+    pub async fn send(
         &mut self,
         addr: SocketAddr,
         call: &ApiRequest<'_>,
@@ -103,7 +103,7 @@
         let done = timeout(most, self.fetch(addr, call)).await;
         let done = done.unwrap_or_else(|_| Err("no answer in time".into()));
         if done.is_err() {
-            self.hang_up();
+            self.disconnect();
         }
         done
     }
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -92,7 +92,7 @@
             }
             Datacentres::Named(names) => {
                 let begin = |dc: &String| {
-                    let teller = teller.beside(&self.label(Some(dc)));
+                    let teller = teller.add_sibling(&self.label(Some(dc)));
                     tokio::task::spawn_local(self.clone().watch(Some(dc.clone()), teller))
                 };
                 for watch in names.iter().map(begin).collect::<Vec<_>>() {
@@ -115,7 +115,7 @@
                 Ok(names) => {
                     for dc in names {
                         if watches.len() < DATACENTRES_MOST && !watches.contains_key(&dc) {
-                            let teller = teller.beside(&self.label(Some(&dc)));
+                            let teller = teller.add_sibling(&self.label(Some(&dc)));
                             let watch = self.clone().watch(Some(dc.clone()), teller);
                             watches.insert(dc, tokio::task::spawn_local(watch));
                         }
@@ -123,7 +123,7 @@
                     DATACENTRES
                 }
                 Err(why) => {
-                    teller.stands(format!("datacentres: {why}"));
+                    teller.report_unavailable(format!("datacentres: {why}"));
                     agent = (agent + 1) % self.settings.agents.len();
                     self.settings.max_backoff
                 }
@@ -136,7 +136,7 @@
         let token = AclToken::new(self.settings.token_file.clone()).read().await?;
         let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
         let call = ApiRequest { headers: &headers, ..ApiRequest::get("/v1/catalog/datacenters") };
-        let reply = client.call(self.settings.agents[agent], &call, ANSWER).await?;
+        let reply = client.send(self.settings.agents[agent], &call, ANSWER).await?;
         match reply.status {
             StatusCode::OK => serde_json::from_slice(&reply.body).map_err(|e| e.to_string()),
             status => Err(format!("answered {status}")),
@@ -149,14 +149,14 @@
         let prefix = if s.datacentres == Datacentres::Own { String::new() } else { "datacentre".into() };
         let reading = EntryMapping {
             kind: if s.health { ListKind::Health } else { ListKind::Catalogue },
-            prefix,
-            name: s.meta_keys.name.clone(),
-            zone: s.meta_keys.zone.clone(),
-            machine: s.meta_keys.kind.clone(),
-            cell: s.meta_keys.cell.clone(),
-            started: s.meta_keys.started.clone(),
-            tagged: s.tagged_address.clone(),
-            speaks: if s.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
+            datacentre_prefix: prefix,
+            name_key: s.meta_keys.name.clone(),
+            zone_key: s.meta_keys.zone.clone(),
+            kind_key: s.meta_keys.kind.clone(),
+            cell_key: s.meta_keys.cell.clone(),
+            start_key: s.meta_keys.started.clone(),
+            tagged_address: s.tagged_address.clone(),
+            protocol: if s.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
         };
         let target = Target {
             service: s.service.clone(),
@@ -172,23 +172,23 @@
         };
         let figures = WatchIntervals {
             wait: s.wait,
-            pace: s.min_poll_interval,
-            pause: s.initial_backoff,
-            pause_most: s.max_backoff,
-            stale_most: s.max_staleness,
-            regrow: s.regrow_timeout,
+            min_poll_interval: s.min_poll_interval,
+            initial_backoff: s.initial_backoff,
+            max_backoff: s.max_backoff,
+            max_staleness: s.max_staleness,
+            regrow_timeout: s.regrow_timeout,
         };
         Watch::new(target, reading, figures, s.agents.len(), index)
     }
 
     async fn watch<A: EndpointSubscriber>(self, datacentre: Option<String>, teller: SourceHandle<A>) {
         let start = Instant::now();
-        let mut watch = self.begin(datacentre, teller.index());
+        let mut watch = self.begin(datacentre, teller.last_index());
         let (mut client, token) =
             (Client::new(self.limits.clone()), AclToken::new(self.settings.token_file.clone()));
         let mut trouble: Option<String> = None;
         loop {
-            let ask = match watch.next(start.elapsed(), teller.draw()) {
+            let ask = match watch.next_step(start.elapsed(), teller.draw()) {
                 NextStep::Wait(until) => {
                     sleep_until(start + until).await;
                     continue;
@@ -199,7 +199,7 @@
                 Ok(token) => {
                     let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
                     let call = ApiRequest { headers: &headers, ..ApiRequest::get(&ask.path) };
-                    client.call(self.settings.agents[ask.agent], &call, ask.patience).await
+                    client.send(self.settings.agents[ask.agent], &call, ask.timeout).await
                 }
                 Err(why) => Err(why),
             };
@@ -207,27 +207,27 @@
             let verdict = match reply {
                 Ok(reply) => {
                     let get = |name: &str| reply.headers.get(name)?.to_str().ok();
-                    watch.answered(now, &ResponseHead::new(reply.status.as_u16(), get), &reply.body, draw)
+                    watch.on_response(now, &ResponseHead::new(reply.status.as_u16(), get), &reply.body, draw)
                 }
-                Err(why) => watch.failed(now, &why, draw),
+                Err(why) => watch.on_failure(now, &why, draw),
             };
-            for fault in &verdict.faults {
-                teller.says(&format!("passed over: {fault}"));
+            for fault in &verdict.entry_errors {
+                teller.log(&format!("passed over: {fault}"));
             }
-            match verdict.news {
+            match verdict.update {
                 SourceUpdate::Unavailable(why) => {
                     // Said once, and not with each try.
                     if trouble.as_ref() != Some(&why) {
-                        teller.says(&format!("no news: {why}"));
+                        teller.log(&format!("no news: {why}"));
                     }
-                    teller.stands(why.clone());
+                    teller.report_unavailable(why.clone());
                     trouble = Some(why);
                 }
                 news => {
                     if trouble.take().is_some() {
-                        teller.says("answers again");
+                        teller.log("answers again");
                     }
-                    teller.told(news, watch.index());
+                    teller.publish(news, watch.index());
                 }
             }
         }
--- a/crates/herondock/src/endpoint_sources/discovery.rs
+++ b/crates/herondock/src/endpoint_sources/discovery.rs
@@ -66,15 +66,15 @@
     /// Goes over to another address.
     fn follow(&mut self, addr: SocketAddr) {
         info!("discovery: now at {addr}");
-        self.client.hang_up();
+        self.client.disconnect();
         self.addr = addr;
-        self.watch.moved(self.begun.elapsed());
+        self.watch.address_changed(self.begun.elapsed());
     }
 
     /// Carries out what the watch asks for, for ever.
     async fn serve<A: EndpointSubscriber>(&mut self, teller: &SourceHandle<A>) {
         loop {
-            let next = self.watch.next(self.begun.elapsed(), teller.draw());
+            let next = self.watch.next_step(self.begun.elapsed(), teller.draw());
             match next {
                 NextStep::Wait(until) => tokio::time::sleep_until(self.begun + until).await,
                 NextStep::Call(ask) => {
@@ -87,21 +87,22 @@
 
     /// Makes one call and has the watch judge it.
     async fn call(&mut self, ask: &Request, draw: f64) -> ResponseOutcome {
-        debug!("discovery: asks {} within {:?}", ask.path, ask.patience);
-        let reply = self.client.call(self.addr, &ApiRequest::get(&ask.path), ask.patience).await;
+        debug!("discovery: asks {} within {:?}", ask.path, ask.timeout);
+        let reply = self.client.send(self.addr, &ApiRequest::get(&ask.path), ask.timeout).await;
         let now = self.begun.elapsed();
         match reply {
             Ok(reply) => {
                 debug!("discovery: answered {} with {} bytes", reply.status, reply.body.len());
-                self.watch.answered(now, reply.status.as_u16(), &reply.body, draw)
+                self.watch.on_response(now, reply.status.as_u16(), &reply.body, draw)
             }
-            Err(why) => self.watch.failed(now, &why, draw),
+            Err(why) => self.watch.on_failure(now, &why, draw),
         }
     }
 
     /// Passes on what a call came to.
     fn tell<A: EndpointSubscriber>(&mut self, teller: &SourceHandle<A>, verdict: ResponseOutcome) {
-        let ResponseOutcome { news, version, answers, faults } = verdict;
+        let ResponseOutcome { update: news, version, is_first_response: answers, entry_errors: faults } =
+            verdict;
         for fault in faults.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
             info!("discovery: {fault}");
         }
@@ -113,15 +114,15 @@
         }
         // Also where nothing is new: who waits for a list has it.
         if answers {
-            teller.answers();
+            teller.notify_first_response();
         }
         match news {
             SourceUpdate::Unavailable(why) => {
-                self.client.hang_up();
+                self.client.disconnect();
                 info!("discovery: {why}");
-                teller.stands(why);
+                teller.report_unavailable(why);
             }
-            news => teller.told_of(self.speaks, news, version),
+            news => teller.publish_with_protocol(self.speaks, news, version),
         }
     }
 }
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -22,7 +22,7 @@
 struct NoSubscriber;
 
 impl EndpointSubscriber for NoSubscriber {
-    fn listed(&self, _: &EndpointUpdate) {}
+    fn endpoints_changed(&self, _: &EndpointUpdate) {}
 }
 
 /// The view of the instance that listens at this Unix socket.
@@ -44,16 +44,16 @@
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let random = Pcg64Mcg::seed_from_u64(config.seed);
-        let names = NameIndex::of(&config.deployment);
+        let names = NameIndex::new(&config.deployment);
         let gather = EndpointAggregator::new(NoSubscriber, names, operator.registry.last_resort, random);
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
         let terms = node_config::terms(&config.deployment);
-        Sources::of(&gather, operator, &limits).begin(addresses, &limits, &terms);
+        Sources::new(&gather, operator, &limits).spawn(addresses, &limits, &terms);
         // Until each has said something, good or bad.
         let said = async {
-            while gather.table()["sources"]
+            while gather.status()["sources"]
                 .as_array()
                 .is_some_and(|all| all.iter().any(|s| s["age_ms"].is_null() && s["trouble"].is_null()))
             {
@@ -61,7 +61,7 @@
             }
         };
         let _ = timeout(QUERY_TIMEOUT, said).await;
-        Ok(gather.table())
+        Ok(gather.status())
     })
 }
 
--- a/crates/herondock/src/endpoint_sources/mod.rs
+++ b/crates/herondock/src/endpoint_sources/mod.rs
@@ -43,9 +43,9 @@
     /// Where it listens, as this balancer sees it.
     pub addr: SocketAddr,
     /// Its protocol.
-    pub speaks: Protocol,
+    pub protocol: Protocol,
     /// What pools tell members by, besides.
-    pub told: Arc<EndpointAttributes>,
+    pub attributes: Arc<EndpointAttributes>,
 }
 
 /// What is told of a member, as names.
@@ -65,18 +65,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdate {
     /// The upstreams that are new, differ, or are gone.
-    pub entries: Vec<ListedEndpoint>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointUpdate {
     /// The lines for the module.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
-        self.entries.iter().map(|e| e.member.clone())
+        self.endpoints.iter().map(|e| e.member.clone())
     }
 }
 
 /// Who is told of members: the driver, and in tests whoever listens.
 pub trait EndpointSubscriber {
     /// What has changed; perhaps nothing, at a source's first answer.
-    fn listed(&self, listing: &EndpointUpdate);
+    fn endpoints_changed(&self, listing: &EndpointUpdate);
 }
--- a/crates/herondock/src/endpoint_sources/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -23,13 +23,13 @@
 
 /// All registrations of an instance.
 pub struct Registrations {
-    wish: watch::Sender<DesiredState>,
+    set_desired_state: watch::Sender<DesiredState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Registrations {
     /// Begins those that these services ask for, for an instance of this name at this address.
-    pub fn begin(
+    pub fn spawn(
         services: &[ConsulConfig],
         name: &str,
         addr: SocketAddr,
@@ -46,7 +46,7 @@
                 tags: r.tags.clone(),
                 meta: r.meta.clone(),
                 ttl: r.ttl,
-                forget_after: r.deregister_after,
+                deregister_after: r.deregister_after,
             };
             let one = RegistrationTask {
                 client: Client::new(limits.clone()),
@@ -56,17 +56,17 @@
             };
             Some(tokio::task::spawn_local(one.run(Registrar::new(registration), wishes.clone())))
         };
-        Registrations { wish, tasks: services.iter().filter_map(begin).collect() }
+        Registrations { set_desired_state: wish, tasks: services.iter().filter_map(begin).collect() }
     }
 
     /// What the instance wants to be.
-    pub fn wish(&self, wish: DesiredState) {
-        self.wish.send_replace(wish);
+    pub fn set_desired_state(&self, wish: DesiredState) {
+        self.set_desired_state.send_replace(wish);
     }
 
     /// Takes all back, and waits for that for a moment.
-    pub async fn end(&mut self) {
-        self.wish(DesiredState::Deregistered);
+    pub async fn deregister(&mut self) {
+        self.set_desired_state(DesiredState::Deregistered);
         let all = async {
             for task in &mut self.tasks {
                 let _ = task.await;
@@ -93,8 +93,8 @@
     async fn run(mut self, mut register: Registrar, mut wishes: watch::Receiver<DesiredState>) {
         let (start, mut trouble) = (Instant::now(), None);
         loop {
-            register.wish(start.elapsed(), *wishes.borrow_and_update());
-            match register.next(start.elapsed()) {
+            register.set_desired_state(start.elapsed(), *wishes.borrow_and_update());
+            match register.next_step(start.elapsed()) {
                 NextStep::Done => return,
                 NextStep::Wait(until) => {
                     let until = (until < Duration::MAX).then(|| start + until);
@@ -108,9 +108,9 @@
                     let done = self.call(&call.path, call.body).await;
                     let (now, draw) = (start.elapsed(), self.random.gen());
                     let why = match done {
-                        Ok(status) => register.answered(now, status, draw),
+                        Ok(status) => register.on_response(now, status, draw),
                         Err(why) => {
-                            register.failed(now, draw);
+                            register.on_failure(now, draw);
                             Some(why)
                         }
                     };
@@ -128,6 +128,6 @@
         let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
         let call = ApiRequest { method: Method::PUT, path, headers: &headers, body: Bytes::from(body) };
         let addr = *self.agents.first().ok_or("no agent is named")?;
-        Ok(self.client.call(addr, &call, RESPONSE_TIMEOUT).await?.status.as_u16())
+        Ok(self.client.send(addr, &call, RESPONSE_TIMEOUT).await?.status.as_u16())
     }
 }
--- a/crates/herondock/src/endpoint_sources/sources.rs
+++ b/crates/herondock/src/endpoint_sources/sources.rs
@@ -23,50 +23,52 @@
 
 impl<A: EndpointSubscriber + 'static> Sources<A> {
     /// Adds them to a view.
-    pub fn of(
+    pub fn new(
         gather: &EndpointAggregator<A>,
         operator: &OperatorConfig,
         limits: &LiveConfig<Limits>,
     ) -> Sources<A> {
         let registry = &operator.registry;
-        let discovery =
-            registry.platform.then(|| (protocol(registry.fastcgi), gather.source(0, PLATFORM_LABEL, true)));
+        let discovery = registry
+            .platform
+            .then(|| (protocol(registry.fastcgi), gather.add_source(0, PLATFORM_LABEL, true)));
         let mut services = Vec::new();
         for (k, settings) in registry.consul.iter().enumerate() {
             let rank = u16::try_from(k + 1).unwrap_or(u16::MAX);
             let service = ConsulSource { settings: settings.clone(), limits: limits.clone() };
             let labels = service.labels();
             // Named here, so that what was kept of them is taken.
-            let mut tellers: Vec<_> = labels.iter().map(|label| gather.source(rank, label, false)).collect();
+            let mut tellers: Vec<_> =
+                labels.iter().map(|label| gather.add_source(rank, label, false)).collect();
             let own = format!("consul {}", settings.name);
             let teller = if tellers.len() == 1 { tellers.pop() } else { None };
-            services.push((service, teller.unwrap_or_else(|| gather.quiet(rank, &own))));
+            services.push((service, teller.unwrap_or_else(|| gather.add_placeholder(rank, &own))));
         }
         let fixed = (!registry.static_endpoints.is_empty()).then(|| {
             (
                 registry.static_endpoints.iter().map(static_report).collect(),
-                gather.source(u16::MAX, "static", false),
+                gather.add_source(u16::MAX, "static", false),
             )
         });
         Sources { discovery, consul: services, fixed }
     }
 
     /// Begins them, each in a task of its own. `terms` are those of the platform's discovery.
-    pub fn begin(
+    pub fn spawn(
         self,
         addresses: watch::Receiver<SocketAddr>,
         limits: &LiveConfig<Limits>,
         terms: &StalenessSettings,
     ) {
         if let Some((speaks, teller)) = self.discovery {
-            let source = PlatformSource::new(addresses, limits.clone(), terms, teller.index(), speaks);
+            let source = PlatformSource::new(addresses, limits.clone(), terms, teller.last_index(), speaks);
             tokio::task::spawn_local(source.run(teller));
         }
         for (service, teller) in self.consul {
             tokio::task::spawn_local(service.run(teller));
         }
         if let Some((reports, teller)) = self.fixed {
-            teller.told(SourceUpdate::Full(reports), None);
+            teller.publish(SourceUpdate::Full(reports), None);
         }
     }
 }
@@ -87,12 +89,12 @@
         zone: s.zone.as_str().into(),
         kind: s.kind.as_str().into(),
         cell: s.cell,
-        speaks: protocol(s.fastcgi),
-        standing: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
-        why: if s.draining { "so the operator's file says".into() } else { "".into() },
+        protocol: protocol(s.fastcgi),
+        state: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
+        reason: if s.draining { "so the operator's file says".into() } else { "".into() },
         // Who writes a member down does not say that it has just started.
         started_ms: Some(0.0),
-        registered: 0,
+        registration_index: 0,
         meta: Meta::default(),
     }
 }
--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -46,7 +46,7 @@
     /// The view, at this Unix time in milliseconds, without what is too old; `None`: nothing is left of it.
     pub fn view(self, now: f64) -> Option<EndpointCache> {
         let mut view = self.view;
-        view.prune(now, AGE_MOST);
+        view.remove_stale(now, AGE_MOST);
         (!view.reports.is_empty()).then_some(view)
     }
 
@@ -69,9 +69,9 @@
         let answer = discovery::platform::parse_response(list.as_bytes()).expect("good");
         let source = Source { rank: 0, label: "discovery".into() };
         let mut view = EndpointSet::new(true);
-        assert!(matches!(answer.news, SourceUpdate::Full(_)));
-        view.take(1000.0, &source, answer.news);
-        EndpointCache::of(&view, vec![(source, 7)])
+        assert!(matches!(answer.update, SourceUpdate::Full(_)));
+        view.apply_update(1000.0, &source, answer.update);
+        EndpointCache::capture(&view, vec![(source, 7)])
     }
 
     #[test]
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -103,7 +103,7 @@
 /// What the settings say of discovery.
 pub fn terms(deployment: &Deployment) -> StalenessSettings {
     StalenessSettings {
-        pushed: !deployment.policy.ask_for_list,
+        lists_are_pushed: !deployment.policy.ask_for_list,
         drain_grace: Duration::from_secs_f64(deployment.drain_grace.clamp(0.0, 60_000.0) / 1000.0),
     }
 }
@@ -134,7 +134,7 @@
     fn a_bad_entry_of_the_known_list_is_passed_over() {
         let c = Config::parse(GOOD.replace("\"state\":\"active\"", "\"state\":\"odd\"").as_bytes()).unwrap();
         let known = c.known.expect("a list");
-        assert!(known.reports().is_empty() && known.faults[0].contains("\"s-1\""), "{known:?}");
+        assert!(known.reports().is_empty() && known.entry_errors[0].contains("\"s-1\""), "{known:?}");
     }
 
     #[test]
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -202,11 +202,11 @@
 
     fn note(&self, listing: &EndpointUpdate) {
         let mut view = self.0.view.borrow_mut();
-        if listing.entries.iter().any(|e| e.member.availability != Availability::Gone) {
+        if listing.endpoints.iter().any(|e| e.member.availability != Availability::Gone) {
             self.0.listed.set(true);
             self.0.known.notify_one();
         }
-        for entry in &listing.entries {
+        for entry in &listing.endpoints {
             match entry.member.availability {
                 Availability::Gone => drop(view.remove(&entry.member.id)),
                 _ => drop(view.insert(entry.member.id, entry.clone())),
@@ -392,11 +392,11 @@
 }
 
 impl EndpointSubscriber for Pools {
-    fn listed(&self, listing: &EndpointUpdate) {
+    fn endpoints_changed(&self, listing: &EndpointUpdate) {
         self.note(listing);
         for pool in self.each() {
             let own = pool.own(listing);
-            pool.handle.listed(&own);
+            pool.handle.endpoints_changed(&own);
         }
     }
 }
--- a/crates/herondock/src/routing/pool.rs
+++ b/crates/herondock/src/routing/pool.rs
@@ -53,11 +53,11 @@
     fn wants(&self, entry: &ListedEndpoint) -> bool {
         let spec = self.spec.borrow();
         let Some(spec) = &*spec else { return true };
-        let speaks = match entry.speaks {
+        let speaks = match entry.protocol {
             Protocol::Http => "http",
             Protocol::FastCgi => "fastcgi",
         };
-        let told = &entry.told;
+        let told = &entry.attributes;
         let (zone, kind, cell) = (&*told.zone, &*told.kind, entry.member.group);
         spec.has(&Traits { cell, zone, kind, speaks, sources: &told.sources, meta: &told.meta })
     }
@@ -76,13 +76,13 @@
             has.insert(id);
             Some(entry.clone())
         };
-        EndpointUpdate { entries: listing.entries.iter().filter_map(one).collect() }
+        EndpointUpdate { endpoints: listing.endpoints.iter().filter_map(one).collect() }
     }
 
     /// Begins with all members as they are.
     pub fn begin(&self, view: &BTreeMap<UpstreamId, ListedEndpoint>, listed: bool) {
         if listed {
-            let all = EndpointUpdate { entries: view.values().cloned().collect() };
+            let all = EndpointUpdate { endpoints: view.values().cloned().collect() };
             self.handle.cached(&self.own(&all));
         }
     }
@@ -95,8 +95,8 @@
         let before = self.has.borrow().clone();
         self.spec.replace(Some(spec));
         let entries = view.values().filter(|e| before.contains(&e.member.id) != self.wants(e));
-        let changed = EndpointUpdate { entries: entries.cloned().collect() };
-        self.handle.listed(&self.own(&changed));
+        let changed = EndpointUpdate { endpoints: entries.cloned().collect() };
+        self.handle.endpoints_changed(&self.own(&changed));
     }
 
     /// Whether it has this member.
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -265,7 +265,7 @@
     /// Tells whoever asks at the Unix socket of the members.
     fn tells_members(&self, asker: EndpointsQuery) {
         // Texts and numbers only: this can't fail.
-        let view = serde_json::to_vec(&self.members.table()).unwrap_or_default();
+        let view = serde_json::to_vec(&self.members.status()).unwrap_or_default();
         tokio::task::spawn_local(asker.answer(view));
     }
 
@@ -333,7 +333,7 @@
 
     fn tell_ready(&self) {
         self.stands.send_replace(disruption::InstanceState::Ready);
-        self.registrations.wish(DesiredState::Passing);
+        self.registrations.set_desired_state(DesiredState::Passing);
         self.manager.notify_ready(match &self.refused {
             None => format!("serving on {}", self.address),
             Some(why) => format!("not reloaded: {why}"),
@@ -347,7 +347,7 @@
         self.comes_to(Phase::Leaving);
         // After a hand-over the successor is what is registered here.
         if because == Event::Stop {
-            self.registrations.wish(DesiredState::ShuttingDown);
+            self.registrations.set_desired_state(DesiredState::ShuttingDown);
             info!("{}: told to end", self.name);
         }
     }
@@ -367,7 +367,7 @@
         let Some(comer) = self.comer.take() else { return Ok(()) };
         info!("{}: {} asks for the sockets", self.name, comer.name);
         let along =
-            TransferredState::new(self.fingerprint, self.members.saved(), self.handle.learned()).write();
+            TransferredState::new(self.fingerprint, self.members.cache(), self.handle.learned()).write();
         let mut passed = vec![OwnedFd::from(self.another_listener()?)];
         passed.extend(self.side.listeners()?);
         let (tell, claimant) = (self.tell.events.clone(), self.claimant.clone());
@@ -422,7 +422,7 @@
 
     async fn end(&mut self, exit: Exit) {
         if !self.course.borrow().handed_over {
-            self.registrations.end().await;
+            self.registrations.deregister().await;
             if let Some(council) = &self.council {
                 council.close_session(LAST_WORD).await;
             }
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -165,20 +165,20 @@
     let random = Pcg64Mcg::seed_from_u64(seed);
     let members = EndpointAggregator::new(
         handle.clone(),
-        NameIndex::of(&deployment),
+        NameIndex::new(&deployment),
         operator.registry.last_resort,
         random.clone(),
     );
-    let sources = Sources::of(&members, &operator, &limits);
+    let sources = Sources::new(&members, &operator, &limits);
     let store = operator.registry.cache_file.as_deref().map(cache::cache_file);
     let saved = || cache::load(store.as_ref()?, operator.registry.max_cache_age);
     // What a predecessor knew a moment ago is newer than what was saved here, and that than what the platform saved.
     let kept = along.and_then(|along| along.view(start_ms)).or_else(saved);
     let kept = kept
         .or_else(|| known.map(|known| platform_knows(known, protocol(operator.registry.fastcgi), start_ms)));
-    handle.cached(&members.recall(kept.unwrap_or_default()));
+    handle.cached(&members.restore(kept.unwrap_or_default()));
     let (address_of_discovery, addresses) = watch::channel(discovery);
-    sources.begin(addresses, &limits, &node_config::terms(&deployment));
+    sources.spawn(addresses, &limits, &node_config::terms(&deployment));
     if let Some(store) = store {
         tokio::task::spawn_local(cache::write_changes(
             members.clone(),
@@ -187,7 +187,7 @@
         ));
     }
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-    let registrations = Registrations::begin(&operator.registry.consul, &name, address, &limits, &random);
+    let registrations = Registrations::spawn(&operator.registry.consul, &name, address, &limits, &random);
     // Nothing that serves waits for it; while it is away nothing changes.
     let (stands, standing) = watch::channel(disruption::InstanceState::Starting);
     let council = match &operator.council {
@@ -279,12 +279,13 @@
     let reports = known
         .reports()
         .iter()
-        .map(|r| (source.clone(), EndpointReport { speaks, ..r.clone() }, None))
+        .map(|r| (source.clone(), EndpointReport { protocol: speaks, ..r.clone() }, None))
         .collect();
-    for fault in known.faults.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
+    for fault in known.entry_errors.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
         info!("known: {fault}");
     }
     // What could not be read has to be asked for again.
-    let indices = if known.faults.is_empty() { vec![(source.clone(), known.version)] } else { Vec::new() };
-    EndpointCache { reports, told: vec![(source, now)], indices }
+    let indices =
+        if known.entry_errors.is_empty() { vec![(source.clone(), known.version)] } else { Vec::new() };
+    EndpointCache { reports, updated: vec![(source, now)], indices }
 }
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -10,7 +10,7 @@
 
 /// Chooses the transport of each upstream.
 pub fn choose(reach: Reach, fastcgi: Rc<fastcgi::Settings>) -> impl Fn(&ListedEndpoint) -> Rc<dyn Upstream> {
-    move |entry| match entry.speaks {
+    move |entry| match entry.protocol {
         Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
         Protocol::FastCgi => fastcgi::upstream(reach.clone(), entry.addr, fastcgi.clone()),
     }
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -146,11 +146,11 @@
             zone: "caba-1".into(),
             kind: "portal".into(),
             cell: self.group,
-            speaks: Default::default(),
-            standing: self.standing.unwrap_or_default(),
-            why: "".into(),
+            protocol: Default::default(),
+            state: self.standing.unwrap_or_default(),
+            reason: "".into(),
             started_ms: Some(self.started),
-            registered: 0,
+            registration_index: 0,
             meta: Default::default(),
         }
     }
@@ -163,7 +163,7 @@
         let balancer = Balancer::new(settings.clone(), seed, BEGAN + skew).ok()?;
         let figures = ShutdownTimeouts::default();
         let mut view = EndpointSet::new(false);
-        view.add(&source);
+        view.add_source(&source);
         Some(Instance {
             tier: settings.stage as usize,
             up: true,
@@ -199,7 +199,7 @@
             self.balancer = balancer;
         }
         self.view = EndpointSet::new(false);
-        self.view.add(&self.source);
+        self.view.add_source(&self.source);
         self.life = Lifecycle::new(self.figures.clone());
         (self.up, self.born, self.known, self.last) = (true, now, false, f64::INFINITY);
         self.epoch += 1;
@@ -307,7 +307,7 @@
         does: &mut Vec<Does>,
     ) -> Vec<(usize, invariants::State)> {
         let failed = matches!(news, SourceUpdate::Unavailable(_));
-        let changes = self.view.take(self.clock(now), &self.source, news);
+        let changes = self.view.apply_update(self.clock(now), &self.source, news);
         if failed {
             self.feed(now, Event::Membership(Membership::Failed), does);
         }
@@ -324,7 +324,11 @@
             let open = member.availability == Availability::Ready;
             states.push((
                 server,
-                if m.takes && !gone { invariants::State::Ready } else { invariants::State::Closed },
+                if m.accepts_requests && !gone {
+                    invariants::State::Ready
+                } else {
+                    invariants::State::Closed
+                },
             ));
             self.known |= open;
             self.names.insert(member.id, server);
@@ -347,12 +351,12 @@
     }
 
     fn member(&self, m: &Endpoint, server: usize, gone: bool) -> Member {
-        let availability = match (gone, m.takes || self.mutant == Mutant::DrainsIgnored) {
+        let availability = match (gone, m.accepts_requests || self.mutant == Mutant::DrainsIgnored) {
             (true, _) => Availability::Gone,
             (false, true) => Availability::Ready,
             (false, false) => Availability::Draining,
         };
-        Member { id: id(server), zone: 0, kind: 0, group: m.cell, availability, since: m.since }
+        Member { id: id(server), zone: 0, kind: 0, group: m.cell, availability, since: m.started_ms }
     }
 
     /// The connection used last to this upstream, if one rests that is open, as far as is known.
