--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -4,7 +4,7 @@
 use super::{EndpointSubscriber, EndpointUpdate};
 use crate::listener_handoff::protocol;
 use crate::live_config::LiveConfig;
-use crate::node_config::{self, Config};
+use crate::node_config::{self, NodeConfig};
 use config::operator::OperatorConfig;
 use daemon::table::format_rows;
 use rand_core::SeedableRng;
@@ -31,7 +31,7 @@
 /// None does, or it does not say.
 pub fn query_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::members(socket))?;
+    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::request_endpoints(socket))?;
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// No runtime could be had.
-pub fn query_sources(config: Config, operator: &OperatorConfig) -> Result<Value, String> {
+pub fn query_sources(config: NodeConfig, operator: &OperatorConfig) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -49,7 +49,7 @@
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
-        let terms = node_config::terms(&config.deployment);
+        let terms = node_config::staleness_settings(&config.deployment);
         Sources::new(&gather, operator, &limits).spawn(addresses, &limits, &terms);
         // Until each has said something, good or bad.
         let said = async {
--- a/crates/herondock/src/supervise/commands.rs
+++ b/crates/herondock/src/supervise/commands.rs
@@ -121,15 +121,15 @@
     /// What the lease requests of this supervisor wait for.
     fn pending_leases(&self) -> Vec<String> {
         let Some(Coordination { lease_agent, .. }) = &self.coordination else { return Vec::new() };
-        let snapshot = lease_agent.board();
+        let snapshot = lease_agent.snapshot();
         let mut pending = Vec::new();
-        if !lease_agent.heard() {
+        if !lease_agent.is_connected() {
             pending.push("the council does not answer".to_string());
         }
-        for (id, decision) in snapshot.decide() {
-            let Some(request) = snapshot.asks.get(&id) else { continue };
+        for (id, decision) in snapshot.decisions() {
+            let Some(request) = snapshot.requests.get(&id) else { continue };
             if Some(&request.value.owner) == self.config.machine.as_ref() {
-                pending.push(format!("{} {decision}", request.value.unit.name));
+                pending.push(format!("{} {decision}", request.value.resource.name));
             }
         }
         pending
--- a/crates/herondock/src/supervise/leases.rs
+++ b/crates/herondock/src/supervise/leases.rs
@@ -6,7 +6,7 @@
 use crate::node_config;
 use config::supervisor::{FleetConfig, InstanceConfig};
 use disruption::{BalancerEntry, DisruptionKind};
-use disruption_agent::agent::{Agent, GrantedLease};
+use disruption_agent::agent::{GrantedLease, LeaseAgentHandle};
 use rollout::executor::{ExecutorAction, LocalInstance};
 use rollout::BuildId;
 use rollout_agent::agent::RolloutAgent;
@@ -21,7 +21,7 @@
 
 /// Clients of the coordination service.
 pub struct Coordination {
-    pub(super) lease_agent: Agent,
+    pub(super) lease_agent: LeaseAgentHandle,
     pub(super) rollouts: Releases,
     /// Name of each instance in the coordination service.
     balancer_names: Vec<String>,
@@ -40,8 +40,8 @@
             return Ok(None);
         };
         let client = coordination_server::client::spawn_with_presence(settings, PRESENCE_KIND, machine);
-        let lease_agent = Agent::begin(client.clone(), machine);
-        let rollout_agent = RolloutAgent::begin(client, lease_agent.follows());
+        let lease_agent = LeaseAgentHandle::spawn(client.clone(), machine);
+        let rollout_agent = RolloutAgent::spawn(client, lease_agent.subscribe());
         let rollouts = Releases::new(config, machine, rollout_agent).map_err(SupervisorError::Rollouts)?;
         let balancer_names = config.instances.iter().map(balancer_name).collect();
         Ok(Some(Coordination { lease_agent, rollouts, balancer_names, published: BTreeMap::new() }))
@@ -96,7 +96,7 @@
         let balancers: BTreeMap<String, BalancerEntry> =
             coordination.balancer_names.iter().cloned().zip(entries).collect();
         if balancers != coordination.published {
-            coordination.lease_agent.units(balancers.clone());
+            coordination.lease_agent.set_balancers(balancers.clone());
             coordination.published = balancers;
         }
     }
@@ -106,28 +106,28 @@
         if let Some(balancer) = coordination.balancer_names.get(instance) {
             let override_reason = self.override_reason.as_deref();
             let kind = disruption_kind(action);
-            coordination.lease_agent.ask(balancer, kind, action_name(action), override_reason);
+            coordination.lease_agent.request(balancer, kind, action_name(action), override_reason);
         }
     }
 
     pub(super) fn release_lease(&self, instance: usize, acted: bool) {
         let Some(coordination) = &self.coordination else { return };
         if let Some(balancer) = coordination.balancer_names.get(instance) {
-            coordination.lease_agent.give_back(balancer, acted);
+            coordination.lease_agent.release(balancer, acted);
         }
     }
 
     /// A lease was granted. It may have arrived late, and be another's by now.
     pub fn lease_granted(&mut self, lease: &GrantedLease) -> Event {
         let Some(coordination) = &self.coordination else { return Event::Timeout };
-        let Some(instance) = coordination.instance_of(&lease.unit) else { return Event::Timeout };
-        let (unit, number) = (&lease.unit, lease.number);
-        if !coordination.lease_agent.may(lease) {
+        let Some(instance) = coordination.instance_of(&lease.balancer) else { return Event::Timeout };
+        let (unit, number) = (&lease.balancer, lease.fencing_token);
+        if !coordination.lease_agent.is_active(lease) {
             info!(unit, number, "outage: the leave came too late, and nothing is done by it");
-            coordination.lease_agent.unused(unit);
+            coordination.lease_agent.mark_unused(unit);
             return Event::Timeout;
         }
-        info!(unit, number, "outage: has leave to {}", lease.act.word());
+        info!(unit, number, "outage: has leave to {}", lease.kind.as_str());
         if coordination.rollouts.given(lease) {
             return Event::Timeout;
         }
@@ -137,12 +137,12 @@
     /// A lease for a rollout was confirmed (`usable`), or could not be.
     pub fn lease_confirmed(&mut self, lease: &GrantedLease, usable: bool) -> Event {
         let Some(coordination) = &mut self.coordination else { return Event::Timeout };
-        if !usable || !coordination.lease_agent.may(lease) {
-            coordination.lease_agent.unused(&lease.unit);
+        if !usable || !coordination.lease_agent.is_active(lease) {
+            coordination.lease_agent.mark_unused(&lease.balancer);
             return Event::Timeout;
         }
-        let snapshot = coordination.lease_agent.follows();
-        let action = coordination.rollouts.confirmed(&lease.unit, &snapshot.borrow());
+        let snapshot = coordination.lease_agent.subscribe();
+        let action = coordination.rollouts.confirmed(&lease.balancer, &snapshot.borrow());
         action.map_or(Event::Timeout, |action| self.execute_rollout_action(action))
     }
 
@@ -164,7 +164,7 @@
         // While a rolling operation is in progress the rollout must not disrupt further instances.
         let rolling = self.supervisor.rolling().is_some();
         let max_parallel = if rolling { 0 } else { self.config.policy.max_parallel };
-        let snapshot = coordination.lease_agent.follows();
+        let snapshot = coordination.lease_agent.subscribe();
         let actions = coordination.rollouts.next(&instances, &snapshot.borrow(), max_parallel, session);
         actions
     }
@@ -179,11 +179,11 @@
                 _ => None,
             };
             LocalInstance {
-                unit: balancer.clone(),
+                name: balancer.clone(),
                 build: coordination.rollouts.build(&config.name).clone(),
                 ready: instance.is_settled(),
-                given_up: crash_loop,
-                slow: instance.missed_ready_timeout(),
+                start_failure: crash_loop,
+                start_timed_out: instance.missed_ready_timeout(),
                 crashes: instance.recent_crashes(now, self.config.policy.crash_window),
             }
         };
@@ -195,11 +195,11 @@
         let Some(coordination) = &mut self.coordination else { return Event::Timeout };
         let lease_agent = &coordination.lease_agent;
         match action {
-            ExecutorAction::RequestLease { unit, why } => {
-                lease_agent.ask(&unit, DisruptionKind::Restart, &why, None);
+            ExecutorAction::RequestLease { instance, reason } => {
+                lease_agent.request(&instance, DisruptionKind::Restart, &reason, None);
             }
-            ExecutorAction::ReleaseLease { unit, acted } => lease_agent.give_back(&unit, acted),
-            ExecutorAction::Replace { unit, build } => return self.replace_build(&unit, &build),
+            ExecutorAction::ReleaseLease { instance, replaced } => lease_agent.release(&instance, replaced),
+            ExecutorAction::Replace { instance, build } => return self.replace_build(&instance, &build),
         }
         Event::Timeout
     }
@@ -214,8 +214,8 @@
                 info!(unit = balancer, "release: goes over to build {}", build_id::short(build));
                 Event::Command(Command::Replace(index))
             }
-            Err(Some(ExecutorAction::ReleaseLease { unit, acted })) => {
-                coordination.lease_agent.give_back(&unit, acted);
+            Err(Some(ExecutorAction::ReleaseLease { instance, replaced })) => {
+                coordination.lease_agent.release(&instance, replaced);
                 Event::Timeout
             }
             Err(_) => Event::Timeout,
