--- a/crates/control-plane/coordination-server/src/peer_connections.rs
+++ b/crates/control-plane/coordination-server/src/peer_connections.rs
@@ -107,7 +107,7 @@
         };
         match came.await {
             Ok(mut met) => {
-                pauses.worked();
+                pauses.reset();
                 if said.take().is_some() {
                     info!("council: {addr} is reached again");
                 }
@@ -139,7 +139,7 @@
         // What waited for it is old by now.
         while queue.try_recv().is_ok() {}
         large.set(false);
-        sleep(pauses.failed(rand::rngs::OsRng.gen())).await;
+        sleep(pauses.next_delay(rand::rngs::OsRng.gen())).await;
         if queue.is_closed() {
             return;
         }
--- a/crates/control-plane/coordination/src/client/connection.rs
+++ b/crates/control-plane/coordination/src/client/connection.rs
@@ -50,11 +50,11 @@
     /// The connection is lost: calls in flight are sent again on the next one.
     pub(super) fn disconnected(&mut self, now: Duration, leader_hint: Option<String>) {
         let delay = match leader_hint {
-            Some(_) if self.connection_backoff.row() < MAX_IMMEDIATE_REDIRECTS => {
-                let _ = self.connection_backoff.failed(0.0);
+            Some(_) if self.connection_backoff.failures() < MAX_IMMEDIATE_REDIRECTS => {
+                let _ = self.connection_backoff.next_delay(0.0);
                 Duration::ZERO
             }
-            _ => self.connection_backoff.failed(self.random.gen()),
+            _ => self.connection_backoff.next_delay(self.random.gen()),
         };
         if leader_hint.is_none() {
             self.next_voter = (self.next_voter + 1) % self.config.voters.len().max(1);
--- a/crates/control-plane/coordination/src/client/mod.rs
+++ b/crates/control-plane/coordination/src/client/mod.rs
@@ -275,7 +275,7 @@
                 actions.push(Action::Disconnect);
                 return self.disconnected(now, None);
             }
-            _ => self.connection_backoff.worked(),
+            _ => self.connection_backoff.reset(),
         }
         let handled = self.handle_session_reply(now, id, &answer, actions) || self.handle_pong(id);
         if !handled {
--- a/crates/control-plane/coordination/src/client/requests.rs
+++ b/crates/control-plane/coordination/src/client/requests.rs
@@ -190,7 +190,7 @@
         match (&pending.request, answer) {
             (_, Answer::Busy(_)) => {
                 pending.call = None;
-                pending.not_before = now + pending.busy_backoff.failed(self.random.gen());
+                pending.not_before = now + pending.busy_backoff.next_delay(self.random.gen());
             }
             (ClientRequest::Watch { .. }, answer @ (Answer::Watching { .. } | Answer::Events { .. })) => {
                 self.handle_watch_answer(request_id, answer, actions);
--- a/crates/control-plane/coordination/src/client/session.rs
+++ b/crates/control-plane/coordination/src/client/session.rs
@@ -206,7 +206,7 @@
         actions: &mut Vec<Action>,
     ) {
         if let Answer::Outcome(Outcome::SessionOpened(id)) = answer {
-            self.session_backoff.worked();
+            self.session_backoff.reset();
             self.session = Session::Open(OpenSession {
                 id: *id,
                 expires_at: call.sent_at + self.safe_ttl(),
@@ -218,7 +218,7 @@
             actions.push(Action::SessionChanged(SessionEvent::Established(*id)));
             return;
         }
-        let delay = self.session_backoff.failed(self.random.gen());
+        let delay = self.session_backoff.next_delay(self.random.gen());
         if let Session::Opening { call, not_before, .. } = &mut self.session {
             (*call, *not_before) = (None, now + delay);
         }
--- a/crates/control-plane/supervisor/src/crash_history.rs
+++ b/crates/control-plane/supervisor/src/crash_history.rs
@@ -43,7 +43,8 @@
         if self.crashed_at.len() >= policy.crash_limit {
             return CrashResponse::GiveUp(self.crashed_at.len());
         }
-        let delay = backoff::doubled(policy.initial_backoff, policy.max_backoff, self.consecutive_restarts);
+        let delay =
+            backoff::exponential_delay(policy.initial_backoff, policy.max_backoff, self.consecutive_restarts);
         self.consecutive_restarts += 1;
         CrashResponse::RestartAfter(delay)
     }
--- a/crates/data-plane/discovery/src/consul/registration.rs
+++ b/crates/data-plane/discovery/src/consul/registration.rs
@@ -199,7 +199,7 @@
         let telling = self.telling.take()?;
         match status {
             200 => {
-                self.backoff.worked();
+                self.backoff.reset();
                 self.told = Some(telling);
                 // Three renewals in each TTL: two may be lost.
                 self.due =
@@ -213,11 +213,11 @@
             }
             // An agent that knows no such check says so with 404, older ones with 500: it began anew.
             404 | 500 if self.told.is_some() && telling != DesiredState::Deregistered => {
-                (self.told, self.due) = (None, now + self.backoff.failed(draw));
+                (self.told, self.due) = (None, now + self.backoff.next_delay(draw));
                 Some(format!("the agent answered {status}: it is registered again"))
             }
             _ => {
-                self.due = now + self.backoff.failed(draw);
+                self.due = now + self.backoff.next_delay(draw);
                 Some(format!("the agent answered {status}"))
             }
         }
@@ -226,7 +226,7 @@
     /// No answer has come.
     pub fn on_failure(&mut self, now: Duration, draw: f64) {
         self.telling = None;
-        self.due = now + self.backoff.failed(draw);
+        self.due = now + self.backoff.next_delay(draw);
     }
 }
 
--- a/crates/data-plane/discovery/src/watch.rs
+++ b/crates/data-plane/discovery/src/watch.rs
@@ -135,12 +135,12 @@
         (self.phase, self.next_call_at, self.moved) = (Phase::Opening, now, true);
         self.read_by =
             now + self.plan.retry_spread.map_or(Duration::ZERO, |spread| spread.moved_read_deadline);
-        self.again.worked();
+        self.again.reset();
     }
 
     /// Failures in a row.
     pub fn failures(&self) -> u32 {
-        self.again.row()
+        self.again.failures()
     }
 
     /// What to do now. `draw`, from 0 to 1, spreads the waits of many instances. `knows`: something that later changes
@@ -150,7 +150,8 @@
         if now < self.next_call_at {
             return Step::Wait(self.next_call_at);
         }
-        let patient = |least: Duration| backoff::doubled(least, plan.max_timeout.max(least), self.unanswered);
+        let patient =
+            |least: Duration| backoff::exponential_delay(least, plan.max_timeout.max(least), self.unanswered);
         if !knows {
             return Step::Call {
                 kind: CallKind::FullList,
@@ -159,7 +160,7 @@
             };
         }
         if self.phase == Phase::Established && now.saturating_sub(self.answered) <= plan.max_gap {
-            let wait = backoff::jittered(plan.max_wait, draw);
+            let wait = backoff::with_jitter(plan.max_wait, draw);
             let late = plan.wait_extension_divisor.map_or(Duration::ZERO, |part| wait / part.max(1));
             return Step::Call {
                 kind: CallKind::LongPoll,
@@ -179,7 +180,7 @@
     pub fn answered(&mut self, now: Duration) {
         // A watch that is opened and breaks, again and again, has not worked.
         if matches!(self.called, Some((CallKind::LongPoll | CallKind::FullList, ..))) {
-            self.again.worked();
+            self.again.reset();
         }
         self.unanswered = 0;
         self.moved = false;
@@ -206,12 +207,12 @@
                 let again = spread.read_deadline.saturating_sub(spread.response_reserve);
                 let most = if left < spread.response_reserve { again } else { left.min(again) };
                 let least = spread.min_delay.min(most);
-                begun + least + (most - least).mul_f64(backoff::fraction(draw))
+                begun + least + (most - least).mul_f64(backoff::clamp_draw(draw))
             }
             _ => Duration::ZERO,
         };
         let most = if stood || self.moved { self.plan.max_backoff } else { self.plan.max_rejected_backoff };
-        let pause = self.again.failed(draw).min(backoff::jittered(most, draw));
+        let pause = self.again.next_delay(draw).min(backoff::with_jitter(most, draw));
         (self.phase, self.next_call_at) = (Phase::Opening, after.max(now + pause));
     }
 
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -128,7 +128,7 @@
                     self.settings.max_backoff
                 }
             };
-            sleep(backoff::jittered(pause, teller.draw())).await;
+            sleep(backoff::with_jitter(pause, teller.draw())).await;
         }
     }
 
--- a/crates/verification/coordination-simulation/src/world.rs
+++ b/crates/verification/coordination-simulation/src/world.rs
@@ -379,7 +379,7 @@
                 if let VoterEvent::Removed = note {
                     self.machines[v].gone = true;
                 }
-                self.digest.number(v as u64);
+                self.digest.write_u64(v as u64);
             }
         }
     }
@@ -778,7 +778,7 @@
     }
 
     fn happens(&mut self, due: Due) {
-        self.digest.number(self.agenda.now());
+        self.digest.write_u64(self.agenda.now());
         match self.held_by(&due) {
             Some(End::Voter(v)) => return self.machines[v].held.push_back(due),
             Some(End::Client(c)) => return self.people[c].held.push_back(due),
@@ -942,7 +942,7 @@
         if stuck > 0 {
             report.wrong.push(format!("{stuck} clients wait at the end"));
         }
-        report.digest = self.digest.value();
+        report.digest = self.digest.finish();
         report
     }
 }
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -363,7 +363,7 @@
 
     fn note(&mut self, tag: u64, a: u64, b: u64) {
         for n in [self.agenda.now(), tag, a, b] {
-            self.digest.number(n);
+            self.digest.write_u64(n);
         }
     }
 
@@ -1235,7 +1235,7 @@
             violations: self.judge.found,
             broken: self.judge.count,
             grown,
-            digest: self.digest.value(),
+            digest: self.digest.finish(),
             events: self.events,
             requests: self.asked,
             attempts: self.attempts,
