--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -177,7 +177,7 @@
 pub fn staleness_settings(deployment: &Deployment) -> StalenessSettings {
     let drain_grace = deployment.drain_grace.clamp(0.0, MAX_DRAIN_GRACE_MS);
     StalenessSettings {
-        pushed: !deployment.policy.ask_for_list,
+        lists_are_pushed: !deployment.policy.ask_for_list,
         drain_grace: Duration::from_secs_f64(drain_grace / 1000.0),
     }
 }
--- a/crates/herondock/src/node_config/tests.rs
+++ b/crates/herondock/src/node_config/tests.rs
@@ -22,7 +22,7 @@
 fn a_bad_entry_of_the_known_list_is_passed_over() {
     let c = NodeConfig::parse(GOOD.replace("\"state\":\"active\"", "\"state\":\"odd\"").as_bytes()).unwrap();
     let known = c.cached_endpoints.expect("a list");
-    assert!(known.reports().is_empty() && known.faults[0].contains("\"s-1\""), "{known:?}");
+    assert!(known.reports().is_empty() && known.entry_errors[0].contains("\"s-1\""), "{known:?}");
 }
 
 #[test]
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -202,11 +202,11 @@
 
     fn record_changes(&self, listing: &EndpointUpdate) {
         let mut view = self.0.endpoints.borrow_mut();
-        if listing.entries.iter().any(|e| e.member.availability != Availability::Gone) {
+        if listing.endpoints.iter().any(|e| e.member.availability != Availability::Gone) {
             self.0.has_endpoints.set(true);
             self.0.endpoints_known.notify_one();
         }
-        for entry in &listing.entries {
+        for entry in &listing.endpoints {
             match entry.member.availability {
                 Availability::Gone => drop(view.remove(&entry.member.id)),
                 _ => drop(view.insert(entry.member.id, entry.clone())),
@@ -404,11 +404,11 @@
 }
 
 impl EndpointSubscriber for Pools {
-    fn listed(&self, listing: &EndpointUpdate) {
+    fn endpoints_changed(&self, listing: &EndpointUpdate) {
         self.record_changes(listing);
         for pool in self.all_pools() {
             let own = pool.filter_changes(listing);
-            pool.driver.listed(&own);
+            pool.driver.endpoints_changed(&own);
         }
     }
 }
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -214,7 +214,7 @@
     /// Answers a query for the endpoints at the Unix socket.
     fn answer_endpoints(&self, query: EndpointsQuery) {
         // Texts and numbers only: this can't fail.
-        let endpoints = serde_json::to_vec(&self.config.members.table()).unwrap_or_default();
+        let endpoints = serde_json::to_vec(&self.config.members.status()).unwrap_or_default();
         tokio::task::spawn_local(query.answer(endpoints));
     }
 
@@ -294,7 +294,7 @@
 
     fn notify_ready(&self) {
         self.config.states.send_replace(disruption::InstanceState::Ready);
-        self.config.registrations.wish(DesiredState::Passing);
+        self.config.registrations.set_desired_state(DesiredState::Passing);
         self.config.manager.notify_ready(match &self.reload_error {
             None => format!("serving on {}", self.address),
             Some(why) => format!("not reloaded: {why}"),
@@ -308,7 +308,7 @@
         self.advance_to(ShutdownPhase::Announced);
         // After a handoff the successor is what is registered here.
         if because == Event::Stop {
-            self.config.registrations.wish(DesiredState::ShuttingDown);
+            self.config.registrations.set_desired_state(DesiredState::ShuttingDown);
             info!("{}: told to end", self.config.name);
         }
     }
@@ -327,7 +327,7 @@
     fn hand_off_listeners(&mut self) -> Result<(), String> {
         let Some(successor) = self.successor.take() else { return Ok(()) };
         info!("{}: {} asks for the sockets", self.config.name, successor.name);
-        let (endpoints, learned) = (self.config.members.saved(), self.config.pools.learned());
+        let (endpoints, learned) = (self.config.members.cache(), self.config.pools.learned());
         let state = TransferredState::new(self.config.fingerprint, endpoints, learned).encode();
         let mut listeners = vec![OwnedFd::from(self.clone_listener()?)];
         listeners.extend(self.config.fastcgi_front.listeners().map_err(|e| e.to_string())?);
@@ -384,7 +384,7 @@
     async fn shut_down(&mut self, exit: Exit) {
         let name = &self.config.name;
         if !self.config.progress.borrow().handed_over {
-            self.config.registrations.end().await;
+            self.config.registrations.deregister().await;
             if let Some(coordination) = &self.config.coordination {
                 coordination.close_session(SESSION_CLOSE_TIMEOUT).await;
             }
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -115,22 +115,22 @@
     let random = shared.random();
     let members = EndpointAggregator::new(
         pools.clone(),
-        NameIndex::of(&shared.deployment),
+        NameIndex::new(&shared.deployment),
         operator.registry.last_resort,
         random.clone(),
     );
-    let sources = Sources::of(&members, &operator, &shared.limits);
+    let sources = Sources::new(&members, &operator, &shared.limits);
     let cached = wiring::initial_endpoints(transferred, &operator, cached_endpoints, clock.start_ms);
-    pools.apply_cached(&members.recall(cached));
+    pools.apply_cached(&members.restore(cached));
     let (discovery_address, addresses) = watch::channel(discovery);
-    sources.begin(addresses, &shared.limits, &node_config::staleness_settings(&shared.deployment));
+    sources.spawn(addresses, &shared.limits, &node_config::staleness_settings(&shared.deployment));
     if let Some(file) = operator.registry.cache_file.as_deref().map(cache::cache_file) {
         let interval = operator.registry.cache_write_interval;
         tokio::task::spawn_local(cache::write_changes(members.clone(), file, interval));
     }
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     let registrations =
-        Registrations::begin(&operator.registry.consul, &name, address, &shared.limits, &random);
+        Registrations::spawn(&operator.registry.consul, &name, address, &shared.limits, &random);
     let (states, reported_states) = watch::channel(disruption::InstanceState::Starting);
     // Nothing that serves waits for the coordination service; while it is away nothing changes.
     let coordination = match &operator.council {
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -13,7 +13,7 @@
     reach: ConnectionSettings,
     fastcgi: Rc<fastcgi::Settings>,
 ) -> impl Fn(&ListedEndpoint) -> Rc<dyn Upstream> {
-    move |entry| match entry.speaks {
+    move |entry| match entry.protocol {
         Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
         Protocol::FastCgi => fastcgi::upstream(reach.clone(), entry.addr, fastcgi.clone()),
     }
--- a/crates/verification/coordination-simulation/src/world/mod.rs
+++ b/crates/verification/coordination-simulation/src/world/mod.rs
@@ -236,7 +236,7 @@
     }
 
     fn dispatch(&mut self, event: ScheduledEvent) {
-        self.digest.number(self.agenda.now());
+        self.digest.write_u64(self.agenda.now());
         match self.suspended_receiver(&event) {
             Some(Endpoint::Voter(voter)) => return self.voters[voter].deferred.push_back(event),
             Some(Endpoint::Client(client)) => return self.clients[client].deferred.push_back(event),
--- a/crates/verification/coordination-simulation/src/world/voters.rs
+++ b/crates/verification/coordination-simulation/src/world/voters.rs
@@ -139,7 +139,7 @@
                 if event == VoterEvent::Removed {
                     self.voters[index].removed = true;
                 }
-                self.digest.number(index as u64);
+                self.digest.write_u64(index as u64);
             }
         }
     }
