--- a/crates/control-plane/coordination-server/src/server.rs
+++ b/crates/control-plane/coordination-server/src/server.rs
@@ -10,7 +10,7 @@
 use coordination::client::{ClientRequest, RequestOutcome as Answered};
 use coordination::protocol::{Answer, Handshake, Member, Reply, Request, Status, PROTOCOL_VERSION};
 use coordination::voter::{
-    self, Action, Event, Identity, InjectedDefects, PersistedState, Settings, Voter, VoterEvent,
+    self, Action, Event, Identity, InjectedDefects, PersistedState, Voter, VoterConfig, VoterEvent,
 };
 use daemon::pid_file::PidFile;
 use daemon::service_manager::ServiceManager;
@@ -48,7 +48,7 @@
 pub fn lock(folder: &Path) -> Result<PidFile, String> {
     let named = |e: std::io::Error| format!("{}: {e}", folder.display());
     storage::files::Folder::new(folder).map_err(named)?;
-    PidFile::take(&folder.join("lock"))
+    PidFile::acquire(&folder.join("lock")).map_err(|e| e.to_string())
 }
 
 /// Runs a voter until it is told to end.
@@ -82,7 +82,7 @@
     const GAP: u64 = 1 << 40;
     let frames = match backup {
         None => voter::bootstrap(cluster, &first, bounds()),
-        Some(backup) => voter::restore(cluster, &first, backup, GAP)?,
+        Some(backup) => voter::restore(cluster, &first, backup, GAP).map_err(|e| e.to_string())?,
     };
     journal.replace(&frames).map_err(|e| format!("{}: {e}", file.folder.display()))?;
     Ok(cluster)
@@ -100,11 +100,11 @@
 }
 
 async fn serve(path: PathBuf, options: ServerOptions) -> Result<(), String> {
-    let mut signals = Signals::caught()?;
+    let mut signals = Signals::install().map_err(|e| e.to_string())?;
     let file = config::coordination::read(&path)?;
-    let manager = ServiceManager::of_environment();
+    let manager = ServiceManager::from_env();
     let lock = lock(&file.folder)?;
-    if let Some(why) = lock.unwritten() {
+    if let Some(why) = lock.write_error() {
         info!("council: {why}");
     }
     let (mut journal, mut frames) = journal_writer::open(&file.folder, options.halt)?;
@@ -150,18 +150,18 @@
             let own = Identity { cluster: Some(cluster), ..own };
             write_identity(&mut journal, &own, &file)?;
             info!("council: {} has joined council {cluster:016x}", file.name);
-            frames = vec![voter::identity(&own)];
-            kept = PersistedState::read(&frames)?;
+            frames = vec![voter::encode_identity(&own)];
+            kept = PersistedState::read(&frames).map_err(|e| e.to_string())?;
             callers.says(hello(&file, &own));
             own
         }
     };
-    let settings = Settings {
-        expected: file.voters.iter().map(|(name, _)| name.clone()).collect(),
+    let settings = VoterConfig {
+        expected_members: file.voters.iter().map(|(name, _)| name.clone()).collect(),
         tick: file.tick,
         seed: random_id(),
         log_entries: voter::LOG_ENTRIES,
-        faulty: InjectedDefects::default(),
+        defects: InjectedDefects::default(),
     };
     let start = Instant::now();
     let voter =
@@ -188,7 +188,7 @@
 
 fn write_identity(journal: &mut OnDisk, own: &Identity, file: &File) -> Result<(), String> {
     let fault = |e: std::io::Error| format!("{}: {e}", file.folder.display());
-    journal.replace(&[voter::identity(own)]).map_err(fault)
+    journal.replace(&[voter::encode_identity(own)]).map_err(fault)
 }
 
 /// Asks the other voters until one says that this process may join.
@@ -268,9 +268,9 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut tries = interval(DISK_TRY);
         tries.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let watchdog = self.manager.watchdog();
+        let watchdog = self.manager.watchdog_interval();
         let mut alive = interval(watchdog.unwrap_or(DISK_TRY));
-        self.manager.ready(format!("listening on {}", self.file.listen()));
+        self.manager.notify_ready(format!("listening on {}", self.file.listen()));
         let (gone, mut is_gone) = mpsc::channel(1);
         let mut ends: Option<Instant> = None;
         loop {
@@ -278,8 +278,8 @@
                 info!("council: {} is a voter no more, and ends", self.file.name);
                 return Ok(());
             }
-            if ends.is_some_and(|at| !self.voter.leads() || Instant::now() >= at) {
-                self.manager.stopping();
+            if ends.is_some_and(|at| !self.voter.is_serving_leader() || Instant::now() >= at) {
+                self.manager.notify_stopping();
                 info!("council: {} ends", self.file.name);
                 return Ok(());
             }
@@ -322,13 +322,13 @@
                         self.leaderless = Some(Instant::now());
                         self.asks_whether_gone(gone.clone());
                     }
-                    if self.voter.waits_for_room() {
+                    if self.voter.awaits_storage_recovery() {
                         let _ = self.jobs.try_send(Job::Try);
                     }
                     continue;
                 }
                 _ = alive.tick(), if watchdog.is_some() => {
-                    self.manager.alive();
+                    self.manager.notify_watchdog();
                     continue;
                 }
             };
@@ -388,8 +388,11 @@
         for action in out {
             match action {
                 Action::Send { to, message } => {
-                    let addr =
-                        self.voter.addr_of(to).map(String::from).or_else(|| self.met.get(&to).cloned());
+                    let addr = self
+                        .voter
+                        .member_address(to)
+                        .map(String::from)
+                        .or_else(|| self.met.get(&to).cloned());
                     if let Some(addr) = addr {
                         self.peers.send(to, &addr, message);
                     }
@@ -415,17 +418,17 @@
         match note {
             VoterEvent::BecameLeader(term) => {
                 info!(term, "council: {name} leads");
-                self.manager.ready("leads".into());
+                self.manager.notify_ready("leads".into());
             }
             VoterEvent::FollowsLeader(leader) => {
                 info!("council: {name} follows {leader}");
-                self.manager.ready(format!("follows {leader}"));
+                self.manager.notify_ready(format!("follows {leader}"));
             }
             VoterEvent::Leaderless => info!("council: {name} knows no leader"),
             VoterEvent::StorageFailed(why) => {
                 let why = format!("{}: {why}", self.file.folder.display());
                 info!("council: {name} stands aside and does not vote: {why}");
-                self.manager.ready(format!("stands aside: {why}"));
+                self.manager.notify_ready(format!("stands aside: {why}"));
             }
             VoterEvent::StorageRecovered => info!("council: {name} is back"),
             VoterEvent::Removed => self.removed = true,
@@ -445,7 +448,7 @@
 
     /// Names of voters may be added; all else stays as it is while the process runs.
     fn reload(&mut self) {
-        self.manager.reloading();
+        self.manager.notify_reloading();
         let next = config::coordination::read(&self.path);
         let told = match next {
             Err(why) => Err(why),
@@ -462,7 +465,7 @@
                 Err("council.tick, council.clients: can't change while it runs".into())
             }
             Ok(next) => {
-                self.voter.expects(next.voters.iter().map(|(name, _)| name.clone()).collect());
+                self.voter.set_expected_members(next.voters.iter().map(|(name, _)| name.clone()).collect());
                 self.file = next;
                 Ok(())
             }
@@ -470,11 +473,11 @@
         match told {
             Ok(()) => {
                 info!("council: reloaded");
-                self.manager.ready(format!("listening on {}", self.file.listen()));
+                self.manager.notify_ready(format!("listening on {}", self.file.listen()));
             }
             Err(why) => {
                 info!("council: not reloaded: {why}");
-                self.manager.ready(format!("not reloaded: {why}"));
+                self.manager.notify_ready(format!("not reloaded: {why}"));
             }
         }
     }
--- a/crates/control-plane/disruption-agent/src/command/status.rs
+++ b/crates/control-plane/disruption-agent/src/command/status.rs
@@ -1,7 +1,7 @@
 //! `herondock outage status` and `herondock drains`.
 use super::client::print;
 use super::CommandError;
-use daemon::table::lines;
+use daemon::table::format_rows;
 use disruption::{DisruptionKind, DisruptionLease, FleetSnapshot, ResourceKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -134,8 +134,11 @@
     if json {
         return Ok(print(&state(snapshot).to_string())?);
     }
-    let tables =
-        [lines(&budget_rows(snapshot)), lines(&unavailable_rows(snapshot)), lines(&request_rows(snapshot))];
+    let tables = [
+        format_rows(&budget_rows(snapshot)),
+        format_rows(&unavailable_rows(snapshot)),
+        format_rows(&request_rows(snapshot)),
+    ];
     Ok(print(tables.join("\n").trim_end())?)
 }
 
@@ -194,7 +197,7 @@
         let pending = snapshot.pending_confirmations(resource).join(", ");
         rows.push(row(&[&resource.name, &lease.owner, &lease.reason, &duration, &state, &pending]));
     }
-    Ok(print(lines(&rows).trim_end())?)
+    Ok(print(format_rows(&rows).trim_end())?)
 }
 
 fn drain_statuses(snapshot: &FleetSnapshot) -> Vec<DrainStatus<'_>> {
--- a/crates/control-plane/rollout-agent/src/command/status.rs
+++ b/crates/control-plane/rollout-agent/src/command/status.rs
@@ -1,7 +1,7 @@
 //! `herondock release status`.
 use super::CommandError;
 use crate::{build_id, unix_ms};
-use daemon::table::lines;
+use daemon::table::format_rows;
 use disruption::FleetSnapshot;
 use disruption_agent::command::print;
 use rollout::{
@@ -117,7 +117,7 @@
     }
     let mut rows = vec![COLUMNS.map(String::from).to_vec()];
     rows.extend(observations.iter().map(|instance| instance_row(spec, instance)));
-    Ok(print(lines(&rows).trim_end())?)
+    Ok(print(format_rows(&rows).trim_end())?)
 }
 
 fn instance_row(spec: &RolloutSpec, instance: &InstanceObservation) -> Vec<String> {
--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -63,10 +63,10 @@
 
 fn spawn_sampler(client: ClientHandle, name: &str, counters: Rc<RequestCounters>) {
     let totals = move || MetricsSample {
-        requests: counters.asked.get(),
+        requests: counters.admitted.get(),
         served: counters.served.get(),
         late: counters.late.get(),
-        memory_mb: request_counters::memory(),
+        memory_mb: request_counters::resident_memory_mb(),
     };
     tokio::task::spawn_local(rollout_agent::sampler::run(client, name.into(), totals));
 }
@@ -99,21 +99,21 @@
     }
 
     fn in_flight(&self, upstream: &str) -> usize {
-        self.pools.in_flight(aggregator::id(upstream))
+        self.pools.in_flight(aggregator::upstream_id(upstream))
     }
 
     fn observations(&self) -> LocalObservations {
-        let pools = self.pools.in_use();
-        let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.handle.ejected()).collect();
+        let pools = self.pools.active_pools();
+        let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.driver.ejected()).collect();
         let now_ms = unix_ms();
         let mut observations = LocalObservations::default();
         self.endpoints.each(|endpoint| {
-            let id = aggregator::id(&endpoint.name);
+            let id = aggregator::upstream_id(&endpoint.name);
             let name = endpoint.name.to_string();
             if let Some(condition) = self.condition(endpoint, ejected.contains(&id), now_ms) {
                 observations.conditions.insert(name.clone(), condition);
             }
-            let containing = pools.iter().filter(|pool| pool.has(id));
+            let containing = pools.iter().filter(|pool| pool.contains(id));
             let labels = EndpointLabels {
                 pools: containing.map(|pool| stored_pool_name(&pool.name)).collect(),
                 zone: endpoint.zone.to_string(),
--- a/crates/verification/disruption-simulation/src/world/releases.rs
+++ b/crates/verification/disruption-simulation/src/world/releases.rs
@@ -265,8 +265,8 @@
             build: machine.kept[k].clone(),
             ready: i.state == Stands::Ready && i.successor.is_none(),
             start_failure: matches!(i.state, Stands::CrashLoop(_)).then(|| "given up".to_string()),
-            start_timed_out: i.slow(),
-            crashes: i.crashes(now, WINDOW),
+            start_timed_out: i.missed_ready_timeout(),
+            crashes: i.recent_crashes(now, WINDOW),
         };
         sup.fleet.instances().iter().enumerate().map(one).collect()
     }
