--- a/crates/herondock/src/cli/disruption.rs
+++ b/crates/herondock/src/cli/disruption.rs
@@ -1,6 +1,6 @@
 //! `herondock disruption`, `drain`, `undrain` and `drains`: disruption budgets and drains of upstreams.
 use clap::{Args, Subcommand};
-use disruption_agent::command::Command;
+use disruption_agent::command::{Command, DrainOptions};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -64,14 +64,14 @@
 impl DrainArgs {
     pub fn run(self) -> anyhow::Result<()> {
         let DrainArgs { file, unit, ends, why, wait, until_drained, overrides } = self;
-        let command = Command::Drain {
+        let command = Command::Drain(DrainOptions {
             endpoint: unit,
             duration_ms: ends.map(|ends| u64::try_from(ends.as_millis()).unwrap_or(u64::MAX)),
             reason: why,
             wait,
             until_drained,
             override_reason: overrides,
-        };
+        });
         run(&file, command)
     }
 }
--- a/crates/herondock/src/supervise/leases.rs
+++ b/crates/herondock/src/supervise/leases.rs
@@ -2,7 +2,7 @@
 use super::driver::{action_name, Driver};
 use super::error::SupervisorError;
 use super::event_loop::LoopEvent;
-use super::rollouts::Releases;
+use super::rollouts::{ReplaceDecision, Rollouts};
 use crate::node_config;
 use config::supervisor::{FleetConfig, InstanceConfig};
 use disruption::{BalancerEntry, DisruptionKind};
@@ -22,7 +22,7 @@
 /// Clients of the coordination service.
 pub struct Coordination {
     pub(super) lease_agent: LeaseAgentHandle,
-    pub(super) rollouts: Releases,
+    pub(super) rollouts: Rollouts,
     /// Name of each instance in the coordination service.
     balancer_names: Vec<String>,
     /// The balancers as they were last published.
@@ -42,7 +42,7 @@
         let client = coordination_server::client::spawn_with_presence(settings, PRESENCE_KIND, machine);
         let lease_agent = LeaseAgentHandle::spawn(client.clone(), machine);
         let rollout_agent = RolloutAgent::spawn(client, lease_agent.subscribe());
-        let rollouts = Releases::new(config, machine, rollout_agent).map_err(SupervisorError::Rollouts)?;
+        let rollouts = Rollouts::new(config, machine, rollout_agent)?;
         let balancer_names = config.instances.iter().map(balancer_name).collect();
         Ok(Some(Coordination { lease_agent, rollouts, balancer_names, published: BTreeMap::new() }))
     }
@@ -51,8 +51,11 @@
     pub async fn next_event(&mut self) -> LoopEvent {
         tokio::select! {
             lease = self.lease_agent.next() => LoopEvent::LeaseGranted(lease),
-            confirmed = self.rollouts.news() => match confirmed {
-                Some((lease, usable)) => LoopEvent::LeaseConfirmed { lease, usable },
+            confirmation = self.rollouts.next_event() => match confirmation {
+                Some(confirmation) => LoopEvent::LeaseConfirmed {
+                    lease: confirmation.lease,
+                    usable: confirmation.is_usable,
+                },
                 None => LoopEvent::RolloutChanged,
             },
         }
@@ -60,7 +63,7 @@
 
     /// Interval at which the rollout has to be advanced; `None` if there never was one.
     pub fn rollout_poll_interval(&self) -> Option<Duration> {
-        self.rollouts.look_every()
+        self.rollouts.poll_interval()
     }
 
     fn instance_of(&self, balancer: &str) -> Option<usize> {
@@ -128,7 +131,7 @@
             return Event::Timeout;
         }
         info!(unit, number, "outage: has leave to {}", lease.kind.as_str());
-        if coordination.rollouts.given(lease) {
+        if coordination.rollouts.on_lease_granted(lease) {
             return Event::Timeout;
         }
         Event::LeaseGranted(instance)
@@ -142,7 +145,7 @@
             return Event::Timeout;
         }
         let snapshot = coordination.lease_agent.subscribe();
-        let action = coordination.rollouts.confirmed(&lease.balancer, &snapshot.borrow());
+        let action = coordination.rollouts.on_lease_confirmed(&lease.balancer, &snapshot.borrow());
         action.map_or(Event::Timeout, |action| self.execute_rollout_action(action))
     }
 
@@ -158,14 +161,15 @@
         let instances = self.local_instances();
         let Some(coordination) = &mut self.coordination else { return Vec::new() };
         let Some(session) = coordination.lease_agent.session() else { return Vec::new() };
-        if coordination.rollouts.look_every().is_none() {
+        if coordination.rollouts.poll_interval().is_none() {
             return Vec::new();
         }
         // While a rolling operation is in progress the rollout must not disrupt further instances.
         let rolling = self.supervisor.rolling().is_some();
         let max_parallel = if rolling { 0 } else { self.config.policy.max_parallel };
         let snapshot = coordination.lease_agent.subscribe();
-        let actions = coordination.rollouts.next(&instances, &snapshot.borrow(), max_parallel, session);
+        let actions =
+            coordination.rollouts.next_actions(&instances, &snapshot.borrow(), max_parallel, session);
         actions
     }
 
@@ -209,16 +213,18 @@
         let Some(coordination) = &mut self.coordination else { return Event::Timeout };
         let Some(index) = coordination.instance_of(balancer) else { return Event::Timeout };
         let Some(instance) = self.config.instances.get(index) else { return Event::Timeout };
-        match coordination.rollouts.moved(&instance.name, balancer, build) {
-            Ok(()) => {
+        match coordination.rollouts.replace(&instance.name, balancer, build) {
+            ReplaceDecision::Replace => {
                 info!(unit = balancer, "release: goes over to build {}", build_id::short(build));
                 Event::Command(Command::Replace(index))
             }
-            Err(Some(ExecutorAction::ReleaseLease { instance, replaced })) => {
+            ReplaceDecision::Refuse {
+                follow_up: Some(ExecutorAction::ReleaseLease { instance, replaced }),
+            } => {
                 coordination.lease_agent.release(&instance, replaced);
                 Event::Timeout
             }
-            Err(_) => Event::Timeout,
+            ReplaceDecision::Refuse { .. } => Event::Timeout,
         }
     }
 }
