--- a/crates/foundations/config/src/operator/tests.rs
+++ b/crates/foundations/config/src/operator/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 fn error(text: &str) -> String {
--- a/crates/foundations/config/src/tests.rs
+++ b/crates/foundations/config/src/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 const MINIMAL: &str = r#"{"balancers": 2, "index": 1, "membership_mode": "pushed", "novel": [1],
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -1,89 +1,134 @@
 //! `herondock check`: reads files as `run` would, and opens no socket.
-use crate::node_config;
-use crate::run::read_table;
-use balancer::Balancer;
+use crate::node_config::{self, NodeConfigError};
+use crate::run::{read_table, RunError};
+use balancer::{Balancer, SettingsError};
 use config::{coordination, disruption, operator, rollout, routing, supervisor};
 use route_table::spec::World;
 use std::path::{Path, PathBuf};
 use tracing::info;
 
-/// Checks each file: `.json` is a platform configuration, all else an operator's file or, by its tables, a fleet's
-/// with all that it refers to, a voter's of the council,
-/// of outages, or of a release. Every fault gets a line. Routes are checked and expectations proved with the names of the
-/// platform configuration among the files, or else of the one that NODE_CONFIG names.
+/// Some files can't be used.
+#[derive(Debug, thiserror::Error)]
+#[error("{faulty} of {total} files can't be used")]
+pub struct FaultyFiles {
+    faulty: usize,
+    total: usize,
+}
+
+/// Why a file can't be used.
+#[derive(Debug, thiserror::Error)]
+enum FileError {
+    /// It can't be read or parsed.
+    #[error("{0}")]
+    Config(String),
+    #[error(transparent)]
+    NodeConfig(#[from] NodeConfigError),
+    #[error(transparent)]
+    Routing(#[from] RunError),
+    #[error("{}: settings: {source}", .path.display())]
+    Settings { path: PathBuf, source: SettingsError },
+    #[error("{}: council: the operator's file of instance {instance} has no [council]", .path.display())]
+    WithoutCoordination { path: PathBuf, instance: String },
+    #[error(
+        "{}: routing.table: name the platform's configuration beside the file, or in NODE_CONFIG",
+        .path.display()
+    )]
+    WithoutNodeConfig { path: PathBuf },
+}
+
+/// Checks files: `.json` is a platform configuration; of the others, tables say whether a file is a fleet's (with all files that
+/// it refers to), a voter's, of disruption budgets, of a rollout, or an operator's. Each fault is logged. Routes are checked and
+/// expectations proved with the names of the platform configuration among the files, or else of the one that NODE_CONFIG
+/// names.
 ///
 /// # Errors
-/// How many files are at fault.
-pub fn check(files: &[PathBuf]) -> Result<(), String> {
-    let mut bad = 0;
-    let is_config = |p: &&PathBuf| p.extension().is_some_and(|e| e == "json");
-    let config = match files.iter().find(is_config) {
+/// How many files can't be used.
+pub fn check(files: &[PathBuf]) -> Result<(), FaultyFiles> {
+    let config = match files.iter().find(|path| is_node_config(path)) {
         Some(path) => node_config::read(path).ok(),
         None => node_config::load().ok(),
     };
     let world = config.map(|config| routing::world(&config.deployment));
+    let mut faulty = 0;
     for path in files {
-        if let Err(fault) = one(path, world.as_ref()) {
-            info!("{fault}");
-            bad += 1;
+        if let Err(error) = check_file(path, world.as_ref()) {
+            info!("{error}");
+            faulty += 1;
         }
     }
-    if bad > 0 {
-        return Err(format!("{bad} of {} files can't be used", files.len()));
+    match faulty {
+        0 => Ok(()),
+        _ => Err(FaultyFiles { faulty, total: files.len() }),
+    }
+}
+
+fn is_node_config(path: &Path) -> bool {
+    path.extension().is_some_and(|extension| extension == "json")
+}
+
+fn invalid(error: impl ToString) -> FileError {
+    FileError::Config(error.to_string())
+}
+
+fn check_file(path: &Path, world: Option<&World>) -> Result<(), FileError> {
+    if is_node_config(path) {
+        check_node_config(path)
+    } else if coordination::is_coordination_file(path) {
+        coordination::read(path).map(drop).map_err(invalid)
+    } else if disruption::is_disruption_file(path) {
+        disruption::read(path).map(drop).map_err(invalid)
+    } else if rollout::is_rollout_file(path) {
+        rollout::read(path).map(drop).map_err(invalid)
+    } else if supervisor::is_fleet_file(path) {
+        check_fleet(path)
+    } else {
+        check_operator(path, world)
+    }
+}
+
+fn check_node_config(path: &Path) -> Result<(), FileError> {
+    let config = node_config::read(path)?;
+    let balancer = Balancer::new(config.deployment.policy, config.seed, 0.0);
+    balancer.map(drop).map_err(|source| FileError::Settings { path: path.into(), source })
+}
+
+/// Checks a fleet's file and all files that it refers to.
+fn check_fleet(path: &Path) -> Result<(), FileError> {
+    let fleet = supervisor::read(path).map_err(invalid)?;
+    check_coordination(path, &fleet)?;
+    for instance in &fleet.instances {
+        check_file(&instance.config, None)?;
+        if let Some(operator) = &instance.operator {
+            let config = node_config::read(&instance.config)?;
+            check_file(operator, Some(&routing::world(&config.deployment)))?;
+        }
     }
     Ok(())
 }
 
-/// A supervisor that asks for leave needs balancers that say how they stand: one that is never seen to be in keeps its leave.
-fn in_council(fleet: &supervisor::FleetConfig) -> Result<(), String> {
+/// A supervisor that requests disruption leases needs balancers that report their state: the lease of one that is never seen
+/// in service is kept.
+fn check_coordination(path: &Path, fleet: &supervisor::FleetConfig) -> Result<(), FileError> {
     if fleet.coordination.is_none() {
         return Ok(());
     }
     for instance in &fleet.instances {
-        let own = instance.operator.as_deref().map(operator::read).transpose()?;
-        if own.is_none_or(|own| own.council.is_none()) {
-            return Err(format!(
-                "council: the operator's file of instance {} has no [council]",
-                instance.name
-            ));
+        let operator = instance.operator.as_deref().map(operator::read).transpose();
+        let operator = operator.map_err(|e| invalid(format!("{}: {e}", path.display())))?;
+        if operator.is_none_or(|operator| operator.council.is_none()) {
+            let instance = instance.name.clone();
+            return Err(FileError::WithoutCoordination { path: path.into(), instance });
         }
     }
     Ok(())
 }
 
-fn one(path: &Path, world: Option<&World>) -> Result<(), String> {
-    if path.extension().is_none_or(|e| e != "json") && coordination::is_coordination_file(path) {
-        return coordination::read(path).map(|_| ());
-    }
-    if path.extension().is_none_or(|e| e != "json") && disruption::is_disruption_file(path) {
-        return disruption::read(path).map(|_| ());
-    }
-    if path.extension().is_none_or(|e| e != "json") && rollout::is_rollout_file(path) {
-        return rollout::read(path).map(|_| ());
-    }
-    if path.extension().is_none_or(|e| e != "json") && supervisor::is_fleet_file(path) {
-        let fleet = supervisor::read(path)?;
-        in_council(&fleet).map_err(|what| format!("{}: {what}", path.display()))?;
-        // All that it refers to as well.
-        for instance in &fleet.instances {
-            one(&instance.config, None)?;
-            if let Some(operator) = &instance.operator {
-                let config = node_config::read(&instance.config).map_err(|e| e.to_string())?;
-                one(operator, Some(&routing::world(&config.deployment)))?;
-            }
-        }
+fn check_operator(path: &Path, world: Option<&World>) -> Result<(), FileError> {
+    let operator = operator::read(path).map_err(invalid)?;
+    if operator.routing.table.is_none() {
         return Ok(());
     }
-    if path.extension().is_none_or(|e| e != "json") {
-        let operator = operator::read(path)?;
-        if operator.routing.table.is_none() {
-            return Ok(());
-        }
-        let what = "routing.table: name the platform's configuration beside the file, or in NODE_CONFIG";
-        let world = world.ok_or_else(|| format!("{}: {what}", path.display()))?;
-        return read_table(Some(path), &operator, world).map(|_| ());
-    }
-    let config = node_config::read(path).map_err(|e| e.to_string())?;
-    let settings = Balancer::new(config.deployment.policy, config.seed, 0.0);
-    settings.map(|_| ()).map_err(|e| format!("{}: settings: {e}", path.display()))
+    let world = world.ok_or_else(|| FileError::WithoutNodeConfig { path: path.into() })?;
+    read_table(Some(path), &operator, world)?;
+    Ok(())
 }
--- a/crates/herondock/src/demo/report/tests.rs
+++ b/crates/herondock/src/demo/report/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 fn report(violations: Vec<Violation>) -> Report {
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -31,7 +31,10 @@
 /// None does, or it does not say.
 pub fn query_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::request_endpoints(socket))?;
+    let answer = runtime
+        .map_err(|e| e.to_string())?
+        .block_on(protocol::request_endpoints(socket))
+        .map_err(|e| e.to_string())?;
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -1,8 +1,7 @@
-//! What fronts, the driver and transports exchange: a request, its one answer, an attempt and its ending.
+//! Types that fronts, the driver and transports exchange: a request, its final answer, an attempt and its result.
 //!
-//! Nothing here belongs to a protocol, and nothing here is decided: a front turns its protocol's messages into a
-//! [`Request`] and an [`Answer`] back into them, the driver numbers and times, and a transport carries one
-//! [`Attempt`] out in the protocol of its upstream.
+//! Independent of protocols: a front converts its protocol's messages into a [`Request`] and an [`Answer`] back into them, the
+//! driver numbers and times attempts, and a transport executes one [`Attempt`] in the protocol of its upstream.
 use balancer::{Ending, Millis};
 use bytes::{BufMut, Bytes, BytesMut};
 use config::request_budget::FieldNames;
@@ -18,16 +17,16 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// What a request asks for; the effect of a repeat is its class's matter.
+/// Method of a request. Whether it may be repeated depends on its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Reads; has no body.
+    /// GET, without a body.
     Get,
-    /// Acts.
+    /// POST.
     Post,
 }
 
-/// Names and values in order, one allocation for the text of all. Names may come more than once.
+/// Names and values in order, in one allocation. Names may occur more than once.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
     text: Bytes,
@@ -36,7 +35,7 @@
 }
 
 impl Fields {
-    /// Gathers fields. The caller has bounded them: a text of 4 GiB or more is cut short.
+    /// Collects fields. The caller has bounded them: beyond 4 GiB they are truncated.
     pub fn new<'a>(fields: impl Iterator<Item = (&'a str, &'a [u8])>) -> Fields {
         let (mut text, mut ends) = (BytesMut::with_capacity(512), Vec::with_capacity(12));
         for (name, value) in fields {
@@ -52,7 +51,7 @@
         Fields { text: text.freeze(), field_ends: ends }
     }
 
-    /// Each name and value; the value shares the text.
+    /// Each name and value; values share the allocation.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], Bytes)> + '_ {
         let mut start = 0;
         self.field_ends.iter().map(move |&(name, value)| {
@@ -63,39 +62,39 @@
         })
     }
 
-    /// How many there are.
+    /// Number of fields.
     pub fn len(&self) -> usize {
         self.field_ends.len()
     }
 }
 
-/// A request as it goes on to upstreams, whole.
+/// A complete request as it is forwarded to upstreams.
 pub struct Request {
-    /// The caller's id for it: upstreams tell repeats by it.
+    /// The client's id of the request, by which upstreams recognise retries.
     pub id: Option<Bytes>,
-    /// Its method.
+    /// Method.
     pub method: Method,
-    /// Path and query, as the caller wrote them.
+    /// Path and query, as the client wrote them.
     pub target: Box<str>,
     /// End-to-end fields.
     pub fields: Fields,
     /// The whole body.
     pub body: Bytes,
-    /// What it may still use, where budgets are on.
+    /// Request budget, where budgets are on.
     pub budget: Option<Box<CarriedBudget>>,
-    /// Most attempts, if its route allows fewer than its class.
+    /// Maximum number of attempts, if its route allows fewer than its class.
     pub max_attempts: Option<u32>,
-    /// Set when the request has ended: what has not been written for it by then must not be.
+    /// Set when the request has its final answer or its client is gone: nothing more is written for it.
     pub finished: Cell<bool>,
 }
 
 impl Request {
-    /// Its caller's id for the log.
+    /// The client's id, for the log.
     pub fn label(&self) -> Cow<'_, str> {
         self.id.as_deref().map_or(Cow::Borrowed("without an id"), String::from_utf8_lossy)
     }
 
-    /// The same request, not yet over.
+    /// A copy that has not finished.
     pub fn duplicate(&self) -> Request {
         Request {
             id: self.id.clone(),
@@ -110,27 +109,27 @@
     }
 }
 
-/// A budget, and the fields in which it is carried on.
+/// A request budget and the names of the fields that carry it.
 #[derive(Clone, Debug)]
 pub struct CarriedBudget {
-    /// What the request may use.
+    /// The budget.
     pub budget: Budget,
-    /// Names of the fields.
+    /// Names of its fields.
     pub names: Rc<FieldNames>,
 }
 
-/// The one final answer to a request, with what its caller may be told besides.
+/// The final answer to a request, with what the client may be told besides.
 #[derive(Debug)]
 pub struct FinalAnswer {
-    /// The answer.
+    /// Answer.
     pub answer: Answer,
     /// Whether an attempt may have run.
     pub may_have_run: bool,
-    /// What was used of its budget.
+    /// Retries used of its budget.
     pub used: Used,
 }
 
-/// The one final answer to a request.
+/// The outcome of a request for its client.
 #[derive(Debug)]
 pub enum Answer {
     /// An upstream's answer.
@@ -140,69 +139,69 @@
         /// Its whole body.
         body: Bytes,
     },
-    /// Refused: another try does no harm.
+    /// Rejected: nothing ran, and a retry does no harm.
     Rejected {
-        /// How long the client should stay away; zero: no advice.
+        /// Retry-After in milliseconds; 0: no advice.
         retry_after: Millis,
     },
-    /// Turned away by the upstream as something it can't use, with this status (400 to 499).
+    /// Rejected by the upstream as invalid, with this status (400 to 499).
     ClientError(u16),
     /// Failed, with no promise about its effect.
     Failed,
 }
 
-/// How an attempt ended, and the answer if it brought one.
+/// How an attempt ended, and its answer if there is one.
 pub type AttemptResult = (Ending, Option<Answer>);
 
-/// Until when something may be written to an upstream. Shared by the driver, which hears the news, and the
-/// attempts that are on their way.
+/// Whether attempts may still be written to an upstream. Shared by the driver, which closes it when the upstream drains, and
+/// the attempts in flight.
 #[derive(Debug, Default)]
 pub struct DrainGate(Cell<Option<Instant>>);
 
 impl DrainGate {
-    /// Nothing may be written from `at` on, nor after an earlier time that was set before.
+    /// Closes the gate at `at`, unless it closes earlier already.
     pub fn close_at(&self, at: Instant) {
         self.0.set(Some(self.0.get().map_or(at, |before| before.min(at))));
     }
 
-    /// The upstream takes new work again.
+    /// Opens the gate: the upstream takes new requests again.
     pub fn open(&self) {
         self.0.set(None);
     }
 
-    /// Whether it is too late to write.
+    /// Whether nothing may be written any more.
     pub fn closed(&self, now: Instant) -> bool {
         self.0.get().is_some_and(|at| now >= at)
     }
 }
 
-/// What an attempt carries of its request's budget, and what its answer told.
+/// An attempt's share of its request's retry budget.
 #[derive(Debug, Default)]
 pub struct BudgetGrant {
-    /// Repeats that what is below may use.
+    /// Retries that the tiers below may use.
     pub retries: u32,
-    /// What it used, where the answer said so.
+    /// Usage that the answer reported, if it did.
     pub reported_usage: Cell<Option<Used>>,
 }
 
-/// One request to one upstream, once.
+/// One attempt: a request to one upstream, written once at most.
 #[derive(Clone)]
 pub struct Attempt {
     /// The request.
     pub request: Rc<Request>,
-    /// The upstream's gate.
+    /// Closed while the upstream drains.
     pub gate: Rc<DrainGate>,
-    /// When it is given up.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// Nothing is written from then on, where an earlier attempt may have run: repeats are not dropped any more.
+    /// Where an earlier attempt may have run: when upstreams stop discarding duplicates; nothing is written from then on.
     pub dedup_deadline: Option<Instant>,
-    /// Its part of the budget, where budgets are on.
+    /// Its share of the retry budget, where budgets are on.
     pub budget_grant: Option<Rc<BudgetGrant>>,
 }
 
 impl Attempt {
-    /// The fields of the budget, to be written with the request: what is left of the time counts from now, so that no
-    /// clock is passed on.
+    /// Names and values of the budget's fields, to be written with the request. The remaining time counts from `now`, so that
+    /// no clock is compared between machines.
     pub fn budget_fields(&self, now: Instant) -> Option<[(&str, String); 2]> {
         let CarriedBudget { budget, names } = self.request.budget.as_deref()?;
         let left = self.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
@@ -214,21 +213,21 @@
         Some([(&names.budget, value), (&names.path, budget.path.text().into())])
     }
 
-    /// Takes note of what an answer tells, given its field of this name; the field goes no further.
+    /// Records the usage that an answer reports. `field` yields the value of a field of the answer.
     pub fn record_usage<'a>(&self, field: impl FnOnce(&str) -> Option<&'a [u8]>) {
         if let (Some(carried), Some(hop)) = (&self.request.budget, &self.budget_grant) {
             hop.reported_usage.set(field(&carried.names.used).and_then(grammar::read_used));
         }
     }
 
-    /// The name of the field that tells what was used, where budgets are on.
+    /// Name of the field that reports usage, where budgets are on; it is not forwarded to the client.
     pub fn used_field(&self) -> Option<&str> {
         self.request.budget.as_ref().map(|carried| carried.names.used.as_str())
     }
 
-    /// Whether its first byte may be written now. A transport asks right before it writes: what was decided before
-    /// dialling must not go out once the upstream's grace, the attempt's time, the time in which repeats are dropped or the
-    /// request itself is over.
+    /// Whether its first byte may be written now. A transport asks right before it writes: between the decision and the first
+    /// byte the upstream may have begun to drain, the attempt may have timed out, upstreams may have stopped discarding
+    /// duplicates, or the request may have finished.
     pub fn may_write(&self, now: Instant) -> bool {
         let may = !self.gate.closed(now)
             && now < self.deadline
@@ -243,28 +242,27 @@
     }
 }
 
-/// An attempt that is carried out. Dropping it closes the connection that it is on.
+/// An attempt in execution. Dropping it closes its connection.
 pub type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
-/// One upstream, reached by its protocol, and the connections kept to it.
+/// One upstream, reached by its protocol, with its pooled connections.
 pub trait Upstream {
-    /// Carries one attempt out: its request is written once at most.
+    /// Executes one attempt: its request is written once at most.
     fn attempt(self: Rc<Self>, attempt: Attempt) -> AttemptFuture;
 
-    /// Another process has taken its place at `addr`: connections to the old one, those in use too, carry nothing
-    /// more.
+    /// Another process serves at `addr` now: connections to the former one, also those in use, carry no further request.
     fn process_replaced(&self, addr: SocketAddr);
 
-    /// Closes the connections that carry no call now.
+    /// Closes the idle connections.
     fn close_idle(&self);
 
-    /// Closes the connections that have been idle for too long, and those that the other side closed.
+    /// Closes connections that have been idle for too long, and those that the other side closed.
     fn close_expired(&self, now: Instant);
 
-    /// Since when the connection that rested longest is idle.
+    /// Since when the connection that has been idle longest is idle.
     fn oldest_idle_since(&self) -> Option<Instant>;
 
-    /// Closes the connection that rested longest.
+    /// Closes the connection that has been idle longest.
     fn close_oldest_idle(&self);
 }
 
--- a/crates/herondock/src/exchange/tests.rs
+++ b/crates/herondock/src/exchange/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use std::time::Duration;
 
--- a/crates/herondock/src/front/classify.rs
+++ b/crates/herondock/src/front/classify.rs
@@ -1,11 +1,11 @@
-//! What a request is, by what its caller says of it: the same for every front.
+//! Classification of a request by its head: class, tenant, deadline and method. The same for every front.
 use crate::exchange::Method;
 use balancer::{Effect, Millis};
 use config::Deployment;
 
-/// What a caller says of a request.
+/// A field of a request's head.
 pub struct RequestField {
-    /// Its header (PROTOCOL), in small letters.
+    /// Name of its header, in lower case.
     pub header: &'static str,
     missing: &'static str,
     malformed: &'static str,
@@ -22,34 +22,37 @@
     missing: "Req-Deadline is missing",
     malformed: "Req-Deadline is bad",
 };
-/// The key of a request that may be repeated.
+/// The idempotency key.
 pub const KEY: RequestField = RequestField { header: "idempotency-key", missing: "", malformed: "" };
 
-/// A request's head, of whatever protocol.
+/// The head of a request, of whatever protocol.
 pub struct RequestHead<'a> {
-    /// The one value of a field; `None`: absent, no text, or there several times.
+    /// The value of a field; `None`: absent, no text, or present several times.
     pub single_value: &'a dyn Fn(&RequestField) -> Option<&'a str>,
-    /// Whether there is a key at all, an empty or repeated one too.
+    /// Whether there is an idempotency key at all, also an empty or repeated one.
     pub has_key: bool,
-    /// Its method is GET.
+    /// Whether its method is GET.
     pub is_get: bool,
-    /// Its method is POST.
+    /// Whether its method is POST.
     pub is_post: bool,
 }
 
-/// What it is.
+/// Classification of a request.
 pub struct Classification {
-    /// Its class, by position.
+    /// Position of its class in the settings.
     pub class: usize,
-    /// Its tenant, by position.
+    /// Position of its tenant in the settings.
     pub tenant: usize,
-    /// How long its caller waits.
+    /// How long its client waits, in milliseconds.
     pub deadline_ms: Millis,
-    /// Its method.
+    /// Method.
     pub method: Method,
 }
 
-/// Class, tenant and patience of a request, or what is wrong with its head. Ids have `id_most` bytes at most.
+/// Classifies a request. Ids have `id_most` bytes at most.
+///
+/// # Errors
+/// What is wrong with its head.
 pub fn classify(d: &Deployment, id_most: usize, given: &RequestHead) -> Result<Classification, &'static str> {
     let one = |field: &RequestField| (given.single_value)(field).ok_or(field.missing);
     let id = one(&ID)?;
@@ -82,7 +85,7 @@
     })
 }
 
-/// A span of time as callers write it: a number and `m` for milliseconds or `u` for microseconds.
+/// A span of time as clients write it: a number and `m` for milliseconds or `u` for microseconds.
 fn parse_span(text: &str) -> Option<Millis> {
     let text = text.trim();
     let (number, unit) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
--- a/crates/herondock/src/front/classify/tests.rs
+++ b/crates/herondock/src/front/classify/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 #[test]
--- a/crates/herondock/src/front/fastcgi/admission.rs
+++ b/crates/herondock/src/front/fastcgi/admission.rs
@@ -4,7 +4,7 @@
 use crate::driver::AdmissionError;
 use crate::exchange::{CarriedBudget, Method, Request};
 use crate::front::classify::{classify, Classification, RequestField, RequestHead};
-use crate::http::{DECLINED, REPEATED};
+use crate::http::{DECLINED, RETRY};
 use crate::request_budgets::FrontKind;
 use crate::routing::request_attributes::{RequestAttributes, RoutingError};
 use crate::routing::AdmittedRequest;
@@ -105,8 +105,8 @@
         let Some(budgets) = &self.budgets else { return Ok(None) };
         let all = |name: &str| all_params(request, &header_param(name));
         let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
-        let is_retry = single_param(&request.params, &header_param(REPEATED.as_str())) == Some("1");
-        match budgets.carried(FrontKind::FastCgi, (&budget, &path), patience, is_retry) {
+        let is_retry = single_param(&request.params, &header_param(RETRY.as_str())) == Some("1");
+        match budgets.carried_budget(FrontKind::FastCgi, (&budget, &path), patience, is_retry) {
             Ok(carried) => Ok(Some(Box::new(carried))),
             Err(BudgetRejection::Bad(malformed)) => Err(Rejection::bad_request(malformed)),
             Err(BudgetRejection::Refused(rejection)) => {
--- a/crates/herondock/src/front/fastcgi/params.rs
+++ b/crates/herondock/src/front/fastcgi/params.rs
@@ -1,7 +1,7 @@
 //! The params of a request (RFC 3875): which field of a request stands in which, and what of them goes to upstreams.
 use crate::exchange::Fields;
 use crate::front::classify::{RequestField, KEY};
-use crate::http::belongs_to_a_hop;
+use crate::http::is_hop_by_hop;
 use bytes::Bytes;
 use config::fastcgi::Names;
 use fastcgi::pairs::Pair;
@@ -55,7 +55,7 @@
             n => n.strip_prefix("HTTP_")?.replace('_', "-").to_ascii_lowercase(),
         };
         // `Host` is the next hop's own, and empty params stand for what is not there.
-        let end_to_end = !belongs_to_a_hop(own.as_bytes()) && !value.is_empty();
+        let end_to_end = !is_hop_by_hop(own.as_bytes()) && !value.is_empty();
         end_to_end.then(|| (own, value.clone()))
     };
     let all: Vec<(String, Bytes)> = params.filter_map(field).collect();
--- a/crates/herondock/src/front/http/admission.rs
+++ b/crates/herondock/src/front/http/admission.rs
@@ -5,7 +5,7 @@
 use crate::exchange::{Answer, CarriedBudget, Method, Request};
 use crate::front::classify::{classify, Classification, RequestField, RequestHead, KEY};
 use crate::front::observed_stream::ConnectionActivity;
-use crate::http::{fields, DEADLINE, DECLINED, REPEATED};
+use crate::http::{end_to_end_fields, DEADLINE, DECLINED, RETRY};
 use crate::request_budgets::FrontKind;
 use crate::routing::request_attributes::{RequestAttributes, RoutingError};
 use crate::routing::AdmittedRequest;
@@ -111,8 +111,8 @@
         let all =
             |name: &str| -> Vec<&[u8]> { headers.get_all(name).iter().map(HeaderValue::as_bytes).collect() };
         let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
-        let is_retry = headers.get(REPEATED).is_some_and(|v| v == "1");
-        match budgets.carried(FrontKind::Http, (&budget, &path), patience, is_retry) {
+        let is_retry = headers.get(RETRY).is_some_and(|v| v == "1");
+        match budgets.carried_budget(FrontKind::Http, (&budget, &path), patience, is_retry) {
             Ok(carried) => Ok(Some(Box::new(carried))),
             Err(BudgetRejection::Bad(malformed)) => Err(bad_request(&malformed.to_string())),
             Err(BudgetRejection::Refused(rejection)) => {
@@ -206,7 +206,7 @@
         id: head.headers.get(REQUEST_ID).map(|id| Bytes::copy_from_slice(id.as_bytes())),
         method,
         target: target(head).into(),
-        fields: fields(&head.headers, |name| *name == DEADLINE || own.contains(name)),
+        fields: end_to_end_fields(&head.headers, |name| *name == DEADLINE || own.contains(name)),
         body,
         budget,
         max_attempts: None,
--- a/crates/herondock/src/front/http/response.rs
+++ b/crates/herondock/src/front/http/response.rs
@@ -1,6 +1,6 @@
 //! Responses that the front writes itself, and those that carry a final answer.
 use crate::exchange::Answer;
-use crate::http::headers;
+use crate::http::to_headers;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
@@ -32,7 +32,7 @@
     match answer {
         Answer::Served { fields, body } => {
             let mut response = Response::new(Full::new(body));
-            *response.headers_mut() = headers(&fields);
+            *response.headers_mut() = to_headers(&fields);
             response
         }
         Answer::Rejected { retry_after } => {
--- a/crates/herondock/src/front/mod.rs
+++ b/crates/herondock/src/front/mod.rs
@@ -1,34 +1,34 @@
-//! Fronts: where callers connect, one for each protocol.
+//! Fronts: what clients connect to, one for each protocol.
 mod classify;
 pub mod fastcgi;
 pub mod http;
 mod observed_stream;
 
-/// How far the end of the program has come.
+/// Phases of graceful shutdown, as fronts see them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Serving.
+    /// No shutdown goes on.
     Serving,
-    /// Told to end: new connections are still accepted, and kept ones go on being served.
+    /// SIGTERM has come: connections are still accepted and served, the readiness check fails.
     Announced,
-    /// No connection is accepted any more, once nobody waits to be; those that there are go on being served.
+    /// No connection is accepted any more, once nobody waits to be accepted; open ones are served.
     Draining,
     /// Connections end with their next answer.
     ClosingConnections,
-    /// And those that are between requests are closed.
+    /// Idle connections are closed as well.
     ClosingIdle,
 }
 
-/// What a front is told of the end of the program.
+/// How far a graceful shutdown has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownProgress {
-    /// How far it has come.
+    /// Its phase.
     pub phase: ShutdownPhase,
-    /// Those that wait to be accepted are another process's, which serves at the same address.
+    /// Whether a successor process accepts at the same address.
     pub handed_over: bool,
 }
 
 impl ShutdownProgress {
-    /// At the beginning.
+    /// No shutdown goes on.
     pub const UP: ShutdownProgress = ShutdownProgress { phase: ShutdownPhase::Serving, handed_over: false };
 }
--- a/crates/herondock/src/front/observed_stream.rs
+++ b/crates/herondock/src/front/observed_stream.rs
@@ -1,5 +1,5 @@
-//! What callers' bytes tell before hyper has them: hyper drops `Content-Length` beside `Transfer-Encoding`, and
-//! does not tell of half a head.
+//! Observes a client's bytes before hyper parses them: hyper drops `Content-Length` beside `Transfer-Encoding`, and does not
+//! report a partial head.
 use crate::stream::SharedStream;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -10,30 +10,29 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// Room for a usual head, which is kept for each connection.
+/// Capacity for a typical head, which each connection keeps.
 const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// What a caller's bytes have told.
+/// What has been observed on a connection.
 pub struct ConnectionActivity {
-    /// Whole heads read.
+    /// Complete heads read.
     pub heads_read: Cell<u64>,
-    /// Of these, those that the service has been given.
+    /// Of these, those that hyper has handed to the service.
     pub heads_delivered: Cell<u64>,
     /// Whether part of a head has been read.
     pub partial_head: Cell<bool>,
-    /// Since when the caller is waited for: its connection, the first byte of a head, or the last answer.
+    /// Since when the client is waited for: its connection, the first byte of a head, or the last response.
     pub waiting_since: Cell<Instant>,
-    /// When the first byte of the last head came.
+    /// When the first byte of the last head was read.
     pub head_started: Cell<Instant>,
-    /// Requests that were read whole and that nobody has asked about yet, by number from 1, and when. Bounded by what hyper
-    /// reads ahead.
+    /// When requests were read completely, by number from 1, until the time is taken. Bounded by what hyper reads ahead.
     complete_requests: RefCell<VecDeque<(u64, Instant)>>,
-    /// The head, by number from 1, whose body has no one end: it states its length in two ways.
+    /// Number, from 1, of a head that states the length of its body in two ways.
     pub ambiguous_head: Cell<Option<u64>>,
 }
 
 impl ConnectionActivity {
-    /// Begins with the connection.
+    /// Of a new connection.
     pub fn new() -> Rc<ConnectionActivity> {
         Rc::new(ConnectionActivity {
             heads_read: Cell::new(0),
@@ -46,8 +45,8 @@
         })
     }
 
-    /// When the request with this number had been read whole: its caller's time counts from then, not from when those before it
-    /// on the connection were answered. `None`: where its end is not followed. Numbers must not go back.
+    /// When the request with this number had been read completely: its client's time counts from then, not from when those before
+    /// it on the connection were answered. `None`: its end is not tracked. Numbers must not go back.
     pub fn completed_at(&self, number: u64) -> Option<Instant> {
         let mut whole = self.complete_requests.borrow_mut();
         while whole.front().is_some_and(|&(n, _)| n < number) {
@@ -56,7 +55,7 @@
         whole.pop_front_if(|&mut (n, _)| n == number).map(|(_, at)| at)
     }
 
-    /// Whether more has been read than the service has been given.
+    /// Whether more has been read than the service has received.
     pub fn has_undelivered(&self) -> bool {
         self.partial_head.get() || self.heads_read.get() > self.heads_delivered.get()
     }
@@ -67,22 +66,22 @@
     Head,
     /// Within a body with this much to come.
     Body(u64),
-    /// Behind a head after which the connection closes, or that hyper refuses.
+    /// Behind a head after which the connection closes, or that hyper rejects.
     Untracked,
 }
 
-/// A caller's stream, watched while it is read.
+/// A client's stream, observed while it is read.
 pub struct ObservedStream {
     stream: SharedStream,
     activity: Rc<ConnectionActivity>,
     head: Vec<u8>,
-    /// Largest head; hyper turns away more.
+    /// Maximum size of a head; hyper rejects larger ones.
     max_head_bytes: usize,
     position: FramePosition,
 }
 
 impl ObservedStream {
-    /// Watches a new stream, whose heads hold at most `head_most` bytes.
+    /// Observes a new stream, whose heads hold at most `head_most` bytes.
     pub fn new(stream: SharedStream, watch: Rc<ConnectionActivity>, head_most: usize) -> ObservedStream {
         ObservedStream {
             stream,
@@ -118,7 +117,7 @@
         FramePosition::Head
     }
 
-    /// Takes what belongs to the head and returns what is behind it.
+    /// Observes bytes of a head and returns those behind it.
     fn observe_head<'a>(&mut self, mut bytes: &'a [u8]) -> &'a [u8] {
         if self.head.is_empty() {
             // Empty lines before a request are allowed.
@@ -165,7 +164,7 @@
 
 struct AmbiguousLength;
 
-/// Where the bytes behind a head belong.
+/// What the bytes behind a head belong to.
 fn framing(head: &[u8]) -> Result<FramePosition, AmbiguousLength> {
     let (mut lengths, mut codings) = (0, 0);
     let mut length = Some(0);
--- a/crates/herondock/src/front/observed_stream/tests.rs
+++ b/crates/herondock/src/front/observed_stream/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 fn kind(head: &str) -> String {
--- a/crates/herondock/src/http.rs
+++ b/crates/herondock/src/http.rs
@@ -9,10 +9,10 @@
 pub const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
 /// Marks a caller's own repeat.
-pub const REPEATED: HeaderName = HeaderName::from_static("req-retry");
+pub const RETRY: HeaderName = HeaderName::from_static("req-retry");
 
 /// Headers that belong to one connection and are not passed on.
-const HOP: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     header::PROXY_AUTHENTICATE,
@@ -24,14 +24,14 @@
 ];
 
 /// Whether a field of this name belongs to one connection, or to the framing of a body, and is not passed on.
-pub fn belongs_to_a_hop(name: &[u8]) -> bool {
+pub fn is_hop_by_hop(name: &[u8]) -> bool {
     let own = [header::CONTENT_LENGTH, header::EXPECT];
-    HOP.iter().chain(&own).any(|hop| hop.as_str().as_bytes().eq_ignore_ascii_case(name))
+    HOP_BY_HOP_HEADERS.iter().chain(&own).any(|hop| hop.as_str().as_bytes().eq_ignore_ascii_case(name))
 }
 
 /// The end-to-end headers of a message as fields, but for those left out here: without what belongs to one connection
 /// (RFC 9110, section 7.6.1), and without the length of the body, which is framed anew.
-pub fn fields(headers: &HeaderMap, except: impl Fn(&HeaderName) -> bool) -> Fields {
+pub fn end_to_end_fields(headers: &HeaderMap, except: impl Fn(&HeaderName) -> bool) -> Fields {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -41,14 +41,14 @@
         .collect();
     let kept = |name: &HeaderName| {
         let out = [header::CONTENT_LENGTH, header::EXPECT];
-        !(HOP.contains(name) || out.contains(name) || named.contains(name) || except(name))
+        !(HOP_BY_HOP_HEADERS.contains(name) || out.contains(name) || named.contains(name) || except(name))
     };
     let kept = headers.iter().filter(|(name, _)| kept(name));
     Fields::new(kept.map(|(name, value)| (name.as_str(), value.as_bytes())))
 }
 
 /// Fields as headers. A field that HTTP can't carry, from another protocol, is left out.
-pub fn headers(fields: &Fields) -> HeaderMap {
+pub fn to_headers(fields: &Fields) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(fields.len() + 2);
     for (name, value) in fields.iter() {
         let (name, value) = (HeaderName::from_bytes(name), HeaderValue::from_maybe_shared(value));
@@ -60,7 +60,7 @@
 }
 
 /// A method as hyper has it.
-pub fn method(method: Method) -> hyper::Method {
+pub fn to_method(method: Method) -> hyper::Method {
     match method {
         Method::Get => hyper::Method::GET,
         Method::Post => hyper::Method::POST,
--- a/crates/herondock/src/listener_handoff/mod.rs
+++ b/crates/herondock/src/listener_handoff/mod.rs
@@ -1,3 +1,4 @@
-//! Passing the sockets on from one process of an instance to the next, and what goes along.
+//! Listener handoff: a running process (the predecessor) passes its listening sockets and some state to a new process of the
+//! same instance (the successor).
 pub mod protocol;
 pub mod transferred_state;
--- a/crates/herondock/src/listener_handoff/protocol.rs
+++ b/crates/herondock/src/listener_handoff/protocol.rs
@@ -1,4 +1,4 @@
-//! Passing the listening socket from an old process to a new one over a Unix socket.
+//! The handoff protocol over a Unix socket.
 //!
 //! ```text
 //! new: take-over 1 NAME\n
@@ -8,14 +8,14 @@
 //! old: released\n              it accepts nothing any more
 //! ```
 //!
-//! The same socket answers whoever asks for members:
+//! The same socket answers queries for the endpoints:
 //!
 //! ```text
 //! any: members 1\n
 //! old: view LENGTH\n           and LENGTH bytes of JSON
 //! ```
 //!
-//! Either side may end at any time: the end of the connection tells the other. Both run as the same user.
+//! Either side may exit at any time, which the other notices by the end of the connection. Both run as the same user.
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -24,61 +24,75 @@
 use std::mem::MaybeUninit;
 use std::net::TcpListener;
 use std::os::fd::{AsFd, OwnedFd};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Interest};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// Longest line of the exchange.
+/// Longest line, in bytes.
 const MAX_LINE_BYTES: u64 = 256;
-/// Most that goes along with the sockets.
+/// Maximum size of the transferred state, in bytes.
 const MAX_STATE_BYTES: usize = 64 << 20;
-/// How long one side waits for the next step of the other that takes no time of its own.
+/// How long one side waits for a step of the other that takes no work.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most listeners that are passed on.
+/// Maximum number of listeners that are passed on.
 const MAX_LISTENERS: usize = 65;
 
-/// The side of the process that holds the socket.
+/// Listens for successors and for queries.
 pub struct HandoffListener(UnixListener);
 
-/// A process that asks for the socket.
+/// A process that requests the listeners.
 pub struct Successor {
     stream: BufReader<UnixStream>,
-    /// What it calls itself.
+    /// Its name.
     pub name: String,
 }
 
-/// What somebody wants who has connected.
+/// A request of a process that has connected.
 pub enum HandoffRequest {
-    /// The sockets.
+    /// For the listeners.
     Listeners(Successor),
-    /// The members, as JSON.
+    /// For the endpoints.
     Endpoints(EndpointsQuery),
 }
 
-/// Whoever asks for members.
+/// A process that requests the endpoints.
 pub struct EndpointsQuery(BufReader<UnixStream>);
 
 impl EndpointsQuery {
-    /// Answers it.
+    /// Answers with the endpoints as JSON.
     pub async fn answer(mut self, view: Vec<u8>) {
-        // It may have gone already.
+        // The process may have exited.
         let head = format!("view {}\n", view.len());
         let _ = timeout(STEP_TIMEOUT, self.0.write_all(head.as_bytes())).await;
         let _ = timeout(STEP_TIMEOUT, self.0.write_all(&view)).await;
     }
 }
 
-/// Asks the process that listens at `path` for its members.
+/// A handoff or a query failed.
+#[derive(Debug, thiserror::Error)]
+#[error("daemon.takeover: {}: {source}", .path.display())]
+pub struct HandoffError {
+    path: PathBuf,
+    source: io::Error,
+}
+
+impl HandoffError {
+    fn at(path: &Path) -> impl Fn(io::Error) -> HandoffError + '_ {
+        |source| HandoffError { path: path.into(), source }
+    }
+}
+
+/// Requests the endpoints, as JSON, from the process that listens at `path`.
 ///
 /// # Errors
-/// Nobody listens there, or it does not keep to the exchange.
-pub async fn request_endpoints(path: &Path) -> Result<Vec<u8>, String> {
+/// No process listens there, or it breaks the protocol.
+pub async fn request_endpoints(path: &Path) -> Result<Vec<u8>, HandoffError> {
     let asked = async {
         let mut stream = BufReader::new(UnixStream::connect(path).await?);
         stream.write_all(b"members 1\n").await?;
-        let head = line(&mut stream).await?;
+        let head = read_line(&mut stream).await?;
         let length = head.strip_prefix("view ").and_then(|n| n.parse::<usize>().ok());
         let length = length.filter(|&n| n <= MAX_STATE_BYTES);
         let mut view = vec![0; length.ok_or_else(|| io::Error::other(format!("it said {head:?}")))?];
@@ -86,28 +100,28 @@
         Ok::<_, io::Error>(view)
     };
     let asked = timeout(STEP_TIMEOUT, asked).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
-    asked.map_err(|e| format!("daemon.takeover: {}: {e}", path.display()))
+    asked.map_err(HandoffError::at(path))
 }
 
 impl HandoffListener {
-    /// Listens at `path`. What was left there by a process that has ended makes way.
+    /// Listens at `path`. A socket that a former process left there is replaced.
     ///
     /// # Errors
-    /// The path can't be had.
-    pub fn bind(path: &Path) -> Result<HandoffListener, String> {
-        let fault = |e: io::Error| format!("daemon.takeover: {}: {e}", path.display());
+    /// The path can't be listened on.
+    pub fn bind(path: &Path) -> Result<HandoffListener, HandoffError> {
+        let fault = HandoffError::at(path);
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(fault(e)),
             _ => {}
         }
-        let listener = UnixListener::bind(path).map_err(fault)?;
-        // Only this user may connect; the other end's user is looked at as well.
+        let listener = UnixListener::bind(path).map_err(&fault)?;
+        // Only this user may connect; the user of the other end is checked as well.
         let private = std::os::unix::fs::PermissionsExt::from_mode(0o600);
         std::fs::set_permissions(path, private).map_err(fault)?;
         Ok(HandoffListener(listener))
     }
 
-    /// The next process that asks. One that breaks off, is slow or of another user is passed over.
+    /// The next request. Processes that disconnect, are slow, or run as another user are ignored.
     pub async fn next(&self) -> HandoffRequest {
         loop {
             let Ok((stream, _)) = self.0.accept().await else {
@@ -119,7 +133,7 @@
                 continue;
             }
             let mut stream = BufReader::new(stream);
-            if let Ok(Ok(line)) = timeout(STEP_TIMEOUT, line(&mut stream)).await {
+            if let Ok(Ok(line)) = timeout(STEP_TIMEOUT, read_line(&mut stream)).await {
                 if let Some(name) = line.strip_prefix("take-over 1 ") {
                     return HandoffRequest::Listeners(Successor { name: name.into(), stream });
                 }
@@ -133,67 +147,68 @@
 }
 
 impl Successor {
-    /// Turns it away.
+    /// Rejects it.
     pub async fn reject(mut self, why: &str) {
-        // It may have gone already.
+        // The process may have exited.
         let _ = timeout(STEP_TIMEOUT, self.stream.write_all(format!("refused {why}\n").as_bytes())).await;
     }
 
-    /// Passes the listeners on, that of the platform's callers first, and waits until the other could serve.
+    /// Sends the listeners, that of the platform's clients first, and the state; waits until the successor could serve.
     ///
     /// # Errors
-    /// It broke off, or took too long to read; or there are too many listeners.
+    /// It disconnected or read too slowly, or there are too many listeners.
     pub async fn hand_off(mut self, listeners: Vec<OwnedFd>, along: &[u8]) -> io::Result<ReadySuccessor> {
         let head = format!("sockets {}\n", along.len());
-        timeout(STEP_TIMEOUT, send(self.stream.get_ref(), head.as_bytes(), &listeners)).await??;
-        // Whoever holds them keeps them open.
+        timeout(STEP_TIMEOUT, send_with_descriptors(self.stream.get_ref(), head.as_bytes(), &listeners))
+            .await??;
+        // The other handles keep the sockets open.
         drop(listeners);
         timeout(STEP_TIMEOUT, self.stream.write_all(along)).await??;
-        match line(&mut self.stream).await?.as_str() {
+        match read_line(&mut self.stream).await?.as_str() {
             "ready" => Ok(ReadySuccessor(self.stream)),
             other => Err(io::Error::other(format!("it said {other:?}"))),
         }
     }
 }
 
-/// A process that could serve, and waits to be told to.
+/// A successor that could serve, and waits to be released.
 pub struct ReadySuccessor(BufReader<UnixStream>);
 
 impl ReadySuccessor {
-    /// Tells it to accept.
+    /// Releases it to accept.
     pub async fn release(mut self) {
-        // If it has gone, whoever starts next finds the sockets closed, as after any end.
+        // If it has exited, the next process finds the sockets closed, as after any exit.
         let _ = timeout(STEP_TIMEOUT, self.0.write_all(b"released\n")).await;
     }
 }
 
-/// What a new process got.
+/// What a successor has received.
 pub struct ReceivedListeners {
-    /// The listener; the old process accepts on it still.
+    /// The listener; the predecessor still accepts on it.
     pub listener: TcpListener,
-    /// Those of other fronts.
+    /// Listeners of other fronts.
     pub other_fronts: Vec<OwnedFd>,
-    /// What went along.
+    /// The transferred state, encoded.
     pub state: Vec<u8>,
     stream: BufReader<UnixStream>,
 }
 
-/// Asks the process that listens at `path` for its listener. `None`: nobody does.
+/// Requests the listeners from the process that listens at `path`. `None`: there is none.
 ///
 /// # Errors
-/// It refuses, breaks off, or does not keep to the exchange.
-pub async fn request_listeners(path: &Path, name: &str) -> Result<Option<ReceivedListeners>, String> {
-    let fault = |e: io::Error| format!("daemon.takeover: {}: {e}", path.display());
+/// It rejects the request, disconnects, or breaks the protocol.
+pub async fn request_listeners(path: &Path, name: &str) -> Result<Option<ReceivedListeners>, HandoffError> {
+    let fault = HandoffError::at(path);
     let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
-        // Nothing is there, or what a process left that has ended.
+        // There is no socket, or one that a former process left.
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
         Err(e) => return Err(fault(e)),
     };
     let asked = async {
         let mut stream = BufReader::new(stream);
         stream.write_all(format!("take-over 1 {}\n", name.replace(['\n', '\r'], " ")).as_bytes()).await?;
-        let (head, passed) = receive(stream.get_ref()).await?;
+        let (head, passed) = receive_with_descriptors(stream.get_ref()).await?;
         let mut words = head.splitn(2, ' ');
         let length = match (words.next(), words.next().unwrap_or("")) {
             (Some("sockets"), length) => length.parse::<usize>().ok().filter(|&n| n <= MAX_STATE_BYTES),
@@ -220,8 +235,8 @@
 }
 
 impl ReceivedListeners {
-    /// Waits until the listener is this process's own. Once `ready` ends, the old process is told so; it may also end
-    /// before, which leaves the listener as well.
+    /// Waits until only this process accepts on the listener. Once `ready` ends, the predecessor is notified; it may also exit
+    /// before, which leaves the listener to this process as well.
     pub async fn wait_until_released(mut self, ready: impl std::future::Future<Output = ()>) {
         let mut ready = std::pin::pin!(ready);
         let mut told = false;
@@ -229,17 +244,17 @@
             tokio::select! {
                 () = &mut ready, if !told => {
                     told = true;
-                    // Its end shows in the reading.
+                    // A failure shows in the next read.
                     let _ = self.stream.write_all(b"ready\n").await;
                 }
-                // Nothing else is said, and the end of the connection is the end of the process.
-                _ = line(&mut self.stream) => return,
+                // The only line is the release, and the end of the connection is the exit of the predecessor.
+                _ = read_line(&mut self.stream) => return,
             }
         }
     }
 }
 
-async fn line(stream: &mut BufReader<UnixStream>) -> io::Result<String> {
+async fn read_line(stream: &mut BufReader<UnixStream>) -> io::Result<String> {
     let mut text = String::new();
     stream.take(MAX_LINE_BYTES).read_line(&mut text).await?;
     match text.strip_suffix('\n') {
@@ -248,8 +263,8 @@
     }
 }
 
-/// Writes a short line with listeners attached.
-async fn send(stream: &UnixStream, text: &[u8], listeners: &[OwnedFd]) -> io::Result<()> {
+/// Sends a line with listeners attached.
+async fn send_with_descriptors(stream: &UnixStream, text: &[u8], listeners: &[OwnedFd]) -> io::Result<()> {
     stream
         .async_io(Interest::WRITABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
@@ -259,7 +274,7 @@
                 return Err(io::Error::other("too many listeners"));
             }
             let sent = sendmsg(stream, &[IoSlice::new(text)], &mut control, SendFlags::NOSIGNAL)?;
-            // Short lines go out whole on a connection that nothing was written to.
+            // A short line is written completely on a connection without output.
             if sent == text.len() {
                 Ok(())
             } else {
@@ -269,8 +284,8 @@
         .await
 }
 
-/// Reads a line byte by byte, so that nothing behind it is taken, and the descriptors that came with it.
-async fn receive(stream: &UnixStream) -> io::Result<(String, Vec<OwnedFd>)> {
+/// Reads a line byte by byte, so that no byte behind it is consumed, and the descriptors attached to it.
+async fn receive_with_descriptors(stream: &UnixStream) -> io::Result<(String, Vec<OwnedFd>)> {
     let (mut text, mut passed) = (Vec::new(), Vec::new());
     while text.last() != Some(&b'\n') && (text.len() as u64) < MAX_LINE_BYTES {
         let byte = stream
--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -1,17 +1,17 @@
-//! What goes along with the sockets to a successor: the view of members with its ages, and what the module has learned
-//! of capacity and demand. It is taken only by a process with the same settings; see `docs/design/supervisor.md` for what is
-//! left behind, and why.
+//! State that a predecessor transfers to its successor with the sockets: the endpoints with their ages, and what the decision
+//! module has learned of capacity and demand. Only a process with the same settings uses it; `docs/design/supervisor.md` says what
+//! is not transferred, and why.
 use balancer::Learned;
 use discovery::endpoint_cache::EndpointCache;
 use serde::{Deserialize, Serialize};
 
-/// What a source told longer ago, in milliseconds, is not taken: asking anew is better than going by it.
+/// Maximum age of a source's endpoints, in milliseconds: older ones are requested again instead.
 const MAX_AGE_MS: f64 = 60_000.0;
 
-/// What goes along.
+/// Transferred state. Its JSON names are part of the handoff protocol.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransferredState {
-    /// Tells the settings apart that the rest is meant for.
+    /// Hash of the settings that it is valid for.
     #[serde(rename = "settings")]
     settings_fingerprint: u64,
     #[serde(rename = "view")]
@@ -28,7 +28,7 @@
 }
 
 impl TransferredState {
-    /// Gathers it.
+    /// State of a process with settings of this hash.
     pub fn new(settings: u64, view: EndpointCache, learned: Learned) -> TransferredState {
         let Learned { capacity, peak, unloaded, demands } = learned;
         TransferredState {
@@ -38,27 +38,27 @@
         }
     }
 
-    /// As bytes.
+    /// Encodes it as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        // Numbers and texts only: this can't fail, and without it the successor starts like any other.
+        // Numbers and texts only: this can't fail. Without state the successor starts like any other process.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// From bytes, for a process with these settings. `None`: it is for other settings, or nothing that can be read.
+    /// Decodes it for a process with settings of this hash. `None`: it is for other settings, or can't be parsed.
     pub fn decode(bytes: &[u8], settings: u64) -> Option<TransferredState> {
         serde_json::from_slice::<TransferredState>(bytes)
             .ok()
             .filter(|along| along.settings_fingerprint == settings)
     }
 
-    /// The view, at this Unix time in milliseconds, without what is too old; `None`: nothing is left of it.
+    /// The endpoints that are not too old at this Unix time in milliseconds; `None`: there are none.
     pub fn endpoints(self, now: f64) -> Option<EndpointCache> {
         let mut view = self.endpoints;
         view.prune(now, MAX_AGE_MS);
         (!view.reports.is_empty()).then_some(view)
     }
 
-    /// What was learned; the module checks it.
+    /// What the decision module has learned; it validates the values.
     pub fn learned(&self) -> Learned {
         let LearnedCapacity { capacity, peak, unloaded, ref demands } = self.learned;
         Learned { capacity, peak, unloaded, demands: demands.clone() }
--- a/crates/herondock/src/listener_handoff/transferred_state/tests.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use discovery::endpoint::SourceUpdate;
 use discovery::endpoint_set::{EndpointSet, Source};
--- a/crates/herondock/src/live_config.rs
+++ b/crates/herondock/src/live_config.rs
@@ -1,17 +1,17 @@
-//! Settings that may change while the program runs.
+//! Settings that may change while the process runs.
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A value with many readers, replaced whole. Who has got it keeps the version that it got.
+/// A value with many readers that is replaced as a whole. A reader keeps the version that it has got.
 pub struct LiveConfig<T>(Rc<RefCell<Rc<T>>>);
 
 impl<T> LiveConfig<T> {
-    /// Begins with `value`.
+    /// A value that can be replaced.
     pub fn new(value: T) -> LiveConfig<T> {
         LiveConfig(Rc::new(RefCell::new(Rc::new(value))))
     }
 
-    /// The value as it is now.
+    /// The present value.
     pub fn get(&self) -> Rc<T> {
         self.0.borrow().clone()
     }
--- a/crates/herondock/src/request_budgets.rs
+++ b/crates/herondock/src/request_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets as this program reads them: what the operator's file allows, the pool's mark, and what is said of loops.
+//! Request budgets of this process: what the operator's file allows, the marker of its pool, and logging of loops.
 use crate::exchange::CarriedBudget;
 use config::request_budget::{BudgetTable, FieldNames};
 use request_budget::log_throttle::LogThrottle;
@@ -7,6 +7,7 @@
 use std::cell::RefCell;
 use std::fs::File;
 use std::io::Read;
+use std::path::PathBuf;
 use std::rc::Rc;
 use tokio::time::Instant;
 use tracing::info;
@@ -14,7 +15,7 @@
 /// Largest file with a secret, in bytes.
 const MAX_SECRET_BYTES: u64 = 4096;
 
-/// Which front a request came in by.
+/// The front that a request came in by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontKind {
     /// HTTP.
@@ -23,50 +24,58 @@
     FastCgi,
 }
 
-/// Budgets, where the operator's file turns them on.
+/// The file with the secret can't be read.
+#[derive(Debug, thiserror::Error)]
+#[error("budget.secret_file: {}: {source}", .path.display())]
+pub struct SecretError {
+    path: PathBuf,
+    source: std::io::Error,
+}
+
+/// Request budgets, where the operator's file turns them on.
 pub struct BudgetPolicy {
     bounds: Bounds,
-    mark: HopMarker,
-    /// The fields.
+    hop_marker: HopMarker,
+    /// Names of the fields.
     pub names: Rc<FieldNames>,
     trust_http: bool,
     trust_fastcgi: bool,
-    said: RefCell<LogThrottle>,
+    log_throttle: RefCell<LogThrottle>,
     start: Instant,
 }
 
 impl BudgetPolicy {
-    /// `None`: they are off.
+    /// The policy of this tier; `None`: budgets are off.
     ///
     /// # Errors
     /// The secret can't be read.
-    pub fn of(table: &BudgetTable, tier: u32) -> Result<Option<Rc<BudgetPolicy>>, String> {
+    pub fn from_config(table: &BudgetTable, tier: u32) -> Result<Option<Rc<BudgetPolicy>>, SecretError> {
         let Some(pool) = &table.pool else { return Ok(None) };
         // Several tiers may share a file.
         let pool = pool.replace("{tier}", &tier.to_string());
         let mut secret = Vec::new();
         if let Some(path) = &table.secret_file {
-            let fault = |e| format!("budget.secret_file: {}: {e}", path.display());
+            let fault = |source| SecretError { path: path.clone(), source };
             File::open(path)
                 .and_then(|f| f.take(MAX_SECRET_BYTES).read_to_end(&mut secret))
                 .map_err(fault)?;
         }
         Ok(Some(Rc::new(BudgetPolicy {
             bounds: Bounds { retries: table.retries, hops: table.hops, repeat_worth: table.repeat_worth },
-            mark: HopMarker::new(secret.trim_ascii(), &pool),
+            hop_marker: HopMarker::new(secret.trim_ascii(), &pool),
             names: Rc::new(table.names.clone()),
             trust_http: table.trust_http,
             trust_fastcgi: table.trust_fastcgi,
-            said: RefCell::default(),
+            log_throttle: RefCell::default(),
             start: Instant::now(),
         })))
     }
 
-    /// What a request may use that came in here with these values of the budget's and the path's fields.
+    /// The budget of a request, given every value of the fields for budget and path.
     ///
     /// # Errors
-    /// Why it is not taken. A loop is said in the log, once for each place that it comes from.
-    pub fn carried(
+    /// Why the request is rejected. A loop is logged, once for each place that it comes from.
+    pub fn carried_budget(
         &self,
         side: FrontKind,
         (budget, path): (&[&[u8]], &[&[u8]]),
@@ -78,12 +87,12 @@
             FrontKind::FastCgi => self.trust_fastcgi,
         };
         let given = IncomingFields { budget, path, patience, repeated, trusted };
-        match Budget::of(&given, &self.bounds, &self.mark) {
+        match Budget::of(&given, &self.bounds, &self.hop_marker) {
             Ok(budget) => Ok(CarriedBudget { budget, names: self.names.clone() }),
             Err(BudgetRejection::Refused(why)) => {
                 let cause = format!("{why}; it came from {}", Path::last(path));
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
-                if let Some(n) = self.said.borrow_mut().came(&cause, now) {
+                if let Some(n) = self.log_throttle.borrow_mut().came(&cause, now) {
                     info!("refused: {cause} ({n} times)");
                 }
                 Err(BudgetRejection::Refused(why))
--- a/crates/herondock/src/routing/inspect.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -33,7 +33,7 @@
     pub headers: Vec<(String, String)>,
 }
 
-fn table(file: &Path, world: &World) -> Result<(Table, Vec<Expect>), String> {
+fn load_table(file: &Path, world: &World) -> Result<(Table, Vec<Expect>), String> {
     let operator = operator::read(file)?;
     let base = file.parent().unwrap_or(Path::new(""));
     let found = routing::read(&operator.routing, base, world).map_err(|faults| faults.join("\n"))?;
@@ -51,7 +51,7 @@
 /// The files can't be used, or it names what is not there.
 pub fn explain(file: &Path, d: &RequestDescription) -> Result<String, String> {
     let world = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
-    let (table, _) = table(file, &world)?;
+    let (table, _) = load_table(file, &world)?;
     let class = position("class", &world.classes, d.class.as_deref())?;
     let club = position("club", &world.clubs, d.club.as_deref())?;
     let fronts = route_table::cube::FRONTS.map(String::from);
@@ -68,12 +68,12 @@
         request_id: &|| b"",
         headers: &headers,
     };
-    let query = match Query::of(&asked, table.headers.iter()) {
+    let query = match Query::parse(&asked, table.headers.iter()) {
         Ok(query) => query,
         Err(RoutingError::Ambiguous(why)) => return Ok(format!("turned away with 400: {why}\n")),
         Err(other) => return Err(format!("{other:?}")),
     };
-    let Some((route, pool)) = query.in_table(&table, class, club) else {
+    let Some((route, pool)) = query.route_in(&table, class, club) else {
         return Ok("turned away with 404: there is no route for it\n".into());
     };
     let mut text = String::new();
@@ -102,7 +102,7 @@
     if let Some(p) = route.fallback {
         let _ = writeln!(text, "pool {} if it certainly has not run", table.pools[p].name);
     }
-    let behind = |c: &&Compiled| c.route.precedence > route.route.precedence && query.meets(c, class, club);
+    let behind = |c: &&Compiled| c.route.precedence > route.route.precedence && query.matches(c, class, club);
     for other in table.routes.iter().filter(behind) {
         let _ = writeln!(text, "before route {}, precedence {}", other.route.name, other.route.precedence);
     }
@@ -115,7 +115,7 @@
 /// The files can't be used.
 pub fn diff_tables(old: &Path, new: &Path) -> Result<String, String> {
     let world = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
-    let ((before, old_expects), (after, new_expects)) = (table(old, &world)?, table(new, &world)?);
+    let ((before, old_expects), (after, new_expects)) = (load_table(old, &world)?, load_table(new, &world)?);
     let (moves, whole) = diff(&before, &after, MAX_SHOWN_MOVES);
     let mut text = String::new();
     for m in &moves {
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -1,12 +1,12 @@
-//! Pools at work: which one a request goes to, and what each is told of members.
+//! Routing: the pools, which of them a request goes to, and which endpoints each has.
 //!
-//! | file | its job |
+//! | file | contents |
 //! | --- | --- |
-//! | `ask.rs` | what the table is asked of a request, by either front |
-//! | `pool.rs` | a pool: a driver with a decision module of its own, and the members that belong to it |
-//! | `show.rs` | `herondock routes` |
+//! | `request_attributes.rs` | what the routing table needs to know of a request, for either front |
+//! | `pool.rs` | a pool: a driver with a decision module of its own, and the endpoints that belong to it |
+//! | `inspect.rs` | `herondock routes` |
 //!
-//! Without a table there is one pool with all members, and nothing is asked.
+//! Without a table there is one pool with all endpoints.
 pub mod inspect;
 mod pool;
 pub mod request_attributes;
@@ -28,49 +28,54 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Tables whose keyed requests may still be repeated; a change beyond that many within a window is not taken.
+/// Maximum number of former tables whose requests with idempotency keys may still be retried; further changes are rejected.
 const MAX_FORMER_TABLES: usize = 256;
 
-/// Makes a driver for a pool of this name.
+/// The routing table has changed too often within the time in which idempotency keys are remembered.
+#[derive(Debug, thiserror::Error)]
+#[error("routing.table: more than {MAX_FORMER_TABLES} changes within the time in which keys are remembered")]
+pub struct TooManyTableChanges;
+
+/// Creates the driver of a pool, by its name.
 pub type DriverFactory = Box<dyn Fn(&str) -> DriverHandle>;
 
-/// What the table in use says.
+/// The table in use.
 struct ActiveTable {
     table: Table,
-    /// The pools, at the positions of the table's.
+    /// The pools, in the order of the table.
     pools: Vec<Rc<Pool>>,
 }
 
 struct Inner {
-    maker: DriverFactory,
+    driver_factory: DriverFactory,
     deployment: Deployment,
     current: RefCell<Option<Rc<ActiveTable>>>,
-    /// The pool of all members, while there is no table.
+    /// The pool of all endpoints, while there is no table.
     default_pool: RefCell<Option<Rc<Pool>>>,
-    /// Pools of former tables, which end what they have taken.
+    /// Pools of former tables, until their requests have ended.
     draining_pools: RefCell<Vec<Weak<Pool>>>,
-    /// Former tables, and until when a repeat of what went by them may come.
+    /// Former tables, and until when requests that they routed may be retried.
     former_tables: RefCell<Vec<(Rc<ActiveTable>, Instant)>>,
-    /// All members as they are.
+    /// All endpoints.
     endpoints: RefCell<BTreeMap<UpstreamId, ListedEndpoint>>,
     has_endpoints: Cell<bool>,
-    /// Told once members are known.
+    /// Notified once endpoints are known.
     endpoints_known: Notify,
-    /// Told when a driver's timers stop, which nothing can be served without.
-    broken: Rc<Notify>,
+    /// Notified when a driver's timers have stopped, without which no request can be served.
+    timers_failed: Rc<Notify>,
     max_open: usize,
-    /// Every request has its answer by then.
+    /// Every request has its final answer by then, during a graceful shutdown.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
-/// All pools, as everything else sees them.
+/// All pools, as the rest of the process sees them. Clones refer to the same pools.
 #[derive(Clone)]
 pub struct Pools(Rc<Inner>);
 
-/// A request that was taken, with where it goes if it certainly has not run.
+/// An admitted request, with its fallback if it certainly has not run.
 pub struct AdmittedRequest {
     waiting: PendingAnswer,
-    /// Alive while requests of it are open.
+    /// Keeps the pool while the request is open.
     _pool: Option<Rc<Pool>>,
     fallback: Option<Box<Fallback>>,
 }
@@ -84,7 +89,7 @@
 }
 
 impl AdmittedRequest {
-    /// The final answer. One that was refused and certainly has not run goes to the fall-back first.
+    /// Waits for the final answer. A request that was rejected and certainly has not run goes to its fallback pool first.
     pub async fn answer(self) -> FinalAnswer {
         let AdmittedRequest { waiting, fallback, _pool } = self;
         let first = waiting.answer().await;
@@ -108,7 +113,7 @@
         let broken = Rc::new(Notify::new());
         let whole = Pool::start(&maker, "", None, &broken);
         Pools(Rc::new(Inner {
-            maker,
+            driver_factory: maker,
             deployment,
             current: RefCell::default(),
             default_pool: RefCell::new(Some(whole)),
@@ -117,18 +122,18 @@
             endpoints: RefCell::default(),
             has_endpoints: Cell::new(false),
             endpoints_known: Notify::new(),
-            broken,
+            timers_failed: broken,
             max_open,
             shutdown_deadline: Cell::new(None),
         }))
     }
 
-    /// Returns once a driver's timers have stopped.
+    /// Waits until a driver's timers have stopped.
     pub async fn wait_for_failure(&self) {
-        self.0.broken.notified().await;
+        self.0.timers_failed.notified().await;
     }
 
-    /// Every pool that may have requests.
+    /// Every pool that may have requests, draining ones included.
     fn all_pools(&self) -> Vec<Rc<Pool>> {
         let inner = &self.0;
         let mut all: Vec<Rc<Pool>> = inner.default_pool.borrow().iter().cloned().collect();
@@ -137,40 +142,40 @@
         all
     }
 
-    /// Whether upstreams are known, so that requests can be served.
+    /// Whether endpoints are known, so that requests can be served.
     pub fn has_endpoints(&self) -> bool {
         self.0.has_endpoints.get()
     }
 
-    /// Attempts that are out to an upstream, from every pool.
+    /// Number of attempts in flight to an upstream, from all pools.
     pub fn in_flight(&self, upstream: UpstreamId) -> usize {
         self.all_pools().iter().map(|pool| pool.driver.in_flight(upstream)).sum()
     }
 
-    /// The pools that are in use, by name; the pool of all members is called by no name.
+    /// The pools in use; the default pool has an empty name.
     pub fn active_pools(&self) -> Vec<Rc<Pool>> {
         let inner = &self.0;
         let whole: Vec<Rc<Pool>> = inner.default_pool.borrow().iter().cloned().collect();
         whole.into_iter().chain(inner.current.borrow().iter().flat_map(|c| c.pools.clone())).collect()
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.all_pools().iter().map(|pool| pool.driver.open_requests()).sum()
     }
 
-    /// Requests that are taken from now on have their answer after this time at the latest.
+    /// Bounds the time of requests that are admitted from now on.
     pub fn answer_within(&self, time: Duration) {
         self.0.shutdown_deadline.set(Some(Instant::now() + time));
         self.all_pools().iter().for_each(|pool| pool.driver.answer_within(time));
     }
 
-    /// Ends every request that is open; see [`DriverHandle::fail_open`].
+    /// Fails every open request; see [`DriverHandle::fail_open`].
     pub fn fail_open_requests(&self) {
         self.all_pools().iter().for_each(|pool| pool.driver.fail_open_requests());
     }
 
-    /// Closes an idle connection to an upstream, if there is one: its socket is needed elsewhere.
+    /// Closes the connection that has been idle longest, if there is one, to free its descriptor.
     pub fn close_oldest_idle(&self) {
         let all = self.all_pools();
         let oldest = all.iter().filter_map(|pool| Some((pool.driver.oldest_idle_since()?, pool)));
@@ -179,19 +184,19 @@
         }
     }
 
-    /// Waits until upstreams are known.
+    /// Waits until endpoints are known.
     pub async fn wait_for_endpoints(&self) {
         while !self.has_endpoints() {
             self.0.endpoints_known.notified().await;
         }
     }
 
-    /// What the module of the one pool has learned; with a table nothing is passed on.
+    /// What the decision module of the default pool has learned; nothing with a routing table.
     pub fn learned(&self) -> Learned {
         self.0.default_pool.borrow().as_ref().map(|pool| pool.driver.learned()).unwrap_or_default()
     }
 
-    /// Takes a saved list, before any other news of members.
+    /// Applies a cached endpoint list, before any update from a source.
     pub fn apply_cached(&self, listing: &EndpointUpdate) {
         self.record_changes(listing);
         for pool in self.all_pools() {
@@ -214,12 +219,12 @@
         }
     }
 
-    /// Takes a table into use. Requests under way end by the one that they began with; a pool of the same name stays as it
-    /// is, with what it has learned.
+    /// Replaces the routing table. Open requests keep the table that they began with; a pool of the same name stays, with what its
+    /// decision module has learned.
     ///
     /// # Errors
-    /// There were too many changes within the time in which repeats may come.
-    pub fn replace_table(&self, table: Option<Table>) -> Result<(), String> {
+    /// There were too many changes within the time in which requests may be retried.
+    pub fn replace_table(&self, table: Option<Table>) -> Result<(), TooManyTableChanges> {
         let inner = &self.0;
         let now = Instant::now();
         let same = match (&*inner.current.borrow(), &table) {
@@ -237,9 +242,7 @@
         }
         inner.former_tables.borrow_mut().retain(|(_, until)| now < *until);
         if inner.former_tables.borrow().len() >= MAX_FORMER_TABLES {
-            return Err(format!(
-                "routing.table: more than {MAX_FORMER_TABLES} changes within the time in which keys are remembered"
-            ));
+            return Err(TooManyTableChanges);
         }
         let former = inner.current.borrow_mut().take();
         let mut kept: BTreeMap<String, Rc<Pool>> =
@@ -252,7 +255,12 @@
                         pool
                     }
                     None => {
-                        let pool = Pool::start(&inner.maker, &spec.name, Some(spec.clone()), &inner.broken);
+                        let pool = Pool::start(
+                            &inner.driver_factory,
+                            &spec.name,
+                            Some(spec.clone()),
+                            &inner.timers_failed,
+                        );
                         if let Some(last) = inner.shutdown_deadline.get() {
                             pool.driver.answer_within(last.saturating_duration_since(now));
                         }
@@ -262,7 +270,7 @@
                 };
                 let pools: Vec<Rc<Pool>> = table.pools.iter().map(one).collect();
                 for (pool, spec) in pools.iter().zip(&table.pools) {
-                    if inner.has_endpoints.get() && pool.members() == 0 {
+                    if inner.has_endpoints.get() && pool.member_count() == 0 {
                         info!("routes: pool {:?} is without members now", spec.name);
                     }
                 }
@@ -272,7 +280,7 @@
                 self.keep_while_open(whole);
             }
             None => {
-                let pool = Pool::start(&inner.maker, "", None, &inner.broken);
+                let pool = Pool::start(&inner.driver_factory, "", None, &inner.timers_failed);
                 pool.load(&inner.endpoints.borrow(), inner.has_endpoints.get());
                 inner.default_pool.replace(Some(pool));
             }
@@ -294,7 +302,7 @@
         Ok(())
     }
 
-    /// A pool that goes: whoever has a request in it holds it too.
+    /// Keeps a former pool until its requests have ended.
     fn keep_while_open(&self, pool: Option<Rc<Pool>>) {
         let Some(pool) = pool else { return };
         tokio::task::spawn_local(async move {
@@ -304,7 +312,7 @@
         });
     }
 
-    /// For how long upstreams drop repeats, at the most.
+    /// The longest time for which upstreams discard duplicates, in milliseconds.
     fn max_dedup_window(&self) -> Millis {
         let windows = self.0.deployment.policy.classes.iter().map(|c| match c.effect {
             Effect::Guarded { window, .. } => window,
@@ -313,7 +321,7 @@
         windows.fold(0.0, f64::max)
     }
 
-    /// The pool of a request, with its route's own bounds set in it.
+    /// The route of a request: its pool, fallback and limits.
     fn choose_route(
         &self,
         asked: &RequestAttributes,
@@ -335,12 +343,12 @@
             .map(|(c, _)| c.clone())
             .collect();
         let needed = past.iter().chain([&current]).flat_map(|c| &c.table.headers);
-        let query = request_attributes::Query::of(asked, needed)?;
-        let (route, pool) = query.in_table(&current.table, class, tenant).ok_or(RoutingError::NoRoute)?;
-        let k = pool.ok_or_else(|| RoutingError::refused(&route.route))?;
+        let query = request_attributes::Query::parse(asked, needed)?;
+        let (route, pool) = query.route_in(&current.table, class, tenant).ok_or(RoutingError::NoRoute)?;
+        let k = pool.ok_or_else(|| RoutingError::rejected_by(&route.route))?;
         let pool = current.pools[k].clone();
-        // Guards against a repeat that leaves the group that drops it: what this key went by before the change may have
-        // run there, and is remembered there only.
+        // Guards against a retry that leaves the group that discards it: a request with this key may have run where the former
+        // table led it, and is remembered only there.
         if matches!(
             self.0.deployment.policy.classes.get(class).map(|c| c.effect),
             Some(Effect::Guarded { .. })
@@ -348,8 +356,8 @@
             let spec = &current.table.pools[k];
             let last = self.0.former_tables.borrow().last().map_or(now, |(_, until)| *until);
             for past in &past {
-                let was = query.in_table(&past.table, class, tenant).and_then(|(_, k)| k);
-                // A pool of another name with the same members drops the same repeats.
+                let was = query.route_in(&past.table, class, tenant).and_then(|(_, k)| k);
+                // A pool of another name with the same endpoints discards the same duplicates.
                 let same =
                     |was: &Spec| Spec { name: String::new(), place: spec.place.clone(), ..was.clone() };
                 if was.is_some_and(|was| same(&past.table.pools[was]) != same(spec)) {
@@ -361,10 +369,10 @@
         Ok(RouteChoice { pool, fallback, attempts: route.route.attempts, time_ms: route.route.time_ms })
     }
 
-    /// Takes a request: from now on one final answer is owed.
+    /// Admits a request: from now on one final answer is owed.
     ///
     /// # Errors
-    /// Why it was not taken; nothing ran for it.
+    /// Why it was not admitted; nothing ran for it.
     pub fn admit(
         &self,
         asked: &RequestAttributes,
--- a/crates/herondock/src/routing/pool.rs
+++ b/crates/herondock/src/routing/pool.rs
@@ -1,4 +1,4 @@
-//! A pool at work: a driver with a decision module of its own, and the members that belong to it.
+//! A pool: a driver with a decision module of its own, and the endpoints that belong to it.
 use super::DriverFactory;
 use crate::driver::DriverHandle;
 use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint, Protocol};
@@ -10,14 +10,14 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// See the module's page.
+/// A pool.
 pub struct Pool {
-    /// Its name; empty for the pool of all members.
+    /// Its name; empty for the default pool.
     pub name: String,
     /// Its driver.
     pub driver: DriverHandle,
     spec: RefCell<Option<Spec>>,
-    /// The members that it was told of.
+    /// The endpoints that it has.
     contains: RefCell<BTreeSet<UpstreamId>>,
     timers: AbortHandle,
 }
@@ -28,14 +28,14 @@
     }
 }
 
-fn gone(entry: &ListedEndpoint) -> ListedEndpoint {
+fn as_gone(entry: &ListedEndpoint) -> ListedEndpoint {
     let mut entry = entry.clone();
     entry.member.availability = Availability::Gone;
     entry
 }
 
 impl Pool {
-    /// A pool that knows no members yet; without conditions all belong to it.
+    /// A pool without endpoints yet; without a specification all belong to it.
     pub fn start(maker: &DriverFactory, name: &str, spec: Option<Spec>, broken: &Rc<Notify>) -> Rc<Pool> {
         let handle = maker(name);
         let running = handle.clone();
@@ -71,7 +71,7 @@
         let one = |entry: &ListedEndpoint| {
             let id = entry.member.id;
             if entry.member.availability == Availability::Gone || !self.selects(entry) {
-                return has.remove(&id).then(|| gone(entry));
+                return has.remove(&id).then(|| as_gone(entry));
             }
             has.insert(id);
             Some(entry.clone())
@@ -105,7 +105,7 @@
     }
 
     /// How many members it has.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.contains.borrow().len()
     }
 }
--- a/crates/herondock/src/routing/request_attributes.rs
+++ b/crates/herondock/src/routing/request_attributes.rs
@@ -1,4 +1,4 @@
-//! What the table is asked of a request, by either front; and why one is turned away.
+//! What the routing table needs to know of a request, for either front, and why a request is not routed.
 use crate::driver::AdmissionError;
 use route_table::cube;
 use route_table::path::segments;
@@ -7,64 +7,69 @@
 use std::borrow::Cow;
 use std::time::Duration;
 
-/// What a front knows of a request; what has to be looked up is asked for only where there is a table.
+/// What a front knows of a request. Functions are called only where there is a table.
 pub struct RequestAttributes<'a> {
-    /// The front, by its position in [`cube::FRONTS`].
+    /// Position of the front in [`cube::FRONTS`].
     pub front: usize,
-    /// The method, by its position in [`cube::METHODS`].
+    /// Position of the method in [`cube::METHODS`].
     pub method: usize,
     /// The host, perhaps with a port, empty if there is none; `None`: there are several.
     pub host: &'a dyn Fn() -> Option<&'a str>,
     /// Path and query.
     pub target: &'a str,
-    /// The key by which upstreams drop repeats.
+    /// The idempotency key.
     pub key: &'a dyn Fn() -> Option<&'a [u8]>,
     /// The request's id.
     pub request_id: &'a dyn Fn() -> &'a [u8],
-    /// Every value of a header, by its name in small letters.
+    /// Every value of a header, by its name in lower case.
     pub headers: &'a dyn Fn(&str) -> Vec<&'a [u8]>,
 }
 
-/// Why a request was not taken. Nothing ran for it.
-#[derive(Debug)]
+/// Why a request was not admitted. Nothing ran for it.
+#[derive(Debug, thiserror::Error)]
 pub enum RoutingError {
-    /// The driver has no place, or knows its id.
-    NotAdmitted(AdmissionError),
-    /// What it says can be read in several ways: bad input.
+    /// The driver did not admit it.
+    #[error(transparent)]
+    NotAdmitted(#[from] AdmissionError),
+    /// It can be interpreted in several ways: bad input.
+    #[error("{0}")]
     Ambiguous(&'static str),
-    /// No route is there for it.
+    /// No route matches it.
+    #[error("there is no route for it")]
     NoRoute,
-    /// Its route refuses it, for this reason.
+    /// Its route rejects it, for this reason.
+    #[error("{0}")]
     Rejected(String),
-    /// Its key went by another pool before a change, and may be repeated until then.
+    /// Requests with its idempotency key went to another pool before a change of the table, and may be retried for this long.
+    #[error("requests with its key are migrating")]
     Migrating(Duration),
 }
 
 impl RoutingError {
-    /// The route's refusal.
-    pub fn refused(route: &Route) -> RoutingError {
+    /// The rejection by a route.
+    pub fn rejected_by(route: &Route) -> RoutingError {
         match &route.to {
             To::Refuse(why) => RoutingError::Rejected(why.clone()),
-            // All parts are 0, which the table's checks do not let pass.
+            // All weights are 0, which the table's checks reject.
             _ => RoutingError::NoRoute,
         }
     }
 }
 
-/// A request as the table sees it.
+/// A request as the table evaluates it.
 pub struct Query<'q, 'a> {
-    asked: &'q RequestAttributes<'a>,
+    attributes: &'q RequestAttributes<'a>,
     host: Vec<String>,
     path: Vec<Cow<'a, str>>,
     headers: Vec<(&'q str, &'a str)>,
 }
 
 impl<'q, 'a> Query<'q, 'a> {
-    /// Reads what the table needs.
+    /// Parses what the table needs.
     ///
     /// # Errors
-    /// It can be read in several ways.
-    pub fn of(
+    /// It can be interpreted in several ways.
+    pub fn parse(
         asked: &'q RequestAttributes<'a>,
         needed: impl Iterator<Item = &'q String>,
     ) -> Result<Query<'q, 'a>, RoutingError> {
@@ -91,35 +96,35 @@
                 }
             }
         }
-        Ok(Query { asked, host, path, headers })
+        Ok(Query { attributes: asked, host, path, headers })
     }
 
-    /// Whether it meets the conditions of a route.
-    pub fn meets(&self, route: &Compiled, class: usize, club: usize) -> bool {
-        self.asks(class, club, |query| route.cube.has(query))
+    /// Whether it matches the conditions of a route.
+    pub fn matches(&self, route: &Compiled, class: usize, club: usize) -> bool {
+        self.evaluate(class, club, |query| route.cube.has(query))
     }
 
-    /// Its route, and its pool there unless it is refused; `None`: there is no route.
-    pub fn in_table<'t>(
+    /// Its route, and the pool there unless the route rejects it; `None`: no route matches.
+    pub fn route_in<'t>(
         &self,
         table: &'t Table,
         class: usize,
         club: usize,
     ) -> Option<(&'t Compiled, Option<usize>)> {
-        let route = self.asks(class, club, |query| table.route(query))?;
-        Some((route, table.pool(route, (self.asked.key)(), club, (self.asked.request_id)())))
+        let route = self.evaluate(class, club, |query| table.route(query))?;
+        Some((route, table.pool(route, (self.attributes.key)(), club, (self.attributes.request_id)())))
     }
 
-    fn asks<R>(&self, class: usize, club: usize, ask: impl FnOnce(&cube::Query) -> R) -> R {
+    fn evaluate<R>(&self, class: usize, club: usize, ask: impl FnOnce(&cube::Query) -> R) -> R {
         let host: Vec<&str> = self.host.iter().map(String::as_str).collect();
         let path: Vec<&str> = self.path.iter().map(|s| &**s).collect();
         let header = |name: &str| self.headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
         ask(&cube::Query {
-            front: self.asked.front,
-            method: self.asked.method,
+            front: self.attributes.front,
+            method: self.attributes.method,
             class,
             club,
-            keyed: (self.asked.key)().is_some(),
+            keyed: (self.attributes.key)().is_some(),
             host: &host,
             path: &path,
             header: &header,
--- a/crates/herondock/src/run/event_stream.rs
+++ b/crates/herondock/src/run/event_stream.rs
@@ -1,4 +1,5 @@
-//! What happens to the process, as events of its lifecycle.
+//! Everything that happens to the process, as one stream of events.
+use super::error::RunError;
 use crate::listener_handoff::protocol::HandoffRequest;
 use daemon::signals::{ProcessSignal, Signals};
 use lifecycle::Event;
@@ -7,33 +8,33 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, Interval};
 
-/// How often what is open is counted while the process ends.
+/// How often open requests and connections are counted during a graceful shutdown.
 const OPEN_COUNT_INTERVAL: Duration = Duration::from_millis(10);
-/// Events that may wait for the one loop that takes them; whoever has more to tell waits.
+/// Capacity of the event queue; senders wait when it is full.
 const EVENT_QUEUE_CAPACITY: usize = 16;
 
-/// Where tasks of the instance tell what happens.
+/// Sends events of the instance's tasks.
 #[derive(Clone)]
 pub struct EventSender {
-    /// To its lifecycle.
+    /// For the lifecycle.
     pub events: mpsc::Sender<Event>,
-    /// Of processes that ask at the Unix socket, one at a time.
+    /// Requests at the handoff socket, one at a time.
     pub handoff_requests: mpsc::Sender<HandoffRequest>,
 }
 
-/// What has come.
+/// An event of the process.
 pub enum ProcessEvent {
-    /// Something for the lifecycle.
+    /// For the lifecycle.
     Lifecycle(Event),
-    /// Somebody asks at the Unix socket.
+    /// A request at the handoff socket.
     Handoff(HandoffRequest),
-    /// The watchdog is to hear that the loop has come round.
+    /// The service manager's watchdog has to be notified.
     WatchdogTick,
-    /// What is open is to be counted.
+    /// Open requests and connections have to be counted.
     CountOpen,
 }
 
-/// All that an instance waits for.
+/// Everything that an instance waits for.
 pub struct EventStream {
     signals: Signals,
     events: mpsc::Receiver<Event>,
@@ -63,7 +64,7 @@
     ///
     /// # Errors
     /// The timers stopped. Without them no request would end: better to stop at once, seen by all.
-    pub async fn next(&mut self, wake: Option<Instant>, counts: bool) -> Result<ProcessEvent, String> {
+    pub async fn next(&mut self, wake: Option<Instant>, counts: bool) -> Result<ProcessEvent, RunError> {
         let alive = async {
             match &mut self.watchdog {
                 Some(alive) => drop(alive.tick().await),
@@ -86,7 +87,7 @@
             () = time => ProcessEvent::Lifecycle(Event::Timeout),
             () = tokio::time::sleep(OPEN_COUNT_INTERVAL), if counts => ProcessEvent::CountOpen,
             () = alive => ProcessEvent::WatchdogTick,
-            end = &mut self.timers => return Err(format!("the timers stopped: {end:?}")),
+            end = &mut self.timers => return Err(RunError::TimersStopped(format!("{end:?}"))),
         })
     }
 }
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -1,4 +1,5 @@
 //! One running instance: its lifecycle decides, and each of its actions is performed here.
+use super::error::RunError;
 use super::event_stream::{EventSender, EventStream, ProcessEvent};
 use super::reload::Reloader;
 use crate::descriptor_budget::DescriptorBudget;
@@ -90,7 +91,7 @@
     /// The HTTP front's task.
     http_task: Option<JoinHandle<()>>,
     /// Why the last reload was rejected.
-    reload_error: Option<String>,
+    reload_error: Option<RunError>,
 }
 
 impl Instance {
@@ -98,9 +99,9 @@
     ///
     /// # Errors
     /// The listener has no address.
-    pub fn new(config: InstanceConfig, predecessor: Option<ReceivedListeners>) -> Result<Instance, String> {
-        let address = config.listener.as_ref().ok_or("listen: there is no listener")?.local_addr();
-        let address = address.map_err(|e| format!("listen: {e}"))?;
+    pub fn new(config: InstanceConfig, predecessor: Option<ReceivedListeners>) -> Result<Instance, RunError> {
+        let address = config.listener.as_ref().ok_or(RunError::NoListener)?.local_addr();
+        let address = address.map_err(RunError::LocalAddress)?;
         let timeouts = shutdown_timeouts(&config.daemon);
         let lifecycle = match predecessor {
             Some(_) => Lifecycle::new_successor(timeouts),
@@ -153,7 +154,7 @@
     ///
     /// # Errors
     /// The listener can't be used, or the drivers' timers stopped.
-    pub async fn run(mut self, mut events: EventStream) -> Result<(), String> {
+    pub async fn run(mut self, mut events: EventStream) -> Result<(), RunError> {
         let mut actions = Vec::new();
         let mut event = Event::Listening;
         loop {
@@ -218,7 +219,7 @@
         tokio::task::spawn_local(query.answer(endpoints));
     }
 
-    async fn perform(&mut self, action: Action, because: Event) -> Result<(), String> {
+    async fn perform(&mut self, action: Action, because: Event) -> Result<(), RunError> {
         match action {
             Action::Accept => self.accept().await?,
             Action::Claim => drop(self.claim.take().map(|claim| claim.send(()))),
@@ -245,20 +246,20 @@
     }
 
     /// Another handle of the listening socket.
-    fn clone_listener(&self) -> Result<std::net::TcpListener, String> {
+    fn clone_listener(&self) -> Result<std::net::TcpListener, RunError> {
         let address = self.address;
         match &self.config.listener {
-            Some(listener) => listener.try_clone().map_err(|e| format!("listen: {address}: {e}")),
-            None => Err(format!("listen: {address}: closed already")),
+            Some(listener) => listener.try_clone().map_err(|source| RunError::Listen { address, source }),
+            None => Err(RunError::ListenerClosed(address)),
         }
     }
 
-    async fn accept(&mut self) -> Result<(), String> {
+    async fn accept(&mut self) -> Result<(), RunError> {
         let address = self.address;
         let accepting = TcpListener::from_std(self.clone_listener()?);
-        let accepting = accepting.map_err(|e| format!("listen: {address}: {e}"))?;
+        let accepting = accepting.map_err(|source| RunError::Listen { address, source })?;
         self.http_task = Some(tokio::task::spawn_local(self.config.http_front.clone().run(accepting)));
-        self.config.fastcgi_front.start_accepting().map_err(|e| e.to_string())?;
+        self.config.fastcgi_front.start_accepting()?;
         self.take_pid_file().await;
         self.listen_for_successors();
         info!("{}: serving on {address}", self.config.name);
@@ -324,13 +325,13 @@
     }
 
     /// Passes the listeners and the transferred state to the successor, while this process serves on.
-    fn hand_off_listeners(&mut self) -> Result<(), String> {
+    fn hand_off_listeners(&mut self) -> Result<(), RunError> {
         let Some(successor) = self.successor.take() else { return Ok(()) };
         info!("{}: {} asks for the sockets", self.config.name, successor.name);
         let (endpoints, learned) = (self.config.members.saved(), self.config.pools.learned());
         let state = TransferredState::new(self.config.fingerprint, endpoints, learned).encode();
         let mut listeners = vec![OwnedFd::from(self.clone_listener()?)];
-        listeners.extend(self.config.fastcgi_front.listeners().map_err(|e| e.to_string())?);
+        listeners.extend(self.config.fastcgi_front.listeners()?);
         let (events, ready) = (self.config.sender.events.clone(), self.ready_successor.clone());
         tokio::task::spawn_local(async move {
             let event = match successor.hand_off(listeners, &state).await {
--- a/crates/herondock/src/run/listener_origin.rs
+++ b/crates/herondock/src/run/listener_origin.rs
@@ -1,4 +1,5 @@
-//! Where an instance's listener comes from.
+//! Origin of an instance's listener: a predecessor, the service manager, or a new socket.
+use super::error::RunError;
 use crate::listener_handoff::protocol::{self, ReceivedListeners};
 use crate::listener_handoff::transferred_state::TransferredState;
 use crate::node_config::NodeConfig;
@@ -9,34 +10,32 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-/// Where the listener comes from.
+/// A listener with what came with it.
 pub struct ListenerOrigin {
-    /// Bound, and listening.
+    /// The listening socket.
     pub listener: std::net::TcpListener,
-    /// Not yet, where a predecessor holds it until it has passed its sockets on.
+    /// The pid file; `None` while a predecessor holds it.
     pub pid_file: Option<PidFile>,
-    /// The predecessor, where there is one.
+    /// The predecessor, if there is one.
     pub predecessor: Option<ReceivedListeners>,
-    /// Listeners of other fronts that a predecessor passed on.
+    /// Listeners of other fronts, from the predecessor.
     pub other_fronts: Vec<OwnedFd>,
-    /// What came along with them.
+    /// State, from the predecessor.
     pub transferred: Option<TransferredState>,
 }
 
-/// The listener: of a predecessor that runs, of the service manager, or a new one.
+/// Obtains the listener.
 ///
 /// # Errors
-/// One line: the address can't be listened on, what was passed does not fit, or the pid file is held.
-pub async fn origin(config: &NodeConfig, daemon: &Daemon) -> Result<ListenerOrigin, String> {
-    let at = |e: std::io::Error| format!("listen: {}: {e}", config.listen);
+/// The address can't be listened on, a socket that was passed has another address, or the pid file is held.
+pub async fn obtain_listener(config: &NodeConfig, daemon: &Daemon) -> Result<ListenerOrigin, RunError> {
+    let at = |source: std::io::Error| RunError::Listen { address: config.listen, source };
     let fits = |listener: &std::net::TcpListener| {
         let got = listener.local_addr().map_err(at)?;
         let port = config.listen.port() == 0 || config.listen.port() == got.port();
         match port && config.listen.ip() == got.ip() {
             true => listener.set_nonblocking(true).map_err(at),
-            false => {
-                Err(format!("listen: the socket that was passed is at {got} and not at {}", config.listen))
-            }
+            false => Err(RunError::PassedListener { got, wanted: config.listen }),
         }
     };
     let asked = match &daemon.takeover {
@@ -57,11 +56,11 @@
         });
     }
     let pid_file = daemon.pid_file.as_deref().map(PidFile::acquire).transpose();
-    let pid_file = pid_file.map_err(|e| format!("daemon.pid_file: {e}"))?;
+    let pid_file = pid_file.map_err(RunError::PidFile)?;
     if let Some(why) = pid_file.as_ref().and_then(PidFile::write_error) {
         info!("daemon.pid_file: {why}");
     }
-    let listener = match service_manager::activated_listener().map_err(|e| e.to_string())? {
+    let listener = match service_manager::activated_listener()? {
         Some(listener) => {
             fits(&listener)?;
             listener
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -7,6 +7,7 @@
 //! | `event_stream.rs` | what happens to the process, as one stream of events |
 //! | `instance.rs` | the running instance: performs each action of its lifecycle |
 //! | `reload.rs` | what SIGHUP may change |
+mod error;
 mod event_stream;
 mod instance;
 mod listener_origin;
@@ -29,9 +30,10 @@
 use config::routing;
 use daemon::service_manager::ServiceManager;
 use daemon::signals::Signals;
+pub use error::RunError;
 use event_stream::EventStream;
 use instance::{Instance, InstanceConfig};
-use listener_origin::{origin, ListenerOrigin};
+use listener_origin::{obtain_listener, ListenerOrigin};
 use reload::Reloader;
 pub use reload::{read_operator, read_table};
 use std::path::PathBuf;
@@ -55,11 +57,11 @@
 ///
 /// # Errors
 /// One line that names the file and field at fault, or the address that can't be listened on.
-pub fn run(options: Options) -> Result<(), String> {
+pub fn run(options: Options) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = runtime.map_err(RunError::Runtime)?;
     // A task of its own: the future that a runtime blocks on is polled whenever any task has been.
-    let served = async { tokio::task::spawn_local(serve(options)).await.map_err(|e| e.to_string())? };
+    let served = async { tokio::task::spawn_local(serve(options)).await.map_err(RunError::Task)? };
     tokio::task::LocalSet::new().block_on(&runtime, served)
 }
 
@@ -73,11 +75,11 @@
 }
 
 /// Builds an instance and drives it until it ends.
-async fn serve(options: Options) -> Result<(), String> {
+async fn serve(options: Options) -> Result<(), RunError> {
     // Before anything else: a signal without a handler ends the process.
-    let signals = Signals::install().map_err(|e| e.to_string())?;
+    let signals = Signals::install()?;
     let clock = Clock { start: Instant::now(), start_ms: clock::unix_ms() };
-    let node = node_config::load().map_err(|e| e.to_string())?;
+    let node = node_config::load()?;
     let path = options.operator;
     let operator = read_operator(path.as_deref())?;
     let mut daemon = operator.daemon.clone();
@@ -88,10 +90,10 @@
     let world = routing::world(&node.deployment);
     let table = read_table(path.as_deref(), &operator, &world)?;
     let ListenerOrigin { listener, pid_file, predecessor, other_fronts, transferred } =
-        origin(&node, &daemon).await?;
+        obtain_listener(&node, &daemon).await?;
     let NodeConfig { name, discovery, seed, max_descriptors, cached_endpoints, .. } = node;
     let (mut deployment, fingerprint) = (node.deployment, node.fingerprint);
-    let budgets = BudgetPolicy::of(&operator.budget, deployment.policy.stage)?;
+    let budgets = BudgetPolicy::from_config(&operator.budget, deployment.policy.stage)?;
     if budgets.is_some() {
         deployment.policy.refuse_hopeless = operator.budget.refuse_hopeless;
         deployment.policy.tenant_retries = operator.budget.tenant_retries;
@@ -108,7 +110,7 @@
         shutdown,
     };
     let learned = transferred.as_ref().map(TransferredState::learned);
-    let pools = shared.pools(&operator, learned).map_err(|e| e.to_string())?;
+    let pools = shared.pools(&operator, learned)?;
     pools.replace_table(table)?;
     let failing = pools.clone();
     let timers = tokio::task::spawn_local(async move { failing.wait_for_failure().await });
@@ -128,7 +130,7 @@
         let interval = operator.registry.cache_write_interval;
         tokio::task::spawn_local(cache::write_changes(members.clone(), file, interval));
     }
-    let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
+    let address = listener.local_addr().map_err(RunError::LocalAddress)?;
     let registrations =
         Registrations::begin(&operator.registry.consul, &name, address, &shared.limits, &random);
     let (states, reported_states) = watch::channel(disruption::InstanceState::Starting);
@@ -145,8 +147,7 @@
         }
         None => None,
     };
-    let listeners =
-        fastcgi::open_listeners(&operator.fastcgi.listen, other_fronts).map_err(|e| e.to_string())?;
+    let listeners = fastcgi::open_listeners(&operator.fastcgi.listen, other_fronts)?;
     let fastcgi_front = shared.fastcgi_front(&pools, operator.fastcgi.clone(), listeners);
     let http_front = shared.http_front(&pools);
     let (events, sender) = EventStream::new(signals, manager.watchdog_interval(), timers);
--- a/crates/herondock/src/run/reload.rs
+++ b/crates/herondock/src/run/reload.rs
@@ -1,4 +1,5 @@
-//! What can change while an instance runs, read again on SIGHUP.
+//! Configuration reload on SIGHUP.
+use super::error::RunError;
 use crate::live_config::LiveConfig;
 use crate::node_config;
 use crate::routing::Pools;
@@ -10,15 +11,15 @@
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
-/// The operator's file, if one was named.
+/// Reads the operator's file, if one is named.
 ///
 /// # Errors
-/// One line that names the file, and the place and field at fault.
-pub fn read_operator(path: Option<&Path>) -> Result<OperatorConfig, String> {
-    path.map_or_else(|| Ok(OperatorConfig::default()), operator::read)
+/// The file, and the place and field at fault.
+pub fn read_operator(path: Option<&Path>) -> Result<OperatorConfig, RunError> {
+    path.map_or_else(|| Ok(OperatorConfig::default()), operator::read).map_err(RunError::OperatorFile)
 }
 
-/// The table that the operator's file names, checked and its expectations proved.
+/// Reads the routing table that the operator's file names, checks it and proves its expectations.
 ///
 /// # Errors
 /// All that is wrong with it, in one line.
@@ -26,44 +27,45 @@
     path: Option<&Path>,
     operator: &OperatorConfig,
     world: &World,
-) -> Result<Option<Table>, String> {
+) -> Result<Option<Table>, RunError> {
     let base = path.and_then(Path::parent).unwrap_or(Path::new(""));
-    routing::load(&operator.routing, base, world).map_err(|faults| faults.join("; "))
+    routing::load(&operator.routing, base, world).map_err(|faults| RunError::RoutingTable(faults.join("; ")))
 }
 
-/// What can change while the program runs.
+/// Applies changed files to a running instance.
 pub struct Reloader {
-    /// The operator's file, if one was named.
+    /// Path of the operator's file, if one is named.
     pub path: Option<PathBuf>,
-    /// What it said when it was last taken.
+    /// Its content when it was last applied.
     pub operator: OperatorConfig,
-    /// Its limits, as everything else sees them.
+    /// Its limits, as the rest of the process sees them.
     pub limits: LiveConfig<operator::Limits>,
-    /// Where discovery is, as its source sees it.
+    /// Address of service discovery.
     pub discovery: watch::Sender<SocketAddr>,
-    /// The pools, which take a new table.
+    /// The pools, whose routing table is replaced.
     pub pools: Pools,
     /// The names that routes may use.
     pub world: World,
 }
 
 impl Reloader {
-    /// Reads the files again. Of the platform's configuration only where discovery is can change.
+    /// Reads the files again and applies them as a whole. Of the platform's configuration only the address of service discovery
+    /// can change.
     ///
     /// # Errors
-    /// A file can't be read, or changes what can't change. Then nothing changes.
-    pub async fn reload(&mut self) -> Result<(), String> {
+    /// A file can't be used, or changes a fixed key. Then nothing changes.
+    pub async fn reload(&mut self) -> Result<(), RunError> {
         let next = read_operator(self.path.as_deref())?;
         let fixed = self.operator.fixed(&next);
         if !fixed.is_empty() {
-            return Err(format!("{}: can't change while the program runs", fixed.join(", ")));
+            return Err(RunError::FixedKeys(fixed.join(", ")));
         }
-        let config = node_config::load().map_err(|e| e.to_string())?;
-        // Proved before anything is applied.
+        let config = node_config::load()?;
+        // Checked before anything is applied.
         let (path, world, asked) = (self.path.clone(), self.world.clone(), next.clone());
-        // In a thread of its own: a large table takes its time, and requests go on meanwhile.
+        // On a thread of its own: a large table takes time, and requests go on meanwhile.
         let read = move || read_table(path.as_deref(), &asked, &world);
-        let table = tokio::task::spawn_blocking(read).await.map_err(|e| format!("routing.table: {e}"))??;
+        let table = tokio::task::spawn_blocking(read).await.map_err(RunError::TableReader)??;
         self.pools.replace_table(table)?;
         self.limits.set(next.limits.clone());
         self.operator = next;
--- a/crates/herondock/src/run/wiring.rs
+++ b/crates/herondock/src/run/wiring.rs
@@ -90,7 +90,7 @@
     /// Creates the driver of each pool. The settings have been found valid.
     fn driver_factory(&self, operator: &OperatorConfig, learned: Option<Learned>) -> DriverFactory {
         let connections = self.connection_settings();
-        let fastcgi = Rc::new(transport::fastcgi::Settings {
+        let fastcgi = Rc::new(transport::fastcgi::FastCgiSettings {
             params: transport::fastcgi::Params(operator.fastcgi.params.clone()),
             multiplex: operator.fastcgi.multiplex,
         });
@@ -111,7 +111,7 @@
                 balancer,
                 start: clock.start,
                 start_ms: clock.start_ms,
-                transports: Box::new(transport::choose(connections.clone(), fastcgi.clone())),
+                transports: Box::new(transport::transport_factory(connections.clone(), fastcgi.clone())),
                 descriptors: descriptors.clone(),
                 max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
                 late_shedding: policy.late_shedding,
--- a/crates/herondock/src/stream.rs
+++ b/crates/herondock/src/stream.rs
@@ -1,4 +1,4 @@
-//! A socket that stays in sight while a protocol's library reads and writes it.
+//! A socket that can be inspected while a protocol library reads and writes it.
 use std::future::pending;
 use std::io;
 use std::mem::MaybeUninit;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream with more than one holder; closed when the last one drops it.
+/// A TCP stream with several owners; closed when the last one drops it.
 #[derive(Clone)]
 pub struct SharedStream(Rc<TcpStream>);
 
@@ -19,17 +19,16 @@
         SharedStream(Rc::new(stream))
     }
 
-    /// Whether the socket is open and holds nothing unread. Asks the system: the runtime learns of bytes and of
-    /// ends only when it next waits.
+    /// Whether the socket is open and holds no unread bytes. Asks the system: the runtime learns of bytes and of the end of the
+    /// stream only when it next waits.
     pub fn quiet(&self) -> bool {
         let peeked = socket2::SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Returns once the other side has ended its sending or broken the connection, whatever it sent before and nobody has read.
+    /// Returns once the other side has closed or reset the connection, also while bytes before that are unread.
     pub async fn hung_up(&self) {
-        // What is asked for is urgent data, which nobody sends, since the end of what may be read comes with that as well and
-        // without what may be read.
+        // Waits for urgent data, which nobody sends: the end of the stream is reported with it, and unread bytes are not.
         match self.0.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => pending().await,
             _ => {}
@@ -55,7 +54,7 @@
 
 impl SharedStream {
     /// Writes once the socket takes something.
-    fn written(
+    fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -72,7 +71,7 @@
 
 impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.written(cx, |stream| stream.try_write(buf))
+        self.poll_write_with(cx, |stream| stream.try_write(buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -88,7 +87,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.written(cx, |stream| stream.try_write_vectored(bufs))
+        self.poll_write_with(cx, |stream| stream.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/herondock/src/transport/connection_pool.rs
+++ b/crates/herondock/src/transport/connection_pool.rs
@@ -1,4 +1,4 @@
-//! An upstream, and the connections that are kept to it, whatever it speaks.
+//! An upstream and its pool of idle connections, whatever protocol it speaks.
 use crate::descriptor_budget::DescriptorBudget;
 use crate::exchange::{Attempt, AttemptFuture, AttemptResult, DrainGate, Upstream};
 use crate::live_config::LiveConfig;
@@ -15,65 +15,64 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{timeout_at, Instant};
 
-/// A connection that may be kept.
+/// A connection that can be pooled.
 pub trait PooledConnection {
-    /// Whether it can carry a request now: it is open, and nothing unread is on it.
+    /// Whether it can carry a request now: it is open, and holds no unread bytes.
     fn is_reusable(&self) -> bool;
     /// Whether the other side has closed it.
     fn is_closed(&self) -> bool;
 }
 
-/// A protocol that upstreams speak.
+/// A protocol of upstreams.
 pub trait UpstreamProtocol: Sized + 'static {
-    /// Its connections.
+    /// Its kind of connection.
     type Conn: PooledConnection;
 
-    /// Carries one attempt out: its request is written once at most. Dropping the future closes the connection.
+    /// Executes one attempt: its request is written once at most. Dropping the future closes the connection.
     fn execute(peer: &Rc<Peer<Self>>, attempt: Attempt) -> impl Future<Output = AttemptResult> + '_;
 }
 
-/// How upstreams are reached.
+/// Settings of connections to upstreams.
 #[derive(Clone)]
 pub struct ConnectionSettings {
-    /// A connection that is not up after this long counts as refused.
+    /// A connection that is not established after this long counts as failed.
     pub dial_timeout: Duration,
-    /// When upstreams close idle connections.
+    /// How long upstreams keep idle connections open.
     pub idle_close: Duration,
-    /// Sockets that may still be opened.
+    /// Descriptors of the process.
     pub descriptors: DescriptorBudget,
-    /// Sizes and waits.
+    /// Limits on sizes and waits.
     pub limits: LiveConfig<Limits>,
 }
 
 impl ConnectionSettings {
-    /// How long connections may rest: the time-out of idle ones is undercut, for what is sent on one that the
-    /// upstream is about to close ends as a reset, and the upstream counts from its last byte, not from when we
-    /// read it.
+    /// How long connections may be idle. Shorter than the upstream's timeout: a request on a connection that the upstream is
+    /// about to close ends as a reset, and the upstream counts from its last byte, not from when it was read here.
     fn max_idle(&self) -> Duration {
         self.idle_close.saturating_sub(self.limits.get().upstream_idle_margin).max(self.idle_close / 2)
     }
 }
 
-/// A connection that was just made.
+/// A new connection.
 pub struct DialedConnection {
     /// The socket.
     pub socket: SharedStream,
-    /// The upstream's generation that it was made for.
+    /// Generation of the upstream process that it leads to.
     pub generation: u64,
-    /// Its place in the budget.
+    /// Its descriptor.
     pub permit: OwnedSemaphorePermit,
 }
 
-/// One upstream: where it is, and the connections to it that carry nothing now.
+/// One upstream: its address, and its idle connections.
 pub struct Peer<P: UpstreamProtocol> {
-    /// How it is reached.
+    /// Settings of its connections.
     pub settings: ConnectionSettings,
-    /// What its protocol needs.
+    /// State of its protocol.
     pub protocol: P,
     addr: Cell<SocketAddr>,
-    /// Counts the processes that have been there.
+    /// Counts the processes that have served at the address.
     generation: Cell<u64>,
-    /// The one used last is at the end.
+    /// Idle connections and since when; the one used last is at the end.
     idle: RefCell<Vec<(P::Conn, Instant)>>,
 }
 
@@ -110,13 +109,13 @@
 }
 
 impl<P: UpstreamProtocol> Peer<P> {
-    /// An upstream that nothing is connected to yet.
+    /// An upstream without connections.
     pub fn new(reach: ConnectionSettings, own: P, addr: SocketAddr) -> Rc<Peer<P>> {
         let (addr, generation) = (Cell::new(addr), Cell::new(0));
         Rc::new(Peer { settings: reach, protocol: own, addr, generation, idle: RefCell::default() })
     }
 
-    /// The connection used last: the others then go idle and close, instead of all being kept warm by turns.
+    /// Takes the idle connection that was used last: the others then expire, instead of all being kept open by turns.
     pub fn take_idle(&self) -> Option<P::Conn> {
         let (now, most) = (Instant::now(), self.settings.max_idle());
         let mut idle = self.idle.borrow_mut();
@@ -128,29 +127,29 @@
         None
     }
 
-    /// Keeps a connection of this generation for the next request, unless its upstream takes none.
+    /// Returns a connection of this generation to the pool, unless its upstream drains.
     pub fn return_idle(&self, conn: P::Conn, generation: u64, gate: &DrainGate) {
         if !gate.closed(Instant::now()) && self.is_current(generation) {
             self.idle.borrow_mut().push((conn, Instant::now()));
         }
     }
 
-    /// Whether connections of this generation lead to the process that is there now.
+    /// Whether connections of this generation lead to the present process.
     pub fn is_current(&self, generation: u64) -> bool {
         generation == self.generation.get()
     }
 
-    /// The generation of the process that is there now.
+    /// Generation of the present process.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Makes a connection.
+    /// Establishes a connection.
     ///
     /// # Errors
-    /// How the attempt ended that it was for.
+    /// The ending of the attempt that it was for.
     pub async fn dial(&self, until: Instant) -> Result<DialedConnection, Ending> {
-        // Guards against blaming an upstream for a shortage of our own.
+        // A shortage of descriptors here is no failure of the upstream.
         let permit = self.settings.descriptors.try_upstream().ok_or(Ending::Moot)?;
         let until = until.min(Instant::now() + self.settings.dial_timeout);
         let generation = self.generation.get();
@@ -163,7 +162,7 @@
     }
 }
 
-/// Whether a connection was not made for want of something on this machine.
+/// Whether a connection failed for want of a resource of this machine.
 fn is_local_shortage(e: &io::Error) -> bool {
     // ENFILE, EMFILE, EADDRNOTAVAIL and ENOBUFS of Linux.
     matches!(e.raw_os_error(), Some(23 | 24 | 99 | 105))
--- a/crates/herondock/src/transport/fastcgi/capabilities.rs
+++ b/crates/herondock/src/transport/fastcgi/capabilities.rs
@@ -1,7 +1,7 @@
 //! Whether an application takes several requests at once on a connection (section 4.1 of the specification).
 //!
-//! It is asked on a connection of its own: some answer and close (PHP-FPM), and others close on what they don't know, and a
-//! request beside the question would go down with it. Until it has said so it gets one request at a time.
+//! It is asked on a connection of its own: some answer and close (PHP-FPM), others close on records that they don't know, and a
+//! request beside the question would fail with it. Until it has answered it gets one request at a time.
 use super::exclusive::ExclusiveConnection;
 use super::FastCgi;
 use crate::exchange::Attempt;
@@ -14,50 +14,50 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// One that did not say is asked again after this, by the next attempt.
+/// An application that did not answer is asked again after this, by the next attempt.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy)]
 enum Multiplexing {
-    Nothing,
-    /// One at a time, as far as is known since then.
-    One(Instant),
-    /// So many at once.
-    Several(usize),
+    Unknown,
+    /// One request at a time, as far as is known since then.
+    Single(Instant),
+    /// So many concurrent requests.
+    UpTo(usize),
 }
 
-/// What is known of the process of one generation.
+/// Answer of the upstream process of one generation.
 pub struct CapabilityCache(Cell<(u64, Multiplexing)>);
 
 impl Default for CapabilityCache {
     fn default() -> Self {
-        CapabilityCache(Cell::new((0, Multiplexing::Nothing)))
+        CapabilityCache(Cell::new((0, Multiplexing::Unknown)))
     }
 }
 
 impl CapabilityCache {
-    /// It refuses a second request on a connection, whatever it said before.
-    pub fn refused(&self) {
-        self.0.set((self.0.get().0, Multiplexing::One(Instant::now())));
+    /// The application rejected a second request on a connection, whatever it answered before.
+    pub fn mark_single(&self) {
+        self.0.set((self.0.get().0, Multiplexing::Single(Instant::now())));
     }
 }
 
-/// How many requests the application takes at once on a connection, if more than one; asks where that is not known.
-pub(super) fn at_once(peer: &Rc<Peer<FastCgi>>, attempt: &Attempt) -> Option<usize> {
+/// How many concurrent requests the application takes on a connection, if more than one; asks it where that is not known.
+pub(super) fn max_concurrent_requests(peer: &Rc<Peer<FastCgi>>, attempt: &Attempt) -> Option<usize> {
     let most = peer.protocol.settings.multiplex;
     if most <= 1 {
         return None;
     }
     let now = Instant::now();
-    let (generation, known) = peer.protocol.asked.0.get();
+    let (generation, known) = peer.protocol.capabilities.0.get();
     match known {
-        Multiplexing::Several(n) if peer.is_current(generation) => return Some(n),
-        Multiplexing::One(since) if peer.is_current(generation) && now - since < RECHECK_INTERVAL => {
+        Multiplexing::UpTo(n) if peer.is_current(generation) => return Some(n),
+        Multiplexing::Single(since) if peer.is_current(generation) && now - since < RECHECK_INTERVAL => {
             return None
         }
         _ => {}
     }
-    peer.protocol.asked.0.set((peer.generation(), Multiplexing::One(now)));
+    peer.protocol.capabilities.0.set((peer.generation(), Multiplexing::Single(now)));
     if attempt.may_write(now) {
         let (peer, gate) = (peer.clone(), attempt.gate.clone());
         tokio::task::spawn_local(async move {
@@ -69,12 +69,12 @@
                     return None;
                 }
                 let generation = alone.generation;
-                Some((generation, values(alone).await?))
+                Some((generation, query_values(alone).await?))
             };
             if let Ok(Some((generation, values))) = timeout(wait, asking).await {
-                let n = several(&values, peer.protocol.settings.multiplex);
+                let n = allowed_requests(&values, peer.protocol.settings.multiplex);
                 if let (Some(n), true) = (n, peer.is_current(generation)) {
-                    peer.protocol.asked.0.set((generation, Multiplexing::Several(n)));
+                    peer.protocol.capabilities.0.set((generation, Multiplexing::UpTo(n)));
                 }
             }
         });
@@ -82,11 +82,11 @@
     None
 }
 
-async fn values(mut alone: ExclusiveConnection) -> Option<Vec<Pair>> {
+async fn query_values(mut alone: ExclusiveConnection) -> Option<Vec<Pair>> {
     let (mut events, mut unsent) = (Vec::new(), Vec::new());
-    alone.wire.client.ask();
+    alone.connection.client.ask();
     loop {
-        poll_fn(|cx| alone.wire.poll(cx, |_| false, &mut unsent, &mut events)).await.ok()?;
+        poll_fn(|cx| alone.connection.poll(cx, |_| false, &mut unsent, &mut events)).await.ok()?;
         for event in events.drain(..) {
             match event {
                 Event::Values(values) => return Some(values),
@@ -97,8 +97,8 @@
     }
 }
 
-/// What the values allow.
-fn several(values: &[Pair], most: usize) -> Option<usize> {
+/// The number of concurrent requests that the application's values allow, if more than one.
+fn allowed_requests(values: &[Pair], most: usize) -> Option<usize> {
     let one = |name: &str| values.iter().find(|(n, _)| n == name.as_bytes()).map(|(_, v)| &v[..]);
     if one("FCGI_MPXS_CONNS") != Some(b"1") {
         return None;
--- a/crates/herondock/src/transport/fastcgi/capabilities/tests.rs
+++ b/crates/herondock/src/transport/fastcgi/capabilities/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use bytes::Bytes;
 
@@ -6,7 +5,7 @@
 fn only_a_plain_yes_allows_several() {
     let values = |all: &[(&'static str, &'static str)]| {
         let all: Vec<Pair> = all.iter().map(|(n, v)| (Bytes::from(*n), Bytes::from(*v))).collect();
-        several(&all, 8)
+        allowed_requests(&all, 8)
     };
     assert_eq!(values(&[("FCGI_MPXS_CONNS", "1")]), Some(8));
     assert_eq!(values(&[("FCGI_MAX_REQS", "3"), ("FCGI_MPXS_CONNS", "1")]), Some(3));
--- a/crates/herondock/src/transport/fastcgi/connection.rs
+++ b/crates/herondock/src/transport/fastcgi/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an application: the machine and its socket.
+//! A connection to a FastCGI application: the protocol's state and its socket.
 use crate::stream::SharedStream;
 use bytes::{Buf, BytesMut};
 use fastcgi::client::{Client, Event};
@@ -8,45 +8,49 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncReadExt, AsyncWrite};
 
-/// What is read at once.
+/// Bytes that are read at once.
 const READ_BYTES: usize = 16 << 10;
-/// Less room than this in the buffer is made more.
+/// A buffer with less space than this is extended.
 const MIN_READ_BYTES: usize = 2 << 10;
-/// Parts that are written with one call.
+/// Maximum number of slices that are written with one system call.
 const MAX_WRITE_SLICES: usize = 16;
 
-/// The connection has ended, or what came on it can't be read.
+/// The connection has ended, or bytes on it can't be parsed.
 pub struct ConnectionClosed;
 
-/// See the module's page.
+/// A connection.
 pub struct FastCgiConnection {
     socket: SharedStream,
-    /// What is open on it.
+    /// The protocol's state.
     pub client: Client,
     buffer: BytesMut,
-    /// Nothing more can be written.
-    deaf: bool,
-    /// Nothing more can be read.
-    over: bool,
+    /// The other side takes no more bytes.
+    write_closed: bool,
+    /// No more bytes can be read.
+    read_closed: bool,
 }
 
 impl FastCgiConnection {
     /// A new connection.
     pub fn new(socket: SharedStream, client: Client) -> FastCgiConnection {
-        FastCgiConnection { socket, client, buffer: BytesMut::new(), deaf: false, over: false }
+        FastCgiConnection { socket, client, buffer: BytesMut::new(), write_closed: false, read_closed: false }
     }
 
-    /// Whether it can carry a request now.
-    pub fn clean(&self) -> bool {
-        !self.over && !self.deaf && self.client.open() == 0 && !self.client.midway() && self.socket.quiet()
+    /// Whether it is idle and can carry a request now.
+    pub fn is_reusable(&self) -> bool {
+        !self.read_closed
+            && !self.write_closed
+            && self.client.open() == 0
+            && !self.client.midway()
+            && self.socket.quiet()
     }
 
-    /// Whether the other side has closed it, or wrote what nobody asked for.
-    pub fn closed(&self) -> bool {
-        self.over || self.deaf || !self.socket.quiet()
+    /// Whether the other side has closed it, or wrote bytes that no request asked for.
+    pub fn is_closed(&self) -> bool {
+        self.read_closed || self.write_closed || !self.socket.quiet()
     }
 
-    /// Writes and reads what can be, until something has come, or a request was not sent that may not be any more.
+    /// Writes and reads until there are events, or requests that must not be written any more (`unsent`).
     pub fn poll(
         &mut self,
         cx: &mut Context<'_>,
@@ -59,7 +63,7 @@
             if !unsent.is_empty() || !events.is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            if self.over {
+            if self.read_closed {
                 return Poll::Ready(Err(ConnectionClosed));
             }
             if self.buffer.capacity() - self.buffer.len() < MIN_READ_BYTES {
@@ -69,27 +73,28 @@
             match read {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(n)) if n > 0 => {
-                    // What came before the fault counts; it is told first.
-                    self.over = self.client.receive(self.buffer.split().freeze(), events).is_err();
+                    // Events before the fault count; they are reported first.
+                    self.read_closed = self.client.receive(self.buffer.split().freeze(), events).is_err();
                 }
-                Poll::Ready(_) => self.over = true,
+                Poll::Ready(_) => self.read_closed = true,
             }
         }
     }
 
-    /// A failure to write ends nothing yet: an answer may have come before it, such as that it is overloaded.
+    /// A failure to write does not end the connection: an answer may have come before it, for instance that the application is
+    /// overloaded.
     fn write(
         &mut self,
         cx: &mut Context<'_>,
         may_begin: &mut impl FnMut(u16) -> bool,
         unsent: &mut Vec<u16>,
     ) {
-        // Guards against beginning a request on a connection that has ended behind answers to others: what came is read
-        // first. One that carries nothing else was looked at when it was taken.
+        // Guards against beginning a request on a connection that has ended behind answers to others: input is read first.
+        // A connection without other requests was checked when it was taken.
         if self.client.open() > 1 && self.client.unbegun() && !self.socket.quiet() {
             return;
         }
-        while !self.deaf && !self.over {
+        while !self.write_closed && !self.read_closed {
             self.client.fill(&mut *may_begin, unsent);
             let out = self.client.outgoing();
             if !out.has_remaining() {
@@ -100,7 +105,7 @@
             match Pin::new(&mut self.socket).poll_write_vectored(cx, &parts[..n]) {
                 Poll::Pending => return,
                 Poll::Ready(Ok(n)) if n > 0 => out.advance(n),
-                Poll::Ready(_) => self.deaf = true,
+                Poll::Ready(_) => self.write_closed = true,
             }
         }
     }
--- a/crates/herondock/src/transport/fastcgi/mod.rs
+++ b/crates/herondock/src/transport/fastcgi/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts over FastCGI 1.0: one request to one application, once, alone on its connection.
+//! Attempts over FastCGI 1.0: one request to one application, written once.
 //!
 //! | what happens | has it run? | counts as |
 //! | --- | --- | --- |
@@ -15,15 +15,15 @@
 //! | any other status | it may have | error |
 //! | nothing | it may have, or may yet | timed out |
 //!
-//! An attempt alone on its connection that is called off closes it: nothing of it can reach another request. On a connection
-//! with several it is called off by ABORT, and its id is not used again before its END.
+//! Cancelling an attempt that is alone on its connection closes the connection: nothing of it can reach another request. On a
+//! multiplexed connection it is cancelled by ABORT, and its id is not used again before its END.
 //!
-//! | file | its job |
+//! | file | contents |
 //! | --- | --- |
-//! | `alone.rs` | one request at a time on a connection |
-//! | `shared.rs` | several, where the application said that it takes them |
-//! | `asked.rs` | asks it |
-//! | `wire.rs` | a connection: the machine and its socket |
+//! | `exclusive.rs` | one request at a time on a connection |
+//! | `multiplexed.rs` | several, where the application has said that it takes them |
+//! | `capabilities.rs` | asks the application whether it does |
+//! | `connection.rs` | a connection: the protocol's state and its socket |
 mod capabilities;
 mod connection;
 mod exclusive;
@@ -31,7 +31,7 @@
 
 use super::connection_pool::{ConnectionSettings, Peer, PooledConnection, UpstreamProtocol};
 use crate::exchange::{Answer, Attempt, AttemptResult, Fields, Method, Request, Upstream};
-use crate::http::{belongs_to_a_hop, DEADLINE};
+use crate::http::{is_hop_by_hop, DEADLINE};
 use balancer::Ending;
 use bytes::Bytes;
 use capabilities::CapabilityCache;
@@ -49,49 +49,57 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Params(pub Vec<(String, String)>);
 
-/// What goes to every upstream that speaks FastCGI.
+/// Settings for every upstream that speaks FastCGI.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Settings {
+pub struct FastCgiSettings {
     /// Declared params.
     pub params: Params,
-    /// Requests at once on a connection to an application that takes several; 1: none is asked.
+    /// Maximum number of concurrent requests on a connection; 1: applications are not asked whether they take several.
     pub multiplex: usize,
 }
 
 /// An upstream that speaks FastCGI.
-pub fn upstream(reach: ConnectionSettings, addr: SocketAddr, settings: Rc<Settings>) -> Rc<dyn Upstream> {
-    Peer::new(reach, FastCgi { settings, asked: CapabilityCache::default(), links: Links::default() }, addr)
+pub fn upstream(
+    reach: ConnectionSettings,
+    addr: SocketAddr,
+    settings: Rc<FastCgiSettings>,
+) -> Rc<dyn Upstream> {
+    Peer::new(
+        reach,
+        FastCgi { settings, capabilities: CapabilityCache::default(), links: Links::default() },
+        addr,
+    )
 }
 
 /// FastCGI 1.0, to a responder.
 pub struct FastCgi {
-    settings: Rc<Settings>,
-    /// Whether it takes several requests at once.
-    asked: CapabilityCache,
-    /// Connections with several requests, or with one that was called off and has not ended.
+    settings: Rc<FastCgiSettings>,
+    /// How many concurrent requests the application takes on a connection.
+    capabilities: CapabilityCache,
+    /// Multiplexed connections with requests in flight, or with cancelled ones that have not ended.
     links: Links,
 }
 
-/// A connection that carries nothing.
+/// An idle connection.
 pub enum Conn {
-    /// One request at a time.
-    Alone(Box<ExclusiveConnection>),
-    /// Several.
-    Shared(PooledLink),
+    /// Carries one request at a time.
+    Exclusive(Box<ExclusiveConnection>),
+    /// Carries several.
+    Multiplexed(PooledLink),
 }
 
 impl PooledConnection for Conn {
     fn is_reusable(&self) -> bool {
         match self {
-            Conn::Alone(alone) => alone.wire.clean(),
-            Conn::Shared(held) => held.clean(),
+            Conn::Exclusive(alone) => alone.connection.is_reusable(),
+            Conn::Multiplexed(held) => held.is_reusable(),
         }
     }
 
     fn is_closed(&self) -> bool {
         match self {
-            Conn::Alone(alone) => alone.wire.closed(),
-            Conn::Shared(held) => held.closed(),
+            Conn::Exclusive(alone) => alone.connection.is_closed(),
+            Conn::Multiplexed(held) => held.is_closed(),
         }
     }
 }
@@ -100,16 +108,16 @@
     type Conn = Conn;
 
     async fn execute(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> AttemptResult {
-        let outcome = match capabilities::at_once(peer, &attempt) {
-            Some(most) => multiplexed::carry_out(peer, attempt.clone(), most).await,
-            None => exclusive::carry_out(peer, attempt.clone()).await,
+        let outcome = match capabilities::max_concurrent_requests(peer, &attempt) {
+            Some(most) => multiplexed::execute(peer, attempt.clone(), most).await,
+            None => exclusive::execute(peer, attempt.clone()).await,
         };
         match outcome {
             Ok(Outcome::Answered(head, body)) => {
                 let is = |name: &str, field: &[u8]| field.eq_ignore_ascii_case(name.as_bytes());
                 attempt
                     .record_usage(|name| head.fields.iter().find(|(n, _)| is(name, n)).map(|(_, v)| &v[..]));
-                answered(&head, body, attempt.used_field())
+                interpret_answer(&head, body, attempt.used_field())
             }
             Ok(Outcome::Refused(_)) => (Ending::Full, None),
             Ok(Outcome::Useless(..)) => (Ending::Error, None),
@@ -118,32 +126,32 @@
     }
 }
 
-/// The machine of a new connection.
-fn machine(peer: &Peer<FastCgi>) -> Client {
+/// The protocol state of a new connection.
+fn new_client(peer: &Peer<FastCgi>) -> Client {
     let limits = peer.settings.limits.get();
     let requests = peer.protocol.settings.multiplex.max(1);
     Client::new(Limits { head: limits.head, body: limits.body, requests, ..Limits::default() })
 }
 
-/// Begins an attempt's request: its id.
-fn begin(peer: &Peer<FastCgi>, client: &mut Client, attempt: &Attempt) -> Option<u16> {
+/// Begins an attempt's request; its id, or `None`: the connection takes no more.
+fn begin_request(peer: &Peer<FastCgi>, client: &mut Client, attempt: &Attempt) -> Option<u16> {
     let now = Instant::now();
     let left = format!("{}u", (attempt.deadline - now).as_micros());
     let (deadline, carried) = (DEADLINE, attempt.budget_fields(now));
     let own = [(deadline.as_str(), left)].into_iter().chain(carried.into_iter().flatten());
-    let params = params(&attempt.request, &peer.protocol.settings.params, own);
+    let params = request_params(&attempt.request, &peer.protocol.settings.params, own);
     let all = params.iter().map(|(name, value)| (&name[..], &value[..]));
     client.begin(all, attempt.request.body.clone(), true)
 }
 
-/// What an answer says. Only a mark that the request was turned away proves that it never ran.
-fn answered(head: &Head, body: Bytes, used: Option<&str>) -> AttemptResult {
+/// How an attempt ended by its answer. Only the mark of a rejection proves that the request never ran.
+fn interpret_answer(head: &Head, body: Bytes, used: Option<&str>) -> AttemptResult {
     let declined = head.fields.iter().any(|(n, v)| n.eq_ignore_ascii_case(b"srv-declined") && &v[..] == b"1");
     match head.status {
         200 => {
             let text = |name: &Bytes| String::from_utf8_lossy(name).to_ascii_lowercase();
             let is_used = |name: &Bytes| used.is_some_and(|used| name.eq_ignore_ascii_case(used.as_bytes()));
-            let kept = head.fields.iter().filter(|(name, _)| !belongs_to_a_hop(name) && !is_used(name));
+            let kept = head.fields.iter().filter(|(name, _)| !is_hop_by_hop(name) && !is_used(name));
             let all: Vec<(String, Bytes)> = kept.map(|(name, value)| (text(name), value.clone())).collect();
             let fields = Fields::new(all.iter().map(|(name, value)| (name.as_str(), &value[..])));
             (Ending::Ok, Some(Answer::Served { fields, body }))
@@ -155,9 +163,9 @@
     }
 }
 
-/// The params of a request (RFC 3875, section 4.1): the declared ones, and those that any responder expects.
-/// And this hop's own fields.
-fn params<'a>(
+/// The params of a request (RFC 3875, section 4.1): those that any responder expects, the request's fields, this hop's own
+/// fields, and the declared params.
+fn request_params<'a>(
     request: &Request,
     declared: &Params,
     own: impl Iterator<Item = (&'a str, String)>,
--- a/crates/herondock/src/transport/fastcgi/multiplexed.rs
+++ b/crates/herondock/src/transport/fastcgi/multiplexed.rs
@@ -1,8 +1,8 @@
-//! Several requests at once on a connection. Each has its own fate: what is called off is aborted and keeps its id until
-//! its END; when the connection breaks, only those that were written whole may have run.
+//! Connections that carry several requests. Each request ends by itself: a cancelled one is aborted and keeps its id until its
+//! END; when the connection is lost, only requests that were written completely may have run.
 use super::connection::FastCgiConnection;
 use super::exclusive::ExclusiveConnection;
-use super::{begin, Conn, FastCgi};
+use super::{begin_request, Conn, FastCgi};
 use crate::exchange::{Attempt, DrainGate};
 use crate::transport::connection_pool::Peer;
 use balancer::Ending;
@@ -17,36 +17,36 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// How a request on a shared connection ended.
+/// How a request on a multiplexed connection ended.
 enum AttemptEnd {
     Ended(Outcome),
-    /// It was not written: its time, its upstream's or itself was over.
-    Unsent,
-    /// The connection ended; whether the request had been written whole.
-    Broken(bool),
+    /// It was not written: its deadline had passed, its upstream drains, or it had finished.
+    NotWritten,
+    /// The connection was lost; whether the request had been written completely.
+    ConnectionLost(bool),
 }
 
 struct PendingAttempt {
     attempt: Attempt,
-    tell: oneshot::Sender<AttemptEnd>,
+    result: oneshot::Sender<AttemptEnd>,
 }
 
-/// A connection with several requests, its task beside it.
+/// A multiplexed connection, driven by a task of its own.
 pub struct Link {
-    wire: RefCell<FastCgiConnection>,
-    waiters: RefCell<BTreeMap<u16, PendingAttempt>>,
-    /// Something is to be written, or was called off.
-    changed: Notify,
-    /// Since when there is a request that was called off and has not ended.
-    aborted: Cell<Option<Instant>>,
-    over: Cell<bool>,
+    connection: RefCell<FastCgiConnection>,
+    pending: RefCell<BTreeMap<u16, PendingAttempt>>,
+    /// Notified when a request was added or cancelled.
+    work_available: Notify,
+    /// Since when there is a cancelled request that has not ended.
+    aborting_since: Cell<Option<Instant>>,
+    closed: Cell<bool>,
     used: Cell<bool>,
     gate: RefCell<Rc<DrainGate>>,
     generation: u64,
     _permit: OwnedSemaphorePermit,
 }
 
-/// A link and its task, which ends with it.
+/// A link and its task, which is aborted with it.
 pub struct PooledLink {
     link: Rc<Link>,
     task: AbortHandle,
@@ -60,17 +60,17 @@
 
 impl PooledLink {
     /// Whether it can carry a request now.
-    pub fn clean(&self) -> bool {
-        !self.link.over.get() && self.link.wire.borrow().clean()
+    pub fn is_reusable(&self) -> bool {
+        !self.link.closed.get() && self.link.connection.borrow().is_reusable()
     }
 
     /// Whether the other side has closed it.
-    pub fn closed(&self) -> bool {
-        self.link.over.get() || self.link.wire.borrow().closed()
+    pub fn is_closed(&self) -> bool {
+        self.link.closed.get() || self.link.connection.borrow().is_closed()
     }
 }
 
-/// The connections of an upstream that carry something.
+/// The multiplexed connections of an upstream with requests on them.
 #[derive(Default)]
 pub struct Links(RefCell<Vec<PooledLink>>);
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Calls a request off when its attempt is dropped.
+/// Cancels a request when its attempt is dropped.
 struct CancelOnDrop {
     link: Rc<Link>,
     id: u16,
@@ -90,94 +90,101 @@
 
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        // Gone from the books: it has ended.
-        if self.link.waiters.borrow_mut().remove(&self.id).is_none() {
+        // Not pending any more: it has ended.
+        if self.link.pending.borrow_mut().remove(&self.id).is_none() {
             return;
         }
-        if self.link.wire.borrow_mut().client.abort(self.id) && self.link.aborted.get().is_none() {
-            self.link.aborted.set(Some(Instant::now()));
+        if self.link.connection.borrow_mut().client.abort(self.id) && self.link.aborting_since.get().is_none()
+        {
+            self.link.aborting_since.set(Some(Instant::now()));
         }
-        self.link.changed.notify_one();
+        self.link.work_available.notify_one();
     }
 }
 
-/// Carries an attempt out among `most` on a connection; its request is written once at most.
-pub(super) async fn carry_out(
+/// Executes an attempt on a connection with `most` concurrent requests at most; its request is written once at most.
+///
+/// # Errors
+/// The ending of an attempt without an answer.
+pub(super) async fn execute(
     peer: &Rc<Peer<FastCgi>>,
     attempt: Attempt,
     most: usize,
 ) -> Result<Outcome, Ending> {
     loop {
-        let link = match with_room(peer, most) {
+        let link = match link_with_capacity(peer, most) {
             Some(link) => link,
             None => match peer.take_idle() {
-                Some(Conn::Shared(held)) => hold(peer, held),
-                Some(Conn::Alone(alone)) => hold(peer, start(peer, *alone, &attempt)),
+                Some(Conn::Multiplexed(held)) => add_link(peer, held),
+                Some(Conn::Exclusive(alone)) => add_link(peer, spawn_link(peer, *alone, &attempt)),
                 None => {
                     let alone = ExclusiveConnection::dial(peer, attempt.deadline).await?;
-                    hold(peer, start(peer, alone, &attempt))
+                    add_link(peer, spawn_link(peer, alone, &attempt))
                 }
             },
         };
         let reused = link.used.replace(true);
         let begun = {
-            let mut wire = link.wire.borrow_mut();
-            attempt.may_write(Instant::now()).then(|| begin(peer, &mut wire.client, &attempt)).flatten()
+            let mut wire = link.connection.borrow_mut();
+            attempt
+                .may_write(Instant::now())
+                .then(|| begin_request(peer, &mut wire.client, &attempt))
+                .flatten()
         };
         let Some(id) = begun else {
-            link.changed.notify_one();
+            link.work_available.notify_one();
             return Err(Ending::Moot);
         };
         link.gate.replace(attempt.gate.clone());
         let (tell, told) = oneshot::channel();
-        link.waiters.borrow_mut().insert(id, PendingAttempt { attempt: attempt.clone(), tell });
-        link.changed.notify_one();
+        link.pending.borrow_mut().insert(id, PendingAttempt { attempt: attempt.clone(), result: tell });
+        link.work_available.notify_one();
         let calling = CancelOnDrop { link, id };
         let how = told.await;
         drop(calling);
         match how {
             Ok(AttemptEnd::Ended(outcome)) => {
                 if outcome == Outcome::Refused(Protocol::CantMultiplex) {
-                    peer.protocol.asked.refused();
+                    peer.protocol.capabilities.mark_single();
                 }
                 return Ok(outcome);
             }
-            Ok(AttemptEnd::Unsent) => return Err(Ending::Moot),
-            // As alone: one that had carried something and was closed meanwhile says nothing about the upstream.
-            Ok(AttemptEnd::Broken(false)) if reused => {}
-            Ok(AttemptEnd::Broken(false)) => return Err(Ending::ConnectFailed),
-            // Dropped with its connection: nobody knows.
-            Ok(AttemptEnd::Broken(true)) | Err(_) => return Err(Ending::Reset),
+            Ok(AttemptEnd::NotWritten) => return Err(Ending::Moot),
+            // As on an exclusive connection: one that was reused and had been closed says nothing about the upstream.
+            Ok(AttemptEnd::ConnectionLost(false)) if reused => {}
+            Ok(AttemptEnd::ConnectionLost(false)) => return Err(Ending::ConnectFailed),
+            // Dropped with its connection: it may have run.
+            Ok(AttemptEnd::ConnectionLost(true)) | Err(_) => return Err(Ending::Reset),
         }
     }
 }
 
-/// The first connection with room: the others then fall idle and close.
-fn with_room(peer: &Peer<FastCgi>, most: usize) -> Option<Rc<Link>> {
+/// The first connection with capacity: the others then become idle and close.
+fn link_with_capacity(peer: &Peer<FastCgi>, most: usize) -> Option<Rc<Link>> {
     let (now, patience) = (Instant::now(), peer.settings.limits.get().flush_wait);
     let fits = |link: &Link| {
-        let open = link.wire.borrow().client.open();
-        // One that does not end what was called off can't be trusted with more.
-        let stuck = link.aborted.get().is_some_and(|since| now - since >= patience);
-        !link.over.get() && !stuck && open < most && peer.is_current(link.generation)
+        let open = link.connection.borrow().client.open();
+        // A connection that does not end cancelled requests gets no more.
+        let stuck = link.aborting_since.get().is_some_and(|since| now - since >= patience);
+        !link.closed.get() && !stuck && open < most && peer.is_current(link.generation)
     };
     peer.protocol.links.0.borrow().iter().map(|held| &held.link).find(|link| fits(link)).cloned()
 }
 
-fn hold(peer: &Peer<FastCgi>, held: PooledLink) -> Rc<Link> {
+fn add_link(peer: &Peer<FastCgi>, held: PooledLink) -> Rc<Link> {
     let link = held.link.clone();
     peer.protocol.links.0.borrow_mut().push(held);
     link
 }
 
-/// Gives a connection its task.
-fn start(peer: &Rc<Peer<FastCgi>>, alone: ExclusiveConnection, attempt: &Attempt) -> PooledLink {
+/// Starts the task of a connection.
+fn spawn_link(peer: &Rc<Peer<FastCgi>>, alone: ExclusiveConnection, attempt: &Attempt) -> PooledLink {
     let link = Rc::new(Link {
-        wire: RefCell::new(alone.wire),
-        waiters: RefCell::default(),
-        changed: Notify::new(),
-        aborted: Cell::new(None),
-        over: Cell::new(false),
+        connection: RefCell::new(alone.connection),
+        pending: RefCell::default(),
+        work_available: Notify::new(),
+        aborting_since: Cell::new(None),
+        closed: Cell::new(false),
         used: Cell::new(false),
         gate: RefCell::new(attempt.gate.clone()),
         generation: alone.generation,
@@ -192,68 +199,68 @@
     async fn run(self: Rc<Link>, peer: Weak<Peer<FastCgi>>, patience: Duration) {
         let (mut events, mut unsent) = (Vec::new(), Vec::new());
         loop {
-            // Nobody waits for anything but the ends of what was called off.
-            let given_up = self.aborted.get().filter(|_| self.waiters.borrow().is_empty());
+            // Only the ends of cancelled requests are waited for.
+            let given_up = self.aborting_since.get().filter(|_| self.pending.borrow().is_empty());
             let given_up = given_up.map(|since| since + patience);
             let io = poll_fn(|cx| {
-                self.wire.borrow_mut().poll(cx, |id| self.may_begin(id), &mut unsent, &mut events)
+                self.connection.borrow_mut().poll(cx, |id| self.may_write(id), &mut unsent, &mut events)
             });
             let over = tokio::select! {
                 polled = io => polled.is_err(),
-                () = self.changed.notified() => false,
+                () = self.work_available.notified() => false,
                 () = sleep_until(given_up.unwrap_or_else(Instant::now)), if given_up.is_some() => true,
             };
             for id in unsent.drain(..) {
-                self.tell(id, AttemptEnd::Unsent);
+                self.finish(id, AttemptEnd::NotWritten);
             }
             for event in events.drain(..) {
                 if let Event::Ended(id, outcome) = event {
-                    self.tell(id, AttemptEnd::Ended(outcome));
+                    self.finish(id, AttemptEnd::Ended(outcome));
                 }
             }
             if over {
                 break;
             }
-            self.settle(&peer);
+            self.return_if_idle(&peer);
         }
-        self.over.set(true);
-        let waiters = std::mem::take(&mut *self.waiters.borrow_mut());
+        self.closed.set(true);
+        let waiters = std::mem::take(&mut *self.pending.borrow_mut());
         for (id, waiter) in waiters {
-            let whole = self.wire.borrow().client.whole(id);
-            // One that was called off meanwhile is not waited for.
-            let _ = waiter.tell.send(AttemptEnd::Broken(whole));
+            let whole = self.connection.borrow().client.whole(id);
+            // A request that was cancelled meanwhile is not waited for.
+            let _ = waiter.result.send(AttemptEnd::ConnectionLost(whole));
         }
-        // Out of use; nobody holds it once its attempts have heard.
+        // Out of use: dropped once its attempts have been notified.
         drop(peer.upgrade().and_then(|peer| peer.protocol.links.take_out(&self)));
     }
 
-    fn may_begin(&self, id: u16) -> bool {
+    fn may_write(&self, id: u16) -> bool {
         let now = Instant::now();
-        self.waiters.borrow().get(&id).is_some_and(|w| w.attempt.may_write(now))
+        self.pending.borrow().get(&id).is_some_and(|w| w.attempt.may_write(now))
     }
 
-    fn tell(&self, id: u16, how: AttemptEnd) {
-        if let Some(waiter) = self.waiters.borrow_mut().remove(&id) {
-            // One that was called off meanwhile is not waited for.
-            let _ = waiter.tell.send(how);
+    fn finish(&self, id: u16, how: AttemptEnd) {
+        if let Some(waiter) = self.pending.borrow_mut().remove(&id) {
+            // A request that was cancelled meanwhile is not waited for.
+            let _ = waiter.result.send(how);
         }
     }
 
-    /// Gives the connection back for the next request once nothing is open on it.
-    fn settle(self: &Rc<Link>, peer: &Weak<Peer<FastCgi>>) {
+    /// Returns the connection to the idle ones once no request is open on it.
+    fn return_if_idle(self: &Rc<Link>, peer: &Weak<Peer<FastCgi>>) {
         let (open, aborted) = {
-            let client = &self.wire.borrow().client;
+            let client = &self.connection.borrow().client;
             (client.open(), client.aborted())
         };
         if aborted == 0 {
-            self.aborted.set(None);
+            self.aborting_since.set(None);
         }
         if open > 0 {
             return;
         }
         if let Some(peer) = peer.upgrade() {
             if let Some(held) = peer.protocol.links.take_out(self) {
-                peer.return_idle(Conn::Shared(held), self.generation, &self.gate.borrow());
+                peer.return_idle(Conn::Multiplexed(held), self.generation, &self.gate.borrow());
             }
         }
     }
--- a/crates/herondock/src/transport/fastcgi/tests.rs
+++ b/crates/herondock/src/transport/fastcgi/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use std::cell::Cell;
 
@@ -16,7 +15,7 @@
         finished: Cell::new(false),
     };
     let declared = Params(vec![("SCRIPT_FILENAME".into(), "/srv{path}".into())]);
-    let all = params(&request, &declared, [("req-deadline", "5u".into())].into_iter());
+    let all = request_params(&request, &declared, [("req-deadline", "5u".into())].into_iter());
     let get = |name: &str| {
         let found = all.iter().find(|(n, _)| n == name.as_bytes());
         found.map(|(_, v)| String::from_utf8_lossy(v).into_owned())
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -1,7 +1,7 @@
-//! Attempts over HTTP/1.1: one request to one upstream, once; and the connections that are kept for the next.
+//! Attempts over HTTP/1.1: one request to one upstream, written once, and the pooled connections.
 use super::connection_pool::{DialedConnection, Peer, PooledConnection, UpstreamProtocol};
 use crate::exchange::{Answer, Attempt, AttemptResult};
-use crate::http::{fields, headers, method, DEADLINE, DECLINED};
+use crate::http::{end_to_end_fields, to_headers, to_method, DEADLINE, DECLINED};
 use crate::stream::SharedStream;
 use balancer::Ending;
 use bytes::Bytes;
@@ -17,14 +17,14 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-/// How long a connection may take to be ready for its next request once an answer has been read whole.
+/// How long a connection may take to be ready for its next request once an answer has been read completely.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// One open connection; closed when dropped.
+/// An open connection; closed when dropped.
 pub struct Conn {
     sender: http1::SendRequest<Full<Bytes>>,
     socket: SharedStream,
-    /// The upstream's generation that it was made for.
+    /// Generation of the upstream process that it leads to.
     generation: u64,
     task: AbortHandle,
     _permit: OwnedSemaphorePermit,
@@ -37,8 +37,8 @@
 }
 
 impl PooledConnection for Conn {
-    /// Guards against requests written to one that the other side has closed, and against reading what came behind an
-    /// answer, a second copy or noise, as the answer to the next.
+    /// Guards against requests on a connection that the other side has closed, and against reading bytes behind an answer, a
+    /// duplicate or noise, as the answer to the next request.
     fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.socket.quiet()
     }
@@ -57,7 +57,7 @@
     let made = http1::Builder::new().max_buf_size(peer.settings.limits.get().head).handshake(io).await;
     let (sender, conn) = made.map_err(|_| Ending::ConnectFailed)?;
     let task = tokio::task::spawn_local(async move {
-        // How the connection ended shows in the attempt that was on it.
+        // The attempt on the connection reports how it ended.
         let _ = conn.await;
     });
     Ok(Conn { sender, socket, generation, task: task.abort_handle(), _permit: permit })
@@ -67,7 +67,7 @@
     type Conn = Conn;
 
     async fn execute(peer: &Rc<Peer<Http>>, attempt: Attempt) -> AttemptResult {
-        let Ok(mut request) = message(&attempt.request) else { return (Ending::Moot, None) };
+        let Ok(mut request) = to_message(&attempt.request) else { return (Ending::Moot, None) };
         let body_most = peer.settings.limits.get().body;
         let (mut conn, answer) = loop {
             let (mut conn, reused) = match peer.take_idle() {
@@ -92,8 +92,8 @@
             }
             match conn.sender.try_send_request(request).await {
                 Ok(answer) => break (conn, answer),
-                // Handed back whole: nothing was written. A connection that rested and had been closed meanwhile
-                // says nothing about the upstream, so the next one is tried; each is tried once.
+                // Handed back: nothing was written. An idle connection that had been closed meanwhile says nothing about the
+                // upstream, so the next one is tried; each is tried once.
                 Err(mut e) => match e.take_message() {
                     Some(back) if reused => request = back,
                     Some(_) => return (Ending::ConnectFailed, None),
@@ -105,23 +105,22 @@
         if !has_an_end(&answer) || answer.body().size_hint().lower() > body_most as u64 {
             return (Ending::Reset, None);
         }
-        let ending = ending(&answer);
+        let ending = ending_of(&answer);
         let (head, body) = answer.into_parts();
         let Ok(body) = Limited::new(body, body_most).collect().await else { return (Ending::Reset, None) };
-        // Back before the outcome is told: what the module sends next may go on this connection.
+        // Returned before the outcome is reported: the next attempt may use this connection.
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, conn.sender.ready()).await {
-            // Whether something unread is on it is asked when it is taken again.
+            // Whether it holds unread bytes is checked when it is taken again.
             let generation = conn.generation;
             peer.return_idle(conn, generation, &attempt.gate);
         }
         let answer = match ending {
             Ending::Ok => {
                 let used = attempt.used_field().and_then(|name| HeaderName::try_from(name).ok());
-                let fields = fields(&head.headers, |name| used.as_ref() == Some(name));
+                let fields = end_to_end_fields(&head.headers, |name| used.as_ref() == Some(name));
                 Some(Answer::Served { fields, body: body.to_bytes() })
             }
-            // Guards against callers whose bad input makes upstreams look bad: it says nothing about the upstream,
-            // and sent to another it would be turned away again.
+            // A client's bad input says nothing about the upstream, and another upstream would reject it as well.
             Ending::Cancelled => Some(Answer::ClientError(head.status.as_u16())),
             _ => None,
         };
@@ -140,8 +139,8 @@
     }
 }
 
-/// What an answer says. Only a mark that the request was turned away proves that it never ran.
-fn ending<B>(answer: &Response<B>) -> Ending {
+/// How an attempt ended by its answer. Only the mark of a rejection proves that the request never ran.
+fn ending_of<B>(answer: &Response<B>) -> Ending {
     let declined = answer.headers().get(DECLINED).is_some_and(|v| v == "1");
     match answer.status() {
         StatusCode::OK => Ending::Ok,
@@ -151,11 +150,11 @@
     }
 }
 
-/// A request as HTTP writes it.
-fn message(request: &crate::exchange::Request) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let message = Request::builder().method(method(request.method)).uri(&*request.target);
+/// A request as an HTTP message.
+fn to_message(request: &crate::exchange::Request) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+    let message = Request::builder().method(to_method(request.method)).uri(&*request.target);
     let mut message = message.body(Full::new(request.body.clone()))?;
-    *message.headers_mut() = headers(&request.fields);
+    *message.headers_mut() = to_headers(&request.fields);
     Ok(message)
 }
 
--- a/crates/herondock/src/transport/http/tests.rs
+++ b/crates/herondock/src/transport/http/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use crate::descriptor_budget::DescriptorBudget;
 use crate::exchange::{DrainGate, Fields, Method, Upstream};
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 
 /// Chooses the transport of each upstream.
-pub fn choose(
+pub fn transport_factory(
     reach: ConnectionSettings,
-    fastcgi: Rc<fastcgi::Settings>,
+    fastcgi: Rc<fastcgi::FastCgiSettings>,
 ) -> impl Fn(&ListedEndpoint) -> Rc<dyn Upstream> {
     move |entry| match entry.speaks {
         Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
--- a/crates/verification/fleet-simulation/src/agenda/tests.rs
+++ b/crates/verification/fleet-simulation/src/agenda/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 /// Guards against an order that depends on how a heap is built.
--- a/crates/verification/fleet-simulation/src/server/tests.rs
+++ b/crates/verification/fleet-simulation/src/server/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 fn plain(cores: f64) -> Server {
--- a/crates/verification/simulator-adapter/src/wire/tests.rs
+++ b/crates/verification/simulator-adapter/src/wire/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 fn bytes(hex: &str) -> Vec<u8> {
