--- a/crates/data-plane/balancer/src/policy/admission.rs
+++ b/crates/data-plane/balancer/src/policy/admission.rs
@@ -13,7 +13,7 @@
 /// the news of them travels.
 const TIMELY: f64 = 0.4;
 /// Lateness counts from 0 there to 1 at the objective, and to this much for failures and time-outs.
-pub(super) const LATENESS_MOST: f64 = 2.0;
+pub(super) const MAX_LATENESS: f64 = 2.0;
 /// Mean lateness at which capacity rests: the tail that heavy work and slow servers have anyway.
 const LATENESS_REST: f64 = 0.08;
 /// Capacity before anything was learned: in the first tier the stated quotas, below it this multiple of them.
@@ -25,15 +25,15 @@
 /// Part of answers in time below which the floor at the stated quotas gives way; and its least part: with too
 /// few calls connections rest longer and get lost, and nothing would come back.
 pub(super) const SUCCESS_WANTED: f64 = 0.7;
-const FLOOR_LEAST: f64 = 0.3;
+const MIN_FLOOR: f64 = 0.3;
 /// Answers that are needed to judge by.
-const LEARN_LEAST: f64 = 4.0;
+const MIN_ANSWERS_TO_LEARN: f64 = 4.0;
 /// Calls in flight that are always allowed, since a copy that carries little cannot send parts of a call.
 const INFLIGHT_SPARE: f64 = 1.0;
 /// Answer time, as a multiple of the unloaded one, at which calls in flight are what capacity takes, and
 /// at which tenants within limits are refused too. More is a queue, and crowded servers slow for long.
 const INFLIGHT_FULL: f64 = 1.6;
-const INFLIGHT_MOST: f64 = 2.2;
+const INFLIGHT_LIMIT: f64 = 2.2;
 /// Growth per cycle of what counts as the unloaded answer time, which is the least mean seen of late.
 const UNLOADED_UP: f64 = 0.02;
 /// Part of answers in time from which it may grow.
@@ -41,7 +41,7 @@
 /// Capacity stays within this multiple of the peak of what was lately admitted, of which this much is kept
 /// each cycle: more is untested. A mean in place of the peak would refuse the chance bursts of tiny counts.
 const CAPACITY_ROOM: f64 = 2.0;
-const PEAK_KEPT: f64 = 0.95;
+const PEAK_DECAY: f64 = 0.95;
 /// Repeats that can be saved up.
 pub(super) const RETRY_SAVED: f64 = 10.0;
 /// Part of the room that a request of no worth may find used; more for more worth.
@@ -175,7 +175,7 @@
         // the capacity takes in the unloaded answer time are waiting somewhere.
         let room = |time: Millis| self.capacity / CYCLE * time + INFLIGHT_SPARE;
         let full = room(self.unloaded * INFLIGHT_FULL);
-        let most = room((self.unloaded * INFLIGHT_MOST).max(self.timely));
+        let most = room((self.unloaded * INFLIGHT_LIMIT).max(self.timely));
         let t = &mut self.tenants[tenant];
         t.count += 1.0;
         t.retries = (t.retries + self.tenant_retries).min(RETRY_SAVED);
@@ -211,7 +211,7 @@
         }
         self.recent += if part > 0.0 { gain * (self.cycle_admitted / part - self.recent) } else { 0.0 };
         if part >= 0.5 {
-            self.peak = (self.cycle_admitted / part).max(self.peak * PEAK_KEPT);
+            self.peak = (self.cycle_admitted / part).max(self.peak * PEAK_DECAY);
             self.adapt(self.cycle_admitted / part);
             if std::mem::take(&mut self.crowded) {
                 // More is lent than can be carried: back to that, so that limits decide who is refused.
@@ -237,7 +237,7 @@
     /// servers) would cut it to nothing. Less where most answers are too late to count, for crowded servers
     /// lose all that is admitted, and where upstreams went away.
     fn floor(&self) -> f64 {
-        self.quota * self.ready * (self.success / SUCCESS_WANTED).clamp(FLOOR_LEAST, 1.0)
+        self.quota * self.ready * (self.success / SUCCESS_WANTED).clamp(MIN_FLOOR, 1.0)
     }
 
     /// Takes note of how late an answer was.
@@ -250,7 +250,7 @@
     /// Moves the learned capacity: up on timely answers, the more the sooner they came; down on others.
     /// A mean decides, with room for the tail that slow servers and heavy calls keep however little is sent.
     fn adapt(&mut self, admitted: f64) {
-        if self.answers < LEARN_LEAST {
+        if self.answers < MIN_ANSWERS_TO_LEARN {
             return;
         }
         let mean = self.lateness / self.answers;
@@ -268,5 +268,5 @@
 
 /// How late an answer is that took `part` of its class's objective.
 pub(super) fn lateness(part: f64) -> f64 {
-    ((part - TIMELY) / (1.0 - TIMELY)).clamp(0.0, LATENESS_MOST)
+    ((part - TIMELY) / (1.0 - TIMELY)).clamp(0.0, MAX_LATENESS)
 }
--- a/crates/data-plane/balancer/src/policy/deadline_admission.rs
+++ b/crates/data-plane/balancer/src/policy/deadline_admission.rs
@@ -7,16 +7,16 @@
 /// How far each answer moves it, as a part of itself.
 const STEP: f64 = 0.05;
 /// Answers needed to judge by.
-const LEAST: u32 = 20;
+const MIN_ANSWERS: u32 = 20;
 /// What each refusal takes off it: some get through in the end, and show whether answers have become faster.
-const DOUBT: f64 = 0.01;
+const REJECTION_DECAY: f64 = 0.01;
 
 /// The time of the fastest answers of each class, and how many have come.
-pub(super) struct Fastest(Vec<(Millis, u32)>);
+pub(super) struct FastestAnswers(Vec<(Millis, u32)>);
 
-impl Fastest {
+impl FastestAnswers {
     pub(super) fn new(classes: usize) -> Self {
-        Fastest(vec![(0.0, 0); classes])
+        FastestAnswers(vec![(0.0, 0); classes])
     }
 
     pub(super) fn answered(&mut self, class: usize, duration: Millis) {
@@ -31,10 +31,10 @@
 
     pub(super) fn hopeless(&self, class: usize, left: Millis) -> bool {
         let (time, seen) = self.0[class];
-        seen >= LEAST && left < time
+        seen >= MIN_ANSWERS && left < time
     }
 
     pub(super) fn doubt(&mut self, class: usize) {
-        self.0[class].0 *= 1.0 - DOUBT;
+        self.0[class].0 *= 1.0 - REJECTION_DECAY;
     }
 }
--- a/crates/data-plane/balancer/src/policy/endpoint_selection.rs
+++ b/crates/data-plane/balancer/src/policy/endpoint_selection.rs
@@ -1,5 +1,5 @@
 //! The pick: the less busy of two random usable upstreams, by own calls in flight.
-use super::endpoints::{Fleet, Upstream};
+use super::endpoints::{Endpoints, Upstream};
 use super::random::below;
 use crate::interface::*;
 use rand_pcg::Pcg64Mcg;
@@ -10,12 +10,12 @@
 /// The ratio of answer times that decides between two that hold as many calls; and how long an answer time is
 /// remembered when nothing is sent there.
 const ANSWER_RATIO: f64 = 1.25;
-const ANSWER_KEPT: Millis = 5000.0;
+const ANSWER_DECAY: Millis = 5000.0;
 
-impl Fleet {
+impl Endpoints {
     /// Whether a listed upstream may be sent a call now: not ejected, not silent, within its cold budget.
-    fn usable(&mut self, i: usize, ask: &PickRequest) -> bool {
-        let PickRequest { settings: s, now, cold_rate, desperate, .. } = *ask;
+    fn usable(&mut self, i: usize, ask: &SelectionRequest) -> bool {
+        let SelectionRequest { settings: s, now, cold_rate, desperate, .. } = *ask;
         let (warmth, silent) = (self.warmth(i, s, now), self.silent(i, now));
         let u = &mut self.slots[i];
         if !desperate && (now < u.ejected_until || silent) {
@@ -36,7 +36,7 @@
     fn less_busy(&self, a: usize, b: usize, now: Millis) -> bool {
         let (a, b) = (&self.slots[a], &self.slots[b]);
         // What was learned fades, so that one that was slow is tried again.
-        let slow = |u: &Upstream| 1.0 + (u.slowness - 1.0) * (-(now - u.last_used) / ANSWER_KEPT).exp();
+        let slow = |u: &Upstream| 1.0 + (u.slowness - 1.0) * (-(now - u.last_used) / ANSWER_DECAY).exp();
         match a.inflight.cmp(&b.inflight) {
             Ordering::Equal if slow(a) > ANSWER_RATIO * slow(b) => false,
             Ordering::Equal if slow(b) > ANSWER_RATIO * slow(a) => true,
@@ -46,7 +46,7 @@
     }
 
     /// The less busy of two random usable upstreams.
-    pub(super) fn pick(&mut self, far: bool, ask: &PickRequest, rng: &mut Pcg64Mcg) -> Option<usize> {
+    pub(super) fn pick(&mut self, far: bool, ask: &SelectionRequest, rng: &mut Pcg64Mcg) -> Option<usize> {
         let pool = &self.pools[ask.pool];
         let n = if far { pool.far.len() } else { pool.near.len() };
         if n == 0 {
@@ -74,7 +74,7 @@
     }
 }
 
-pub(super) struct PickRequest<'a> {
+pub(super) struct SelectionRequest<'a> {
     pub(super) settings: &'a Settings,
     pub(super) now: Millis,
     pub(super) pool: usize,
@@ -87,7 +87,7 @@
     pub(super) scope: Option<(DedupScope, u16, u16)>,
 }
 
-impl PickRequest<'_> {
+impl SelectionRequest<'_> {
     fn allows(&self, m: &Member) -> bool {
         match self.scope {
             None | Some((DedupScope::All, ..)) => true,
--- a/crates/data-plane/balancer/src/policy/endpoints.rs
+++ b/crates/data-plane/balancer/src/policy/endpoints.rs
@@ -13,11 +13,11 @@
 /// One in this many is ejected at once: chance failures of all alike would jam the few that are left.
 const EJECT_PART: usize = 3;
 /// First ejection lasts this long, each further one as much longer, up to the most.
-const EJECT_BASE: Millis = 2000.0;
-const EJECT_MOST: Millis = 16_000.0;
+const BASE_EJECTION: Millis = 2000.0;
+const MAX_EJECTION: Millis = 16_000.0;
 /// An upstream with calls out that has not answered for this many mean answer times counts as hung.
 const SILENT_FACTOR: f64 = 6.0;
-const SILENT_LEAST: Millis = 300.0;
+const MIN_SILENCE: Millis = 300.0;
 /// Connections that rested are judged by how long, in steps that double from this; smoothing of the part of
 /// calls on them that got no answer; where it counts as lost; and the part of calls that still tries them.
 const REST_STEP: Millis = 125.0;
@@ -33,7 +33,7 @@
 /// connections that each upstream keeps open, at its cost, for calls that other connections carry as well.
 const SUBSET_SPREAD: f64 = 2.0;
 /// Never fewer upstreams in the subset than this, so that a few that fail leave enough to choose from.
-const SUBSET_LEAST: usize = 8;
+const MIN_SUBSET: usize = 8;
 /// A crossing priced below this part of a request's worth costs less than unevenness: zones are ignored.
 const CROSSING_CHEAP: f64 = 0.008;
 
@@ -77,7 +77,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Fleet {
+pub(super) struct Endpoints {
     pub(super) slots: Vec<Upstream>,
     by_id: BTreeMap<UpstreamId, usize>,
     free: Vec<usize>,
@@ -103,7 +103,7 @@
     x ^ (x >> 31)
 }
 
-impl Fleet {
+impl Endpoints {
     pub(super) fn ejected(&self, now: Millis) -> impl Iterator<Item = UpstreamId> + '_ {
         self.by_id.iter().filter(move |(_, &k)| now < self.slots[k].ejected_until).map(|(&id, _)| id)
     }
@@ -119,7 +119,7 @@
             }
         }
         let latency = mean_objective(s) / 4.0;
-        Fleet { pools, pool_of, latency, deviation: latency / 2.0, ..Fleet::default() }
+        Endpoints { pools, pool_of, latency, deviation: latency / 2.0, ..Endpoints::default() }
     }
 
     pub(super) fn apply(&mut self, news: Membership, s: &Settings, now: Millis, rng: &mut Pcg64Mcg) {
@@ -204,7 +204,7 @@
     /// The subset follows the traffic that keeps it busy and warm; small changes are not worth connections.
     pub(super) fn resize_subset(&mut self, s: &Settings, calls_per_cycle: f64) {
         let per_rate = (self.latency * SUBSET_SPREAD).min(s.idle_close / CALLS_PER_IDLE);
-        let want = ((calls_per_cycle / CYCLE * per_rate).min(1e6) as usize).max(SUBSET_LEAST);
+        let want = ((calls_per_cycle / CYCLE * per_rate).min(1e6) as usize).max(MIN_SUBSET);
         if want * 4 < self.subset * 3 || want * 3 > self.subset * 4 {
             self.subset = want;
             self.choose_subset(s);
@@ -257,7 +257,7 @@
     /// Whether an upstream owes answers and has given none for far longer than answers take elsewhere.
     pub(super) fn silent(&self, i: usize, now: Millis) -> bool {
         let u = &self.slots[i];
-        u.inflight > 0 && now - u.silent_since > (SILENT_FACTOR * self.latency).max(SILENT_LEAST)
+        u.inflight > 0 && now - u.silent_since > (SILENT_FACTOR * self.latency).max(MIN_SILENCE)
     }
 
     /// Books how an attempt ended. Tells whether the failure is this upstream's own.
@@ -318,7 +318,7 @@
             return;
         }
         let u = &mut self.slots[i];
-        let length = (EJECT_BASE * f64::from(u.ejections + 1)).min(EJECT_MOST);
+        let length = (BASE_EJECTION * f64::from(u.ejections + 1)).min(MAX_EJECTION);
         u.ejected_until = now + length * (0.75 + 0.5 * unit(rng));
         u.ejections += 1;
         // One more failure after its return ejects it again.
--- a/crates/data-plane/balancer/src/policy/mod.rs
+++ b/crates/data-plane/balancer/src/policy/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::interface::*;
 use admission::{Admission, RETRY_SAVED, SUCCESS_WANTED};
-use deadline_admission::Fastest;
-use endpoints::Fleet;
+use deadline_admission::FastestAnswers;
+use endpoints::Endpoints;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use random::unit;
@@ -26,9 +26,9 @@
 /// Length of a cycle. The published 10 s is too slow for capacity that is learned instead of benchmarked.
 const CYCLE: Millis = 1000.0;
 /// Pause before asking for the list again after a failure, doubling up to a third of `ask_within`.
-const ASK_AGAIN: Millis = 400.0;
+const LIST_RETRY_INTERVAL: Millis = 400.0;
 const TIMER_CYCLE: u32 = 0;
-const TIMER_ASK: u32 = 1;
+const LIST_TIMER: u32 = 1;
 
 fn mean_objective(s: &Settings) -> Millis {
     s.classes.iter().map(|c| c.objective).sum::<f64>() / s.classes.len() as f64
@@ -39,10 +39,10 @@
     settings: Settings,
     rng: Pcg64Mcg,
     admission: Admission,
-    fleet: Fleet,
+    fleet: Endpoints,
     pending: BTreeMap<RequestId, Pending>,
     retries: f64,
-    fastest: Fastest,
+    fastest: FastestAnswers,
     started: bool,
     ask_failures: u32,
     late: bool,
@@ -53,7 +53,7 @@
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         let admission = Admission::new(&settings, now);
-        let mut fleet = Fleet::new(&settings);
+        let mut fleet = Endpoints::new(&settings);
         fleet.resize_subset(&settings, admission.recent);
         Ok(Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -61,7 +61,7 @@
             fleet,
             pending: BTreeMap::new(),
             retries: RETRY_SAVED,
-            fastest: Fastest::new(settings.classes.len()),
+            fastest: FastestAnswers::new(settings.classes.len()),
             started: false,
             ask_failures: 0,
             late: false,
@@ -107,10 +107,10 @@
                 // The registry is one queue for all: back off with jitter, yet stay well within the time
                 // after which we count as told.
                 let most = self.settings.ask_within / 3.0;
-                let pause = (ASK_AGAIN * f64::from(1u32 << self.ask_failures.min(10))).min(most);
+                let pause = (LIST_RETRY_INTERVAL * f64::from(1u32 << self.ask_failures.min(10))).min(most);
                 self.ask_failures += 1;
                 let after = pause * (0.5 + 0.5 * unit(&mut self.rng));
-                actions.push(Action::SetTimer { after, token: TIMER_ASK });
+                actions.push(Action::SetTimer { after, token: LIST_TIMER });
             }
             Event::Membership(news) => {
                 if !matches!(news, Membership::Cached(_)) {
@@ -152,7 +152,7 @@
                 self.fleet.resize_subset(&self.settings, self.admission.recent);
                 actions.push(Action::SetTimer { after: CYCLE, token: TIMER_CYCLE });
             }
-            Event::Timer(TIMER_ASK) => actions.push(Action::Subscribe),
+            Event::Timer(LIST_TIMER) => actions.push(Action::Subscribe),
             Event::Streaming { .. } | Event::Timer(_) => {}
         }
     }
--- a/crates/data-plane/balancer/src/policy/retries.rs
+++ b/crates/data-plane/balancer/src/policy/retries.rs
@@ -1,6 +1,6 @@
 //! Attempts and retries: what is sent, sent again, given up, and what an ending tells.
-use super::admission::{lateness, LATENESS_MOST, RETRY_SAVED};
-use super::endpoint_selection::PickRequest;
+use super::admission::{lateness, MAX_LATENESS, RETRY_SAVED};
+use super::endpoint_selection::SelectionRequest;
 use super::random::unit;
 use super::{Balancer, CYCLE};
 use crate::interface::*;
@@ -49,8 +49,9 @@
         let pool = self.fleet.pool_of[p.class];
         let ready = self.fleet.pools.iter().map(|p| p.near.len() + p.far.len()).fold(1, usize::max) as f64;
         let cold_rate = self.admission.recent / CYCLE / ready * COLD_MARGIN * s.tip_multiple;
-        let ask = PickRequest { settings: s, now, pool, cold_rate, avoid: p.last, desperate: false, scope };
-        let last_resort = PickRequest { avoid: None, desperate: true, ..ask };
+        let ask =
+            SelectionRequest { settings: s, now, pool, cold_rate, avoid: p.last, desperate: false, scope };
+        let last_resort = SelectionRequest { avoid: None, desperate: true, ..ask };
         let picked = [(false, &ask), (true, &ask), (false, &last_resort), (true, &last_resort)]
             .into_iter()
             .find_map(|(far, ask)| self.fleet.pick(far, ask, &mut self.rng));
@@ -198,7 +199,7 @@
             Ending::Cancelled | Ending::Moot => None,
             // Blame the server or the connection, not the fleet, for failures that are its own.
             _ if own || self.fleet.dropped(rest) => None,
-            _ => Some(LATENESS_MOST),
+            _ => Some(MAX_LATENESS),
         };
         if let Some(lateness) = lateness {
             self.admission.learn(lateness);
--- a/crates/data-plane/fastcgi/src/cgi.rs
+++ b/crates/data-plane/fastcgi/src/cgi.rs
@@ -16,7 +16,7 @@
 
 /// Why a head can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum MalformedHead {
     /// There is no empty line within the bound.
     Endless,
     /// There are no headers at all.
@@ -31,15 +31,15 @@
     Length,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for MalformedHead {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::Endless => "the head has no end",
-            Bad::None => "there are no headers",
-            Bad::Line => "a header line is none",
-            Bad::Status => "its Status is none",
-            Bad::LocalRedirect => "it redirects within the server",
-            Bad::Length => "its body has another length than it states",
+            MalformedHead::Endless => "the head has no end",
+            MalformedHead::None => "there are no headers",
+            MalformedHead::Line => "a header line is none",
+            MalformedHead::Status => "its Status is none",
+            MalformedHead::LocalRedirect => "it redirects within the server",
+            MalformedHead::Length => "its body has another length than it states",
         })
     }
 }
@@ -68,59 +68,59 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn read(output: &Bytes, most: usize) -> Result<Head, Bad> {
-    let length = end(output, most).ok_or(Bad::Endless)?;
+pub fn read(output: &Bytes, most: usize) -> Result<Head, MalformedHead> {
+    let length = end(output, most).ok_or(MalformedHead::Endless)?;
     let (mut status, mut location, mut stated) = (None, false, None);
     let mut fields = Vec::new();
     let mut rest = &output[..length];
     loop {
-        let n = rest.iter().position(|&b| b == b'\n').ok_or(Bad::Endless)?;
+        let n = rest.iter().position(|&b| b == b'\n').ok_or(MalformedHead::Endless)?;
         let line = rest[..n].strip_suffix(b"\r").unwrap_or(&rest[..n]);
         rest = &rest[n + 1..];
         if line.is_empty() {
             break;
         }
-        let colon = line.iter().position(|&b| b == b':').ok_or(Bad::Line)?;
+        let colon = line.iter().position(|&b| b == b':').ok_or(MalformedHead::Line)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         // Control characters would split a header in two where it is written again.
         if !token(name) || value.iter().any(|&b| (b < 0x20 && b != b'\t') || b == 0x7f) {
-            return Err(Bad::Line);
+            return Err(MalformedHead::Line);
         }
         let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
         if is("status") {
             let code = value.get(..3).filter(|c| c.iter().all(u8::is_ascii_digit));
             let ends = value.get(3).is_none_or(|&b| b == b' ');
             let code = code.filter(|_| ends).and_then(|c| std::str::from_utf8(c).ok()?.parse().ok());
-            let code = code.filter(|c| (100..600).contains(c)).ok_or(Bad::Status)?;
+            let code = code.filter(|c| (100..600).contains(c)).ok_or(MalformedHead::Status)?;
             if status.replace(code).is_some() {
-                return Err(Bad::Status);
+                return Err(MalformedHead::Status);
             }
             continue;
         }
         if is("transfer-encoding") {
-            return Err(Bad::Length);
+            return Err(MalformedHead::Length);
         }
         if is("content-length") {
             let text = std::str::from_utf8(value).ok().filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
-            let n: usize = text.and_then(|v| v.parse().ok()).ok_or(Bad::Length)?;
+            let n: usize = text.and_then(|v| v.parse().ok()).ok_or(MalformedHead::Length)?;
             if stated.replace(n).is_some() {
-                return Err(Bad::Length);
+                return Err(MalformedHead::Length);
             }
             continue;
         }
         if is("location") {
             if value.starts_with(b"/") {
-                return Err(Bad::LocalRedirect);
+                return Err(MalformedHead::LocalRedirect);
             }
             location = true;
         }
         fields.push((output.slice_ref(name), output.slice_ref(value)));
     }
     if status.is_none() && fields.is_empty() && stated.is_none() {
-        return Err(Bad::None);
+        return Err(MalformedHead::None);
     }
     if stated.is_some_and(|n| n != output.len() - length) {
-        return Err(Bad::Length);
+        return Err(MalformedHead::Length);
     }
     let status = status.unwrap_or(if location { 302 } else { 200 });
     Ok(Head { status, fields, length })
--- a/crates/data-plane/fastcgi/src/client.rs
+++ b/crates/data-plane/fastcgi/src/client.rs
@@ -34,7 +34,7 @@
     Unknown,
 }
 
-struct Out {
+struct InFlightRequest {
     parts: Vec<Bytes>,
     size: usize,
     errors: usize,
@@ -50,7 +50,7 @@
 pub struct Client {
     limits: Limits,
     decoder: Decoder,
-    open: BTreeMap<u16, Out>,
+    open: BTreeMap<u16, InFlightRequest>,
     current: Option<Header>,
     small: BytesMut,
     outgoing: Outgoing,
@@ -106,7 +106,14 @@
         record::write(&mut head, kind::PARAMS, id, &all);
         record::end(&mut head, kind::PARAMS, id);
         self.outgoing.stream(id, head, kind::STDIN, body, Tail::Close);
-        let out = Out { parts: Vec::new(), size: 0, errors: 0, closed: false, bad: None, aborted: false };
+        let out = InFlightRequest {
+            parts: Vec::new(),
+            size: 0,
+            errors: 0,
+            closed: false,
+            bad: None,
+            aborted: false,
+        };
         self.open.insert(id, out);
         Some(id)
     }
@@ -253,7 +260,7 @@
         }
     }
 
-    fn outcome(&self, open: Out, application: u32, protocol: Protocol) -> Outcome {
+    fn outcome(&self, open: InFlightRequest, application: u32, protocol: Protocol) -> Outcome {
         match protocol {
             Protocol::Complete => {}
             // One that has written something has begun, whatever it says.
--- a/crates/data-plane/fastcgi/src/outgoing.rs
+++ b/crates/data-plane/fastcgi/src/outgoing.rs
@@ -15,7 +15,7 @@
 /// Bodies below this are copied behind their header: one part in place of three.
 const SMALL: usize = 4 << 10;
 /// What may wait for the connection itself before nothing more should be read from it.
-const OWN_MOST: usize = 64 << 10;
+const MAX_OWN_BYTES: usize = 64 << 10;
 
 /// How a stream ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,7 +68,7 @@
 
     /// Whether so much waits for the connection itself that nothing more should be read from it.
     pub(crate) fn clogged(&self) -> bool {
-        self.own_size > OWN_MOST
+        self.own_size > MAX_OWN_BYTES
     }
 
     /// A stream, with records that come before its body.
--- a/crates/data-plane/fastcgi/src/pairs.rs
+++ b/crates/data-plane/fastcgi/src/pairs.rs
@@ -4,18 +4,18 @@
 
 /// Why pairs can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum MalformedPairs {
     /// They end in the middle of one.
     Short,
     /// There are more than may be.
     Many,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for MalformedPairs {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::Short => "the params end in the middle of a pair",
-            Bad::Many => "there are too many params",
+            MalformedPairs::Short => "the params end in the middle of a pair",
+            MalformedPairs::Many => "there are too many params",
         })
     }
 }
@@ -38,16 +38,19 @@
 ///
 /// # Errors
 /// They are cut short, whatever length one of them states, or there are more than `most`.
-pub fn read(mut from: Bytes, most: usize) -> Result<Vec<Pair>, Bad> {
+pub fn read(mut from: Bytes, most: usize) -> Result<Vec<Pair>, MalformedPairs> {
     let mut pairs = Vec::new();
     while !from.is_empty() {
         if pairs.len() >= most {
-            return Err(Bad::Many);
+            return Err(MalformedPairs::Many);
         }
-        let (name, value) = (length(&mut from).ok_or(Bad::Short)?, length(&mut from).ok_or(Bad::Short)?);
+        let (name, value) = (
+            length(&mut from).ok_or(MalformedPairs::Short)?,
+            length(&mut from).ok_or(MalformedPairs::Short)?,
+        );
         // A length that lies is found here, before anything of its size is touched.
         if name.checked_add(value).is_none_or(|both| both > from.len()) {
-            return Err(Bad::Short);
+            return Err(MalformedPairs::Short);
         }
         let name = from.split_to(name);
         pairs.push((name, from.split_to(value)));
--- a/crates/data-plane/fastcgi/src/record.rs
+++ b/crates/data-plane/fastcgi/src/record.rs
@@ -5,7 +5,7 @@
 /// Length of a record's header (`FCGI_HEADER_LEN`).
 pub const HEADER: usize = 8;
 /// Largest body of a record.
-pub const BODY_MOST: usize = 0xffff;
+pub const MAX_BODY_BYTES: usize = 0xffff;
 
 /// The types of records (section 8).
 pub mod kind {
@@ -36,7 +36,7 @@
 /// The role of an application that answers requests (`FCGI_RESPONDER`).
 pub const RESPONDER: u16 = 1;
 /// The flag that the connection stays open after a request (`FCGI_KEEP_CONN`).
-pub const KEEP: u8 = 1;
+pub const KEEP_CONNECTION: u8 = 1;
 
 /// How a request ended for the protocol (section 5.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -195,7 +195,7 @@
 
 /// Writes a record with a short body, padded to a multiple of 8 bytes as the specification recommends.
 pub fn write(out: &mut BytesMut, kind: u8, id: u16, body: &[u8]) {
-    for part in body.chunks(BODY_MOST) {
+    for part in body.chunks(MAX_BODY_BYTES) {
         head(out, kind, id, part.len());
         out.put_slice(part);
         out.put_bytes(0, padding(part.len()));
@@ -223,7 +223,7 @@
 /// The body of a begin record.
 pub fn begin_body(role: u16, keep: bool) -> [u8; 8] {
     let [r1, r0] = role.to_be_bytes();
-    [r1, r0, if keep { KEEP } else { 0 }, 0, 0, 0, 0, 0]
+    [r1, r0, if keep { KEEP_CONNECTION } else { 0 }, 0, 0, 0, 0, 0]
 }
 
 /// The body of an end record.
--- a/crates/data-plane/fastcgi/src/server.rs
+++ b/crates/data-plane/fastcgi/src/server.rs
@@ -5,7 +5,7 @@
 //! bytes behind it uncertain is an [`Error`], and the connection has to end.
 use crate::outgoing::{Cancelled, Outgoing, Tail};
 use crate::pairs::{self, Pair};
-use crate::record::{self, kind, Decoder, Header, Piece, Protocol, KEEP, RESPONDER};
+use crate::record::{self, kind, Decoder, Header, Piece, Protocol, KEEP_CONNECTION, RESPONDER};
 use crate::{Error, Fault, Limits};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
@@ -216,7 +216,7 @@
             return Err(self.fault(Fault::BegunTwice(id)));
         }
         let role = u16::from_be_bytes([self.small[0], self.small[1]]);
-        let keep = self.small[2] & KEEP != 0;
+        let keep = self.small[2] & KEEP_CONNECTION != 0;
         self.closing |= !keep;
         let refused = if role != RESPONDER {
             Some(Protocol::UnknownRole)
@@ -238,8 +238,10 @@
         match &mut open.stage {
             Stage::Params(params) => match pairs::read(params.split().freeze(), most) {
                 Ok(pairs) => open.stage = Stage::Body(pairs, Vec::new(), 0),
-                Err(pairs::Bad::Many) => self.bad(id, 431, "there are too many params", events),
-                Err(pairs::Bad::Short) => self.bad(id, 400, "the params end in the middle of a pair", events),
+                Err(pairs::MalformedPairs::Many) => self.bad(id, 431, "there are too many params", events),
+                Err(pairs::MalformedPairs::Short) => {
+                    self.bad(id, 400, "the params end in the middle of a pair", events)
+                }
             },
             Stage::Body(..) => self.bad(id, 400, "records are out of order", events),
             Stage::Given | Stage::Answered => {}
--- a/crates/data-plane/fastcgi/tests/fastcgi.rs
+++ b/crates/data-plane/fastcgi/tests/fastcgi.rs
@@ -1,6 +1,6 @@
 //! Both sides against each other and against what they must not believe.
 use bytes::{BufMut, Bytes, BytesMut};
-use fastcgi::cgi::{self, Bad};
+use fastcgi::cgi::{self, MalformedHead};
 use fastcgi::client::{Client, Event as Answered, Outcome};
 use fastcgi::record::{self, kind, Decoder, Piece, Protocol};
 use fastcgi::server::{Event, Request, Server};
@@ -330,24 +330,24 @@
     let head = read("A: b\r\nstatus:503\r\nSrv-Declined: 1\r\n\r\n").expect("good");
     assert_eq!((head.status, head.length, &head.fields[1].0[..]), (503, 37, &b"Srv-Declined"[..]));
     for (text, wanted) in [
-        ("", Bad::Endless),
-        ("Status: 200\r\n", Bad::Endless),
-        ("\r\n\r\nbody", Bad::None),
-        ("no colon\n\n", Bad::Line),
-        ("a b: c\n\n", Bad::Line),
-        ("a: b\rc: d\n\n", Bad::Line),
-        ("Status: 20\n\n", Bad::Status),
-        ("Status: 2000\n\n", Bad::Status),
-        ("Status: 099\n\n", Bad::Status),
-        ("Status: 200\nStatus: 200\n\n", Bad::Status),
-        ("Location: /here\n\n", Bad::LocalRedirect),
-        ("Content-Length: 5\n\nbody", Bad::Length),
-        ("Content-Length: 4\nContent-Length: 4\n\nbody", Bad::Length),
-        ("Transfer-Encoding: chunked\n\n", Bad::Length),
+        ("", MalformedHead::Endless),
+        ("Status: 200\r\n", MalformedHead::Endless),
+        ("\r\n\r\nbody", MalformedHead::None),
+        ("no colon\n\n", MalformedHead::Line),
+        ("a b: c\n\n", MalformedHead::Line),
+        ("a: b\rc: d\n\n", MalformedHead::Line),
+        ("Status: 20\n\n", MalformedHead::Status),
+        ("Status: 2000\n\n", MalformedHead::Status),
+        ("Status: 099\n\n", MalformedHead::Status),
+        ("Status: 200\nStatus: 200\n\n", MalformedHead::Status),
+        ("Location: /here\n\n", MalformedHead::LocalRedirect),
+        ("Content-Length: 5\n\nbody", MalformedHead::Length),
+        ("Content-Length: 4\nContent-Length: 4\n\nbody", MalformedHead::Length),
+        ("Transfer-Encoding: chunked\n\n", MalformedHead::Length),
     ] {
         assert_eq!(read(text), Err(wanted), "{text:?}");
     }
-    assert_eq!(read(&format!("A: {}\n\n", "x".repeat(1000))), Err(Bad::Endless));
+    assert_eq!(read(&format!("A: {}\n\n", "x".repeat(1000))), Err(MalformedHead::Endless));
 }
 
 proptest! {
--- a/crates/data-plane/request-budget/src/grammar.rs
+++ b/crates/data-plane/request-budget/src/grammar.rs
@@ -12,9 +12,9 @@
 /// Longest value that is looked at, in bytes.
 pub const MAX_VALUE_BYTES: usize = 256;
 /// Keys in one value.
-const KEYS_MOST: usize = 16;
+const MAX_KEYS: usize = 16;
 /// Longest time, in milliseconds: a day.
-const LEFT_MOST: f64 = 86_400_000.0;
+const MAX_LEFT_MS: f64 = 86_400_000.0;
 /// Times are written with three decimals.
 pub(crate) const ROUNDING: f64 = 0.002;
 
@@ -144,12 +144,12 @@
     }
     let mut offer = BudgetOffer::default();
     for (k, member) in members(value).enumerate() {
-        if k >= KEYS_MOST {
+        if k >= MAX_KEYS {
             return Err(MalformedBudget::Long);
         }
         let (key, value) = member.map_err(MalformedBudget::Grammar)?;
         match key {
-            b"left" => once(&mut offer.left, "left", decimal(value).filter(|&l| l <= LEFT_MOST))?,
+            b"left" => once(&mut offer.left, "left", decimal(value).filter(|&l| l <= MAX_LEFT_MS))?,
             b"retries" => {
                 let retries = integer(value).map(|n| u32::try_from(n).unwrap_or(u32::MAX));
                 once(&mut offer.retries, "retries", retries)?;
@@ -163,7 +163,7 @@
 
 /// Writes the budget's field.
 pub fn write_budget(left: f64, retries: u32, worth: f64) -> String {
-    let left = left.clamp(0.0, LEFT_MOST);
+    let left = left.clamp(0.0, MAX_LEFT_MS);
     // Down, so that nobody below waits longer than is left.
     let left = (left * 1000.0).floor() / 1000.0;
     let worth = worth.clamp(0.0, 1.0);
@@ -181,7 +181,7 @@
         return None;
     }
     let (mut retries, mut stop) = (None, None);
-    for member in members(value).take(KEYS_MOST) {
+    for member in members(value).take(MAX_KEYS) {
         match member.ok()? {
             (b"retries", value) => once(&mut retries, "retries", integer(value)).ok()?,
             (b"stop", b"loop") => stop = Some(Stop::Loop),
--- a/crates/data-plane/route-table/src/cube.rs
+++ b/crates/data-plane/route-table/src/cube.rs
@@ -1,7 +1,7 @@
 //! Sets of requests: one condition for each thing that a request is told by. Meet and difference are sets of this kind again,
 //! so that what is true of all requests can be found out without sending one.
 use crate::pattern::Region;
-use crate::spec::World;
+use crate::spec::KnownNames;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The fronts, by position.
@@ -11,23 +11,23 @@
 
 /// Some of a finite number of things, by position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Some_(Vec<u64>);
+pub struct ValueSet(Vec<u64>);
 
-impl Some_ {
+impl ValueSet {
     /// These positions, of so many.
-    pub fn of(positions: impl Iterator<Item = usize>, of: usize) -> Some_ {
+    pub fn of(positions: impl Iterator<Item = usize>, of: usize) -> ValueSet {
         let mut words = vec![0; of.div_ceil(64).max(1)];
         positions.filter(|&p| p < of.max(1)).for_each(|p| words[p / 64] |= 1 << (p % 64));
-        Some_(words)
+        ValueSet(words)
     }
 
     /// All of so many; one at the least.
-    pub fn all(of: usize) -> Some_ {
-        Some_::of(0..of.max(1), of.max(1))
+    pub fn all(of: usize) -> ValueSet {
+        ValueSet::of(0..of.max(1), of.max(1))
     }
 
-    fn with(&self, other: &Some_, both: impl Fn(u64, u64) -> u64) -> Some_ {
-        Some_(self.0.iter().zip(&other.0).map(|(&a, &b)| both(a, b)).collect())
+    fn with(&self, other: &ValueSet, both: impl Fn(u64, u64) -> u64) -> ValueSet {
+        ValueSet(self.0.iter().zip(&other.0).map(|(&a, &b)| both(a, b)).collect())
     }
 
     /// The positions in it.
@@ -108,15 +108,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cube {
     /// Fronts.
-    pub fronts: Some_,
+    pub fronts: ValueSet,
     /// Methods.
-    pub methods: Some_,
+    pub methods: ValueSet,
     /// Classes.
-    pub classes: Some_,
+    pub classes: ValueSet,
     /// Clubs.
-    pub clubs: Some_,
+    pub clubs: ValueSet,
     /// Without a key, and with one.
-    pub keyed: Some_,
+    pub keyed: ValueSet,
     /// Hosts, their labels from behind.
     pub host: Region,
     /// Paths.
@@ -147,13 +147,13 @@
 
 impl Cube {
     /// All requests.
-    pub fn all(world: &World) -> Cube {
+    pub fn all(world: &KnownNames) -> Cube {
         Cube {
-            fronts: Some_::all(FRONTS.len()),
-            methods: Some_::all(METHODS.len()),
-            classes: Some_::all(world.classes.len()),
-            clubs: Some_::all(world.clubs.len()),
-            keyed: Some_::all(2),
+            fronts: ValueSet::all(FRONTS.len()),
+            methods: ValueSet::all(METHODS.len()),
+            classes: ValueSet::all(world.classes.len()),
+            clubs: ValueSet::all(world.clubs.len()),
+            keyed: ValueSet::all(2),
             host: Region::any(),
             path: Region::any(),
             headers: BTreeMap::new(),
@@ -162,7 +162,7 @@
 
     /// Whether the first look shows that nothing is in both: most pairs of a large table, which then cost little.
     fn apart(&self, other: &Cube) -> bool {
-        let no = |a: &Some_, b: &Some_| a.0.iter().zip(&b.0).all(|(a, b)| a & b == 0);
+        let no = |a: &ValueSet, b: &ValueSet| a.0.iter().zip(&b.0).all(|(a, b)| a & b == 0);
         no(&self.clubs, &other.clubs)
             || !self.path.is.meets(&other.path.is)
             || no(&self.classes, &other.classes)
@@ -174,7 +174,7 @@
         if self.apart(other) {
             return None;
         }
-        let and = |a: &Some_, b: &Some_| Some(a.with(b, |a, b| a & b)).filter(|s| !s.empty());
+        let and = |a: &ValueSet, b: &ValueSet| Some(a.with(b, |a, b| a & b)).filter(|s| !s.empty());
         let mut headers = self.headers.clone();
         for (name, values) in &other.headers {
             let met = headers.get(name).map_or_else(|| values.clone(), |own| own.meet(values));
@@ -200,7 +200,7 @@
         let Some(met) = self.meet(other) else { return vec![self.clone()] };
         let (mut rest, mut all) = (self.clone(), Vec::new());
         // One condition after the other: what fails it, while those before hold.
-        let finite: [fn(&mut Cube) -> &mut Some_; 5] =
+        let finite: [fn(&mut Cube) -> &mut ValueSet; 5] =
             [|c| &mut c.fronts, |c| &mut c.methods, |c| &mut c.classes, |c| &mut c.clubs, |c| &mut c.keyed];
         let mut met_ = met;
         for field in finite {
@@ -247,7 +247,7 @@
         let values: Vec<(&str, Option<String>)> =
             self.headers.iter().map(|(n, v)| (n.as_str(), v.example())).collect();
         let header = |name: &str| values.iter().find(|(n, _)| *n == name).and_then(|(_, v)| v.as_deref());
-        let first = |s: &Some_| s.iter().next();
+        let first = |s: &ValueSet| s.iter().next();
         let query = Query {
             front: first(&self.fronts)?,
             method: first(&self.methods)?,
@@ -275,8 +275,8 @@
     }
 
     /// A smallest request in it, in words.
-    pub fn example(&self, world: &World) -> String {
-        let first = |s: &Some_, names: &[String]| s.iter().next().and_then(|p| names.get(p).cloned());
+    pub fn example(&self, world: &KnownNames) -> String {
+        let first = |s: &ValueSet, names: &[String]| s.iter().next().and_then(|p| names.get(p).cloned());
         let method = self.methods.iter().next().map_or("GET", |m| METHODS[m]);
         let path = self.path.example().unwrap_or_default().join("/");
         let mut text = format!("{method} /{path}");
--- a/crates/data-plane/route-table/src/diff.rs
+++ b/crates/data-plane/route-table/src/diff.rs
@@ -1,6 +1,6 @@
 //! Who moves between two tables.
 use crate::cube::Cube;
-use crate::table::{Compiled, Leads, Table};
+use crate::table::{Compiled, RouteTarget, Table};
 
 /// Requests that get something else.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,9 +18,9 @@
 fn gets(table: &Table, route: Option<&Compiled>) -> String {
     let Some(c) = route else { return "no route".into() };
     let mut text = match &c.leads {
-        Leads::Pool(p) => table.pools[*p].name.clone(),
-        Leads::Refused => "refused".into(),
-        Leads::Split(_, parts) => {
+        RouteTarget::Pool(p) => table.pools[*p].name.clone(),
+        RouteTarget::Refused => "refused".into(),
+        RouteTarget::Split(_, parts) => {
             let parts: Vec<String> =
                 parts.iter().map(|(p, part)| format!("{} {part}", table.pools[*p].name)).collect();
             parts.join(" + ")
--- a/crates/data-plane/route-table/src/expect.rs
+++ b/crates/data-plane/route-table/src/expect.rs
@@ -1,12 +1,12 @@
 //! Expectations, proved for all requests that there can be: by going through the sets of requests that the table itself makes.
 use crate::cube::Cube;
-use crate::spec::{Claim, Expect, Wrong};
-use crate::table::{cube, Compiled, Leads, Table, STEPS_MOST};
+use crate::spec::{Claim, Expectation, TableError};
+use crate::table::{cube, Compiled, RouteTarget, Table, MAX_STEPS};
 use std::collections::BTreeMap;
 
 /// Why an expectation does not hold, or can't be looked at.
-fn fails(expect: &Expect, what: String) -> Wrong {
-    Wrong { place: expect.place.clone(), field: format!("expect {}", expect.name), what }
+fn fails(expect: &Expectation, what: String) -> TableError {
+    TableError { place: expect.place.clone(), field: format!("expect {}", expect.name), what }
 }
 
 fn names(table: &Table, pools: impl Iterator<Item = usize>) -> Vec<&str> {
@@ -19,7 +19,7 @@
         None => "has no route".into(),
         Some(c) => {
             let to = match &c.leads {
-                Leads::Refused => "is refused".to_string(),
+                RouteTarget::Refused => "is refused".to_string(),
                 _ => format!("goes to {}", names(table, c.pools()).join(", ")),
             };
             format!("{to} by route {:?}, {}:{}", c.route.name, c.route.place.file, c.route.place.line)
@@ -31,8 +31,8 @@
 ///
 /// # Errors
 /// Each that does not hold with a smallest request that breaks it, and each that names what is not there.
-pub fn prove(table: &Table, all: &[Expect]) -> Result<(), Vec<Wrong>> {
-    let wrong: Vec<Wrong> = all.iter().filter_map(|e| one(table, e).err()).collect();
+pub fn prove(table: &Table, all: &[Expectation]) -> Result<(), Vec<TableError>> {
+    let wrong: Vec<TableError> = all.iter().filter_map(|e| one(table, e).err()).collect();
     if wrong.is_empty() {
         Ok(())
     } else {
@@ -40,7 +40,7 @@
     }
 }
 
-fn one(table: &Table, expect: &Expect) -> Result<(), Wrong> {
+fn one(table: &Table, expect: &Expectation) -> Result<(), TableError> {
     let scope =
         cube(&expect.when, &table.world).map_err(|(at, what)| fails(expect, format!("{at}: {what}")))?;
     let position = |name: &String| {
@@ -59,10 +59,10 @@
             };
             c.is_none_or(|c| c.pools().all(within))
         }),
-        Claim::Refused => each(table, expect, &scope, |c| c.is_some_and(|c| c.leads == Leads::Refused)),
+        Claim::Refused => each(table, expect, &scope, |c| c.is_some_and(|c| c.leads == RouteTarget::Refused)),
         Claim::NeverRetried => each(table, expect, &scope, |c| {
             c.is_none_or(|c| {
-                c.leads == Leads::Refused || (c.route.attempts == Some(1) && c.fallback.is_none())
+                c.leads == RouteTarget::Refused || (c.route.attempts == Some(1) && c.fallback.is_none())
             })
         }),
         Claim::Routed => each(table, expect, &scope, |c| c.is_some()),
@@ -71,14 +71,14 @@
             each(table, expect, &scope, |c| {
                 c.is_none_or(|c| {
                     let part = match &c.leads {
-                        Leads::Pool(p) if *p == pool => crate::split::WHOLE,
-                        Leads::Split(_, parts) => {
+                        RouteTarget::Pool(p) if *p == pool => crate::split::TOTAL_WEIGHT,
+                        RouteTarget::Split(_, parts) => {
                             parts.iter().filter(|(p, _)| *p == pool).map(|(_, n)| n).sum()
                         }
                         _ => 0,
                     };
                     // A fall-back may take all of them.
-                    part <= *most && (c.fallback != Some(pool) || *most >= crate::split::WHOLE)
+                    part <= *most && (c.fallback != Some(pool) || *most >= crate::split::TOTAL_WEIGHT)
                 })
             })
         }
@@ -99,10 +99,10 @@
 /// Whether something is true of each part of a scope.
 fn each(
     table: &Table,
-    expect: &Expect,
+    expect: &Expectation,
     scope: &Cube,
     holds: impl Fn(Option<&Compiled>) -> bool,
-) -> Result<(), Wrong> {
+) -> Result<(), TableError> {
     let (mut found, mut steps) = (None, 0);
     let within = table.walk(scope, &mut steps, &mut |part, route| {
         if holds(route) {
@@ -114,16 +114,16 @@
     match found {
         Some(what) => Err(fails(expect, what)),
         None if within => Ok(()),
-        None => Err(fails(expect, format!("can't be proved within {STEPS_MOST} steps"))),
+        None => Err(fails(expect, format!("can't be proved within {MAX_STEPS} steps"))),
     }
 }
 
-fn apart(table: &Table, expect: &Expect, scope: &Cube) -> Result<(), Wrong> {
+fn apart(table: &Table, expect: &Expectation, scope: &Cube) -> Result<(), TableError> {
     // The first club that reaches each pool, and how.
     let mut first: BTreeMap<usize, (usize, String)> = BTreeMap::new();
     let mut steps = 0;
     for club in scope.clubs.iter() {
-        let one = crate::cube::Some_::of([club].into_iter(), table.world.clubs.len());
+        let one = crate::cube::ValueSet::of([club].into_iter(), table.world.clubs.len());
         let own = Cube { clubs: one, ..scope.clone() };
         let mut shared = None;
         let within = table.walk(&own, &mut steps, &mut |part, route| {
@@ -145,7 +145,7 @@
             return Err(fails(expect, what));
         }
         if !within {
-            return Err(fails(expect, format!("can't be proved within {STEPS_MOST} steps")));
+            return Err(fails(expect, format!("can't be proved within {MAX_STEPS} steps")));
         }
     }
     Ok(())
--- a/crates/data-plane/route-table/src/path.rs
+++ b/crates/data-plane/route-table/src/path.rs
@@ -3,11 +3,11 @@
 use std::borrow::Cow;
 
 /// Most segments of a path.
-pub const SEGMENTS_MOST: usize = 64;
+pub const MAX_SEGMENTS: usize = 64;
 
 /// Why a path is not clear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unclear {
+pub enum AmbiguousPath {
     /// It does not begin with `/`.
     Relative,
     /// A segment is `.` or `..`, however it is written.
@@ -25,17 +25,17 @@
     Long,
 }
 
-impl Unclear {
+impl AmbiguousPath {
     /// In words.
     pub fn words(self) -> &'static str {
         match self {
-            Unclear::Relative => "the path does not begin with /",
-            Unclear::Dots => "the path has a segment . or ..",
-            Unclear::Empty => "the path has an empty segment",
-            Unclear::Escape => "the path has an escape that is none, or hides a character",
-            Unclear::Backslash => "the path has a backslash",
-            Unclear::Parameters => "the path has a ; in a segment",
-            Unclear::Long => "the path has too many segments",
+            AmbiguousPath::Relative => "the path does not begin with /",
+            AmbiguousPath::Dots => "the path has a segment . or ..",
+            AmbiguousPath::Empty => "the path has an empty segment",
+            AmbiguousPath::Escape => "the path has an escape that is none, or hides a character",
+            AmbiguousPath::Backslash => "the path has a backslash",
+            AmbiguousPath::Parameters => "the path has a ; in a segment",
+            AmbiguousPath::Long => "the path has too many segments",
         }
     }
 }
@@ -44,32 +44,32 @@
 ///
 /// # Errors
 /// Why it is not clear.
-pub fn segments(path: &str) -> Result<Vec<Cow<'_, str>>, Unclear> {
-    let rest = path.strip_prefix('/').ok_or(Unclear::Relative)?;
+pub fn segments(path: &str) -> Result<Vec<Cow<'_, str>>, AmbiguousPath> {
+    let rest = path.strip_prefix('/').ok_or(AmbiguousPath::Relative)?;
     let mut all = Vec::new();
     let mut parts = rest.split('/').peekable();
     while let Some(part) = parts.next() {
-        if all.len() >= SEGMENTS_MOST {
-            return Err(Unclear::Long);
+        if all.len() >= MAX_SEGMENTS {
+            return Err(AmbiguousPath::Long);
         }
         if part.is_empty() && parts.peek().is_some() {
-            return Err(Unclear::Empty);
+            return Err(AmbiguousPath::Empty);
         }
         if part == "." || part == ".." {
-            return Err(Unclear::Dots);
+            return Err(AmbiguousPath::Dots);
         }
         if part.contains('\\') {
-            return Err(Unclear::Backslash);
+            return Err(AmbiguousPath::Backslash);
         }
         if part.contains(';') {
-            return Err(Unclear::Parameters);
+            return Err(AmbiguousPath::Parameters);
         }
         all.push(segment(part)?);
     }
     Ok(all)
 }
 
-fn segment(part: &str) -> Result<Cow<'_, str>, Unclear> {
+fn segment(part: &str) -> Result<Cow<'_, str>, AmbiguousPath> {
     if !part.contains('%') {
         return Ok(Cow::Borrowed(part));
     }
@@ -78,10 +78,10 @@
     while let Some(n) = bytes[at..].iter().position(|&b| b == b'%') {
         at += n;
         let digits = part.get(at + 1..at + 3).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
-        let byte = digits.and_then(|d| u8::from_str_radix(d, 16).ok()).ok_or(Unclear::Escape)?;
+        let byte = digits.and_then(|d| u8::from_str_radix(d, 16).ok()).ok_or(AmbiguousPath::Escape)?;
         // Unreserved ones (section 2.3) mean the same with and without: somebody will compare them as they are.
         if byte.is_ascii_alphanumeric() || b"-._~/\\%;".contains(&byte) || byte < 0x20 || byte == 0x7f {
-            return Err(Unclear::Escape);
+            return Err(AmbiguousPath::Escape);
         }
         at += 3;
     }
--- a/crates/data-plane/route-table/src/pattern.rs
+++ b/crates/data-plane/route-table/src/pattern.rs
@@ -1,5 +1,5 @@
 //! Patterns of paths and hosts, as lists of segments; and what is left of one without some others.
-use crate::path::{segments, SEGMENTS_MOST};
+use crate::path::{segments, MAX_SEGMENTS};
 use std::sync::Arc;
 
 /// A pattern of segments.
@@ -52,7 +52,7 @@
         };
         let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b':';
         let labels: Vec<&str> = name.split('.').collect();
-        if labels.len() >= SEGMENTS_MOST || labels.iter().any(|l| l.is_empty() || !l.bytes().all(plain)) {
+        if labels.len() >= MAX_SEGMENTS || labels.iter().any(|l| l.is_empty() || !l.bytes().all(plain)) {
             return Err("is no host, nor *. and the end of one".into());
         }
         let mut segments: Vec<Option<Box<str>>> =
--- a/crates/data-plane/route-table/src/spec.rs
+++ b/crates/data-plane/route-table/src/spec.rs
@@ -5,7 +5,7 @@
 
 /// Where something stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct SourceLocation {
     /// The file.
     pub file: Arc<str>,
     /// The line, from 1.
@@ -14,16 +14,16 @@
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct TableError {
     /// Where.
-    pub place: Place,
+    pub place: SourceLocation,
     /// The field, or what the table is called.
     pub field: String,
     /// What.
     pub what: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: {}: {}", self.place.file, self.place.line, self.field, self.what)
     }
@@ -31,7 +31,7 @@
 
 /// The names that a deployment knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct World {
+pub struct KnownNames {
     /// Classes, by position.
     pub classes: Vec<String>,
     /// Clubs (tenants), by position. None: all requests are one's.
@@ -50,7 +50,7 @@
     /// Its name.
     pub name: String,
     /// Where it stands.
-    pub place: Place,
+    pub place: SourceLocation,
     /// Groups (grupos); empty: any.
     pub cells: Vec<u16>,
     /// Zones; empty: any.
@@ -106,7 +106,7 @@
 
 /// Conditions on a request; what is not given holds for any.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct When {
+pub struct Conditions {
     /// `http`, `fastcgi`.
     pub fronts: Vec<String>,
     /// A host, or `*.` and what it ends in.
@@ -127,7 +127,7 @@
 
 /// By what a split chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum SplitKey {
     /// The request's key; its id where it has none.
     Key,
     /// Its club.
@@ -138,13 +138,13 @@
 
 /// Where a route leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Destination {
     /// To a pool.
     Pool(String),
     /// Nowhere, for this reason.
     Refuse(String),
     /// To one of several pools, in parts of 10,000 that sum to that.
-    Split(By, Vec<(String, u32)>),
+    Split(SplitKey, Vec<(String, u32)>),
 }
 
 /// A route.
@@ -153,13 +153,13 @@
     /// Its name.
     pub name: String,
     /// Where it stands.
-    pub place: Place,
+    pub place: SourceLocation,
     /// Of several that match, the least comes first.
     pub precedence: i64,
     /// Which requests.
-    pub when: When,
+    pub when: Conditions,
     /// Where they go.
-    pub to: To,
+    pub to: Destination,
     /// Most attempts, if fewer than the class allows.
     pub attempts: Option<u32>,
     /// Most time in milliseconds, if less than the caller gives.
@@ -191,13 +191,13 @@
 
 /// An expectation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Expect {
+pub struct Expectation {
     /// Its name.
     pub name: String,
     /// Where it stands.
-    pub place: Place,
+    pub place: SourceLocation,
     /// Which requests.
-    pub when: When,
+    pub when: Conditions,
     /// What must be true of them.
     pub claim: Claim,
 }
--- a/crates/data-plane/route-table/src/split.rs
+++ b/crates/data-plane/route-table/src/split.rs
@@ -2,7 +2,7 @@
 //! keys move to it only, and no more than its part grows by.
 
 /// What parts sum to.
-pub const WHOLE: u32 = 10_000;
+pub const TOTAL_WEIGHT: u32 = 10_000;
 
 /// The place of a key's pool among these, each with its name and part; `None`: all parts are 0.
 pub fn choose<'a>(pools: impl Iterator<Item = (&'a str, u32)>, key: &[u8]) -> Option<usize> {
--- a/crates/data-plane/route-table/src/table.rs
+++ b/crates/data-plane/route-table/src/table.rs
@@ -1,26 +1,28 @@
 //! Routes, checked and compiled: what a request gets.
-use crate::cube::{Cube, Query, Some_, Values, FRONTS, METHODS};
+use crate::cube::{Cube, Query, ValueSet, Values, FRONTS, METHODS};
 use crate::pattern::{Pattern, Region};
-use crate::spec::{By, HeaderIs, Place, Pool, Route, To, When, World, Wrong};
+use crate::spec::{
+    Conditions, Destination, HeaderIs, KnownNames, Pool, Route, SourceLocation, SplitKey, TableError,
+};
 use crate::split;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Most pools and most routes of a table.
-pub const POOLS_MOST: usize = 256;
+pub const MAX_POOLS: usize = 256;
 /// And most routes.
-pub const ROUTES_MOST: usize = 20_000;
+pub const MAX_ROUTES: usize = 20_000;
 /// Steps that finding out something about a table may take.
-pub(crate) const STEPS_MOST: usize = 2_000_000;
+pub(crate) const MAX_STEPS: usize = 2_000_000;
 
 /// Where a compiled route leads: pools by position.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Leads {
+pub enum RouteTarget {
     /// To a pool.
     Pool(usize),
     /// Nowhere.
     Refused,
     /// To one of these, each with its part of 10,000.
-    Split(By, Vec<(usize, u32)>),
+    Split(SplitKey, Vec<(usize, u32)>),
 }
 
 /// A compiled route.
@@ -31,7 +33,7 @@
     /// The requests that meet its conditions.
     pub cube: Cube,
     /// Where it leads.
-    pub leads: Leads,
+    pub leads: RouteTarget,
     /// Its fall-back.
     pub fallback: Option<usize>,
 }
@@ -40,9 +42,9 @@
     /// Every pool that it can lead to.
     pub fn pools(&self) -> impl Iterator<Item = usize> + '_ {
         let (one, several) = match &self.leads {
-            Leads::Pool(p) => (Some(*p), &[][..]),
-            Leads::Refused => (None, &[][..]),
-            Leads::Split(_, parts) => (None, &parts[..]),
+            RouteTarget::Pool(p) => (Some(*p), &[][..]),
+            RouteTarget::Refused => (None, &[][..]),
+            RouteTarget::Split(_, parts) => (None, &parts[..]),
         };
         let several = several.iter().filter(|(_, part)| *part > 0).map(|(p, _)| *p);
         one.into_iter().chain(several).chain(self.fallback)
@@ -68,7 +70,7 @@
 #[derive(Debug)]
 pub struct Table {
     /// What is known.
-    pub world: World,
+    pub world: KnownNames,
     /// The pools.
     pub pools: Vec<Pool>,
     /// The routes, in the order in which they are tried.
@@ -83,25 +85,25 @@
 /// Clubs up to which a route is found by each of its clubs.
 const FEW: usize = 8;
 
-fn wrong(place: &Place, field: &str, what: impl Into<String>) -> Wrong {
-    Wrong { place: place.clone(), field: field.into(), what: what.into() }
+fn wrong(place: &SourceLocation, field: &str, what: impl Into<String>) -> TableError {
+    TableError { place: place.clone(), field: field.into(), what: what.into() }
 }
 
 /// Conditions as a set of requests.
 ///
 /// # Errors
 /// What is not known or can't be read, with its field.
-pub fn cube(when: &When, world: &World) -> Result<Cube, (&'static str, String)> {
+pub fn cube(when: &Conditions, world: &KnownNames) -> Result<Cube, (&'static str, String)> {
     let mut cube = Cube::all(world);
     let named = |field: &'static str, given: &[String], known: &[&str]| {
         if given.is_empty() {
-            return Ok(Some_::all(known.len()));
+            return Ok(ValueSet::all(known.len()));
         }
         let position = |name: &String| {
             known.iter().position(|k| k == name).ok_or_else(|| (field, format!("there is no {name:?}")))
         };
         let all: Vec<usize> = given.iter().map(position).collect::<Result<_, _>>()?;
-        Ok(Some_::of(all.into_iter(), known.len()))
+        Ok(ValueSet::of(all.into_iter(), known.len()))
     };
     let classes: Vec<&str> = world.classes.iter().map(String::as_str).collect();
     let clubs: Vec<&str> = world.clubs.iter().map(String::as_str).collect();
@@ -110,7 +112,7 @@
     cube.classes = named("class", &when.classes, &classes)?;
     cube.clubs = named("club", &when.clubs, &clubs)?;
     if let Some(keyed) = when.keyed {
-        cube.keyed = Some_::of([usize::from(keyed)].into_iter(), 2);
+        cube.keyed = ValueSet::of([usize::from(keyed)].into_iter(), 2);
     }
     if let Some(host) = &when.host {
         cube.host = Region::of(Pattern::host(host).map_err(|e| ("host", e))?);
@@ -139,13 +141,13 @@
     ///
     /// # Errors
     /// All that is wrong, each with its place.
-    pub fn new(world: World, pools: Vec<Pool>, routes: Vec<Route>) -> Result<Table, Vec<Wrong>> {
+    pub fn new(world: KnownNames, pools: Vec<Pool>, routes: Vec<Route>) -> Result<Table, Vec<TableError>> {
         let mut faults = Vec::new();
-        if let Some(p) = pools.get(POOLS_MOST) {
-            return Err(vec![wrong(&p.place, "pool", format!("there are more than {POOLS_MOST}"))]);
+        if let Some(p) = pools.get(MAX_POOLS) {
+            return Err(vec![wrong(&p.place, "pool", format!("there are more than {MAX_POOLS}"))]);
         }
-        if let Some(r) = routes.get(ROUTES_MOST) {
-            return Err(vec![wrong(&r.place, "route", format!("there are more than {ROUTES_MOST}"))]);
+        if let Some(r) = routes.get(MAX_ROUTES) {
+            return Err(vec![wrong(&r.place, "route", format!("there are more than {MAX_ROUTES}"))]);
         }
         let mut positions = HashMap::new();
         for (k, pool) in pools.iter().enumerate() {
@@ -174,17 +176,17 @@
                     .ok_or_else(|| wrong(&route.place, &field(at), format!("there is no pool {name:?}")))
             };
             let leads = match &route.to {
-                To::Pool(name) => pool(name, "to").map(Leads::Pool),
-                To::Refuse(_) => Ok(Leads::Refused),
-                To::Split(by, parts) => {
+                Destination::Pool(name) => pool(name, "to").map(RouteTarget::Pool),
+                Destination::Refuse(_) => Ok(RouteTarget::Refused),
+                Destination::Split(by, parts) => {
                     let sum: u64 = parts.iter().map(|(_, part)| u64::from(*part)).sum();
                     let all: Result<Vec<_>, _> =
                         parts.iter().map(|(name, part)| Ok((pool(name, "split")?, *part))).collect();
-                    if sum != u64::from(split::WHOLE) {
-                        let what = format!("its parts come to {sum} and not to {}", split::WHOLE);
+                    if sum != u64::from(split::TOTAL_WEIGHT) {
+                        let what = format!("its parts come to {sum} and not to {}", split::TOTAL_WEIGHT);
                         Err(wrong(&route.place, &field("split"), what))
                     } else {
-                        all.map(|all| Leads::Split(*by, all))
+                        all.map(|all| RouteTarget::Split(*by, all))
                     }
                 }
             };
@@ -193,7 +195,7 @@
             match (leads, fallback, cube) {
                 (Ok(leads), Ok(fallback), Ok(cube)) => {
                     // Repeats of a key find each other only where all of them go.
-                    let by_id = matches!(&leads, Leads::Split(By::Id, parts) if parts.iter().filter(|p| p.1 > 0).count() > 1);
+                    let by_id = matches!(&leads, RouteTarget::Split(SplitKey::Id, parts) if parts.iter().filter(|p| p.1 > 0).count() > 1);
                     let keyed = cube.classes.iter().find(|&c| world.keyed.get(c) == Some(&true));
                     if let (true, Some(class)) = (by_id, keyed) {
                         let what = format!(
@@ -280,7 +282,7 @@
     }
 
     /// Overlaps without precedence, and routes that nothing reaches.
-    fn faults(&self) -> Vec<Wrong> {
+    fn faults(&self) -> Vec<TableError> {
         let mut faults = Vec::new();
         let mut steps = 0;
         for (k, own) in self.routes.iter().enumerate() {
@@ -320,7 +322,7 @@
                     rest = left;
                 }
                 steps += rest.len();
-                if rest.is_empty() || steps > STEPS_MOST {
+                if rest.is_empty() || steps > MAX_STEPS {
                     break;
                 }
             }
@@ -329,8 +331,8 @@
                 let what = format!("can never match: {} come before it", hidden_by.join(", "));
                 faults.push(wrong(&own.route.place, &format!("route {}", own.route.name), what));
             }
-            if steps > STEPS_MOST {
-                let what = format!("the table takes more than {STEPS_MOST} steps to check from here on");
+            if steps > MAX_STEPS {
+                let what = format!("the table takes more than {MAX_STEPS} steps to check from here on");
                 faults.push(wrong(&own.route.place, &format!("route {}", own.route.name), what));
                 break;
             }
@@ -386,14 +388,14 @@
     /// The pool of a route for this key, club and id; `None`: refused.
     pub fn pool(&self, route: &Compiled, key: Option<&[u8]>, club: usize, id: &[u8]) -> Option<usize> {
         match &route.leads {
-            Leads::Pool(p) => Some(*p),
-            Leads::Refused => None,
-            Leads::Split(by, parts) => {
+            RouteTarget::Pool(p) => Some(*p),
+            RouteTarget::Refused => None,
+            RouteTarget::Split(by, parts) => {
                 let club = club.to_le_bytes();
                 let by = match by {
-                    By::Key => key.unwrap_or(id),
-                    By::Club => &club,
-                    By::Id => id,
+                    SplitKey::Key => key.unwrap_or(id),
+                    SplitKey::Club => &club,
+                    SplitKey::Id => id,
                 };
                 let named = parts.iter().map(|&(p, part)| (self.pools[p].name.as_str(), part));
                 split::choose(named, by).map(|k| parts[k].0)
@@ -416,7 +418,7 @@
             while let Some(&k) = near.get(at) {
                 *steps += 1;
                 at += 1;
-                if *steps > STEPS_MOST {
+                if *steps > MAX_STEPS {
                     return false;
                 }
                 let route = &self.routes[k];
--- a/crates/data-plane/route-table/tests/routes.rs
+++ b/crates/data-plane/route-table/tests/routes.rs
@@ -4,19 +4,19 @@
 use route_table::cube::{Cube, Query};
 use route_table::diff::diff;
 use route_table::expect::prove;
-use route_table::path::{segments, Unclear};
+use route_table::path::{segments, AmbiguousPath};
 use route_table::pattern::Pattern;
 use route_table::spec::*;
 use route_table::split::choose;
 use route_table::table::{cube, Table};
 
-fn place(line: usize) -> Place {
-    Place { file: "routes.toml".into(), line }
+fn place(line: usize) -> SourceLocation {
+    SourceLocation { file: "routes.toml".into(), line }
 }
 
-fn world() -> World {
+fn world() -> KnownNames {
     let text = |all: &[&str]| all.iter().map(|s| s.to_string()).collect();
-    World {
+    KnownNames {
         classes: text(&["alta", "pago"]),
         clubs: text(&["ribera", "alamos", "ceibo"]),
         keyed: vec![true, false],
@@ -39,61 +39,76 @@
     }
 }
 
-fn route(name: &str, precedence: i64, when: When, to: To) -> Route {
+fn route(name: &str, precedence: i64, when: Conditions, to: Destination) -> Route {
     let (attempts, time_ms, fallback) = (None, None, None);
     Route { name: name.into(), place: place(10), precedence, when, to, attempts, time_ms, fallback }
 }
 
-fn to(pool: &str) -> To {
-    To::Pool(pool.into())
+fn to(pool: &str) -> Destination {
+    Destination::Pool(pool.into())
 }
 
-fn club(name: &str) -> When {
-    When { clubs: vec![name.into()], ..When::default() }
+fn club(name: &str) -> Conditions {
+    Conditions { clubs: vec![name.into()], ..Conditions::default() }
 }
 
-fn path(text: &str) -> When {
-    When { path: Some(text.into()), ..When::default() }
+fn path(text: &str) -> Conditions {
+    Conditions { path: Some(text.into()), ..Conditions::default() }
 }
 
-fn table(routes: Vec<Route>) -> Result<Table, Vec<Wrong>> {
+fn table(routes: Vec<Route>) -> Result<Table, Vec<TableError>> {
     Table::new(world(), vec![pool("main", &[1, 2]), pool("own", &[3]), pool("canary", &[4])], routes)
 }
 
-fn expect(name: &str, when: When, claim: Claim) -> Expect {
-    Expect { name: name.into(), place: Place { file: "expect.toml".into(), line: 7 }, when, claim }
+fn expect(name: &str, when: Conditions, claim: Claim) -> Expectation {
+    Expectation {
+        name: name.into(),
+        place: SourceLocation { file: "expect.toml".into(), line: 7 },
+        when,
+        claim,
+    }
 }
 
-fn fault(result: Result<Table, Vec<Wrong>>) -> String {
+fn fault(result: Result<Table, Vec<TableError>>) -> String {
     let all = result.expect_err("a fault");
     all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 #[test]
 fn faults_are_named_with_file_line_and_field() {
-    let any = When::default;
+    let any = Conditions::default;
     for (routes, wanted) in [
         (vec![route("a", 0, any(), to("none"))], "routes.toml:10: route a.to: there is no pool \"none\""),
         (vec![route("a", 0, club("gone"), to("main"))], "route a.club: there is no \"gone\""),
-        (vec![route("a", 0, When { classes: vec!["x".into()], ..any() }, to("main"))], "route a.class"),
+        (vec![route("a", 0, Conditions { classes: vec!["x".into()], ..any() }, to("main"))], "route a.class"),
         (vec![route("a", 0, path("/a/../b"), to("main"))], "route a.path: the path has a segment . or .."),
         (vec![route("a", 0, path("/a*"), to("main"))], "route a.path: has a *"),
-        (vec![route("a", 0, When { host: Some("a..b".into()), ..any() }, to("main"))], "route a.host"),
+        (vec![route("a", 0, Conditions { host: Some("a..b".into()), ..any() }, to("main"))], "route a.host"),
         (
             vec![route(
                 "a",
                 0,
-                When { headers: vec![("X-A".into(), HeaderIs::There(true))], ..any() },
+                Conditions { headers: vec![("X-A".into(), HeaderIs::There(true))], ..any() },
                 to("main"),
             )],
             "route a.headers",
         ),
         (
-            vec![route("a", 0, any(), To::Split(By::Key, vec![("main".into(), 9000), ("own".into(), 999)]))],
+            vec![route(
+                "a",
+                0,
+                any(),
+                Destination::Split(SplitKey::Key, vec![("main".into(), 9000), ("own".into(), 999)]),
+            )],
             "route a.split: its parts come to 9999",
         ),
         (
-            vec![route("a", 0, any(), To::Split(By::Id, vec![("main".into(), 9000), ("own".into(), 1000)]))],
+            vec![route(
+                "a",
+                0,
+                any(),
+                Destination::Split(SplitKey::Id, vec![("main".into(), 9000), ("own".into(), 1000)]),
+            )],
             "route a.split_by: repeats of class alta would go to another pool",
         ),
         (vec![route("a", 0, any(), to("main")), route("a", 1, any(), to("main"))], "another is called \"a\""),
@@ -105,15 +120,15 @@
             vec![
                 route("a", 0, path("/x/*"), to("main")),
                 route("b", 1, club("ribera"), to("own")),
-                route("c", 2, When { path: Some("/x/y".into()), ..club("alamos") }, to("own")),
+                route("c", 2, Conditions { path: Some("/x/y".into()), ..club("alamos") }, to("own")),
             ],
             "route c: can never match: a come before it",
         ),
         // Hidden by several together.
         (
             vec![
-                route("a", 0, When { keyed: Some(true), ..any() }, to("main")),
-                route("b", 1, When { keyed: Some(false), ..path("/x/*") }, to("main")),
+                route("a", 0, Conditions { keyed: Some(true), ..any() }, to("main")),
+                route("b", 1, Conditions { keyed: Some(false), ..path("/x/*") }, to("main")),
                 route("c", 2, path("/x/{any}"), to("own")),
             ],
             "route c: can never match: a, b come before it",
@@ -163,28 +178,28 @@
 #[test]
 fn paths_mean_one_thing_or_are_refused() {
     for (text, wanted) in [
-        ("a", Unclear::Relative),
-        ("/a/./b", Unclear::Dots),
-        ("/a/..", Unclear::Dots),
-        ("/a//b", Unclear::Empty),
-        ("//a", Unclear::Empty),
-        ("/%2e%2E/a", Unclear::Escape),
-        ("/a%2Fb", Unclear::Escape),
-        ("/a%5cb", Unclear::Escape),
-        ("/%61", Unclear::Escape),
-        ("/a%", Unclear::Escape),
-        ("/a%zz", Unclear::Escape),
-        ("/a%2", Unclear::Escape),
-        ("/a%00", Unclear::Escape),
-        ("/a%25", Unclear::Escape),
-        ("/a%\u{e9}1", Unclear::Escape),
-        ("/a\\b", Unclear::Backslash),
-        ("/admin;x=1/a", Unclear::Parameters),
-        ("/admin%3bx", Unclear::Escape),
+        ("a", AmbiguousPath::Relative),
+        ("/a/./b", AmbiguousPath::Dots),
+        ("/a/..", AmbiguousPath::Dots),
+        ("/a//b", AmbiguousPath::Empty),
+        ("//a", AmbiguousPath::Empty),
+        ("/%2e%2E/a", AmbiguousPath::Escape),
+        ("/a%2Fb", AmbiguousPath::Escape),
+        ("/a%5cb", AmbiguousPath::Escape),
+        ("/%61", AmbiguousPath::Escape),
+        ("/a%", AmbiguousPath::Escape),
+        ("/a%zz", AmbiguousPath::Escape),
+        ("/a%2", AmbiguousPath::Escape),
+        ("/a%00", AmbiguousPath::Escape),
+        ("/a%25", AmbiguousPath::Escape),
+        ("/a%\u{e9}1", AmbiguousPath::Escape),
+        ("/a\\b", AmbiguousPath::Backslash),
+        ("/admin;x=1/a", AmbiguousPath::Parameters),
+        ("/admin%3bx", AmbiguousPath::Escape),
     ] {
         assert_eq!(segments(text), Err(wanted), "{text:?}");
     }
-    assert_eq!(segments(&"/a".repeat(65)), Err(Unclear::Long));
+    assert_eq!(segments(&"/a".repeat(65)), Err(AmbiguousPath::Long));
     assert_eq!(segments("/a/b/").expect("clear"), ["a", "b", ""]);
     assert_eq!(segments("/").expect("clear"), [""]);
     assert_eq!(segments("/%c3%b1/x").expect("clear"), ["%C3%B1", "x"]);
@@ -195,31 +210,35 @@
 /// Each kind of expectation, holding under one table and failing under the next; and one that names what is not there.
 #[test]
 fn expectations_hold_or_fail_with_a_request_that_shows_it() {
-    let split =
-        |canary| To::Split(By::Key, vec![("main".into(), 10_000 - canary), ("canary".into(), canary)]);
-    let build = |last: To, own_path: &str| {
-        let pay = When { classes: vec!["pago".into()], ..club("ribera") };
+    let split = |canary| {
+        Destination::Split(SplitKey::Key, vec![("main".into(), 10_000 - canary), ("canary".into(), canary)])
+    };
+    let build = |last: Destination, own_path: &str| {
+        let pay = Conditions { classes: vec!["pago".into()], ..club("ribera") };
         let once = Route { attempts: Some(1), ..route("dues", 0, pay, to("own")) };
-        let admin = route("admin", 1, path("/api/admin/*"), To::Refuse("closed".into()));
+        let admin = route("admin", 1, path("/api/admin/*"), Destination::Refuse("closed".into()));
         table(vec![
             once,
             admin,
             route("own", 2, path(own_path), to("own")),
-            route("rest", 9, When::default(), last),
+            route("rest", 9, Conditions::default(), last),
         ])
     };
     let good = build(split(500), "/api/own/*").expect("good");
-    let pays =
-        |club: &str| When { clubs: vec![club.into()], classes: vec!["pago".into()], ..When::default() };
+    let pays = |club: &str| Conditions {
+        clubs: vec![club.into()],
+        classes: vec!["pago".into()],
+        ..Conditions::default()
+    };
     for (claim, when, bad, why) in [
         (Claim::Only(vec!["own".into()]), pays("ribera"), None, ""),
         (Claim::Cells(vec![3]), pays("ribera"), None, ""),
         (Claim::NeverRetried, pays("ribera"), None, ""),
-        (Claim::Refused, When { clubs: vec!["ceibo".into()], ..path("/api/admin/x/*") }, None, ""),
-        (Claim::Routed, When::default(), None, ""),
+        (Claim::Refused, Conditions { clubs: vec!["ceibo".into()], ..path("/api/admin/x/*") }, None, ""),
+        (Claim::Routed, Conditions::default(), None, ""),
         (
             Claim::AtMost("canary".into(), 500),
-            When::default(),
+            Conditions::default(),
             Some(build(split(501), "/api/own/*")),
             "canary",
         ),
@@ -232,7 +251,7 @@
         (Claim::Only(vec!["main".into(), "canary".into(), "own".into()]), pays("alamos"), None, ""),
         (
             Claim::Apart,
-            When { clubs: vec!["ribera".into(), "ceibo".into()], ..path("/api/x") },
+            Conditions { clubs: vec!["ribera".into(), "ceibo".into()], ..path("/api/x") },
             None,
             "shared",
         ),
@@ -268,16 +287,16 @@
     assert!(text.contains("/api/own"), "{text}");
     let narrow = table(vec![
         route("dues", 0, pays("ribera"), to("own")),
-        route("rest", 9, When::default(), to("main")),
+        route("rest", 9, Conditions::default(), to("main")),
     ]);
     assert_eq!(prove(&narrow.expect("good"), &[only]), Ok(()));
     // What is not there is an error, and not a pass.
     for e in [
         expect("gone", club("gone"), Claim::Refused),
-        expect("gone", When { classes: vec!["gone".into()], ..When::default() }, Claim::Routed),
-        expect("gone", When::default(), Claim::Only(vec!["gone".into()])),
-        expect("gone", When::default(), Claim::OnlyThese("gone".into())),
-        expect("gone", When::default(), Claim::AtMost("gone".into(), 1)),
+        expect("gone", Conditions { classes: vec!["gone".into()], ..Conditions::default() }, Claim::Routed),
+        expect("gone", Conditions::default(), Claim::Only(vec!["gone".into()])),
+        expect("gone", Conditions::default(), Claim::OnlyThese("gone".into())),
+        expect("gone", Conditions::default(), Claim::AtMost("gone".into(), 1)),
     ] {
         let text = prove(&good, &[e]).expect_err("named")[0].to_string();
         assert!(text.contains("there is no") && text.contains("\"gone\""), "{text}");
@@ -312,10 +331,10 @@
 
 #[test]
 fn a_difference_says_who_moves_and_whose_repeats_leave_their_group() {
-    let old = table(vec![route("rest", 9, When::default(), to("main"))]).expect("good");
+    let old = table(vec![route("rest", 9, Conditions::default(), to("main"))]).expect("good");
     let new = table(vec![
         route("ribera", 0, club("ribera"), to("own")),
-        route("rest", 9, When::default(), to("main")),
+        route("rest", 9, Conditions::default(), to("main")),
     ])
     .expect("good");
     let (moves, whole) = diff(&old, &new, 100);
@@ -324,8 +343,8 @@
     assert!(moves[0].example.contains("club ribera"), "{moves:?}");
     assert_eq!(diff(&new, &new, 100), (Vec::new(), true));
     let unkeyed = table(vec![
-        route("pays", 0, When { classes: vec!["pago".into()], ..club("ribera") }, to("own")),
-        route("rest", 9, When::default(), to("main")),
+        route("pays", 0, Conditions { classes: vec!["pago".into()], ..club("ribera") }, to("own")),
+        route("rest", 9, Conditions::default(), to("main")),
     ])
     .expect("good");
     assert!(!diff(&old, &unkeyed, 100).0[0].leaves_its_group);
@@ -354,7 +373,7 @@
     all
 }
 
-fn some_when() -> impl Strategy<Value = When> {
+fn some_when() -> impl Strategy<Value = Conditions> {
     let sub = |all: &'static [&'static str]| proptest::sample::subsequence(all, 0..=all.len());
     let path = proptest::sample::select(vec![
         None,
@@ -384,14 +403,14 @@
                 2 => vec![("x-c".to_string(), HeaderIs::There(false))],
                 _ => vec![("x-c".to_string(), HeaderIs::OneOf(vec!["1".into(), "".into()]))],
             };
-            When {
+            Conditions {
                 clubs: text(clubs),
                 classes: text(classes),
                 fronts: text(fronts),
                 path: path.map(String::from),
                 headers,
                 keyed,
-                ..When::default()
+                ..Conditions::default()
             }
         })
 }
@@ -425,7 +444,7 @@
                 let to = match k % 3 {
                     0 => to("main"),
                     1 => to("own"),
-                    _ => To::Refuse("no".into()),
+                    _ => Destination::Refuse("no".into()),
                 };
                 route(&format!("r{k}"), k as i64, when, to)
             })
--- a/crates/foundations/config/src/coordination.rs
+++ b/crates/foundations/config/src/coordination.rs
@@ -1,7 +1,9 @@
 //! What the council's files say: `[council]` of a voter's own file with its `[[voter]]`s, and `[council]` of the files of
 //! those that are its clients. `deploy/council.example.toml` documents the voter's.
 use crate::file::{read_config, ConfigFileError};
-use crate::values::{fault_at, path_value, quantity, read_text, read_whole, ConfigError, MAX_FILE_BYTES};
+use crate::values::{
+    fault_at, path_value, quantity, read_consistent, read_text, ConfigError, MAX_FILE_BYTES,
+};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,9 +14,9 @@
 /// Most voters.
 pub const MAX_VOTERS: usize = 9;
 /// Longest name of a voter.
-const NAME_MOST: usize = 32;
+const MAX_NAME_BYTES: usize = 32;
 /// Longest path of the folder: a Unix socket in it still has a path that the system takes.
-const FOLDER_MOST: usize = 107 - 16;
+const MAX_FOLDER_BYTES: usize = 107 - 16;
 
 /// All that a voter's file says.
 #[derive(Clone, Debug, PartialEq)]
@@ -138,8 +140,8 @@
         let field = |name: &str| format!("voter[{k}].{name}");
         let name = v.name.get_ref();
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-        let what = if name.is_empty() || name.len() > NAME_MOST || !name.chars().all(plain) {
-            Some(format!("{name:?} is no name of 1 to {NAME_MOST} letters, digits, - and _"))
+        let what = if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
+            Some(format!("{name:?} is no name of 1 to {MAX_NAME_BYTES} letters, digits, - and _"))
         } else if !names.insert(name.clone()) {
             Some(format!("another voter is called {name:?}"))
         } else if k >= MAX_VOTERS {
@@ -171,8 +173,8 @@
     }
     let at = c.folder.span().start;
     let folder = path_value(text, "council.folder", Some(c.folder))?.unwrap_or_default();
-    if folder.as_os_str().len() > FOLDER_MOST {
-        let what = format!("has more than {FOLDER_MOST} bytes, too many for a Unix socket in it");
+    if folder.as_os_str().len() > MAX_FOLDER_BYTES {
+        let what = format!("has more than {MAX_FOLDER_BYTES} bytes, too many for a Unix socket in it");
         return Err(fault_at(text, at, "council.folder", what));
     }
     let clients = match &c.clients {
@@ -200,6 +202,6 @@
 
 /// Whether a TOML file is a voter's, by its tables.
 pub fn is_coordination_file(path: &Path) -> bool {
-    let bytes = read_whole(path, MAX_FILE_BYTES).unwrap_or_default();
+    let bytes = read_consistent(path, MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[voter]]")
 }
--- a/crates/foundations/config/src/fastcgi.rs
+++ b/crates/foundations/config/src/fastcgi.rs
@@ -7,9 +7,9 @@
 use toml::Spanned;
 
 /// Most listeners, and most declared params.
-const MOST: usize = 64;
+const MAX_PARAMS: usize = 64;
 /// Longest text of a value.
-const TEXT_MOST: usize = 1024;
+const MAX_TEXT_BYTES: usize = 1024;
 
 /// Where callers connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -112,8 +112,8 @@
         }
         Ok(given.into_inner())
     };
-    if raw.listen.len() > MOST || raw.params.len() > MOST {
-        let what = format!("there are more than {MOST}");
+    if raw.listen.len() > MAX_PARAMS || raw.params.len() > MAX_PARAMS {
+        let what = format!("there are more than {MAX_PARAMS}");
         return Err(ConfigError { line: 0, column: 0, field: "fastcgi.listen, fastcgi.params".into(), what });
     }
     let at_once = |field: &str, given: Option<Spanned<i64>>| {
@@ -126,8 +126,8 @@
     let (requests, multiplex) = (at_once("requests", raw.requests)?, at_once("multiplex", raw.multiplex)?);
     let mut params = Vec::new();
     for (param, value) in raw.params {
-        if value.get_ref().len() > TEXT_MOST || value.get_ref().chars().any(char::is_control) {
-            let what = format!("is no text of {TEXT_MOST} bytes at most without control characters");
+        if value.get_ref().len() > MAX_TEXT_BYTES || value.get_ref().chars().any(char::is_control) {
+            let what = format!("is no text of {MAX_TEXT_BYTES} bytes at most without control characters");
             return Err(fault_at(text, value.span().start, &format!("fastcgi.params.{param}"), what));
         }
         params.push((param, value.into_inner()));
--- a/crates/foundations/config/src/file.rs
+++ b/crates/foundations/config/src/file.rs
@@ -1,5 +1,5 @@
 //! Reading configuration files; an error names the file and, where there is one, the place.
-use crate::values::{read_whole, ConfigError, MAX_FILE_BYTES};
+use crate::values::{read_consistent, ConfigError, MAX_FILE_BYTES};
 use std::path::{Path, PathBuf};
 
 /// A configuration file can't be read or is invalid.
@@ -28,7 +28,7 @@
     path: &Path,
     parse: fn(&[u8]) -> Result<T, ConfigError>,
 ) -> Result<T, ConfigFileError> {
-    let bytes = read_whole(path, MAX_FILE_BYTES)
+    let bytes = read_consistent(path, MAX_FILE_BYTES)
         .map_err(|reason| ConfigFileError::Unreadable { path: path.into(), reason })?;
     parse(&bytes).map_err(|error| ConfigFileError::Invalid { path: path.into(), error })
 }
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -8,7 +8,7 @@
 use crate::request_budget::{BudgetTable, RawBudget};
 use crate::routing::{RawRouting, Routing};
 use crate::values::{path_value, quantity, read_text, Quantity};
-pub use crate::values::{read_whole, ConfigError, MAX_FILE_BYTES};
+pub use crate::values::{read_consistent, ConfigError, MAX_FILE_BYTES};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/crates/foundations/config/src/request_budget.rs
+++ b/crates/foundations/config/src/request_budget.rs
@@ -5,13 +5,13 @@
 use toml::Spanned;
 
 /// The most repeats that can be allowed for one request.
-const RETRIES_MOST: i64 = 100;
+const MAX_RETRIES: i64 = 100;
 /// And the most hops.
-const HOPS_MOST: i64 = 64;
+const MAX_HOPS: i64 = 64;
 /// Longest name of a pool.
-const POOL_MOST: usize = 128;
+const MAX_POOL_BYTES: usize = 128;
 /// Longest name of a field.
-const FIELD_MOST: usize = 64;
+const MAX_FIELD_BYTES: usize = 64;
 
 /// Budgets across tiers.
 #[derive(Clone, Debug, PartialEq)]
@@ -101,12 +101,14 @@
     let fault = |at: usize, field: &str, what: String| fault_at(text, at, &format!("budget.{field}"), what);
     if let Some(pool) = &raw.pool {
         let plain = |c: char| c.is_ascii_graphic();
-        if pool.get_ref().is_empty() || pool.get_ref().len() > POOL_MOST || !pool.get_ref().chars().all(plain)
+        if pool.get_ref().is_empty()
+            || pool.get_ref().len() > MAX_POOL_BYTES
+            || !pool.get_ref().chars().all(plain)
         {
             return Err(fault(
                 pool.span().start,
                 "pool",
-                format!("is no name of 1 to {POOL_MOST} visible characters"),
+                format!("is no name of 1 to {MAX_POOL_BYTES} visible characters"),
             ));
         }
     }
@@ -138,7 +140,7 @@
         let Some(given) = given else { return Ok(default) };
         let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
         if given.get_ref().is_empty()
-            || given.get_ref().len() > FIELD_MOST
+            || given.get_ref().len() > MAX_FIELD_BYTES
             || !given.get_ref().bytes().all(plain)
         {
             let what = "is no name of small letters, digits and -".into();
@@ -146,8 +148,8 @@
         }
         Ok(given.into_inner())
     };
-    let retries = whole("retries", raw.retries, d.retries.into(), 0, RETRIES_MOST)?;
-    let hops = whole("hops", raw.hops, i64::try_from(d.hops).unwrap_or(HOPS_MOST), 1, HOPS_MOST)?;
+    let retries = whole("retries", raw.retries, d.retries.into(), 0, MAX_RETRIES)?;
+    let hops = whole("hops", raw.hops, i64::try_from(d.hops).unwrap_or(MAX_HOPS), 1, MAX_HOPS)?;
     let n = raw.names;
     let names = FieldNames {
         budget: name("budget", n.budget, d.names.budget)?,
--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -199,7 +199,7 @@
 
 /// Whether a TOML file is of a release, by its tables.
 pub fn is_rollout_file(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
+    let bytes = crate::operator::read_consistent(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[release]")
 }
 
--- a/crates/foundations/config/src/routing.rs
+++ b/crates/foundations/config/src/routing.rs
@@ -1,9 +1,12 @@
 //! Routing files: pools, routes and expectations in TOML. `deploy/routes.example.toml` documents every key.
-use crate::values::{fault_at, read_text, read_whole, ConfigError, Quantity, MAX_FILE_BYTES};
+use crate::values::{fault_at, read_consistent, read_text, ConfigError, Quantity, MAX_FILE_BYTES};
 use crate::Deployment;
 use balancer::Effect;
 use route_table::expect::prove;
-use route_table::spec::{By, Claim, Expect, HeaderIs, Place, Pool, Route, To, When, World, Wrong};
+use route_table::spec::{
+    Claim, Conditions, Destination, Expectation, HeaderIs, KnownNames, Pool, Route, SourceLocation, SplitKey,
+    TableError,
+};
 use route_table::table::Table;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -13,9 +16,9 @@
 use toml::Spanned;
 
 /// Most files with expectations.
-const EXPECT_MOST: usize = 64;
+const MAX_EXPECTATION_FILES: usize = 64;
 /// Largest file with routes or expectations: 16 times an operator's file.
-const TABLE_MOST: u64 = MAX_FILE_BYTES * 16;
+const MAX_TABLE_BYTES: u64 = MAX_FILE_BYTES * 16;
 
 /// `[routing]` of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -42,8 +45,8 @@
         }
         Ok(PathBuf::from(value))
     };
-    if let Some(more) = raw.expect.get(EXPECT_MOST) {
-        let what = format!("there are more than {EXPECT_MOST}");
+    if let Some(more) = raw.expect.get(MAX_EXPECTATION_FILES) {
+        let what = format!("there are more than {MAX_EXPECTATION_FILES}");
         return Err(fault_at(text, more.span().start, "routing.expect", what));
     }
     Ok(Routing {
@@ -128,7 +131,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawAtMost {
+struct RawRequestLimits {
     pool: String,
     part: Spanned<i64>,
 }
@@ -142,14 +145,14 @@
     only: Option<Vec<String>>,
     cells: Option<Vec<u16>>,
     only_these: Option<String>,
-    at_most: Option<RawAtMost>,
+    at_most: Option<RawRequestLimits>,
     refused: Option<bool>,
     never_retried: Option<bool>,
     routed: Option<bool>,
     apart: Option<bool>,
 }
 
-fn when(raw: RawWhen) -> When {
+fn when(raw: RawWhen) -> Conditions {
     let header = |(name, is)| {
         let is = match is {
             RawHeader::There(there) => HeaderIs::There(there),
@@ -158,7 +161,7 @@
         };
         (name, is)
     };
-    When {
+    Conditions {
         fronts: raw.front,
         host: raw.host,
         path: raw.path,
@@ -170,13 +173,13 @@
     }
 }
 
-type Parts = (Vec<Pool>, Vec<Route>, Vec<Expect>);
+type Parts = (Vec<Pool>, Vec<Route>, Vec<Expectation>);
 
 /// Reads the text of a file.
 fn parse(name: &str, bytes: &[u8]) -> Result<Parts, ConfigError> {
     let (text, raw) = read_text::<RawFile>(bytes)?;
     let file: Arc<str> = name.into();
-    let place = |at: &Spanned<String>| Place {
+    let place = |at: &Spanned<String>| SourceLocation {
         file: file.clone(),
         line: fault_at(text, at.span().start, "", String::new()).line,
     };
@@ -202,15 +205,15 @@
             |at: usize, field: &str, what: &str| fault_at(text, at, &format!("route.{field}"), what.into());
         let at = r.name.span().start;
         let by = match r.split_by.as_ref().map(|by| (by.get_ref().as_str(), by.span().start)) {
-            None | Some(("key", _)) => By::Key,
-            Some(("club", _)) => By::Club,
-            Some(("id", _)) => By::Id,
+            None | Some(("key", _)) => SplitKey::Key,
+            Some(("club", _)) => SplitKey::Club,
+            Some(("id", _)) => SplitKey::Id,
             Some((_, at)) => return Err(fault(at, "split_by", "is none of key, club, id")),
         };
         let to = match (r.to, r.refuse, r.split.is_empty()) {
-            (Some(pool), None, true) => To::Pool(pool),
-            (None, Some(why), true) => To::Refuse(why),
-            (None, None, false) => To::Split(by, r.split.into_iter().collect()),
+            (Some(pool), None, true) => Destination::Pool(pool),
+            (None, Some(why), true) => Destination::Refuse(why),
+            (None, None, false) => Destination::Split(by, r.split.into_iter().collect()),
             _ => return Err(fault(at, "to", "needs one of to, refuse and split, and no more")),
         };
         let attempts = match (&r.attempts, r.retry) {
@@ -260,10 +263,11 @@
         let at_most = match e.at_most {
             None => None,
             Some(a) => {
-                match u32::try_from(*a.part.get_ref()).ok().filter(|&p| p <= route_table::split::WHOLE) {
+                match u32::try_from(*a.part.get_ref()).ok().filter(|&p| p <= route_table::split::TOTAL_WEIGHT)
+                {
                     Some(part) => Some(Claim::AtMost(a.pool, part)),
                     None => {
-                        let what = format!("is not between 0 and {}", route_table::split::WHOLE);
+                        let what = format!("is not between 0 and {}", route_table::split::TOTAL_WEIGHT);
                         return Err(fault_at(text, a.part.span().start, "expect.at_most.part", what));
                     }
                 }
@@ -275,7 +279,7 @@
                         routed or apart";
             return Err(fault_at(text, at, "expect", what.into()));
         };
-        Ok(Expect { place: place(&e.name), name: e.name.into_inner(), when: when(e.when), claim })
+        Ok(Expectation { place: place(&e.name), name: e.name.into_inner(), when: when(e.when), claim })
     };
     Ok((
         raw.pool.into_iter().map(pool).collect::<Result<_, _>>()?,
@@ -285,8 +289,8 @@
 }
 
 /// The names that routes may use.
-pub fn world(d: &Deployment) -> World {
-    World {
+pub fn world(d: &Deployment) -> KnownNames {
+    KnownNames {
         classes: d.classes.clone(),
         clubs: d.tenants.clone(),
         keyed: d.policy.classes.iter().map(|c| matches!(c.effect, Effect::Guarded { .. })).collect(),
@@ -297,7 +301,7 @@
 
 fn file(path: &Path) -> Result<Parts, String> {
     let name = path.display().to_string();
-    let bytes = read_whole(path, TABLE_MOST).map_err(|e| format!("{name}: {e}"))?;
+    let bytes = read_consistent(path, MAX_TABLE_BYTES).map_err(|e| format!("{name}: {e}"))?;
     parse(&name, &bytes).map_err(|fault| format!("{name}: {fault}"))
 }
 
@@ -308,8 +312,8 @@
 pub fn read(
     routing: &Routing,
     base: &Path,
-    world: &World,
-) -> Result<Option<(Table, Vec<Expect>)>, Vec<String>> {
+    world: &KnownNames,
+) -> Result<Option<(Table, Vec<Expectation>)>, Vec<String>> {
     let Some(path) = &routing.table else {
         let none = routing.expect.is_empty();
         return if none { Ok(None) } else { Err(vec!["routing.expect: there is no routing.table".into()]) };
@@ -326,7 +330,7 @@
     Ok(Some((table, expects)))
 }
 
-fn lines(all: Vec<Wrong>) -> Vec<String> {
+fn lines(all: Vec<TableError>) -> Vec<String> {
     all.iter().map(ToString::to_string).collect()
 }
 
@@ -334,7 +338,7 @@
 ///
 /// # Errors
 /// All that is wrong, each with its file and line.
-pub fn load(routing: &Routing, base: &Path, world: &World) -> Result<Option<Table>, Vec<String>> {
+pub fn load(routing: &Routing, base: &Path, world: &KnownNames) -> Result<Option<Table>, Vec<String>> {
     let Some((table, expects)) = read(routing, base, world)? else { return Ok(None) };
     prove(&table, &expects).map_err(lines)?;
     Ok(Some(table))
--- a/crates/foundations/config/src/supervisor.rs
+++ b/crates/foundations/config/src/supervisor.rs
@@ -229,7 +229,7 @@
 
 /// Whether a TOML file is a supervisor's, by the tables in it.
 pub fn is_fleet_file(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
+    let bytes = crate::operator::read_consistent(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     let text = String::from_utf8_lossy(&bytes);
     text.lines().any(|line| matches!(line.trim(), "[fleet]" | "[[instance]]"))
 }
--- a/crates/foundations/config/src/values.rs
+++ b/crates/foundations/config/src/values.rs
@@ -119,7 +119,7 @@
 }
 
 /// Longest path that a Unix socket can have (`sun_path` of Linux, less its end); the bound for all paths here.
-const PATH_MOST: usize = 107;
+const MAX_PATH_BYTES: usize = 107;
 
 /// A fault at a byte of the text.
 pub(crate) fn fault_at(text: &str, at: usize, field: &str, what: String) -> ConfigError {
@@ -134,8 +134,8 @@
 ) -> Result<Option<PathBuf>, ConfigError> {
     let Some(given) = given else { return Ok(None) };
     let value = given.get_ref();
-    if value.is_empty() || value.len() > PATH_MOST || value.contains('\0') {
-        let what = format!("is no path of 1 to {PATH_MOST} bytes");
+    if value.is_empty() || value.len() > MAX_PATH_BYTES || value.contains('\0') {
+        let what = format!("is no path of 1 to {MAX_PATH_BYTES} bytes");
         return Err(fault_at(text, given.span().start, field, what));
     }
     Ok(Some(PathBuf::from(value)))
@@ -172,7 +172,7 @@
 ///
 /// # Errors
 /// It is no regular file, holds more than `most` bytes, can't be read, or goes on changing.
-pub fn read_whole(path: &Path, most: u64) -> Result<Vec<u8>, String> {
+pub fn read_consistent(path: &Path, most: u64) -> Result<Vec<u8>, String> {
     let plain = |e: std::io::Error| e.to_string();
     // Before it is opened: opening a pipe would wait for its writer.
     let kind = std::fs::metadata(path).map_err(plain)?;
--- a/crates/herondock/benches/consul.rs
+++ b/crates/herondock/benches/consul.rs
@@ -10,7 +10,7 @@
 use testkit::caller::{Caller, Operation};
 use testkit::consul::{Agent, Consul, Fault, Service};
 use testkit::discovery::Discovery;
-use testkit::ledger::{Effect, Entry, Figures, Ledger, Scope, State};
+use testkit::ledger::{Effect, Entry, Ledger, RuleParameters, Scope, State};
 use testkit::message::ok_text;
 use testkit::node::{config, Node, Program};
 use testkit::upstream::{Options, Then, Upstream};
@@ -151,7 +151,11 @@
                 told_of(&ledger, from, State::Ready);
             }
         });
-        let figures = Figures { scope: Scope::All, window: Duration::from_secs(20), ..Figures::default() };
+        let figures = RuleParameters {
+            scope: Scope::All,
+            window: Duration::from_secs(20),
+            ..RuleParameters::default()
+        };
         broken += ledger.check(&figures).len();
         println!("| {fault:?} | {ROUNDS} | {} | {} |", quantiles(to_answer), quantiles(to_last));
     }
--- a/crates/herondock/benches/fleet.rs
+++ b/crates/herondock/benches/fleet.rs
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 use testkit::caller::{Caller, Operation, Outcome};
 use testkit::discovery::{Listed, Registry};
-use testkit::ledger::{Effect, Figures, Ledger, Scope};
+use testkit::ledger::{Effect, Ledger, RuleParameters, Scope};
 use testkit::message::ok_text;
 use testkit::node::{config, Program};
-use testkit::plain::{calling, Met as Plainly, Plain};
+use testkit::plain::{calling, Plain, Tally as Plainly};
 use testkit::upstream::{Options, Then, Upstream};
 
 /// What callers met in one phase.
@@ -192,7 +192,8 @@
         all.sort_by(f64::total_cmp);
         println!("\n{key}: {:.1} to {:.1}, median {:.1}", all[0], all[all.len() - 1], all[all.len() / 2]);
     }
-    let figures = Figures { scope: Scope::All, window: Duration::from_secs(20), ..Figures::default() };
+    let figures =
+        RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() };
     println!("\nrules broken: {:?}", ledger.check(&figures));
     roll("stop");
     supervisor.wait().expect("it ends");
--- a/crates/herondock/benches/routes.rs
+++ b/crates/herondock/benches/routes.rs
@@ -3,7 +3,9 @@
 //! `cargo bench -p herondock --bench routes`.
 use route_table::cube::Query;
 use route_table::expect::prove;
-use route_table::spec::{Claim, Expect, Place, Pool, Route, To, When, World};
+use route_table::spec::{
+    Claim, Conditions, Destination, Expectation, KnownNames, Pool, Route, SourceLocation,
+};
 use route_table::split::choose;
 use route_table::table::Table;
 use std::hint::black_box;
@@ -18,12 +20,12 @@
 const CLUBS: usize = 100;
 const ROUNDS: usize = 9;
 
-fn place(line: usize) -> Place {
-    Place { file: "routes.toml".into(), line }
+fn place(line: usize) -> SourceLocation {
+    SourceLocation { file: "routes.toml".into(), line }
 }
 
-fn world() -> World {
-    World {
+fn world() -> KnownNames {
+    KnownNames {
         classes: vec!["alta".into(), "pago".into()],
         clubs: (0..CLUBS).map(|k| format!("club-{k}")).collect(),
         keyed: vec![true, false],
@@ -44,21 +46,21 @@
         sources: Vec::new(),
         meta: Vec::new(),
     };
-    let route = |k: usize, when: When, precedence: i64| Route {
+    let route = |k: usize, when: Conditions, precedence: i64| Route {
         name: format!("r{k}"),
         place: place(k),
         precedence,
         when,
-        to: To::Pool(if k.is_multiple_of(2) { "a" } else { "b" }.into()),
+        to: Destination::Pool(if k.is_multiple_of(2) { "a" } else { "b" }.into()),
         attempts: None,
         time_ms: None,
         fallback: None,
     };
     let one = |k: usize| {
         let path = Some(format!("/api/s{}/{{id}}/*", k / CLUBS));
-        route(k, When { clubs: vec![format!("club-{}", k % CLUBS)], path, ..When::default() }, 1)
+        route(k, Conditions { clubs: vec![format!("club-{}", k % CLUBS)], path, ..Conditions::default() }, 1)
     };
-    let all = (0..routes - 1).map(one).chain([route(routes, When::default(), 9)]).collect();
+    let all = (0..routes - 1).map(one).chain([route(routes, Conditions::default(), 9)]).collect();
     Table::new(world(), vec![pool("a"), pool("b")], all).expect("good")
 }
 
@@ -111,19 +113,26 @@
     let before = memory(std::process::id());
     let table = table(10_000);
     let held = memory(std::process::id()) - before;
-    let expects: Vec<Expect> = (0..1000)
+    let expects: Vec<Expectation> = (0..1000)
         .map(|k| {
             let club = vec![format!("club-{}", k % CLUBS)];
             let (when, claim) = match k % 4 {
-                0 => (When { clubs: club, ..When::default() }, Claim::Routed),
-                1 => (When { clubs: club, ..When::default() }, Claim::Only(vec!["a".into(), "b".into()])),
-                2 => (When { clubs: club, ..When::default() }, Claim::Cells(vec![1])),
+                0 => (Conditions { clubs: club, ..Conditions::default() }, Claim::Routed),
+                1 => (
+                    Conditions { clubs: club, ..Conditions::default() },
+                    Claim::Only(vec!["a".into(), "b".into()]),
+                ),
+                2 => (Conditions { clubs: club, ..Conditions::default() }, Claim::Cells(vec![1])),
                 _ => (
-                    When { clubs: club, path: Some(format!("/api/s{}/*", k / 10)), ..When::default() },
+                    Conditions {
+                        clubs: club,
+                        path: Some(format!("/api/s{}/*", k / 10)),
+                        ..Conditions::default()
+                    },
                     Claim::Routed,
                 ),
             };
-            Expect { name: format!("e{k}"), place: place(k), when, claim }
+            Expectation { name: format!("e{k}"), place: place(k), when, claim }
         })
         .collect();
     let all: Vec<f64> = (0..5)
--- a/crates/herondock/benches/takeover.rs
+++ b/crates/herondock/benches/takeover.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
 use testkit::discovery::{listing, Discovery};
-use testkit::ledger::{Figures, Ledger, Scope};
+use testkit::ledger::{Ledger, RuleParameters, Scope};
 use testkit::message::{get, ok_text};
 use testkit::node::{config, Node, Program};
-use testkit::plain::{calling, Met, Plain};
+use testkit::plain::{calling, Plain, Tally};
 use testkit::upstream::{Options, Then, Upstream};
 
 /// Take-overs of one play, and the time between two.
@@ -22,7 +22,7 @@
 
 struct Way {
     program: Program,
-    met: Met,
+    met: Tally,
     ready: Vec<Duration>,
     plays: Vec<u64>,
     broken: usize,
@@ -71,7 +71,8 @@
     for mut node in old {
         assert!(node.wait().success(), "an old process failed: {:?}", node.log());
     }
-    let figures = Figures { scope: Scope::All, window: Duration::from_secs(20), ..Figures::default() };
+    let figures =
+        RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() };
     way.broken += ledger.check(&figures).len();
     way.plays.push(met.failed());
     way.met += met;
@@ -122,7 +123,7 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let way = |path| Way {
         program: Program::new(path, folder),
-        met: Met::default(),
+        met: Tally::default(),
         ready: Vec::new(),
         plays: Vec::new(),
         broken: 0,
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -3,7 +3,7 @@
 use crate::run::{read_table, RunError};
 use balancer::{Balancer, SettingsError};
 use config::{coordination, disruption, operator, rollout, routing, supervisor};
-use route_table::spec::World;
+use route_table::spec::KnownNames;
 use std::path::{Path, PathBuf};
 use tracing::info;
 
@@ -70,7 +70,7 @@
     FileError::Config(error.to_string())
 }
 
-fn check_file(path: &Path, world: Option<&World>) -> Result<(), FileError> {
+fn check_file(path: &Path, world: Option<&KnownNames>) -> Result<(), FileError> {
     if is_node_config(path) {
         check_node_config(path)
     } else if coordination::is_coordination_file(path) {
@@ -123,7 +123,7 @@
     Ok(())
 }
 
-fn check_operator(path: &Path, world: Option<&World>) -> Result<(), FileError> {
+fn check_operator(path: &Path, world: Option<&KnownNames>) -> Result<(), FileError> {
     let operator = operator::read(path).map_err(invalid)?;
     if operator.routing.table.is_none() {
         return Ok(());
--- a/crates/herondock/src/cli/former_names.rs
+++ b/crates/herondock/src/cli/former_names.rs
@@ -37,5 +37,4 @@
 }
 
 #[cfg(test)]
-#[path = "former_names_tests.rs"]
 mod tests;
--- a/crates/herondock/src/demo/instance.rs
+++ b/crates/herondock/src/demo/instance.rs
@@ -12,7 +12,7 @@
 /// How long an instance may take until it serves.
 const START: Duration = Duration::from_secs(10);
 /// Lines of its log that are kept.
-const LOG_MOST: usize = 20;
+const MAX_LOG_LINES: usize = 20;
 
 /// A running instance. It is killed when dropped; and it ends by itself when this process does, whatever way that
 /// ends, since the other end of its standard input goes with it.
@@ -46,7 +46,7 @@
                 }
                 let mut kept = kept.lock().unwrap_or_else(PoisonError::into_inner);
                 kept.push_back(line);
-                if kept.len() > LOG_MOST {
+                if kept.len() > MAX_LOG_LINES {
                     kept.pop_front();
                 }
             }
--- a/crates/herondock/src/demo/report.rs
+++ b/crates/herondock/src/demo/report.rs
@@ -3,7 +3,7 @@
 use super::tally::Count;
 use std::fmt::Write;
 use std::time::Duration;
-use testkit::ledger::{Fault, Rule, Violation};
+use testkit::ledger::{Breach, Rule, Violation};
 
 /// The memory of an instance, in bytes.
 pub struct Memory {
@@ -39,7 +39,7 @@
 ];
 
 /// Violations that are told one by one.
-const TOLD: usize = 10;
+const REPORTED: usize = 10;
 
 impl Report {
     /// Whether a rule was broken, or that can't be told.
@@ -47,16 +47,16 @@
         !self.violations.is_empty()
     }
 
-    fn of(&self, faults: &[Fault]) -> usize {
+    fn of(&self, faults: &[Breach]) -> usize {
         self.violations.iter().filter(|v| faults.contains(&v.fault)).count()
     }
 
     fn lost(&self) -> usize {
-        self.of(&[Fault::AnswerLost])
+        self.of(&[Breach::AnswerLost])
     }
 
     fn twice(&self) -> usize {
-        self.of(&[Fault::UnsafeRepeated, Fault::KeyedOutsideGroup, Fault::KeyedOutsideWindow])
+        self.of(&[Breach::UnsafeRepeated, Breach::KeyedOutsideGroup, Breach::KeyedOutsideWindow])
     }
 
     fn against(&self, rule: Rule) -> usize {
@@ -108,7 +108,7 @@
             };
             line(format_args!("  rule       {name}: {verdict}"));
         }
-        for violation in self.violations.iter().take(TOLD) {
+        for violation in self.violations.iter().take(REPORTED) {
             line(format_args!("  {violation}"));
         }
         text
@@ -135,7 +135,7 @@
             "clubs": clubs.collect::<Vec<_>>(),
             "memory": memory.collect::<Vec<_>>(),
             "violations": rules.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
-            "faults": self.violations.iter().take(TOLD).map(ToString::to_string).collect::<Vec<_>>(),
+            "faults": self.violations.iter().take(REPORTED).map(ToString::to_string).collect::<Vec<_>>(),
         });
         format!("{report}\n")
     }
--- a/crates/herondock/src/demo/world.rs
+++ b/crates/herondock/src/demo/world.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use testkit::caller::{Caller, Operation, Outcome};
 use testkit::discovery::{Listed, Registry};
-use testkit::ledger::{Cold, Effect, Figures, Ledger};
+use testkit::ledger::{Cold, Effect, Ledger, RuleParameters};
 use testkit::message::{ok_text, Message};
 use testkit::upstream::{Options, Then, Upstream};
 
@@ -369,8 +369,8 @@
 }
 
 /// The rules in the demo's figures, which are those of [`configuration`].
-fn figures() -> Figures {
-    Figures::default()
+fn figures() -> RuleParameters {
+    RuleParameters::default()
 }
 
 impl Club {
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -21,9 +21,9 @@
 const DATACENTRES: Duration = Duration::from_secs(60);
 const ANSWER: Duration = Duration::from_secs(5);
 /// Most datacentres of one service.
-const DATACENTRES_MOST: usize = 64;
+const MAX_DATACENTRES: usize = 64;
 /// Longest token.
-const TOKEN_MOST: u64 = 4096;
+const MAX_TOKEN_BYTES: u64 = 4096;
 
 /// The file with the token, read again before each query: it is rotated while the program runs.
 pub struct AclToken(Option<PathBuf>);
@@ -49,9 +49,12 @@
     let named = |what: String| format!("token_file: {}: {what}", path.display());
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|e| named(e.to_string()))?;
-    file.take(TOKEN_MOST + 1).read_to_string(&mut text).map_err(|e| named(e.to_string()))?;
+    file.take(MAX_TOKEN_BYTES + 1).read_to_string(&mut text).map_err(|e| named(e.to_string()))?;
     let token = text.trim();
-    if token.is_empty() || token.len() as u64 > TOKEN_MOST || !token.bytes().all(|b| b.is_ascii_graphic()) {
+    if token.is_empty()
+        || token.len() as u64 > MAX_TOKEN_BYTES
+        || !token.bytes().all(|b| b.is_ascii_graphic())
+    {
         return Err(named("holds no token".into()));
     }
     Ok(token.into())
@@ -114,7 +117,7 @@
             let pause = match self.datacentres(&mut client, agent).await {
                 Ok(names) => {
                     for dc in names {
-                        if watches.len() < DATACENTRES_MOST && !watches.contains_key(&dc) {
+                        if watches.len() < MAX_DATACENTRES && !watches.contains_key(&dc) {
                             let teller = teller.add_sibling(&self.label(Some(&dc)));
                             let watch = self.clone().watch(Some(dc.clone()), teller);
                             watches.insert(dc, tokio::task::spawn_local(watch));
--- a/crates/herondock/src/front/fastcgi/open_requests.rs
+++ b/crates/herondock/src/front/fastcgi/open_requests.rs
@@ -68,5 +68,4 @@
 }
 
 #[cfg(test)]
-#[path = "open_requests_tests.rs"]
 mod tests;
--- a/crates/herondock/src/routing/inspect.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -4,8 +4,8 @@
 use config::{operator, routing};
 use route_table::diff::diff;
 use route_table::expect::prove;
-use route_table::spec::{Expect, World};
-use route_table::table::{Compiled, Leads, Table};
+use route_table::spec::{Expectation, KnownNames};
+use route_table::table::{Compiled, RouteTarget, Table};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -33,7 +33,7 @@
     pub headers: Vec<(String, String)>,
 }
 
-fn load_table(file: &Path, world: &World) -> Result<(Table, Vec<Expect>), String> {
+fn load_table(file: &Path, world: &KnownNames) -> Result<(Table, Vec<Expectation>), String> {
     let operator = operator::read(file)?;
     let base = file.parent().unwrap_or(Path::new(""));
     let found = routing::read(&operator.routing, base, world).map_err(|faults| faults.join("\n"))?;
@@ -85,7 +85,7 @@
         route.route.name, place.file, place.line, route.route.precedence
     );
     match (&route.leads, pool) {
-        (Leads::Split(by, parts), Some(pool)) => {
+        (RouteTarget::Split(by, parts), Some(pool)) => {
             let all: Vec<String> =
                 parts.iter().map(|(p, n)| format!("{} {n}", table.pools[*p].name)).collect();
             let _ = writeln!(text, "pool {}, of {} split by {by:?}", table.pools[pool].name, all.join(", "));
@@ -134,7 +134,7 @@
     if !whole {
         text.push_str("and more\n");
     }
-    let mut expects: BTreeMap<&str, &Expect> = BTreeMap::new();
+    let mut expects: BTreeMap<&str, &Expectation> = BTreeMap::new();
     expects.extend(old_expects.iter().chain(&new_expects).map(|e| (e.name.as_str(), e)));
     for (name, expect) in expects {
         let one = std::slice::from_ref(expect);
--- a/crates/herondock/src/routing/request_attributes.rs
+++ b/crates/herondock/src/routing/request_attributes.rs
@@ -2,7 +2,7 @@
 use crate::driver::AdmissionError;
 use route_table::cube;
 use route_table::path::segments;
-use route_table::spec::{Route, To};
+use route_table::spec::{Destination, Route};
 use route_table::table::{Compiled, Table};
 use std::borrow::Cow;
 use std::time::Duration;
@@ -49,7 +49,7 @@
     /// The rejection by a route.
     pub fn rejected_by(route: &Route) -> RoutingError {
         match &route.to {
-            To::Refuse(why) => RoutingError::Rejected(why.clone()),
+            Destination::Refuse(why) => RoutingError::Rejected(why.clone()),
             // All weights are 0, which the table's checks reject.
             _ => RoutingError::NoRoute,
         }
--- a/crates/herondock/src/run/reload.rs
+++ b/crates/herondock/src/run/reload.rs
@@ -5,7 +5,7 @@
 use crate::routing::Pools;
 use config::operator::{self, OperatorConfig};
 use config::routing;
-use route_table::spec::World;
+use route_table::spec::KnownNames;
 use route_table::table::Table;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 pub fn read_table(
     path: Option<&Path>,
     operator: &OperatorConfig,
-    world: &World,
+    world: &KnownNames,
 ) -> Result<Option<Table>, RunError> {
     let base = path.and_then(Path::parent).unwrap_or(Path::new(""));
     routing::load(&operator.routing, base, world).map_err(|faults| RunError::RoutingTable(faults.join("; ")))
@@ -45,7 +45,7 @@
     /// The pools, whose routing table is replaced.
     pub pools: Pools,
     /// The names that routes may use.
-    pub world: World,
+    pub world: KnownNames,
 }
 
 impl Reloader {
--- a/crates/herondock/tests/common/mod.rs
+++ b/crates/herondock/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use testkit::caller::{Caller, Operation, Outcome};
-use testkit::ledger::{Effect, Figures, Ledger, Scope};
+use testkit::ledger::{Effect, Ledger, RuleParameters, Scope};
 
 pub use testkit::caller::Client;
 pub use testkit::discovery::{listing, Discovery};
@@ -59,8 +59,8 @@
 }
 
 /// The rules in the figures of [`config`]: all upstreams drop repeats, for 20 s.
-pub fn figures() -> Figures {
-    Figures { scope: Scope::All, window: Duration::from_secs(20), ..Figures::default() }
+pub fn figures() -> RuleParameters {
+    RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() }
 }
 
 /// An operation of this class with time enough.
--- a/crates/herondock/tests/consul.rs
+++ b/crates/herondock/tests/consul.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use testkit::consul::{Agent, Consul, Fault, Service};
-use testkit::ledger::{Entry, Figures, Ledger};
+use testkit::ledger::{Entry, Ledger, RuleParameters};
 use testkit::upstream::Options;
 
 /// A Consul with upstreams, and an instance whose one source it is.
@@ -112,7 +112,7 @@
 
     /// Nothing at all may begin at whom the instance was told to leave alone, but for what crossed the news.
     fn kept(&self) {
-        let strict = Figures { grace: Duration::ZERO, slack: Duration::from_millis(300), ..figures() };
+        let strict = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(300), ..figures() };
         assert_eq!(self.ledger.check(&strict), [], "{:?}", self.node.log());
     }
 }
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use testkit::coordination::{client, run, written, Voters, TICK, WITHIN};
+use testkit::coordination::{client, run, written, Voters, REQUEST_TIMEOUT, TICK};
 use testkit::faults::disk;
 use testkit::faults::link::Rule;
 use testkit::faults::machine::Machine;
@@ -193,13 +193,13 @@
         let writer = thread::spawn(move || {
             run(async move {
                 let council = ClientHandle::spawn(settings);
-                ready.send(written(&council.transact(vec![], vec![], WITHIN).await)).expect("heard");
+                ready.send(written(&council.transact(vec![], vec![], REQUEST_TIMEOUT).await)).expect("heard");
                 gone.await.expect("told");
                 // A second time it would differ: there is such a key then.
                 let key = format!("once/{k}");
                 let absent = vec![Compare::Absent(key.clone())];
                 let put = vec![Op::Put { key, value: k.to_string(), ephemeral: false }];
-                council.transact(absent, put, WITHIN).await
+                council.transact(absent, put, REQUEST_TIMEOUT).await
             })
         });
         assert!(is_ready.recv_timeout(PATIENCE).expect("ready"), "{:#?}", voters.logs());
@@ -224,22 +224,24 @@
     run(async {
         let first = ClientHandle::spawn(voters.client("twin", true));
         let bound = |value: &str| vec![Op::Put { key: "twin".into(), value: value.into(), ephemeral: true }];
-        assert!(written(&first.transact(vec![], bound("first"), WITHIN).await));
+        assert!(written(&first.transact(vec![], bound("first"), REQUEST_TIMEOUT).await));
         let (one, _) = first.active_session().expect("held");
         // Cut off, it believes on until its time is up; the second takes its name meanwhile.
         let second =
             ClientHandle::spawn(ClientConfig { name: "twin-2".into(), ..voters.client("twin", true) });
-        assert!(written(&second.transact(vec![Compare::SessionEnded(one)], bound("second"), WITHIN).await));
+        assert!(written(
+            &second.transact(vec![Compare::SessionEnded(one)], bound("second"), REQUEST_TIMEOUT).await
+        ));
         let (two, _) = second.active_session().expect("held");
         assert!(two > one, "a number that grows: {one}, {two}");
-        let told = first.transact(vec![], bound("first again"), WITHIN).await;
+        let told = first.transact(vec![], bound("first again"), REQUEST_TIMEOUT).await;
         assert!(
             matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
             "{told:?}"
         );
         let mut standing = first.session_state();
         standing.wait_for(|s| *s == SessionState::Fenced(two)).await.expect("it hears of it");
-        let told = second.transact(vec![Compare::SessionAlive(one)], bound("x"), WITHIN).await;
+        let told = second.transact(vec![Compare::SessionAlive(one)], bound("x"), REQUEST_TIMEOUT).await;
         assert!(
             matches!(
                 told,
@@ -247,7 +249,7 @@
             ),
             "{told:?}"
         );
-        second.close_session(WITHIN).await;
+        second.close_session(REQUEST_TIMEOUT).await;
     });
     assert_eq!(voters.get("twin"), None, "it ended with its session");
 }
@@ -465,7 +467,7 @@
         let council = ClientHandle::spawn(voters.client("filler", true));
         for k in 0..34 {
             let then = vec![Op::Put { key: format!("big/{k}"), value: big.clone(), ephemeral: false }];
-            assert!(written(&council.transact(vec![], then, WITHIN).await));
+            assert!(written(&council.transact(vec![], then, REQUEST_TIMEOUT).await));
         }
     });
     let l = voters.leader();
@@ -511,7 +513,7 @@
                         tasks.push(tokio::task::spawn_local(async move {
                             let key = format!("many/{k}");
                             let then = vec![Op::Put { key, value: round.to_string(), ephemeral: true }];
-                            written(&council.transact(vec![], then, WITHIN).await)
+                            written(&council.transact(vec![], then, REQUEST_TIMEOUT).await)
                         }));
                     }
                     let mut done = 0;
@@ -562,7 +564,7 @@
     assert!(saved.status.success(), "{saved:?}");
     let before = run(async {
         let council = ClientHandle::spawn(voters.client("old", true));
-        council.transact(vec![], vec![], WITHIN).await;
+        council.transact(vec![], vec![], REQUEST_TIMEOUT).await;
         council.active_session().map(|(id, _)| id)
     });
     voters.machines.iter_mut().for_each(Machine::kill);
@@ -574,14 +576,14 @@
     assert_eq!(voters.get("policy/limit").as_deref(), Some("7"));
     let after = run(async {
         let council = ClientHandle::spawn(voters.client("new", true));
-        council.transact(vec![], vec![], WITHIN).await;
+        council.transact(vec![], vec![], REQUEST_TIMEOUT).await;
         council.active_session().map(|(id, _)| id)
     });
     assert!(after > before, "{before:?}, {after:?}");
     // A session of before the loss is over, whatever it believes.
     let told = run(async {
         let council = ClientHandle::spawn(voters.client("judge", true));
-        council.transact(vec![Compare::SessionAlive(before.expect("held"))], vec![], WITHIN).await
+        council.transact(vec![Compare::SessionAlive(before.expect("held"))], vec![], REQUEST_TIMEOUT).await
     });
     assert!(
         matches!(told, RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { .. }))),
@@ -652,7 +654,7 @@
         voters.machines[l].pause();
         let writer = ClientHandle::spawn(voters.client("writer", true));
         let put = vec![Op::Put { key: "k".into(), value: "v".into(), ephemeral: false }];
-        assert!(written(&writer.transact(vec![], put, WITHIN).await));
+        assert!(written(&writer.transact(vec![], put, REQUEST_TIMEOUT).await));
         let next = tokio::time::timeout(PATIENCE, told.recv()).await;
         assert!(matches!(next, Ok(Some(Answer::Events { .. }))), "{next:?}");
     });
@@ -699,7 +701,7 @@
     let first = number("COUNCIL_SEED").unwrap_or(7);
     for seed in first..first + number("COUNCIL_SCRIPTS").unwrap_or(1) {
         let steps = draw(seed, 12);
-        let _told = testkit::faults::script::Told { seed, steps: &steps };
+        let _told = testkit::faults::script::ReportOnPanic { seed, steps: &steps };
         play(&steps);
     }
 }
--- a/crates/herondock/tests/discovery.rs
+++ b/crates/herondock/tests/discovery.rs
@@ -4,7 +4,7 @@
 use common::*;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use testkit::discovery::{Ill, Listed, Registry};
+use testkit::discovery::{DiscoveryFault, Listed, Registry};
 use testkit::faults::machine::Throttled;
 
 /// What a silent watch missed counts as told so long after it fell silent; sends then end within the grace of
@@ -112,7 +112,13 @@
 #[test]
 fn a_first_answer_that_never_comes_whole_is_given_up_in_time() {
     std::thread::scope(|scope| {
-        for ill in [Ill::Silent, Ill::Half, Ill::Trickle, Ill::HalfClosed, Ill::Reset] {
+        for ill in [
+            DiscoveryFault::Silent,
+            DiscoveryFault::Half,
+            DiscoveryFault::Trickle,
+            DiscoveryFault::HalfClosed,
+            DiscoveryFault::Reset,
+        ] {
             scope.spawn(move || {
                 let (stays, leaves, registry) = pair();
                 // The list that the platform kept has everything but the news.
@@ -164,7 +170,7 @@
     moved.set("s-0", listed(&stays, "active"));
     moved.set("s-1", listed(&leaves, "leaving"));
     // Its first answer never comes.
-    moved.ails(Ill::Silent);
+    moved.ails(DiscoveryFault::Silent);
     let addr = moved.open("n1").expect("a port");
     let begun = Instant::now();
     node.reload(&config(addr, 1024, "null"));
--- a/crates/herondock/tests/multiplex.rs
+++ b/crates/herondock/tests/multiplex.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 use testkit::fastcgi::{end, pairs, record, WebServer};
-use testkit::upstream::Seen;
+use testkit::upstream::ObservedRequest;
 
 /// What an application saw, record by record.
 #[derive(Debug)]
@@ -369,7 +369,7 @@
             aborted = true;
             while !matches!(
                 upstream.seen.recv_timeout(PATIENCE).expect("its connection closes"),
-                Seen::Closed
+                ObservedRequest::Closed
             ) {}
         }
         std::thread::sleep(Duration::from_millis(30));
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -47,7 +47,7 @@
 }
 
 /// An attempt that is out.
-pub struct Out {
+pub struct InFlightAttempt {
     /// Its number.
     pub number: u32,
     /// Where.
@@ -70,7 +70,7 @@
     deadline: Millis,
     sends: u32,
     /// Attempts that are out; as many as the module allows a request.
-    pub out: Vec<Out>,
+    pub out: Vec<InFlightAttempt>,
 }
 
 /// A connection that rests: since when, and to which process of the upstream.
@@ -392,7 +392,7 @@
     }
 
     /// The attempt, if it is still out.
-    pub fn out(&mut self, id: u32, number: u32) -> Option<(&mut Out, u64)> {
+    pub fn out(&mut self, id: u32, number: u32) -> Option<(&mut InFlightAttempt, u64)> {
         let open = self.open.get_mut(&id)?;
         let request = open.request;
         open.out.iter_mut().find(|o| o.number == number).map(|out| (out, request))
@@ -506,7 +506,7 @@
         };
         let left = (open.deadline - clock).max(0.0);
         let until = now + ms(if timeout > 0.0 { timeout.min(left) } else { left });
-        open.out.push(Out { number, server, sent: now, until, connected: false });
+        open.out.push(InFlightAttempt { number, server, sent: now, until, connected: false });
         does.push(Does::Send(id, number, server));
     }
 }
--- a/crates/verification/fleet-simulation/src/judge.rs
+++ b/crates/verification/fleet-simulation/src/invariant_checks.rs
@@ -1,18 +1,20 @@
 //! The four rules on every event, and the books of what each instance was told.
 use crate::agenda::Nanos;
 use fnv::FnvHashMap;
-use invariants::{Cold, Effect, Fault, Figures, News, State, Story, Warming};
+use invariants::{
+    Breach, Cold, Effect, NotificationDeadline, RequestHistory, RuleParameters, State, Warming,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Violations that are kept; more are counted.
-const KEPT: usize = 64;
+const MAX_VIOLATIONS: usize = 64;
 
 /// A rule that was broken once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// How.
-    pub fault: Fault,
+    pub fault: Breach,
     /// When.
     pub at: Duration,
     /// The request, the upstream or the instance.
@@ -22,9 +24,9 @@
 /// See the module's page. It has the platform's figures.
 #[derive(Default)]
 pub struct Judge {
-    figures: Figures,
-    stories: FnvHashMap<u64, Story>,
-    news: FnvHashMap<(usize, usize), News>,
+    figures: RuleParameters,
+    stories: FnvHashMap<u64, RequestHistory>,
+    news: FnvHashMap<(usize, usize), NotificationDeadline>,
     warming: BTreeMap<usize, Warming>,
     /// The first violations, and how many there were.
     pub found: Vec<Violation>,
@@ -37,16 +39,16 @@
 }
 
 impl Judge {
-    fn fault(&mut self, fault: Fault, at: Duration, whose: String) {
+    fn fault(&mut self, fault: Breach, at: Duration, whose: String) {
         self.count += 1;
-        if self.found.len() < KEPT {
+        if self.found.len() < MAX_VIOLATIONS {
             self.found.push(Violation { fault, at, whose });
         }
     }
 
     /// A caller has sent a request.
     pub fn sent(&mut self, now: Nanos, request: u64, effect: Effect, patience: Nanos) {
-        self.stories.insert(request, Story::new(span(now), effect, span(patience)));
+        self.stories.insert(request, RequestHistory::new(span(now), effect, span(patience)));
     }
 
     /// Nobody took it: it was never sent.
@@ -74,7 +76,7 @@
         match self.stories.get_mut(&request) {
             Some(story) => story.begun.push((span(now), news.closed_for(span(now)))),
             // Judged, and so over, long ago.
-            None => self.fault(Fault::SentAfterAnswer, span(now), format!("request {request}")),
+            None => self.fault(Breach::SentAfterAnswer, span(now), format!("request {request}")),
         }
     }
 
@@ -85,7 +87,7 @@
         }
         let pushed = self.warming.get_mut(&server).and_then(|w| w.executed(span(now), work, &self.figures));
         if let Some((at, sum)) = pushed {
-            self.fault(Fault::ColdPushedOver, at, format!("upstream {server}, sent {sum:?} of work"));
+            self.fault(Breach::ColdPushedOver, at, format!("upstream {server}, sent {sum:?} of work"));
         }
     }
 
--- a/crates/verification/fleet-simulation/src/lib.rs
+++ b/crates/verification/fleet-simulation/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`world`] | the run: callers, network, registry, and what happens when |
 //! | [`instance`] | one balancer around the real module |
 //! | [`server`] | the model of an upstream, and its sources |
-//! | [`judge`] | the four rules, and what was told to whom |
+//! | [`invariant_checks`] | the four rules, and what was told to whom |
 //! | [`score`] | service as the users count it |
 //! | [`mutant`] | faulty variants that show that the invariants catch |
 //! | [`search`] | looks for seeds that break rules or lose most, and shrinks them |
@@ -17,7 +17,7 @@
 pub mod agenda;
 pub mod draw;
 pub mod instance;
-pub mod judge;
+pub mod invariant_checks;
 pub mod mutant;
 pub mod scenario;
 pub mod score;
--- a/crates/verification/fleet-simulation/src/scenario.rs
+++ b/crates/verification/fleet-simulation/src/scenario.rs
@@ -58,7 +58,7 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     /// An upstream's process dies and comes back cold after this long.
     Crash(usize, Nanos),
     /// An upstream is cut off: it says nothing.
@@ -89,13 +89,13 @@
 
 /// One trouble: when it comes, how long it lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
+pub struct Fault {
     /// When it comes.
     pub at: Nanos,
     /// How long it lasts, where it does.
     pub lasts: Nanos,
     /// What it is.
-    pub what: What,
+    pub what: FaultKind,
 }
 
 /// A run: all that its seed decides.
@@ -142,7 +142,7 @@
     /// Upstreams of the first tier, at its end, that come up only with a trouble.
     pub reserve: usize,
     /// What goes wrong, in order.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 /// The parts of a request's work that an upstream of each tier does, the second for each call.
@@ -204,49 +204,51 @@
             troubles: Vec::new(),
         };
         scenario.troubles = scenario.troubles_of(&mut Draws::new(seed, "troubles", 0));
-        if let Some(What::Cold(n)) =
-            scenario.troubles.iter().map(|t| t.what).find(|w| matches!(w, What::Cold(_)))
+        if let Some(FaultKind::Cold(n)) =
+            scenario.troubles.iter().map(|t| t.what).find(|w| matches!(w, FaultKind::Cold(_)))
         {
             scenario.reserve = n;
         }
         scenario
     }
 
-    fn troubles_of(&self, d: &mut Draws) -> Vec<Trouble> {
+    fn troubles_of(&self, d: &mut Draws) -> Vec<Fault> {
         let servers = self.builds[0].len() + self.builds[1].len();
         let length = f64::from(self.size.length_ms);
         let count = 1 + d.below(4);
-        let mut troubles: Vec<Trouble> = Vec::new();
+        let mut troubles: Vec<Fault> = Vec::new();
         for _ in 0..count {
             let s = d.below(servers);
             let (what, lasts) = match d.below(13) {
-                0 => (What::Crash(s, ms(d.between((300.0, 5000.0)))), 0.0),
-                1 => (What::Hang(s), d.between((1000.0, 10_000.0))),
-                2 => (What::Slow(s, d.between((1.5, 4.0))), d.between((4000.0, 15_000.0))),
+                0 => (FaultKind::Crash(s, ms(d.between((300.0, 5000.0)))), 0.0),
+                1 => (FaultKind::Hang(s), d.between((1000.0, 10_000.0))),
+                2 => (FaultKind::Slow(s, d.between((1.5, 4.0))), d.between((4000.0, 15_000.0))),
                 3 => {
                     let n = 1 + d.below(servers.div_ceil(10));
-                    (What::Errors(s, n, d.between((0.41, 0.89))), d.between((6000.0, 28_000.0)))
+                    (FaultKind::Errors(s, n, d.between((0.41, 0.89))), d.between((6000.0, 28_000.0)))
                 }
-                4 => (What::Resets(s, d.between((0.2, 1.0))), d.between((4000.0, 15_000.0))),
-                5 => (What::Stale(ms(d.between((300.0, 3000.0)))), d.between((5000.0, 20_000.0))),
-                6 => (What::Drain(s), d.between((2000.0, 6000.0))),
-                7 => (What::Cold(1 + d.below(self.builds[0].len() / 3 + 1)), 0.0),
+                4 => (FaultKind::Resets(s, d.between((0.2, 1.0))), d.between((4000.0, 15_000.0))),
+                5 => (FaultKind::Stale(ms(d.between((300.0, 3000.0)))), d.between((5000.0, 20_000.0))),
+                6 => (FaultKind::Drain(s), d.between((2000.0, 6000.0))),
+                7 => (FaultKind::Cold(1 + d.below(self.builds[0].len() / 3 + 1)), 0.0),
                 8 => (
-                    What::Flood(d.below(self.clubs.len()), d.between((2.1, 5.5))),
+                    FaultKind::Flood(d.below(self.clubs.len()), d.between((2.1, 5.5))),
                     d.between((7600.0, 18_000.0)),
                 ),
-                9 => (What::SharedSlow(d.between((1.5, 3.0))), d.between((6800.0, 15_000.0))),
-                10 => (What::Roll(ms(d.between((50.0, 400.0)))), 0.0),
-                11 => (What::Kill(d.below(usize::from(self.size.balancers))), d.between((300.0, 3000.0))),
-                _ => (What::Silence, d.between((2000.0, 10_000.0))),
+                9 => (FaultKind::SharedSlow(d.between((1.5, 3.0))), d.between((6800.0, 15_000.0))),
+                10 => (FaultKind::Roll(ms(d.between((50.0, 400.0)))), 0.0),
+                11 => {
+                    (FaultKind::Kill(d.below(usize::from(self.size.balancers))), d.between((300.0, 3000.0)))
+                }
+                _ => (FaultKind::Silence, d.between((2000.0, 10_000.0))),
             };
             // One fleet grows once, and is rolled through once.
-            let once = |w: &What| matches!(w, What::Cold(_) | What::Roll(_));
+            let once = |w: &FaultKind| matches!(w, FaultKind::Cold(_) | FaultKind::Roll(_));
             if once(&what) && troubles.iter().any(|t| once(&t.what)) {
                 continue;
             }
             let at = d.between((0.1, 0.7)) * length;
-            troubles.push(Trouble { at: ms(at), lasts: ms(lasts), what });
+            troubles.push(Fault { at: ms(at), lasts: ms(lasts), what });
         }
         troubles.sort_by_key(|t| t.at);
         troubles
--- a/crates/verification/fleet-simulation/src/score.rs
+++ b/crates/verification/fleet-simulation/src/score.rs
@@ -23,12 +23,12 @@
 
 /// Worth earned and asked for.
 #[derive(Clone, Copy, Debug, Default)]
-struct Worth {
+struct EarnedWeight {
     earned: f64,
     asked: f64,
 }
 
-impl Worth {
+impl EarnedWeight {
     fn part(self) -> f64 {
         if self.asked > 0.0 {
             self.earned / self.asked
@@ -43,10 +43,10 @@
 pub struct Score {
     /// How operations ended.
     pub ends: Ends,
-    whole: Worth,
-    steps: Vec<Worth>,
-    classes: Vec<Worth>,
-    clubs: Vec<Worth>,
+    whole: EarnedWeight,
+    steps: Vec<EarnedWeight>,
+    classes: Vec<EarnedWeight>,
+    clubs: Vec<EarnedWeight>,
     /// Times of those served, in nanoseconds.
     took: Vec<Nanos>,
 }
@@ -105,7 +105,7 @@
             End::Refused => self.ends.refused += 1,
             End::Failed => self.ends.failed += 1,
         }
-        let add = |w: &mut Worth| {
+        let add = |w: &mut EarnedWeight| {
             w.earned += earned;
             w.asked += op.worth;
         };
@@ -119,15 +119,15 @@
 
     /// Service, 0 to 1: 40 % the whole, 10 % the worst 10 s, 10 % the worst class, 40 % the worst club within its share.
     pub fn service(&self) -> f64 {
-        let least = |all: &[Worth]| all.iter().map(|w| w.part()).fold(1.0, f64::min);
+        let least = |all: &[EarnedWeight]| all.iter().map(|w| w.part()).fold(1.0, f64::min);
         let span = (SPAN / STEP) as usize;
         let sums = self.steps.windows(span.min(self.steps.len()).max(1)).map(|w| {
-            w.iter().fold(Worth::default(), |sum, w| Worth {
+            w.iter().fold(EarnedWeight::default(), |sum, w| EarnedWeight {
                 earned: sum.earned + w.earned,
                 asked: sum.asked + w.asked,
             })
         });
-        let worst = sums.map(Worth::part).fold(1.0, f64::min);
+        let worst = sums.map(EarnedWeight::part).fold(1.0, f64::min);
         0.4 * self.whole.part() + 0.1 * worst + 0.1 * least(&self.classes) + 0.4 * least(&self.clubs)
     }
 
--- a/crates/verification/fleet-simulation/src/search.rs
+++ b/crates/verification/fleet-simulation/src/search.rs
@@ -13,7 +13,7 @@
 /// Runs with the least service that a search keeps.
 const WORST: usize = 10;
 /// The shortest load that a case is shrunk to, in milliseconds.
-const LEAST: u32 = 500;
+const MIN_LENGTH_MS: u32 = 500;
 
 /// A run by name: a seed, and what of it is left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -79,8 +79,8 @@
         }
     }
     // Bisection: what shows early shows with all load that comes later, too, as a rule; what is found is tried.
-    let (mut low, mut high) = (LEAST, least.ends_ms.unwrap_or(least.size.length_ms));
-    while high - low > LEAST {
+    let (mut low, mut high) = (MIN_LENGTH_MS, least.ends_ms.unwrap_or(least.size.length_ms));
+    while high - low > MIN_LENGTH_MS {
         let middle = low + (high - low) / 2;
         let case = Case { ends_ms: Some(middle), ..least.clone() };
         if still(&case) {
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -3,9 +3,9 @@
 use crate::agenda::{ms, Agenda, Nanos};
 use crate::draw::Draws;
 use crate::instance::{Does, Instance, Line, Process, BEGAN};
-use crate::judge::{Judge, Violation};
+use crate::invariant_checks::{Judge, Violation};
 use crate::mutant::Mutant;
-use crate::scenario::{Scenario, Trouble, What, TIER_WORK};
+use crate::scenario::{Fault, FaultKind, Scenario, TIER_WORK};
 use crate::score::{Counted, End, Score};
 use crate::server::{Place, Server};
 use balancer::{Class, DedupScope, Effect, Ending, Settings, Tenant};
@@ -31,17 +31,17 @@
 /// The part of capacity that is stated as quotas.
 const QUOTA: f64 = 0.52;
 /// A process comes back after this long.
-const BACK: Nanos = 300_000_000;
+const RETURN_DELAY: Nanos = 300_000_000;
 /// Where a process ends, its counts are taken this often.
 const COUNT: Nanos = 100_000_000;
 /// What a club sends beyond its share is worth this part.
 const OVER_SHARE: f64 = 0.05;
 /// What a caller's repeat is worth, and repeats for each first try of a club, where budgets are on.
-const REPEAT_WORTH: f64 = 0.25;
-/// See [`REPEAT_WORTH`].
+const RETRY_WEIGHT: f64 = 0.25;
+/// See [`RETRY_WEIGHT`].
 const CLUB_REPEATS: f64 = 0.1;
 /// Most events of a run: one that goes on for ever is a defect.
-const EVENTS_MOST: u64 = 500_000_000;
+const MAX_EVENTS: u64 = 500_000_000;
 
 /// An attempt: of which process, and its ids there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -203,7 +203,7 @@
     let mut world = World::new(scenario, mutant);
     while let Some(what) = world.agenda.turn() {
         world.events += 1;
-        if world.events > EVENTS_MOST {
+        if world.events > MAX_EVENTS {
             break;
         }
         world.happens(what);
@@ -564,7 +564,7 @@
         let repeat = matches!(&r.caller, Caller::Operation(op) if self.scenario.budgets && tries(op) > 0);
         self.asked += 1;
         self.note(1, request, instance as u64);
-        let given = (patience, if repeat { REPEAT_WORTH } else { 1.0 });
+        let given = (patience, if repeat { RETRY_WEIGHT } else { 1.0 });
         self.instances[instance].takes(now, request, (class, club), given, &mut self.does);
         self.carry_out(instance);
     }
@@ -764,7 +764,7 @@
                 }
                 Act::Exit(_) => {
                     self.process_ends(instance, false);
-                    return self.agenda.after(BACK, Happening::Start(instance));
+                    return self.agenda.after(RETURN_DELAY, Happening::Start(instance));
                 }
                 _ => {}
             }
@@ -1136,72 +1136,72 @@
 
     // --- troubles ---
 
-    fn begins(&mut self, t: Trouble, k: usize) {
+    fn begins(&mut self, t: Fault, k: usize) {
         let now = self.agenda.now();
         if t.lasts > 0 {
             self.agenda.after(t.lasts, Happening::Ends(k));
         }
         let all = 0..self.servers.len();
         match t.what {
-            What::Crash(s, back) => {
+            FaultKind::Crash(s, back) => {
                 self.dies(s);
                 // The registry notices by itself.
                 self.lines[s].standing = None;
                 self.publishes(s);
                 self.agenda.after(back, Happening::Restarts(s));
             }
-            What::Hang(s) => self.paces(s, |s| s.hung = true),
-            What::Slow(s, times) => self.paces(s, |s| s.slow *= times),
-            What::Errors(s, n, part) => {
+            FaultKind::Hang(s) => self.paces(s, |s| s.hung = true),
+            FaultKind::Slow(s, times) => self.paces(s, |s| s.slow *= times),
+            FaultKind::Errors(s, n, part) => {
                 let servers = self.servers.len();
                 (s..s + n).for_each(|k| self.servers[k % servers].errors = part);
             }
-            What::Resets(s, part) => self.servers[s].resets = part,
-            What::Stale(most) => self.stale = Some(most),
-            What::Drain(s) => {
+            FaultKind::Resets(s, part) => self.servers[s].resets = part,
+            FaultKind::Stale(most) => self.stale = Some(most),
+            FaultKind::Drain(s) => {
                 self.lines[s].standing = Some(EndpointState::Draining);
                 self.publishes(s);
             }
-            What::Cold(n) => {
+            FaultKind::Cold(n) => {
                 let portals = self.portals();
                 for k in portals - n.min(portals)..portals {
                     self.agenda.after(ms(50.0 * (k % 16) as f64), Happening::Restarts(k));
                 }
                 self.grown = portals as f64 / (portals - n.min(portals - 1)) as f64;
             }
-            What::Flood(club, times) => self.flood = Some((club, times)),
-            What::SharedSlow(times) => all.for_each(|s| self.paces(s, |s| s.slow *= times)),
-            What::Roll(gap) => {
+            FaultKind::Flood(club, times) => self.flood = Some((club, times)),
+            FaultKind::SharedSlow(times) => all.for_each(|s| self.paces(s, |s| s.slow *= times)),
+            FaultKind::Roll(gap) => {
                 for k in 0..self.balancers() {
                     // One at a time, as a supervisor does: each waits for its own end.
                     self.agenda.after(gap * k as Nanos, Happening::Stop(k));
                 }
             }
-            What::Kill(instance) => {
+            FaultKind::Kill(instance) => {
                 self.process_ends(instance, true);
                 self.agenda.after(t.lasts, Happening::Start(instance));
             }
-            What::Silence => self.silent_until = now + t.lasts,
+            FaultKind::Silence => self.silent_until = now + t.lasts,
         }
     }
 
-    fn passes(&mut self, t: Trouble) {
+    fn passes(&mut self, t: Fault) {
         let all = 0..self.servers.len();
         match t.what {
-            What::Hang(s) => self.paces(s, |s| s.hung = false),
-            What::Slow(s, times) => self.paces(s, |s| s.slow /= times),
-            What::Errors(s, n, _) => {
+            FaultKind::Hang(s) => self.paces(s, |s| s.hung = false),
+            FaultKind::Slow(s, times) => self.paces(s, |s| s.slow /= times),
+            FaultKind::Errors(s, n, _) => {
                 let servers = self.servers.len();
                 (s..s + n).for_each(|k| self.servers[k % servers].errors = 0.0);
             }
-            What::Resets(s, _) => self.servers[s].resets = 0.0,
-            What::Stale(_) => self.stale = None,
-            What::Drain(s) => {
+            FaultKind::Resets(s, _) => self.servers[s].resets = 0.0,
+            FaultKind::Stale(_) => self.stale = None,
+            FaultKind::Drain(s) => {
                 self.dies(s);
                 self.agenda.after(ms(1000.0), Happening::Restarts(s));
             }
-            What::Flood(..) => self.flood = None,
-            What::SharedSlow(times) => all.for_each(|s| self.paces(s, |s| s.slow /= times)),
+            FaultKind::Flood(..) => self.flood = None,
+            FaultKind::SharedSlow(times) => all.for_each(|s| self.paces(s, |s| s.slow /= times)),
             _ => {}
         }
     }
--- a/crates/verification/fleet-simulation/tests/rules.rs
+++ b/crates/verification/fleet-simulation/tests/rules.rs
@@ -3,7 +3,7 @@
 use fleet_simulation::scenario::{Scenario, Size};
 use fleet_simulation::search::{search, shrink, Case};
 use fleet_simulation::world::play;
-use invariants::Fault;
+use invariants::Breach;
 use std::time::Duration;
 
 const THREADS: usize = 4;
@@ -23,10 +23,10 @@
 #[test]
 fn every_rule_is_broken_by_a_faulty_variant_and_caught() {
     for (mutant, faults) in [
-        (Mutant::AnswersForgotten, &[Fault::AnswerLost][..]),
-        (Mutant::EffectsForgotten, &[Fault::UnsafeRepeated, Fault::RefusedAfterRunning]),
-        (Mutant::DrainsIgnored, &[Fault::SentAfterGrace]),
-        (Mutant::ColdPreferred, &[Fault::ColdPushedOver]),
+        (Mutant::AnswersForgotten, &[Breach::AnswerLost][..]),
+        (Mutant::EffectsForgotten, &[Breach::UnsafeRepeated, Breach::RefusedAfterRunning]),
+        (Mutant::DrainsIgnored, &[Breach::SentAfterGrace]),
+        (Mutant::ColdPreferred, &[Breach::ColdPushedOver]),
     ] {
         let found = search(Size::SMALL, mutant, 1, 60, Duration::MAX, THREADS);
         for fault in faults {
@@ -55,7 +55,7 @@
 #[test]
 fn what_breaks_is_shrunk_to_the_least_that_still_breaks() {
     let lost =
-        |r: &fleet_simulation::world::Report| r.violations.iter().any(|v| v.fault == Fault::AnswerLost);
+        |r: &fleet_simulation::world::Report| r.violations.iter().any(|v| v.fault == Breach::AnswerLost);
     let mutant = Mutant::AnswersForgotten;
     let found = search(Size::SMALL, mutant, 1, 40, Duration::MAX, THREADS);
     let many = |seed: u64| Scenario::draw(seed, Size::SMALL).troubles.len() > 1;
--- a/crates/verification/invariants/src/lib.rs
+++ b/crates/verification/invariants/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! | what | judges |
 //! | --- | --- |
-//! | [`Story`] | one request: rules 1 and 2, and 3 by how long its upstreams had been closed |
-//! | [`News`] | how long an upstream has been closed, by what a balancer was told |
+//! | [`RequestHistory`] | one request: rules 1 and 2, and 3 by how long its upstreams had been closed |
+//! | [`NotificationDeadline`] | how long an upstream has been closed, by what a balancer was told |
 //! | [`Warming`] | what a cold upstream was sent: rule 4 |
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -68,7 +68,7 @@
 
 /// The ways to break them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
+pub enum Breach {
     /// No answer came.
     AnswerLost,
     /// More than one came.
@@ -95,10 +95,10 @@
     LedgerFull,
 }
 
-impl Fault {
+impl Breach {
     /// The rule that it breaks; `None` for a fault of the ledger itself.
     pub fn rule(self) -> Option<Rule> {
-        use Fault::*;
+        use Breach::*;
         match self {
             AnswerLost | TwoAnswers | AnswerLate | ServedByNobody | SentAfterAnswer => {
                 Some(Rule::NoRequestLost)
@@ -122,9 +122,9 @@
     Group,
 }
 
-/// The rules in figures. [`Figures::default`] has the platform's.
+/// The rules in figures. [`RuleParameters::default`] has the platform's.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleParameters {
     /// Time limits are this much longer, for what the way takes.
     pub slack: Duration,
     /// How long after the news sends to an upstream may still begin.
@@ -139,9 +139,9 @@
     pub cold_span: Duration,
 }
 
-impl Default for Figures {
+impl Default for RuleParameters {
     fn default() -> Self {
-        Figures {
+        RuleParameters {
             slack: Duration::from_millis(50),
             grace: Duration::from_secs(1),
             scope: Scope::Group,
@@ -154,9 +154,9 @@
 
 /// What a balancer was told of an upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct News(Option<Duration>);
+pub struct NotificationDeadline(Option<Duration>);
 
-impl News {
+impl NotificationDeadline {
     /// It was told this.
     pub fn told(&mut self, at: Duration, state: State) {
         self.0 = match state {
@@ -173,7 +173,7 @@
 
 /// All that belongs to one request.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct RequestHistory {
     /// When its caller began to send it.
     pub sent: Duration,
     /// How long it waits.
@@ -192,37 +192,37 @@
     pub excused: bool,
 }
 
-impl Story {
+impl RequestHistory {
     /// One that was just sent.
-    pub fn new(sent: Duration, effect: Effect, patience: Duration) -> Story {
+    pub fn new(sent: Duration, effect: Effect, patience: Duration) -> RequestHistory {
         let (answers, begun, ran) = Default::default();
-        Story { sent, patience, effect, answers, left: None, begun, ran, excused: false }
+        RequestHistory { sent, patience, effect, answers, left: None, begun, ran, excused: false }
     }
 
     /// Judges it, once nothing more can come of it: without an answer it counts as lost.
-    pub fn judge(&self, figures: &Figures, fault: &mut impl FnMut(Fault, Duration)) {
+    pub fn judge(&self, figures: &RuleParameters, fault: &mut impl FnMut(Breach, Duration)) {
         self.judge_answers(figures, fault);
         self.judge_effects(figures, fault);
         for &(at, closed) in &self.begun {
             if closed > figures.grace + figures.slack {
-                fault(Fault::SentAfterGrace, at);
+                fault(Breach::SentAfterGrace, at);
             }
         }
     }
 
-    fn judge_answers(&self, figures: &Figures, fault: &mut impl FnMut(Fault, Duration)) {
+    fn judge_answers(&self, figures: &RuleParameters, fault: &mut impl FnMut(Breach, Duration)) {
         let (story, sent, patience, excused) = (self, self.sent, self.patience, self.excused);
         match (story.answers.first(), story.left) {
-            (None, None) if !excused => fault(Fault::AnswerLost, sent),
-            (Some(&(at, _)), _) if at > sent + patience + figures.slack => fault(Fault::AnswerLate, at),
+            (None, None) if !excused => fault(Breach::AnswerLost, sent),
+            (Some(&(at, _)), _) if at > sent + patience + figures.slack => fault(Breach::AnswerLate, at),
             _ => {}
         }
         if let Some(&(at, _)) = story.answers.get(1) {
-            fault(Fault::TwoAnswers, at);
+            fault(Breach::TwoAnswers, at);
         }
         if let Some(&(at, 200)) = story.answers.first() {
             if story.ran.iter().all(|&(ran, _)| ran > at) {
-                fault(Fault::ServedByNobody, at);
+                fault(Breach::ServedByNobody, at);
             }
         }
         // Whichever came first ended it.
@@ -230,23 +230,23 @@
         if let Some(&(at, _)) =
             story.begun.iter().find(|&&(at, _)| over.is_some_and(|o| at > o + figures.slack))
         {
-            fault(Fault::SentAfterAnswer, at);
+            fault(Breach::SentAfterAnswer, at);
         }
     }
 
-    fn judge_effects(&self, figures: &Figures, fault: &mut impl FnMut(Fault, Duration)) {
+    fn judge_effects(&self, figures: &RuleParameters, fault: &mut impl FnMut(Breach, Duration)) {
         let (story, effect) = (self, self.effect);
         let Some((&(first, group), again)) = story.ran.split_first() else { return };
         match effect {
             Effect::Safe => {}
-            Effect::Unsafe => again.iter().for_each(|&(at, _)| fault(Fault::UnsafeRepeated, at)),
+            Effect::Unsafe => again.iter().for_each(|&(at, _)| fault(Breach::UnsafeRepeated, at)),
             Effect::Keyed => {
                 for &(at, other) in again {
                     if figures.scope == Scope::Group && other != group {
-                        fault(Fault::KeyedOutsideGroup, at);
+                        fault(Breach::KeyedOutsideGroup, at);
                     }
                     if at > first + figures.window + figures.slack {
-                        fault(Fault::KeyedOutsideWindow, at);
+                        fault(Breach::KeyedOutsideWindow, at);
                     }
                 }
             }
@@ -254,7 +254,7 @@
         let harmless = effect == Effect::Safe || (effect == Effect::Keyed && figures.scope == Scope::All);
         for &(at, status) in &story.answers {
             if matches!(status, 429 | 503) && !harmless {
-                fault(Fault::RefusedAfterRunning, at);
+                fault(Breach::RefusedAfterRunning, at);
             }
         }
     }
@@ -287,7 +287,7 @@
         &mut self,
         at: Duration,
         work: Duration,
-        figures: &Figures,
+        figures: &RuleParameters,
     ) -> Option<(Duration, Duration)> {
         if self.broken || self.warm(at) {
             return None;
--- a/crates/verification/testkit/src/caller.rs
+++ b/crates/verification/testkit/src/caller.rs
@@ -296,11 +296,11 @@
             // A little longer than it promised to: whether an answer is late is the ledger's to judge.
             let left = until.saturating_duration_since(Instant::now()) + Duration::from_millis(200);
             let answer = match link.ask(operation, key, &request, patience, left) {
-                Asked::Answer(answer) => answer,
+                ResponseOutcome::Answer(answer) => answer,
                 // A balancer may close a connection between requests, and this one crossed that: once more, on another,
                 // as the same request. Silence is something else.
-                Asked::Closed if reused => continue,
-                Asked::Closed | Asked::Broken => return Try::Unanswered,
+                ResponseOutcome::Closed if reused => continue,
+                ResponseOutcome::Closed | ResponseOutcome::Broken => return Try::Unanswered,
             };
             self.ledger.write(Entry::Answered { request, status: answer.status() });
             if !closes(&answer) {
@@ -336,7 +336,7 @@
 }
 
 /// What came of a request on a connection.
-enum Asked {
+enum ResponseOutcome {
     Answer(Message),
     /// It ended before a byte of answer.
     Closed,
@@ -345,7 +345,14 @@
 }
 
 impl Link {
-    fn ask(&mut self, op: &Operation, key: &str, request: &str, patience: Duration, left: Duration) -> Asked {
+    fn ask(
+        &mut self,
+        op: &Operation,
+        key: &str,
+        request: &str,
+        patience: Duration,
+        left: Duration,
+    ) -> ResponseOutcome {
         match self {
             Link::Http(stream) => {
                 let sent = stream.get_mut().write_all(text(op, key, request, patience).as_bytes());
@@ -353,11 +360,11 @@
                 match stream.fill_buf().map(|b| !b.is_empty()) {
                     Ok(true) if sent.is_ok() && timed.is_ok() => {}
                     Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                        return Asked::Broken
+                        return ResponseOutcome::Broken
                     }
-                    _ => return Asked::Closed,
+                    _ => return ResponseOutcome::Closed,
                 }
-                read(stream).map_or(Asked::Broken, Asked::Answer)
+                read(stream).map_or(ResponseOutcome::Broken, ResponseOutcome::Answer)
             }
             Link::FastCgi(web) => {
                 let patience = format!("{}u", patience.as_micros());
@@ -381,11 +388,11 @@
                         let text = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
                         let headers = head.fields.iter().map(|(n, v)| (text(n), text(v))).collect();
                         let start = format!("HTTP/1.1 {} X", head.status);
-                        Asked::Answer(Message { start, headers, body: body.to_vec() })
+                        ResponseOutcome::Answer(Message { start, headers, body: body.to_vec() })
                     }
-                    Some(_) => Asked::Broken,
-                    None if web.silent() => Asked::Closed,
-                    None => Asked::Broken,
+                    Some(_) => ResponseOutcome::Broken,
+                    None if web.silent() => ResponseOutcome::Closed,
+                    None => ResponseOutcome::Broken,
                 }
             }
         }
--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait of a query, as Consul has it.
-const WAIT_MOST: Duration = Duration::from_secs(600);
+const MAX_WAIT: Duration = Duration::from_secs(600);
 
 /// A service of the catalogue.
 #[derive(Clone, Debug)]
@@ -156,7 +156,7 @@
     pub passes: usize,
 }
 
-struct Board {
+struct SharedState {
     catalogue: Mutex<Catalogue>,
     changed: Condvar,
     ledger: Option<Arc<Ledger>>,
@@ -164,11 +164,11 @@
 
 /// The cluster.
 #[derive(Clone)]
-pub struct Consul(Arc<Board>);
+pub struct Consul(Arc<SharedState>);
 
 /// What one balancer was told, and by which index of which history.
 #[derive(Default)]
-struct Told {
+struct ClientView {
     members: BTreeMap<String, State>,
     index: u64,
     history: u64,
@@ -180,7 +180,7 @@
     hushed: AtomicUsize,
     /// Queries that came.
     queries: AtomicUsize,
-    told: Mutex<BTreeMap<Key, Told>>,
+    told: Mutex<BTreeMap<Key, ClientView>>,
     changed: Condvar,
     balancer: String,
     token: Mutex<Option<String>>,
@@ -234,7 +234,7 @@
     /// An empty catalogue.
     pub fn new(ledger: Option<Arc<Ledger>>) -> Consul {
         let catalogue = Mutex::new(Catalogue { index: 10, ..Catalogue::default() });
-        Consul(Arc::new(Board { catalogue, changed: Condvar::new(), ledger }))
+        Consul(Arc::new(SharedState { catalogue, changed: Condvar::new(), ledger }))
     }
 
     fn change(&self, datacentre: &str, service: &str, change: impl FnOnce(&mut BTreeMap<String, Line>, u64)) {
@@ -422,8 +422,8 @@
         let since: u64 = value("index").and_then(|v| v.parse().ok()).unwrap_or(0);
         let wait = value("wait")
             .and_then(|v| v.strip_suffix("ms")?.parse().ok())
-            .map_or(WAIT_MOST, Duration::from_millis);
-        let until = Instant::now() + (wait + wait / 16).min(WAIT_MOST);
+            .map_or(MAX_WAIT, Duration::from_millis);
+        let until = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
         let mut c = lock(&self.0.catalogue);
         let history = c.history;
         // What is not newer than the index asked for is waited on, also where that is far ahead; data that is lost
@@ -437,7 +437,7 @@
         }
         if at.hushed.load(Ordering::SeqCst) != hushed {
             drop(c);
-            hung_up(stream, WAIT_MOST);
+            hung_up(stream, MAX_WAIT);
             return false;
         }
         let mut fault = *lock(&at.fault);
@@ -526,7 +526,7 @@
     fn note(
         &self,
         at: &AgentState,
-        before: &mut Told,
+        before: &mut ClientView,
         told: BTreeMap<String, State>,
         index: u64,
         history: u64,
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -20,7 +20,7 @@
 /// Long enough for a busy machine, and short enough to be met.
 pub const TTL: Duration = Duration::from_millis(1500);
 /// How long a client's ask may take in a test.
-pub const WITHIN: Duration = Duration::from_secs(15);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Who connects, by the first frame of a connection to a voter, and how many bytes that is.
 pub fn who(first: &[u8]) -> Option<(String, usize)> {
@@ -215,7 +215,7 @@
     pub fn put(&self, key: &str, value: &str) -> RequestOutcome {
         let settings = self.client("hand", true);
         let then = vec![Op::Put { key: key.into(), value: value.into(), ephemeral: false }];
-        run(async move { ClientHandle::spawn(settings).transact(vec![], then, WITHIN).await })
+        run(async move { ClientHandle::spawn(settings).transact(vec![], then, REQUEST_TIMEOUT).await })
     }
 
     /// One read by a client of its own.
@@ -230,7 +230,7 @@
 
     fn read(&self, select: Select) -> Vec<(String, String)> {
         let settings = self.client("eye", false);
-        let told = run(async move { ClientHandle::spawn(settings).read(select, WITHIN).await });
+        let told = run(async move { ClientHandle::spawn(settings).read(select, REQUEST_TIMEOUT).await });
         match told {
             RequestOutcome::Answered(Answer::Values { items, .. }) => {
                 items.into_iter().map(|(key, item)| (key, item.value)).collect()
--- a/crates/verification/testkit/src/discovery.rs
+++ b/crates/verification/testkit/src/discovery.rs
@@ -118,7 +118,7 @@
 
 /// What can be wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ill {
+pub enum DiscoveryFault {
     /// It never comes; the connection stays open.
     Silent,
     /// Half of it comes, and then nothing.
@@ -141,14 +141,14 @@
     /// Whether it answers nobody: what is called meanwhile is never answered.
     deaf: bool,
     /// What is wrong with the next answers.
-    ills: VecDeque<Ill>,
+    ills: VecDeque<DiscoveryFault>,
     /// How long a call that does not go on with a watch takes: these are worked through in turn.
     turn: Duration,
     /// Calls that came, and those that did not go on with a watch.
     calls: (u64, u64),
 }
 
-struct Board {
+struct SharedState {
     view: Mutex<View>,
     changed: Condvar,
     turn: Mutex<()>,
@@ -158,12 +158,12 @@
 /// A registry that keeps a list and answers calls and watches on it, at an address of its own for each balancer, so
 /// that the ledger knows who was told of what.
 #[derive(Clone)]
-pub struct Registry(Arc<Board>);
+pub struct Registry(Arc<SharedState>);
 
 impl Registry {
     /// An empty list.
     pub fn new(ledger: Option<Arc<Ledger>>) -> Registry {
-        Registry(Arc::new(Board {
+        Registry(Arc::new(SharedState {
             view: Mutex::default(),
             changed: Condvar::new(),
             turn: Mutex::new(()),
@@ -208,7 +208,7 @@
     }
 
     /// The next answer, whoever gets it, is ill.
-    pub fn ails(&self, ill: Ill) {
+    pub fn ails(&self, ill: DiscoveryFault) {
         self.view().ills.push_back(ill);
     }
 
@@ -247,7 +247,7 @@
             let (ill, turn) = {
                 let mut view = self.view();
                 view.calls = (view.calls.0 + 1, view.calls.1 + u64::from(!goes_on));
-                let ill = if view.deaf { Some(Ill::Silent) } else { view.ills.pop_front() };
+                let ill = if view.deaf { Some(DiscoveryFault::Silent) } else { view.ills.pop_front() };
                 (ill, view.turn)
             };
             if !goes_on && !turn.is_zero() {
@@ -256,27 +256,28 @@
                 hung_up(stream.get_ref(), turn);
             }
             let (body, told) = match ill {
-                Some(Ill::Silent) => return silent(&mut stream),
-                Some(Ill::HalfClosed) => {
+                Some(DiscoveryFault::Silent) => return silent(&mut stream),
+                Some(DiscoveryFault::HalfClosed) => {
                     let _ = stream.get_ref().shutdown(Shutdown::Write);
                     return silent(&mut stream);
                 }
-                Some(Ill::Reset) => {
+                Some(DiscoveryFault::Reset) => {
                     let _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
                     return;
                 }
-                Some(Ill::Half | Ill::Trickle) | None => match self.answer(call.path()) {
+                Some(DiscoveryFault::Half | DiscoveryFault::Trickle) | None => match self.answer(call.path())
+                {
                     Some(answer) => answer,
                     None => return silent(&mut stream),
                 },
             };
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             match ill {
-                Some(Ill::Half) => {
+                Some(DiscoveryFault::Half) => {
                     let _ = stream.get_mut().write_all(&text.as_bytes()[..text.len() - body.len() / 2]);
                     return silent(&mut stream);
                 }
-                Some(Ill::Trickle) => {
+                Some(DiscoveryFault::Trickle) => {
                     for byte in text.as_bytes() {
                         if stream.get_mut().write_all(&[*byte]).is_err() || hung_up(stream.get_ref(), TRICKLE)
                         {
--- a/crates/verification/testkit/src/faults/link.rs
+++ b/crates/verification/testkit/src/faults/link.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// How often a direction that waits for bytes looks whether its rule has changed.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a process that is reached may take to accept.
 const CONNECT: Duration = Duration::from_secs(5);
 /// Longest first thing that is said.
-const FIRST_MOST: usize = 64 << 10;
+const MAX_FIRST_BYTES: usize = 64 << 10;
 
 /// What becomes of what goes one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -126,7 +126,7 @@
             }
             let n = (&*from).read(&mut byte).ok().filter(|&n| n > 0)?;
             first.extend_from_slice(&byte[..n]);
-            if first.len() > FIRST_MOST {
+            if first.len() > MAX_FIRST_BYTES {
                 return None;
             }
         }
@@ -134,7 +134,7 @@
 
     /// Carries bytes one way until the connection ends.
     fn pump(&self, from: &TcpStream, to: &TcpStream, a: &str, b: &str, mut held: Vec<u8>) {
-        let _ = from.set_read_timeout(Some(LOOK));
+        let _ = from.set_read_timeout(Some(POLL_INTERVAL));
         let mut bytes = vec![0; 16 << 10];
         loop {
             match self.rule(a, b) {
@@ -145,7 +145,7 @@
                 }
                 Rule::Hole if !held.is_empty() => {
                     let rules = self.rules();
-                    drop(self.0.changed.wait_timeout(rules, LOOK));
+                    drop(self.0.changed.wait_timeout(rules, POLL_INTERVAL));
                     if ended(from) && ended(to) {
                         return;
                     }
--- a/crates/verification/testkit/src/faults/script.rs
+++ b/crates/verification/testkit/src/faults/script.rs
@@ -29,14 +29,14 @@
 }
 
 /// Says which script failed if the test ends by a panic.
-pub struct Told<'a, T: Debug> {
+pub struct ReportOnPanic<'a, T: Debug> {
     /// What it was drawn from.
     pub seed: u64,
     /// The steps.
     pub steps: &'a [T],
 }
 
-impl<T: Debug> Drop for Told<'_, T> {
+impl<T: Debug> Drop for ReportOnPanic<'_, T> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("failed with seed {}: {:#?}", self.seed, self.steps);
--- a/crates/verification/testkit/src/fleet.rs
+++ b/crates/verification/testkit/src/fleet.rs
@@ -14,7 +14,7 @@
     "[daemon]\naccepting = \"100ms\"\nserving = \"200ms\"\nlast_answer = \"2s\"\nend = \"3s\"\n";
 
 /// How an instance stands, by its state and process.
-pub type Standing = (String, Option<u32>);
+pub type InstanceLine = (String, Option<u32>);
 
 /// A machine with a supervisor. Dropped, it ends with all its processes.
 pub struct Fleet {
@@ -78,7 +78,7 @@
     }
 
     /// What `fleet status --json` says of each instance: its state and process.
-    pub fn status(&self) -> Vec<Standing> {
+    pub fn status(&self) -> Vec<InstanceLine> {
         let output = self.command(&["status", "--json"]);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(output.status.success(), "{output:?}");
@@ -93,7 +93,7 @@
     }
 
     /// Waits until the states are as wanted.
-    pub fn until(&self, what: &str, wanted: impl Fn(&[Standing]) -> bool) {
+    pub fn until(&self, what: &str, wanted: impl Fn(&[InstanceLine]) -> bool) {
         let started = Instant::now();
         loop {
             let status = self.status();
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -21,15 +21,15 @@
 //! let found = ledger.check(&Figures::default());
 //! assert_eq!(found[0].fault, Fault::RefusedAfterRunning);
 //! ```
-pub use invariants::{Cold, Effect, Fault, Figures, Rule, Scope, State};
-use invariants::{News, Story, Warming};
+pub use invariants::{Breach, Cold, Effect, Rule, RuleParameters, Scope, State};
+use invariants::{NotificationDeadline, RequestHistory, Warming};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// Most entries that a ledger holds; a check of one that was told more says so.
-pub const ENTRIES_MOST: usize = 1 << 20;
+pub const MAX_ENTRIES: usize = 1 << 20;
 
 /// Something that happened.
 #[derive(Clone, Debug)]
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// How.
-    pub fault: Fault,
+    pub fault: Breach,
     /// When.
     pub at: Duration,
     /// The request or the upstream.
@@ -146,9 +146,9 @@
 }
 
 impl Ledger {
-    /// An empty ledger for [`ENTRIES_MOST`] entries.
+    /// An empty ledger for [`MAX_ENTRIES`] entries.
     pub fn new() -> Ledger {
-        Ledger::with_room(ENTRIES_MOST)
+        Ledger::with_room(MAX_ENTRIES)
     }
 
     /// An empty ledger for so many entries.
@@ -194,23 +194,23 @@
 
     /// Checks the four rules over all entries. To be called once nothing is under way any more: a request without
     /// an answer counts as lost, however long its caller would still wait.
-    pub fn check(&self, figures: &Figures) -> Vec<Violation> {
+    pub fn check(&self, figures: &RuleParameters) -> Vec<Violation> {
         let books = self.books();
         let mut records: Vec<&Record> = books.records.iter().collect();
         records.sort_by_key(|r| r.at);
         let mut found = Vec::new();
         if books.dropped > 0 {
             let whose = format!("{} entries found no room", books.dropped);
-            found.push(Violation { fault: Fault::LedgerFull, at: self.now(), whose });
+            found.push(Violation { fault: Breach::LedgerFull, at: self.now(), whose });
         }
-        let mut news: HashMap<(&str, &str), News> = HashMap::new();
+        let mut news: HashMap<(&str, &str), NotificationDeadline> = HashMap::new();
         // The story of each request, and who took it.
-        let mut stories: BTreeMap<&str, (Story, &str)> = BTreeMap::new();
+        let mut stories: BTreeMap<&str, (RequestHistory, &str)> = BTreeMap::new();
         let mut warming: HashMap<&str, Warming> = HashMap::new();
         for r in &records {
             match &r.entry {
                 Entry::Sent { request, balancer, effect, patience } => {
-                    let fresh = || (Story::new(r.at, *effect, *patience), balancer.as_str());
+                    let fresh = || (RequestHistory::new(r.at, *effect, *patience), balancer.as_str());
                     let (story, took) = stories.entry(request).or_insert_with(fresh);
                     // On another connection: whoever has it now owes the answer.
                     (story.excused, *took) = (false, balancer);
@@ -241,7 +241,7 @@
                     if let Some((at, sum)) = pushed {
                         let whose =
                             format!("upstream {upstream}, sent {sum:?} of work in {:?}", figures.cold_span);
-                        found.push(Violation { fault: Fault::ColdPushedOver, at, whose });
+                        found.push(Violation { fault: Breach::ColdPushedOver, at, whose });
                     }
                 }
                 Entry::Told { balancer, upstream, state } => {
--- a/crates/verification/testkit/src/message.rs
+++ b/crates/verification/testkit/src/message.rs
@@ -2,9 +2,9 @@
 use std::io::{BufRead, Read};
 
 /// Longest line, most lines and largest body that are read: a peer under test that goes beyond has failed.
-const LINE_MOST: u64 = 128 << 10;
-const LINES_MOST: usize = 1000;
-const BODY_MOST: usize = 64 << 20;
+const MAX_LINE_BYTES: u64 = 128 << 10;
+const MAX_LINES: usize = 1000;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A request or an answer.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
 
 fn line(stream: &mut impl BufRead) -> Option<String> {
     let mut line = Vec::new();
-    stream.take(LINE_MOST).read_until(b'\n', &mut line).ok()?;
+    stream.take(MAX_LINE_BYTES).read_until(b'\n', &mut line).ok()?;
     line.ends_with(b"\n").then(|| String::from_utf8_lossy(&line).trim_end().to_string())
 }
 
@@ -51,14 +51,14 @@
     loop {
         let line = line(stream)?;
         match line.split_once(':') {
-            Some(_) if message.headers.len() >= LINES_MOST => return None,
+            Some(_) if message.headers.len() >= MAX_LINES => return None,
             Some((name, value)) => message.headers.push((name.into(), value.trim().into())),
             None => break,
         }
     }
     head(&message);
     let length = message.header("content-length").map_or(Some(0), |l| l.parse().ok())?;
-    if length > BODY_MOST {
+    if length > MAX_BODY_BYTES {
         return None;
     }
     message.body.resize(length, 0);
--- a/crates/verification/testkit/src/plain.rs
+++ b/crates/verification/testkit/src/plain.rs
@@ -13,7 +13,7 @@
 
 /// What they met.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Met {
+pub struct Tally {
     /// Requests served.
     pub served: u64,
     /// Requests with another answer.
@@ -26,15 +26,15 @@
     pub crossed: u64,
 }
 
-impl Met {
+impl Tally {
     /// Everything that no caller should meet in a take-over.
     pub fn failed(&self) -> u64 {
         self.other + self.unconnected + self.cut_off + self.crossed
     }
 }
 
-impl AddAssign for Met {
-    fn add_assign(&mut self, more: Met) {
+impl AddAssign for Tally {
+    fn add_assign(&mut self, more: Tally) {
         self.served += more.served;
         self.other += more.other;
         self.unconnected += more.unconnected;
@@ -61,8 +61,8 @@
 impl Plain {
     /// Calls, one request after another, until told to stop. Requests are of class `pay` and tenant `club`, which must
     /// not run twice.
-    pub fn call(self, ledger: &Arc<Ledger>, stop: &AtomicBool) -> Met {
-        let (mut met, mut kept) = (Met::default(), None::<BufReader<TcpStream>>);
+    pub fn call(self, ledger: &Arc<Ledger>, stop: &AtomicBool) -> Tally {
+        let (mut met, mut kept) = (Tally::default(), None::<BufReader<TcpStream>>);
         for step in 0.. {
             if stop.load(Ordering::SeqCst) {
                 break;
@@ -115,7 +115,7 @@
 }
 
 /// Has these call, each in a thread, while `act` goes on; what they met, summed up.
-pub fn calling<T>(callers: &[Plain], ledger: &Arc<Ledger>, act: impl FnOnce() -> T) -> (T, Met) {
+pub fn calling<T>(callers: &[Plain], ledger: &Arc<Ledger>, act: impl FnOnce() -> T) -> (T, Tally) {
     /// Ends the callers, also when what was done meanwhile has failed: nothing would end them otherwise.
     struct Stop<'a>(&'a AtomicBool);
     impl Drop for Stop<'_> {
@@ -134,7 +134,7 @@
             let _stop = Stop(&stop);
             act()
         };
-        let mut all = Met::default();
+        let mut all = Tally::default();
         for caller in running {
             all += caller.join().expect("a caller does not panic");
         }
--- a/crates/verification/testkit/src/process.rs
+++ b/crates/verification/testkit/src/process.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// Most lines of a log that are kept; later ones are read and dropped, which the last line says.
-const LOG_MOST: usize = 10_000;
+const MAX_LOG_LINES: usize = 10_000;
 /// That line.
 const CUT: &str = "(the log goes on, and is not kept any further)";
 
@@ -49,8 +49,8 @@
             for line in lines.lines().map_while(Result::ok).filter(|line| keeps(line)) {
                 let mut held = kept.lines();
                 match held.0.len() {
-                    n if n < LOG_MOST => held.0.push(line),
-                    LOG_MOST => held.0.push(CUT.into()),
+                    n if n < MAX_LOG_LINES => held.0.push(line),
+                    MAX_LOG_LINES => held.0.push(CUT.into()),
                     _ => continue,
                 }
                 kept.more.notify_all();
--- a/crates/verification/testkit/src/upstream.rs
+++ b/crates/verification/testkit/src/upstream.rs
@@ -60,7 +60,7 @@
 
 /// What an upstream saw.
 #[derive(Debug)]
-pub enum Seen {
+pub enum ObservedRequest {
     /// A whole request.
     Request(Message),
     /// A connection has been closed, by either side.
@@ -105,13 +105,13 @@
 
 /// Most entries that [`Upstream::seen`] holds before what is seen is only counted: a test that reads none of it can
 /// run for long.
-const SEEN_MOST: usize = 10_000;
+const MAX_OBSERVED: usize = 10_000;
 
 struct Shared {
     options: Options,
     behaviour: Box<dyn Fn(&Message) -> Then + Send + Sync>,
     started: Instant,
-    tell: Sender<Seen>,
+    tell: Sender<ObservedRequest>,
     told: AtomicUsize,
     /// Requests that work or wait for a core, and those that work.
     busy: Mutex<(usize, usize)>,
@@ -129,7 +129,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// What it saw, in order.
-    pub seen: Receiver<Seen>,
+    pub seen: Receiver<ObservedRequest>,
     /// How many connections were made to it.
     pub connections: Arc<AtomicUsize>,
     listener: Arc<TcpListener>,
@@ -137,9 +137,9 @@
 }
 
 /// The stream of one connection, of which the upstream keeps a weak hold.
-struct Held(Arc<TcpStream>);
+struct HeldConnection(Arc<TcpStream>);
 
-impl Read for Held {
+impl Read for HeldConnection {
     fn read(&mut self, buf: &mut [u8]) -> std::io::Result<usize> {
         (&*self.0).read(buf)
     }
@@ -214,20 +214,23 @@
     pub fn request(&self) -> Message {
         loop {
             match self.seen.recv_timeout(PATIENCE).expect("a request at the upstream") {
-                Seen::Request(m) => return m,
-                Seen::Closed => {}
+                ObservedRequest::Request(m) => return m,
+                ObservedRequest::Closed => {}
             }
         }
     }
 
     /// Waits until a connection has been closed.
     pub fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+        while !matches!(
+            self.seen.recv_timeout(PATIENCE).expect("a closed connection"),
+            ObservedRequest::Closed
+        ) {}
     }
 
     /// How many further requests have come.
     pub fn further(&self) -> usize {
-        self.seen.try_iter().filter(|s| matches!(s, Seen::Request(_))).count()
+        self.seen.try_iter().filter(|s| matches!(s, ObservedRequest::Request(_))).count()
     }
 
     /// How many requests [`Then::Work`] holds: those that it works on and those that wait for a core.
@@ -256,8 +259,8 @@
 }
 
 impl Shared {
-    fn tell(&self, seen: Seen) {
-        if self.told.fetch_add(1, Ordering::SeqCst) < SEEN_MOST {
+    fn tell(&self, seen: ObservedRequest) {
+        if self.told.fetch_add(1, Ordering::SeqCst) < MAX_OBSERVED {
             let _ = self.tell.send(seen);
         }
     }
@@ -302,7 +305,7 @@
     fn write(&mut self, text: &str, whole: bool) -> std::io::Result<()>;
 }
 
-struct Http(BufReader<Held>);
+struct Http(BufReader<HeldConnection>);
 
 impl Speaks for Http {
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message> {
@@ -325,7 +328,7 @@
     } else if at.options.fastcgi {
         converse(crate::fastcgi::Responder::new(stream, 1), at);
     } else {
-        converse(Http(BufReader::new(Held(stream))), at);
+        converse(Http(BufReader::new(HeldConnection(stream))), at);
     }
 }
 
@@ -356,7 +359,7 @@
 fn converse(mut peer: impl Speaks, at: &Shared) {
     while next(&mut peer, at).is_some_and(|message| serve_one(&mut peer, message, at)) {}
     drop(peer);
-    at.tell(Seen::Closed);
+    at.tell(ObservedRequest::Closed);
 }
 
 /// Each request in a thread of its own; one whose connection is to end ends it for all.
@@ -370,7 +373,7 @@
         });
     }
     drop(peer);
-    at.tell(Seen::Closed);
+    at.tell(ObservedRequest::Closed);
 }
 
 /// Does what it is told with one request; `false`: the connection ends.
@@ -381,7 +384,7 @@
         let group = at.options.group;
         at.write(|upstream| Entry::Executed { upstream, group, request, work });
     };
-    let tell = || at.tell(Seen::Request(message));
+    let tell = || at.tell(ObservedRequest::Request(message));
     if let Then::Work(time, text) = then {
         tell();
         let done = at.work(time, || executed(time));
--- a/crates/verification/testkit/src/watcher.rs
+++ b/crates/verification/testkit/src/watcher.rs
@@ -10,7 +10,7 @@
 /// How long a balancer may take to answer before it counts as out.
 const ANSWER: Duration = Duration::from_millis(400);
 /// Samples that are kept.
-const SAMPLES_MOST: usize = 1 << 20;
+const MAX_SAMPLES: usize = 1 << 20;
 
 /// A time in which a balancer was certainly out: between its first and its last sample that said so, with no other between.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,7 +24,7 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observation {
     spans: Vec<Span>,
     /// The span that goes on.
     open: BTreeMap<String, Span>,
@@ -36,7 +36,7 @@
 /// Asks until it is dropped.
 pub struct Watcher {
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<Observation>>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
@@ -53,7 +53,7 @@
 impl Watcher {
     /// Begins with these balancers, all of them in. Each has a thread of its own: one that hangs holds up no other.
     pub fn begin(balancers: &[(String, SocketAddr)]) -> Watcher {
-        let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Seen::default())));
+        let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Observation::default())));
         let began = Instant::now();
         let watch = |(name, addr): &(String, SocketAddr)| {
             let (stop, seen, name, addr) = (stop.clone(), seen.clone(), name.clone(), *addr);
@@ -101,7 +101,7 @@
     }
 }
 
-fn lock(seen: &Mutex<Seen>) -> MutexGuard<'_, Seen> {
+fn lock(seen: &Mutex<Observation>) -> MutexGuard<'_, Observation> {
     seen.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -114,13 +114,13 @@
     spans.iter().map(|s| at(s.from)).max_by_key(Vec::len).unwrap_or_default()
 }
 
-impl Seen {
+impl Observation {
     /// It was asked at one time and has answered, or not, by the other.
     fn note(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
         self.samples += 1;
         if serves {
             if let Some(span) = self.open.remove(name) {
-                if self.spans.len() < SAMPLES_MOST {
+                if self.spans.len() < MAX_SAMPLES {
                     self.spans.push(span);
                 }
             }
@@ -151,7 +151,7 @@
     #[test]
     fn only_what_certainly_overlaps_counts() {
         let ms = Duration::from_millis;
-        let mut seen = Seen::default();
+        let mut seen = Observation::default();
         seen.note("a", ms(0), ms(1), false);
         seen.note("a", ms(10), ms(11), false);
         seen.note("b", ms(11), ms(12), false);
--- a/crates/verification/testkit/tests/ledger.rs
+++ b/crates/verification/testkit/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger on each rule broken once, and on a clean run that looks like trouble.
 use std::time::Duration;
-use testkit::ledger::{Cold, Effect, Entry, Fault, Figures, Ledger, Rule, Scope, State};
+use testkit::ledger::{Breach, Cold, Effect, Entry, Ledger, Rule, RuleParameters, Scope, State};
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -50,38 +50,38 @@
         self.write(at, Entry::Told { balancer: "n1".into(), upstream: upstream.into(), state })
     }
 
-    fn faults(&self) -> Vec<Fault> {
-        self.0.check(&Figures::default()).into_iter().map(|v| v.fault).collect()
+    fn faults(&self) -> Vec<Breach> {
+        self.0.check(&RuleParameters::default()).into_iter().map(|v| v.fault).collect()
     }
 }
 
 #[test]
 fn an_answer_that_never_came_is_lost() {
     let book = Book::new().sent(0, "r", Effect::Safe).ran(10, "s-1", 0, "r");
-    assert_eq!(book.faults(), [Fault::AnswerLost]);
-    assert_eq!(Fault::AnswerLost.rule(), Some(Rule::NoRequestLost));
+    assert_eq!(book.faults(), [Breach::AnswerLost]);
+    assert_eq!(Breach::AnswerLost.rule(), Some(Rule::NoRequestLost));
     // Unless its caller left, or what held it was killed.
     let left = Book::new().sent(0, "r", Effect::Safe).write(9, Entry::Left { request: "r".into() });
     assert_eq!(left.faults(), []);
     let kill = |at| Book::new().sent(5, "r", Effect::Safe).write(at, Entry::Killed { balancer: "n1".into() });
     assert_eq!(kill(9).faults(), []);
-    assert_eq!(kill(1).faults(), [Fault::AnswerLost], "killed before it took the request");
+    assert_eq!(kill(1).faults(), [Breach::AnswerLost], "killed before it took the request");
 }
 
 #[test]
 fn two_answers_and_late_ones_are_faults() {
     let once = || Book::new().sent(0, "r", Effect::Safe).ran(1, "s-1", 0, "r").answered(9, "r", 200);
     assert_eq!(once().faults(), []);
-    assert_eq!(once().answered(12, "r", 200).faults(), [Fault::TwoAnswers]);
+    assert_eq!(once().answered(12, "r", 200).faults(), [Breach::TwoAnswers]);
     let late = |at| Book::new().sent(0, "r", Effect::Safe).answered(at, "r", 502);
     assert_eq!(late(550).faults(), []);
-    assert_eq!(late(551).faults(), [Fault::AnswerLate]);
+    assert_eq!(late(551).faults(), [Breach::AnswerLate]);
 }
 
 #[test]
 fn what_nobody_worked_on_was_not_served() {
     let book = Book::new().sent(0, "r", Effect::Safe).begun(1, "s-1", "r").answered(9, "r", 200);
-    assert_eq!(book.faults(), [Fault::ServedByNobody]);
+    assert_eq!(book.faults(), [Breach::ServedByNobody]);
 }
 
 #[test]
@@ -94,16 +94,16 @@
             .ran(at, "s-2", 0, "r")
     };
     assert_eq!(answered(59).faults(), []);
-    assert_eq!(answered(60).faults(), [Fault::SentAfterAnswer]);
+    assert_eq!(answered(60).faults(), [Breach::SentAfterAnswer]);
     let left = Book::new().sent(0, "r", Effect::Safe).write(5, Entry::Left { request: "r".into() });
-    assert_eq!(left.begun(90, "s-1", "r").faults(), [Fault::SentAfterAnswer]);
+    assert_eq!(left.begun(90, "s-1", "r").faults(), [Breach::SentAfterAnswer]);
 }
 
 #[test]
 fn an_unsafe_request_runs_once() {
     let book = Book::new().sent(0, "r", Effect::Unsafe).ran(1, "s-1", 0, "r").ran(5, "s-1", 0, "r");
-    assert_eq!(book.answered(9, "r", 200).faults(), [Fault::UnsafeRepeated]);
-    assert_eq!(Fault::UnsafeRepeated.rule(), Some(Rule::NoEffectTwice));
+    assert_eq!(book.answered(9, "r", 200).faults(), [Breach::UnsafeRepeated]);
+    assert_eq!(Breach::UnsafeRepeated.rule(), Some(Rule::NoEffectTwice));
 }
 
 #[test]
@@ -112,13 +112,13 @@
         let book = Book::new().sent(0, "r", Effect::Keyed).ran(1, "s-1", 3, "r").ran(at, "s-2", group, "r");
         book.answered(9, "r", 502)
     };
-    let long = Figures { slack: ms(9000), ..Figures::default() };
+    let long = RuleParameters { slack: ms(9000), ..RuleParameters::default() };
     assert_eq!(again(5, 3).faults(), []);
-    assert_eq!(again(5, 4).faults(), [Fault::KeyedOutsideGroup]);
+    assert_eq!(again(5, 4).faults(), [Breach::KeyedOutsideGroup]);
     // So late that its answer has come long ago, too.
-    assert_eq!(again(4052, 3).faults(), [Fault::SentAfterAnswer, Fault::KeyedOutsideWindow]);
+    assert_eq!(again(4052, 3).faults(), [Breach::SentAfterAnswer, Breach::KeyedOutsideWindow]);
     assert!(again(4052, 3).0.check(&long).is_empty());
-    let all = Figures { scope: Scope::All, ..Figures::default() };
+    let all = RuleParameters { scope: Scope::All, ..RuleParameters::default() };
     assert!(again(5, 4).0.check(&all).is_empty(), "where all drop repeats the group is no matter");
 }
 
@@ -126,13 +126,13 @@
 fn a_refusal_is_a_promise() {
     let refused = |effect| Book::new().sent(0, "r", effect).ran(1, "s-1", 0, "r").answered(9, "r", 503);
     assert_eq!(refused(Effect::Safe).faults(), []);
-    assert_eq!(refused(Effect::Unsafe).faults(), [Fault::RefusedAfterRunning]);
-    assert_eq!(refused(Effect::Keyed).faults(), [Fault::RefusedAfterRunning]);
-    let all = Figures { scope: Scope::All, ..Figures::default() };
+    assert_eq!(refused(Effect::Unsafe).faults(), [Breach::RefusedAfterRunning]);
+    assert_eq!(refused(Effect::Keyed).faults(), [Breach::RefusedAfterRunning]);
+    let all = RuleParameters { scope: Scope::All, ..RuleParameters::default() };
     assert!(refused(Effect::Keyed).0.check(&all).is_empty());
     // It may yet run: an attempt that was under way when the refusal was given.
     let later = Book::new().sent(0, "r", Effect::Unsafe).answered(9, "r", 503).ran(12, "s-1", 0, "r");
-    assert_eq!(later.faults(), [Fault::RefusedAfterRunning]);
+    assert_eq!(later.faults(), [Breach::RefusedAfterRunning]);
     let declined = Book::new().sent(0, "r", Effect::Unsafe).begun(1, "s-1", "r").answered(9, "r", 503);
     assert_eq!(declined.faults(), [], "turned away unseen");
 }
@@ -144,8 +144,8 @@
     };
     let drains = || Book::new().told(100, "s-1", State::Closed);
     assert_eq!(send(1150, drains()), []);
-    assert_eq!(send(1151, drains()), [Fault::SentAfterGrace]);
-    assert_eq!(send(1151, drains().told(900, "s-1", State::Closed)), [Fault::SentAfterGrace], "first news");
+    assert_eq!(send(1151, drains()), [Breach::SentAfterGrace]);
+    assert_eq!(send(1151, drains().told(900, "s-1", State::Closed)), [Breach::SentAfterGrace], "first news");
     assert_eq!(send(1151, drains().told(900, "s-1", State::Ready)), []);
     assert_eq!(send(1151, Book::new().told(100, "s-2", State::Closed)), [], "another upstream");
 }
@@ -164,10 +164,10 @@
         book.faults()
     };
     assert_eq!(burst(0, 24), []);
-    assert_eq!(burst(0, 25), [Fault::ColdPushedOver]);
+    assert_eq!(burst(0, 25), [Breach::ColdPushedOver]);
     assert_eq!(burst(5000, 25), [], "warmer by then");
     assert_eq!(burst(10_000, 99), [], "warm");
-    assert_eq!(Fault::ColdPushedOver.rule(), Some(Rule::ColdNotPushedOver));
+    assert_eq!(Breach::ColdPushedOver.rule(), Some(Rule::ColdNotPushedOver));
 }
 
 #[test]
@@ -205,7 +205,7 @@
         .sent(4000, "f", Effect::Safe)
         .ran(4001, "s-3", 0, "f")
         .answered(4002, "f", 200);
-    assert_eq!(book.0.check(&Figures::default()), []);
+    assert_eq!(book.0.check(&RuleParameters::default()), []);
 }
 
 /// Guards against a verdict over books that are not whole.
@@ -213,6 +213,6 @@
 fn a_ledger_that_is_full_says_so() {
     let book = Book(Ledger::with_room(2));
     let book = book.sent(0, "r", Effect::Safe).answered(1, "r", 502).sent(2, "s", Effect::Safe);
-    assert_eq!(book.faults(), [Fault::LedgerFull]);
-    assert_eq!(Fault::LedgerFull.rule(), None);
+    assert_eq!(book.faults(), [Breach::LedgerFull]);
+    assert_eq!(Breach::LedgerFull.rule(), None);
 }
--- a/crates/verification/testkit/tests/standins.rs
+++ b/crates/verification/testkit/tests/standins.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use testkit::caller::{Caller, Client, Operation, Outcome};
 use testkit::discovery::{Listed, Registry};
-use testkit::ledger::{Effect, Entry, Fault, Figures, Ledger};
+use testkit::ledger::{Breach, Effect, Entry, Ledger, RuleParameters};
 use testkit::message::{get, ok_text, read};
 use testkit::script::Script;
 use testkit::upstream::{ok, status, Options, Then, Upstream};
@@ -54,7 +54,7 @@
     let upstream = kept(&ledger, Script::new().for_ever(Then::declined));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Unsafe));
     assert_eq!((done.outcome, done.tries), (Outcome::Refused, 4), "a first try and three more");
-    assert_eq!(ledger.check(&Figures::default()), []);
+    assert_eq!(ledger.check(&RuleParameters::default()), []);
 }
 
 /// Guards against a caller that writes a request on a connection whose end has been announced with the answer before
@@ -82,7 +82,7 @@
     let done = caller.call(&operation(Effect::Unsafe));
     assert!(matches!((done.outcome, done.tries), (Outcome::Served { .. }, 1)), "{done:?}");
     old_and_new.join().expect("no panic");
-    assert!(ledger.check(&Figures::default()).iter().all(|v| v.fault != Fault::AnswerLost));
+    assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.fault != Breach::AnswerLost));
 }
 
 /// Guards against a caller that takes a connection closed between two requests for a lost answer.
@@ -96,7 +96,7 @@
         let done = caller.call(&operation(Effect::Unsafe));
         assert!(matches!((done.outcome, done.tries), (Outcome::Served { .. }, 1)), "{done:?}");
     }
-    assert_eq!(ledger.check(&Figures::default()), []);
+    assert_eq!(ledger.check(&RuleParameters::default()), []);
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let brief = Operation { deadline: Duration::from_millis(50), ..operation(Effect::Unsafe) };
     let done = caller(&ledger, &upstream).call(&brief);
     assert_eq!(done.outcome, Outcome::Unanswered);
-    assert_eq!(ledger.check(&Figures::default())[0].fault, Fault::AnswerLost);
+    assert_eq!(ledger.check(&RuleParameters::default())[0].fault, Breach::AnswerLost);
 }
 
 #[test]
