--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -249,7 +249,7 @@
             Step::Call { kind, wait, timeout: patience } => (kind, wait, patience),
             Step::Wait(until) => return NextStep::Wait(until),
         };
-        self.watch.called(now, kind, patience);
+        self.watch.call_sent(now, kind, patience);
         let t = &self.target;
         let what = match self.kind {
             ListKind::Health => "health",
@@ -303,7 +303,7 @@
     ) -> ResponseOutcome {
         match self.judge(now, head, body) {
             Ok(verdict) => {
-                self.watch.answered(now);
+                self.watch.call_succeeded(now);
                 if self.index.is_none() {
                     self.watch.postpone(now + POLL_INTERVAL);
                 }
@@ -312,7 +312,7 @@
             Err(why) => {
                 self.told = false;
                 let asked = Duration::from_secs(head.retry_after.unwrap_or(0)).min(MAX_RETRY_AFTER);
-                self.watch.broke(now, draw);
+                self.watch.call_failed(now, draw);
                 let pause = self.watch.next_call_at().saturating_sub(now);
                 // Jitter on what it asked for as well: all were told the same.
                 self.watch.postpone(now + pause.max(asked + pause.min(asked)));
@@ -327,7 +327,7 @@
     /// No whole answer has come.
     pub fn on_failure(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
         self.told = false;
-        self.watch.broke(now, draw);
+        self.watch.call_failed(now, draw);
         self.agent = (self.agent + 1) % self.agents;
         ResponseOutcome { update: SourceUpdate::Unavailable(why.into()), entry_errors: Vec::new() }
     }
--- a/crates/data-plane/discovery/src/endpoint.rs
+++ b/crates/data-plane/discovery/src/endpoint.rs
@@ -1,27 +1,27 @@
-//! What a source tells: of one member, and of its list.
+//! Reports of sources: one endpoint, and updates of a list of endpoints.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A member's name: the same at every instance, and in every view of the same member that one source has.
+/// Name of an endpoint. It is the same at every instance and in every report of the source.
 pub type Name = Arc<str>;
 
-/// What a source says of a member. The order is that of badness: of several, the worst counts.
+/// State of an endpoint. Ordered by severity: of several reports, the most severe state applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
-    /// It takes new work.
+    /// Accepts new requests.
     #[default]
     Ready,
-    /// Its checks fail: it takes none, though nobody has said that it drains.
+    /// Its health checks fail: it gets no new requests, although it is not draining.
     #[serde(rename = "critical")]
     Unhealthy,
-    /// It finishes what it holds: it takes none.
+    /// Completes its open requests and gets no new ones.
     Draining,
 }
 
-/// What a member speaks.
+/// Protocol that an endpoint speaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointProtocol {
@@ -32,48 +32,48 @@
     FastCgi,
 }
 
-/// One member as a source has it.
+/// Report of a source about one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// Which.
+    /// Name of the endpoint.
     pub name: Name,
-    /// Where it listens, as this instance sees it.
+    /// Address at which it listens, as seen by this instance.
     pub addr: SocketAddr,
-    /// The name of its zone; empty: none.
+    /// Name of its zone; empty if there is none.
     pub zone: Arc<str>,
-    /// The name of its machine kind; empty: none.
+    /// Name of its machine kind; empty if there is none.
     pub kind: Arc<str>,
-    /// The group whose members share the keys that they have seen.
+    /// Its cell: the endpoints of a cell share the deduplication keys that they have seen.
     pub cell: u16,
-    /// What it speaks.
+    /// Protocol that it speaks.
     #[serde(rename = "speaks", default)]
     pub protocol: EndpointProtocol,
-    /// How it stands.
+    /// Its state.
     #[serde(rename = "standing")]
     pub state: EndpointState,
-    /// Why, in a few words, where it does not stand ready.
+    /// Why it is not ready, in a few words; empty if it is ready.
     #[serde(rename = "why")]
     pub reason: Arc<str>,
-    /// When its process last started, in Unix milliseconds; 0: long ago; `None`: the source does not say.
+    /// Start of its process, in Unix milliseconds; 0: long ago; `None`: the source does not report it.
     pub started_ms: Option<f64>,
-    /// Grows with each registration at its source: of two names at one address the one registered last is there.
+    /// Increases with each registration at the source: of two names at one address, the latest registration applies.
     #[serde(rename = "registered")]
     pub registration_index: u64,
-    /// What its owner wrote down of it; as much as Consul takes, 64 keys.
+    /// Metadata of its owner; up to 64 keys, the limit of Consul.
     #[serde(default)]
     pub meta: Meta,
 }
 
-/// What the owner of a member wrote down of it, by key.
+/// Metadata of an endpoint, by key.
 pub type Meta = Arc<BTreeMap<String, String>>;
 
-/// What a source tells of its list.
+/// Update of a source's list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
-    /// The whole list: what it lacks is gone. Obeyed at once, also when it is short or empty.
+    /// The complete list: endpoints that it lacks are removed, also if it is short or empty.
     Full(Vec<EndpointReport>),
-    /// What has changed since: reports that are new or differ, and names that are gone.
+    /// Changes since the last update: new or changed endpoints, and names of removed ones.
     Delta(Vec<EndpointReport>, Vec<Name>),
-    /// Nothing that counts, and why: the list stands as it was.
+    /// No usable update, for this reason: the list stays as it is.
     Unavailable(String),
 }
--- a/crates/data-plane/discovery/src/endpoint_cache.rs
+++ b/crates/data-plane/discovery/src/endpoint_cache.rs
@@ -1,57 +1,69 @@
-//! The last view as it is kept over a restart: what each source told, starts that were heard of, and how far the watches
-//! had come. As JSON; the file around it (checksum, age, version) is the store's.
+//! Serialised endpoint set, kept over a restart: the reports of each source, first-seen times, and the progress of the
+//! watches. Encoded as JSON; checksum, age and version are those of the file that contains it.
+use crate::endpoint::EndpointReport;
 use crate::endpoint_set::{CachedReport, EndpointSet, Source};
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+use thiserror::Error;
 
-/// The form of the content.
+/// Version of the encoding.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// What is kept.
+/// The content is not an encoded endpoint cache.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub struct DecodeError(#[from] serde_json::Error);
+
+/// Content of the cache.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointCache {
-    /// What each source told.
+    /// Reports of all sources.
     pub reports: Vec<CachedReport>,
-    /// When each source last told something that counts, in Unix milliseconds.
+    /// Time of each source's last usable update, in Unix milliseconds.
     #[serde(rename = "told")]
     pub updated: Vec<(Source, f64)>,
-    /// The newest index or version that each source was told.
+    /// Latest index or version of each source's list.
     pub indices: Vec<(Source, u64)>,
 }
 
 impl EndpointCache {
-    /// Of a view, and how far its sources have come.
-    pub fn capture(view: &EndpointSet, indices: Vec<(Source, u64)>) -> EndpointCache {
-        let told = view.sources().filter_map(|(s, told)| Some((s.clone(), told.updated_ms?))).collect();
-        EndpointCache { reports: view.cached_reports().collect(), updated: told, indices }
+    /// The cache of a set, with the latest index or version of each source's list.
+    pub fn capture(endpoints: &EndpointSet, indices: Vec<(Source, u64)>) -> EndpointCache {
+        let updated =
+            endpoints.sources().filter_map(|(source, status)| Some((source.clone(), status.updated_ms?)));
+        EndpointCache { reports: endpoints.cached_reports().collect(), updated: updated.collect(), indices }
     }
 
-    /// Leaves out what sources told longer ago than this, and returns them.
-    pub fn remove_stale(&mut self, now: f64, most: f64) -> Vec<Source> {
-        let young = |s: &Source| self.updated.iter().any(|(t, at)| t == s && now - at <= most);
-        let named: std::collections::BTreeSet<Source> =
-            self.reports.iter().map(|(s, ..)| s.clone()).collect();
-        let old: Vec<Source> = named.into_iter().filter(|s| !young(s)).collect();
-        self.reports.retain(|(s, ..)| !old.contains(s));
-        self.indices.retain(|(s, _)| !old.contains(s));
-        old
+    /// Removes the reports of sources whose last update is more than `max_age_ms` before `now_ms` (Unix milliseconds), and
+    /// returns these sources.
+    pub fn remove_stale(&mut self, now_ms: f64, max_age_ms: f64) -> Vec<Source> {
+        let is_fresh = |source: &Source| {
+            self.updated.iter().any(|(updated, at_ms)| updated == source && now_ms - at_ms <= max_age_ms)
+        };
+        let reporting: BTreeSet<Source> =
+            self.reports.iter().map(|(source, _, _): &(Source, EndpointReport, _)| source.clone()).collect();
+        let stale: Vec<Source> = reporting.into_iter().filter(|source| !is_fresh(source)).collect();
+        self.reports.retain(|(source, ..)| !stale.contains(source));
+        self.indices.retain(|(source, _)| !stale.contains(source));
+        stale
     }
 
-    /// The newest index or version that a source was told.
+    /// Latest index or version of a source's list.
     pub fn index(&self, source: &Source) -> Option<u64> {
-        self.indices.iter().find(|(s, _)| s == source).map(|&(_, index)| index)
+        self.indices.iter().find(|(other, _)| other == source).map(|&(_, index)| index)
     }
 
-    /// As bytes.
+    /// Encodes the cache.
     pub fn encode(&self) -> Vec<u8> {
-        // Numbers and texts only: this can't fail. Nothing at all is found out when it is read.
+        // Cannot fail: numbers and texts only. Empty content would be rejected when it is decoded.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Decodes a cache.
     ///
     /// # Errors
-    /// It can't be read.
-    pub fn decode(bytes: &[u8]) -> Result<EndpointCache, String> {
-        serde_json::from_slice(bytes).map_err(|e| e.to_string())
+    /// The content is not an encoded cache.
+    pub fn decode(bytes: &[u8]) -> Result<EndpointCache, DecodeError> {
+        Ok(serde_json::from_slice(bytes)?)
     }
 }
--- a/crates/data-plane/discovery/src/lib.rs
+++ b/crates/data-plane/discovery/src/lib.rs
@@ -1,15 +1,15 @@
-//! Members of the fleet from any number of sources, merged into one view, without I/O.
+//! Service discovery without I/O: endpoints from several sources, merged into one set.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`endpoint`] | what a source tells of one member, and of its list |
-//! | [`endpoint_set`] | the one view of all sources: the worst counts, and changes come out |
-//! | [`watch`] | when a watch calls, how long a call may wait, when it is given up |
-//! | [`platform`] | the platform's discovery: its answers as reports, and by when what it tells counts |
-//! | [`consul`] | Consul's HTTP API: what to ask next, and what an answer counts as |
-//! | [`endpoint_cache`] | the last view as it is kept over a restart |
+//! | [`endpoint`] | reports of a source about its endpoints |
+//! | [`endpoint_set`] | the set of all sources' endpoints: merges reports and returns the changes |
+//! | [`endpoint_cache`] | serialised endpoint set, kept over a restart |
+//! | [`watch`] | timing of a watch: intervals, long polls, timeouts and backoff |
+//! | [`platform`] | the platform's discovery service: responses, requests and staleness bounds |
+//! | [`consul`] | Consul's HTTP API: requests and the meaning of responses |
 //!
-//! Nothing here reads a clock, a socket or a file: times come in, and what is to be asked comes out.
+//! Nothing here reads a clock, a socket or a file: times are passed in, and requests to be sent are returned.
 pub mod consul;
 pub mod endpoint;
 pub mod endpoint_cache;
--- a/crates/data-plane/discovery/src/platform/watch.rs
+++ b/crates/data-plane/discovery/src/platform/watch.rs
@@ -68,7 +68,7 @@
 
     /// Discovery is elsewhere from now on, where the versions of the old place mean nothing.
     pub fn address_changed(&mut self, now: Duration) {
-        self.watch.moved(now);
+        self.watch.address_changed(now);
         self.version = None;
     }
 
@@ -77,7 +77,7 @@
         match self.watch.step(now, draw, self.version.is_some()) {
             Step::Wait(until) => NextStep::Wait(until),
             Step::Call { kind, wait, timeout: patience } => {
-                self.watch.called(now, kind, patience);
+                self.watch.call_sent(now, kind, patience);
                 let path = match self.version {
                     Some(v) => format!("/api/targets?since={v}&timeout_ms={}", wait.as_millis()),
                     None => "/api/targets".to_string(),
@@ -112,7 +112,7 @@
             return ResponseOutcome { update: news, entry_errors: faults, ..failed };
         }
         self.version = Some(version);
-        self.watch.answered(now);
+        self.watch.call_succeeded(now);
         let answers = std::mem::take(&mut self.answers);
         ResponseOutcome {
             update: news,
@@ -124,7 +124,7 @@
 
     /// No whole answer has come.
     pub fn on_failure(&mut self, now: Duration, why: &str, draw: f64) -> ResponseOutcome {
-        self.watch.broke(now, draw);
+        self.watch.call_failed(now, draw);
         let news = SourceUpdate::Unavailable(why.into());
         ResponseOutcome {
             update: news,
--- a/crates/data-plane/discovery/src/watch.rs
+++ b/crates/data-plane/discovery/src/watch.rs
@@ -1,87 +1,87 @@
-//! When a watch calls, how long each call may wait for news, when it is given up, and by when the list that it keeps
-//! counts as stale: the same for every registry. What is asked and what an answer says is the registry's own matter
-//! ([`crate::platform`], [`crate::consul`]). Without I/O: whoever drives it has the clock and draws the numbers.
+//! Timing of a watch on a list, common to all registries: when the next request is sent, how long it may wait for changes,
+//! when it times out, and when a failed one is retried. Requests and responses are defined by each registry
+//! ([`crate::platform`], [`crate::consul`]). Without I/O: the driver passes the time and random numbers in.
 //!
-//! A watch that falls silent shows nothing until its wait is over. So waits are short enough that what a silent one
-//! missed has been read before anyone may count it as told ([`crate::platform::staleness`] has the reckoning), each is drawn
-//! anew, and one that broke is opened again by itself, after a drawn pause: instances whose watches break in one moment do
-//! not all come back in one.
+//! A watch whose connection falls silent returns nothing until its wait has passed. Waits are therefore short enough that
+//! missed changes are read within the staleness bound ([`crate::platform::staleness`] has the calculation). Each wait has
+//! jitter, and a broken watch is reopened after a random delay, so that instances whose watches break at the same time do
+//! not all reconnect at the same time.
 use backoff::Backoff;
 use std::time::Duration;
 
-/// How a watch goes about it.
+/// Intervals, waits and timeouts of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchTiming {
-    /// The longest wait for news that a call of a standing watch asks for; each asks for half of it to all of it.
+    /// Longest wait for changes of a long poll; each one waits for half of it to all of it.
     pub max_wait: Duration,
-    /// Beyond its wait such a call gets this long until its answer is whole.
+    /// Time beyond its wait that a long poll has until its response is complete.
     pub response_timeout: Duration,
-    /// What the other side may add to a wait, as a part of it: one in so many; `None`: nothing.
+    /// The registry may extend a wait by one part in this many; `None`: it does not.
     pub wait_extension_divisor: Option<u32>,
-    /// The wait of the call that opens a watch. Short: how long the queue at the registry is does not show otherwise.
+    /// Wait of the request that opens a watch. Short, so that the length of the registry's queue shows.
     pub open_wait: Duration,
-    /// How long that call gets, the queue included.
+    /// Timeout of the request that opens a watch, including the time in the registry's queue.
     pub open_timeout: Duration,
-    /// How long a call for the whole list gets, the queue included.
+    /// Timeout of a request for the full list, including the time in the registry's queue.
     pub full_list_timeout: Duration,
-    /// Both double with each such call that is not answered in time, up to this: giving up calls that were about to be
-    /// answered, again and again, would keep a slow registry busy with what nobody waits for.
+    /// Upper bound to which these two timeouts double with each one that expires: a slow registry would otherwise be busy
+    /// with requests that have timed out.
     pub max_timeout: Duration,
-    /// The longest first pause after a call that brought nothing, and before a watch that broke is opened again; it doubles
-    /// with each further one.
+    /// Longest first delay after a failure; it doubles with each consecutive failure.
     pub initial_backoff: Duration,
-    /// The longest of these.
+    /// Upper bound of the delay after a failure of an established watch, or after a change of the registry's address.
     pub max_backoff: Duration,
-    /// The longest after calls that were turned away while no watch stood, and nothing had moved.
+    /// Upper bound of the delay after a failure while no watch is established and the address has not changed.
     pub max_rejected_backoff: Duration,
-    /// The least time between an answer that told something and the next call.
+    /// Minimum time between a response and the next request.
     pub min_interval: Duration,
-    /// A watch stands for so long after an answer; a later call opens another.
+    /// Maximum time between a response and the next long poll; after a longer gap the watch is opened anew.
     pub max_gap: Duration,
-    /// Where one registry works through the calls of all instances in turn: how far apart calls are that fail while no
-    /// watch stands. `None`: by the pauses above.
+    /// Spreading of retries where a registry handles the requests of all instances one by one; `None`: retries follow the
+    /// backoff alone.
     pub retry_spread: Option<RetrySpread>,
 }
 
-/// When the next call is made after one that waited and failed while no watch stood, counted from that one's beginning: drawn
-/// between two bounds, and within what is left until the list must have been read. Guards against instances that come back so soon,
-/// and so many of them, that the registry's queue stays full of calls that wait in vain.
+/// Time of the retry after a request that waited and failed while no watch was established, counted from the start of
+/// that request: random between two bounds, within the time that is left until the list must have been read. Guards
+/// against retries that keep the registry's queue full of requests that time out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySpread {
-    /// At the earliest, where there is time.
+    /// Earliest retry, if the remaining time allows.
     pub min_delay: Duration,
-    /// What a watch missed must have been read so long after it broke, or after its last call if that fell silent.
+    /// Time after which a missed change must have been read, counted from the break of the watch, or from the start of
+    /// its last request if that timed out.
     pub read_deadline: Duration,
-    /// And so long after the list has moved.
+    /// The same, counted from a change of the registry's address.
     pub moved_read_deadline: Duration,
-    /// The part of that which is left for the last answer, and the least in which calls are spread. A call that failed sooner
-    /// has not waited.
+    /// Part of the remaining time that is reserved for the last response, and the shortest range over which retries are
+    /// spread. A request that failed sooner has not waited in the queue.
     pub response_reserve: Duration,
 }
 
-/// What a call is for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// The whole list; waits for nothing.
+    /// Requests the full list, without a wait.
     FullList,
-    /// What has changed; opens a watch.
+    /// Opens a watch: requests the changes since a known version or index.
     OpenWatch,
-    /// What changes; goes on with a watch that stands.
+    /// Continues an established watch.
     LongPoll,
 }
 
-/// What to do now.
+/// What the driver has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing, until then.
+    /// Nothing until this time.
     Wait(Duration),
-    /// Call, and say how it ended.
+    /// Send a request and report its result.
     Call {
-        /// What for.
+        /// Kind of the request.
         kind: CallKind,
-        /// How long the call may wait for news.
+        /// Time that the request waits for changes.
         wait: Duration,
-        /// How long it may take until its answer is whole.
+        /// Time until its response must be complete.
         timeout: Duration,
     },
 }
@@ -92,137 +92,163 @@
     Established,
 }
 
-/// See the module's page. Times are spans since any fixed moment, and never go back.
+/// The last request.
+#[derive(Clone, Copy, Debug)]
+struct SentCall {
+    kind: CallKind,
+    started_at: Duration,
+    deadline: Duration,
+}
+
+/// Timing state of a watch. Times are durations since any fixed moment and must not decrease.
 #[derive(Debug)]
 pub struct Watch {
-    plan: WatchTiming,
+    timing: WatchTiming,
     phase: Phase,
-    /// It has moved, and nothing has been answered since.
-    moved: bool,
-    /// What was missed must have been read by then.
-    read_by: Duration,
+    /// The registry's address has changed, and no response has come since.
+    address_changed: bool,
+    /// Time by which missed changes must have been read.
+    read_deadline: Duration,
     next_call_at: Duration,
-    /// The last call: its kind, when it was made, and when it is given up.
-    called: Option<(CallKind, Duration, Duration)>,
-    /// Calls in a row, not of a standing watch, that were not answered in time.
-    unanswered: u32,
-    /// When the last answer came.
-    answered: Duration,
-    again: Backoff,
+    last_call: Option<SentCall>,
+    /// Consecutive requests other than long polls that timed out.
+    timeouts: u32,
+    last_response_at: Duration,
+    backoff: Backoff,
 }
 
 impl Watch {
-    /// A watch that begins at once.
-    pub fn new(plan: WatchTiming) -> Watch {
-        let again = Backoff::new(plan.initial_backoff, plan.max_backoff.max(plan.max_rejected_backoff));
-        let (due, answered) = (Duration::ZERO, Duration::ZERO);
-        let read_by = plan.retry_spread.map_or(Duration::ZERO, |spread| spread.read_deadline);
+    /// A watch whose first request is due at once.
+    pub fn new(timing: WatchTiming) -> Watch {
+        let backoff =
+            Backoff::new(timing.initial_backoff, timing.max_backoff.max(timing.max_rejected_backoff));
+        let read_deadline = timing.retry_spread.map_or(Duration::ZERO, |spread| spread.read_deadline);
         Watch {
-            plan,
+            timing,
             phase: Phase::Opening,
-            moved: false,
-            read_by,
-            next_call_at: due,
-            called: None,
-            unanswered: 0,
-            answered,
-            again,
+            address_changed: false,
+            read_deadline,
+            next_call_at: Duration::ZERO,
+            last_call: None,
+            timeouts: 0,
+            last_response_at: Duration::ZERO,
+            backoff,
         }
     }
 
-    /// The list is elsewhere from now on: whatever stood stands no more, and it is asked for at once.
-    pub fn moved(&mut self, now: Duration) {
-        (self.phase, self.next_call_at, self.moved) = (Phase::Opening, now, true);
-        self.read_by =
-            now + self.plan.retry_spread.map_or(Duration::ZERO, |spread| spread.moved_read_deadline);
-        self.again.reset();
+    /// The registry's address has changed: no watch is established any more, and the next request is due at once.
+    pub fn address_changed(&mut self, now: Duration) {
+        self.phase = Phase::Opening;
+        self.next_call_at = now;
+        self.address_changed = true;
+        let read_within =
+            self.timing.retry_spread.map_or(Duration::ZERO, |spread| spread.moved_read_deadline);
+        self.read_deadline = now + read_within;
+        self.backoff.reset();
     }
 
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub fn failures(&self) -> u32 {
-        self.again.failures()
+        self.backoff.failures()
     }
 
-    /// What to do now. `draw`, from 0 to 1, spreads the waits of many instances. `knows`: something that later changes
-    /// can be asked for by.
-    pub fn step(&self, now: Duration, draw: f64, knows: bool) -> Step {
-        let plan = &self.plan;
+    /// The next step. `draw`, from 0 to 1, is the jitter of the wait. `has_position`: a version or index is known since
+    /// which changes can be requested.
+    pub fn step(&self, now: Duration, draw: f64, has_position: bool) -> Step {
+        let timing = &self.timing;
         if now < self.next_call_at {
             return Step::Wait(self.next_call_at);
         }
-        let patient =
-            |least: Duration| backoff::exponential_delay(least, plan.max_timeout.max(least), self.unanswered);
-        if !knows {
-            return Step::Call {
-                kind: CallKind::FullList,
-                wait: Duration::ZERO,
-                timeout: patient(plan.full_list_timeout),
-            };
+        if !has_position {
+            let timeout = self.extended_timeout(timing.full_list_timeout);
+            return Step::Call { kind: CallKind::FullList, wait: Duration::ZERO, timeout };
         }
-        if self.phase == Phase::Established && now.saturating_sub(self.answered) <= plan.max_gap {
-            let wait = backoff::with_jitter(plan.max_wait, draw);
-            let late = plan.wait_extension_divisor.map_or(Duration::ZERO, |part| wait / part.max(1));
-            return Step::Call {
-                kind: CallKind::LongPoll,
-                wait,
-                timeout: wait + late + plan.response_timeout,
-            };
+        let gap = now.saturating_sub(self.last_response_at);
+        if self.phase == Phase::Established && gap <= timing.max_gap {
+            let wait = backoff::with_jitter(timing.max_wait, draw);
+            let extension =
+                timing.wait_extension_divisor.map_or(Duration::ZERO, |divisor| wait / divisor.max(1));
+            let timeout = wait + extension + timing.response_timeout;
+            return Step::Call { kind: CallKind::LongPoll, wait, timeout };
         }
-        Step::Call { kind: CallKind::OpenWatch, wait: plan.open_wait, timeout: patient(plan.open_timeout) }
+        let timeout = self.extended_timeout(timing.open_timeout);
+        Step::Call { kind: CallKind::OpenWatch, wait: timing.open_wait, timeout }
     }
 
-    /// The call that [`Watch::step`] asked for has been made.
-    pub fn called(&mut self, now: Duration, kind: CallKind, patience: Duration) {
-        self.called = Some((kind, now, now + patience));
+    /// A timeout, doubled for each consecutive one that expired.
+    fn extended_timeout(&self, timeout: Duration) -> Duration {
+        backoff::exponential_delay(timeout, self.timing.max_timeout.max(timeout), self.timeouts)
     }
 
-    /// It was answered, with news or without.
-    pub fn answered(&mut self, now: Duration) {
-        // A watch that is opened and breaks, again and again, has not worked.
-        if matches!(self.called, Some((CallKind::LongPoll | CallKind::FullList, ..))) {
-            self.again.reset();
-        }
-        self.unanswered = 0;
-        self.moved = false;
-        (self.phase, self.answered, self.next_call_at) =
-            (Phase::Established, now, now + self.plan.min_interval);
+    /// The request of [`Watch::step`] was sent.
+    pub fn call_sent(&mut self, now: Duration, kind: CallKind, timeout: Duration) {
+        self.last_call = Some(SentCall { kind, started_at: now, deadline: now + timeout });
     }
 
-    /// It brought nothing: no answer in time, a broken connection, or an answer that can't be used.
-    pub fn broke(&mut self, now: Duration, draw: f64) {
-        let stood = self.phase == Phase::Established;
-        if self.called.is_some_and(|(kind, _, until)| kind != CallKind::LongPoll && now >= until) {
-            self.unanswered = self.unanswered.saturating_add(1);
+    /// The request was answered, with or without changes.
+    pub fn call_succeeded(&mut self, now: Duration) {
+        // Opening a watch that then breaks is no success.
+        let kind = self.last_call.map(|call| call.kind);
+        if matches!(kind, Some(CallKind::LongPoll | CallKind::FullList)) {
+            self.backoff.reset();
         }
-        let after = match (self.plan.retry_spread, self.called) {
-            (Some(spread), Some((_, begun, until))) if stood => {
-                self.read_by = if now >= until { begun } else { now } + spread.read_deadline;
-                Duration::ZERO
-            }
-            // Turned away at once: that cost the registry nothing, and its queue moves on.
-            (Some(spread), Some((_, begun, _))) if now < begun + spread.response_reserve => Duration::ZERO,
-            (Some(spread), Some((_, begun, _))) => {
-                let left = self.read_by.saturating_sub(begun + spread.response_reserve);
-                // Too late for what was missed: what changes from now on has as long again.
-                let again = spread.read_deadline.saturating_sub(spread.response_reserve);
-                let most = if left < spread.response_reserve { again } else { left.min(again) };
-                let least = spread.min_delay.min(most);
-                begun + least + (most - least).mul_f64(backoff::clamp_draw(draw))
+        self.timeouts = 0;
+        self.address_changed = false;
+        self.phase = Phase::Established;
+        self.last_response_at = now;
+        self.next_call_at = now + self.timing.min_interval;
+    }
+
+    /// The request failed: it timed out, its connection broke, or the response is not usable. `draw`, from 0 to 1, is the
+    /// jitter of the delay.
+    pub fn call_failed(&mut self, now: Duration, draw: f64) {
+        let was_established = self.phase == Phase::Established;
+        if let Some(call) = self.last_call {
+            if call.kind != CallKind::LongPoll && now >= call.deadline {
+                self.timeouts = self.timeouts.saturating_add(1);
             }
+        }
+        let spread_until = match (self.timing.retry_spread, self.last_call) {
+            (Some(spread), Some(call)) => self.spread_retry(now, draw, spread, call),
             _ => Duration::ZERO,
         };
-        let most = if stood || self.moved { self.plan.max_backoff } else { self.plan.max_rejected_backoff };
-        let pause = self.again.next_delay(draw).min(backoff::with_jitter(most, draw));
-        (self.phase, self.next_call_at) = (Phase::Opening, after.max(now + pause));
+        let max_delay = if was_established || self.address_changed {
+            self.timing.max_backoff
+        } else {
+            self.timing.max_rejected_backoff
+        };
+        let delay = self.backoff.next_delay(draw).min(backoff::with_jitter(max_delay, draw));
+        self.phase = Phase::Opening;
+        self.next_call_at = spread_until.max(now + delay);
+    }
+
+    /// Earliest time of the retry by the spreading of retries; zero if it does not apply.
+    fn spread_retry(&mut self, now: Duration, draw: f64, spread: RetrySpread, call: SentCall) -> Duration {
+        if self.phase == Phase::Established {
+            let missed_since = if now >= call.deadline { call.started_at } else { now };
+            self.read_deadline = missed_since + spread.read_deadline;
+            return Duration::ZERO;
+        }
+        let reserve = spread.response_reserve;
+        if now < call.started_at + reserve {
+            // Rejected at once, which cost the registry nothing, and its queue moves on.
+            return Duration::ZERO;
+        }
+        let remaining = self.read_deadline.saturating_sub(call.started_at + reserve);
+        // If it is too late for the missed changes, later ones have the whole time again.
+        let whole = spread.read_deadline.saturating_sub(reserve);
+        let latest = if remaining < reserve { whole } else { remaining.min(whole) };
+        let earliest = spread.min_delay.min(latest);
+        call.started_at + earliest + (latest - earliest).mul_f64(backoff::clamp_draw(draw))
     }
 
-    /// When the next call is made at the earliest.
+    /// Earliest time of the next request.
     pub fn next_call_at(&self) -> Duration {
         self.next_call_at
     }
 
-    /// The next call is not made before this.
-    pub fn postpone(&mut self, until: Duration) {
-        self.next_call_at = self.next_call_at.max(until);
+    /// Delays the next request until `time` at least.
+    pub fn postpone(&mut self, time: Duration) {
+        self.next_call_at = self.next_call_at.max(time);
     }
 }
--- a/crates/herondock/src/endpoint_sources/cache.rs
+++ b/crates/herondock/src/endpoint_sources/cache.rs
@@ -33,7 +33,7 @@
     let mut saved = match EndpointCache::decode(&kept.content) {
         Ok(saved) => saved,
         Err(e) => {
-            named(e);
+            named(e.to_string());
             return None;
         }
     };
