--- a/crates/herondock/src/endpoint_sources/client.rs
+++ b/crates/herondock/src/endpoint_sources/client.rs
@@ -1,4 +1,4 @@
-//! Calls to registries: HTTP/1.1 over one kept connection, with bounds on time and size.
+//! HTTP/1.1 client for registries: one persistent connection, with limits on time and size.
 use crate::live_config::LiveConfig;
 use bytes::Bytes;
 use config::operator::Limits;
@@ -7,45 +7,70 @@
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// A connection that is not up after this long has failed: it must not use up a call's time.
+/// Timeout of connecting, so that it does not use up a request's time.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A call.
+/// Why there is no complete response.
+#[derive(Debug, Error)]
+pub enum RequestError {
+    /// The connection was not established in time.
+    #[error("not connected in time")]
+    ConnectTimeout,
+    /// The connection cannot be established.
+    #[error("{0}")]
+    Connect(#[from] io::Error),
+    /// The response was not complete in time.
+    #[error("no answer in time")]
+    ResponseTimeout,
+    /// The request is not valid.
+    #[error("{0}")]
+    InvalidRequest(#[from] hyper::http::Error),
+    /// The connection broke, or the response is not valid HTTP.
+    #[error("{0}")]
+    Http(#[from] hyper::Error),
+    /// The body cannot be read, or is too long.
+    #[error("{0}")]
+    Body(#[from] Box<dyn std::error::Error + Send + Sync>),
+}
+
+/// A request.
 pub struct ApiRequest<'a> {
     /// `GET` or `PUT`.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// Further headers.
+    /// Further headers, by name.
     pub headers: &'a [(&'static str, &'a str)],
-    /// The body.
+    /// Body; empty if there is none.
     pub body: Bytes,
 }
 
 impl<'a> ApiRequest<'a> {
-    /// Asks for this.
+    /// A GET request without further headers.
     pub fn get(path: &'a str) -> ApiRequest<'a> {
         ApiRequest { method: Method::GET, path, headers: &[], body: Bytes::new() }
     }
 }
 
-/// A whole answer.
+/// A complete response.
 pub struct ApiResponse {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// One connection; closed when dropped.
+/// A connection; closed when dropped.
 struct Connection {
     addr: SocketAddr,
     sender: http1::SendRequest<Full<Bytes>>,
@@ -59,74 +84,82 @@
 }
 
 impl Connection {
-    async fn open(addr: SocketAddr) -> Result<Connection, String> {
-        let dial = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
-        let stream = dial.map_err(|_| "not connected in time".to_string())?.map_err(|e| e.to_string())?;
-        // What is small is not held back, on no stream.
-        stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        let (sender, conn) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+    async fn open(addr: SocketAddr) -> Result<Connection, RequestError> {
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
+        let stream = connecting.map_err(|_| RequestError::ConnectTimeout)??;
+        stream.set_nodelay(true)?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
-            // How the connection ended shows in the call that was on it.
-            let _ = conn.await;
+            // Errors of the connection are reported by the request on it.
+            let _ = connection.await;
         });
         Ok(Connection { addr, sender, task: task.abort_handle() })
     }
 }
 
-/// Makes calls, one at a time.
+/// Sends requests, one at a time.
 pub struct Client {
     limits: LiveConfig<Limits>,
-    link: Option<Connection>,
+    connection: Option<Connection>,
 }
 
 impl Client {
-    /// A client without a connection. Answers hold `limits.list` bytes at most.
+    /// A client without a connection. Responses are limited to `limits.list` bytes.
     pub fn new(limits: LiveConfig<Limits>) -> Client {
-        Client { limits, link: None }
+        Client { limits, connection: None }
     }
 
-    /// Drops the connection: a call that failed or was given up may leave an answer on it.
+    /// Closes the connection: after a failed or cancelled request a response may still arrive on it.
     pub fn disconnect(&mut self) {
-        self.link = None;
+        self.connection = None;
     }
 
-    /// Makes a call that may take so long until its answer is whole.
+    /// Sends a request and waits for its complete response for `response_timeout` at most.
     ///
     /// # Errors
-    /// Why no whole answer came.
+    /// There is no complete response; the connection is closed then.
     pub async fn send(
         &mut self,
         addr: SocketAddr,
-        call: &ApiRequest<'_>,
-        most: Duration,
-    ) -> Result<ApiResponse, String> {
-        let done = timeout(most, self.fetch(addr, call)).await;
-        let done = done.unwrap_or_else(|_| Err("no answer in time".into()));
-        if done.is_err() {
+        request: &ApiRequest<'_>,
+        response_timeout: Duration,
+    ) -> Result<ApiResponse, RequestError> {
+        let response = timeout(response_timeout, self.exchange(addr, request)).await;
+        let response = response.unwrap_or(Err(RequestError::ResponseTimeout));
+        if response.is_err() {
             self.disconnect();
         }
-        done
+        response
     }
 
-    async fn fetch(&mut self, addr: SocketAddr, call: &ApiRequest<'_>) -> Result<ApiResponse, String> {
-        // Guards against a connection that the other side closed after its last answer: that is no failed call.
-        let up = match self.link.as_mut().filter(|link| link.addr == addr) {
-            Some(link) => link.sender.ready().await.is_ok(),
-            None => false,
-        };
-        if !up {
-            self.link = Some(Connection::open(addr).await?);
-        }
-        let Some(link) = self.link.as_mut() else { return Err("not connected".into()) };
-        let mut request = Request::builder().method(&call.method).uri(call.path);
-        request = request.header(header::HOST, addr.to_string());
-        for &(name, value) in call.headers {
-            request = request.header(name, value);
+    async fn exchange(
+        &mut self,
+        addr: SocketAddr,
+        request: &ApiRequest<'_>,
+    ) -> Result<ApiResponse, RequestError> {
+        let limit = self.limits.get().list;
+        let connection = self.connected(addr).await?;
+        let mut builder = Request::builder().method(&request.method).uri(request.path);
+        builder = builder.header(header::HOST, addr.to_string());
+        for &(name, value) in request.headers {
+            builder = builder.header(name, value);
         }
-        let request = request.body(Full::new(call.body.clone())).map_err(|e| e.to_string())?;
-        let answer = link.sender.send_request(request).await.map_err(|e| e.to_string())?;
-        let (head, body) = answer.into_parts();
-        let body = Limited::new(body, self.limits.get().list).collect().await.map_err(|e| e.to_string())?;
+        let response = connection.sender.send_request(builder.body(Full::new(request.body.clone()))?).await?;
+        let (head, body) = response.into_parts();
+        let body = Limited::new(body, limit).collect().await?;
         Ok(ApiResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
     }
+
+    /// The open connection to this address, or a new one if the server has closed it since the last response.
+    async fn connected(&mut self, addr: SocketAddr) -> Result<&mut Connection, RequestError> {
+        let reusable = match self.connection.take().filter(|connection| connection.addr == addr) {
+            Some(mut connection) => connection.sender.ready().await.is_ok().then_some(connection),
+            None => None,
+        };
+        let connection = match reusable {
+            Some(connection) => connection,
+            None => Connection::open(addr).await?,
+        };
+        Ok(self.connection.insert(connection))
+    }
 }
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -1,7 +1,6 @@
-//! Consul's services as sources of members: makes the queries that `discovery::consul::watch` wants, and passes on what
-//! it says of their answers.
+//! Services of Consul as sources of endpoints: sends the queries of `discovery::consul::watch` and publishes the updates.
 use super::aggregator::SourceHandle;
-use super::client::{ApiRequest, Client};
+use super::client::{ApiRequest, ApiResponse, Client, RequestError};
 use super::EndpointSubscriber;
 use crate::live_config::LiveConfig;
 use config::discovery::{Consistency, ConsulConfig, Datacentres};
@@ -11,63 +10,107 @@
 use discovery::endpoint::{EndpointProtocol, SourceUpdate};
 use hyper::StatusCode;
 use std::collections::BTreeMap;
-use std::io::Read;
-use std::path::{Path, PathBuf};
+use std::io::{self, Read};
+use std::path::PathBuf;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How often the catalogue is asked which datacentres there are, and how long it may take.
-const DATACENTRES: Duration = Duration::from_secs(60);
-const ANSWER: Duration = Duration::from_secs(5);
-/// Most datacentres of one service.
-const DATACENTRES_MOST: usize = 64;
-/// Longest token.
-const TOKEN_MOST: u64 = 4096;
+/// Interval at which the catalogue is queried for datacentres.
+const DATACENTRES_INTERVAL: Duration = Duration::from_secs(60);
+/// Timeout of that query.
+const DATACENTRES_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of datacentres in which a service is watched.
+const MAX_DATACENTRES: usize = 64;
+/// Longest ACL token, in bytes.
+const MAX_TOKEN_BYTES: u64 = 4096;
+/// Header that contains the ACL token.
+pub const TOKEN_HEADER: &str = "x-consul-token";
 
-/// The file with the token, read again before each query: it is rotated while the program runs.
+/// The ACL token cannot be read.
+#[derive(Debug, Error)]
+pub enum TokenError {
+    /// The file cannot be read.
+    #[error("token_file: {}: {source}", path.display())]
+    Unreadable {
+        /// Path of the file.
+        path: PathBuf,
+        /// Error of the system.
+        source: io::Error,
+    },
+    /// The content is not a token.
+    #[error("token_file: {}: holds no token", .0.display())]
+    Invalid(PathBuf),
+    /// The reading task failed.
+    #[error("{0}")]
+    Task(#[from] tokio::task::JoinError),
+}
+
+/// A query failed.
+#[derive(Debug, Error)]
+pub enum QueryError {
+    /// The ACL token cannot be read.
+    #[error(transparent)]
+    Token(#[from] TokenError),
+    /// There is no complete response.
+    #[error(transparent)]
+    Request(#[from] RequestError),
+    /// The response has another status than 200.
+    #[error("answered {0}")]
+    Status(StatusCode),
+    /// The body is malformed.
+    #[error(transparent)]
+    Body(#[from] serde_json::Error),
+}
+
+/// The file of the ACL token, read again before each query, since tokens are rotated while the program runs.
 pub struct AclToken(Option<PathBuf>);
 
 impl AclToken {
-    /// The file, if there is one.
+    /// The token in this file, or no token.
     pub fn new(path: Option<PathBuf>) -> AclToken {
         AclToken(path)
     }
 
-    /// The token as it is now.
+    /// Reads the token; `None` if there is no file.
     ///
     /// # Errors
-    /// It can't be read, or is none. A query without it would be answered with what anybody may see.
-    pub async fn read(&self) -> Result<Option<String>, String> {
+    /// The file cannot be read or contains no token. A query without it would return an incomplete list.
+    pub async fn read(&self) -> Result<Option<String>, TokenError> {
         let Some(path) = self.0.clone() else { return Ok(None) };
-        let read = tokio::task::spawn_blocking(move || token(&path));
-        read.await.map_err(|e| e.to_string())?.map(Some)
+        tokio::task::spawn_blocking(move || read_token(path)).await?.map(Some)
     }
 }
 
-fn token(path: &Path) -> Result<String, String> {
-    let named = |what: String| format!("token_file: {}: {what}", path.display());
+fn read_token(path: PathBuf) -> Result<String, TokenError> {
     let mut text = String::new();
-    let file = std::fs::File::open(path).map_err(|e| named(e.to_string()))?;
-    file.take(TOKEN_MOST + 1).read_to_string(&mut text).map_err(|e| named(e.to_string()))?;
+    let read =
+        std::fs::File::open(&path).and_then(|file| file.take(MAX_TOKEN_BYTES + 1).read_to_string(&mut text));
+    if let Err(source) = read {
+        return Err(TokenError::Unreadable { path, source });
+    }
     let token = text.trim();
-    if token.is_empty() || token.len() as u64 > TOKEN_MOST || !token.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err(named("holds no token".into()));
+    let is_valid = !token.is_empty()
+        && token.len() as u64 <= MAX_TOKEN_BYTES
+        && token.bytes().all(|b| b.is_ascii_graphic());
+    if !is_valid {
+        return Err(TokenError::Invalid(path));
     }
     Ok(token.into())
 }
 
-/// Everything that one service needs.
+/// One service of Consul.
 #[derive(Clone)]
 pub struct ConsulSource {
-    /// Its table of the operator's file.
+    /// Its table in the operator's file.
     pub settings: ConsulConfig,
-    /// Bounds of answers.
+    /// Limits of responses.
     pub limits: LiveConfig<Limits>,
 }
 
 impl ConsulSource {
-    /// The labels of its sources, where the file names its datacentres.
+    /// Labels of its sources; empty if the datacentres are not known before the catalogue is queried.
     pub fn labels(&self) -> Vec<String> {
         match &self.settings.datacentres {
             Datacentres::Own => vec![self.label(None)],
@@ -83,30 +126,31 @@
         }
     }
 
-    /// Watches it for ever, in each of its datacentres. `teller` is its one source, or a quiet one of its rank.
-    pub async fn run<A: EndpointSubscriber + 'static>(self, teller: SourceHandle<A>) {
+    /// Watches the service in each of its datacentres; does not return. `source` is its source, or, if there are several, a
+    /// placeholder of the same rank.
+    pub async fn run<A: EndpointSubscriber + 'static>(self, source: SourceHandle<A>) {
         match &self.settings.datacentres {
-            Datacentres::Own => self.clone().watch(None, teller).await,
+            Datacentres::Own => self.clone().watch(None, source).await,
             Datacentres::Named(names) if names.len() == 1 => {
-                self.clone().watch(names.first().cloned(), teller).await;
+                self.clone().watch(names.first().cloned(), source).await;
             }
             Datacentres::Named(names) => {
                 let begin = |dc: &String| {
-                    let teller = teller.add_sibling(&self.label(Some(dc)));
-                    tokio::task::spawn_local(self.clone().watch(Some(dc.clone()), teller))
+                    let source = source.add_sibling(&self.label(Some(dc)));
+                    tokio::task::spawn_local(self.clone().watch(Some(dc.clone()), source))
                 };
                 for watch in names.iter().map(begin).collect::<Vec<_>>() {
-                    // They end with the program only.
+                    // Watches do not return.
                     let _ = watch.await;
                 }
             }
-            Datacentres::All => self.all(teller).await,
+            Datacentres::All => self.all(source).await,
         }
     }
 
-    /// Watches each datacentre that the catalogue has ever named: one that it names no longer may be cut off, and its
-    /// last list stands as that of a registry in trouble does.
-    async fn all<A: EndpointSubscriber + 'static>(&self, teller: SourceHandle<A>) {
+    /// Watches each datacentre that the catalogue has listed at any time: one that it does not list any more may be
+    /// unreachable, and its last list stays.
+    async fn all<A: EndpointSubscriber + 'static>(&self, source: SourceHandle<A>) {
         let (mut client, mut watches) =
             (Client::new(self.limits.clone()), BTreeMap::<String, JoinHandle<()>>::new());
         let mut agent = 0;
@@ -114,40 +158,54 @@
             let pause = match self.datacentres(&mut client, agent).await {
                 Ok(names) => {
                     for dc in names {
-                        if watches.len() < DATACENTRES_MOST && !watches.contains_key(&dc) {
-                            let teller = teller.add_sibling(&self.label(Some(&dc)));
-                            let watch = self.clone().watch(Some(dc.clone()), teller);
+                        if watches.len() < MAX_DATACENTRES && !watches.contains_key(&dc) {
+                            let source = source.add_sibling(&self.label(Some(&dc)));
+                            let watch = self.clone().watch(Some(dc.clone()), source);
                             watches.insert(dc, tokio::task::spawn_local(watch));
                         }
                     }
-                    DATACENTRES
+                    DATACENTRES_INTERVAL
                 }
-                Err(why) => {
-                    teller.report_unavailable(format!("datacentres: {why}"));
+                Err(error) => {
+                    source.report_unavailable(format!("datacentres: {error}"));
                     agent = (agent + 1) % self.settings.agents.len();
                     self.settings.max_backoff
                 }
             };
-            sleep(backoff::with_jitter(pause, teller.draw())).await;
+            sleep(backoff::with_jitter(pause, source.draw())).await;
         }
     }
 
-    async fn datacentres(&self, client: &mut Client, agent: usize) -> Result<Vec<String>, String> {
-        let token = AclToken::new(self.settings.token_file.clone()).read().await?;
-        let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
-        let call = ApiRequest { headers: &headers, ..ApiRequest::get("/v1/catalog/datacenters") };
-        let reply = client.send(self.settings.agents[agent], &call, ANSWER).await?;
-        match reply.status {
-            StatusCode::OK => serde_json::from_slice(&reply.body).map_err(|e| e.to_string()),
-            status => Err(format!("answered {status}")),
+    async fn datacentres(&self, client: &mut Client, agent: usize) -> Result<Vec<String>, QueryError> {
+        let token = AclToken::new(self.settings.token_file.clone());
+        let path = "/v1/catalog/datacenters";
+        let response = self.query(client, &token, agent, path, DATACENTRES_TIMEOUT).await?;
+        match response.status {
+            StatusCode::OK => Ok(serde_json::from_slice(&response.body)?),
+            status => Err(QueryError::Status(status)),
         }
     }
 
-    /// The watch on one datacentre, and how its entries are read.
-    fn begin(&self, datacentre: Option<String>, index: Option<u64>) -> Watch {
+    /// Sends a query with the ACL token to one of the agents.
+    async fn query(
+        &self,
+        client: &mut Client,
+        token: &AclToken,
+        agent: usize,
+        path: &str,
+        timeout: Duration,
+    ) -> Result<ApiResponse, QueryError> {
+        let token = token.read().await?;
+        let headers: Vec<_> = token.iter().map(|token| (TOKEN_HEADER, token.as_str())).collect();
+        let request = ApiRequest { headers: &headers, ..ApiRequest::get(path) };
+        Ok(client.send(self.settings.agents[agent], &request, timeout).await?)
+    }
+
+    /// The watch on one datacentre.
+    fn new_watch(&self, datacentre: Option<String>, index: Option<u64>) -> Watch {
         let s = &self.settings;
         let prefix = if s.datacentres == Datacentres::Own { String::new() } else { "datacentre".into() };
-        let reading = EntryMapping {
+        let mapping = EntryMapping {
             kind: if s.health { ListKind::Health } else { ListKind::Catalogue },
             datacentre_prefix: prefix,
             name_key: s.meta_keys.name.clone(),
@@ -170,7 +228,7 @@
                 Consistency::Consistent => watch::Consistency::Consistent,
             },
         };
-        let figures = WatchIntervals {
+        let intervals = WatchIntervals {
             wait: s.wait,
             min_poll_interval: s.min_poll_interval,
             initial_backoff: s.initial_backoff,
@@ -178,56 +236,55 @@
             max_staleness: s.max_staleness,
             regrow_timeout: s.regrow_timeout,
         };
-        Watch::new(target, reading, figures, s.agents.len(), index)
+        Watch::new(target, mapping, intervals, s.agents.len(), index)
     }
 
-    async fn watch<A: EndpointSubscriber>(self, datacentre: Option<String>, teller: SourceHandle<A>) {
+    async fn watch<A: EndpointSubscriber>(self, datacentre: Option<String>, source: SourceHandle<A>) {
         let start = Instant::now();
-        let mut watch = self.begin(datacentre, teller.last_index());
+        let mut watch = self.new_watch(datacentre, source.last_index());
         let (mut client, token) =
             (Client::new(self.limits.clone()), AclToken::new(self.settings.token_file.clone()));
-        let mut trouble: Option<String> = None;
+        let mut last_error: Option<String> = None;
         loop {
-            let ask = match watch.next_step(start.elapsed(), teller.draw()) {
+            let request = match watch.next_step(start.elapsed(), source.draw()) {
                 NextStep::Wait(until) => {
                     sleep_until(start + until).await;
                     continue;
                 }
-                NextStep::Call(ask) => ask,
-            };
-            let reply = match token.read().await {
-                Ok(token) => {
-                    let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
-                    let call = ApiRequest { headers: &headers, ..ApiRequest::get(&ask.path) };
-                    client.send(self.settings.agents[ask.agent], &call, ask.timeout).await
-                }
-                Err(why) => Err(why),
+                NextStep::Call(request) => request,
             };
-            let (now, draw) = (start.elapsed(), teller.draw());
-            let verdict = match reply {
-                Ok(reply) => {
-                    let get = |name: &str| reply.headers.get(name)?.to_str().ok();
-                    watch.on_response(now, &ResponseHead::new(reply.status.as_u16(), get), &reply.body, draw)
+            let response =
+                self.query(&mut client, &token, request.agent, &request.path, request.timeout).await;
+            let (now, draw) = (start.elapsed(), source.draw());
+            let outcome = match response {
+                Ok(response) => {
+                    let get = |name: &str| response.headers.get(name)?.to_str().ok();
+                    watch.on_response(
+                        now,
+                        &ResponseHead::new(response.status.as_u16(), get),
+                        &response.body,
+                        draw,
+                    )
                 }
-                Err(why) => watch.on_failure(now, &why, draw),
+                Err(error) => watch.on_failure(now, &error.to_string(), draw),
             };
-            for fault in &verdict.entry_errors {
-                teller.log(&format!("passed over: {fault}"));
+            for fault in &outcome.entry_errors {
+                source.log(&format!("passed over: {fault}"));
             }
-            match verdict.update {
+            match outcome.update {
                 SourceUpdate::Unavailable(why) => {
-                    // Said once, and not with each try.
-                    if trouble.as_ref() != Some(&why) {
-                        teller.log(&format!("no news: {why}"));
+                    // Logged once, and not with each retry.
+                    if last_error.as_ref() != Some(&why) {
+                        source.log(&format!("no news: {why}"));
                     }
-                    teller.report_unavailable(why.clone());
-                    trouble = Some(why);
+                    source.report_unavailable(why.clone());
+                    last_error = Some(why);
                 }
                 news => {
-                    if trouble.take().is_some() {
-                        teller.log("answers again");
+                    if last_error.take().is_some() {
+                        source.log("answers again");
                     }
-                    teller.publish(news, watch.index());
+                    source.publish(news, watch.index());
                 }
             }
         }
--- a/crates/herondock/src/endpoint_sources/discovery.rs
+++ b/crates/herondock/src/endpoint_sources/discovery.rs
@@ -1,7 +1,6 @@
-//! The platform's discovery as a source of members: the watch that keeps the list fresh.
-//!
-//! When to ask is decided by [`discovery::platform::watch`], whose calls are carried out here. The module's own wish for the
-//! list ([`balancer::Action::Subscribe`]) is granted by that: its pauses know nothing of what counts as told.
+//! The platform's discovery service as a source of endpoints: sends the requests of [`discovery::platform::watch`] and
+//! publishes the updates. The balancer's own subscription to the list ([`balancer::Action::Subscribe`]) is served by this
+//! watch, since the retries of the balancer do not regard staleness bounds.
 use super::aggregator::SourceHandle;
 use super::client::{ApiRequest, Client};
 use super::EndpointSubscriber;
@@ -15,94 +14,92 @@
 use tokio::time::Instant;
 use tracing::{debug, info};
 
-/// Entries that can't be used, of one answer, that the log names.
+/// Number of entry errors of one response that are logged.
 pub const MAX_LOGGED_ENTRY_ERRORS: usize = 3;
 
-/// Keeps the list fresh.
+/// The platform's discovery service.
 pub struct PlatformSource {
     addr: SocketAddr,
     addresses: Receiver<SocketAddr>,
     client: Client,
     watch: Watch,
-    /// The watch's times count from here.
-    begun: Instant,
-    /// What its members speak.
-    speaks: EndpointProtocol,
+    /// Origin of the watch's times.
+    started: Instant,
+    /// Protocol of its endpoints.
+    protocol: EndpointProtocol,
 }
 
 impl PlatformSource {
-    /// Begins with the version of the list that the balancer already has, if any. The newest of `addresses` is
-    /// where discovery is.
+    /// A source whose service is at the latest of `addresses`. `version` is that of the known list, if there is one.
     pub fn new(
         addresses: Receiver<SocketAddr>,
         limits: LiveConfig<Limits>,
-        terms: &StalenessSettings,
+        settings: &StalenessSettings,
         version: Option<u64>,
         speaks: EndpointProtocol,
     ) -> PlatformSource {
         let addr = *addresses.borrow();
-        let (watch, begun) = (Watch::new(terms, version), Instant::now());
-        PlatformSource { addr, addresses, client: Client::new(limits), watch, begun, speaks }
+        let (watch, started) = (Watch::new(settings, version), Instant::now());
+        PlatformSource { addr, addresses, client: Client::new(limits), watch, started, protocol: speaks }
     }
 
-    /// Keeps the watch for ever.
-    pub async fn run<A: EndpointSubscriber>(mut self, teller: SourceHandle<A>) {
+    /// Runs the watch until the program exits.
+    pub async fn run<A: EndpointSubscriber>(mut self, source: SourceHandle<A>) {
         let mut addresses = self.addresses.clone();
         loop {
-            // Guards against a dial, a call or a pause at the old address holding up the move to a new one:
-            // whatever is under way there is dropped.
+            // Requests and delays at the old address are cancelled, so that they do not delay the change to a new one.
             tokio::select! {
                 biased;
                 changed = addresses.changed() => match changed {
                     Ok(()) => self.follow(*addresses.borrow_and_update()),
-                    // The program is ending.
+                    // The program exits.
                     Err(_) => return,
                 },
-                () = self.serve(&teller) => {}
+                () = self.serve(&source) => {}
             }
         }
     }
 
-    /// Goes over to another address.
+    /// Changes to another address.
     fn follow(&mut self, addr: SocketAddr) {
         info!("discovery: now at {addr}");
         self.client.disconnect();
         self.addr = addr;
-        self.watch.address_changed(self.begun.elapsed());
+        self.watch.address_changed(self.started.elapsed());
     }
 
-    /// Carries out what the watch asks for, for ever.
-    async fn serve<A: EndpointSubscriber>(&mut self, teller: &SourceHandle<A>) {
+    /// Carries out the steps of the watch; does not return.
+    async fn serve<A: EndpointSubscriber>(&mut self, source: &SourceHandle<A>) {
         loop {
-            let next = self.watch.next_step(self.begun.elapsed(), teller.draw());
+            let next = self.watch.next_step(self.started.elapsed(), source.draw());
             match next {
-                NextStep::Wait(until) => tokio::time::sleep_until(self.begun + until).await,
-                NextStep::Call(ask) => {
-                    let verdict = self.call(&ask, teller.draw()).await;
-                    self.tell(teller, verdict);
+                NextStep::Wait(until) => tokio::time::sleep_until(self.started + until).await,
+                NextStep::Call(request) => {
+                    let outcome = self.send(&request, source.draw()).await;
+                    self.publish(source, outcome);
                 }
             }
         }
     }
 
-    /// Makes one call and has the watch judge it.
-    async fn call(&mut self, ask: &Request, draw: f64) -> ResponseOutcome {
-        debug!("discovery: asks {} within {:?}", ask.path, ask.timeout);
-        let reply = self.client.send(self.addr, &ApiRequest::get(&ask.path), ask.timeout).await;
-        let now = self.begun.elapsed();
-        match reply {
-            Ok(reply) => {
-                debug!("discovery: answered {} with {} bytes", reply.status, reply.body.len());
-                self.watch.on_response(now, reply.status.as_u16(), &reply.body, draw)
+    /// Sends a request and passes its result to the watch.
+    async fn send(&mut self, request: &Request, draw: f64) -> ResponseOutcome {
+        debug!("discovery: asks {} within {:?}", request.path, request.timeout);
+        let response = self.client.send(self.addr, &ApiRequest::get(&request.path), request.timeout).await;
+        let now = self.started.elapsed();
+        match response {
+            Ok(response) => {
+                debug!("discovery: answered {} with {} bytes", response.status, response.body.len());
+                self.watch.on_response(now, response.status.as_u16(), &response.body, draw)
             }
-            Err(why) => self.watch.on_failure(now, &why, draw),
+            Err(error) => self.watch.on_failure(now, &error.to_string(), draw),
         }
     }
 
-    /// Passes on what a call came to.
-    fn tell<A: EndpointSubscriber>(&mut self, teller: &SourceHandle<A>, verdict: ResponseOutcome) {
+    /// Publishes the result of a request.
+    fn publish<A: EndpointSubscriber>(&mut self, source: &SourceHandle<A>, outcome: ResponseOutcome) {
         let ResponseOutcome { update: news, version, is_first_response: answers, entry_errors: faults } =
-            verdict;
+            outcome;
         for fault in faults.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
             info!("discovery: {fault}");
         }
@@ -112,17 +109,17 @@
                 faults.len() - MAX_LOGGED_ENTRY_ERRORS
             );
         }
-        // Also where nothing is new: who waits for a list has it.
+        // Also without changes: whoever waits for the list has it now.
         if answers {
-            teller.notify_first_response();
+            source.notify_first_response();
         }
         match news {
             SourceUpdate::Unavailable(why) => {
                 self.client.disconnect();
                 info!("discovery: {why}");
-                teller.report_unavailable(why);
+                source.report_unavailable(why);
             }
-            news => teller.publish_with_protocol(self.speaks, news, version),
+            news => source.publish_with_protocol(self.protocol, news, version),
         }
     }
 }
--- a/crates/herondock/src/endpoint_sources/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -1,6 +1,6 @@
-//! This instance as a service at its Consul agent: makes the calls that `discovery::consul::register` wants.
+//! Registration of this instance at its Consul agents: sends the requests of `discovery::consul::registration`.
 use super::client::{ApiRequest, Client};
-use super::consul::AclToken;
+use super::consul::{AclToken, QueryError, TOKEN_HEADER};
 use crate::live_config::LiveConfig;
 use bytes::Bytes;
 use config::discovery::ConsulConfig;
@@ -16,19 +16,19 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::info;
 
-/// How long one call may take.
+/// Timeout of a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the end of the process waits for the agent to hear of it.
+/// Time that the exit of the process waits for the deregistration.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// All registrations of an instance.
+/// All registrations of this instance.
 pub struct Registrations {
     set_desired_state: watch::Sender<DesiredState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Registrations {
-    /// Begins those that these services ask for, for an instance of this name at this address.
+    /// Starts the registrations of these services, for an instance of this name at this address.
     pub fn spawn(
         services: &[ConsulConfig],
         name: &str,
@@ -36,8 +36,8 @@
         limits: &LiveConfig<Limits>,
         random: &Pcg64Mcg,
     ) -> Registrations {
-        let (wish, wishes) = watch::channel(DesiredState::Absent);
-        let begin = |s: &ConsulConfig| {
+        let (desired_state, desired_states) = watch::channel(DesiredState::Absent);
+        let spawn = |s: &ConsulConfig| {
             let r = s.registration.as_ref()?;
             let registration = Registration {
                 service: r.service.clone(),
@@ -48,23 +48,23 @@
                 ttl: r.ttl,
                 deregister_after: r.deregister_after,
             };
-            let one = RegistrationTask {
+            let task = RegistrationTask {
                 client: Client::new(limits.clone()),
-                agents: s.agents.clone(),
+                agent: *s.agents.first()?,
                 token: AclToken::new(s.token_file.clone()),
                 random: random.clone(),
             };
-            Some(tokio::task::spawn_local(one.run(Registrar::new(registration), wishes.clone())))
+            Some(tokio::task::spawn_local(task.run(Registrar::new(registration), desired_states.clone())))
         };
-        Registrations { set_desired_state: wish, tasks: services.iter().filter_map(begin).collect() }
+        Registrations { set_desired_state: desired_state, tasks: services.iter().filter_map(spawn).collect() }
     }
 
-    /// What the instance wants to be.
-    pub fn set_desired_state(&self, wish: DesiredState) {
-        self.set_desired_state.send_replace(wish);
+    /// Sets the desired state of all registrations.
+    pub fn set_desired_state(&self, desired_state: DesiredState) {
+        self.set_desired_state.send_replace(desired_state);
     }
 
-    /// Takes all back, and waits for that for a moment.
+    /// Deregisters all services, and waits for that up to [`DEREGISTER_TIMEOUT`].
     pub async fn deregister(&mut self) {
         self.set_desired_state(DesiredState::Deregistered);
         let all = async {
@@ -84,50 +84,50 @@
 
 struct RegistrationTask {
     client: Client,
-    agents: Vec<SocketAddr>,
+    /// Registrations are local to an agent, so that only the first one is used.
+    agent: SocketAddr,
     token: AclToken,
     random: Pcg64Mcg,
 }
 
 impl RegistrationTask {
-    async fn run(mut self, mut register: Registrar, mut wishes: watch::Receiver<DesiredState>) {
-        let (start, mut trouble) = (Instant::now(), None);
+    async fn run(mut self, mut registrar: Registrar, mut desired_states: watch::Receiver<DesiredState>) {
+        let (start, mut last_error) = (Instant::now(), None);
         loop {
-            register.set_desired_state(start.elapsed(), *wishes.borrow_and_update());
-            match register.next_step(start.elapsed()) {
+            registrar.set_desired_state(start.elapsed(), *desired_states.borrow_and_update());
+            match registrar.next_step(start.elapsed()) {
                 NextStep::Done => return,
                 NextStep::Wait(until) => {
                     let until = (until < Duration::MAX).then(|| start + until);
                     tokio::select! {
-                        changed = wishes.changed() => if changed.is_err() { return },
+                        changed = desired_states.changed() => if changed.is_err() { return },
                         () = async { sleep_until(until.unwrap_or(start)).await }, if until.is_some() => {}
                     }
                 }
                 NextStep::Call(call) => {
-                    // With the first agent only: a registration is that agent's own.
-                    let done = self.call(&call.path, call.body).await;
+                    let done = self.send(&call.path, call.body).await;
                     let (now, draw) = (start.elapsed(), self.random.gen());
                     let why = match done {
-                        Ok(status) => register.on_response(now, status, draw),
-                        Err(why) => {
-                            register.on_failure(now, draw);
-                            Some(why)
+                        Ok(status) => registrar.on_response(now, status, draw),
+                        Err(error) => {
+                            registrar.on_failure(now, draw);
+                            Some(error.to_string())
                         }
                     };
-                    if why.is_some() && why != trouble {
-                        info!("consul register: {}", why.as_deref().unwrap_or(""));
+                    if why.is_some() && why != last_error {
+                        info!("consul registrar: {}", why.as_deref().unwrap_or(""));
                     }
-                    trouble = why;
+                    last_error = why;
                 }
             }
         }
     }
 
-    async fn call(&mut self, path: &str, body: String) -> Result<u16, String> {
+    async fn send(&mut self, path: &str, body: String) -> Result<u16, QueryError> {
         let token = self.token.read().await?;
-        let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
+        let headers: Vec<_> = token.iter().map(|t| (TOKEN_HEADER, t.as_str())).collect();
         let call = ApiRequest { method: Method::PUT, path, headers: &headers, body: Bytes::from(body) };
-        let addr = *self.agents.first().ok_or("no agent is named")?;
+        let addr = self.agent;
         Ok(self.client.send(addr, &call, RESPONSE_TIMEOUT).await?.status.as_u16())
     }
 }
