--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod request_budget;
 pub mod rollout;
 pub mod routing;
+mod share;
 pub mod supervisor;
 mod table_reader;
 mod values;
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -235,6 +235,12 @@
     read_with(path, parse)
 }
 
+/// Whether a line of a file is the header of this table.
+pub(crate) fn has_table(path: &Path, header: &str) -> bool {
+    let bytes = read_whole(path, MAX_FILE_BYTES).unwrap_or_default();
+    String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == header)
+}
+
 pub(crate) fn read_with<T>(path: &Path, parse: fn(&[u8]) -> Result<T, ConfigError>) -> Result<T, String> {
     let named = |what: String| format!("{}: {what}", path.display());
     let bytes = read_whole(path, MAX_FILE_BYTES).map_err(named)?;
--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -1,8 +1,8 @@
-//! The file of a release: the builds, the waves, what is compared, and the council in which it is kept.
+//! File of a rollout: the builds, the stages, the analysis, and the coordination service that stores it.
 //! `deploy/release.example.toml` documents it.
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
-use crate::disruption::share;
-use crate::values::{fault_at, quantity, read_text, ConfigError};
+use crate::table_reader::{DurationRange, TableReader};
+use crate::values::{quantity, read_text, ConfigError};
 use rollout::canary::MetricThreshold;
 use rollout::{BuildPaths, CanaryAnalysis, Stage, MAX_STAGES};
 use serde::Deserialize;
@@ -11,50 +11,70 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Most machines whose builds lie elsewhere.
+/// Table by which such a file is recognised.
+const ROLLOUT_TABLE: &str = "[release]";
+/// Maximum number of machines with paths of their own.
 const MAX_MACHINES: usize = 4096;
-/// Longest path of a build.
+/// Longest path of a build, in bytes.
 const MAX_PATH_BYTES: usize = 1024;
+/// Default of `bake`, in milliseconds.
+const DEFAULT_BAKE_MS: u64 = 600_000;
+/// Smallest duration, in milliseconds.
+const MIN_DURATION_MS: u64 = 100;
+/// Largest `bake`, in milliseconds: a day.
+const MAX_BAKE_MS: u64 = 86_400_000;
+/// Largest `cap`, in milliseconds: a week.
+const MAX_CAP_MS: u64 = 7 * MAX_BAKE_MS;
+/// By default a stage is checked so often within `bake`.
+const CHECKS_PER_BAKE: u64 = 5;
+/// By default `cap` is so many times `bake`.
+const BAKES_PER_CAP: u64 = 3;
+/// Default of the memory threshold, in bytes.
+const DEFAULT_MEMORY_BYTES: usize = 8 << 20;
+/// Largest memory threshold, in bytes.
+const MAX_MEMORY_BYTES: usize = 1 << 40;
+/// Bytes in a MB.
+const MB: u32 = 1 << 20;
 
-/// All that the file says.
+/// Content of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
-    /// Where it is kept.
+    /// Coordination service.
     pub coordination: CoordinationClientConfig,
-    /// Where the builds lie.
+    /// Paths of the builds.
     pub paths: BuildPaths,
-    /// On machines where they lie elsewhere.
+    /// Paths of the builds on machines where they differ, by machine name.
     pub machine_paths: BTreeMap<String, BuildPaths>,
-    /// The waves.
+    /// Stages.
     pub stages: Vec<Stage>,
-    /// How long a wave is watched at the least, how often the gate looks meanwhile, and how long at the most.
+    /// Minimum time that a stage is observed.
     pub bake: Duration,
-    /// How often the gate looks.
+    /// Interval between two checks of the analysis.
     pub check_interval: Duration,
-    /// How long at the most.
+    /// Time after which a stage passes although the analysis is inconclusive.
     pub max_bake: Duration,
-    /// Whether a release that halts by itself goes back by itself.
+    /// Whether a rollout that stops by itself is rolled back instead of paused.
     pub auto_rollback: bool,
-    /// What is compared.
+    /// Analysis that compares the builds.
     pub analysis: CanaryAnalysis,
-    /// What for.
+    /// Reason, for operators.
     pub reason: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct RawConfig {
     council: RawClientConfig,
-    release: RawRelease,
+    release: RawRollout,
     #[serde(default)]
-    gate: RawGate,
+    gate: RawAnalysis,
     #[serde(default)]
     machine: Vec<RawMachine>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawRelease {
+struct RawRollout {
     old: Spanned<String>,
     new: Spanned<String>,
     waves: Spanned<Vec<Spanned<String>>>,
@@ -67,7 +87,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawGate {
+struct RawAnalysis {
     unserved: Option<Spanned<String>>,
     late: Option<Spanned<String>>,
     memory: Option<Spanned<String>>,
@@ -83,167 +103,181 @@
     new: Option<Spanned<String>>,
 }
 
-fn path(text: &str, field: &str, given: &Spanned<String>) -> Result<String, ConfigError> {
-    let value = given.get_ref();
-    if value.len() > MAX_PATH_BYTES || !Path::new(value).is_absolute() {
-        let what = format!("{value:?} is no absolute path of at most {MAX_PATH_BYTES} bytes");
-        return Err(fault_at(text, given.span().start, field, what));
+/// Times of a rollout.
+struct Durations {
+    bake: Duration,
+    check_interval: Duration,
+    max_bake: Duration,
+}
+
+impl Durations {
+    /// Maximum number of checks in a rollout. Not more than that, as each costs power of the analysis.
+    fn max_checks(&self, stages: usize) -> u32 {
+        let interval_ms = self.check_interval.as_millis().max(1);
+        let checks_per_stage = self.max_bake.as_millis().div_ceil(interval_ms) + 1;
+        u32::try_from((stages as u128 + 1) * checks_per_stage).unwrap_or(u32::MAX)
+    }
+}
+
+fn path(table: &TableReader<'_>, key: &str, value: &Spanned<String>) -> Result<String, ConfigError> {
+    let path = value.get_ref();
+    if path.len() > MAX_PATH_BYTES || !Path::new(path).is_absolute() {
+        let message = format!("{path:?} is no absolute path of at most {MAX_PATH_BYTES} bytes");
+        return Err(table.error(value.span().start, key, message));
+    }
+    Ok(path.clone())
+}
+
+fn stage(table: &TableReader<'_>, key: &str, value: &Spanned<String>) -> Result<Stage, ConfigError> {
+    let error = |message: &str| Err(table.error(value.span().start, key, message.into()));
+    match value.get_ref().parse::<u32>() {
+        Ok(0) => error("is no count above 0"),
+        Ok(count) => Ok(Stage::Count(count)),
+        Err(_) => match table.share(key, value)? {
+            0 => error("is 0 %"),
+            per_mille => Ok(Stage::Share(proportion(per_mille))),
+        },
+    }
+}
+
+/// Thousandths as a proportion of 0 to 1.
+fn proportion(per_mille: u32) -> f64 {
+    f64::from(per_mille) / 1000.0
+}
+
+impl RawRollout {
+    fn paths(&self, table: &TableReader<'_>) -> Result<BuildPaths, ConfigError> {
+        Ok(BuildPaths { old: path(table, "old", &self.old)?, new: path(table, "new", &self.new)? })
+    }
+
+    fn stages(&self, table: &TableReader<'_>) -> Result<Vec<Stage>, ConfigError> {
+        let stages = self.waves.get_ref();
+        if stages.is_empty() || stages.len() > MAX_STAGES {
+            let message = format!("there are {}, and not 1 to {MAX_STAGES}", stages.len());
+            return Err(table.error(self.waves.span().start, "waves", message));
+        }
+        let resolve = |(k, value)| stage(table, &format!("waves[{k}]"), value);
+        stages.iter().enumerate().map(resolve).collect()
+    }
+
+    fn durations(&mut self, table: &TableReader<'_>) -> Result<Durations, ConfigError> {
+        let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
+        let range = |default, max| DurationRange { default, min: MIN_DURATION_MS, max };
+        let bake = table.duration("bake", self.bake.take(), range(DEFAULT_BAKE_MS, MAX_BAKE_MS))?;
+        let bake_ms = millis(bake);
+        let interval = range((bake_ms / CHECKS_PER_BAKE).max(MIN_DURATION_MS), bake_ms);
+        let check_interval = table.duration("look", self.look.take(), interval)?;
+        let max_bake = table.duration("cap", self.cap.take(), range(BAKES_PER_CAP * bake_ms, MAX_CAP_MS))?;
+        if max_bake < bake {
+            let message = "is shorter than the bake".into();
+            return Err(table.error(self.waves.span().start, "cap", message));
+        }
+        Ok(Durations { bake, check_interval, max_bake })
     }
-    Ok(value.clone())
 }
 
-fn wave(text: &str, field: &str, given: &Spanned<String>) -> Result<Stage, ConfigError> {
-    if let Ok(count) = given.get_ref().parse::<u32>() {
-        return match count {
-            0 => Err(fault_at(text, given.span().start, field, "is no count above 0".into())),
-            count => Ok(Stage::Count(count)),
+impl RawAnalysis {
+    fn resolve(self, text: &str, max_checks: u32) -> Result<CanaryAnalysis, ConfigError> {
+        let table = TableReader { text, path: "gate".into() };
+        let default = CanaryAnalysis::default();
+        let share = |key: &str, value: Option<&Spanned<String>>, default: f64| match value {
+            Some(value) => Ok(proportion(table.share(key, value)?)),
+            None => Ok(default),
         };
+        let threshold = |key: &str, value: Option<&Spanned<String>>, default: MetricThreshold| {
+            let min_difference = share(key, value, default.min_difference)?;
+            Ok(MetricThreshold { min_difference })
+        };
+        let memory_key = table.field("memory");
+        let memory = quantity(text, &memory_key, self.memory, DEFAULT_MEMORY_BYTES, 1, MAX_MEMORY_BYTES)?;
+        Ok(CanaryAnalysis {
+            unserved: threshold("unserved", self.unserved.as_ref(), default.unserved)?,
+            late: threshold("late", self.late.as_ref(), default.late)?,
+            memory: MetricThreshold { min_difference: memory as f64 / f64::from(MB) },
+            false_positive_rate: share(
+                "false_halts",
+                self.false_halts.as_ref(),
+                default.false_positive_rate,
+            )?,
+            max_checks,
+            min_requests: match &self.requests {
+                Some(requests) => min_requests(&table, requests)?,
+                None => default.min_requests,
+            },
+        })
     }
-    match share(text, field, given)? {
-        0 => Err(fault_at(text, given.span().start, field, "is 0 %".into())),
-        part => Ok(Stage::Share(f64::from(part) / 1000.0)),
+}
+
+fn min_requests(table: &TableReader<'_>, value: &Spanned<i64>) -> Result<u64, ConfigError> {
+    let requests = u64::try_from(*value.get_ref()).ok().filter(|&requests| requests > 0);
+    requests.ok_or_else(|| table.error(value.span().start, "requests", "is no count above 0".into()))
+}
+
+/// Paths on machines where they differ from `default`.
+fn machine_paths(
+    text: &str,
+    machines: &[RawMachine],
+    default: &BuildPaths,
+) -> Result<BTreeMap<String, BuildPaths>, ConfigError> {
+    let mut paths = BTreeMap::new();
+    for (k, machine) in machines.iter().enumerate() {
+        let table = TableReader { text, path: format!("machine[{k}]") };
+        let name = machine.name.get_ref();
+        if k >= MAX_MACHINES || paths.contains_key(name) {
+            let message = format!("{name:?} is named twice, or there are over {MAX_MACHINES}");
+            return Err(table.error(machine.name.span().start, "name", message));
+        }
+        let path_or = |key: &str, value: Option<&Spanned<String>>, default: &String| match value {
+            Some(value) => path(&table, key, value),
+            None => Ok(default.clone()),
+        };
+        let own = BuildPaths {
+            old: path_or("old", machine.old.as_ref(), &default.old)?,
+            new: path_or("new", machine.new.as_ref(), &default.new)?,
+        };
+        paths.insert(name.clone(), own);
     }
+    Ok(paths)
 }
 
-/// Reads the text of a file.
+/// Parses the text of a file.
 ///
 /// # Errors
 /// The first fault, with its place.
 pub fn parse(bytes: &[u8]) -> Result<RolloutConfig, ConfigError> {
-    let (text, raw) = read_text::<Raw>(bytes)?;
-    let Raw { council, release: r, gate: g, machine } = raw;
-    let council = council.resolve(text)?;
-    let paths =
-        BuildPaths { old: path(text, "release.old", &r.old)?, new: path(text, "release.new", &r.new)? };
-    let mut machines = BTreeMap::new();
-    for (k, m) in machine.into_iter().enumerate() {
-        let field = |name: &str| format!("machine[{k}].{name}");
-        if k >= MAX_MACHINES || machines.contains_key(m.name.get_ref()) {
-            let what = format!("{:?} is named twice, or there are over {MAX_MACHINES}", m.name.get_ref());
-            return Err(fault_at(text, m.name.span().start, &field("name"), what));
-        }
-        let other = |name: &str, given: Option<Spanned<String>>, all: &String| match given {
-            Some(given) => path(text, &field(name), &given),
-            None => Ok(all.clone()),
-        };
-        let own = BuildPaths { old: other("old", m.old, &paths.old)?, new: other("new", m.new, &paths.new)? };
-        machines.insert(m.name.into_inner(), own);
-    }
-    let at = r.waves.span().start;
-    let waves = r.waves.into_inner();
-    if waves.is_empty() || waves.len() > MAX_STAGES {
-        let what = format!("there are {}, and not 1 to {MAX_STAGES}", waves.len());
-        return Err(fault_at(text, at, "release.waves", what));
-    }
-    let waves: Result<Vec<Stage>, ConfigError> =
-        waves.iter().enumerate().map(|(k, w)| wave(text, &format!("release.waves[{k}]"), w)).collect();
-    let span = |field: &str, given: Option<Spanned<String>>, default: Duration, most: Duration| {
-        quantity(text, &format!("release.{field}"), given, default, Duration::from_millis(100), most)
-    };
-    let day = Duration::from_secs(86_400);
-    let minute = Duration::from_secs(60);
-    let bake = span("bake", r.bake, 10 * minute, day)?;
-    let look = span("look", r.look, (bake / 5).max(Duration::from_millis(100)), bake)?;
-    let cap = span("cap", r.cap, 3 * bake, 7 * day)?;
-    if cap < bake {
-        return Err(fault_at(text, at, "release.cap", "is shorter than the bake".into()));
-    }
-    let normal = CanaryAnalysis::default();
-    let part = |field: &str, given: Option<&Spanned<String>>, default: f64| match given {
-        Some(given) => Ok(f64::from(share(text, &format!("gate.{field}"), given)?) / 1000.0),
-        None => Ok(default),
-    };
-    let memory = quantity(text, "gate.memory", g.memory, 8usize << 20, 1, 1 << 40)?;
-    let requests = match g.requests {
-        Some(given) => u64::try_from(*given.get_ref()).ok().filter(|&n| n > 0).ok_or_else(|| {
-            fault_at(text, given.span().start, "gate.requests", "is no count above 0".into())
-        })?,
-        None => normal.min_requests,
-    };
-    let waves = waves?;
-    let looks = (waves.len() as u128 + 1) * (cap.as_millis().div_ceil(look.as_millis().max(1)) + 1);
-    let gate = CanaryAnalysis {
-        unserved: MetricThreshold {
-            min_difference: part("unserved", g.unserved.as_ref(), normal.unserved.min_difference)?,
-        },
-        late: MetricThreshold { min_difference: part("late", g.late.as_ref(), normal.late.min_difference)? },
-        memory: MetricThreshold { min_difference: memory as f64 / f64::from(1 << 20) },
-        false_positive_rate: part("false_halts", g.false_halts.as_ref(), normal.false_positive_rate)?,
-        // So many as it can take, and no more: each costs power.
-        max_checks: u32::try_from(looks).unwrap_or(u32::MAX),
-        min_requests: requests,
-    };
-    let returns = r.returns.unwrap_or(true);
-    let why = r.why.unwrap_or_default();
+    let (text, raw) = read_text::<RawConfig>(bytes)?;
+    let RawConfig { council, release: mut rollout, gate: analysis, machine: machines } = raw;
+    let coordination = council.resolve(text)?;
+    let table = TableReader { text, path: "release".into() };
+    let paths = rollout.paths(&table)?;
+    let machine_paths = machine_paths(text, &machines, &paths)?;
+    let stages = rollout.stages(&table)?;
+    let durations = rollout.durations(&table)?;
+    let analysis = analysis.resolve(text, durations.max_checks(stages.len()))?;
+    let Durations { bake, check_interval, max_bake } = durations;
     Ok(RolloutConfig {
-        coordination: council,
+        coordination,
         paths,
-        machine_paths: machines,
-        stages: waves,
+        machine_paths,
+        stages,
         bake,
-        check_interval: look,
-        max_bake: cap,
-        auto_rollback: returns,
-        analysis: gate,
-        reason: why,
+        check_interval,
+        max_bake,
+        auto_rollback: rollout.returns.unwrap_or(true),
+        analysis,
+        reason: rollout.why.unwrap_or_default(),
     })
 }
 
-/// Reads such a file.
+/// Reads a file.
 ///
 /// # Errors
-/// One line: the file's path, then line and column where there are any, the field, and what is wrong.
+/// One line: the path, line and column if known, the field, and what is wrong.
 pub fn read(path: &Path) -> Result<RolloutConfig, String> {
     crate::operator::read_with(path, parse)
 }
 
-/// Whether a TOML file is of a release, by its tables.
+/// Whether a TOML file contains a rollout.
 pub fn is_rollout_file(path: &Path) -> bool {
-    let bytes = crate::operator::read_whole(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
-    String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[release]")
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = "[council]\nvoters = [\"127.0.0.1:7801\"]\n[release]\nold = \"/a\"\nnew = \"/b\"\n\
-        waves = [\"1\", \"10 %\"]\nbake = \"10s\"\nlook = \"2s\"\ncap = \"1m\"\n[gate]\nlate = \"3 %\"\n\
-        [[machine]]\nname = \"m7\"\nnew = \"/c\"\n";
-
-    #[test]
-    fn a_whole_file_is_read() {
-        let r = parse(GOOD.as_bytes()).expect("good");
-        assert_eq!(r.stages, [Stage::Count(1), Stage::Share(0.1)]);
-        assert_eq!(
-            (r.analysis.late.min_difference, r.analysis.max_checks, r.auto_rollback),
-            (0.03, 3 * 31, true)
-        );
-        let own = BuildPaths { old: "/a".into(), new: "/c".into() };
-        assert_eq!(r.machine_paths, BTreeMap::from([("m7".to_string(), own)]));
-    }
-
-    #[test]
-    fn what_is_wrong_is_named_with_its_place() {
-        for (from, to, wanted) in [
-            ("\"/a\"", "\"a\"", "4:7: release.old: "),
-            ("\"1\", ", "\"0\", ", "6:10: release.waves[0]: "),
-            ("[\"1\", \"10 %\"]", "[]", "6:9: release.waves: "),
-            ("\"10 %\"", "\"10\", \"x\"", "release.waves[2]: "),
-            ("\"1m\"", "\"1s\"", "release.cap: "),
-            ("\"2s\"", "\"20s\"", "8:8: release.look: "),
-            ("\"3 %\"", "\"300 %\"", "11:8: gate.late: "),
-            ("new = \"/c\"", "new = \"c\"", "machine[0].new: "),
-            ("cap = ", "odd = ", "9:1: "),
-        ] {
-            let error = parse(GOOD.replace(from, to).as_bytes()).expect_err(to).to_string();
-            assert!(error.contains(wanted), "{to:?}: {error}");
-        }
-    }
-
-    #[test]
-    fn the_example_is_good() {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/release.example.toml");
-        assert!(read(&path).expect("good").stages.len() > 2 && is_rollout_file(&path));
-    }
+    crate::operator::has_table(path, ROLLOUT_TABLE)
 }
