--- a/crates/verification/disruption-simulation/src/main.rs
+++ b/crates/verification/disruption-simulation/src/main.rs
@@ -73,42 +73,42 @@
             println!(
                 "{} runs, {} wrong; {} leaves given, {} too late, {} nobody's; rolls: {} done, {} halted, {} broken off; {} writes",
                 found.played,
-                found.wrong.len(),
-                sum.given,
-                sum.late,
-                sum.orphans,
-                sum.rolled,
-                sum.halted,
-                sum.broken,
+                found.violations.len(),
+                sum.leases_granted,
+                sum.late_leases,
+                sum.orphaned_leases,
+                sum.rolls_completed,
+                sum.rolls_aborted,
+                sum.rolls_interrupted,
                 sum.writes,
             );
             println!(
                 "releases: {} whole, {} back, {} good ones back by themselves without a fault; a bad build at {} balancers at the \
                  most; whole ones took {:.2} times what they could at the least",
-                sum.whole,
-                sum.back,
-                sum.false_halts,
-                sum.touched,
-                sum.release_took as f64 / (sum.release_least as f64).max(1.0),
+                sum.rollouts_completed,
+                sum.rollouts_rolled_back,
+                sum.false_positives,
+                sum.max_bad_instances,
+                sum.rollout_time as f64 / (sum.min_rollout_time as f64).max(1.0),
             );
-            for (seed, report) in found.wrong.iter().take(10) {
-                println!("seed {seed}: {}", report.wrong.join("; "));
+            for (seed, report) in found.violations.iter().take(10) {
+                println!("seed {seed}: {}", report.violations.join("; "));
             }
-            let Some((seed, _)) = found.wrong.first() else { return ExitCode::SUCCESS };
+            let Some((seed, _)) = found.violations.first() else { return ExitCode::SUCCESS };
             let least = shrink(&draw(*seed), variant);
-            println!("seed {seed}, shrunk: {:#?}", least.troubles);
+            println!("seed {seed}, shrunk: {:#?}", least.faults);
             let report = play(&least, variant);
-            println!("{}", report.course.iter().map(String::as_str).collect::<Vec<_>>().join("\n"));
-            println!("{}", report.wrong.join("\n"));
+            println!("{}", report.trace.iter().map(String::as_str).collect::<Vec<_>>().join("\n"));
+            println!("{}", report.violations.join("\n"));
             ExitCode::FAILURE
         }
         Command::Variants { count } => {
             let mut missed = false;
             for variant in Variant::FAULTY {
                 let found = search(1, count, |seed| Plan::draw(seed, false), variant, threads, true);
-                match found.wrong.first() {
+                match found.violations.first() {
                     Some((seed, report)) => {
-                        let what = report.wrong.first().map_or("", String::as_str);
+                        let what = report.violations.first().map_or("", String::as_str);
                         let what: String = what.chars().take(110).collect();
                         println!("{}: found in {} runs, seed {seed}: {what}", variant.name(), found.played);
                     }
--- a/crates/verification/disruption-simulation/src/plan.rs
+++ b/crates/verification/disruption-simulation/src/plan.rs
@@ -1,39 +1,39 @@
-//! A run: drawn from one seed.
+//! Plan of a run, drawn from one seed.
 use disruption::{DisruptionBudget, DisruptionBudgets, GroupBy, ResourceKind};
 use fleet_simulation::agenda::{ms, Nanos};
 use fleet_simulation::draw::Draws;
 use rollout::OperatorCommand;
 use supervisor::RollingAction;
 
-/// Troubles begin before this.
-pub const TROUBLES: f64 = 60_000.0;
-/// A machine, a link, a supervisor or the council is away for so long at the most, in milliseconds.
-pub const AWAY: f64 = 15_000.0;
+/// Faults begin before this, in milliseconds.
+pub const FAULTS_END_MS: f64 = 60_000.0;
+/// Maximum duration of a fault, in milliseconds.
+pub const MAX_FAULT_MS: f64 = 15_000.0;
 
-/// What the agreement does wrong.
+/// Fault of the implementation, which the judge must find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Variant {
-    /// Nothing.
+    /// None.
     #[default]
     Sound,
-    /// A leave is used whether or not its session is held.
+    /// A lease is used whether or not its session is active.
     LateLeaveUsed,
-    /// What has no session does not count as out.
+    /// A balancer without a session does not count as unavailable.
     MissingNotCounted,
-    /// A leave is given back as soon as it was used.
+    /// A lease is released as soon as it was used.
     ReturnedUnseen,
-    /// Leaves are decided on what was heard of last, and other units' leaves are not looked at.
+    /// Leases of other machines are ignored.
     OwnMachineOnly,
-    /// A release moves instances without leave.
+    /// A rollout replaces instances without a lease.
     MovedWithoutLeave,
-    /// What a new build does is not looked at.
+    /// Regressions of a new build are not measured.
     NoGate,
-    /// Leave that comes after a halt or on the way back is used all the same.
+    /// A lease that is granted after a pause or rollback is used all the same.
     StateNotLookedAt,
 }
 
 impl Variant {
-    /// All that are faulty.
+    /// All faulty variants.
     pub const FAULTY: [Variant; 7] = [
         Variant::LateLeaveUsed,
         Variant::MissingNotCounted,
@@ -44,7 +44,7 @@
         Variant::StateNotLookedAt,
     ];
 
-    /// In words.
+    /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Variant::Sound => "sound",
@@ -59,107 +59,107 @@
     }
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kindred {
-    /// A machine loses power, and starts again.
-    Drop,
-    /// A supervisor is killed, and started again.
-    Supervisor,
-    /// A supervisor is stopped, and goes on.
-    Pause,
-    /// The same, in the moment in which it is given leave.
-    PauseGiven,
-    /// A supervisor and the voters do not reach one another.
-    Cut,
-    /// A machine and the voters do not reach one another.
-    CutWhole,
-    /// A balancer's process crashes.
-    Crash(usize),
+pub enum FaultKind {
+    /// A machine loses power and starts again.
+    PowerLoss,
+    /// A supervisor is killed and started again.
+    SupervisorCrash,
+    /// A supervisor is stopped and continued.
+    SupervisorPause,
+    /// A supervisor is stopped when it is notified of its next lease, and continued.
+    PauseOnGrant,
+    /// A supervisor and the voters cannot reach each other.
+    SupervisorPartition,
+    /// A machine and the voters cannot reach each other.
+    MachinePartition,
+    /// All processes of this balancer of the machine crash.
+    BalancerCrash(usize),
     /// No voter answers.
-    Council,
+    CoordinationOutage,
 }
 
-/// One trouble.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trouble {
-    /// What.
-    pub what: Kindred,
-    /// Of which machine.
+pub struct Fault {
+    /// Kind.
+    pub kind: FaultKind,
+    /// Machine.
     pub machine: usize,
     /// When it begins.
     pub at: Nanos,
-    /// For how long.
-    pub span: Nanos,
+    /// Its duration.
+    pub duration: Nanos,
 }
 
-/// A run.
+/// Plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed.
     pub seed: u64,
-    /// Machines.
+    /// Number of machines.
     pub machines: usize,
-    /// Balancers on each.
-    pub each: usize,
-    /// Instances that a roll takes at once on a machine.
+    /// Number of balancers on each machine.
+    pub balancers_per_machine: usize,
+    /// Maximum number of concurrent replacements on a machine.
     pub at_once: usize,
-    /// What may be out.
+    /// Disruption budgets.
     pub budgets: DisruptionBudgets,
-    /// Rolls: when, of which machine, what.
+    /// Rolling operations: time, machine, action.
     pub rolls: Vec<(Nanos, usize, RollingAction)>,
-    /// Troubles.
-    pub troubles: Vec<Trouble>,
-    /// A release, in place of rolls.
-    pub release: Option<Release>,
+    /// Faults.
+    pub faults: Vec<Fault>,
+    /// A rollout, in place of rolling operations.
+    pub rollout: Option<PlannedRollout>,
 }
 
-/// What the new build is like.
+/// Quality of the new build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quality {
-    /// As the old one.
+    /// Like the old one.
     Good,
-    /// Three in ten requests more are not served.
+    /// It fails three in ten requests more.
     Worse,
-    /// It crashes at its start.
+    /// It crashes on start.
     Crashes,
     /// It is never ready.
     Never,
 }
 
-/// A release.
+/// A rollout.
 #[derive(Clone, Debug)]
-pub struct Release {
+pub struct PlannedRollout {
     /// When it begins.
     pub at: Nanos,
-    /// What the new build is like.
+    /// Quality of the new build.
     pub quality: Quality,
-    /// Whether it goes back by itself.
-    pub returns: bool,
-    /// What the operator says of it, and when.
-    pub orders: Vec<(Nanos, OperatorCommand)>,
+    /// Whether it is rolled back by itself.
+    pub auto_rollback: bool,
+    /// Commands of the operator, with their times.
+    pub commands: Vec<(Nanos, OperatorCommand)>,
 }
 
-impl Release {
-    fn draw(seed: u64) -> Option<Release> {
+impl PlannedRollout {
+    fn draw(seed: u64) -> Option<PlannedRollout> {
         let mut d = Draws::new(seed, "release", 0);
         if d.chance(0.5) {
             return None;
         }
         let quality =
             [Quality::Good, Quality::Good, Quality::Worse, Quality::Crashes, Quality::Never][d.below(5)];
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for _ in 0..d.below(4) {
             let said = || "drawn".to_string();
-            let order = match d.below(4) {
+            let command = match d.below(4) {
                 0 => OperatorCommand::RollBack(said()),
                 1 => OperatorCommand::Resume,
                 _ => OperatorCommand::Pause(said()),
             };
-            orders.push((ms(d.between((6_000.0, TROUBLES))), order));
+            commands.push((ms(d.between((6_000.0, FAULTS_END_MS))), command));
         }
         let at = ms(d.between((5_000.0, 20_000.0)));
-        Some(Release { at, quality, returns: d.chance(0.8), orders })
+        Some(PlannedRollout { at, quality, auto_rollback: d.chance(0.8), commands })
     }
 }
 
@@ -176,16 +176,20 @@
 }
 
 impl Plan {
-    /// The same with a release of a good build, and nothing that goes wrong.
+    /// The same plan with a rollout of a good build and without faults.
     pub fn calm(mut self) -> Plan {
         self.rolls.clear();
-        self.troubles.clear();
-        self.release =
-            Some(Release { at: ms(5_000.0), quality: Quality::Good, returns: true, orders: Vec::new() });
+        self.faults.clear();
+        self.rollout = Some(PlannedRollout {
+            at: ms(5_000.0),
+            quality: Quality::Good,
+            auto_rollback: true,
+            commands: Vec::new(),
+        });
         self
     }
 
-    /// A small one, or one with 300 balancers on 20 machines.
+    /// Draws a small plan, or one with 300 balancers on 20 machines.
     pub fn draw(seed: u64, full: bool) -> Plan {
         let mut d = Draws::new(seed, "plan", 0);
         let (machines, each) = if full { (20, 15) } else { (2 + d.below(5), 2 + d.below(3)) };
@@ -203,37 +207,40 @@
         };
         let mut rolls = Vec::new();
         let together = d.chance(0.5);
-        // At full size a run with a release takes minutes: it is played by itself alone (`calm`).
-        let release = if full { None } else { Release::draw(seed) };
+        // At full size a run with a rollout takes minutes; only `calm` plans have one.
+        let rollout = if full { None } else { PlannedRollout::draw(seed) };
         for machine in 0..machines {
             let at = if together { 5_000.0 } else { d.between((5_000.0, 20_000.0)) };
             let roll = [RollingAction::Restart, RollingAction::Handoff, RollingAction::Reload][d.below(3)];
             rolls.push((ms(at), machine, roll));
         }
         let count = 1 + d.below(if full { 24 } else { 8 });
-        let mut troubles = Vec::new();
+        let mut faults = Vec::new();
         for _ in 0..count {
-            let what = match d.below(10) {
-                0 => Kindred::Drop,
-                1 | 2 => Kindred::Supervisor,
-                3 => Kindred::Pause,
-                4 => Kindred::PauseGiven,
-                5 => Kindred::Cut,
-                6 => Kindred::CutWhole,
-                7 => Kindred::Council,
-                _ => Kindred::Crash(d.below(each)),
+            let kind = match d.below(10) {
+                0 => FaultKind::PowerLoss,
+                1 | 2 => FaultKind::SupervisorCrash,
+                3 => FaultKind::SupervisorPause,
+                4 => FaultKind::PauseOnGrant,
+                5 => FaultKind::SupervisorPartition,
+                6 => FaultKind::MachinePartition,
+                7 => FaultKind::CoordinationOutage,
+                _ => FaultKind::BalancerCrash(d.below(each)),
             };
-            let at = ms(d.between((4_000.0, TROUBLES)));
-            // Shorter and longer than sessions live.
-            let span =
-                ms(if d.chance(0.5) { d.between((50.0, 3_000.0)) } else { d.between((3_000.0, AWAY)) });
-            troubles.push(Trouble { what, machine: d.below(machines), at, span });
+            let at = ms(d.between((4_000.0, FAULTS_END_MS)));
+            // Shorter and longer than the time to live of sessions.
+            let duration = ms(if d.chance(0.5) {
+                d.between((50.0, 3_000.0))
+            } else {
+                d.between((3_000.0, MAX_FAULT_MS))
+            });
+            faults.push(Fault { kind, machine: d.below(machines), at, duration });
         }
-        troubles.sort_by_key(|t| t.at);
-        if release.is_some() {
+        faults.sort_by_key(|t| t.at);
+        if rollout.is_some() {
             rolls.clear();
         }
         let (at_once, budgets) = (1 + d.below(2), DisruptionBudgets { budgets: all });
-        Plan { seed, machines, each, at_once, budgets, rolls, troubles, release }
+        Plan { seed, machines, balancers_per_machine: each, at_once, budgets, rolls, faults, rollout }
     }
 }
--- a/crates/verification/disruption-simulation/src/search.rs
+++ b/crates/verification/disruption-simulation/src/search.rs
@@ -1,4 +1,4 @@
-//! Many seeds; what fails is shrunk to the fewest troubles that still show it.
+//! Many seeds; what fails is shrunk to the fewest faults that still show it.
 use crate::plan::{Plan, Variant};
 use crate::world::{play, Report};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,7 +12,7 @@
     /// Runs played.
     pub played: u64,
     /// Those in which something was wrong, by seed.
-    pub wrong: Vec<(u64, Report)>,
+    pub violations: Vec<(u64, Report)>,
     /// Sums over all.
     pub sum: Report,
 }
@@ -38,21 +38,21 @@
                 let mut found = found.lock().unwrap_or_else(PoisonError::into_inner);
                 found.played += 1;
                 let sum = &mut found.sum;
-                sum.given += report.given;
-                sum.late += report.late;
-                sum.orphans += report.orphans;
-                sum.rolled += report.rolled;
-                sum.halted += report.halted;
-                sum.broken += report.broken;
+                sum.leases_granted += report.leases_granted;
+                sum.late_leases += report.late_leases;
+                sum.orphaned_leases += report.orphaned_leases;
+                sum.rolls_completed += report.rolls_completed;
+                sum.rolls_aborted += report.rolls_aborted;
+                sum.rolls_interrupted += report.rolls_interrupted;
                 sum.writes += report.writes;
-                sum.whole += report.whole;
-                sum.back += report.back;
-                sum.false_halts += report.false_halts;
-                sum.touched = sum.touched.max(report.touched);
-                sum.release_took += report.release_took;
-                sum.release_least += report.release_least;
-                if !report.wrong.is_empty() {
-                    found.wrong.push((seed, report));
+                sum.rollouts_completed += report.rollouts_completed;
+                sum.rollouts_rolled_back += report.rollouts_rolled_back;
+                sum.false_positives += report.false_positives;
+                sum.max_bad_instances = sum.max_bad_instances.max(report.max_bad_instances);
+                sum.rollout_time += report.rollout_time;
+                sum.min_rollout_time += report.min_rollout_time;
+                if !report.violations.is_empty() {
+                    found.violations.push((seed, report));
                     if first {
                         next.store(u64::MAX / 2, Ordering::Relaxed);
                     }
@@ -61,13 +61,13 @@
         }
     });
     let mut found = found.into_inner().unwrap_or_else(PoisonError::into_inner);
-    found.wrong.sort_by_key(|&(seed, _)| seed);
+    found.violations.sort_by_key(|&(seed, _)| seed);
     found
 }
 
-/// The fewest troubles of a run with which something is still wrong.
+/// The fewest faults of a run with which something is still wrong.
 pub fn shrink(plan: &Plan, variant: Variant) -> Plan {
-    let with = |troubles: &[_]| Plan { troubles: troubles.to_vec(), ..plan.clone() };
-    let troubles = fewest(&plan.troubles, |some| !play(&with(some), variant).wrong.is_empty());
-    with(&troubles)
+    let with = |faults: &[_]| Plan { faults: faults.to_vec(), ..plan.clone() };
+    let faults = fewest(&plan.faults, |some| !play(&with(some), variant).violations.is_empty());
+    with(&faults)
 }
