--- a/crates/verification/disruption-simulation/src/lib.rs
+++ b/crates/verification/disruption-simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! Agreed outages in virtual time. The machines that decide are those of the program: the council's record, the supervisor
-//! (`fleet`), its agent and the rule (`outage`). Around them: processes that start, serve and end, links and sessions with
-//! their delays, and troubles, all from one seed.
+//! Simulation of disruption budgets and rollouts in virtual time. The deciding state machines are those of the program: the
+//! coordination store, the supervisor, its lease agent and the rollout executor. Around them are simulated processes, links and
+//! sessions with their delays, and faults, all drawn from one seed.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`plan`] | a run: sizes, budgets, rolls, troubles |
-//! | [`world`] | the run itself |
-//! | [`judge`] | what must hold, by what really serves |
-//! | [`search`] | many seeds, and the fewest troubles that still fail |
+//! | [`plan`] | plan of a run: sizes, budgets, rolling operations, rollout, faults |
+//! | [`world`] | the run |
+//! | [`judge`] | requirements, judged by which balancers really serve |
+//! | [`search`] | runs of many seeds, and reduction of a failing run to the fewest faults |
 pub mod judge;
 pub mod plan;
 pub mod search;
--- a/crates/verification/disruption-simulation/src/world/coordination.rs
+++ b/crates/verification/disruption-simulation/src/world/coordination.rs
@@ -1,22 +1,31 @@
 //! The coordination store: sessions, writes and notifications.
 use super::event::{SessionHolder, SimEvent};
 use super::state::ProcessPhase;
-use super::{name, zone, World, TTL};
-use crate::judge::{self, Truth};
+use super::{millis, name, zone, World, TTL};
+use crate::judge::{self, ActualAvailability, Grant};
 use coordination::state_machine::{Command, Op, Outcome, SessionId, Transaction};
 use coordination::CLOCK_DRIFT_FRACTION;
-use disruption::keys::KEY_PREFIX;
-use disruption::{BalancerEntry, ConditionalWrite, FleetSnapshot, Projection};
+use disruption::keys::{lease_key, KEY_PREFIX};
+use disruption::{BalancerEntry, ConditionalWrite, FleetSnapshot, Projection, ResourceId};
 use fleet_simulation::agenda::{ms, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Drift of clocks that sessions allow for.
+const CLOCK_DRIFT: Nanos = TTL / CLOCK_DRIFT_FRACTION as u64;
+/// Interval at which a partitioned holder tries to renew its session, in milliseconds.
+const RENEW_RETRY_MS: f64 = 300.0;
+/// Maximum age of a snapshot that a decision rests on, in milliseconds.
+const MAX_READ_AGE_MS: f64 = 2_500.0;
+
 impl World {
+    /// Snapshot of the fleet in the store.
     pub(super) fn fleet_snapshot(&self) -> FleetSnapshot {
-        let items: Vec<(String, coordination::state_machine::VersionedValue)> =
+        let items: Vec<_> =
             self.store.with_prefix(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
         FleetSnapshot::from_items(self.store.revision(), &items)
     }
 
+    /// Opens a session.
     pub(super) fn open_session(&mut self, name: &str) -> SessionId {
         self.nonce_count += 1;
         let open = Command::OpenSession {
@@ -31,28 +40,29 @@
         }
     }
 
-    /// Whether a supervisor, or a balancer, reaches the voters.
+    /// Whether the holder of a session and the voters can reach each other.
     pub(super) fn is_reachable(&self, holder: SessionHolder) -> bool {
-        let (m, own) = match holder {
+        let (m, is_connected) = match holder {
             SessionHolder::Supervisor(m, _) => (m, self.machines[m].supervisor_partitions == 0),
             SessionHolder::Balancer(m, ..) => (m, true),
         };
-        own && self.machines[m].machine_partitions == 0 && self.coordination_outages == 0
+        is_connected && self.machines[m].machine_partitions == 0 && self.coordination_outages == 0
     }
 
-    pub(super) fn catch_up(&self, board: &mut FleetSnapshot) {
-        match self.store.events_since(board.revision).filter(|_| board.revision > 0) {
-            Some(changes) => {
-                for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
-                    board.apply(&c.key, c.value.as_deref(), c.revision);
+    /// Brings a snapshot of the fleet up to date.
+    pub(super) fn catch_up(&self, snapshot: &mut FleetSnapshot) {
+        match self.store.events_since(snapshot.revision).filter(|_| snapshot.revision > 0) {
+            Some(events) => {
+                for event in events.filter(|event| event.key.starts_with(KEY_PREFIX)) {
+                    snapshot.apply(&event.key, event.value.as_deref(), event.revision);
                 }
-                board.revision = board.revision.max(self.store.revision());
+                snapshot.advance_to(self.store.revision());
             }
-            None => *board = self.fleet_snapshot(),
+            None => *snapshot = self.fleet_snapshot(),
         }
     }
 
-    /// The record has changed: all who watch it hear of that.
+    /// Notifies all supervisors of a change of the store.
     pub(super) fn notify_watchers(&mut self) {
         for m in 0..self.machines.len() {
             let delay = self.draw_delay();
@@ -65,70 +75,78 @@
         }
     }
 
-    /// A session is to be opened or renewed; it reaches the record a moment later, if anything does.
+    /// Sends a request to open or renew a session, and schedules the next one.
     pub(super) fn renew_session(&mut self, holder: SessionHolder) {
-        let alive = match holder {
+        let is_alive = match holder {
             SessionHolder::Supervisor(m, incarnation) => self.supervisor(m, incarnation).is_some(),
             SessionHolder::Balancer(m, k, p) => self.machines[m].balancers[k].processes.contains_key(&p.0),
         };
-        if !alive {
+        if !is_alive {
             return;
         }
-        let sent = self.agenda.now();
+        let sent_at = self.agenda.now();
         if self.is_reachable(holder) {
             let delay = self.draw_delay();
-            self.agenda.after(delay, SimEvent::SessionRenewed(holder, sent));
+            self.agenda.after(delay, SimEvent::SessionRenewed(holder, sent_at));
         }
-        let again = if self.is_reachable(holder) { TTL / 3 } else { ms(300.0) };
-        self.agenda.after(again, SimEvent::RenewSession(holder));
+        let interval = if self.is_reachable(holder) { TTL / 3 } else { ms(RENEW_RETRY_MS) };
+        self.agenda.after(interval, SimEvent::RenewSession(holder));
     }
 
-    /// A renewal reached the record, and its answer who sent it: one moment for both, so that the answer is never early.
-    pub(super) fn session_renewed(&mut self, holder: SessionHolder, sent: Nanos) {
+    /// A renewal reaches the store, and its response the holder at the same time, so that the response is never early.
+    pub(super) fn session_renewed(&mut self, holder: SessionHolder, sent_at: Nanos) {
         if !self.is_reachable(holder) {
             return;
         }
         let now = self.agenda.now();
-        let (has, named) = match holder {
+        let (current, holder_name) = match holder {
             SessionHolder::Supervisor(m, incarnation) => {
                 let Some(supervisor) = self.supervisor(m, incarnation) else { return };
                 (supervisor.session.map(|(id, _)| id), format!("supervisor/m{m}"))
             }
             SessionHolder::Balancer(m, k, p) => {
-                let Some(proc) = self.machines[m].balancers[k].processes.get(&p.0) else { return };
-                if proc.phase == ProcessPhase::HandedOver {
+                let Some(process) = self.machines[m].balancers[k].processes.get(&p.0) else { return };
+                if process.phase == ProcessPhase::HandedOver {
                     return;
                 }
-                (proc.session, format!("balancer/{}", name(m, k)))
+                (process.session, format!("balancer/{}", name(m, k)))
             }
         };
-        let session = match has.filter(|&id| self.store.session(id).is_some()) {
+        let session = match current.filter(|&id| self.store.session(id).is_some()) {
             Some(id) => id,
             None => {
-                let id = self.open_session(&named);
+                let id = self.open_session(&holder_name);
                 self.notify_watchers();
                 id
             }
         };
         self.renewed_at.insert(session, now);
-        self.agenda
-            .at(now + TTL + TTL / u64::from(CLOCK_DRIFT_FRACTION), SimEvent::SessionExpires(session, now));
+        self.agenda.at(now + TTL + CLOCK_DRIFT, SimEvent::SessionExpires(session, now));
         match holder {
             SessionHolder::Supervisor(m, incarnation) => {
                 let Some(supervisor) = self.supervisor(m, incarnation) else { return };
-                supervisor.session = Some((session, sent + TTL - TTL / u64::from(CLOCK_DRIFT_FRACTION)));
+                supervisor.session = Some((session, sent_at + TTL - CLOCK_DRIFT));
                 self.step_lease_agent(m);
             }
             SessionHolder::Balancer(m, k, p) => {
-                if let Some(proc) = self.machines[m].balancers[k].processes.get_mut(&p.0) {
-                    proc.session = Some(session);
+                if let Some(process) = self.machines[m].balancers[k].processes.get_mut(&p.0) {
+                    process.session = Some(session);
                 }
                 self.report_status(m, k, p.0);
             }
         }
     }
 
-    /// Makes a write of the record, as its client does it: numbered by its session.
+    /// A session expires unless it was renewed after this time.
+    pub(super) fn session_expires(&mut self, session: SessionId, renewed_at: Nanos) {
+        if self.renewed_at.get(&session) != Some(&renewed_at) {
+            return;
+        }
+        self.renewed_at.remove(&session);
+        self.store.apply(&Command::ExpireSession { session });
+        self.notify_watchers();
+    }
+
     /// Executes a write under a session, with the session's next sequence number. Returns whether it was committed.
     pub(super) fn transact(&mut self, session: SessionId, write: ConditionalWrite) -> bool {
         let last = self.store.session(session).and_then(|s| s.last_transaction.as_ref());
@@ -137,53 +155,58 @@
         matches!(self.store.apply(&Command::Transaction(transaction)), Outcome::Committed(_))
     }
 
-    pub(super) fn execute_write(&mut self, m: usize, incarnation: u64, plan: ConditionalWrite) {
+    /// Executes a write of a lease agent, and judges the leases that it grants.
+    pub(super) fn execute_write(&mut self, m: usize, incarnation: u64, write: ConditionalWrite) {
         self.report.writes += 1;
         let Some(session) = self.supervisor(m, incarnation).and_then(|s| s.session).map(|(id, _)| id) else {
             return;
         };
-        let number =
-            self.store.session(session).and_then(|s| s.last_transaction.as_ref()).map_or(1, |(n, _)| n + 1);
-        let leave = |change: &Op| {
-            let (Op::Put { key, .. } | Op::Delete(key)) = change;
-            key.strip_prefix("outage/leave/balancer/").map(str::to_string)
+        let lease_prefix = lease_key(&ResourceId::balancer(""));
+        let leased_balancer = |op: &Op| {
+            let (Op::Put { key, .. } | Op::Delete(key)) = op;
+            key.strip_prefix(lease_prefix.as_str()).map(str::to_string)
         };
         let before: BTreeSet<String> =
             self.fleet_snapshot().leases.keys().map(|id| id.name.clone()).collect();
         let new: BTreeSet<String> =
-            plan.ops.iter().filter_map(leave).filter(|n| !before.contains(n)).collect();
-        let write = Transaction { session, sequence: number, compares: plan.compares, ops: plan.ops };
+            write.ops.iter().filter_map(leased_balancer).filter(|name| !before.contains(name)).collect();
         let text = format!("m{m} writes {:?}", write.ops);
-        if let Outcome::Committed(_) = self.store.apply(&Command::Transaction(write)) {
-            self.trace(|| text);
-            if !new.is_empty() {
-                self.report.leases_granted += new.len() as u64;
-                self.judge_grants(&before, &new);
-            }
-            self.notify_watchers();
+        if !self.transact(session, write) {
+            return;
+        }
+        self.trace(|| text);
+        if !new.is_empty() {
+            self.report.leases_granted += new.len() as u64;
+            self.judge_grants(&before, &new);
         }
+        self.notify_watchers();
     }
 
-    pub(super) fn judge_grants(&mut self, leaves: &BTreeSet<String>, new: &BTreeSet<String>) {
-        let mut units = BTreeMap::new();
+    /// Judges newly granted leases by the actual availability of the balancers.
+    fn judge_grants(&mut self, leased: &BTreeSet<String>, new: &BTreeSet<String>) {
+        let mut balancers = BTreeMap::new();
         for (m, machine) in self.machines.iter().enumerate() {
-            let unit = BalancerEntry {
+            let entry = BalancerEntry {
                 machine: format!("m{m}"),
                 zone: zone(m).into(),
                 tier: "front".into(),
                 down: false,
             };
-            for (k, b) in machine.balancers.iter().enumerate() {
-                units.insert(
-                    name(m, k),
-                    Truth { labels: unit.labels(), out: b.unavailable_since, by_act: b.by_lease },
-                );
+            for (k, balancer) in machine.balancers.iter().enumerate() {
+                let availability = ActualAvailability {
+                    labels: entry.labels(),
+                    unavailable_since: balancer.unavailable_since,
+                    by_lease: balancer.by_lease,
+                };
+                balancers.insert(name(m, k), availability);
             }
         }
-        // A session ends at the latest so long after its holder has; what was read before that is a moment old.
-        let unheard = TTL + TTL / u64::from(CLOCK_DRIFT_FRACTION) + ms(2_500.0);
+        // The session of a process that is gone expires by then, and snapshots from before that are no longer used.
+        let detection_time = TTL + CLOCK_DRIFT + ms(MAX_READ_AGE_MS);
         let now = self.agenda.now();
-        let wrong = judge::given(now, &self.plan.budgets, &units, leaves, new, unheard);
-        self.report.violations.extend(wrong.into_iter().map(|w| format!("at {} ms: {w}", now / 1_000_000)));
+        let grant = Grant { now, detection_time, leased, new };
+        let violations = judge::judge_grant(&self.plan.budgets, &balancers, &grant);
+        let text = |violation: String| format!("at {} ms: {violation}", millis(now));
+        self.report.violations.extend(violations.into_iter().map(text));
     }
 }
--- a/crates/verification/disruption-simulation/src/world/faults.rs
+++ b/crates/verification/disruption-simulation/src/world/faults.rs
@@ -6,6 +6,7 @@
 use supervisor::ProcessId;
 
 impl World {
+    /// The fault at this position of the plan begins.
     pub(super) fn begin_fault(&mut self, k: usize) {
         let fault = self.plan.faults[k];
         self.trace(|| format!("{fault:?}"));
@@ -25,29 +26,30 @@
             }
             FaultKind::SupervisorPause => {
                 let until = self.agenda.now() + fault.duration;
-                let before = self.machines[m].paused_until;
-                self.machines[m].paused_until = before.max(until);
+                let paused_until = &mut self.machines[m].paused_until;
+                *paused_until = until.max(*paused_until);
             }
             FaultKind::PauseOnGrant => self.machines[m].pause_on_grant = Some(fault.duration),
             FaultKind::SupervisorPartition => self.machines[m].supervisor_partitions += 1,
             FaultKind::MachinePartition => self.machines[m].machine_partitions += 1,
             FaultKind::CoordinationOutage => self.coordination_outages += 1,
             FaultKind::BalancerCrash(k) => {
-                let own: Vec<u64> = self.machines[m].balancers[k].processes.keys().copied().collect();
-                for own in own {
-                    self.handle_process_event(m, k, ProcessId(own), ProcessEvent::Crash);
+                let ids: Vec<u64> = self.machines[m].balancers[k].processes.keys().copied().collect();
+                for id in ids {
+                    self.handle_process_event(m, k, ProcessId(id), ProcessEvent::Crash);
                 }
             }
         }
         self.agenda.after(fault.duration, SimEvent::FaultEnds(k));
     }
 
-    pub(super) fn kill_supervisor(&mut self, m: usize) {
+    fn kill_supervisor(&mut self, m: usize) {
         if let Some(supervisor) = self.machines[m].supervisor.take() {
             self.report.rolls_interrupted += u64::from(supervisor.is_rolling);
         }
     }
 
+    /// The fault at this position of the plan ends.
     pub(super) fn end_fault(&mut self, k: usize) {
         let fault = self.plan.faults[k];
         self.trace(|| format!("over: {fault:?}"));
--- a/crates/verification/disruption-simulation/src/world/mod.rs
+++ b/crates/verification/disruption-simulation/src/world/mod.rs
@@ -14,21 +14,28 @@
 
 use crate::plan::{Plan, Variant, FAULTS_END_MS, MAX_FAULT_MS};
 use ::coordination::limits::Limits;
-use ::coordination::state_machine::{Command, Op, SessionId, StateMachine, Transaction};
+use ::coordination::state_machine::{SessionId, StateMachine};
+use disruption::conditional_write::put;
 use disruption::keys::BUDGETS;
-use event::{SessionHolder, SimEvent};
+use disruption::{ConditionalWrite, DisruptionLease, ResourceId, Versioned};
+use event::SimEvent;
 use fleet_simulation::agenda::{ms, Agenda, Nanos};
 use fleet_simulation::draw::Draws;
 use rollout::BuildId;
 use state::{Balancer, Machine, SupervisorProcess};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use supervisor::Event;
 
 /// Time to live of sessions.
 const TTL: Nanos = 5_000_000_000;
 /// Time after the last fault within which everything must have ended, in milliseconds.
 const RECOVERY_MS: f64 = 1_500_000.0;
+/// Time after the last planned event before a run may end, in milliseconds.
+const MIN_RECOVERY_MS: f64 = 12_000.0;
+/// Maximum delay of the start of a supervisor, in milliseconds.
+const MAX_START_MS: f64 = 500.0;
+/// Interval at which a partitioned client tries to reconnect, in milliseconds.
+const RECONNECT_MS: f64 = 200.0;
 /// Maximum number of steps; a run with more does not terminate.
 const MAX_STEPS: u64 = 20_000_000;
 
@@ -101,27 +108,10 @@
 
 impl World {
     fn run(&mut self) {
-        let budgets = serde_json::to_string(&self.plan.budgets).unwrap_or_default();
-        let session = self.open_session("operator");
-        self.operator_session = session;
-        let put = Op::Put { key: BUDGETS.into(), value: budgets, ephemeral: false };
-        self.store.apply(&Command::Transaction(Transaction {
-            session,
-            sequence: 1,
-            compares: vec![],
-            ops: vec![put],
-        }));
-        for m in 0..self.plan.machines {
-            let at = self.draws.between((0.0, 500.0));
-            self.agenda.at(ms(at), SimEvent::StartSupervisor(m));
-        }
-        for (at, machine, roll) in self.plan.rolls.clone() {
-            self.agenda.at(at, SimEvent::StartRoll(machine, roll));
-        }
-        for k in 0..self.plan.faults.len() {
-            self.agenda.at(self.plan.faults[k].at, SimEvent::FaultBegins(k));
-        }
-        self.schedule_rollout();
+        self.operator_session = self.open_session("operator");
+        let write = ConditionalWrite::unconditional(vec![put(BUDGETS.into(), &self.plan.budgets)]);
+        self.transact(self.operator_session, write);
+        self.schedule_plan();
         let end = ms(FAULTS_END_MS + MAX_FAULT_MS + RECOVERY_MS);
         let mut steps = 0;
         while let Some(event) = self.agenda.turn() {
@@ -141,42 +131,61 @@
         self.check_finished();
     }
 
-    /// Whether all is done that this run has.
+    /// Schedules the events of the plan.
+    fn schedule_plan(&mut self) {
+        for m in 0..self.plan.machines {
+            let at = self.draws.between((0.0, MAX_START_MS));
+            self.agenda.at(ms(at), SimEvent::StartSupervisor(m));
+        }
+        for (at, machine, action) in self.plan.rolls.clone() {
+            self.agenda.at(at, SimEvent::StartRoll(machine, action));
+        }
+        for k in 0..self.plan.faults.len() {
+            self.agenda.at(self.plan.faults[k].at, SimEvent::FaultBegins(k));
+        }
+        self.schedule_rollout();
+    }
+
+    /// Whether all planned events are over and nothing is unfinished.
     fn is_done(&self) -> bool {
         let now = self.agenda.now();
         let last = self.plan.faults.iter().map(|fault| fault.at + fault.duration).max().unwrap_or(0);
         let rolls = self.plan.rolls.iter().map(|r| r.0).max().unwrap_or(0);
-        now > last.max(rolls) + ms(12_000.0) && self.unfinished().is_empty()
+        now > last.max(rolls) + ms(MIN_RECOVERY_MS) && self.unfinished().is_empty()
     }
 
-    /// What is not as it should be once all is healed.
+    /// What must have ended after the last fault and has not.
     fn unfinished(&self) -> Vec<String> {
-        let mut all = Vec::new();
-        let board = self.fleet_snapshot();
+        let mut unfinished = Vec::new();
+        let snapshot = self.fleet_snapshot();
         for (m, machine) in self.machines.iter().enumerate() {
             match &machine.supervisor {
                 Some(supervisor) if supervisor.state_machine.rolling().is_some() => {
-                    all.push(format!("m{m} rolls: {:?}", supervisor.state_machine.rolling()))
+                    unfinished.push(format!("m{m} rolls: {:?}", supervisor.state_machine.rolling()))
                 }
-                None => all.push(format!("m{m} has no supervisor")),
+                None => unfinished.push(format!("m{m} has no supervisor")),
                 _ => {}
             }
-            for (k, b) in machine.balancers.iter().enumerate() {
-                if b.unavailable_since.is_some() {
-                    all.push(format!("{} is out", name(m, k)));
+            for (k, balancer) in machine.balancers.iter().enumerate() {
+                if balancer.unavailable_since.is_some() {
+                    unfinished.push(format!("{} is out", name(m, k)));
                 }
             }
         }
-        all.extend(board.leases.iter().map(|(id, l)| format!("leave for {id}: {:?}", l.value)));
-        all.extend(board.requests.values().map(|a| format!("asked: {:?}", a.value)));
-        all.extend(self.unfinished_rollout());
-        all
+        let lease = |(id, lease): (&ResourceId, &Versioned<DisruptionLease>)| {
+            format!("leave for {id}: {:?}", lease.value)
+        };
+        unfinished.extend(snapshot.leases.iter().map(lease));
+        unfinished.extend(snapshot.requests.values().map(|request| format!("asked: {:?}", request.value)));
+        unfinished.extend(self.unfinished_rollout());
+        unfinished
     }
 
     fn check_finished(&mut self) {
-        let left = self.unfinished();
-        if !left.is_empty() {
-            self.report.violations.push(format!("not ended when all was healed: {}", left.join("; ")));
+        let unfinished = self.unfinished();
+        if !unfinished.is_empty() {
+            let text = format!("not ended when all was healed: {}", unfinished.join("; "));
+            self.report.violations.push(text);
         }
     }
 
@@ -188,10 +197,11 @@
 
     /// Draws the delay of a message.
     fn draw_delay(&mut self) -> Nanos {
-        let slow = self.draws.chance(0.02);
-        ms(if slow { self.draws.between((50.0, 900.0)) } else { self.draws.between((0.5, 12.0)) })
+        let is_slow = self.draws.chance(0.02);
+        ms(if is_slow { self.draws.between((50.0, 900.0)) } else { self.draws.between((0.5, 12.0)) })
     }
 
+    /// Handles an event, or delays it while the supervisor that handles it is stopped.
     fn dispatch(&mut self, event: SimEvent) {
         let paused_until = event.handling_supervisor().and_then(|m| self.paused_until(m));
         if let Some(until) = paused_until {
@@ -199,60 +209,33 @@
         }
         match event {
             SimEvent::StartSupervisor(m) => self.start_supervisor(m),
-            SimEvent::Timeout(m, incarnation) => {
-                let now = self.agenda.now();
-                let Some(supervisor) = self.supervisor(m, incarnation) else { return };
-                if supervisor.wake_at.is_none_or(|at| now >= at) {
-                    supervisor.wake_at = None;
-                }
-                self.handle_supervisor_event(m, Event::Timeout);
-            }
-            SimEvent::SnapshotChanged(m, incarnation) => {
-                if !self.is_reachable(SessionHolder::Supervisor(m, incarnation)) {
-                    // It hears of it when it reaches them again.
-                    return self.agenda.after(ms(200.0), SimEvent::SnapshotChanged(m, incarnation));
-                }
-                let mut board = match self.supervisor(m, incarnation) {
-                    Some(supervisor) => std::mem::take(&mut supervisor.fleet),
-                    None => return,
-                };
-                self.catch_up(&mut board);
-                if let Some(supervisor) = self.supervisor(m, incarnation) {
-                    (supervisor.fleet, supervisor.is_notified) = (board, false);
-                }
-                self.step_lease_agent(m);
-            }
-            SimEvent::RequestArrives(m, incarnation, writes) => self.request_arrives(m, incarnation, writes),
-            SimEvent::ResponseArrives(m, incarnation, done, look) => {
-                self.response_arrives(m, incarnation, done, look)
+            SimEvent::Timeout(m, incarnation) => self.supervisor_timeout(m, incarnation),
+            SimEvent::SnapshotChanged(m, incarnation) => self.snapshot_changed(m, incarnation),
+            SimEvent::RequestArrives(m, incarnation, write) => self.request_arrives(m, incarnation, write),
+            SimEvent::ResponseArrives(m, incarnation, succeeded, is_read) => {
+                self.response_arrives(m, incarnation, succeeded, is_read)
             }
             SimEvent::RenewSession(holder) => self.renew_session(holder),
             SimEvent::SessionRenewed(holder, sent) => self.session_renewed(holder, sent),
-            SimEvent::SessionExpires(session, renewed) => {
-                if self.renewed_at.get(&session) == Some(&renewed) {
-                    self.renewed_at.remove(&session);
-                    self.store.apply(&Command::ExpireSession { session });
-                    self.notify_watchers();
-                }
-            }
-            SimEvent::Process(m, k, process, course) => self.handle_process_event(m, k, process, course),
+            SimEvent::SessionExpires(session, renewed_at) => self.session_expires(session, renewed_at),
+            SimEvent::Process(m, k, process, event) => self.handle_process_event(m, k, process, event),
             SimEvent::SupervisorEvent(m, incarnation, event) => {
                 if self.supervisor(m, incarnation).is_some() {
                     self.handle_supervisor_event(m, event);
                 }
             }
-            SimEvent::LeaseGranted(m, incarnation, given) => {
+            SimEvent::LeaseGranted(m, incarnation, lease) => {
                 if self.supervisor(m, incarnation).is_some() {
-                    self.lease_granted(m, &given);
+                    self.lease_granted(m, &lease);
                 }
             }
-            SimEvent::StartRoll(m, roll) => self.start_roll(m, roll),
+            SimEvent::StartRoll(m, action) => self.start_roll(m, action),
             SimEvent::PollRollout(m, incarnation) => self.poll_rollout(m, incarnation),
-            SimEvent::RolloutWriteArrives(m, incarnation, plan, said) => {
-                self.rollout_write_arrives(m, incarnation, plan, said)
+            SimEvent::RolloutWriteArrives(m, incarnation, write, purpose) => {
+                self.rollout_write_arrives(m, incarnation, write, purpose)
             }
-            SimEvent::LeaseConfirmed(m, incarnation, given, board) => {
-                self.rollout_lease_confirmed(m, incarnation, &given, board)
+            SimEvent::LeaseConfirmed(m, incarnation, lease, snapshot) => {
+                self.rollout_lease_confirmed(m, incarnation, &lease, snapshot)
             }
             SimEvent::ReportMetrics(m) => self.report_metrics(m),
             SimEvent::StartRollout => self.start_rollout(),
@@ -262,17 +245,18 @@
         }
     }
 
-    /// What a stopped supervisor would do now it does when it goes on.
     /// Position of a balancer of a machine, by its name.
     fn balancer_of(&self, m: usize, balancer: &str) -> Option<usize> {
         (0..self.plan.balancers_per_machine).find(|&k| name(m, k) == balancer)
     }
 
+    /// Until when a supervisor is stopped; its events are delayed until then.
     fn paused_until(&self, m: usize) -> Option<Nanos> {
         let until = self.machines[m].paused_until;
         (self.agenda.now() < until).then_some(until)
     }
 
+    /// The supervisor process of a machine, if it is still this incarnation.
     fn supervisor(&mut self, m: usize, incarnation: u64) -> Option<&mut SupervisorProcess> {
         self.machines[m].supervisor.as_mut().filter(|s| s.incarnation == incarnation)
     }
--- a/crates/verification/disruption-simulation/src/world/report.rs
+++ b/crates/verification/disruption-simulation/src/world/report.rs
@@ -44,6 +44,23 @@
 }
 
 impl Report {
+    /// Adds the counts of another report.
+    pub fn add(&mut self, other: &Report) {
+        self.leases_granted += other.leases_granted;
+        self.late_leases += other.late_leases;
+        self.orphaned_leases += other.orphaned_leases;
+        self.rolls_completed += other.rolls_completed;
+        self.rolls_aborted += other.rolls_aborted;
+        self.rolls_interrupted += other.rolls_interrupted;
+        self.writes += other.writes;
+        self.rollouts_completed += other.rollouts_completed;
+        self.rollouts_rolled_back += other.rollouts_rolled_back;
+        self.false_positives += other.false_positives;
+        self.max_bad_instances = self.max_bad_instances.max(other.max_bad_instances);
+        self.rollout_time += other.rollout_time;
+        self.min_rollout_time += other.min_rollout_time;
+    }
+
     /// Appends a step to the trace.
     pub(super) fn add_step(&mut self, step: String) {
         if self.trace.len() == MAX_TRACE_LINES {
--- a/crates/verification/disruption-simulation/src/world/supervisors.rs
+++ b/crates/verification/disruption-simulation/src/world/supervisors.rs
@@ -13,6 +13,7 @@
 };
 
 impl World {
+    /// Starts the supervisor of a machine, unless it runs or a fault keeps it from running.
     pub(super) fn start_supervisor(&mut self, m: usize) {
         if self.machines[m].down > 0 || self.machines[m].supervisor.is_some() {
             return;
@@ -71,65 +72,79 @@
         }
     }
 
-    pub(super) fn declare_balancers(&mut self, m: usize) {
-        let each = self.plan.balancers_per_machine;
+    /// A timeout of a supervisor's state machine expires.
+    pub(super) fn supervisor_timeout(&mut self, m: usize, incarnation: u64) {
+        let now = self.agenda.now();
+        let Some(supervisor) = self.supervisor(m, incarnation) else { return };
+        if supervisor.wake_at.is_none_or(|at| now >= at) {
+            supervisor.wake_at = None;
+        }
+        self.handle_supervisor_event(m, Event::Timeout);
+    }
+
+    /// Passes the balancers of a machine to its lease agent.
+    fn declare_balancers(&mut self, m: usize) {
+        let balancer_count = self.plan.balancers_per_machine;
         let Some(supervisor) = &mut self.machines[m].supervisor else { return };
-        let unit = |k: usize| BalancerEntry {
+        let entry = |k: usize| BalancerEntry {
             machine: format!("m{m}"),
             zone: zone(m).into(),
             tier: "front".into(),
             down: supervisor.state_machine.instances().get(k).is_none_or(supervisor::Instance::is_down),
         };
-        let units = (0..each).map(|k| (name(m, k), unit(k))).collect();
-        supervisor.lease_agent.set_balancers(units);
+        let balancers = (0..balancer_count).map(|k| (name(m, k), entry(k))).collect();
+        supervisor.lease_agent.set_balancers(balancers);
     }
 
-    /// Tells the supervisor's machine and does what it wants.
+    /// Passes an event to a supervisor's state machine and executes its actions.
     pub(super) fn handle_supervisor_event(&mut self, m: usize, event: Event) {
         let now = self.agenda.now();
-        let given = matches!(event, Event::LeaseGranted(_) | Event::Command(supervisor::Command::Replace(_)));
+        let by_lease =
+            matches!(event, Event::LeaseGranted(_) | Event::Command(supervisor::Command::Replace(_)));
         let mut actions = Vec::new();
         let Some(supervisor) = &mut self.machines[m].supervisor else { return };
         supervisor.state_machine.handle(duration(now), event, &mut actions);
-        let rolling = supervisor.state_machine.rolling().is_some();
+        let is_rolling = supervisor.state_machine.rolling().is_some();
         for action in actions {
-            self.perform(m, action, given);
+            self.execute(m, action, by_lease);
         }
         if let Some(supervisor) = &mut self.machines[m].supervisor {
-            supervisor.is_rolling = rolling;
+            supervisor.is_rolling = is_rolling;
         }
         self.declare_balancers(m);
         self.step_lease_agent(m);
         self.schedule_timeout(m, None);
     }
 
-    pub(super) fn schedule_timeout(&mut self, m: usize, also: Option<Duration>) {
+    /// Schedules the next timeout of a supervisor's state machine, or `other` if that is earlier.
+    pub(super) fn schedule_timeout(&mut self, m: usize, other: Option<Duration>) {
         let now = self.agenda.now();
         let Some(supervisor) = &mut self.machines[m].supervisor else { return };
-        let at = supervisor.state_machine.next_timeout().into_iter().chain(also).min();
+        let at = supervisor.state_machine.next_timeout().into_iter().chain(other).min();
         let Some(at) = at.map(|at| u64::try_from(at.as_nanos()).unwrap_or(u64::MAX).max(now + 1)) else {
             return;
         };
-        if supervisor.wake_at.is_none_or(|before| at < before || before <= now) {
+        if supervisor.wake_at.is_none_or(|scheduled| at < scheduled || scheduled <= now) {
             supervisor.wake_at = Some(at);
             let incarnation = supervisor.incarnation;
             self.agenda.at(at, SimEvent::Timeout(m, incarnation));
         }
     }
 
-    pub(super) fn perform(&mut self, m: usize, action: Action, by_leave: bool) {
+    /// Executes an action of a supervisor's state machine. `by_lease` tells whether it is taken under a lease.
+    fn execute(&mut self, m: usize, action: Action, by_lease: bool) {
         self.trace(|| format!("m{m} {action:?}"));
         match action {
             Action::Start { instance, process } => self.start_process(m, instance, process),
-            Action::Signal(process, signal) => self.signal(m, process, signal, by_leave),
+            Action::Signal(process, signal) => self.signal(m, process, signal, by_lease),
             Action::RequestLease { instance, action } => {
-                let act = match action {
+                let kind = match action {
                     RollingAction::Restart => DisruptionKind::Restart,
                     RollingAction::Handoff => DisruptionKind::Handoff,
                     RollingAction::Reload => DisruptionKind::Reload,
                 };
                 if let Some(supervisor) = &mut self.machines[m].supervisor {
-                    supervisor.lease_agent.request(&name(m, instance), act, "", None);
+                    supervisor.lease_agent.request(&name(m, instance), kind, "", None);
                 }
             }
             Action::ReleaseLease { instance, acted } => {
@@ -146,16 +161,16 @@
         }
     }
 
-    pub(super) fn start_roll(&mut self, m: usize, roll: RollingAction) {
+    /// An operator starts a rolling operation, or tries again later if that is not possible now.
+    pub(super) fn start_roll(&mut self, m: usize, action: RollingAction) {
         let Some(supervisor) = &self.machines[m].supervisor else {
-            // Its operator comes back later.
-            return self.agenda.after(ms(5_000.0), SimEvent::StartRoll(m, roll));
+            return self.agenda.after(ms(5_000.0), SimEvent::StartRoll(m, action));
         };
         if supervisor.state_machine.rolling().is_some()
             || supervisor.state_machine.instances().iter().any(|i| i.state != InstancePhase::Ready)
         {
-            return self.agenda.after(ms(2_000.0), SimEvent::StartRoll(m, roll));
+            return self.agenda.after(ms(2_000.0), SimEvent::StartRoll(m, action));
         }
-        self.handle_supervisor_event(m, Event::Command(supervisor::Command::Roll(roll)));
+        self.handle_supervisor_event(m, Event::Command(supervisor::Command::Roll(action)));
     }
 }
