--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -79,14 +79,15 @@
 impl LocalBalancer {
     /// Condition of an endpoint; `None` if it is in service.
     fn condition(&self, endpoint: &Endpoint, is_ejected: bool, now_ms: f64) -> Option<EndpointCondition> {
-        match endpoint.standing {
+        match endpoint.state {
             // A drain of this fleet already counts as the lease that is granted for it.
-            EndpointState::Draining if self.endpoints.holds(&endpoint.name) => None,
+            EndpointState::Draining if self.endpoints.is_held_out(&endpoint.name) => None,
             EndpointState::Draining => Some(EndpointCondition::Draining),
             EndpointState::Unhealthy => Some(EndpointCondition::Unhealthy),
             EndpointState::Ready if is_ejected => Some(EndpointCondition::Ejected),
             EndpointState::Ready => {
-                let is_warming_up = endpoint.since > 0.0 && now_ms - endpoint.since < self.slow_start_ms;
+                let is_warming_up =
+                    endpoint.started_ms > 0.0 && now_ms - endpoint.started_ms < self.slow_start_ms;
                 is_warming_up.then_some(EndpointCondition::WarmingUp)
             }
         }
@@ -95,7 +96,7 @@
 
 impl BalancerView for LocalBalancer {
     fn apply_drains(&self, upstreams: &BTreeMap<String, String>) {
-        self.endpoints.hold(upstreams);
+        self.endpoints.set_held_out(upstreams);
     }
 
     fn in_flight(&self, upstream: &str) -> usize {
@@ -107,7 +108,7 @@
         let ejected: BTreeSet<UpstreamId> = pools.iter().flat_map(|pool| pool.driver.ejected()).collect();
         let now_ms = unix_ms();
         let mut observations = LocalObservations::default();
-        self.endpoints.each(|endpoint| {
+        self.endpoints.for_each(|endpoint| {
             let id = aggregator::upstream_id(&endpoint.name);
             let name = endpoint.name.to_string();
             if let Some(condition) = self.condition(endpoint, ejected.contains(&id), now_ms) {
--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -88,7 +88,7 @@
 }
 
 impl EndpointSubscriber for DriverHandle {
-    fn listed(&self, listing: &EndpointUpdate) {
+    fn endpoints_changed(&self, listing: &EndpointUpdate) {
         self.0.driver.borrow_mut().update_upstreams(listing);
         self.handle_event(Event::Membership(Membership::Delta(listing.members().collect())));
     }
--- a/crates/herondock/src/driver/state.rs
+++ b/crates/herondock/src/driver/state.rs
@@ -273,7 +273,7 @@
     /// change was written, or counted as notified, is not known, and part of the grace may be over.
     pub(super) fn update_upstreams(&mut self, listing: &EndpointUpdate) {
         let now = Instant::now();
-        for entry in &listing.entries {
+        for entry in &listing.endpoints {
             let member = &entry.member;
             debug!("list: {} is {:?}", entry.addr, member.availability);
             let known = self.upstreams.entry(member.id).or_insert_with(|| UpstreamEntry {
@@ -286,7 +286,7 @@
             if known.entry.addr != entry.addr || known.entry.member.since != member.since {
                 known.upstream.process_replaced(entry.addr);
             }
-            if known.entry.speaks != entry.speaks {
+            if known.entry.protocol != entry.protocol {
                 known.upstream = (self.transports)(entry);
             }
             known.entry = entry.clone();
--- a/crates/herondock/src/run/wiring.rs
+++ b/crates/herondock/src/run/wiring.rs
@@ -90,7 +90,7 @@
     /// Creates the driver of each pool. The settings have been found valid.
     fn driver_factory(&self, operator: &OperatorConfig, learned: Option<Learned>) -> DriverFactory {
         let connections = self.connection_settings();
-        let fastcgi = Rc::new(transport::fastcgi::Settings {
+        let fastcgi = Rc::new(transport::fastcgi::FastCgiSettings {
             params: transport::fastcgi::Params(operator.fastcgi.params.clone()),
             multiplex: operator.fastcgi.multiplex,
         });
@@ -111,7 +111,7 @@
                 balancer,
                 start: clock.start,
                 start_ms: clock.start_ms,
-                transports: Box::new(transport::choose(connections.clone(), fastcgi.clone())),
+                transports: Box::new(transport::transport_factory(connections.clone(), fastcgi.clone())),
                 descriptors: descriptors.clone(),
                 max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
                 late_shedding: policy.late_shedding,
@@ -202,14 +202,15 @@
     let reports = known
         .reports()
         .iter()
-        .map(|r| (source.clone(), EndpointReport { speaks, ..r.clone() }, None))
+        .map(|r| (source.clone(), EndpointReport { protocol: speaks, ..r.clone() }, None))
         .collect();
-    for fault in known.faults.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
+    for fault in known.entry_errors.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
         info!("known: {fault}");
     }
     // Entries that could not be read have to be requested again.
-    let indices = if known.faults.is_empty() { vec![(source.clone(), known.version)] } else { Vec::new() };
-    EndpointCache { reports, told: vec![(source, now_ms)], indices }
+    let indices =
+        if known.entry_errors.is_empty() { vec![(source.clone(), known.version)] } else { Vec::new() };
+    EndpointCache { reports, updated: vec![(source, now_ms)], indices }
 }
 
 /// Brings the phases of graceful shutdown forward where every deadline is shorter than the platform's longest. The platform
