--- a/crates/control-plane/coordination-server/src/command/mod.rs
+++ b/crates/control-plane/coordination-server/src/command/mod.rs
@@ -243,7 +243,7 @@
     async fn status(&self, json: bool) -> Result<(), CommandError> {
         let mut rows = Vec::new();
         for (name, address) in &self.config.voters {
-            let status = self.status_of(&address.to_string()).await.map_err(|error| error.to_string());
+            let status = self.status_of(&address.to_string()).await;
             rows.push(tables::StatusRow { name: name.clone(), address: *address, status });
         }
         match json {
--- a/crates/control-plane/coordination-server/src/command/tables.rs
+++ b/crates/control-plane/coordination-server/src/command/tables.rs
@@ -1,4 +1,5 @@
 //! Output of `status` and `members`.
+use crate::error::CommandError;
 use coordination::protocol::{Member, Status};
 use std::net::SocketAddr;
 
@@ -23,7 +24,7 @@
 pub(super) struct StatusRow {
     pub name: String,
     pub address: SocketAddr,
-    pub status: Result<Status, String>,
+    pub status: Result<Status, CommandError>,
 }
 
 fn header(names: &[&str]) -> Vec<String> {
@@ -48,7 +49,7 @@
         Err(reason) => {
             let mut cells = vec![row.name.clone(), "silent".into()];
             cells.resize(STATUS_HEADER.len() - 1, UNKNOWN.into());
-            cells.push(reason.clone());
+            cells.push(reason.to_string());
             cells
         }
     }
@@ -65,7 +66,9 @@
 pub(super) fn status_json(rows: &[StatusRow]) -> String {
     let object = |row: &StatusRow| match &row.status {
         Ok(status) => serde_json::json!({"voter": row.name, "addr": row.address, "status": status}),
-        Err(reason) => serde_json::json!({"voter": row.name, "addr": row.address, "silent": reason}),
+        Err(reason) => {
+            serde_json::json!({"voter": row.name, "addr": row.address, "silent": reason.to_string()})
+        }
     };
     serde_json::Value::from(rows.iter().map(object).collect::<Vec<_>>()).to_string()
 }
--- a/crates/control-plane/coordination-server/src/server/event_loop.rs
+++ b/crates/control-plane/coordination-server/src/server/event_loop.rs
@@ -6,6 +6,7 @@
 use crate::journal_writer::{JournalEvent, JournalRequest};
 use crate::peer_connections::PeerConnections;
 use config::coordination::CoordinationConfig;
+use config::file::ConfigFileError;
 use coordination::client::{ClientRequest, RequestOutcome};
 use coordination::protocol::{Answer, Request};
 use coordination::voter::{Action, Event, PersistedState, Voter, VoterEvent};
@@ -33,22 +34,40 @@
     pub unreachable: mpsc::Receiver<u64>,
 }
 
-pub(super) struct VoterProcess {
-    /// Path of the configuration file.
-    pub path: PathBuf,
-    pub config: CoordinationConfig,
-    pub manager: ServiceManager,
-    pub started_at: Instant,
-    pub voter: Voter,
+/// What a voter's actions act on.
+pub(super) struct Outputs {
     pub journal: SyncSender<JournalRequest>,
     pub peers: PeerConnections,
     pub clients: ClientConnections,
-    pub voter_addresses: VoterAddresses,
+}
+
+pub(super) struct VoterProcess {
+    /// Path of the configuration file.
+    path: PathBuf,
+    config: CoordinationConfig,
+    manager: ServiceManager,
+    started_at: Instant,
+    voter: Voter,
+    outputs: Outputs,
+    voter_addresses: VoterAddresses,
     /// The voter is no longer a member.
-    pub removed: bool,
-    pub leaderless_since: Option<Instant>,
+    removed: bool,
+    leaderless_since: Option<Instant>,
     /// Set when the process was told to stop.
-    pub stop_deadline: Option<Instant>,
+    stop_deadline: Option<Instant>,
+}
+
+/// A changed setting that can't be changed while the voter runs.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Config(#[from] ConfigFileError),
+    #[error("council.folder: can't change while it runs")]
+    Folder,
+    #[error("council.name and its address: can't change while it runs")]
+    NameOrAddress,
+    #[error("council.tick, council.clients: can't change while it runs")]
+    TickOrClients,
 }
 
 /// An interval whose missed ticks are not made up for.
@@ -59,6 +78,28 @@
 }
 
 impl VoterProcess {
+    pub fn new(
+        path: PathBuf,
+        config: CoordinationConfig,
+        manager: ServiceManager,
+        voter: Voter,
+        outputs: Outputs,
+        voter_addresses: VoterAddresses,
+    ) -> VoterProcess {
+        VoterProcess {
+            path,
+            config,
+            manager,
+            started_at: Instant::now(),
+            voter,
+            outputs,
+            voter_addresses,
+            removed: false,
+            leaderless_since: None,
+            stop_deadline: None,
+        }
+    }
+
     /// Runs until the voter is told to stop or is removed.
     pub async fn run(mut self, mut inputs: Inputs) -> Result<(), ServerError> {
         let mut ticks = delayed_interval(self.config.tick);
@@ -168,7 +209,7 @@
             self.check_membership(removed.clone());
         }
         if self.voter.awaits_storage_recovery() {
-            let _ = self.journal.try_send(JournalRequest::Recover);
+            let _ = self.outputs.journal.try_send(JournalRequest::Recover);
         }
     }
 
@@ -195,9 +236,9 @@
                 Action::Send { to, message } => self.send(to, message),
                 Action::Persist(request) => {
                     let request = JournalRequest::Persist(request);
-                    self.journal.send(request).map_err(|_| ServerError::JournalThreadEnded)?;
+                    self.outputs.journal.send(request).map_err(|_| ServerError::JournalThreadEnded)?;
                 }
-                Action::Reply { client, reply } => self.clients.reply(client, reply),
+                Action::Reply { client, reply } => self.outputs.clients.reply(client, reply),
                 Action::Report(event) => self.report(event),
             }
         }
@@ -207,7 +248,7 @@
     fn send(&mut self, to: u64, message: Vec<u8>) {
         let address = self.voter.member_address(to).or_else(|| self.voter_addresses.get(to));
         if let Some(address) = address {
-            self.peers.send(to, address, message);
+            self.outputs.peers.send(to, address, message);
         }
     }
 
@@ -239,7 +280,7 @@
             VoterEvent::MembershipChanged(change) => {
                 info!("council: {change}");
                 let ids: Vec<u64> = self.voter.status().members.iter().map(|member| member.id).collect();
-                self.peers.retain(&ids);
+                self.outputs.peers.retain(&ids);
             }
             VoterEvent::SessionExpired(session) => {
                 info!("council: the session of {session} has ended, it was not renewed")
@@ -250,8 +291,7 @@
     /// Reads the configuration again. Only the list of voters may change while the process runs.
     fn reload(&mut self) {
         self.manager.reloading();
-        let changed = config::coordination::read(&self.path).map_err(|error| error.to_string());
-        match changed.and_then(|new| self.check_reload(&new).map(|()| new)) {
+        match self.read_reloadable() {
             Ok(new) => {
                 let names = new.voters.iter().map(|(name, _)| name.clone()).collect();
                 self.voter.set_expected_members(names);
@@ -266,19 +306,20 @@
         }
     }
 
-    /// Checks that nothing but the list of voters has changed; the error names what has.
-    fn check_reload(&self, new: &CoordinationConfig) -> Result<(), String> {
+    /// Reads the configuration and checks that nothing but the list of voters has changed.
+    fn read_reloadable(&self) -> Result<CoordinationConfig, ReloadError> {
+        let new = config::coordination::read(&self.path)?;
         let current = &self.config;
         let own_address = |config: &CoordinationConfig| (config.listen(), config.addr());
         if new.folder != current.folder {
-            return Err("council.folder: can't change while it runs".into());
+            return Err(ReloadError::Folder);
         }
-        if own_address(new) != own_address(current) || new.name != current.name {
-            return Err("council.name and its address: can't change while it runs".into());
+        if own_address(&new) != own_address(current) || new.name != current.name {
+            return Err(ReloadError::NameOrAddress);
         }
         if new.tick != current.tick || new.clients != current.clients {
-            return Err("council.tick, council.clients: can't change while it runs".into());
+            return Err(ReloadError::TickOrClients);
         }
-        Ok(())
+        Ok(new)
     }
 }
--- a/crates/control-plane/coordination-server/src/server/startup.rs
+++ b/crates/control-plane/coordination-server/src/server/startup.rs
@@ -1,5 +1,5 @@
 //! From the configuration to a running voter, with joining a cluster if the folder is empty.
-use super::event_loop::{Inputs, VoterProcess};
+use super::event_loop::{Inputs, Outputs, VoterProcess};
 use super::{client_of_others, handshake_of, lock_folder, ServerOptions};
 use crate::client_connections::{ClientConnections, ConnectionEvent};
 use crate::error::ServerError;
@@ -17,7 +17,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use tokio::time::{sleep, Instant};
+use tokio::time::sleep;
 use tracing::info;
 
 /// Delay between two attempts to join.
@@ -56,18 +56,16 @@
         info!("council: {why}");
     }
     let OpenedJournal { mut journal, records } = journal_writer::open(&config.folder, options.halt)?;
-    let listen = config.listen();
-    let listener =
-        Listener::bind(listen).await.map_err(|source| ServerError::Listen { address: listen, source })?;
+    let listener = bind(&config).await?;
     let mut persisted =
         PersistedState::read(&records).map_err(|error| ServerError::voter(&config.folder, error))?;
     let mut identity = load_identity(&config, &persisted, &mut journal)?;
     let (clients, mut connections) = ClientConnections::new(handshake_of(&config, &identity), config.clients);
     tokio::task::spawn_local(clients.clone().run(listener));
-    info!("council: {} listens on {}", config.name, listen);
+    info!("council: {} listens on {}", config.name, config.listen());
     let mut voter_addresses = VoterAddresses::default();
     if identity.cluster.is_none() {
-        let mut joining = Joining {
+        let joining = Joining {
             config: &config,
             identity: &identity,
             clients: &clients,
@@ -87,23 +85,16 @@
     let journal = journal_writer::spawn(journal, journal_events).map_err(ServerError::JournalThread)?;
     let (unreachable, unreachable_receiver) = mpsc::channel(MAX_QUEUED_UNREACHABLE);
     let peers = PeerConnections::new(handshake_of(&config, &identity), unreachable);
-    let process = VoterProcess {
-        path,
-        config,
-        manager,
-        started_at: Instant::now(),
-        voter,
-        journal,
-        peers,
-        clients,
-        voter_addresses,
-        removed: false,
-        leaderless_since: None,
-        stop_deadline: None,
-    };
     let inputs =
         Inputs { signals, connections, journal: journal_receiver, unreachable: unreachable_receiver };
-    process.run(inputs).await
+    VoterProcess::new(path, config, manager, voter, Outputs { journal, peers, clients }, voter_addresses)
+        .run(inputs)
+        .await
+}
+
+async fn bind(config: &CoordinationConfig) -> Result<Listener, ServerError> {
+    let address = config.listen();
+    Listener::bind(address).await.map_err(|source| ServerError::Listen { address, source })
 }
 
 fn voter_config(config: &CoordinationConfig) -> VoterConfig {
@@ -157,7 +148,7 @@
 impl Joining<'_> {
     /// Returns the id of the cluster once the process is a member; `None` if it is told to stop before.
     async fn run(
-        &mut self,
+        mut self,
         signals: &mut Signals,
         connections: &mut mpsc::Receiver<ConnectionEvent>,
     ) -> Option<u64> {
--- a/crates/foundations/config/src/coordination.rs
+++ b/crates/foundations/config/src/coordination.rs
@@ -1,61 +1,65 @@
-//! What the council's files say: `[council]` of a voter's own file with its `[[voter]]`s, and `[council]` of the files of
-//! those that are its clients. `deploy/council.example.toml` documents the voter's.
+//! Configuration of the coordination service: the file of a voter, with `[council]` and `[[voter]]`, and the table `[council]`
+//! in the files of its clients. `deploy/council.example.toml` documents the file of a voter.
 use crate::file::{read_config, ConfigFileError};
 use crate::values::{fault_at, path_value, quantity, read_text, read_whole, ConfigError, MAX_FILE_BYTES};
 use serde::Deserialize;
-use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use toml::Spanned;
 
-/// Most voters.
+/// Maximum number of voters.
 pub const MAX_VOTERS: usize = 9;
-/// Longest name of a voter.
-const NAME_MOST: usize = 32;
-/// Longest path of the folder: a Unix socket in it still has a path that the system takes.
-const FOLDER_MOST: usize = 107 - 16;
+/// Maximum length of a voter's name, in bytes.
+const MAX_NAME_BYTES: usize = 32;
+/// Maximum length of the folder's path, in bytes: the path of a Unix socket in it must not exceed the system's limit.
+const MAX_FOLDER_BYTES: usize = 107 - 16;
 
-/// All that a voter's file says.
+/// Default of the maximum number of connected clients.
+const DEFAULT_CLIENTS: usize = 1024;
+/// Upper bound of that number.
+const MAX_CLIENTS: usize = 16_384;
+
+/// The configuration file of a voter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationConfig {
-    /// The voter's name, one of `voters`.
+    /// Name of the voter, one of `voters`.
     pub name: String,
-    /// Where its journal, its lock and its control socket are.
+    /// Folder of its journal, lock and control socket.
     pub folder: PathBuf,
-    /// The unit of its waits: a leader is heard every two, and missed after ten to twenty.
+    /// Raft tick: a leader sends a heartbeat every two ticks, and the election timeout is 10 to 20 ticks.
     pub tick: Duration,
-    /// Clients that it takes.
+    /// Maximum number of connected clients.
     pub clients: usize,
-    /// Where it listens, if that is not where the others reach it.
+    /// Address to listen on, if it differs from the one in `voters`.
     pub listen: Option<SocketAddr>,
-    /// Names and addresses of all voters, its own among them.
+    /// Names and addresses of all voters, including its own.
     pub voters: Vec<(String, SocketAddr)>,
 }
 
 impl CoordinationConfig {
-    /// Where the others reach it.
+    /// Address at which the others reach it.
     pub fn addr(&self) -> SocketAddr {
         let own = self.voters.iter().find(|(name, _)| *name == self.name);
         own.map_or(SocketAddr::from(([127, 0, 0, 1], 0)), |(_, addr)| *addr)
     }
 
-    /// Where it listens.
+    /// Address to listen on.
     pub fn listen(&self) -> SocketAddr {
         self.listen.unwrap_or_else(|| self.addr())
     }
 }
 
-/// What a client's file says.
+/// Configuration of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationClientConfig {
-    /// Where the voters listen.
+    /// Addresses of the voters.
     pub voters: Vec<SocketAddr>,
-    /// Its session ends when it is not renewed for so long.
+    /// Time to live of its session without a renewal.
     pub ttl: Duration,
-    /// How long an answer may take before the connection counts as dead.
+    /// Time without a response after which the connection is closed.
     pub patience: Duration,
-    /// A balancer counts as cold, and so as out, for so long after it began to serve.
+    /// Time after its start for which a balancer counts as warming up, and so as unavailable.
     pub warm: Duration,
 }
 
@@ -84,7 +88,7 @@
     addr: Spanned<String>,
 }
 
-/// `[council]` of a client's file.
+/// The table `[council]` of a client.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawClientConfig {
@@ -105,10 +109,10 @@
 }
 
 impl RawClientConfig {
-    /// With what is checked.
+    /// Checks the values and applies the defaults.
     ///
     /// # Errors
-    /// The first fault, with its place.
+    /// The first invalid value.
     pub(crate) fn resolve(self, text: &str) -> Result<CoordinationClientConfig, ConfigError> {
         let list = self.voters.get_ref();
         if list.is_empty() || list.len() > MAX_VOTERS {
@@ -125,80 +129,84 @@
     }
 }
 
-/// Reads the text of a voter's file.
+/// Parses the configuration file of a voter.
 ///
 /// # Errors
-/// The first fault, with its place.
+/// The first invalid value.
 pub fn parse(bytes: &[u8]) -> Result<CoordinationConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
-    let Raw { council: c, voter } = raw;
+    let Raw { council, voter } = raw;
+    let voters = parse_voters(text, &voter)?;
+    let name = council.name.get_ref().clone();
+    if !voters.iter().any(|(voter, _)| *voter == name) {
+        let what = format!("{name:?} is none of the voters");
+        return Err(fault_at(text, council.name.span().start, "council.name", what));
+    }
+    let folder_at = council.folder.span().start;
+    let folder = path_value(text, "council.folder", Some(council.folder))?.unwrap_or_default();
+    if folder.as_os_str().len() > MAX_FOLDER_BYTES {
+        let what = format!("has more than {MAX_FOLDER_BYTES} bytes, too many for a Unix socket in it");
+        return Err(fault_at(text, folder_at, "council.folder", what));
+    }
+    let clients = parse_clients(text, council.clients.as_ref())?;
+    let listen = council.listen.as_ref().map(|given| address(text, "council.listen", given)).transpose()?;
+    let tick = quantity(text, "council.tick", council.tick, ms(100), ms(10), ms(10_000))?;
+    Ok(CoordinationConfig { name, folder, tick, clients, listen, voters })
+}
+
+fn parse_voters(text: &str, raw: &[RawVoter]) -> Result<Vec<(String, SocketAddr)>, ConfigError> {
     let mut voters: Vec<(String, SocketAddr)> = Vec::new();
-    let mut names = BTreeSet::new();
-    for (k, v) in voter.iter().enumerate() {
-        let field = |name: &str| format!("voter[{k}].{name}");
-        let name = v.name.get_ref();
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-        let what = if name.is_empty() || name.len() > NAME_MOST || !name.chars().all(plain) {
-            Some(format!("{name:?} is no name of 1 to {NAME_MOST} letters, digits, - and _"))
-        } else if !names.insert(name.clone()) {
-            Some(format!("another voter is called {name:?}"))
-        } else if k >= MAX_VOTERS {
-            Some(format!("there are more than {MAX_VOTERS} voters"))
-        } else {
-            None
-        };
-        if let Some(what) = what {
-            return Err(fault_at(text, v.name.span().start, &field("name"), what));
+    for (index, voter) in raw.iter().enumerate() {
+        let field = |name: &str| format!("voter[{index}].{name}");
+        let name = voter.name.get_ref();
+        if let Some(what) = invalid_name(name, &voters) {
+            return Err(fault_at(text, voter.name.span().start, &field("name"), what));
         }
-        let addr = address(text, &field("addr"), &v.addr)?;
-        if let Some((other, _)) = voters.iter().find(|(_, a)| *a == addr) {
-            return Err(fault_at(
-                text,
-                v.addr.span().start,
-                &field("addr"),
-                format!("is the address of {other:?} too"),
-            ));
+        let addr = address(text, &field("addr"), &voter.addr)?;
+        if let Some((other, _)) = voters.iter().find(|(_, known)| *known == addr) {
+            let what = format!("is the address of {other:?} too");
+            return Err(fault_at(text, voter.addr.span().start, &field("addr"), what));
         }
         voters.push((name.clone(), addr));
     }
     if voters.is_empty() {
         return Err(ConfigError { line: 0, column: 0, field: "voter".into(), what: "there is none".into() });
     }
-    let name = c.name.get_ref().clone();
-    if !names.contains(&name) {
-        let what = format!("{name:?} is none of the voters");
-        return Err(fault_at(text, c.name.span().start, "council.name", what));
-    }
-    let at = c.folder.span().start;
-    let folder = path_value(text, "council.folder", Some(c.folder))?.unwrap_or_default();
-    if folder.as_os_str().len() > FOLDER_MOST {
-        let what = format!("has more than {FOLDER_MOST} bytes, too many for a Unix socket in it");
-        return Err(fault_at(text, at, "council.folder", what));
+    Ok(voters)
+}
+
+/// Why a voter with this name can't be added, if it can't.
+fn invalid_name(name: &str, voters: &[(String, SocketAddr)]) -> Option<String> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
+        Some(format!("{name:?} is no name of 1 to {MAX_NAME_BYTES} letters, digits, - and _"))
+    } else if voters.iter().any(|(other, _)| other == name) {
+        Some(format!("another voter is called {name:?}"))
+    } else if voters.len() >= MAX_VOTERS {
+        Some(format!("there are more than {MAX_VOTERS} voters"))
+    } else {
+        None
     }
-    let clients = match &c.clients {
-        None => 1024,
-        Some(given) => {
-            let count = usize::try_from(*given.get_ref()).ok().filter(|n| (1..=16_384).contains(n));
-            let what = "is not between 1 and 16384".to_string();
-            count.ok_or_else(|| fault_at(text, given.span().start, "council.clients", what))?
-        }
-    };
-    let listen = c.listen.as_ref().map(|given| address(text, "council.listen", given)).transpose()?;
-    let tick = quantity(text, "council.tick", c.tick, ms(100), ms(10), ms(10_000))?;
-    Ok(CoordinationConfig { name, folder, tick, clients, listen, voters })
 }
 
-/// Reads a voter's file. Its folder is relative to the file's.
+fn parse_clients(text: &str, given: Option<&Spanned<i64>>) -> Result<usize, ConfigError> {
+    let Some(given) = given else { return Ok(DEFAULT_CLIENTS) };
+    let count = usize::try_from(*given.get_ref()).ok().filter(|count| (1..=MAX_CLIENTS).contains(count));
+    let what = format!("is not between 1 and {MAX_CLIENTS}");
+    count.ok_or_else(|| fault_at(text, given.span().start, "council.clients", what))
+}
+
+/// Reads the configuration file of a voter. A relative folder is resolved against the folder of the file.
 ///
 /// # Errors
-/// One line: the file's path, then line and column where there are any, the field, and what is wrong.
+/// The file can't be read or is invalid.
 pub fn read(path: &Path) -> Result<CoordinationConfig, ConfigFileError> {
     let mut config = read_config(path, parse)?;
     config.folder = path.parent().unwrap_or(Path::new("")).join(&config.folder);
     Ok(config)
 }
 
-/// Whether a TOML file is a voter's, by its tables.
+/// Whether a TOML file is the configuration of a voter, judged by its tables.
 pub fn is_coordination_file(path: &Path) -> bool {
     let bytes = read_whole(path, MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[voter]]")
--- a/crates/verification/coordination-simulation/src/main.rs
+++ b/crates/verification/coordination-simulation/src/main.rs
@@ -28,7 +28,7 @@
         count: u64,
         /// The defect: sound (none), acknowledged-before-sync, vote-forgotten, stale-read, stale-renewal, unfenced,
         /// forgetful-snapshot, short-sessions
-        #[arg(long, default_value = "sound", value_parser = parse_variant)]
+        #[arg(long, default_value = "sound")]
         variant: Variant,
         /// Stop at the first seed that fails
         #[arg(long)]
@@ -45,16 +45,11 @@
         /// The seed
         seed: u64,
         /// The defect
-        #[arg(long, default_value = "sound", value_parser = parse_variant)]
+        #[arg(long, default_value = "sound")]
         variant: Variant,
     },
 }
 
-fn parse_variant(name: &str) -> Result<Variant, &'static str> {
-    let all = [Variant::Sound].into_iter().chain(Variant::FAULTY);
-    all.into_iter().find(|variant| variant.name() == name).ok_or("is no variant")
-}
-
 fn threads() -> usize {
     std::thread::available_parallelism().map_or(1, Into::into)
 }
--- a/crates/verification/coordination-simulation/src/plan.rs
+++ b/crates/verification/coordination-simulation/src/plan.rs
@@ -59,6 +59,20 @@
     }
 }
 
+/// The text is not the name of a variant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("is no variant")]
+pub struct ParseVariantError;
+
+impl std::str::FromStr for Variant {
+    type Err = ParseVariantError;
+
+    fn from_str(name: &str) -> Result<Variant, ParseVariantError> {
+        let mut all = [Variant::Sound].into_iter().chain(Variant::FAULTY);
+        all.find(|variant| variant.name() == name).ok_or(ParseVariantError)
+    }
+}
+
 /// A fault. Voters and clients are given by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
