--- a/crates/control-plane/coordination-server/src/command/tables.rs
+++ b/crates/control-plane/coordination-server/src/command/tables.rs
@@ -59,7 +59,7 @@
 pub(super) fn status_table(rows: &[StatusRow]) -> String {
     let mut table = vec![header(&STATUS_HEADER)];
     table.extend(rows.iter().map(status_cells));
-    daemon::table::lines(&table).trim_end().into()
+    daemon::table::format_rows(&table).trim_end().into()
 }
 
 /// The output of `status --json`.
@@ -88,5 +88,5 @@
     };
     let mut table = vec![header(&MEMBERS_HEADER)];
     table.extend(members.iter().map(cells));
-    daemon::table::lines(&table).trim_end().into()
+    daemon::table::format_rows(&table).trim_end().into()
 }
--- a/crates/control-plane/coordination-server/src/journal_writer.rs
+++ b/crates/control-plane/coordination-server/src/journal_writer.rs
@@ -12,7 +12,7 @@
 /// Format of a voter's journal. Name and kind are the stored form and must not change. The size limit is far above a log
 /// (16 MiB) and a state machine (32 MiB) of maximum size.
 const JOURNAL_FORMAT: JournalFormat =
-    JournalFormat { name: "journal", kind: "council", version: 1, most: 256 << 20 };
+    JournalFormat { name: "journal", kind: "council", version: 1, max_bytes: 256 << 20 };
 /// Requests that are written together, at most.
 const MAX_BATCH: usize = 256;
 /// Requests that may be queued. A voter has few in flight: each waits for the one before, or covers what came meanwhile.
@@ -162,7 +162,7 @@
         match self.journal.replace(&request.records) {
             Ok(()) => self.events.push(JournalEvent::Persisted(request.number)),
             Err(error) => {
-                let intact = request.compaction && self.journal.intact();
+                let intact = request.compaction && self.journal.is_intact();
                 self.failed = !intact;
                 self.persist_failed(request.number, &error, intact);
             }
--- a/crates/control-plane/coordination-server/src/peer_connections.rs
+++ b/crates/control-plane/coordination-server/src/peer_connections.rs
@@ -124,7 +124,7 @@
         loop {
             match connect(&self.address, &self.own).await {
                 Ok(connection) => {
-                    backoff.worked();
+                    backoff.reset();
                     if last_error.take().is_some() {
                         info!("council: {} is reached again", self.address);
                     }
@@ -144,7 +144,7 @@
             // Queued messages are outdated by now.
             while self.queue.try_recv().is_ok() {}
             self.large_message_pending.set(false);
-            sleep(backoff.failed(rand::rngs::OsRng.gen())).await;
+            sleep(backoff.next_delay(rand::rngs::OsRng.gen())).await;
             if self.queue.is_closed() {
                 return;
             }
--- a/crates/control-plane/coordination-server/src/server/event_loop.rs
+++ b/crates/control-plane/coordination-server/src/server/event_loop.rs
@@ -104,9 +104,9 @@
     pub async fn run(mut self, mut inputs: Inputs) -> Result<(), ServerError> {
         let mut ticks = delayed_interval(self.config.tick);
         let mut maintenance = delayed_interval(MAINTENANCE_INTERVAL);
-        let watchdog = self.manager.watchdog();
+        let watchdog = self.manager.watchdog_interval();
         let mut watchdog_ticks = interval(watchdog.unwrap_or(MAINTENANCE_INTERVAL));
-        self.manager.ready(format!("listening on {}", self.config.listen()));
+        self.manager.notify_ready(format!("listening on {}", self.config.listen()));
         let (removed, mut is_removed) = mpsc::channel(1);
         while !self.is_finished() {
             let event = tokio::select! {
@@ -126,7 +126,7 @@
                     None
                 }
                 _ = watchdog_ticks.tick(), if watchdog.is_some() => {
-                    self.manager.alive();
+                    self.manager.notify_watchdog();
                     None
                 }
             };
@@ -147,7 +147,7 @@
             .stop_deadline
             .is_some_and(|deadline| !self.voter.is_serving_leader() || Instant::now() >= deadline);
         if has_stopped {
-            self.manager.stopping();
+            self.manager.notify_stopping();
             info!("council: {} ends", self.config.name);
         }
         has_stopped
@@ -259,12 +259,12 @@
             VoterEvent::BecameLeader(term) => {
                 self.leaderless_since = None;
                 info!(term, "council: {name} leads");
-                self.manager.ready("leads".into());
+                self.manager.notify_ready("leads".into());
             }
             VoterEvent::FollowsLeader(leader) => {
                 self.leaderless_since = None;
                 info!("council: {name} follows {leader}");
-                self.manager.ready(format!("follows {leader}"));
+                self.manager.notify_ready(format!("follows {leader}"));
             }
             VoterEvent::Leaderless => {
                 self.leaderless_since = Some(Instant::now());
@@ -272,7 +272,7 @@
             }
             VoterEvent::StorageFailed(why) => {
                 info!("council: {name} stands aside and does not vote: {folder}: {why}");
-                self.manager.ready(format!("stands aside: {folder}: {why}"));
+                self.manager.notify_ready(format!("stands aside: {folder}: {why}"));
             }
             VoterEvent::StorageRecovered => info!("council: {name} is back"),
             VoterEvent::Removed => self.removed = true,
@@ -290,18 +290,18 @@
 
     /// Reads the configuration again. Only the list of voters may change while the process runs.
     fn reload(&mut self) {
-        self.manager.reloading();
+        self.manager.notify_reloading();
         match self.read_reloadable() {
             Ok(new) => {
                 let names = new.voters.iter().map(|(name, _)| name.clone()).collect();
                 self.voter.set_expected_members(names);
                 self.config = new;
                 info!("council: reloaded");
-                self.manager.ready(format!("listening on {}", self.config.listen()));
+                self.manager.notify_ready(format!("listening on {}", self.config.listen()));
             }
             Err(why) => {
                 info!("council: not reloaded: {why}");
-                self.manager.ready(format!("not reloaded: {why}"));
+                self.manager.notify_ready(format!("not reloaded: {why}"));
             }
         }
     }
--- a/crates/control-plane/coordination-server/src/server/mod.rs
+++ b/crates/control-plane/coordination-server/src/server/mod.rs
@@ -45,7 +45,7 @@
 /// Locks a voter's folder, which is created if it does not exist.
 fn lock_folder(folder: &Path) -> Result<PidFile, ServerError> {
     storage::files::Folder::new(folder).map_err(|source| ServerError::folder(folder, source))?;
-    PidFile::take(&folder.join(LOCK_FILE)).map_err(|error| ServerError::Lock(error.to_string()))
+    PidFile::acquire(&folder.join(LOCK_FILE)).map_err(|error| ServerError::Lock(error.to_string()))
 }
 
 fn handshake_of(config: &CoordinationConfig, identity: &Identity) -> Handshake {
--- a/crates/control-plane/coordination-server/src/server/startup.rs
+++ b/crates/control-plane/coordination-server/src/server/startup.rs
@@ -48,11 +48,11 @@
 
 /// Runs a voter until it is told to stop or is removed.
 pub(super) async fn serve(path: PathBuf, options: ServerOptions) -> Result<(), ServerError> {
-    let mut signals = Signals::caught().map_err(|error| ServerError::Signals(error.to_string()))?;
+    let mut signals = Signals::install().map_err(|error| ServerError::Signals(error.to_string()))?;
     let config = config::coordination::read(&path)?;
-    let manager = ServiceManager::of_environment();
+    let manager = ServiceManager::from_env();
     let lock = lock_folder(&config.folder)?;
-    if let Some(why) = lock.unwritten() {
+    if let Some(why) = lock.write_error() {
         info!("council: {why}");
     }
     let OpenedJournal { mut journal, records } = journal_writer::open(&config.folder, options.halt)?;
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -1,12 +1,12 @@
 //! `herondock members`: the present view with ages and reasons, from a running instance or, once, from the sources.
-use super::aggregator::{EndpointAggregator, Names};
+use super::aggregator::{EndpointAggregator, NameIndex};
 use super::sources::Sources;
-use super::{Audience, Listing};
+use super::{EndpointSubscriber, EndpointUpdate};
 use crate::listener_handoff::protocol;
 use crate::live_config::LiveConfig;
-use crate::node_config::{self, Config};
+use crate::node_config::{self, NodeConfig};
 use config::operator::OperatorConfig;
-use daemon::table::lines;
+use daemon::table::format_rows;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -16,22 +16,22 @@
 use tokio::time::timeout;
 
 /// How long the sources have to answer once.
-const ONCE: Duration = Duration::from_secs(10);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Nobody is told.
-struct Nobody;
+struct NoSubscriber;
 
-impl Audience for Nobody {
-    fn listed(&self, _: &Listing) {}
+impl EndpointSubscriber for NoSubscriber {
+    fn endpoints_changed(&self, _: &EndpointUpdate) {}
 }
 
 /// The view of the instance that listens at this Unix socket.
 ///
 /// # Errors
 /// None does, or it does not say.
-pub fn of_instance(socket: &Path) -> Result<Value, String> {
+pub fn query_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::members(socket))?;
+    let answer = runtime.map_err(|e| e.to_string())?.block_on(protocol::request_endpoints(socket))?;
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
@@ -39,34 +39,34 @@
 ///
 /// # Errors
 /// No runtime could be had.
-pub fn of_sources(config: Config, operator: &OperatorConfig) -> Result<Value, String> {
+pub fn query_sources(config: NodeConfig, operator: &OperatorConfig) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let random = Pcg64Mcg::seed_from_u64(config.seed);
-        let names = Names::of(&config.deployment);
-        let gather = EndpointAggregator::new(Nobody, names, operator.registry.last_resort, random);
+        let names = NameIndex::new(&config.deployment);
+        let gather = EndpointAggregator::new(NoSubscriber, names, operator.registry.last_resort, random);
         // Held until it is over: discovery ends with it.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
-        let terms = node_config::terms(&config.deployment);
-        Sources::of(&gather, operator, &limits).begin(addresses, &limits, &terms);
+        let terms = node_config::staleness_settings(&config.deployment);
+        Sources::new(&gather, operator, &limits).spawn(addresses, &limits, &terms);
         // Until each has said something, good or bad.
         let said = async {
-            while gather.table()["sources"]
+            while gather.status()["sources"]
                 .as_array()
                 .is_some_and(|all| all.iter().any(|s| s["age_ms"].is_null() && s["trouble"].is_null()))
             {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = timeout(ONCE, said).await;
-        Ok(gather.table())
+        let _ = timeout(QUERY_TIMEOUT, said).await;
+        Ok(gather.status())
     })
 }
 
 /// As a table.
-pub fn table(view: &Value) -> String {
+pub fn format_table(view: &Value) -> String {
     let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{:.1}s", ms as f64 / 1000.0));
     let cell = |v: &Value| match v {
         Value::Null => "-".to_string(),
@@ -84,7 +84,7 @@
             cell(&s["trouble"]),
         ]
     }));
-    let sources = lines(&rows);
+    let sources = format_rows(&rows);
     let mut rows = vec![["member", "address", "zone", "kind", "cell", "standing", "takes", "up", "why"]
         .map(String::from)
         .to_vec()];
@@ -106,5 +106,5 @@
             cell(&m["why"]),
         ]
     }));
-    format!("{sources}\n{}", lines(&rows))
+    format!("{sources}\n{}", format_rows(&rows))
 }
--- a/crates/herondock/src/endpoint_sources/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -1,6 +1,6 @@
 //! This instance as a service at its Consul agent: makes the calls that `discovery::consul::register` wants.
-use super::client::{Call, Client};
-use super::consul::Token;
+use super::client::{ApiRequest, Client};
+use super::consul::AclToken;
 use crate::live_config::LiveConfig;
 use bytes::Bytes;
 use config::discovery::ConsulConfig;
@@ -17,19 +17,19 @@
 use tracing::info;
 
 /// How long one call may take.
-const ANSWER: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the end of the process waits for the agent to hear of it.
-const LAST_CALL: Duration = Duration::from_millis(500);
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// All registrations of an instance.
 pub struct Registrations {
-    wish: watch::Sender<DesiredState>,
+    set_desired_state: watch::Sender<DesiredState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Registrations {
     /// Begins those that these services ask for, for an instance of this name at this address.
-    pub fn begin(
+    pub fn spawn(
         services: &[ConsulConfig],
         name: &str,
         addr: SocketAddr,
@@ -38,7 +38,7 @@
     ) -> Registrations {
         let (wish, wishes) = watch::channel(DesiredState::Absent);
         let begin = |s: &ConsulConfig| {
-            let r = s.register.as_ref()?;
+            let r = s.registration.as_ref()?;
             let registration = Registration {
                 service: r.service.clone(),
                 id: r.id.clone().unwrap_or_else(|| format!("{}-{name}", r.service)),
@@ -46,33 +46,33 @@
                 tags: r.tags.clone(),
                 meta: r.meta.clone(),
                 ttl: r.ttl,
-                forget_after: r.forget_after,
+                deregister_after: r.deregister_after,
             };
-            let one = One {
+            let one = RegistrationTask {
                 client: Client::new(limits.clone()),
                 agents: s.agents.clone(),
-                token: Token::new(s.token_file.clone()),
+                token: AclToken::new(s.token_file.clone()),
                 random: random.clone(),
             };
             Some(tokio::task::spawn_local(one.run(Registrar::new(registration), wishes.clone())))
         };
-        Registrations { wish, tasks: services.iter().filter_map(begin).collect() }
+        Registrations { set_desired_state: wish, tasks: services.iter().filter_map(begin).collect() }
     }
 
     /// What the instance wants to be.
-    pub fn wish(&self, wish: DesiredState) {
-        self.wish.send_replace(wish);
+    pub fn set_desired_state(&self, wish: DesiredState) {
+        self.set_desired_state.send_replace(wish);
     }
 
     /// Takes all back, and waits for that for a moment.
-    pub async fn end(&mut self) {
-        self.wish(DesiredState::Gone);
+    pub async fn deregister(&mut self) {
+        self.set_desired_state(DesiredState::Deregistered);
         let all = async {
             for task in &mut self.tasks {
                 let _ = task.await;
             }
         };
-        let _ = timeout(LAST_CALL, all).await;
+        let _ = timeout(DEREGISTER_TIMEOUT, all).await;
     }
 }
 
@@ -82,19 +82,19 @@
     }
 }
 
-struct One {
+struct RegistrationTask {
     client: Client,
     agents: Vec<SocketAddr>,
-    token: Token,
+    token: AclToken,
     random: Pcg64Mcg,
 }
 
-impl One {
+impl RegistrationTask {
     async fn run(mut self, mut register: Registrar, mut wishes: watch::Receiver<DesiredState>) {
         let (start, mut trouble) = (Instant::now(), None);
         loop {
-            register.wish(start.elapsed(), *wishes.borrow_and_update());
-            match register.next(start.elapsed()) {
+            register.set_desired_state(start.elapsed(), *wishes.borrow_and_update());
+            match register.next_step(start.elapsed()) {
                 NextStep::Done => return,
                 NextStep::Wait(until) => {
                     let until = (until < Duration::MAX).then(|| start + until);
@@ -108,9 +108,9 @@
                     let done = self.call(&call.path, call.body).await;
                     let (now, draw) = (start.elapsed(), self.random.gen());
                     let why = match done {
-                        Ok(status) => register.answered(now, status, draw),
+                        Ok(status) => register.on_response(now, status, draw),
                         Err(why) => {
-                            register.failed(now, draw);
+                            register.on_failure(now, draw);
                             Some(why)
                         }
                     };
@@ -126,8 +126,8 @@
     async fn call(&mut self, path: &str, body: String) -> Result<u16, String> {
         let token = self.token.read().await?;
         let headers: Vec<_> = token.iter().map(|t| ("x-consul-token", t.as_str())).collect();
-        let call = Call { method: Method::PUT, path, headers: &headers, body: Bytes::from(body) };
+        let call = ApiRequest { method: Method::PUT, path, headers: &headers, body: Bytes::from(body) };
         let addr = *self.agents.first().ok_or("no agent is named")?;
-        Ok(self.client.call(addr, &call, ANSWER).await?.status.as_u16())
+        Ok(self.client.send(addr, &call, RESPONSE_TIMEOUT).await?.status.as_u16())
     }
 }
--- a/crates/verification/coordination-simulation/src/world/report.rs
+++ b/crates/verification/coordination-simulation/src/world/report.rs
@@ -48,7 +48,7 @@
         self.check_leader(&mut report);
         self.check_voters(&mut report);
         self.check_clients(&mut report);
-        report.digest = self.digest.value();
+        report.digest = self.digest.finish();
         report
     }
 
--- a/crates/verification/disruption-simulation/src/world.rs
+++ b/crates/verification/disruption-simulation/src/world.rs
@@ -6,11 +6,11 @@
 use coordination::limits::Limits;
 use coordination::state_machine::{Command, Op, Outcome, SessionId, StateMachine, Transaction};
 use coordination::CLOCK_DRIFT_FRACTION;
+use disruption::keys::{status_key, BUDGETS, KEY_PREFIX};
 use disruption::lease_agent::{GrantedLease, LeaseAgent, Step};
-use disruption::snapshot::{status_key, BUDGETS, KEY_PREFIX};
 use disruption::{
     BalancerEntry, ConditionalWrite as Writes, DisruptionKind, FleetSnapshot, InstanceState, InstanceStatus,
-    ResourceId,
+    Projection, ResourceId,
 };
 use fleet_simulation::agenda::{ms, Agenda, Nanos};
 use fleet_simulation::draw::Draws;
@@ -95,7 +95,7 @@
     /// What it writes for them.
     Says(usize, u64, Writes, releases::Said),
     /// The record was read after leave had been given; `None`: it could not be.
-    Confirmed(usize, u64, GrantedLease, Option<Box<rollout::snapshot::RolloutSnapshot>>),
+    Confirmed(usize, u64, GrantedLease, Option<Box<rollout::RolloutSnapshot>>),
     /// A machine's balancers say what they did.
     Samples(usize),
     /// The operator begins a release.
@@ -303,8 +303,8 @@
                 }
             }
         }
-        all.extend(board.leaves.iter().map(|(id, l)| format!("leave for {id}: {:?}", l.value)));
-        all.extend(board.asks.values().map(|a| format!("asked: {:?}", a.value)));
+        all.extend(board.leases.iter().map(|(id, l)| format!("leave for {id}: {:?}", l.value)));
+        all.extend(board.requests.values().map(|a| format!("asked: {:?}", a.value)));
         all.extend(self.release_unfinished());
         all
     }
@@ -319,7 +319,7 @@
     fn board(&self) -> FleetSnapshot {
         let items: Vec<(String, coordination::state_machine::VersionedValue)> =
             self.record.with_prefix(KEY_PREFIX).map(|(key, item)| (key.to_string(), item.clone())).collect();
-        FleetSnapshot::read(self.record.revision(), &items)
+        FleetSnapshot::from_items(self.record.revision(), &items)
     }
 
     fn open(&mut self, name: &str) -> SessionId {
@@ -447,7 +447,7 @@
         match self.record.events_since(board.revision).filter(|_| board.revision > 0) {
             Some(changes) => {
                 for c in changes.filter(|c| c.key.starts_with(KEY_PREFIX)) {
-                    board.put(&c.key, c.value.as_deref(), c.revision);
+                    board.apply(&c.key, c.value.as_deref(), c.revision);
                 }
                 board.revision = board.revision.max(self.record.revision());
             }
@@ -475,12 +475,12 @@
         self.incs += 1;
         let inc = self.incs;
         let figures = SupervisorPolicy {
-            spread: Duration::from_millis(20),
-            stop_within: Duration::from_secs(5),
-            ready_within: Duration::from_secs(20),
-            at_once: self.plan.at_once,
-            crashes: 100,
-            asks: true,
+            start_interval: Duration::from_millis(20),
+            stop_timeout: Duration::from_secs(5),
+            ready_timeout: Duration::from_secs(20),
+            max_parallel: self.plan.at_once,
+            crash_limit: 100,
+            requires_lease: true,
             ..SupervisorPolicy::default()
         };
         let mut sup = Sup {
@@ -523,16 +523,14 @@
     fn declare(&mut self, m: usize) {
         let each = self.plan.each;
         let Some(sup) = &mut self.machines[m].sup else { return };
-        let down =
-            |i: &supervisor::Instance| i.process.is_none() && i.successor.is_none() && i.leaving.is_empty();
         let unit = |k: usize| BalancerEntry {
             machine: format!("m{m}"),
             zone: zone(m).into(),
             tier: "front".into(),
-            down: sup.fleet.instances().get(k).is_none_or(down),
+            down: sup.fleet.instances().get(k).is_none_or(supervisor::Instance::is_down),
         };
         let units = (0..each).map(|k| (name(m, k), unit(k))).collect();
-        sup.agent.units(units);
+        sup.agent.set_balancers(units);
     }
 
     /// Tells the supervisor's machine and does what it wants.
@@ -557,7 +555,7 @@
     fn wake(&mut self, m: usize, also: Option<Duration>) {
         let now = self.agenda.now();
         let Some(sup) = &mut self.machines[m].sup else { return };
-        let at = sup.fleet.wake().into_iter().chain(also).min();
+        let at = sup.fleet.next_timeout().into_iter().chain(also).min();
         let Some(at) = at.map(|at| u64::try_from(at.as_nanos()).unwrap_or(u64::MAX).max(now + 1)) else {
             return;
         };
@@ -573,19 +571,19 @@
         match action {
             Action::Start { instance, process } => self.begin(m, instance, process),
             Action::Signal(process, signal) => self.signal(m, process, signal, by_leave),
-            Action::RequestLease { instance, roll } => {
-                let act = match roll {
+            Action::RequestLease { instance, action } => {
+                let act = match action {
                     RollingAction::Restart => DisruptionKind::Restart,
                     RollingAction::Handoff => DisruptionKind::Handoff,
                     RollingAction::Reload => DisruptionKind::Reload,
                 };
                 if let Some(sup) = &mut self.machines[m].sup {
-                    sup.agent.ask(&name(m, instance), act, "", None);
+                    sup.agent.request(&name(m, instance), act, "", None);
                 }
             }
             Action::ReleaseLease { instance, acted } => {
                 if let Some(sup) = &mut self.machines[m].sup {
-                    sup.agent.give_back(&name(m, instance), acted);
+                    sup.agent.release(&name(m, instance), acted);
                 }
             }
             Action::RollFinished(_) => {
@@ -653,7 +651,7 @@
         let board = self.board();
         let unit = ResourceId::balancer(name(m, k));
         let session = self.machines[m].sup.as_ref().and_then(|s| s.session).map(|(id, _)| id);
-        let leave = board.leaves.get(&unit).map(|l| &l.value);
+        let leave = board.leases.get(&unit).map(|l| &l.value);
         let good = leave.is_some_and(|l| l.owner == format!("m{m}") && Some(l.session) == session);
         if !good {
             self.report.wrong.push(format!("{unit} is taken out without leave: the record has {leave:?}"));
@@ -696,9 +694,9 @@
                     }
                 }
                 self.reckon(m, k, false);
-                let how = "it ended".to_string();
+                let status = "it ended".to_string();
                 if let Some(inc) = self.machines[m].sup.as_ref().map(|s| s.inc) {
-                    let ended = Event::Exited { process: proc.known_as, clean, how };
+                    let ended = Event::Exited { process: proc.known_as, clean, status };
                     self.agenda.after(ms(1.0), What::Told(m, inc, ended));
                 }
             }
@@ -834,13 +832,13 @@
         let inc = sup.inc;
         match step {
             Step::Wait(until) => self.wake(m, until),
-            Step::Write(plan, what) => {
+            Step::Write { write: plan, description: what } => {
                 if what.is_some_and(|w| w.contains("nobody's")) {
                     self.report.orphans += 1;
                 }
                 self.sends(m, inc, Some(plan));
             }
-            Step::Fresh => self.sends(m, inc, None),
+            Step::ReadConsistent => self.sends(m, inc, None),
         }
         if !given.is_empty() {
             if let Some(span) = self.machines[m].pause_given.take() {
@@ -889,7 +887,7 @@
             let (Op::Put { key, .. } | Op::Delete(key)) = change;
             key.strip_prefix("outage/leave/balancer/").map(str::to_string)
         };
-        let before: BTreeSet<String> = self.board().leaves.keys().map(|id| id.name.clone()).collect();
+        let before: BTreeSet<String> = self.board().leases.keys().map(|id| id.name.clone()).collect();
         let new: BTreeSet<String> =
             plan.ops.iter().filter_map(leave).filter(|n| !before.contains(n)).collect();
         let write = Transaction { session, sequence: number, compares: plan.compares, ops: plan.ops };
@@ -937,28 +935,28 @@
             self.catch_up(&mut board);
         }
         if fresh && self.variant == Variant::MissingNotCounted {
-            let said: BTreeSet<String> = board.said.keys().cloned().collect();
-            board.units.retain(|name, _| said.contains(name));
+            let said: BTreeSet<String> = board.statuses.keys().cloned().collect();
+            board.balancers.retain(|name, _| said.contains(name));
         }
         let own = format!("m{m}");
         if fresh && !deciding {
             self.catch_up(&mut board);
-            board.leaves.retain(|_, l| l.value.owner == own);
+            board.leases.retain(|_, l| l.value.owner == own);
         }
         let Some(sup) = self.sup(m, inc) else { return };
         sup.busy = false;
         sup.board = board;
         if !fresh {
-            sup.agent.failed(now);
+            sup.agent.on_failure(now);
             return self.agent(m);
         }
         if !look {
             return self.agent(m);
         }
-        match sup.agent.decided(now, &sup.board) {
-            Step::Write(plan, _) => self.sends(m, inc, Some(plan)),
+        match sup.agent.on_consistent_read(now, &sup.board) {
+            Step::Write { write: plan, .. } => self.sends(m, inc, Some(plan)),
             Step::Wait(until) => self.wake(m, until),
-            Step::Fresh => {}
+            Step::ReadConsistent => {}
         }
     }
 
@@ -969,16 +967,16 @@
         if !held && self.variant != Variant::LateLeaveUsed {
             self.report.late += 1;
             if let Some(sup) = &mut self.machines[m].sup {
-                sup.agent.unused(&given.unit);
+                sup.agent.mark_unused(&given.balancer);
             }
             return self.agent(m);
         }
-        let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == given.unit) else { return };
+        let Some(k) = (0..self.plan.each).find(|&k| name(m, k) == given.balancer) else { return };
         if !self.release_given(m, given) {
             self.feed(m, Event::LeaseGranted(k));
         }
         if self.variant == Variant::ReturnedUnseen {
-            let key = disruption::snapshot::lease_key(&ResourceId::balancer(name(m, k)));
+            let key = disruption::keys::lease_key(&ResourceId::balancer(name(m, k)));
             let session = self.open("faulty");
             let write = Transaction { session, sequence: 1, compares: vec![], ops: vec![Op::Delete(key)] };
             self.record.apply(&Command::Transaction(write));
