--- a/crates/control-plane/coordination-server/src/server/event_loop.rs
+++ b/crates/control-plane/coordination-server/src/server/event_loop.rs
@@ -1,5 +1,5 @@
 //! The running voter: feeds signals, connections, disk events and time to the state machine and performs its actions.
-use super::startup::VoterAddresses;
+use super::voter_addresses::VoterAddresses;
 use super::{client_of_others, other_voters};
 use crate::client_connections::{ClientConnections, ConnectionEvent};
 use crate::error::ServerError;
--- a/crates/control-plane/coordination-server/src/server/mod.rs
+++ b/crates/control-plane/coordination-server/src/server/mod.rs
@@ -5,9 +5,11 @@
 //! | `bootstrap` | creating a cluster |
 //! | `startup` | from the configuration to a running voter, with joining |
 //! | `event_loop` | the running voter |
+//! | `voter_addresses` | addresses of voters that are not members yet |
 mod bootstrap;
 mod event_loop;
 mod startup;
+mod voter_addresses;
 
 pub use bootstrap::bootstrap;
 
--- a/crates/control-plane/coordination-server/src/server/startup.rs
+++ b/crates/control-plane/coordination-server/src/server/startup.rs
@@ -1,5 +1,6 @@
 //! From the configuration to a running voter, with joining a cluster if the folder is empty.
 use super::event_loop::{Inputs, Outputs, VoterProcess};
+use super::voter_addresses::VoterAddresses;
 use super::{client_of_others, handshake_of, lock_folder, ServerOptions};
 use crate::client_connections::{ClientConnections, ConnectionEvent};
 use crate::error::ServerError;
@@ -13,7 +14,6 @@
 use coordination::voter::{self, Identity, InjectedDefects, PersistedState, Voter, VoterConfig};
 use daemon::service_manager::ServiceManager;
 use daemon::signals::{ProcessSignal, Signals};
-use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -26,25 +26,6 @@
 const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Unreachable voters that may be queued for the voter.
 const MAX_QUEUED_UNREACHABLE: usize = 64;
-/// Maximum number of [`VoterAddresses`].
-const MAX_VOTER_ADDRESSES: usize = 64;
-
-/// Addresses of voters that connected to this one, for voters that are not members yet as far as this one knows.
-#[derive(Default)]
-pub(super) struct VoterAddresses(BTreeMap<u64, String>);
-
-impl VoterAddresses {
-    pub fn insert(&mut self, id: u64, address: Option<String>) {
-        let Some(address) = address else { return };
-        if self.0.len() < MAX_VOTER_ADDRESSES || self.0.contains_key(&id) {
-            self.0.insert(id, address);
-        }
-    }
-
-    pub fn get(&self, id: u64) -> Option<&str> {
-        self.0.get(&id).map(String::as_str)
-    }
-}
 
 /// Runs a voter until it is told to stop or is removed.
 pub(super) async fn serve(path: PathBuf, options: ServerOptions) -> Result<(), ServerError> {
--- a/crates/control-plane/coordination/src/client/mod.rs
+++ b/crates/control-plane/coordination/src/client/mod.rs
@@ -17,6 +17,7 @@
 mod connection;
 mod requests;
 mod session;
+mod transaction_id;
 mod watches;
 
 use crate::protocol::{Answer, Call, Reply, Request, Select};
--- a/crates/control-plane/coordination/src/client/requests.rs
+++ b/crates/control-plane/coordination/src/client/requests.rs
@@ -1,5 +1,6 @@
 //! Pending requests: submission, sending, retries and completion.
 use super::session::Session;
+use super::transaction_id::TransactionId;
 use super::{
     Action, Client, ClientRequest, ConnectionState, RequestOutcome, SentCall, INITIAL_BACKOFF, MAX_BACKOFF,
     MAX_PENDING_REQUESTS,
@@ -10,13 +11,6 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Identifies a transaction across retries.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct TransactionId {
-    pub session: SessionId,
-    pub sequence: u64,
-}
-
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub request: ClientRequest,
--- a/crates/control-plane/coordination/src/client/session.rs
+++ b/crates/control-plane/coordination/src/client/session.rs
@@ -1,5 +1,5 @@
 //! The client's session: opening, renewal and closing.
-use super::requests::TransactionId;
+use super::transaction_id::TransactionId;
 use super::{Action, Client, SentCall, SessionConfig, SessionEvent, INITIAL_BACKOFF};
 use crate::protocol::{Answer, Request};
 use crate::state_machine::{Outcome, Rejection, SessionEnd, SessionId};
--- a/crates/herondock/src/supervise/commands.rs
+++ b/crates/herondock/src/supervise/commands.rs
@@ -1,6 +1,6 @@
 //! Commands of operators: the supervisor's side.
+use super::coordination_clients::Coordination;
 use super::driver::{action_name, Driver};
-use super::leases::Coordination;
 use config::supervisor::InstanceConfig;
 use disruption::RequestDecision;
 use serde_json::{json, Value};
--- a/crates/herondock/src/supervise/driver.rs
+++ b/crates/herondock/src/supervise/driver.rs
@@ -1,6 +1,6 @@
 //! Driver of the supervisor's state machine: passes events to it and carries out its actions.
-use super::event_loop::LoopEvent;
-use super::leases::Coordination;
+use super::coordination_clients::Coordination;
+use super::loop_event::LoopEvent;
 use super::process::{Build, ExitReport, InstanceProcess, Notification};
 use super::FleetPaths;
 use crate::node_config;
--- a/crates/herondock/src/supervise/event_loop.rs
+++ b/crates/herondock/src/supervise/event_loop.rs
@@ -1,14 +1,14 @@
 //! Event loop of the supervisor: opens its resources, waits for events and passes them to the driver.
+use super::coordination_clients::Coordination;
 use super::driver::{Driver, Progress};
 use super::error::SupervisorError;
-use super::leases::Coordination;
-use super::process::{Notification, NotifySocket};
+use super::loop_event::LoopEvent;
+use super::process::NotifySocket;
 use super::FleetPaths;
 use config::supervisor::FleetConfig;
-use daemon::control::{ControlRequest, ControlSocket};
+use daemon::control::ControlSocket;
 use daemon::pid_file::PidFile;
 use daemon::signals::{ProcessSignal, Signals};
-use disruption_agent::agent::GrantedLease;
 use std::io;
 use std::os::unix::fs::DirBuilderExt;
 use supervisor::{Event, ProcessId};
@@ -21,31 +21,6 @@
 /// Mode of the fleet's folder: pid files and sockets are for its owner only.
 const FOLDER_MODE: u32 = 0o700;
 
-/// Something that the event loop waits for.
-pub enum LoopEvent {
-    /// A signal to the supervisor.
-    Signal(ProcessSignal),
-    /// A process of an instance exited.
-    ProcessExited(ProcessId),
-    /// An instance sent a notification, or the notify socket cannot be read.
-    Notification(io::Result<Notification>),
-    /// A disruption lease was granted.
-    LeaseGranted(GrantedLease),
-    /// A lease for a rollout can be used now (`usable`), or not any more.
-    LeaseConfirmed {
-        /// The lease.
-        lease: GrantedLease,
-        /// Whether the rollout's state was read after the lease had been granted.
-        usable: bool,
-    },
-    /// The state of rollouts has changed.
-    RolloutChanged,
-    /// An operator sent a command.
-    Command(ControlRequest),
-    /// The time at which the driver wanted to be called has come.
-    Timeout,
-}
-
 /// Runs a supervisor until SIGTERM, which leaves the instances running, or until all instances were stopped by command.
 ///
 /// # Errors
--- a/crates/herondock/src/supervise/leases.rs
+++ b/crates/herondock/src/supervise/leases.rs
@@ -1,81 +1,16 @@
 //! Disruption leases and rollouts: what the supervisor does with the coordination service.
 use super::driver::{action_name, Driver};
-use super::error::SupervisorError;
-use super::event_loop::LoopEvent;
-use super::rollouts::{ReplaceDecision, Rollouts};
-use crate::node_config;
-use config::supervisor::{FleetConfig, InstanceConfig};
+use super::rollouts::ReplaceDecision;
+use config::supervisor::InstanceConfig;
 use disruption::{BalancerEntry, DisruptionKind};
-use disruption_agent::agent::{GrantedLease, LeaseAgentHandle};
+use disruption_agent::agent::GrantedLease;
 use rollout::executor::{ExecutorAction, LocalInstance};
 use rollout::BuildId;
-use rollout_agent::agent::RolloutAgent;
 use rollout_agent::build_id;
 use std::collections::BTreeMap;
-use std::time::Duration;
 use supervisor::{Command, Event, Instance, InstanceState, RollingAction};
 use tracing::info;
 
-/// Kind under which a supervisor announces its presence to the coordination service.
-const PRESENCE_KIND: &str = "supervisor";
-
-/// Clients of the coordination service.
-pub struct Coordination {
-    pub(super) lease_agent: LeaseAgentHandle,
-    pub(super) rollouts: Rollouts,
-    /// Name of each instance in the coordination service.
-    balancer_names: Vec<String>,
-    /// The balancers as they were last published.
-    published: BTreeMap<String, BalancerEntry>,
-}
-
-impl Coordination {
-    /// Connects to the coordination service that the fleet's file names; `None` if it names none. To be called within
-    /// a [`tokio::task::LocalSet`].
-    ///
-    /// # Errors
-    /// The supervisor's own build cannot be identified.
-    pub fn connect(config: &FleetConfig) -> Result<Option<Coordination>, SupervisorError> {
-        let Some((settings, machine)) = config.coordination.as_ref().zip(config.machine.as_deref()) else {
-            return Ok(None);
-        };
-        let client = coordination_server::client::spawn_with_presence(settings, PRESENCE_KIND, machine);
-        let lease_agent = LeaseAgentHandle::spawn(client.clone(), machine);
-        let rollout_agent = RolloutAgent::spawn(client, lease_agent.subscribe());
-        let rollouts = Rollouts::new(config, machine, rollout_agent)?;
-        let balancer_names = config.instances.iter().map(balancer_name).collect();
-        Ok(Some(Coordination { lease_agent, rollouts, balancer_names, published: BTreeMap::new() }))
-    }
-
-    /// Waits for the next event. Cancel safe.
-    pub async fn next_event(&mut self) -> LoopEvent {
-        tokio::select! {
-            lease = self.lease_agent.next() => LoopEvent::LeaseGranted(lease),
-            confirmation = self.rollouts.next_event() => match confirmation {
-                Some(confirmation) => LoopEvent::LeaseConfirmed {
-                    lease: confirmation.lease,
-                    usable: confirmation.is_usable,
-                },
-                None => LoopEvent::RolloutChanged,
-            },
-        }
-    }
-
-    /// Interval at which the rollout has to be advanced; `None` if there never was one.
-    pub fn rollout_poll_interval(&self) -> Option<Duration> {
-        self.rollouts.poll_interval()
-    }
-
-    fn instance_of(&self, balancer: &str) -> Option<usize> {
-        self.balancer_names.iter().position(|name| name == balancer)
-    }
-}
-
-/// Name of an instance in the coordination service: the one that its own configuration gives it.
-fn balancer_name(instance: &InstanceConfig) -> String {
-    node_config::read(&instance.config).map_or_else(|_| instance.name.clone(), |config| config.name)
-}
-
 fn disruption_kind(action: RollingAction) -> DisruptionKind {
     match action {
         RollingAction::Restart => DisruptionKind::Restart,
--- a/crates/herondock/src/supervise/mod.rs
+++ b/crates/herondock/src/supervise/mod.rs
@@ -7,7 +7,9 @@
 //! | --- | --- |
 //! | `event_loop` | opens the supervisor's resources and waits for events |
 //! | `driver` | passes events to the state machine and carries out its actions |
-//! | `leases` | disruption leases and rollouts |
+//! | `loop_event` | events of the supervisor's loop |
+//! | `coordination_clients` | clients of the coordination service |
+//! | `leases` | leases that are taken before a disruption, and what is published for them |
 //! | `commands` | commands of operators, the supervisor's side |
 //! | `control` | commands of operators, the client's side |
 //! | `process` | processes of instances and their notifications |
@@ -15,10 +17,12 @@
 //! | `error` | errors |
 mod commands;
 mod control;
+mod coordination_clients;
 mod driver;
 mod error;
 mod event_loop;
 mod leases;
+mod loop_event;
 mod process;
 mod rollouts;
 
--- a/crates/verification/disruption-simulation/src/world/event.rs
+++ b/crates/verification/disruption-simulation/src/world/event.rs
@@ -1,10 +1,10 @@
 //! Events of the simulation. Machines and balancers are identified by their positions, supervisors by machine and incarnation.
-use super::rollouts::RolloutWrite;
 use coordination::state_machine::SessionId;
 use disruption::lease_agent::GrantedLease;
 use disruption::ConditionalWrite;
 use fleet_simulation::agenda::Nanos;
-use rollout::RolloutSnapshot;
+use rollout::{InstanceReport, RolloutSnapshot};
+use std::collections::BTreeMap;
 use supervisor::{Event, ProcessId, RollingAction};
 
 /// An event.
@@ -91,3 +91,11 @@
     /// It crashes.
     Crash,
 }
+
+/// What a write is for.
+pub(super) enum RolloutWrite {
+    /// Reports under a session.
+    Reports(SessionId, BTreeMap<String, InstanceReport>),
+    /// The next state.
+    State,
+}
--- a/crates/verification/disruption-simulation/src/world/rollouts.rs
+++ b/crates/verification/disruption-simulation/src/world/rollouts.rs
@@ -1,5 +1,5 @@
 //! Rollouts at supervisors: reports, transitions, and replacements of instances.
-use super::event::{SessionHolder, SimEvent};
+use super::event::{RolloutWrite, SessionHolder, SimEvent};
 use super::{duration, millis, name, World};
 use crate::plan::Variant;
 use coordination::state_machine::SessionId;
@@ -52,14 +52,6 @@
     }
 }
 
-/// What a write is for.
-pub(super) enum RolloutWrite {
-    /// Reports under a session.
-    Reports(SessionId, BTreeMap<String, InstanceReport>),
-    /// The next state.
-    State,
-}
-
 /// Progress of the rollout of a run.
 #[derive(Default)]
 pub(super) struct RolloutProgress {
