--- a/crates/control-plane/coordination/tests/record.rs
+++ b/crates/control-plane/coordination/tests/state_machine.rs
@@ -1,16 +1,16 @@
-//! The record by itself: what each command does, what is refused, and that it is the same after it was written and read.
+//! The replicated state machine: effects of commands, rejections, and equality after encoding and decoding.
 use coordination::limits::Limits;
 use coordination::state_machine::{
     Command, Compare, Op, Outcome, Rejection, SessionEnd, SessionId, StateMachine, Transaction,
 };
 use proptest::prelude::*;
 
-fn open(record: &mut StateMachine, name: &str, nonce: u64, take_over: bool) -> Outcome {
-    record.apply(&Command::OpenSession { name: name.into(), nonce, ttl_ms: 1000, take_over })
+fn open(state: &mut StateMachine, name: &str, nonce: u64, take_over: bool) -> Outcome {
+    state.apply(&Command::OpenSession { name: name.into(), nonce, ttl_ms: 1000, take_over })
 }
 
-fn session(record: &mut StateMachine, name: &str) -> SessionId {
-    match open(record, name, 1, true) {
+fn session(state: &mut StateMachine, name: &str) -> SessionId {
+    match open(state, name, 1, true) {
         Outcome::SessionOpened(id) => id,
         other => panic!("{other:?}"),
     }
@@ -20,18 +20,18 @@
     Op::Put { key: key.into(), value: value.into(), ephemeral: bound }
 }
 
-fn write(session: SessionId, number: u64, when: Vec<Compare>, then: Vec<Op>) -> Command {
-    Command::Transaction(Transaction { session, sequence: number, compares: when, ops: then })
+fn write(session: SessionId, sequence: u64, compares: Vec<Compare>, ops: Vec<Op>) -> Command {
+    Command::Transaction(Transaction { session, sequence, compares, ops })
 }
 
 #[test]
-fn a_write_happens_whole_once_and_only_if_its_conditions_hold() {
+fn a_transaction_is_applied_once_and_only_if_its_compares_hold() {
     let mut r = StateMachine::new(Limits::default());
     let s = session(&mut r, "a");
     let both = vec![put("x", "1", false), put("y", "1", false)];
     let first = write(s, 1, vec![Compare::Absent("x".into())], both.clone());
     let Outcome::Committed(at) = r.apply(&first) else { panic!("absent") };
-    // Sent again it is answered as before, though the condition holds no more.
+    // A retry returns the first outcome, although the condition no longer holds.
     assert_eq!(r.apply(&first), Outcome::Committed(at));
     assert_eq!(r.revision(), at);
     let differs = r.apply(&write(s, 2, vec![Compare::Exists("x".into()), Compare::Absent("y".into())], both));
@@ -47,7 +47,7 @@
     let mut r = StateMachine::new(Limits::default());
     let (a, b) = (session(&mut r, "a"), session(&mut r, "b"));
     r.apply(&write(a, 1, vec![], vec![put("k", "a", true), put("stays", "a", false)]));
-    // A key that another writes is that one's.
+    // A key that another session writes belongs to that session.
     r.apply(&write(b, 1, vec![], vec![put("k2", "b", true)]));
     assert_eq!(open(&mut r, "a", 1, true), Outcome::SessionOpened(a), "the same opening sent again");
     assert_eq!(open(&mut r, "a", 2, false), Outcome::Rejected(Rejection::NameTaken(a)));
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn every_bound_is_refused_by_name_and_changes_nothing() {
-    let bounds = Limits {
+fn every_limit_is_rejected_by_name_without_effect() {
+    let limits = Limits {
         key: 4,
         value: 8,
         keys: 3,
@@ -77,13 +77,13 @@
         sessions: 2,
         ..Limits::default()
     };
-    let mut r = StateMachine::new(bounds);
+    let mut r = StateMachine::new(limits);
     let s = session(&mut r, "a");
     let mut number = 0;
-    let mut refused = |r: &mut StateMachine, when: Vec<Compare>, then: Vec<Op>, wanted: &str| {
+    let mut refused = |r: &mut StateMachine, compares: Vec<Compare>, ops: Vec<Op>, wanted: &str| {
         number += 1;
         let before = r.revision();
-        match r.apply(&write(s, number, when, then)) {
+        match r.apply(&write(s, number, compares, ops)) {
             Outcome::Rejected(why) => assert!(why.to_string().contains(wanted), "{why}"),
             other => panic!("{wanted}: {other:?}"),
         }
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn watches_resume_while_what_changed_is_known_and_say_when_it_is_not() {
+fn watches_resume_until_their_events_are_compacted() {
     let mut r = StateMachine::new(Limits { changes: 4, ..Limits::default() });
     let s = session(&mut r, "a");
     let begin = r.revision();
@@ -120,19 +120,19 @@
     assert_eq!(seen(&r, begin), Some(["1", "2", "3", "4"].map(String::from).to_vec()));
     r.apply(&write(s, 5, vec![], vec![put("k", "5", false)]));
     assert_eq!((seen(&r, begin), r.oldest_resumable_revision()), (None, begin + 1));
-    let again = StateMachine::decode(&r.encode()).expect("whole");
+    let again = StateMachine::decode(&r.encode()).expect("valid");
     assert_eq!((seen(&again, r.revision()), seen(&again, begin + 2)), (Some(vec![]), None));
 }
 
-/// Guards against numbers that are given twice after a council was formed anew from a backup.
+/// Guards against revisions that are assigned twice after a restore from a backup.
 #[test]
-fn a_restored_record_has_no_sessions_and_numbers_far_above() {
+fn a_restored_state_has_no_sessions_and_skips_revisions() {
     let mut r = StateMachine::new(Limits::default());
     let s = session(&mut r, "a");
     r.apply(&write(s, 1, vec![], vec![put("bound", "", true), put("free", "1", false)]));
     let backup = r.encode();
     let later = session(&mut r, "later");
-    let mut restored = StateMachine::decode(&backup).expect("whole");
+    let mut restored = StateMachine::decode(&backup).expect("valid");
     restored.mark_restored(1 << 40);
     assert!(restored.get("bound").is_none() && restored.get("free").is_some());
     assert!(session(&mut restored, "new") > later + (1 << 39));
@@ -164,17 +164,17 @@
             take_over
         }),
         (1u64..20, 1u64..9, prop::collection::vec(condition, 0..2), prop::collection::vec(change(), 0..3))
-            .prop_map(|(session, number, when, then)| write(session, number, when, then)),
+            .prop_map(|(session, sequence, compares, ops)| write(session, sequence, compares, ops)),
         (1u64..20).prop_map(|session| Command::CloseSession { session }),
         (1u64..20).prop_map(|session| Command::ExpireSession { session }),
     ]
 }
 
 proptest! {
-    /// Guards against a voter that comes to another result after a snapshot: read anew at any place, the record does the
-    /// same with all that follows, and its sums are those of what it holds.
+    /// Guards against a voter that diverges after a snapshot: decoded at any point, the state machine gives the same outcomes,
+    /// and its totals match its content.
     #[test]
-    fn a_record_that_was_written_and_read_goes_on_the_same(
+    fn a_decoded_state_continues_identically(
         commands in prop::collection::vec(command(), 1..60),
         at in 0usize..60,
     ) {
@@ -182,7 +182,7 @@
         let mut other = None;
         for (k, command) in commands.iter().enumerate() {
             if k == at {
-                other = Some(StateMachine::decode(&one.encode()).expect("whole"));
+                other = Some(StateMachine::decode(&one.encode()).expect("valid"));
             }
             let outcome = one.apply(command);
             if let Some(other) = &mut other {
@@ -191,7 +191,7 @@
             }
             let bytes: usize = one.with_prefix("").map(|(key, item)| key.len() + item.value.len()).sum();
             prop_assert_eq!(one.size(), (one.with_prefix("").count(), bytes as u64));
-            // What is bound is bound to a session that has not ended.
+            // Ephemeral keys belong to open sessions.
             let bound = one.with_prefix("").filter_map(|(_, item)| item.session);
             prop_assert!(bound.into_iter().all(|session| one.session(session).is_some()));
         }
--- a/crates/herondock/benches/council.rs
+++ b/crates/herondock/benches/council.rs
@@ -1,7 +1,7 @@
-//! What the council costs and how long it is away, as real processes on this machine.
+//! Cost and unavailability of the coordination service, as real processes on this machine.
 //!
 //! `cargo bench -p herondock --bench council [-- PART ...]`; parts: `disk`, `writes`, `leaderless`, `memory`, `log`, `cost`
-//! (all of them). Voters have the tick that they have without a file that says otherwise (100 ms).
+//! (default: all). Voters use the default tick (100 ms).
 use coordination::client::SessionConfig;
 use coordination::protocol::Status;
 use coordination::state_machine::Op;
@@ -23,7 +23,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 const WITHIN: Duration = Duration::from_secs(30);
-/// Keys that a full record of a fleet has here, and bytes of their values.
+/// Number of keys of a full store, and bytes of their values.
 const KEYS: usize = 10_000;
 const VALUE: usize = 100;
 const CLIENTS: usize = 300;
@@ -37,7 +37,7 @@
     Program::new(env!("CARGO_BIN_EXE_herondock"), env!("CARGO_TARGET_TMPDIR"))
 }
 
-fn settings(voters: &[String], name: &str, ttl: Duration) -> ClientConfig {
+fn client_config(voters: &[String], name: &str, ttl: Duration) -> ClientConfig {
     let session = Some(SessionConfig { name: name.into(), ttl, take_over: true });
     ClientConfig {
         voters: voters.to_vec(),
@@ -65,37 +65,37 @@
     format!("{median:.digits$} ({least:.digits$} to {most:.digits$})")
 }
 
-/// Seconds of processor time that a process has used, in hundredths.
+/// Seconds of processor time that a process has used, with a resolution of 10 ms.
 fn cpu(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("its times");
     let fields: Vec<&str> = stat.rsplit(')').next().expect("fields").split_whitespace().collect();
     (fields[11].parse::<f64>().expect("a number") + fields[12].parse::<f64>().expect("a number")) / 100.0
 }
 
-/// Megabytes that a process holds.
+/// Resident memory of a process, in megabytes.
 fn memory(pid: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its memory");
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a line");
     line.trim().trim_end_matches(" kB").parse::<f64>().expect("a number") / 1000.0
 }
 
-/// Clients that each make one write at a time for so long: how long each took, and how many there were a second.
+/// Runs clients that each make one write at a time: the latencies, and the writes per second.
 fn writes(voters: &[String], clients: usize, length: Duration) -> (Histogram<u64>, f64) {
     run(async {
         let tasks: Vec<_> = (0..clients)
             .map(|c| {
-                let council =
-                    ClientHandle::spawn(settings(voters, &format!("w{c}"), Duration::from_secs(10)));
+                let handle =
+                    ClientHandle::spawn(client_config(voters, &format!("w{c}"), Duration::from_secs(10)));
                 tokio::task::spawn_local(async move {
                     // The session and the connection come first.
-                    assert!(written(&council.transact(vec![], put(c), WITHIN).await));
+                    assert!(written(&handle.transact(vec![], put(c), WITHIN).await));
                     let (mut took, started) = (micros(), Instant::now());
                     let mut n = 0;
                     while started.elapsed() < length {
                         n += 1;
                         let sent = Instant::now();
-                        let told = council.transact(vec![], put((c * 97 + n) % KEYS), WITHIN).await;
-                        assert!(written(&told), "{told:?}");
+                        let outcome = handle.transact(vec![], put((c * 97 + n) % KEYS), WITHIN).await;
+                        assert!(written(&outcome), "{outcome:?}");
                         took.record(sent.elapsed().as_micros() as u64).expect("within bounds");
                     }
                     (took, started)
@@ -115,7 +115,7 @@
     })
 }
 
-/// How long this disk takes for a small write and its sync.
+/// Measures a small write and its sync on this disk.
 fn disk() {
     let path = program().folder.join("sync-probe");
     let mut file = std::fs::File::create(&path).expect("creates");
@@ -150,8 +150,7 @@
     println!();
 }
 
-/// A client that writes without an end; when the last write that was acknowledged was sent, and how long the longest gap
-/// between two acknowledged ones was since it was asked last.
+/// A client that writes until it is dropped, and the times of its acknowledged writes.
 struct Probe {
     stop: Arc<AtomicBool>,
     acknowledged: std::sync::mpsc::Receiver<Instant>,
@@ -165,9 +164,9 @@
         let (stopped, voters) = (stop.clone(), voters.to_vec());
         let thread = std::thread::spawn(move || {
             run(async {
-                let council = ClientHandle::spawn(settings(&voters, "probe", Duration::from_secs(30)));
+                let handle = ClientHandle::spawn(client_config(&voters, "probe", Duration::from_secs(30)));
                 while !stopped.load(Ordering::SeqCst) {
-                    if written(&council.transact(vec![], put(0), WITHIN).await) {
+                    if written(&handle.transact(vec![], put(0), WITHIN).await) {
                         let _ = tell.send(Instant::now());
                     }
                 }
@@ -176,7 +175,7 @@
         Probe { stop, acknowledged, thread: Some(thread) }
     }
 
-    /// Waits for a write that was acknowledged after this.
+    /// Waits for a write that is acknowledged after this time.
     fn after(&self, at: Instant) -> Instant {
         loop {
             let next = self.acknowledged.recv_timeout(Duration::from_secs(60)).expect("writes go on");
@@ -253,7 +252,7 @@
     println!();
 }
 
-/// A balancer, in the council or not, and its stand-in upstream's address.
+/// Starts a balancer with this upstream, as a client of these voters or of none.
 fn balancer(upstream: SocketAddr, voters: Option<&[String]>, name: &str) -> Node {
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream, "active")]);
@@ -275,15 +274,15 @@
     Upstream::with(Options { cores: 8, ..Options::named("u0") }, |_| ok("x"))
 }
 
-/// Fills the record, each write with one of so many keys.
+/// Makes this many writes over [`KEYS`] keys.
 fn fill(voters: &[String], count: usize, watch: impl Fn(usize)) {
     const AT_ONCE: usize = 256;
     run(async {
         let next = Rc::new(Cell::new(0));
         let tasks: Vec<_> = (0..AT_ONCE)
             .map(|c| {
-                let council =
-                    ClientHandle::spawn(settings(voters, &format!("f{c}"), Duration::from_secs(30)));
+                let handle =
+                    ClientHandle::spawn(client_config(voters, &format!("f{c}"), Duration::from_secs(30)));
                 let next = next.clone();
                 tokio::task::spawn_local(async move {
                     loop {
@@ -292,8 +291,8 @@
                             return;
                         }
                         next.set(n + 1);
-                        let told = council.transact(vec![], put(n % KEYS), WITHIN).await;
-                        assert!(written(&told), "{told:?}");
+                        let outcome = handle.transact(vec![], put(n % KEYS), WITHIN).await;
+                        assert!(written(&outcome), "{outcome:?}");
                     }
                 })
             })
@@ -308,7 +307,7 @@
     });
 }
 
-fn memories() {
+fn memory_use() {
     let mut voters = Voters::direct(&program(), 3, TICK);
     voters.begin();
     let pids: Vec<u32> = voters.machines.iter().map(|m| m.process(0).pid()).collect();
@@ -321,19 +320,22 @@
     run(async {
         let mut clients = Vec::new();
         for c in 0..CLIENTS {
-            let council =
-                ClientHandle::spawn(settings(&voters.reached(), &format!("m{c}"), Duration::from_secs(10)));
-            assert!(written(&council.transact(vec![], put(c), WITHIN).await));
-            let watch = council.watch("key/", None).await;
-            clients.push((council, watch));
+            let handle = ClientHandle::spawn(client_config(
+                &voters.reached(),
+                &format!("m{c}"),
+                Duration::from_secs(10),
+            ));
+            assert!(written(&handle.transact(vec![], put(c), WITHIN).await));
+            let watch = handle.watch("key/", None).await;
+            clients.push((handle, watch));
         }
         tokio::time::sleep(Duration::from_secs(2)).await;
         println!(
             "| the same and {CLIENTS} clients, each with a session and a watch of all | {} |",
             spread(of_voters(), 1)
         );
-        for (council, _) in &clients {
-            council.close_session(WITHIN).await;
+        for (handle, _) in &clients {
+            handle.close_session(WITHIN).await;
         }
     });
     let up = upstream();
@@ -402,7 +404,7 @@
     );
 }
 
-/// The way of a request with the client on and off, in turn.
+/// Compares requests through a balancer with and without a coordination client, in turn.
 fn cost() {
     let mut voters = Voters::direct(&program(), 3, TICK);
     voters.begin();
@@ -455,7 +457,7 @@
         ("disk", disk),
         ("writes", write_rates),
         ("leaderless", leaderless),
-        ("memory", memories),
+        ("memory", memory_use),
         ("log", log),
         ("cost", cost),
     ];
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -1,4 +1,4 @@
-//! The council as real processes, with faults under and between them; judged by what its clients were told.
+//! The coordination service as real processes, with faults of processes, disks and links, judged by its clients' histories.
 mod common;
 use common::program;
 use coordination::client::RequestOutcome;
@@ -22,7 +22,7 @@
 use testkit::process::Process;
 use testkit::PATIENCE;
 
-/// This many voters, each a machine of its own, reached over links.
+/// Starts this many voters, each on a machine of its own, connected by links.
 fn start(size: usize) -> Voters {
     Voters::start(&program(), size)
 }
@@ -31,14 +31,14 @@
     Voters::prepare(&program(), size, TICK)
 }
 
-/// Clients that read and write until they are told to end.
-struct Load {
+/// Clients that read and write until they are stopped.
+struct Workload {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicUsize>,
     threads: Vec<thread::JoinHandle<Histories>>,
 }
 
-fn nanos() -> u64 {
+fn now_nanos() -> u64 {
     u64::try_from(boottime_now().as_nanos()).unwrap_or(u64::MAX)
 }
 
@@ -46,51 +46,51 @@
     u64::try_from(at.as_nanos()).unwrap_or(u64::MAX)
 }
 
-async fn work(settings: ClientConfig, number: u64, stop: &AtomicBool, done: &AtomicUsize) -> Histories {
+async fn run_worker(config: ClientConfig, number: u64, stop: &AtomicBool, done: &AtomicUsize) -> Histories {
     let mut random = Pcg64Mcg::seed_from_u64(number);
     let (mut worker, mut all) = (Worker::new(number), Histories::default());
-    let council = ClientHandle::spawn(settings);
+    let handle = ClientHandle::spawn(config);
     let mut last: Option<(SessionId, Duration)> = None;
     while !stop.load(Ordering::SeqCst) {
-        let held = council.active_session();
+        let held = handle.active_session();
         // Its session has ended, by its own clock, at the time that it knew of last.
         if let Some((_, until)) = last.take_if(|(id, _)| held.is_none_or(|(now, _)| now != *id)) {
             worker.release_lock(as_nanos(until), &mut all);
         }
-        last = council.last_session().filter(|_| held.is_some());
-        let next = worker.next_request(nanos(), held.map(|(id, _)| id), &mut random);
+        last = handle.last_session().filter(|_| held.is_some());
+        let next = worker.next_request(now_nanos(), held.map(|(id, _)| id), &mut random);
         if worker.is_releasing_lock() {
-            worker.release_lock(nanos(), &mut all);
+            worker.release_lock(now_nanos(), &mut all);
         }
-        let Some((ask, within)) = next else {
+        let Some((ask, timeout)) = next else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let told = council.request(ask, within).await;
+        let outcome = handle.request(ask, timeout).await;
         done.fetch_add(1, Ordering::SeqCst);
-        let session = council.active_session().map(|(id, _)| id);
-        worker.complete(nanos(), told, session, &mut all);
+        let session = handle.active_session().map(|(id, _)| id);
+        worker.complete(now_nanos(), outcome, session, &mut all);
         tokio::time::sleep(Duration::from_millis(random.gen_range(1..15))).await;
     }
-    let end = council.last_session().map_or(nanos(), |(_, until)| as_nanos(until).min(nanos()));
+    let end = handle.last_session().map_or(now_nanos(), |(_, until)| as_nanos(until).min(now_nanos()));
     worker.finish(end, &mut all);
     all
 }
 
-impl Load {
-    fn begin(voters: &Voters, clients: u64) -> Load {
+impl Workload {
+    fn spawn(voters: &Voters, clients: u64) -> Workload {
         let (stop, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let one = |number: u64| {
-            let settings = voters.client(&format!("load-{number}"), true);
+            let config = voters.client(&format!("load-{number}"), true);
             let (stop, done) = (stop.clone(), done.clone());
-            thread::spawn(move || run(work(settings, number, &stop, &done)))
+            thread::spawn(move || run(run_worker(config, number, &stop, &done)))
         };
         let threads = (1..=clients).map(one).collect();
-        Load { stop, done, threads }
+        Workload { stop, done, threads }
     }
 
-    /// Waits until so many more operations are done.
-    fn goes_on(&self, voters: &Voters, more: usize) {
+    /// Waits until this many more operations are completed.
+    fn wait_for_operations(&self, voters: &Voters, more: usize) {
         let from = self.done.load(Ordering::SeqCst);
         let started = Instant::now();
         while self.done.load(Ordering::SeqCst) < from + more {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Ends them, and judges all that they were told.
-    fn judged(self) -> Histories {
+    /// Stops the clients and checks their histories.
+    fn stop_and_check(self) -> Histories {
         self.stop.store(true, Ordering::SeqCst);
         let mut all = Histories::default();
         for thread in self.threads {
@@ -123,19 +123,19 @@
 #[test]
 fn a_leader_that_was_stopped_answers_nothing_stale() {
     let mut voters = start(3);
-    let load = Load::begin(&voters, 5);
-    load.goes_on(&voters, 60);
+    let workload = Workload::spawn(&voters, 5);
+    workload.wait_for_operations(&voters, 60);
     for _ in 0..3 {
         let old = voters.leader();
         voters.machines[old].pause();
         voters.until("led by another", |all| {
             all.iter().any(|s| s.role == "leader" && s.name != voters.names[old] && s.leader.is_some())
         });
-        load.goes_on(&voters, 60);
+        workload.wait_for_operations(&voters, 60);
         voters.machines[old].resume();
-        load.goes_on(&voters, 40);
+        workload.wait_for_operations(&voters, 40);
     }
-    load.judged();
+    workload.stop_and_check();
     voters.whole();
 }
 
@@ -145,15 +145,15 @@
 fn links_that_work_in_one_direction_or_in_parts_break_nothing() {
     let voters = start(5);
     let names: Vec<&str> = voters.names.iter().map(String::as_str).collect();
-    let load = Load::begin(&voters, 5);
-    load.goes_on(&voters, 40);
+    let workload = Workload::spawn(&voters, 5);
+    workload.wait_for_operations(&voters, 40);
     for rule in [Rule::Hole, Rule::Cut] {
         // The leader's words arrive nowhere, but it hears the others; clients reach it.
         let l = voters.leader();
         let others: Vec<&str> = names.iter().copied().filter(|n| *n != names[l]).collect();
         others.iter().for_each(|o| voters.net.set(names[l], o, rule));
         voters.until("led by another", |all| all.iter().any(|s| s.role == "leader" && s.name != names[l]));
-        load.goes_on(&voters, 20);
+        workload.wait_for_operations(&voters, 20);
         voters.net.heal();
         // One that hears the leader alone must not unseat it.
         voters.whole();
@@ -164,20 +164,20 @@
             .iter()
             .filter(|n| **n != lonely && **n != names[l])
             .for_each(|o| voters.net.set_both(lonely, o, rule));
-        load.goes_on(&voters, 60);
+        workload.wait_for_operations(&voters, 60);
         assert_eq!(voters.statuses().iter().map(|s| s.term).max(), term, "it unseats nobody");
         voters.net.heal();
         // 2-2-1, and a bridge between them.
         let (a, b, bridge) = (&names[..2], &names[2..4], names[4]);
         voters.net.split(a, b, rule);
-        load.goes_on(&voters, 20);
+        workload.wait_for_operations(&voters, 20);
         voters.net.split(&[bridge], a, rule);
         voters.net.split(&[bridge], b, rule);
         voters.until("led by nobody who knows", |all| !all.is_empty());
         voters.net.heal();
-        load.goes_on(&voters, 20);
+        workload.wait_for_operations(&voters, 20);
     }
-    load.judged();
+    workload.stop_and_check();
     voters.whole();
 }
 
@@ -187,19 +187,19 @@
     let mut voters = start(3);
     for k in 0..3 {
         let l = voters.leader();
-        let settings = voters.client("writer", true);
+        let config = voters.client("writer", true);
         let (ready, is_ready) = std::sync::mpsc::channel();
         let (go, gone) = tokio::sync::oneshot::channel::<()>();
         let writer = thread::spawn(move || {
             run(async move {
-                let council = ClientHandle::spawn(settings);
-                ready.send(written(&council.transact(vec![], vec![], WITHIN).await)).expect("heard");
+                let handle = ClientHandle::spawn(config);
+                ready.send(written(&handle.transact(vec![], vec![], WITHIN).await)).expect("heard");
                 gone.await.expect("told");
                 // A second time it would differ: there is such a key then.
                 let key = format!("once/{k}");
                 let absent = vec![Compare::Absent(key.clone())];
                 let put = vec![Op::Put { key, value: k.to_string(), ephemeral: false }];
-                council.transact(absent, put, WITHIN).await
+                handle.transact(absent, put, WITHIN).await
             })
         });
         assert!(is_ready.recv_timeout(PATIENCE).expect("ready"), "{:#?}", voters.logs());
@@ -210,8 +210,8 @@
         assert!(!writer.is_finished(), "nothing gets through");
         voters.machines[l].kill();
         voters.net.heal();
-        let told = writer.join().expect("no panic");
-        assert!(written(&told), "{told:?}");
+        let outcome = writer.join().expect("no panic");
+        assert!(written(&outcome), "{outcome:?}");
         voters.machines[l].start();
         voters.whole();
     }
@@ -232,20 +232,20 @@
         assert!(written(&second.transact(vec![Compare::SessionEnded(one)], bound("second"), WITHIN).await));
         let (two, _) = second.active_session().expect("held");
         assert!(two > one, "a number that grows: {one}, {two}");
-        let told = first.transact(vec![], bound("first again"), WITHIN).await;
+        let outcome = first.transact(vec![], bound("first again"), WITHIN).await;
         assert!(
-            matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
-            "{told:?}"
+            matches!(outcome, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
+            "{outcome:?}"
         );
         let mut standing = first.session_state();
         standing.wait_for(|s| *s == SessionState::Fenced(two)).await.expect("it hears of it");
-        let told = second.transact(vec![Compare::SessionAlive(one)], bound("x"), WITHIN).await;
+        let outcome = second.transact(vec![Compare::SessionAlive(one)], bound("x"), WITHIN).await;
         assert!(
             matches!(
-                told,
+                outcome,
                 RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { index: 0, .. }))
             ),
-            "{told:?}"
+            "{outcome:?}"
         );
         second.close_session(WITHIN).await;
     });
@@ -258,13 +258,13 @@
 fn full_disks_stop_what_needs_them_and_nothing_is_lost() {
     let voters = start(3);
     let pid = |k: usize| voters.machines[k].process(0).pid();
-    let load = Load::begin(&voters, 4);
-    load.goes_on(&voters, 30);
+    let workload = Workload::spawn(&voters, 4);
+    workload.wait_for_operations(&voters, 30);
     let l = voters.leader();
     let f = (l + 1) % 3;
     disk::full_at(pid(f), 10).expect("runs");
     voters.machines[f].process(0).logs("stands aside and does not vote");
-    load.goes_on(&voters, 40);
+    workload.wait_for_operations(&voters, 40);
     disk::room(pid(f)).expect("runs");
     voters.machines[f].process(0).logs("is back");
     voters.whole();
@@ -272,7 +272,7 @@
     let l = voters.leader();
     disk::full_at(pid(l), 10).expect("runs");
     voters.until("led by another", |all| all.iter().any(|s| s.role == "leader" && s.name != voters.names[l]));
-    load.goes_on(&voters, 40);
+    workload.wait_for_operations(&voters, 40);
     let seen = voters.statuses();
     let aside = seen.iter().find(|s| s.name == voters.names[l]).expect("it still answers");
     assert_eq!(aside.role, "aside");
@@ -285,17 +285,18 @@
     let two = [l, (l + 1) % 3];
     two.iter().for_each(|&k| disk::full_at(pid(k), 10).expect("runs"));
     voters.until("two aside", |all| all.iter().filter(|s| s.role == "aside").count() == 2);
-    let settings = voters.client("late", true);
+    let config = voters.client("late", true);
     let then = vec![Op::Put { key: "late".into(), value: "x".into(), ephemeral: false }];
-    let told =
-        run(
-            async move { ClientHandle::spawn(settings).transact(vec![], then, Duration::from_secs(1)).await },
-        );
-    assert!(matches!(told, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)), "{told:?}");
+    let outcome =
+        run(async move { ClientHandle::spawn(config).transact(vec![], then, Duration::from_secs(1)).await });
+    assert!(
+        matches!(outcome, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
+        "{outcome:?}"
+    );
     two.iter().for_each(|&k| disk::room(pid(k)).expect("runs"));
     voters.whole();
-    load.goes_on(&voters, 40);
-    load.judged();
+    workload.wait_for_operations(&voters, 40);
+    workload.stop_and_check();
 }
 
 /// Guards against a promise that a crash undoes: a single voter is killed at every step of its disk, one after the other,
@@ -304,7 +305,7 @@
 fn killed_at_every_step_of_its_disk_it_keeps_what_it_acknowledged() {
     let mut voters = prepare(1);
     voters.form();
-    let settings = voters.client("writer", true);
+    let config = voters.client("writer", true);
     let mut visited = 0;
     for kind in ["read", "open", "write", "cut", "sync", "names", "rename"] {
         for at in 0..40 {
@@ -312,20 +313,20 @@
             let mut process = Process::start(voters.process(0, &["run", "--halt-at", &halt]));
             // Until it dies, or has done more than any of its steps takes.
             let acknowledged = run(async {
-                let council = ClientHandle::spawn(settings.clone());
+                let handle = ClientHandle::spawn(config.clone());
                 let mut last = None;
                 for n in 0..6 {
                     let value = format!("{kind}-{at}-{n}");
                     let then = vec![Op::Put { key: "k".into(), value: value.clone(), ephemeral: false }];
-                    let write = council.transact(vec![], then, Duration::from_secs(10));
+                    let write = handle.transact(vec![], then, Duration::from_secs(10));
                     let died = async {
                         while process.runs() {
                             tokio::time::sleep(Duration::from_millis(2)).await;
                         }
                     };
                     tokio::select! {
-                        told = write => {
-                            assert!(written(&told), "{told:?}");
+                        outcome = write => {
+                            assert!(written(&outcome), "{outcome:?}");
                             last = Some(value);
                         }
                         () = died => break,
@@ -462,10 +463,10 @@
     // Two megabytes of record.
     let big = "x".repeat(60 << 10);
     run(async {
-        let council = ClientHandle::spawn(voters.client("filler", true));
+        let handle = ClientHandle::spawn(voters.client("filler", true));
         for k in 0..34 {
             let then = vec![Op::Put { key: format!("big/{k}"), value: big.clone(), ephemeral: false }];
-            assert!(written(&council.transact(vec![], then, WITHIN).await));
+            assert!(written(&handle.transact(vec![], then, WITHIN).await));
         }
     });
     let l = voters.leader();
@@ -490,28 +491,28 @@
 fn three_hundred_clients_come_to_the_next_leader() {
     let mut voters = start(3);
     let reached = voters.reached();
-    let (tell, told) = std::sync::mpsc::channel();
+    let (completed, completions) = std::sync::mpsc::channel();
     let (leave, left) = std::sync::mpsc::channel::<()>();
     let clients = thread::spawn(move || {
         run(async move {
             let all: Vec<ClientHandle> = (0..300)
                 .map(|k| {
-                    let mut settings = client(&reached.clone(), &format!("many-{k}"), true);
-                    if let Some(session) = &mut settings.session {
+                    let mut config = client(&reached.clone(), &format!("many-{k}"), true);
+                    if let Some(session) = &mut config.session {
                         session.ttl = Duration::from_secs(10);
                     }
-                    ClientHandle::spawn(settings)
+                    ClientHandle::spawn(config)
                 })
                 .collect();
             let write = |round: usize| {
                 let all = all.clone();
                 async move {
                     let mut tasks = Vec::new();
-                    for (k, council) in all.into_iter().enumerate() {
+                    for (k, handle) in all.into_iter().enumerate() {
                         tasks.push(tokio::task::spawn_local(async move {
                             let key = format!("many/{k}");
                             let then = vec![Op::Put { key, value: round.to_string(), ephemeral: true }];
-                            written(&council.transact(vec![], then, WITHIN).await)
+                            written(&handle.transact(vec![], then, WITHIN).await)
                         }));
                     }
                     let mut done = 0;
@@ -524,19 +525,19 @@
             let held = |all: &[ClientHandle]| {
                 all.iter().map(|c| c.last_session().map(|(id, _)| id)).collect::<Vec<_>>()
             };
-            tell.send(write(1).await).expect("heard");
+            completed.send(write(1).await).expect("heard");
             let before = held(&all);
             tokio::task::spawn_blocking(move || left.recv()).await.expect("waits").expect("told");
-            tell.send(write(2).await).expect("heard");
+            completed.send(write(2).await).expect("heard");
             assert_eq!(held(&all), before, "no session is lost");
         });
     });
     let wait = Duration::from_secs(60);
-    assert_eq!(told.recv_timeout(wait).expect("first"), 300);
+    assert_eq!(completions.recv_timeout(wait).expect("first"), 300);
     let l = voters.leader();
     voters.machines[l].kill();
     leave.send(()).expect("heard");
-    assert_eq!(told.recv_timeout(wait).expect("second"), 300, "{:#?}", voters.logs());
+    assert_eq!(completions.recv_timeout(wait).expect("second"), 300, "{:#?}", voters.logs());
     clients.join().expect("no panic");
 }
 
@@ -561,9 +562,9 @@
     let saved = voters.command(&["backup", "--to", kept.to_str().expect("text")]);
     assert!(saved.status.success(), "{saved:?}");
     let before = run(async {
-        let council = ClientHandle::spawn(voters.client("old", true));
-        council.transact(vec![], vec![], WITHIN).await;
-        council.active_session().map(|(id, _)| id)
+        let handle = ClientHandle::spawn(voters.client("old", true));
+        handle.transact(vec![], vec![], WITHIN).await;
+        handle.active_session().map(|(id, _)| id)
     });
     voters.machines.iter_mut().for_each(Machine::kill);
     voters.machines.iter().for_each(Machine::wipe);
@@ -573,19 +574,19 @@
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     assert_eq!(voters.get("policy/limit").as_deref(), Some("7"));
     let after = run(async {
-        let council = ClientHandle::spawn(voters.client("new", true));
-        council.transact(vec![], vec![], WITHIN).await;
-        council.active_session().map(|(id, _)| id)
+        let handle = ClientHandle::spawn(voters.client("new", true));
+        handle.transact(vec![], vec![], WITHIN).await;
+        handle.active_session().map(|(id, _)| id)
     });
     assert!(after > before, "{before:?}, {after:?}");
     // A session of before the loss is over, whatever it believes.
-    let told = run(async {
-        let council = ClientHandle::spawn(voters.client("judge", true));
-        council.transact(vec![Compare::SessionAlive(before.expect("held"))], vec![], WITHIN).await
+    let outcome = run(async {
+        let handle = ClientHandle::spawn(voters.client("judge", true));
+        handle.transact(vec![Compare::SessionAlive(before.expect("held"))], vec![], WITHIN).await
     });
     assert!(
-        matches!(told, RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { .. }))),
-        "{told:?}"
+        matches!(outcome, RequestOutcome::Answered(Answer::Outcome(Outcome::CompareFailed { .. }))),
+        "{outcome:?}"
     );
 }
 
@@ -631,10 +632,10 @@
     let f = (l + 1) % 3;
     voters.machines[f].kill();
     let mut slow = Process::start(voters.process(f, &["run", "--halt-at", "slow:600"]));
-    let load = Load::begin(&voters, 4);
-    load.goes_on(&voters, 300);
+    let workload = Workload::spawn(&voters, 4);
+    workload.wait_for_operations(&voters, 300);
     slow.logs("ms for a save");
-    load.judged();
+    workload.stop_and_check();
     voters.whole();
     slow.kill();
 }
@@ -647,32 +648,32 @@
     let l = voters.leader();
     run(async {
         let watcher = ClientHandle::spawn(voters.client("watcher", false));
-        let mut told = watcher.watch("k", None).await;
-        assert!(matches!(told.recv().await, Some(Answer::Watching { .. })));
+        let mut answers = watcher.watch("k", None).await;
+        assert!(matches!(answers.recv().await, Some(Answer::Watching { .. })));
         voters.machines[l].pause();
         let writer = ClientHandle::spawn(voters.client("writer", true));
         let put = vec![Op::Put { key: "k".into(), value: "v".into(), ephemeral: false }];
         assert!(written(&writer.transact(vec![], put, WITHIN).await));
-        let next = tokio::time::timeout(PATIENCE, told.recv()).await;
+        let next = tokio::time::timeout(PATIENCE, answers.recv()).await;
         assert!(matches!(next, Ok(Some(Answer::Events { .. }))), "{next:?}");
     });
     voters.machines[l].resume();
 }
 
-/// One fault, or its end.
+/// A step of a fault script.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Kill(usize),
     Pause(usize),
     Full(usize),
-    /// What the first says does not reach the second.
+    /// Messages from the first voter to the second are subject to the rule.
     OneWay(usize, usize, Rule),
     Alone(usize, Rule),
-    /// Everything is whole again.
+    /// Ends all faults.
     Heal,
 }
 
-fn draw(seed: u64, count: usize) -> Vec<Step> {
+fn draw_steps(seed: u64, count: usize) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut steps = Vec::new();
     while steps.len() < count {
@@ -698,7 +699,7 @@
     let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
     let first = number("COUNCIL_SEED").unwrap_or(7);
     for seed in first..first + number("COUNCIL_SCRIPTS").unwrap_or(1) {
-        let steps = draw(seed, 12);
+        let steps = draw_steps(seed, 12);
         let _told = testkit::faults::script::Told { seed, steps: &steps };
         play(&steps);
     }
@@ -706,8 +707,8 @@
 
 fn play(steps: &[Step]) {
     let mut voters = start(3);
-    let load = Load::begin(&voters, 4);
-    load.goes_on(&voters, 30);
+    let workload = Workload::spawn(&voters, 4);
+    workload.wait_for_operations(&voters, 30);
     let names = voters.names.clone();
     let heal = |voters: &mut Voters| {
         voters.net.heal();
@@ -734,7 +735,7 @@
             }
             Step::Heal => {
                 heal(&mut voters);
-                load.goes_on(&voters, 20);
+                workload.wait_for_operations(&voters, 20);
             }
         }
         // Each is looked at before the next fault: those that are stopped take a while, and elections begin meanwhile.
@@ -744,7 +745,7 @@
         assert!(!twice, "two lead in one term: {leaders:?}");
     }
     heal(&mut voters);
-    load.goes_on(&voters, 20);
+    workload.wait_for_operations(&voters, 20);
     voters.whole();
-    load.judged();
+    workload.stop_and_check();
 }
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -1,4 +1,5 @@
-//! A council of real voters, each a machine of its own, that its clients and the voters themselves reach over links.
+//! Real voters of the coordination service, each on a machine of its own, connected with one another and with their clients by
+//! links that can fail.
 use crate::faults::link::Net;
 use crate::faults::machine::Machine;
 use crate::node::Program;
@@ -15,14 +16,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A short tick, so that elections take a third of a second.
+/// A short tick of 25 ms, so that elections take a third of a second.
 pub const TICK: Duration = Duration::from_millis(25);
-/// Long enough for a busy machine, and short enough to be met.
+/// Time to live of sessions: long enough for a busy machine, and short enough to expire within a test.
 pub const TTL: Duration = Duration::from_millis(1500);
-/// How long a client's ask may take in a test.
+/// Timeout of a request in a test.
 pub const WITHIN: Duration = Duration::from_secs(15);
 
-/// Who connects, by the first frame of a connection to a voter, and how many bytes that is.
+/// Name of the side that connects to a voter, from its handshake, and the length of that frame in bytes.
 pub fn who(first: &[u8]) -> Option<(String, usize)> {
     let (length, rest) = first.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*length) as usize;
@@ -31,44 +32,44 @@
     Some((name.split('"').next()?.into(), 4 + length))
 }
 
-/// Runs what waits, with the tasks that it begins, on this thread.
+/// Runs a future, with the local tasks that it spawns, on this thread.
 pub fn run<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// Voters.
+/// A group of voters.
 pub struct Voters {
     program: Program,
     tick: Duration,
-    /// The links between them, and from their clients to them.
+    /// The links between voters, and between clients and voters.
     pub net: Net,
-    /// Where their files and disks are.
+    /// Folder of their configuration files and disks.
     pub folder: PathBuf,
-    /// What they are called.
+    /// Names of the voters.
     pub names: Vec<String>,
-    /// Where the others and the clients reach them.
+    /// Addresses at which other voters and clients reach them, through the links.
     pub addrs: Vec<SocketAddr>,
-    /// Where they listen.
+    /// Addresses on which they listen.
     pub listens: Vec<SocketAddr>,
-    /// What they run on, one voter each.
+    /// Machines, one for each voter.
     pub machines: Vec<Machine>,
 }
 
 impl Voters {
-    /// So many, formed and joined, with a short tick and links between them.
+    /// Starts this many voters with [`TICK`] and links, and waits until all of them vote.
     pub fn start(program: &Program, size: usize) -> Voters {
         let mut voters = Voters::prepare(program, size, TICK);
         voters.begin();
         voters
     }
 
-    /// The files of so many, reached over links.
+    /// Writes the configuration of this many voters, connected by links, without starting them.
     pub fn prepare(program: &Program, size: usize, tick: Duration) -> Voters {
         Voters::with(program, size, tick, true)
     }
 
-    /// The same without links: for measurements.
+    /// The same without links, for measurements.
     pub fn direct(program: &Program, size: usize, tick: Duration) -> Voters {
         Voters::with(program, size, tick, false)
     }
@@ -95,7 +96,7 @@
         voters
     }
 
-    /// Forms the council and waits until all vote.
+    /// Creates the cluster, starts all voters and waits until all of them vote.
     pub fn begin(&mut self) {
         self.form();
         self.machines.iter_mut().for_each(Machine::start);
@@ -105,12 +106,12 @@
         });
     }
 
-    /// The file of a voter.
+    /// Configuration file of a voter.
     pub fn file(&self, k: usize) -> PathBuf {
         self.folder.join(format!("{}.toml", self.names[k]))
     }
 
-    /// Writes the file of a voter, with these lines in its `[council]`.
+    /// Writes the configuration file of a voter, with these further lines in its `[council]`.
     pub fn write_file(&self, k: usize, more: &str) -> PathBuf {
         let (name, tick) = (&self.names[k], self.tick.as_millis());
         let mut text = format!(
@@ -125,48 +126,48 @@
         file
     }
 
-    /// Makes the first the council's first voter.
+    /// Creates the cluster with the first voter as its only member.
     pub fn form(&self) {
         let output = herondock(&self.program, &["form"], &self.file(0)).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
 
-    /// A command of `herondock council` with the first's file.
+    /// Runs `herondock council` with the configuration of the first voter.
     pub fn command(&self, args: &[&str]) -> Output {
         let mut command = herondock(&self.program, args, &self.file(0));
         command.stdout(Stdio::piped()).output().expect("runs")
     }
 
-    /// The process of a voter with further arguments, not started.
+    /// The command that runs `herondock council` with the configuration of a voter.
     pub fn process(&self, k: usize, args: &[&str]) -> Command {
         herondock(&self.program, args, &self.file(k))
     }
 
-    /// Where clients reach them.
+    /// Addresses at which clients reach the voters.
     pub fn reached(&self) -> Vec<String> {
         self.addrs.iter().map(ToString::to_string).collect()
     }
 
-    /// How those that answer see the council, asked without links.
+    /// Status of each voter that answers, requested without links.
     pub fn statuses(&self) -> Vec<Status> {
         let mut all = Vec::new();
         for addr in &self.listens {
-            let asked = run(async {
-                let patience = Duration::from_millis(300);
+            let outcome = run(async {
+                let response_timeout = Duration::from_millis(300);
                 let (voters, name) = (vec![addr.to_string()], "judge".into());
-                let settings = ClientConfig { voters, session: None, name, response_timeout: patience };
-                ClientHandle::spawn(settings)
+                let config = ClientConfig { voters, session: None, name, response_timeout };
+                ClientHandle::spawn(config)
                     .request(ClientRequest::Call(Request::Status), Duration::from_millis(400))
                     .await
             });
-            if let RequestOutcome::Answered(Answer::Status(status)) = asked {
+            if let RequestOutcome::Answered(Answer::Status(status)) = outcome {
                 all.push(*status);
             }
         }
         all
     }
 
-    /// Waits until those that answer see the council so.
+    /// Waits until the statuses satisfy a condition.
     pub fn until(&self, what: &str, wanted: impl Fn(&[Status]) -> bool) {
         let started = Instant::now();
         loop {
@@ -179,12 +180,12 @@
         }
     }
 
-    /// What each has logged.
+    /// Log lines of each voter.
     pub fn logs(&self) -> Vec<Vec<String>> {
         self.machines.iter().map(|m| m.process(0).log()).collect()
     }
 
-    /// The place of the one that leads.
+    /// Position of the leader, once there is one.
     pub fn leader(&self) -> usize {
         let found = std::cell::Cell::new(None);
         self.until("led", |all| {
@@ -196,7 +197,7 @@
         found.get().expect("led")
     }
 
-    /// Waits until all of these have carried out the same, with a leader.
+    /// Waits until there is a leader and all voters have applied the same entries.
     pub fn whole(&self) {
         self.until("whole", |all| {
             let led = all.iter().any(|s| s.role == "leader");
@@ -206,32 +207,32 @@
         });
     }
 
-    /// A client with this name; with a session, if `held`.
+    /// Configuration of a client with this name, with a session if `held`.
     pub fn client(&self, name: &str, held: bool) -> ClientConfig {
         client(&self.reached(), name, held)
     }
 
-    /// One write by a client of its own.
+    /// Writes a key with a client of its own.
     pub fn put(&self, key: &str, value: &str) -> RequestOutcome {
-        let settings = self.client("hand", true);
+        let config = self.client("hand", true);
         let then = vec![Op::Put { key: key.into(), value: value.into(), ephemeral: false }];
-        run(async move { ClientHandle::spawn(settings).transact(vec![], then, WITHIN).await })
+        run(async move { ClientHandle::spawn(config).transact(vec![], then, WITHIN).await })
     }
 
-    /// One read by a client of its own.
+    /// Reads a key with a client of its own.
     pub fn get(&self, key: &str) -> Option<String> {
         self.read(Select::Key(key.into())).pop().map(|(_, value)| value)
     }
 
-    /// All keys that begin so, with their values.
+    /// Reads all keys with a prefix, and their values.
     pub fn under(&self, prefix: &str) -> Vec<(String, String)> {
         self.read(Select::Prefix(prefix.into()))
     }
 
     fn read(&self, select: Select) -> Vec<(String, String)> {
-        let settings = self.client("eye", false);
-        let told = run(async move { ClientHandle::spawn(settings).read(select, WITHIN).await });
-        match told {
+        let config = self.client("eye", false);
+        let outcome = run(async move { ClientHandle::spawn(config).read(select, WITHIN).await });
+        match outcome {
             RequestOutcome::Answered(Answer::Values { items, .. }) => {
                 items.into_iter().map(|(key, item)| (key, item.value)).collect()
             }
@@ -239,7 +240,7 @@
         }
     }
 
-    /// How many vote, by those that answer.
+    /// Number of voting members.
     pub fn members(&self) -> usize {
         self.statuses().iter().map(|s| s.members.iter().filter(|m| m.is_voter).count()).max().unwrap_or(0)
     }
@@ -251,7 +252,7 @@
     command
 }
 
-/// A client of the voters that are reached at these addresses; with a session, if `held`.
+/// Configuration of a client of the voters at these addresses, with a session if `held`.
 pub fn client(voters: &[String], name: &str, held: bool) -> ClientConfig {
     let session = held.then(|| SessionConfig { name: name.into(), ttl: TTL, take_over: true });
     ClientConfig {
@@ -262,7 +263,7 @@
     }
 }
 
-/// Whether this says that a write was made.
-pub fn written(told: &RequestOutcome) -> bool {
-    matches!(told, RequestOutcome::Answered(Answer::Outcome(Outcome::Committed(_))))
+/// Whether a transaction was committed.
+pub fn written(outcome: &RequestOutcome) -> bool {
+    matches!(outcome, RequestOutcome::Answered(Answer::Outcome(Outcome::Committed(_))))
 }
