--- a/crates/foundations/config/src/coordination.rs
+++ b/crates/foundations/config/src/coordination.rs
@@ -1,7 +1,9 @@
 //! Configuration of the coordination service: the file of a voter, with `[council]` and `[[voter]]`, and the table `[council]`
 //! in the files of its clients. `deploy/council.example.toml` documents the file of a voter.
 use crate::file::{read_config, ConfigFileError};
-use crate::values::{fault_at, path_value, quantity, read_text, read_whole, ConfigError, MAX_FILE_BYTES};
+use crate::values::{
+    fault_at, path_value, quantity, read_consistent, read_text, ConfigError, MAX_FILE_BYTES,
+};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -208,6 +210,6 @@
 
 /// Whether a TOML file is the configuration of a voter, judged by its tables.
 pub fn is_coordination_file(path: &Path) -> bool {
-    let bytes = read_whole(path, MAX_FILE_BYTES).unwrap_or_default();
+    let bytes = read_consistent(path, MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[voter]]")
 }
--- a/crates/herondock/src/demo/report.rs
+++ b/crates/herondock/src/demo/report.rs
@@ -3,7 +3,7 @@
 use super::tally::Count;
 use std::fmt::Write;
 use std::time::Duration;
-use testkit::ledger::{Fault, Rule, Violation};
+use testkit::ledger::{Breach, Rule, Violation};
 
 /// The memory of an instance, in bytes.
 pub struct Memory {
@@ -39,7 +39,7 @@
 ];
 
 /// Violations that are told one by one.
-const TOLD: usize = 10;
+const REPORTED: usize = 10;
 
 impl Report {
     /// Whether a rule was broken, or that can't be told.
@@ -47,16 +47,16 @@
         !self.violations.is_empty()
     }
 
-    fn of(&self, faults: &[Fault]) -> usize {
+    fn of(&self, faults: &[Breach]) -> usize {
         self.violations.iter().filter(|v| faults.contains(&v.fault)).count()
     }
 
     fn lost(&self) -> usize {
-        self.of(&[Fault::AnswerLost])
+        self.of(&[Breach::AnswerLost])
     }
 
     fn twice(&self) -> usize {
-        self.of(&[Fault::UnsafeRepeated, Fault::KeyedOutsideGroup, Fault::KeyedOutsideWindow])
+        self.of(&[Breach::UnsafeRepeated, Breach::KeyedOutsideGroup, Breach::KeyedOutsideWindow])
     }
 
     fn against(&self, rule: Rule) -> usize {
@@ -108,7 +108,7 @@
             };
             line(format_args!("  rule       {name}: {verdict}"));
         }
-        for violation in self.violations.iter().take(TOLD) {
+        for violation in self.violations.iter().take(REPORTED) {
             line(format_args!("  {violation}"));
         }
         text
@@ -135,7 +135,7 @@
             "clubs": clubs.collect::<Vec<_>>(),
             "memory": memory.collect::<Vec<_>>(),
             "violations": rules.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
-            "faults": self.violations.iter().take(TOLD).map(ToString::to_string).collect::<Vec<_>>(),
+            "faults": self.violations.iter().take(REPORTED).map(ToString::to_string).collect::<Vec<_>>(),
         });
         format!("{report}\n")
     }
@@ -146,27 +146,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn report(violations: Vec<Violation>) -> Report {
-        let (length, view) = (Duration::from_secs(20), View::default());
-        Report { length, view, memory: Vec::new(), percentiles: [1.0; 4], violations }
-    }
-
-    /// Guards against a demo that shows a broken rule and ends as if none were.
-    #[test]
-    fn a_broken_rule_shows_in_every_form() {
-        let fault = Violation { fault: Fault::UnsafeRepeated, at: Duration::ZERO, whose: "request r".into() };
-        let bad = report(vec![fault]);
-        assert!(bad.broken() && bad.text().contains("no effect twice: BROKEN 1 times"));
-        let json: serde_json::Value = serde_json::from_str(&bad.json()).expect("JSON");
-        assert_eq!(
-            (&json["requests"]["run_twice"], &json["violations"]["NoEffectTwice"]),
-            (&1.into(), &1.into())
-        );
-        let good = report(Vec::new());
-        assert!(!good.broken() && !good.text().contains("BROKEN"));
-        assert!(good.text().lines().all(|line| line.chars().count() < 80));
-    }
-}
+mod tests;
--- a/crates/herondock/src/routing/inspect.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -4,8 +4,8 @@
 use config::{operator, routing};
 use route_table::diff::diff;
 use route_table::expect::prove;
-use route_table::spec::{Expect, World};
-use route_table::table::{Compiled, Leads, Table};
+use route_table::spec::{Expectation, KnownNames};
+use route_table::table::{Compiled, RouteTarget, Table};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -33,7 +33,7 @@
     pub headers: Vec<(String, String)>,
 }
 
-fn table(file: &Path, world: &World) -> Result<(Table, Vec<Expect>), String> {
+fn load_table(file: &Path, world: &KnownNames) -> Result<(Table, Vec<Expectation>), String> {
     let operator = operator::read(file)?;
     let base = file.parent().unwrap_or(Path::new(""));
     let found = routing::read(&operator.routing, base, world).map_err(|faults| faults.join("\n"))?;
@@ -51,7 +51,7 @@
 /// The files can't be used, or it names what is not there.
 pub fn explain(file: &Path, d: &RequestDescription) -> Result<String, String> {
     let world = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
-    let (table, _) = table(file, &world)?;
+    let (table, _) = load_table(file, &world)?;
     let class = position("class", &world.classes, d.class.as_deref())?;
     let club = position("club", &world.clubs, d.club.as_deref())?;
     let fronts = route_table::cube::FRONTS.map(String::from);
@@ -68,12 +68,12 @@
         request_id: &|| b"",
         headers: &headers,
     };
-    let query = match Query::of(&asked, table.headers.iter()) {
+    let query = match Query::parse(&asked, table.headers.iter()) {
         Ok(query) => query,
         Err(RoutingError::Ambiguous(why)) => return Ok(format!("turned away with 400: {why}\n")),
         Err(other) => return Err(format!("{other:?}")),
     };
-    let Some((route, pool)) = query.in_table(&table, class, club) else {
+    let Some((route, pool)) = query.route_in(&table, class, club) else {
         return Ok("turned away with 404: there is no route for it\n".into());
     };
     let mut text = String::new();
@@ -85,7 +85,7 @@
         route.route.name, place.file, place.line, route.route.precedence
     );
     match (&route.leads, pool) {
-        (Leads::Split(by, parts), Some(pool)) => {
+        (RouteTarget::Split(by, parts), Some(pool)) => {
             let all: Vec<String> =
                 parts.iter().map(|(p, n)| format!("{} {n}", table.pools[*p].name)).collect();
             let _ = writeln!(text, "pool {}, of {} split by {by:?}", table.pools[pool].name, all.join(", "));
@@ -102,7 +102,7 @@
     if let Some(p) = route.fallback {
         let _ = writeln!(text, "pool {} if it certainly has not run", table.pools[p].name);
     }
-    let behind = |c: &&Compiled| c.route.precedence > route.route.precedence && query.meets(c, class, club);
+    let behind = |c: &&Compiled| c.route.precedence > route.route.precedence && query.matches(c, class, club);
     for other in table.routes.iter().filter(behind) {
         let _ = writeln!(text, "before route {}, precedence {}", other.route.name, other.route.precedence);
     }
@@ -115,7 +115,7 @@
 /// The files can't be used.
 pub fn diff_tables(old: &Path, new: &Path) -> Result<String, String> {
     let world = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
-    let ((before, old_expects), (after, new_expects)) = (table(old, &world)?, table(new, &world)?);
+    let ((before, old_expects), (after, new_expects)) = (load_table(old, &world)?, load_table(new, &world)?);
     let (moves, whole) = diff(&before, &after, MAX_SHOWN_MOVES);
     let mut text = String::new();
     for m in &moves {
@@ -134,7 +134,7 @@
     if !whole {
         text.push_str("and more\n");
     }
-    let mut expects: BTreeMap<&str, &Expect> = BTreeMap::new();
+    let mut expects: BTreeMap<&str, &Expectation> = BTreeMap::new();
     expects.extend(old_expects.iter().chain(&new_expects).map(|e| (e.name.as_str(), e)));
     for (name, expect) in expects {
         let one = std::slice::from_ref(expect);
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -21,7 +21,7 @@
 /// Time to live of sessions: long enough for a busy machine, and short enough to expire within a test.
 pub const TTL: Duration = Duration::from_millis(1500);
 /// Timeout of a request in a test.
-pub const WITHIN: Duration = Duration::from_secs(15);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Name of the side that connects to a voter, from its handshake, and the length of that frame in bytes.
 pub fn who(first: &[u8]) -> Option<(String, usize)> {
@@ -216,7 +216,7 @@
     pub fn put(&self, key: &str, value: &str) -> RequestOutcome {
         let config = self.client("hand", true);
         let then = vec![Op::Put { key: key.into(), value: value.into(), ephemeral: false }];
-        run(async move { ClientHandle::spawn(config).transact(vec![], then, WITHIN).await })
+        run(async move { ClientHandle::spawn(config).transact(vec![], then, REQUEST_TIMEOUT).await })
     }
 
     /// Reads a key with a client of its own.
@@ -231,7 +231,7 @@
 
     fn read(&self, select: Select) -> Vec<(String, String)> {
         let config = self.client("eye", false);
-        let outcome = run(async move { ClientHandle::spawn(config).read(select, WITHIN).await });
+        let outcome = run(async move { ClientHandle::spawn(config).read(select, REQUEST_TIMEOUT).await });
         match outcome {
             RequestOutcome::Answered(Answer::Values { items, .. }) => {
                 items.into_iter().map(|(key, item)| (key, item.value)).collect()
