--- a/crates/data-plane/balancer/src/interface.rs
+++ b/crates/data-plane/balancer/src/interface.rs
@@ -159,7 +159,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks every field; the first one at fault is named.
+    /// Checks every field.
+    ///
+    /// # Errors
+    /// A field is out of its bounds; the first such field is named.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let need = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
         // Far beyond any use, and small enough that products of two stay finite.
--- a/crates/data-plane/balancer/src/policy/admission.rs
+++ b/crates/data-plane/balancer/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: the learned capacity of the next tier, and the tenants' limits within it.
 use super::limits::limits;
 use super::{mean_objective, CYCLE};
-use crate::interface::*;
+use crate::interface::{Learned, Millis, Settings, Tenant};
 
 /// Part of a tenant's default that is never lent (as published).
 const RESERVATION: f64 = 0.1;
--- a/crates/data-plane/balancer/src/policy/endpoint_selection.rs
+++ b/crates/data-plane/balancer/src/policy/endpoint_selection.rs
@@ -1,7 +1,7 @@
 //! The pick: the less busy of two random usable upstreams, by own calls in flight.
 use super::endpoints::{Endpoints, Upstream};
 use super::random::below;
-use crate::interface::*;
+use crate::interface::{DedupScope, Member, Millis, Settings};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Ordering;
 
--- a/crates/data-plane/balancer/src/policy/endpoints.rs
+++ b/crates/data-plane/balancer/src/policy/endpoints.rs
@@ -1,7 +1,7 @@
 //! Members and their health: who is listed, who is warm, silent or ejected, and the subset that is used.
 use super::random::unit;
 use super::{mean_objective, CYCLE};
-use crate::interface::*;
+use crate::interface::{Availability, Ending, Member, Membership, Millis, Settings, UpstreamId};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/data-plane/balancer/src/policy/mod.rs
+++ b/crates/data-plane/balancer/src/policy/mod.rs
@@ -11,7 +11,9 @@
 mod random;
 mod retries;
 
-use crate::interface::*;
+use crate::interface::{
+    Action, Event, Learned, Membership, Millis, RequestId, Settings, SettingsError, UpstreamId,
+};
 use admission::{Admission, RETRY_SAVED, SUCCESS_WANTED};
 use deadline_admission::FastestAnswers;
 use endpoints::Endpoints;
@@ -49,7 +51,10 @@
 }
 
 impl Balancer {
-    /// A fresh instance that knows nothing yet. `seed` feeds its random choices.
+    /// Creates an instance without endpoints. `seed` determines its random choices.
+    ///
+    /// # Errors
+    /// The settings are out of bounds.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         let admission = Admission::new(&settings, now);
--- a/crates/data-plane/balancer/src/policy/retries.rs
+++ b/crates/data-plane/balancer/src/policy/retries.rs
@@ -3,7 +3,7 @@
 use super::endpoint_selection::SelectionRequest;
 use super::random::unit;
 use super::{Balancer, CYCLE};
-use crate::interface::*;
+use crate::interface::{Action, DedupScope, Effect, Ending, Millis, Request, RequestId};
 
 /// An attempt that may be repeated is given up after the mean answer time and this many mean deviations.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -152,12 +152,18 @@
     20_000
 }
 
-/// Reads what the decision module is told; the message names the key at fault.
+/// Reads the settings of the decision module.
+///
+/// # Errors
+/// A value is of the wrong type or out of its bounds; the message names its key.
 pub fn parse(json: &[u8]) -> Result<Settings, String> {
     deployment(json).map(|d| d.policy)
 }
 
-/// Reads settings; the message names the key at fault.
+/// Reads the settings of an instance.
+///
+/// # Errors
+/// A value is of the wrong type or out of its bounds; the message names its key.
 pub fn deployment(json: &[u8]) -> Result<Deployment, String> {
     let mut json = serde_json::Deserializer::from_slice(json);
     // The path names the key of a value of the wrong type; the message alone does not.
--- a/crates/foundations/config/src/routing.rs
+++ b/crates/foundations/config/src/routing.rs
@@ -7,6 +7,7 @@
     Claim, Conditions, Destination, Expectation, HeaderIs, KnownNames, Pool, Route, SourceLocation, SplitKey,
     TableError,
 };
+use route_table::split::TOTAL_WEIGHT;
 use route_table::table::Table;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -19,6 +20,10 @@
 const MAX_EXPECTATION_FILES: usize = 64;
 /// Largest file with routes or expectations: 16 times an operator's file.
 const MAX_TABLE_BYTES: u64 = MAX_FILE_BYTES * 16;
+/// Most attempts that a route may allow.
+const MAX_ATTEMPTS: u32 = 100;
+/// Protocols that a pool may require.
+const PROTOCOLS: [&str; 2] = ["http", "fastcgi"];
 
 /// `[routing]` of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -178,114 +183,151 @@
 /// Reads the text of a file.
 fn parse(name: &str, bytes: &[u8]) -> Result<Parts, ConfigError> {
     let (text, raw) = read_text::<RawFile>(bytes)?;
-    let file: Arc<str> = name.into();
-    let place = |at: &Spanned<String>| SourceLocation {
-        file: file.clone(),
-        line: fault_at(text, at.span().start, "", String::new()).line,
-    };
-    let pool = |p: RawPool| {
-        if let Some(s) = p.speaks.as_ref().filter(|s| !["http", "fastcgi"].contains(&s.get_ref().as_str())) {
-            let what = format!("{:?} is none of http, fastcgi", s.get_ref());
-            return Err(fault_at(text, s.span().start, "pool.speaks", what));
+    let source = SourceText { file: name.into(), text };
+    Ok((
+        raw.pool.into_iter().map(|pool| source.pool(pool)).collect::<Result<_, _>>()?,
+        raw.route.into_iter().map(|route| source.route(route)).collect::<Result<_, _>>()?,
+        raw.expect
+            .into_iter()
+            .map(|expectation| source.expectation(expectation))
+            .collect::<Result<_, _>>()?,
+    ))
+}
+
+/// A file's text, for the locations of what it contains.
+struct SourceText<'a> {
+    file: Arc<str>,
+    text: &'a str,
+}
+
+impl SourceText<'_> {
+    fn location(&self, name: &Spanned<String>) -> SourceLocation {
+        let line = fault_at(self.text, name.span().start, "", String::new()).line;
+        SourceLocation { file: self.file.clone(), line }
+    }
+
+    fn route_error(&self, offset: usize, field: &str, message: &str) -> ConfigError {
+        fault_at(self.text, offset, &format!("route.{field}"), message.into())
+    }
+
+    fn pool(&self, pool: RawPool) -> Result<Pool, ConfigError> {
+        if let Some(speaks) = pool.speaks.as_ref().filter(|s| !PROTOCOLS.contains(&s.get_ref().as_str())) {
+            let message = format!("{:?} is none of {}", speaks.get_ref(), PROTOCOLS.join(", "));
+            return Err(fault_at(self.text, speaks.span().start, "pool.speaks", message));
         }
-        let (place, speaks) = (place(&p.name), p.speaks.map(Spanned::into_inner));
         Ok(Pool {
-            name: p.name.into_inner(),
-            place,
-            cells: p.cells,
-            zones: p.zones,
-            kinds: p.kinds,
-            speaks,
-            sources: p.sources,
-            meta: p.meta.into_iter().collect(),
+            place: self.location(&pool.name),
+            name: pool.name.into_inner(),
+            cells: pool.cells,
+            zones: pool.zones,
+            kinds: pool.kinds,
+            speaks: pool.speaks.map(Spanned::into_inner),
+            sources: pool.sources,
+            meta: pool.meta.into_iter().collect(),
         })
-    };
-    let route = |r: RawRoute| {
-        let fault =
-            |at: usize, field: &str, what: &str| fault_at(text, at, &format!("route.{field}"), what.into());
-        let at = r.name.span().start;
-        let by = match r.split_by.as_ref().map(|by| (by.get_ref().as_str(), by.span().start)) {
-            None | Some(("key", _)) => SplitKey::Key,
-            Some(("club", _)) => SplitKey::Club,
-            Some(("id", _)) => SplitKey::Id,
-            Some((_, at)) => return Err(fault(at, "split_by", "is none of key, club, id")),
-        };
-        let to = match (r.to, r.refuse, r.split.is_empty()) {
+    }
+
+    fn route(&self, route: RawRoute) -> Result<Route, ConfigError> {
+        let split_key = self.split_key(route.split_by.as_ref())?;
+        let to = match (route.to, route.refuse, route.split.is_empty()) {
             (Some(pool), None, true) => Destination::Pool(pool),
-            (None, Some(why), true) => Destination::Refuse(why),
-            (None, None, false) => Destination::Split(by, r.split.into_iter().collect()),
-            _ => return Err(fault(at, "to", "needs one of to, refuse and split, and no more")),
-        };
-        let attempts = match (&r.attempts, r.retry) {
-            (None, Some(false)) => Some(1),
-            (None, _) => None,
-            (Some(n), _) => match u32::try_from(*n.get_ref()) {
-                Ok(n) if (1..=100).contains(&n) && (r.retry != Some(false) || n == 1) => Some(n),
-                _ => {
-                    return Err(fault(
-                        n.span().start,
-                        "attempts",
-                        "is not between 1 and 100, or more than retry allows",
-                    ))
-                }
-            },
-        };
-        let time = match &r.time {
-            None => None,
-            Some(t) => match Duration::read(t.get_ref()) {
-                Ok(time) if !time.is_zero() => u64::try_from(time.as_millis()).ok(),
-                Ok(_) => return Err(fault(t.span().start, "time", "is no time")),
-                Err(what) => return Err(fault(t.span().start, "time", &what)),
-            },
+            (None, Some(reason), true) => Destination::Refuse(reason),
+            (None, None, false) => Destination::Split(split_key, route.split.into_iter().collect()),
+            _ => {
+                let offset = route.name.span().start;
+                return Err(self.route_error(offset, "to", "needs one of to, refuse and split, and no more"));
+            }
         };
         Ok(Route {
-            place: place(&r.name),
-            name: r.name.into_inner(),
-            precedence: r.precedence,
-            when: when(r.when),
+            attempts: self.attempts(route.attempts.as_ref(), route.retry)?,
+            time_ms: self.time_ms(route.time.as_ref())?,
+            place: self.location(&route.name),
+            name: route.name.into_inner(),
+            precedence: route.precedence,
+            when: when(route.when),
             to,
-            attempts,
-            time_ms: time,
-            fallback: r.fallback,
+            fallback: route.fallback,
         })
-    };
-    let expect = |e: RawExpect| {
-        let at = e.name.span().start;
-        let claims = [
-            e.only.map(Claim::Only),
-            e.cells.map(Claim::Cells),
-            e.only_these.map(Claim::OnlyThese),
-            e.refused.filter(|&t| t).map(|_| Claim::Refused),
-            e.never_retried.filter(|&t| t).map(|_| Claim::NeverRetried),
-            e.routed.filter(|&t| t).map(|_| Claim::Routed),
-            e.apart.filter(|&t| t).map(|_| Claim::Apart),
-        ];
-        let at_most = match e.at_most {
-            None => None,
-            Some(a) => {
-                match u32::try_from(*a.part.get_ref()).ok().filter(|&p| p <= route_table::split::TOTAL_WEIGHT)
-                {
-                    Some(part) => Some(Claim::AtMost(a.pool, part)),
-                    None => {
-                        let what = format!("is not between 0 and {}", route_table::split::TOTAL_WEIGHT);
-                        return Err(fault_at(text, a.part.span().start, "expect.at_most.part", what));
-                    }
-                }
+    }
+
+    fn split_key(&self, key: Option<&Spanned<String>>) -> Result<SplitKey, ConfigError> {
+        let Some(key) = key else {
+            return Ok(SplitKey::Key);
+        };
+        match key.get_ref().as_str() {
+            "key" => Ok(SplitKey::Key),
+            "club" => Ok(SplitKey::Club),
+            "id" => Ok(SplitKey::Id),
+            _ => Err(self.route_error(key.span().start, "split_by", "is none of key, club, id")),
+        }
+    }
+
+    /// Attempts that a route allows, from its fields `attempts` and `retry`; `None` for those of the class.
+    fn attempts(
+        &self,
+        attempts: Option<&Spanned<i64>>,
+        retry: Option<bool>,
+    ) -> Result<Option<u32>, ConfigError> {
+        let Some(attempts) = attempts else {
+            return Ok((retry == Some(false)).then_some(1));
+        };
+        match u32::try_from(*attempts.get_ref()) {
+            Ok(count) if (1..=MAX_ATTEMPTS).contains(&count) && (retry != Some(false) || count == 1) => {
+                Ok(Some(count))
+            }
+            _ => {
+                let message = format!("is not between 1 and {MAX_ATTEMPTS}, or more than retry allows");
+                Err(self.route_error(attempts.span().start, "attempts", &message))
             }
+        }
+    }
+
+    fn time_ms(&self, time: Option<&Spanned<String>>) -> Result<Option<u64>, ConfigError> {
+        let Some(time) = time else {
+            return Ok(None);
         };
-        let mut claims = claims.into_iter().flatten().chain(at_most);
+        match Duration::read(time.get_ref()) {
+            Ok(duration) if !duration.is_zero() => Ok(u64::try_from(duration.as_millis()).ok()),
+            Ok(_) => Err(self.route_error(time.span().start, "time", "is no time")),
+            Err(message) => Err(self.route_error(time.span().start, "time", &message)),
+        }
+    }
+
+    fn expectation(&self, expectation: RawExpect) -> Result<Expectation, ConfigError> {
+        let offset = expectation.name.span().start;
+        let claims = [
+            expectation.only.map(Claim::Only),
+            expectation.cells.map(Claim::Cells),
+            expectation.only_these.map(Claim::OnlyThese),
+            expectation.refused.filter(|&is_set| is_set).map(|_| Claim::Refused),
+            expectation.never_retried.filter(|&is_set| is_set).map(|_| Claim::NeverRetried),
+            expectation.routed.filter(|&is_set| is_set).map(|_| Claim::Routed),
+            expectation.apart.filter(|&is_set| is_set).map(|_| Claim::Apart),
+            expectation.at_most.map(|limit| self.at_most(limit)).transpose()?,
+        ];
+        let mut claims = claims.into_iter().flatten();
         let (Some(claim), None) = (claims.next(), claims.next()) else {
-            let what = "needs one claim, which is not false: only, cells, only_these, at_most, refused, never_retried, \
-                        routed or apart";
-            return Err(fault_at(text, at, "expect", what.into()));
+            let message = "needs one claim, which is not false: only, cells, only_these, at_most, refused, \
+                           never_retried, routed or apart";
+            return Err(fault_at(self.text, offset, "expect", message.into()));
         };
-        Ok(Expectation { place: place(&e.name), name: e.name.into_inner(), when: when(e.when), claim })
-    };
-    Ok((
-        raw.pool.into_iter().map(pool).collect::<Result<_, _>>()?,
-        raw.route.into_iter().map(route).collect::<Result<_, _>>()?,
-        raw.expect.into_iter().map(expect).collect::<Result<_, _>>()?,
-    ))
+        Ok(Expectation {
+            place: self.location(&expectation.name),
+            name: expectation.name.into_inner(),
+            when: when(expectation.when),
+            claim,
+        })
+    }
+
+    fn at_most(&self, limit: RawRequestLimits) -> Result<Claim, ConfigError> {
+        match u32::try_from(*limit.part.get_ref()) {
+            Ok(part) if part <= TOTAL_WEIGHT => Ok(Claim::AtMost(limit.pool, part)),
+            _ => {
+                let message = format!("is not between 0 and {TOTAL_WEIGHT}");
+                Err(fault_at(self.text, limit.part.span().start, "expect.at_most.part", message))
+            }
+        }
+    }
 }
 
 /// The names that routes may use.
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -80,23 +80,21 @@
     let signals = Signals::install()?;
     let clock = Clock { start: Instant::now(), start_ms: clock::unix_ms() };
     let node = node_config::load()?;
-    let path = options.operator;
-    let operator = read_operator(path.as_deref())?;
+    let operator = read_operator(options.operator.as_deref())?;
     let mut daemon = operator.daemon.clone();
     daemon.pid_file = options.pid_file.or(daemon.pid_file);
     daemon.takeover = options.takeover.or(daemon.takeover);
     wiring::shorten_shutdown(&mut daemon, node.deployment.policy.classes.iter().map(|c| c.deadline));
     let manager = ServiceManager::from_env();
     let world = routing::world(&node.deployment);
-    let table = read_table(path.as_deref(), &operator, &world)?;
+    let table = read_table(options.operator.as_deref(), &operator, &world)?;
     let ListenerOrigin { listener, pid_file, predecessor, other_fronts, transferred } =
         obtain_listener(&node, &daemon).await?;
     let NodeConfig { name, discovery, seed, max_descriptors, cached_endpoints, .. } = node;
     let (mut deployment, fingerprint) = (node.deployment, node.fingerprint);
     let budgets = BudgetPolicy::from_config(&operator.budget, deployment.policy.stage)?;
     if budgets.is_some() {
-        deployment.policy.refuse_hopeless = operator.budget.refuse_hopeless;
-        deployment.policy.tenant_retries = operator.budget.tenant_retries;
+        wiring::apply_budget(&mut deployment.policy, &operator.budget);
     }
     let (progress, shutdown) = watch::channel(ShutdownProgress::UP);
     let shared = Shared {
@@ -134,17 +132,15 @@
     let registrations =
         Registrations::spawn(&operator.registry.consul, &name, address, &shared.limits, &random);
     let (states, reported_states) = watch::channel(disruption::InstanceState::Starting);
+    let balancer = LocalBalancer {
+        endpoints: members.clone(),
+        pools: pools.clone(),
+        slow_start_ms: shared.deployment.policy.ramp_time,
+        counters: shared.counters.clone(),
+    };
     // Nothing that serves waits for the coordination service; while it is away nothing changes.
     let coordination = match &operator.council {
-        Some(file) => {
-            let balancer = LocalBalancer {
-                endpoints: members.clone(),
-                pools: pools.clone(),
-                slow_start_ms: shared.deployment.policy.ramp_time,
-                counters: shared.counters.clone(),
-            };
-            Some(disruption_reporting::begin(file, &name, balancer, reported_states).await)
-        }
+        Some(file) => Some(disruption_reporting::begin(file, &name, balancer, reported_states).await),
         None => None,
     };
     let listeners = fastcgi::open_listeners(&operator.fastcgi.listen, other_fronts)?;
@@ -152,7 +148,7 @@
     let http_front = shared.http_front(&pools);
     let (events, sender) = EventStream::new(signals, manager.watchdog_interval(), timers);
     let reloader = Reloader {
-        path,
+        path: options.operator,
         operator,
         limits: shared.limits.clone(),
         discovery: discovery_address,
--- a/crates/herondock/src/run/wiring.rs
+++ b/crates/herondock/src/run/wiring.rs
@@ -12,8 +12,9 @@
 use crate::routing::{DriverFactory, Pools};
 use crate::transport;
 use crate::transport::connection_pool::ConnectionSettings;
-use balancer::{Balancer, Class, Effect, Learned, SettingsError};
+use balancer::{Balancer, Class, Effect, Learned, Settings, SettingsError};
 use config::operator::{Daemon, Limits, OperatorConfig};
+use config::request_budget::BudgetTable;
 use config::Deployment;
 use discovery::endpoint::{EndpointProtocol, EndpointReport};
 use discovery::endpoint_cache::EndpointCache;
@@ -228,3 +229,9 @@
     daemon.last_answer = daemon.last_answer.saturating_sub(earlier);
     daemon.serving = daemon.serving.saturating_sub(earlier).max(daemon.accepting).min(daemon.last_answer);
 }
+
+/// Applies the parts of an enabled `[budget]` that the decision module enforces.
+pub fn apply_budget(settings: &mut Settings, budget: &BudgetTable) {
+    settings.refuse_hopeless = budget.refuse_hopeless;
+    settings.tenant_retries = budget.tenant_retries;
+}
--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -477,19 +477,7 @@
             .map(|l| (l.service.id.clone(), if l.service.drains() { State::Closed } else { State::Ready }))
             .collect();
         drop(c);
-        let mut head = String::new();
-        let mut add = |name: &str, value: &dyn std::fmt::Display| {
-            // Writing to a string can't fail.
-            let _ = write!(head, "{name}: {value}\r\n");
-        };
-        if fault != Fault::NoIndex {
-            add("X-Consul-Index", &index);
-        }
-        add("X-Consul-KnownLeader", &(fault != Fault::NoLeader));
-        add("X-Consul-LastContact", &if let Fault::Behind(ms) = fault { ms } else { 0 });
-        if fault == Fault::Filtered {
-            add("X-Consul-Results-Filtered-By-ACLs", &true);
-        }
+        let head = response_head(fault, index);
         match fault {
             Fault::Status(status, retry) => {
                 let head = if retry > 0 { format!("Retry-After: {retry}\r\n") } else { String::new() };
@@ -563,3 +551,21 @@
         body.len()
     )
 }
+
+/// The fields of a response that tell how current its data are.
+fn response_head(fault: Fault, index: u64) -> String {
+    let mut head = String::new();
+    let mut add = |name: &str, value: &dyn std::fmt::Display| {
+        // Writing to a string can't fail.
+        let _ = write!(head, "{name}: {value}\r\n");
+    };
+    if fault != Fault::NoIndex {
+        add("X-Consul-Index", &index);
+    }
+    add("X-Consul-KnownLeader", &(fault != Fault::NoLeader));
+    add("X-Consul-LastContact", &if let Fault::Behind(ms) = fault { ms } else { 0 });
+    if fault == Fault::Filtered {
+        add("X-Consul-Results-Filtered-By-ACLs", &true);
+    }
+    head
+}
