--- a/crates/data-plane/discovery/src/platform/staleness.rs
+++ b/crates/data-plane/discovery/src/platform/staleness.rs
@@ -1,27 +1,27 @@
-//! By when what discovery has to tell counts as told, and the plan of a watch that has read it by then.
+//! Staleness bounds: when a change counts as known, and the timing of a watch that has read it by then.
 //!
-//! The figures are those of the platform's protocol; none is a deployment's. Where discovery is asked (one service for
-//! all instances, which works through calls in turn), with a grace of 1 s, counted from a call's beginning:
+//! The times are those of the platform's protocol and not configurable. Where the discovery service is queried (one service
+//! for all instances, which handles requests one by one), with a drain grace of 1 s, counted from the start of a request:
 //!
-//! | at the latest | what happens |
+//! | at the latest | event |
 //! | --- | --- |
-//! | 0 | the call of a standing watch is made, with a wait of 1 to 2 s; the watch falls silent right after |
-//! | 3.0 s | its wait and 1 s for the answer are over: it is given up |
-//! | 3.3 s | it is opened again, after a drawn pause: instances that lost theirs in one moment differ by up to 1.15 s |
-//! | 6.0 s | what it missed counts as told ([`SILENT_WATCH_DEADLINE`]; the wait and [`AFTER_WAIT_DEADLINE`] come to 4 s) |
-//! | 7.05 s | nothing more may be sent by the old list: 3.75 s for a dial, the queue and the answer, or for a second call |
+//! | 0 | a long poll is sent, with a wait of 1 to 2 s; the connection falls silent right after |
+//! | 3.0 s | its wait and 1 s for the response are over: it times out |
+//! | 3.3 s | the watch is reopened after a random delay: instances that lost theirs at the same time differ by up to 1.15 s |
+//! | 6.0 s | the missed change counts as known ([`SILENT_WATCH_DEADLINE`]; the wait and [`AFTER_WAIT_DEADLINE`] add up to 4 s) |
+//! | 7.05 s | no request may be sent by the old list any more: 3.75 s for connecting, the queue and the response, or for a retry |
 //!
-//! A call that opens a watch waits 100 ms for news, so that it is answered as soon as its turn has come, and has 4 s for the
-//! queue. Whatever calls failed, a change counts as told [`SILENT_WATCH_DEADLINE`] after discovery had it and could be reached, so that the
-//! watch calls again by itself. One that was turned away at once cost discovery nothing: pauses double from 0.3 to 3 s, to 1 s after a move. One
-//! that waited and failed is followed by the next 2 s after its own beginning at the earliest, and at the latest with half a
-//! second left of the 7.05 s (drawn between). Sooner would be worse: discovery works through its queue in turn, calls that have
-//! waited too long among them, and instances that come back at once keep it full of calls that wait in vain (tests/watch.rs
-//! plays both).
+//! A request that opens a watch waits 100 ms for changes, so that it is answered as soon as its turn has come, and has 4 s
+//! for the queue. Whatever fails, a change counts as known [`SILENT_WATCH_DEADLINE`] after the service had it and could be
+//! reached. A request that was rejected at once has cost the service nothing: the backoff doubles from 0.3 to 3 s, to 1 s
+//! after a change of the address. A request that waited and failed is retried 2 s after its own start at the earliest, and at
+//! the latest with half a second left of the 7.05 s (random between). Earlier retries would be worse: the service works
+//! through its queue in order, expired requests included, and instances that retry at once keep it full of requests that
+//! time out (`tests/watch.rs` simulates both).
 //!
-//! Where lists are pushed, to an agent on this machine that answers at once and at no cost, what the agent has counts as
-//! told at once, whether a watch stands or not: wait and answer together stay under the grace, so that a watch that broke
-//! unseen, or an agent that was silent while discovery was down, has been asked again within it.
+//! Where lists are pushed to an agent on this machine, which responds at once and at no cost, a change counts as known as
+//! soon as the agent has it, whether or not a watch is established: wait and response timeout together stay below the grace,
+//! so that after a broken watch, or an agent that was silent while the service was down, the agent is queried within it.
 use crate::watch::{RetrySpread, WatchTiming};
 use std::time::Duration;
 
@@ -29,98 +29,99 @@
     Duration::from_millis(n)
 }
 
-/// What a silent watch missed counts as told this long after it fell silent.
+/// A change that a silent watch missed counts as known this long after the watch fell silent.
 pub const SILENT_WATCH_DEADLINE: Duration = ms(6000);
-/// But not before the wait that its call asked for is over by this.
+/// But not earlier than this after the end of the wait of its last request.
 pub const AFTER_WAIT_DEADLINE: Duration = ms(2000);
-/// A watch goes on as long as its next call comes within this time of the last answer.
+/// Maximum time between a response and the next request of an established watch.
 pub const MAX_WATCH_GAP: Duration = ms(200);
-/// After a change of the configuration that moves discovery, what it has counts as told this much later.
+/// After a change of the service's address in the configuration, its list counts as known this much later.
 pub const ADDRESS_CHANGE_DEADLINE: Duration = ms(4000);
-/// Each time limit is this much longer on sockets.
+/// Extension of each time limit on sockets.
 pub const SOCKET_SLACK: Duration = ms(50);
-/// The longest wait that a call asks for where discovery is asked: [`SILENT_WATCH_DEADLINE`] then counts from its beginning, not
-/// [`AFTER_WAIT_DEADLINE`], with time for a second call.
-const WAIT: Duration = ms(2000);
-/// How late an answer of a standing watch may be where discovery is asked.
-const ANSWER: Duration = ms(1000);
-/// The wait of a call that opens a watch.
-const OPENING: Duration = ms(100);
-/// How long one may take, with its place in the queue: longer than discovery lets calls wait in turn.
-const OPEN: Duration = ms(4000);
-/// And where it takes longer than that: what has no answer yet is a place in the queue, and only a connection that was made
-/// and fell silent is held so long.
-const SLOW: Duration = ms(16_000);
-/// The longest pause before a watch that broke is opened again, and the longest after several that did, where discovery is
-/// asked.
-const PAUSE: Duration = ms(300);
-const PAUSE_MOST: Duration = ms(1000);
-/// The longest after calls that discovery turned away at once, where nothing has moved.
-const TURNED_AWAY_MOST: Duration = ms(3000);
-/// A call that opens a watch and fails is followed by the next this long after its own beginning at the earliest, where
-/// discovery is asked, and at the latest when what is left of [`SILENT_WATCH_DEADLINE`] and the grace is this for the answer.
-const SPREAD: Duration = ms(2000);
-const SPREAD_ANSWER: Duration = ms(500);
-/// The first pause at the agent on this machine.
-const AGENT_PAUSE: Duration = ms(10);
+/// Longest wait where the service is queried: short enough that [`SILENT_WATCH_DEADLINE`] applies and not
+/// [`AFTER_WAIT_DEADLINE`], with time for a second request.
+const MAX_WAIT: Duration = ms(2000);
+/// Time beyond its wait that a long poll has for its response, where the service is queried.
+const RESPONSE_TIMEOUT: Duration = ms(1000);
+/// Wait of a request that opens a watch.
+const OPEN_WAIT: Duration = ms(100);
+/// Timeout of such a request: longer than the service keeps requests in its queue.
+const OPEN_TIMEOUT: Duration = ms(4000);
+/// Upper bound of that timeout, which doubles when it expires: a pending request keeps its place in the queue.
+const MAX_TIMEOUT: Duration = ms(16_000);
+/// Longest first delay before a broken watch is reopened, where the service is queried.
+const INITIAL_BACKOFF: Duration = ms(300);
+/// Upper bound of the backoff of an established watch, or after a change of the address, where the service is queried.
+const MAX_BACKOFF: Duration = ms(1000);
+/// Upper bound of the backoff after requests that the service rejected at once, if its address has not changed.
+const MAX_REJECTED_BACKOFF: Duration = ms(3000);
+/// Earliest retry of a failed request that opens a watch, counted from its start, where the service is queried.
+const MIN_RETRY_DELAY: Duration = ms(2000);
+/// Time that the spreading of retries reserves for the last response.
+const RESPONSE_RESERVE: Duration = ms(500);
+/// First delay after a failure at the agent on this machine.
+const AGENT_INITIAL_BACKOFF: Duration = ms(10);
+/// Timeout of a request for the full list at that agent: sent at the start and after a change of the address only.
+const AGENT_FULL_LIST_TIMEOUT: Duration = ms(1000);
 
-/// What the settings say.
+/// Settings that determine the staleness bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct StalenessSettings {
-    /// Whether lists are pushed to an agent on this machine.
+    /// Whether lists are pushed to an agent on this machine, instead of being queried from the service.
     pub lists_are_pushed: bool,
-    /// Within this time after the news sends to an upstream that leaves must end.
+    /// Time after a draining endpoint became known within which the last request must have been sent to it.
     pub drain_grace: Duration,
 }
 
 impl StalenessSettings {
-    /// By when what a silent watch missed must have been read, counted from the beginning of the call that fell silent,
-    /// whatever moment after that it did so.
+    /// Time by which a change that a silent watch missed must have been read, counted from the start of its last request.
+    /// `wait` is the wait of that request.
     pub fn silent_read_deadline(&self, wait: Duration) -> Duration {
         SILENT_WATCH_DEADLINE.max(wait + AFTER_WAIT_DEADLINE) + self.drain_grace + SOCKET_SLACK
     }
 
-    /// How a watch goes about it.
+    /// Timing of a watch that meets the bounds.
     pub fn watch_timing(&self) -> WatchTiming {
-        let asked = WatchTiming {
-            max_wait: WAIT,
-            response_timeout: ANSWER,
+        let queried = WatchTiming {
+            max_wait: MAX_WAIT,
+            response_timeout: RESPONSE_TIMEOUT,
             wait_extension_divisor: None,
-            open_wait: OPENING,
-            open_timeout: OPEN,
-            full_list_timeout: OPEN,
-            max_timeout: SLOW,
-            initial_backoff: PAUSE,
-            max_backoff: PAUSE_MOST,
-            max_rejected_backoff: TURNED_AWAY_MOST,
+            open_wait: OPEN_WAIT,
+            open_timeout: OPEN_TIMEOUT,
+            full_list_timeout: OPEN_TIMEOUT,
+            max_timeout: MAX_TIMEOUT,
+            initial_backoff: INITIAL_BACKOFF,
+            max_backoff: MAX_BACKOFF,
+            max_rejected_backoff: MAX_REJECTED_BACKOFF,
             min_interval: Duration::ZERO,
             max_gap: MAX_WATCH_GAP,
             retry_spread: Some(RetrySpread {
-                min_delay: SPREAD,
+                min_delay: MIN_RETRY_DELAY,
                 read_deadline: SILENT_WATCH_DEADLINE + self.drain_grace + SOCKET_SLACK,
                 moved_read_deadline: ADDRESS_CHANGE_DEADLINE + self.drain_grace + SOCKET_SLACK,
-                response_reserve: SPREAD_ANSWER,
+                response_reserve: RESPONSE_RESERVE,
             }),
         };
         if !self.lists_are_pushed {
-            return asked;
+            return queried;
         }
-        // Of the grace one half waits, a quarter is for the answer, and the last for the call after it.
+        // Half of the grace is for the wait, a quarter for the response, and the rest for the next request.
         let grace = self.drain_grace + SOCKET_SLACK;
-        let (wait, answer) = ((grace / 2).clamp(ms(100), ms(500)), (grace / 4).clamp(ms(50), ms(250)));
+        let wait = (grace / 2).clamp(ms(100), ms(500));
+        let response_timeout = (grace / 4).clamp(ms(50), ms(250));
         WatchTiming {
             max_wait: wait,
-            response_timeout: answer,
-            open_wait: OPENING.min(wait),
-            open_timeout: OPENING.min(wait) + answer,
-            // Asked for at the start and after a move alone, and as long as the list is.
-            full_list_timeout: ms(1000),
+            response_timeout,
+            open_wait: OPEN_WAIT.min(wait),
+            open_timeout: OPEN_WAIT.min(wait) + response_timeout,
+            full_list_timeout: AGENT_FULL_LIST_TIMEOUT,
             max_timeout: Duration::ZERO,
-            initial_backoff: AGENT_PAUSE,
-            max_backoff: answer,
-            max_rejected_backoff: answer,
+            initial_backoff: AGENT_INITIAL_BACKOFF,
+            max_backoff: response_timeout,
+            max_rejected_backoff: response_timeout,
             retry_spread: None,
-            ..asked
+            ..queried
         }
     }
 }
--- a/crates/herondock/src/endpoint_sources/aggregator.rs
+++ b/crates/herondock/src/endpoint_sources/aggregator.rs
@@ -1,4 +1,4 @@
-//! All sources in one view: what each tells goes in, and what changes in the view goes to the audience.
+//! Merges the updates of all sources into one endpoint set and passes its changes to the subscriber.
 use super::{EndpointAttributes, EndpointSubscriber, EndpointUpdate, ListedEndpoint, Protocol};
 use crate::clock::unix_ms;
 use balancer::{Availability, Member, UpstreamId};
@@ -16,25 +16,25 @@
 use tokio::sync::Notify;
 use tracing::info;
 
-/// Names of zones and kinds, by the position that the module knows them by.
+/// Names of zones and kinds; the balancer knows them by their position.
 pub struct NameIndex {
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
-/// The number by which the module knows a member of this name: the same at every instance.
+/// Identifier of an endpoint in the balancer: the same at every instance.
 pub fn upstream_id(name: &str) -> UpstreamId {
     UpstreamId(hashing::stable(name.as_bytes()))
 }
 
 impl NameIndex {
-    /// The names that the settings list.
+    /// The names in the settings.
     pub fn new(d: &Deployment) -> NameIndex {
         NameIndex { zones: d.zones.clone(), kinds: d.kinds.clone() }
     }
 
-    /// A member as the module and the driver have it. A zone or kind that the settings do not list gets a position that
-    /// no class is bound to.
+    /// An endpoint as the balancer and the driver know it. A zone or kind that is not in the settings gets a position to
+    /// which no class is bound.
     fn entry(&self, m: &Endpoint, gone: bool) -> ListedEndpoint {
         let zone = self.zones.iter().position(|z| **z == *m.zone);
         let kind = self.kinds.iter().position(|k| **k == *m.kind);
@@ -44,8 +44,7 @@
             (false, false) => Availability::Draining,
         };
         let member = Member {
-            // The module spreads the balancers over the upstreams by a ring of these ids: numbers given in order of
-            // arrival would crowd some of them.
+            // The balancer places upstreams on a ring by these ids: consecutive numbers would be unevenly distributed.
             id: upstream_id(&m.name),
             zone: zone.and_then(|z| u16::try_from(z).ok()).unwrap_or(u16::MAX),
             kind: kind.and_then(|k| u8::try_from(k).ok()).unwrap_or(u8::MAX),
@@ -64,16 +63,16 @@
 }
 
 struct Inner<A> {
-    audience: A,
+    subscriber: A,
     names: NameIndex,
     view: RefCell<EndpointSet>,
-    /// The newest index or version that each source was told.
+    /// Latest index or version of each source's list.
     indices: RefCell<BTreeMap<Source, u64>>,
     random: RefCell<Pcg64Mcg>,
     changed: Notify,
 }
 
-/// The view, and who is told of it.
+/// The endpoint set of all sources and its subscriber.
 pub struct EndpointAggregator<A>(Rc<Inner<A>>);
 
 impl<A> Clone for EndpointAggregator<A> {
@@ -83,31 +82,36 @@
 }
 
 impl<A: EndpointSubscriber> EndpointAggregator<A> {
-    /// An empty view. `random` spreads the pauses and waits of its sources.
-    pub fn new(audience: A, names: NameIndex, last_resort: bool, random: Pcg64Mcg) -> EndpointAggregator<A> {
+    /// An aggregator without sources. `random` provides the jitter of its sources.
+    pub fn new(
+        subscriber: A,
+        names: NameIndex,
+        last_resort: bool,
+        random: Pcg64Mcg,
+    ) -> EndpointAggregator<A> {
         let view = RefCell::new(EndpointSet::new(last_resort));
         let (indices, random, changed) = (RefCell::default(), RefCell::new(random), Notify::new());
-        EndpointAggregator(Rc::new(Inner { audience, names, view, indices, random, changed }))
+        EndpointAggregator(Rc::new(Inner { subscriber, names, view, indices, random, changed }))
     }
 
-    /// Adds a source. One that `answers` the module's subscriptions tells it also of what fails, and of answers that
-    /// change nothing.
-    pub fn add_source(&self, rank: u16, label: &str, answers: bool) -> SourceHandle<A> {
+    /// Adds a source. With `notifies_first_response`, its first successful response is reported to the subscriber even if
+    /// it changes nothing.
+    pub fn add_source(&self, rank: u16, label: &str, notifies_first_response: bool) -> SourceHandle<A> {
         let source = Source { rank, label: label.into() };
         self.0.view.borrow_mut().add_source(&source);
-        SourceHandle { gather: self.clone(), source, notify_first_response: answers }
+        SourceHandle { aggregator: self.clone(), source, notifies_first_response }
     }
 
-    /// A place in the order of sources that is no source itself.
+    /// A handle with this rank that is not a source itself; see [`SourceHandle::add_sibling`].
     pub fn add_placeholder(&self, rank: u16, label: &str) -> SourceHandle<A> {
         SourceHandle {
-            gather: self.clone(),
+            aggregator: self.clone(),
             source: Source { rank, label: label.into() },
-            notify_first_response: false,
+            notifies_first_response: false,
         }
     }
 
-    fn listing(&self, changes: &[EndpointChange]) -> EndpointUpdate {
+    fn endpoint_update(&self, changes: &[EndpointChange]) -> EndpointUpdate {
         let entry = |change: &EndpointChange| match change {
             EndpointChange::Updated(m) => self.0.names.entry(m, false),
             EndpointChange::Removed(m) => self.0.names.entry(m, true),
@@ -115,44 +119,44 @@
         EndpointUpdate { endpoints: changes.iter().map(entry).collect() }
     }
 
-    /// Begins with what was kept, before any source has told anything. Returns the members for the module.
+    /// Restores a cache, before any source has published an update; returns the endpoints.
     pub fn restore(&self, saved: EndpointCache) -> EndpointUpdate {
         let EndpointCache { reports, updated: told, indices } = saved;
         self.0.indices.borrow_mut().extend(indices);
         let changes = self.0.view.borrow_mut().restore(reports, told);
-        self.listing(&changes)
+        self.endpoint_update(&changes)
     }
 
-    /// What is to be kept.
+    /// The cache of the present set.
     pub fn cache(&self) -> EndpointCache {
         let indices = self.0.indices.borrow().iter().map(|(s, &i)| (s.clone(), i)).collect();
         EndpointCache::capture(&self.0.view.borrow(), indices)
     }
 
-    /// Waits until something was told that counts.
+    /// Waits for the next usable update of any source.
     pub async fn changed(&self) {
         self.0.changed.notified().await;
     }
 
-    /// These members are held out by agreement from now on, and no others; see [`EndpointSet::hold`].
+    /// Holds out exactly these endpoints; see [`EndpointSet::set_held_out`].
     pub fn set_held_out(&self, names: &BTreeMap<String, String>) {
         let changes = self.0.view.borrow_mut().set_held_out(unix_ms(), names);
         if !changes.is_empty() {
-            self.0.audience.endpoints_changed(&self.listing(&changes));
+            self.0.subscriber.endpoints_changed(&self.endpoint_update(&changes));
         }
     }
 
-    /// Whether a member is held out by agreement.
+    /// Whether an endpoint is held out.
     pub fn is_held_out(&self, name: &str) -> bool {
         self.0.view.borrow().is_held_out(name)
     }
 
-    /// Calls `each` with every member as all sources together have it.
-    pub fn for_each(&self, mut each: impl FnMut(&Endpoint)) {
-        self.0.view.borrow().endpoints().for_each(&mut each);
+    /// Calls `visit` with every endpoint.
+    pub fn for_each(&self, mut visit: impl FnMut(&Endpoint)) {
+        self.0.view.borrow().endpoints().for_each(&mut visit);
     }
 
-    /// The view for an operator: sources with their ages, members with their reasons.
+    /// Sources with their ages and endpoints with their states, as `herondock members --json` prints them.
     pub fn status(&self) -> Value {
         let (view, now) = (self.0.view.borrow(), unix_ms());
         let age = |at: f64| ((now - at).max(0.0)) as u64;
@@ -176,76 +180,85 @@
     }
 }
 
-/// What one source tells goes through here.
+/// Publishes the updates of one source.
 pub struct SourceHandle<A> {
-    gather: EndpointAggregator<A>,
+    aggregator: EndpointAggregator<A>,
     source: Source,
-    notify_first_response: bool,
+    notifies_first_response: bool,
 }
 
 impl<A: EndpointSubscriber> SourceHandle<A> {
-    /// Another source of the same view, of the same rank.
+    /// Adds another source of the same rank.
     pub fn add_sibling(&self, label: &str) -> SourceHandle<A> {
-        self.gather.add_source(self.source.rank, label, false)
+        self.aggregator.add_source(self.source.rank, label, false)
     }
 
-    /// A draw from 0 to 1.
+    /// Draws a random number from 0 to 1.
     pub fn draw(&self) -> f64 {
-        self.gather.0.random.borrow_mut().gen()
+        self.aggregator.0.random.borrow_mut().gen()
     }
 
-    /// The newest index or version that it was told, also by an earlier process.
+    /// Latest index or version of the source's list, also by an earlier process.
     pub fn last_index(&self) -> Option<u64> {
-        self.gather.0.indices.borrow().get(&self.source).copied()
+        self.aggregator.0.indices.borrow().get(&self.source).copied()
     }
 
-    /// It tells this, of members that speak this.
-    pub fn publish_with_protocol(&self, speaks: EndpointProtocol, news: SourceUpdate, index: Option<u64>) {
+    /// Publishes an update of endpoints that speak this protocol.
+    pub fn publish_with_protocol(
+        &self,
+        protocol: EndpointProtocol,
+        update: SourceUpdate,
+        index: Option<u64>,
+    ) {
         let with = |reports: Vec<EndpointReport>| {
-            reports.into_iter().map(|r| EndpointReport { protocol: speaks, ..r }).collect()
+            reports.into_iter().map(|r| EndpointReport { protocol, ..r }).collect()
         };
-        let news = match news {
+        let update = match update {
             SourceUpdate::Full(reports) => SourceUpdate::Full(with(reports)),
             SourceUpdate::Delta(reports, gone) => SourceUpdate::Delta(with(reports), gone),
             SourceUpdate::Unavailable(why) => SourceUpdate::Unavailable(why),
         };
-        self.publish(news, index);
+        self.publish(update, index);
     }
 
-    /// It tells this.
-    pub fn publish(&self, news: SourceUpdate, index: Option<u64>) {
-        let inner = &self.gather.0;
-        let counts = !matches!(news, SourceUpdate::Unavailable(_));
-        if counts {
+    /// Publishes an update. `index` is the index or version of the list after it.
+    pub fn publish(&self, update: SourceUpdate, index: Option<u64>) {
+        let inner = &self.aggregator.0;
+        let is_usable = !matches!(update, SourceUpdate::Unavailable(_));
+        if is_usable {
             let mut indices = inner.indices.borrow_mut();
             match index {
                 Some(index) => drop(indices.insert(self.source.clone(), index)),
                 None => drop(indices.remove(&self.source)),
             }
         }
-        let changes = inner.view.borrow_mut().apply_update(unix_ms(), &self.source, news);
+        let changes = inner.view.borrow_mut().apply_update(unix_ms(), &self.source, update);
         if !changes.is_empty() {
-            inner.audience.endpoints_changed(&self.gather.listing(&changes));
+            inner.subscriber.endpoints_changed(&self.aggregator.endpoint_update(&changes));
         }
-        if counts {
+        if is_usable {
             inner.changed.notify_one();
         }
     }
 
-    /// It has answered for the first time, perhaps with nothing new.
+    /// Reports the first successful response to the subscriber, also without changes.
     pub fn notify_first_response(&self) {
-        if self.notify_first_response {
-            self.gather.0.audience.endpoints_changed(&EndpointUpdate::default());
+        if self.notifies_first_response {
+            self.aggregator.0.subscriber.endpoints_changed(&EndpointUpdate::default());
         }
     }
 
-    /// Nothing that counts has come, for this reason; the list stands.
-    pub fn report_unavailable(&self, why: String) {
-        self.gather.0.view.borrow_mut().apply_update(unix_ms(), &self.source, SourceUpdate::Unavailable(why));
+    /// Reports that there is no usable update, for this reason; the list stays as it is.
+    pub fn report_unavailable(&self, reason: String) {
+        self.aggregator.0.view.borrow_mut().apply_update(
+            unix_ms(),
+            &self.source,
+            SourceUpdate::Unavailable(reason),
+        );
     }
 
-    /// Says so in the log.
-    pub fn log(&self, what: &str) {
-        info!("{}: {what}", self.source.label);
+    /// Logs a message with the label of the source.
+    pub fn log(&self, message: &str) {
+        info!("{}: {message}", self.source.label);
     }
 }
--- a/crates/herondock/src/endpoint_sources/cache.rs
+++ b/crates/herondock/src/endpoint_sources/cache.rs
@@ -1,4 +1,4 @@
-//! The last view on disk: read at the start, and written as it changes.
+//! The endpoint cache on disk: loaded at the start and written after changes.
 use super::aggregator::EndpointAggregator;
 use super::EndpointSubscriber;
 use crate::clock::unix_ms;
@@ -9,64 +9,64 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// Largest file.
+/// Longest content of the cache file, in bytes.
 const MAX_CACHE_BYTES: usize = 64 << 20;
-/// Written at least so often, so that the ages in it are true.
+/// Longest interval between two writes: the update times in the file must not become too old.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The file.
+/// The cache file at this path.
 pub fn cache_file(path: &Path) -> AtomicFile {
     AtomicFile::new(path, "members", endpoint_cache::FORMAT_VERSION, MAX_CACHE_BYTES)
 }
 
-/// What was kept, without what is older than `most`. A file that is damaged, or what is too old in it, is named in the
-/// log and passed over.
-pub fn load(store: &AtomicFile, most: Duration) -> Option<EndpointCache> {
-    let named = |what: String| info!("registry.saved: {}: {what}; passed over", store.path().display());
-    let kept = match store.load() {
-        Ok(kept) => kept?,
+/// Loads the cache without the reports of sources whose last update is older than `max_age`. A damaged file, and reports
+/// that are too old, are logged and ignored.
+pub fn load(store: &AtomicFile, max_age: Duration) -> Option<EndpointCache> {
+    let log_ignored = |what: String| info!("registry.saved: {}: {what}; passed over", store.path().display());
+    let loaded = match store.load() {
+        Ok(loaded) => loaded?,
         Err(e) => {
-            named(e.to_string());
+            log_ignored(e.to_string());
             return None;
         }
     };
-    let mut saved = match EndpointCache::decode(&kept.content) {
+    let mut saved = match EndpointCache::decode(&loaded.content) {
         Ok(saved) => saved,
         Err(e) => {
-            named(e.to_string());
+            log_ignored(e.to_string());
             return None;
         }
     };
-    for source in saved.remove_stale(unix_ms(), most.as_secs_f64() * 1000.0) {
-        named(format!("what {} told is older than {most:?}", source.label));
+    for source in saved.remove_stale(unix_ms(), max_age.as_secs_f64() * 1000.0) {
+        log_ignored(format!("what {} told is older than {max_age:?}", source.label));
     }
     Some(saved)
 }
 
-/// Writes the view for ever: after it changed, no more often than `every`.
+/// Writes the cache after each change, at most once per `min_interval`; does not return.
 pub async fn write_changes<A: EndpointSubscriber>(
-    gather: EndpointAggregator<A>,
+    aggregator: EndpointAggregator<A>,
     store: AtomicFile,
-    every: Duration,
+    min_interval: Duration,
 ) {
-    let mut trouble = false;
+    let mut failing = false;
     loop {
-        let _ = timeout(REFRESH_INTERVAL, gather.changed()).await;
-        sleep(every).await;
-        let (bytes, store) = (gather.cache().encode(), store.clone());
+        let _ = timeout(REFRESH_INTERVAL, aggregator.changed()).await;
+        sleep(min_interval).await;
+        let (bytes, store) = (aggregator.cache().encode(), store.clone());
         let path = store.path().display().to_string();
-        let done = tokio::task::spawn_blocking(move || store.save(&bytes)).await;
-        let failed = match done {
-            // Another process is saving: of the same instance, in a take-over.
+        let result = tokio::task::spawn_blocking(move || store.save(&bytes)).await;
+        let failed = match result {
+            // Another process of the same instance is saving, during a handoff.
             Ok(Err(e)) if e.kind() == std::io::ErrorKind::WouldBlock => None,
-            Ok(done) => done.err().map(|e| e.to_string()),
+            Ok(result) => result.err().map(|e| e.to_string()),
             Err(e) => Some(e.to_string()),
         };
         match &failed {
-            Some(why) if !trouble => info!("registry.saved: {path}: not saved: {why}"),
-            None if trouble => info!("registry.saved: {path}: saved again"),
+            Some(why) if !failing => info!("registry.saved: {path}: not saved: {why}"),
+            None if failing => info!("registry.saved: {path}: saved again"),
             _ => {}
         }
-        trouble = failed.is_some();
+        failing = failed.is_some();
     }
 }
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -1,4 +1,4 @@
-//! `herondock members`: the present view with ages and reasons, from a running instance or, once, from the sources.
+//! `herondock members`: the endpoints of a running instance, or of the sources themselves, as a table or JSON.
 use super::aggregator::{EndpointAggregator, NameIndex};
 use super::sources::Sources;
 use super::{EndpointSubscriber, EndpointUpdate};
@@ -15,10 +15,10 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// How long the sources have to answer once.
+/// Time that the sources have for their first response.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Nobody is told.
+/// Ignores all changes.
 struct NoSubscriber;
 
 impl EndpointSubscriber for NoSubscriber {
@@ -45,15 +45,15 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let random = Pcg64Mcg::seed_from_u64(config.seed);
         let names = NameIndex::new(&config.deployment);
-        let gather = EndpointAggregator::new(NoSubscriber, names, operator.registry.last_resort, random);
-        // Held until it is over: discovery ends with it.
+        let aggregator = EndpointAggregator::new(NoSubscriber, names, operator.registry.last_resort, random);
+        // The source stops when the sender is dropped.
         let (_address, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
         let terms = node_config::staleness_settings(&config.deployment);
-        Sources::new(&gather, operator, &limits).spawn(addresses, &limits, &terms);
-        // Until each has said something, good or bad.
+        Sources::new(&aggregator, operator, &limits).spawn(addresses, &limits, &terms);
+        // Until each source has responded or failed.
         let said = async {
-            while gather.status()["sources"]
+            while aggregator.status()["sources"]
                 .as_array()
                 .is_some_and(|all| all.iter().any(|s| s["age_ms"].is_null() && s["trouble"].is_null()))
             {
@@ -61,11 +61,11 @@
             }
         };
         let _ = timeout(QUERY_TIMEOUT, said).await;
-        Ok(gather.status())
+        Ok(aggregator.status())
     })
 }
 
-/// As a table.
+/// Formats the status as text tables.
 pub fn format_table(view: &Value) -> String {
     let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{:.1}s", ms as f64 / 1000.0));
     let cell = |v: &Value| match v {
@@ -90,7 +90,7 @@
         .to_vec()];
     rows.extend(view["members"].as_array().into_iter().flatten().map(|m| {
         let takes = if m["takes"].as_bool() == Some(true) { "yes" } else { "no" };
-        // A start that nobody states is when it was first heard of.
+        // Marks a first-seen time.
         let up =
             format!("{}{}", ms(&m["up_ms"]), if m["stated"].as_bool() == Some(false) { "?" } else { "" });
         let [zone, kind, cells] = [cell(&m["zone"]), cell(&m["kind"]), cell(&m["cell"])];
--- a/crates/herondock/src/endpoint_sources/mod.rs
+++ b/crates/herondock/src/endpoint_sources/mod.rs
@@ -1,17 +1,17 @@
-//! Members of the fleet: what any source of them tells, and to whom.
+//! Sources of endpoints and the aggregation of their updates.
 //!
-//! | file | its job |
+//! | module | contents |
 //! | --- | --- |
-//! | `discovery.rs` | the platform's discovery as a source |
-//! | `consul.rs` | Consul's services as sources: carries out what `discovery::consul::watch` asks |
-//! | `registration.rs` | this instance at its Consul agent |
-//! | `gather.rs` | all sources in one view; tells the [`EndpointSubscriber`] of what changes in it |
-//! | `keep.rs` | the last view on disk |
-//! | `show.rs` | `herondock members` |
-//! | `sources.rs` | all sources that the operator's file names |
-//! | `client.rs` | calls to registries |
+//! | [`aggregator`] | merges all sources and passes changes to the [`EndpointSubscriber`] |
+//! | [`cache`] | the endpoint cache on disk |
+//! | `client` | HTTP client of registries |
+//! | [`consul`] | services of Consul as sources |
+//! | [`discovery`] | the platform's discovery service as a source |
+//! | [`inspect`] | `herondock members` |
+//! | [`registration`] | registration of this instance at its Consul agent |
+//! | [`sources`] | all sources that the operator's file names |
 //!
-//! Sources tell a [`aggregator::SourceHandle`]; what is told means, and how several are merged, is the crate `registry`'s matter.
+//! The crate `discovery` defines requests, the meaning of responses, and how reports are merged.
 pub mod aggregator;
 pub mod cache;
 mod client;
@@ -26,7 +26,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What an upstream speaks.
+/// Protocol of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1 (RFC 9112).
@@ -35,48 +35,48 @@
     FastCgi,
 }
 
-/// One upstream of a list: its line for the module, and how it is reached.
+/// An endpoint as the balancer and the driver know it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// What the module is told.
+    /// The endpoint as the balancer knows it.
     pub member: Member,
-    /// Where it listens, as this balancer sees it.
+    /// Address at which it listens, as seen by this instance.
     pub addr: SocketAddr,
-    /// Its protocol.
+    /// Protocol that it speaks.
     pub protocol: Protocol,
-    /// What pools tell members by, besides.
+    /// Further attributes, by which pools select endpoints.
     pub attributes: Arc<EndpointAttributes>,
 }
 
-/// What is told of a member, as names.
+/// Attributes of an endpoint, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointAttributes {
-    /// Its zone.
+    /// Name of its zone.
     pub zone: Arc<str>,
-    /// Its kind.
+    /// Name of its machine kind.
     pub kind: Arc<str>,
-    /// The sources that tell of it.
+    /// Labels of the sources that report it.
     pub sources: Vec<Arc<str>>,
-    /// What its owner wrote down of it.
+    /// Metadata of its owner.
     pub meta: Meta,
 }
 
-/// What has changed in the view.
+/// Changes of the endpoint set.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdate {
-    /// The upstreams that are new, differ, or are gone.
+    /// Endpoints that are new, changed or removed.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointUpdate {
-    /// The lines for the module.
+    /// The endpoints as the balancer knows them.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         self.endpoints.iter().map(|e| e.member.clone())
     }
 }
 
-/// Who is told of members: the driver, and in tests whoever listens.
+/// Receives the changes of the endpoint set.
 pub trait EndpointSubscriber {
-    /// What has changed; perhaps nothing, at a source's first answer.
-    fn endpoints_changed(&self, listing: &EndpointUpdate);
+    /// The set has changed. The update is empty at the first response of a source without changes.
+    fn endpoints_changed(&self, update: &EndpointUpdate);
 }
--- a/crates/herondock/src/endpoint_sources/sources.rs
+++ b/crates/herondock/src/endpoint_sources/sources.rs
@@ -1,4 +1,4 @@
-//! All sources of members that the operator's file names.
+//! All sources of endpoints that the operator's file names.
 use super::aggregator::{EndpointAggregator, SourceHandle};
 use super::consul::ConsulSource;
 use super::discovery::PlatformSource;
@@ -11,69 +11,70 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// What the platform's discovery is called as a source.
+/// Label of the platform's discovery service.
 pub const PLATFORM_LABEL: &str = "discovery";
 
-/// All sources that the operator's file names, in their order, not yet begun.
+/// All sources that the operator's file names, in its order, before they are started.
 pub struct Sources<A> {
-    discovery: Option<(EndpointProtocol, SourceHandle<A>)>,
+    platform: Option<(EndpointProtocol, SourceHandle<A>)>,
     consul: Vec<(ConsulSource, SourceHandle<A>)>,
     fixed: Option<(Vec<EndpointReport>, SourceHandle<A>)>,
 }
 
 impl<A: EndpointSubscriber + 'static> Sources<A> {
-    /// Adds them to a view.
+    /// Adds the sources to an aggregator.
     pub fn new(
-        gather: &EndpointAggregator<A>,
+        aggregator: &EndpointAggregator<A>,
         operator: &OperatorConfig,
         limits: &LiveConfig<Limits>,
     ) -> Sources<A> {
         let registry = &operator.registry;
-        let discovery = registry
+        let platform = registry
             .platform
-            .then(|| (protocol(registry.fastcgi), gather.add_source(0, PLATFORM_LABEL, true)));
+            .then(|| (protocol(registry.fastcgi), aggregator.add_source(0, PLATFORM_LABEL, true)));
         let mut services = Vec::new();
         for (k, settings) in registry.consul.iter().enumerate() {
             let rank = u16::try_from(k + 1).unwrap_or(u16::MAX);
             let service = ConsulSource { settings: settings.clone(), limits: limits.clone() };
             let labels = service.labels();
-            // Named here, so that what was kept of them is taken.
-            let mut tellers: Vec<_> =
-                labels.iter().map(|label| gather.add_source(rank, label, false)).collect();
+            // Added before the cache is restored, so that their reports are.
+            let mut handles: Vec<_> =
+                labels.iter().map(|label| aggregator.add_source(rank, label, false)).collect();
             let own = format!("consul {}", settings.name);
-            let teller = if tellers.len() == 1 { tellers.pop() } else { None };
-            services.push((service, teller.unwrap_or_else(|| gather.add_placeholder(rank, &own))));
+            let handle = if handles.len() == 1 { handles.pop() } else { None };
+            services.push((service, handle.unwrap_or_else(|| aggregator.add_placeholder(rank, &own))));
         }
         let fixed = (!registry.static_endpoints.is_empty()).then(|| {
             (
                 registry.static_endpoints.iter().map(static_report).collect(),
-                gather.add_source(u16::MAX, "static", false),
+                aggregator.add_source(u16::MAX, "static", false),
             )
         });
-        Sources { discovery, consul: services, fixed }
+        Sources { platform, consul: services, fixed }
     }
 
-    /// Begins them, each in a task of its own. `terms` are those of the platform's discovery.
+    /// Starts each source in a task of its own.
     pub fn spawn(
         self,
         addresses: watch::Receiver<SocketAddr>,
         limits: &LiveConfig<Limits>,
-        terms: &StalenessSettings,
+        staleness: &StalenessSettings,
     ) {
-        if let Some((speaks, teller)) = self.discovery {
-            let source = PlatformSource::new(addresses, limits.clone(), terms, teller.last_index(), speaks);
-            tokio::task::spawn_local(source.run(teller));
+        if let Some((speaks, handle)) = self.platform {
+            let source =
+                PlatformSource::new(addresses, limits.clone(), staleness, handle.last_index(), speaks);
+            tokio::task::spawn_local(source.run(handle));
         }
-        for (service, teller) in self.consul {
-            tokio::task::spawn_local(service.run(teller));
+        for (service, handle) in self.consul {
+            tokio::task::spawn_local(service.run(handle));
         }
-        if let Some((reports, teller)) = self.fixed {
-            teller.publish(SourceUpdate::Full(reports), None);
+        if let Some((reports, handle)) = self.fixed {
+            handle.publish(SourceUpdate::Full(reports), None);
         }
     }
 }
 
-/// What members speak, as the operator's file has it.
+/// Protocol by the setting of the operator's file.
 pub fn protocol(fastcgi: bool) -> EndpointProtocol {
     if fastcgi {
         EndpointProtocol::FastCgi
@@ -92,7 +93,7 @@
         protocol: protocol(s.fastcgi),
         state: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
         reason: if s.draining { "so the operator's file says".into() } else { "".into() },
-        // Who writes a member down does not say that it has just started.
+        // An endpoint in a file has not just been started.
         started_ms: Some(0.0),
         registration_index: 0,
         meta: Meta::default(),
