--- a/crates/herondock/src/supervise/commands.rs
+++ b/crates/herondock/src/supervise/commands.rs
@@ -1,7 +1,8 @@
 //! Commands of operators: the supervisor's side.
+use super::coordination_clients::Coordination;
 use super::driver::{action_name, Driver};
-use super::leases::Coordination;
 use config::supervisor::InstanceConfig;
+use disruption::RequestDecision;
 use serde_json::{json, Value};
 use supervisor::{Command, Event, Instance, InstanceState, RollingAction};
 use tokio::sync::mpsc;
@@ -82,7 +83,7 @@
 
     /// Why a rollout does not allow a rolling operation to begin; `None` if it does.
     fn roll_blocked_by_rollout(&self) -> Option<String> {
-        self.coordination.as_ref()?.rollouts.bars()
+        self.coordination.as_ref()?.rollouts.blocking_reason()
     }
 
     fn status(&self) -> Value {
@@ -126,8 +127,8 @@
         if !lease_agent.is_connected() {
             pending.push("the council does not answer".to_string());
         }
-        for (id, decision) in snapshot.decisions() {
-            let Some(request) = snapshot.requests.get(&id) else { continue };
+        for RequestDecision { request_id, decision } in snapshot.decisions() {
+            let Some(request) = snapshot.requests.get(&request_id) else { continue };
             if Some(&request.value.owner) == self.config.machine.as_ref() {
                 pending.push(format!("{} {decision}", request.value.resource.name));
             }
--- a/crates/herondock/src/supervise/error.rs
+++ b/crates/herondock/src/supervise/error.rs
@@ -2,6 +2,7 @@
 use daemon::control::ControlError;
 use daemon::pid_file::PidFileError;
 use daemon::signals::SignalError;
+use rollout_agent::build_id::BuildError;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
@@ -27,8 +28,8 @@
     #[error(transparent)]
     Lock(#[from] PidFileError),
     /// The supervisor's own build cannot be identified.
-    #[error("{0}")]
-    Rollouts(String),
+    #[error(transparent)]
+    Rollouts(#[from] BuildError),
 }
 
 /// A command to a supervisor failed.
--- a/crates/herondock/src/supervise/leases.rs
+++ b/crates/herondock/src/supervise/leases.rs
@@ -1,78 +1,16 @@
 //! Disruption leases and rollouts: what the supervisor does with the coordination service.
 use super::driver::{action_name, Driver};
-use super::error::SupervisorError;
-use super::event_loop::LoopEvent;
-use super::rollouts::Releases;
-use crate::node_config;
-use config::supervisor::{FleetConfig, InstanceConfig};
+use super::rollouts::ReplaceDecision;
+use config::supervisor::InstanceConfig;
 use disruption::{BalancerEntry, DisruptionKind};
-use disruption_agent::agent::{GrantedLease, LeaseAgentHandle};
+use disruption_agent::agent::GrantedLease;
 use rollout::executor::{ExecutorAction, LocalInstance};
 use rollout::BuildId;
-use rollout_agent::agent::RolloutAgent;
 use rollout_agent::build_id;
 use std::collections::BTreeMap;
-use std::time::Duration;
 use supervisor::{Command, Event, Instance, InstanceState, RollingAction};
 use tracing::info;
 
-/// Kind under which a supervisor announces its presence to the coordination service.
-const PRESENCE_KIND: &str = "supervisor";
-
-/// Clients of the coordination service.
-pub struct Coordination {
-    pub(super) lease_agent: LeaseAgentHandle,
-    pub(super) rollouts: Releases,
-    /// Name of each instance in the coordination service.
-    balancer_names: Vec<String>,
-    /// The balancers as they were last published.
-    published: BTreeMap<String, BalancerEntry>,
-}
-
-impl Coordination {
-    /// Connects to the coordination service that the fleet's file names; `None` if it names none. To be called within
-    /// a [`tokio::task::LocalSet`].
-    ///
-    /// # Errors
-    /// The supervisor's own build cannot be identified.
-    pub fn connect(config: &FleetConfig) -> Result<Option<Coordination>, SupervisorError> {
-        let Some((settings, machine)) = config.coordination.as_ref().zip(config.machine.as_deref()) else {
-            return Ok(None);
-        };
-        let client = coordination_server::client::spawn_with_presence(settings, PRESENCE_KIND, machine);
-        let lease_agent = LeaseAgentHandle::spawn(client.clone(), machine);
-        let rollout_agent = RolloutAgent::spawn(client, lease_agent.subscribe());
-        let rollouts = Releases::new(config, machine, rollout_agent).map_err(SupervisorError::Rollouts)?;
-        let balancer_names = config.instances.iter().map(balancer_name).collect();
-        Ok(Some(Coordination { lease_agent, rollouts, balancer_names, published: BTreeMap::new() }))
-    }
-
-    /// Waits for the next event. Cancel safe.
-    pub async fn next_event(&mut self) -> LoopEvent {
-        tokio::select! {
-            lease = self.lease_agent.next() => LoopEvent::LeaseGranted(lease),
-            confirmed = self.rollouts.news() => match confirmed {
-                Some((lease, usable)) => LoopEvent::LeaseConfirmed { lease, usable },
-                None => LoopEvent::RolloutChanged,
-            },
-        }
-    }
-
-    /// Interval at which the rollout has to be advanced; `None` if there never was one.
-    pub fn rollout_poll_interval(&self) -> Option<Duration> {
-        self.rollouts.look_every()
-    }
-
-    fn instance_of(&self, balancer: &str) -> Option<usize> {
-        self.balancer_names.iter().position(|name| name == balancer)
-    }
-}
-
-/// Name of an instance in the coordination service: the one that its own configuration gives it.
-fn balancer_name(instance: &InstanceConfig) -> String {
-    node_config::read(&instance.config).map_or_else(|_| instance.name.clone(), |config| config.name)
-}
-
 fn disruption_kind(action: RollingAction) -> DisruptionKind {
     match action {
         RollingAction::Restart => DisruptionKind::Restart,
@@ -128,7 +66,7 @@
             return Event::Timeout;
         }
         info!(unit, number, "outage: has leave to {}", lease.kind.as_str());
-        if coordination.rollouts.given(lease) {
+        if coordination.rollouts.on_lease_granted(lease) {
             return Event::Timeout;
         }
         Event::LeaseGranted(instance)
@@ -142,7 +80,7 @@
             return Event::Timeout;
         }
         let snapshot = coordination.lease_agent.subscribe();
-        let action = coordination.rollouts.confirmed(&lease.balancer, &snapshot.borrow());
+        let action = coordination.rollouts.on_lease_confirmed(&lease.balancer, &snapshot.borrow());
         action.map_or(Event::Timeout, |action| self.execute_rollout_action(action))
     }
 
@@ -158,14 +96,15 @@
         let instances = self.local_instances();
         let Some(coordination) = &mut self.coordination else { return Vec::new() };
         let Some(session) = coordination.lease_agent.session() else { return Vec::new() };
-        if coordination.rollouts.look_every().is_none() {
+        if coordination.rollouts.poll_interval().is_none() {
             return Vec::new();
         }
         // While a rolling operation is in progress the rollout must not disrupt further instances.
         let rolling = self.supervisor.rolling().is_some();
         let max_parallel = if rolling { 0 } else { self.config.policy.max_parallel };
         let snapshot = coordination.lease_agent.subscribe();
-        let actions = coordination.rollouts.next(&instances, &snapshot.borrow(), max_parallel, session);
+        let actions =
+            coordination.rollouts.next_actions(&instances, &snapshot.borrow(), max_parallel, session);
         actions
     }
 
@@ -209,16 +148,18 @@
         let Some(coordination) = &mut self.coordination else { return Event::Timeout };
         let Some(index) = coordination.instance_of(balancer) else { return Event::Timeout };
         let Some(instance) = self.config.instances.get(index) else { return Event::Timeout };
-        match coordination.rollouts.moved(&instance.name, balancer, build) {
-            Ok(()) => {
+        match coordination.rollouts.replace(&instance.name, balancer, build) {
+            ReplaceDecision::Replace => {
                 info!(unit = balancer, "release: goes over to build {}", build_id::short(build));
                 Event::Command(Command::Replace(index))
             }
-            Err(Some(ExecutorAction::ReleaseLease { instance, replaced })) => {
+            ReplaceDecision::Refuse {
+                follow_up: Some(ExecutorAction::ReleaseLease { instance, replaced }),
+            } => {
                 coordination.lease_agent.release(&instance, replaced);
                 Event::Timeout
             }
-            Err(_) => Event::Timeout,
+            ReplaceDecision::Refuse { .. } => Event::Timeout,
         }
     }
 }
--- a/crates/verification/testkit/src/faults/script.rs
+++ b/crates/verification/testkit/src/faults/script.rs
@@ -29,14 +29,14 @@
 }
 
 /// Says which script failed if the test ends by a panic.
-pub struct Told<'a, T: Debug> {
+pub struct ReportOnPanic<'a, T: Debug> {
     /// What it was drawn from.
     pub seed: u64,
     /// The steps.
     pub steps: &'a [T],
 }
 
-impl<T: Debug> Drop for Told<'_, T> {
+impl<T: Debug> Drop for ReportOnPanic<'_, T> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("failed with seed {}: {:#?}", self.seed, self.steps);
@@ -45,19 +45,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_does_not_matter_is_left_out() {
-        let all: Vec<u32> = (0..40).collect();
-        let mut tried = 0;
-        let least = fewest(&all, |some| {
-            tried += 1;
-            some.contains(&7) && some.contains(&31)
-        });
-        assert_eq!(least, [7, 31]);
-        assert!(tried < 80, "{tried}");
-        assert!(fewest(&all, |_| true).is_empty());
-    }
-}
+mod tests;
