--- a/crates/data-plane/balancer/src/policy/deadline_admission.rs
+++ b/crates/data-plane/balancer/src/policy/deadline_admission.rs
@@ -29,12 +29,12 @@
         *seen = seen.saturating_add(1);
     }
 
-    pub(super) fn hopeless(&self, class: usize, left: Millis) -> bool {
+    pub(super) fn cannot_finish(&self, class: usize, left: Millis) -> bool {
         let (time, seen) = self.0[class];
         seen >= MIN_ANSWERS && left < time
     }
 
-    pub(super) fn doubt(&mut self, class: usize) {
+    pub(super) fn decay(&mut self, class: usize) {
         self.0[class].0 *= 1.0 - REJECTION_DECAY;
     }
 }
--- a/crates/data-plane/balancer/src/policy/retries.rs
+++ b/crates/data-plane/balancer/src/policy/retries.rs
@@ -37,7 +37,8 @@
     fn send(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let s = &self.settings;
         let Some(p) = self.pending.get(&id) else { return false };
-        if p.sends >= s.attempts_cap.min(p.cap) || now >= p.ends || self.hopeless(p.class, p.ends - now) {
+        if p.sends >= s.attempts_cap.min(p.cap) || now >= p.ends || self.cannot_finish(p.class, p.ends - now)
+        {
             return false;
         }
         let scope = match (p.ran, s.classes[p.class].effect) {
@@ -76,8 +77,8 @@
         true
     }
 
-    fn hopeless(&self, class: usize, left: Millis) -> bool {
-        self.settings.refuse_hopeless && self.fastest.hopeless(class, left)
+    fn cannot_finish(&self, class: usize, left: Millis) -> bool {
+        self.settings.refuse_hopeless && self.fastest.cannot_finish(class, left)
     }
 
     /// Silence is waited out, as heavy work is silent too and its repeat as heavy, but where answers got lost
@@ -129,9 +130,9 @@
         // A late answer that earns nothing only holds a slot in every tier above.
         let useful = if c.late_worth > 0.0 { f64::INFINITY } else { now + c.objective * AIM_PART };
         let (class, ends) = (r.class, r.deadline.min(useful));
-        let hopeless = self.hopeless(class, ends - now);
+        let hopeless = self.cannot_finish(class, ends - now);
         if hopeless {
-            self.fastest.doubt(class);
+            self.fastest.decay(class);
         }
         if hopeless || !self.admission.admit(r.tenant, r.worth, now) {
             let refusal = self.refusal(r.id);
--- a/crates/data-plane/fastcgi/src/client.rs
+++ b/crates/data-plane/fastcgi/src/client.rs
@@ -69,17 +69,17 @@
     }
 
     /// Whether another request may begin.
-    pub fn free(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.open.len() < self.limits.requests.min(usize::from(u16::MAX))
     }
 
     /// Whether part of a record has come.
-    pub fn midway(&self) -> bool {
+    pub fn is_mid_record(&self) -> bool {
         self.decoder.midway()
     }
 
     /// Asks the application whether it takes several requests at once (`FCGI_MPXS_CONNS`), and how many.
-    pub fn ask(&mut self) {
+    pub fn query_capabilities(&mut self) {
         let (mut body, mut out) = (BytesMut::new(), BytesMut::new());
         for name in ["FCGI_MPXS_CONNS", "FCGI_MAX_REQS"] {
             pairs::write(&mut body, name.as_bytes(), b"");
@@ -95,7 +95,7 @@
         body: Bytes,
         keep: bool,
     ) -> Option<u16> {
-        if !self.free() {
+        if !self.has_capacity() {
             return None;
         }
         let id = (1..=u16::MAX).find(|id| !self.open.contains_key(id))?;
@@ -134,18 +134,18 @@
     }
 
     /// Requests that were called off and have not ended.
-    pub fn aborted(&self) -> usize {
+    pub fn aborted_requests(&self) -> usize {
         self.open.values().filter(|o| o.aborted).count()
     }
 
     /// Whether the last byte of an open request was taken to be written: until then its application can't have begun,
     /// if it reads its input whole.
-    pub fn whole(&self, id: u16) -> bool {
-        !self.outgoing.holds(id)
+    pub fn is_fully_written(&self, id: u16) -> bool {
+        !self.outgoing.has_unsent(id)
     }
 
     /// Whether there is a request of which nothing was made ready yet.
-    pub fn unbegun(&self) -> bool {
+    pub fn has_unstarted_request(&self) -> bool {
         self.outgoing.unbegun()
     }
 
--- a/crates/data-plane/fastcgi/src/outgoing.rs
+++ b/crates/data-plane/fastcgi/src/outgoing.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether some of a stream has not been taken.
-    pub(crate) fn holds(&self, id: u16) -> bool {
+    pub(crate) fn has_unsent(&self, id: u16) -> bool {
         self.streams.iter().any(|s| s.id == id) || self.ready.iter().any(|(_, ends)| *ends == Some(id))
     }
 
--- a/crates/data-plane/fastcgi/tests/fastcgi.rs
+++ b/crates/data-plane/fastcgi/tests/fastcgi.rs
@@ -150,8 +150,12 @@
 #[test]
 fn what_is_late_belongs_to_no_other_request() {
     let mut client = started(Limits { requests: 2, ..Limits::default() });
-    assert!(!client.whole(1) && client.drain().ends_with(&record(kind::STDIN, 1, b"")) && client.whole(1));
-    assert!(client.abort(1) && !client.abort(1) && client.aborted() == 1);
+    assert!(
+        !client.is_fully_written(1)
+            && client.drain().ends_with(&record(kind::STDIN, 1, b""))
+            && client.is_fully_written(1)
+    );
+    assert!(client.abort(1) && !client.abort(1) && client.aborted_requests() == 1);
     assert_eq!(&client.drain()[..], &record(kind::ABORT, 1, b"")[..]);
     let id = client.begin(std::iter::empty(), Bytes::new(), true).expect("free");
     assert_eq!(id, 2, "the old id is still taken");
@@ -238,17 +242,17 @@
     let mut unsent = Vec::new();
     client.fill(|id| id != barred, &mut unsent);
     let first = take(client.outgoing(), 40_000);
-    assert!(unsent == [barred] && client.open() == 2 && !client.whole(large));
+    assert!(unsent == [barred] && client.open() == 2 && !client.is_fully_written(large));
     client.fill(|_| panic!("all of the rest begins once what was ready is taken"), &mut unsent);
     let more = take(client.outgoing(), usize::MAX);
     let so_far = Bytes::from([first, more].concat());
     let all = records(&so_far);
-    assert!(client.whole(small) && all.iter().all(|r| r.1 != barred));
+    assert!(client.is_fully_written(small) && all.iter().all(|r| r.1 != barred));
     // An application that ends a request before it has all of it gets nothing more of it.
     let early = joined(&[end(large, 0, Protocol::Overloaded)]);
     let events = answered(&mut client, &early, 100).expect("good");
     assert_eq!(events, [Answered::Ended(large, Outcome::Refused(Protocol::Overloaded))]);
-    assert!(client.drain().is_empty() && client.free());
+    assert!(client.drain().is_empty() && client.has_capacity());
 }
 
 /// Guards against a peer that asks without reading: what it makes us write has an end.
--- a/crates/data-plane/request-budget/src/log_throttle.rs
+++ b/crates/data-plane/request-budget/src/log_throttle.rs
@@ -1,18 +1,19 @@
-//! What is said once for each cause, and then at most once in a while with how often it came: a loop makes as many refusals as
-//! there are requests on it.
+//! Rate limit for log lines: each cause is logged at once, and then at most once per interval with the number of times it
+//! occurred since.
 
-/// Causes that are told apart; further ones share the last place.
+/// Causes that are counted separately; further ones are counted with the last of these.
 const MAX_CAUSES: usize = 32;
-/// A cause is said again after this, in milliseconds.
+/// Interval after which a cause is logged again, in milliseconds.
 const REPEAT_INTERVAL_MS: f64 = 60_000.0;
 
-/// What was said, and how often since.
+/// The causes that were logged, each with the time of its last log line and the occurrences since.
 #[derive(Debug, Default)]
 pub struct LogThrottle(Vec<(String, f64, u64)>);
 
 impl LogThrottle {
-    /// Notes that it came once more. `Some`: it is to be said now, with how often it came since it was said last.
-    pub fn came(&mut self, cause: &str, now: f64) -> Option<u64> {
+    /// Counts an occurrence of a cause at `now`, in milliseconds. Returns the occurrences since the last log line if a line is
+    /// due, `None` otherwise.
+    pub fn record(&mut self, cause: &str, now: f64) -> Option<u64> {
         let known = self.0.iter().position(|(c, ..)| c == cause);
         let k = match known {
             None if self.0.len() < MAX_CAUSES => {
@@ -21,12 +22,12 @@
             }
             known => known.unwrap_or(MAX_CAUSES - 1),
         };
-        let (_, said, count) = &mut self.0[k];
+        let (_, logged_at, count) = &mut self.0[k];
         *count += 1;
-        if now - *said < REPEAT_INTERVAL_MS {
+        if now - *logged_at < REPEAT_INTERVAL_MS {
             return None;
         }
-        *said = now;
+        *logged_at = now;
         Some(std::mem::take(count))
     }
 }
--- a/crates/data-plane/request-budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -149,12 +149,12 @@
 #[test]
 fn a_cause_is_said_once_and_then_counted() {
     let mut causes = LogThrottle::default();
-    assert_eq!(causes.came("loop", 0.0), Some(1));
-    assert!((1..1000).all(|k| causes.came("loop", f64::from(k)).is_none()));
-    assert_eq!(causes.came("other", 5.0), Some(1));
-    assert_eq!(causes.came("loop", 60_000.0), Some(1000));
+    assert_eq!(causes.record("loop", 0.0), Some(1));
+    assert!((1..1000).all(|k| causes.record("loop", f64::from(k)).is_none()));
+    assert_eq!(causes.record("other", 5.0), Some(1));
+    assert_eq!(causes.record("loop", 60_000.0), Some(1000));
     for k in 0..1000 {
-        causes.came(&format!("c{k}"), 60_001.0);
+        causes.record(&format!("c{k}"), 60_001.0);
     }
     assert!(format!("{causes:?}").len() < 4000, "it has an end");
 }
--- a/crates/data-plane/route-table/src/cube.rs
+++ b/crates/data-plane/route-table/src/cube.rs
@@ -75,7 +75,7 @@
         Values { these: !self.these, set: self.set.clone() }
     }
 
-    fn meet(&self, other: &Values) -> Values {
+    fn intersection(&self, other: &Values) -> Values {
         let set = match (self.these, other.these) {
             (true, true) => self.set.intersection(&other.set).cloned().collect(),
             (true, false) => self.set.difference(&other.set).cloned().collect(),
@@ -170,14 +170,14 @@
     }
 
     /// What is in both; `None`: nothing.
-    pub fn meet(&self, other: &Cube) -> Option<Cube> {
+    pub fn intersection(&self, other: &Cube) -> Option<Cube> {
         if self.apart(other) {
             return None;
         }
         let and = |a: &ValueSet, b: &ValueSet| Some(a.with(b, |a, b| a & b)).filter(|s| !s.empty());
         let mut headers = self.headers.clone();
         for (name, values) in &other.headers {
-            let met = headers.get(name).map_or_else(|| values.clone(), |own| own.meet(values));
+            let met = headers.get(name).map_or_else(|| values.clone(), |own| own.intersection(values));
             if met.empty() {
                 return None;
             }
@@ -189,15 +189,15 @@
             classes: and(&self.classes, &other.classes)?,
             clubs: and(&self.clubs, &other.clubs)?,
             keyed: and(&self.keyed, &other.keyed)?,
-            host: self.host.meet(&other.host)?,
-            path: self.path.meet(&other.path)?,
+            host: self.host.intersection(&other.host)?,
+            path: self.path.intersection(&other.path)?,
             headers,
         })
     }
 
     /// What is in this one and not in the other, as cubes that have nothing in common.
     pub fn without(&self, other: &Cube) -> Vec<Cube> {
-        let Some(met) = self.meet(other) else { return vec![self.clone()] };
+        let Some(met) = self.intersection(other) else { return vec![self.clone()] };
         let (mut rest, mut all) = (self.clone(), Vec::new());
         // One condition after the other: what fails it, while those before hold.
         let finite: [fn(&mut Cube) -> &mut ValueSet; 5] =
@@ -223,13 +223,13 @@
         rest.path = met_.path;
         for (name, values) in &other.headers {
             let own = rest.headers.get(name).cloned().unwrap_or(Values::but(BTreeSet::new()));
-            let outside = own.meet(&values.not());
+            let outside = own.intersection(&values.not());
             if !outside.empty() {
                 let mut piece = rest.clone();
                 piece.headers.insert(name.clone(), outside);
                 all.push(piece);
             }
-            rest.headers.insert(name.clone(), own.meet(values));
+            rest.headers.insert(name.clone(), own.intersection(values));
         }
         all
     }
--- a/crates/data-plane/route-table/src/expect.rs
+++ b/crates/data-plane/route-table/src/expect.rs
@@ -86,7 +86,7 @@
             let pool = position(pool)?;
             let outside = Cube::all(&table.world).without(&scope);
             for c in table.routes.iter().filter(|c| c.pools().any(|p| p == pool)) {
-                for part in outside.iter().filter_map(|o| o.meet(&c.cube)) {
+                for part in outside.iter().filter_map(|o| o.intersection(&c.cube)) {
                     each(table, expect, &part, |c| c.is_none_or(|c| c.pools().all(|p| p != pool)))?;
                 }
             }
--- a/crates/data-plane/route-table/src/path.rs
+++ b/crates/data-plane/route-table/src/path.rs
@@ -27,7 +27,7 @@
 
 impl AmbiguousPath {
     /// In words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             AmbiguousPath::Relative => "the path does not begin with /",
             AmbiguousPath::Dots => "the path has a segment . or ..",
--- a/crates/data-plane/route-table/src/pattern.rs
+++ b/crates/data-plane/route-table/src/pattern.rs
@@ -32,7 +32,7 @@
         if text.contains('*') {
             return Err("has a * that is not /* at its end".into());
         }
-        let all = segments(text).map_err(|e| e.words().to_string())?;
+        let all = segments(text).map_err(|e| e.description().to_string())?;
         let one = |segment: &str| match segment.strip_prefix('{').and_then(|s| s.strip_suffix('}')) {
             Some(name) if !name.is_empty() && !name.contains(['{', '}']) => Ok(None),
             None if !segment.contains(['{', '}']) => Ok(Some(segment.into())),
@@ -81,7 +81,7 @@
     }
 
     /// What both match, which is a pattern too; `None`: nothing.
-    pub fn meet(&self, other: &Pattern) -> Option<Pattern> {
+    pub fn intersection(&self, other: &Pattern) -> Option<Pattern> {
         let (short, long) =
             if self.segments.len() <= other.segments.len() { (self, other) } else { (other, self) };
         if short.segments.len() < long.segments.len() && !short.more {
@@ -131,8 +131,8 @@
     }
 
     /// What both hold; `None`: nothing.
-    pub fn meet(&self, other: &Region) -> Option<Region> {
-        let is = self.is.meet(&other.is)?;
+    pub fn intersection(&self, other: &Region) -> Option<Region> {
+        let is = self.is.intersection(&other.is)?;
         let mut but: Vec<Arc<Pattern>> = Vec::new();
         // Only what takes something away.
         for pattern in self.but.iter().chain(&other.but) {
@@ -154,7 +154,9 @@
         // And what the other leaves out, piece by piece.
         let mut before: Vec<Arc<Pattern>> = Vec::new();
         for hole in &other.but {
-            let Some(is) = self.is.meet(&other.is).and_then(|is| is.meet(hole)) else { continue };
+            let Some(is) = self.is.intersection(&other.is).and_then(|is| is.intersection(hole)) else {
+                continue;
+            };
             let but = self.but.iter().chain(&before).cloned().collect();
             let piece = Region { is, but };
             if piece.example().is_some() {
--- a/crates/data-plane/route-table/src/table.rs
+++ b/crates/data-plane/route-table/src/table.rs
@@ -301,7 +301,7 @@
                 if reached && other.route.precedence != own.route.precedence {
                     continue;
                 }
-                let Some(both) = own.cube.meet(&other.cube) else { continue };
+                let Some(both) = own.cube.intersection(&other.cube) else { continue };
                 steps += 1;
                 if other.route.precedence == own.route.precedence {
                     let what = format!(
@@ -422,7 +422,7 @@
                     return false;
                 }
                 let route = &self.routes[k];
-                if let Some(inside) = cube.meet(&route.cube) {
+                if let Some(inside) = cube.intersection(&route.cube) {
                     if !visit(&inside, Some(route)) {
                         return true;
                     }
--- a/crates/data-plane/route-table/tests/routes.rs
+++ b/crates/data-plane/route-table/tests/routes.rs
@@ -477,7 +477,7 @@
     #[test]
     fn cubes_are_sets(a in some_when(), b in some_when()) {
         let (a, b) = (cube(&a, &world()).expect("known"), cube(&b, &world()).expect("known"));
-        let (meet, rest) = (a.meet(&b), a.without(&b));
+        let (meet, rest) = (a.intersection(&b), a.without(&b));
         for q in queries() {
             ask(&q, |q| {
                 let both = a.has(q) && b.has(q);
@@ -486,6 +486,6 @@
                 assert_eq!(parts, usize::from(a.has(q) && !b.has(q)));
             });
         }
-        prop_assert!(Cube::all(&world()).meet(&a) == Some(a));
+        prop_assert!(Cube::all(&world()).intersection(&a) == Some(a));
     }
 }
--- a/crates/herondock/benches/council.rs
+++ b/crates/herondock/benches/council.rs
@@ -204,7 +204,7 @@
         let probe = Probe::begin(&voters.reached());
         let (mut led, mut wrote) = (micros(), micros());
         for _ in 0..FAULTS {
-            voters.whole();
+            voters.wait_until_converged();
             let l = voters.leader();
             probe.after(Instant::now());
             let (name, struck) = (voters.names[l].clone(), Instant::now());
@@ -384,7 +384,7 @@
         let before = voters.statuses().iter().map(|s| s.log.0).max().unwrap_or(0);
         let room = 19_000u64.saturating_sub(before);
         fill(&voters.reached(), usize::try_from(room).unwrap_or(0), |_| {});
-        voters.whole();
+        voters.wait_until_converged();
         let l = voters.leader();
         let f = (l + 1) % 3;
         sizes
@@ -394,7 +394,7 @@
         voters.machines[f].start();
         voters.machines[f].process(0).logs("listens on");
         let listens = started.elapsed().as_secs_f64();
-        voters.whole();
+        voters.wait_until_converged();
         took.push(listens * 1000.0);
     }
     println!(
--- a/crates/herondock/benches/fleet.rs
+++ b/crates/herondock/benches/fleet.rs
@@ -55,7 +55,7 @@
             let (stop, all) = (&stop, &all);
             scope.spawn(move || {
                 let classes = [("read", Effect::Safe), ("order", Effect::Keyed), ("pay", Effect::Unsafe)];
-                let mut caller = Caller::new(ledger.clone(), seed).asks_first();
+                let mut caller = Caller::new(ledger.clone(), seed).with_readiness_check();
                 caller.know(addrs);
                 for (class, effect) in classes.into_iter().cycle() {
                     if stop.load(Ordering::SeqCst) {
--- a/crates/herondock/src/demo/mod.rs
+++ b/crates/herondock/src/demo/mod.rs
@@ -58,7 +58,7 @@
     let begun = Instant::now();
     loop {
         let at = begun.elapsed();
-        for event in plan.due(at) {
+        for event in plan.take_events_until(at) {
             let line = world.happen(event).map_err(|e| format!("{event:?}: {e}"))?;
             screen.event(at, &line);
         }
--- a/crates/herondock/src/demo/plan.rs
+++ b/crates/herondock/src/demo/plan.rs
@@ -43,7 +43,7 @@
     }
 
     /// The events that are due by now.
-    pub fn due(&mut self, at: Duration) -> Vec<Event> {
+    pub fn take_events_until(&mut self, at: Duration) -> Vec<Event> {
         let mut due = Vec::new();
         while self.next().is_some_and(|next| next <= at) {
             due.push(PLAN[self.done].1);
--- a/crates/herondock/src/front/http/mod.rs
+++ b/crates/herondock/src/front/http/mod.rs
@@ -229,7 +229,7 @@
             if partial_head && newcomer {
                 return;
             }
-            if client.idle_slot.get().is_some() && !partial_head && client.stream.quiet() {
+            if client.idle_slot.get().is_some() && !partial_head && client.stream.is_idle() {
                 connection.as_mut().graceful_shutdown();
                 // Bounded: a client may never read its answer.
                 let _ = timeout(self.limits.get().flush_wait, connection.as_mut()).await;
@@ -262,7 +262,7 @@
         // During a shutdown the requests that were sent behind this one are still answered.
         let closing = self.shutdown.borrow().phase >= ShutdownPhase::ClosingConnections
             && !activity.has_undelivered()
-            && client.stream.quiet();
+            && client.stream.is_idle();
         if rejected || last || closing {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/crates/herondock/src/front/observed_stream.rs
+++ b/crates/herondock/src/front/observed_stream.rs
@@ -99,8 +99,11 @@
                 FramePosition::Body(left) => {
                     let n = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
                     bytes = &bytes[n..];
-                    self.position =
-                        if left > n as u64 { FramePosition::Body(left - n as u64) } else { self.whole() };
+                    self.position = if left > n as u64 {
+                        FramePosition::Body(left - n as u64)
+                    } else {
+                        self.complete_request()
+                    };
                 }
                 FramePosition::Head => bytes = self.observe_head(bytes),
             }
@@ -109,7 +112,7 @@
     }
 
     /// The last byte of a request has been read.
-    fn whole(&self) -> FramePosition {
+    fn complete_request(&self) -> FramePosition {
         self.activity
             .complete_requests
             .borrow_mut()
@@ -141,7 +144,7 @@
             if self.head.ends_with(b"\n\r\n") || self.head.ends_with(b"\n\n") {
                 self.activity.heads_read.set(self.activity.heads_read.get() + 1);
                 self.position = match framing(&self.head) {
-                    Ok(FramePosition::Body(0)) => self.whole(),
+                    Ok(FramePosition::Body(0)) => self.complete_request(),
                     Ok(at) => at,
                     Err(AmbiguousLength) => {
                         self.activity.ambiguous_head.set(Some(self.activity.heads_read.get()));
--- a/crates/herondock/src/request_budgets.rs
+++ b/crates/herondock/src/request_budgets.rs
@@ -92,7 +92,7 @@
             Err(BudgetRejection::Refused(why)) => {
                 let cause = format!("{why}; it came from {}", Path::last(path));
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
-                if let Some(n) = self.log_throttle.borrow_mut().came(&cause, now) {
+                if let Some(n) = self.log_throttle.borrow_mut().record(&cause, now) {
                     info!("refused: {cause} ({n} times)");
                 }
                 Err(BudgetRejection::Refused(why))
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -331,7 +331,7 @@
         let current = self.0.current.borrow().clone();
         let Some(current) = current else {
             let whole = self.0.default_pool.borrow().clone();
-            return whole.map(RouteChoice::whole).ok_or(RoutingError::NoRoute);
+            return whole.map(RouteChoice::without_limits).ok_or(RoutingError::NoRoute);
         };
         let now = Instant::now();
         let past: Vec<Rc<ActiveTable>> = self
@@ -406,7 +406,7 @@
 }
 
 impl RouteChoice {
-    fn whole(pool: Rc<Pool>) -> RouteChoice {
+    fn without_limits(pool: Rc<Pool>) -> RouteChoice {
         RouteChoice { pool, fallback: None, attempts: None, time_ms: None }
     }
 }
--- a/crates/herondock/src/routing/request_attributes.rs
+++ b/crates/herondock/src/routing/request_attributes.rs
@@ -74,7 +74,7 @@
         needed: impl Iterator<Item = &'q String>,
     ) -> Result<Query<'q, 'a>, RoutingError> {
         let path = asked.target.split('?').next().unwrap_or("");
-        let path = segments(path).map_err(|why| RoutingError::Ambiguous(why.words()))?;
+        let path = segments(path).map_err(|why| RoutingError::Ambiguous(why.description()))?;
         let host = (asked.host)().ok_or(RoutingError::Ambiguous("there are several hosts"))?;
         let name = match host.rsplit_once(':') {
             Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
--- a/crates/herondock/src/stream.rs
+++ b/crates/herondock/src/stream.rs
@@ -21,7 +21,7 @@
 
     /// Whether the socket is open and holds no unread bytes. Asks the system: the runtime learns of bytes and of the end of the
     /// stream only when it next waits.
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let peeked = socket2::SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
--- a/crates/herondock/src/transport/fastcgi/capabilities.rs
+++ b/crates/herondock/src/transport/fastcgi/capabilities.rs
@@ -84,7 +84,7 @@
 
 async fn query_values(mut alone: ExclusiveConnection) -> Option<Vec<Pair>> {
     let (mut events, mut unsent) = (Vec::new(), Vec::new());
-    alone.connection.client.ask();
+    alone.connection.client.query_capabilities();
     loop {
         poll_fn(|cx| alone.connection.poll(cx, |_| false, &mut unsent, &mut events)).await.ok()?;
         for event in events.drain(..) {
--- a/crates/herondock/src/transport/fastcgi/connection.rs
+++ b/crates/herondock/src/transport/fastcgi/connection.rs
@@ -41,13 +41,13 @@
         !self.read_closed
             && !self.write_closed
             && self.client.open() == 0
-            && !self.client.midway()
-            && self.socket.quiet()
+            && !self.client.is_mid_record()
+            && self.socket.is_idle()
     }
 
     /// Whether the other side has closed it, or wrote bytes that no request asked for.
     pub fn is_closed(&self) -> bool {
-        self.read_closed || self.write_closed || !self.socket.quiet()
+        self.read_closed || self.write_closed || !self.socket.is_idle()
     }
 
     /// Writes and reads until there are events, or requests that must not be written any more (`unsent`).
@@ -91,7 +91,7 @@
     ) {
         // Guards against beginning a request on a connection that has ended behind answers to others: input is read first.
         // A connection without other requests was checked when it was taken.
-        if self.client.open() > 1 && self.client.unbegun() && !self.socket.quiet() {
+        if self.client.open() > 1 && self.client.has_unstarted_request() && !self.socket.is_idle() {
             return;
         }
         while !self.write_closed && !self.read_closed {
--- a/crates/herondock/src/transport/fastcgi/exclusive.rs
+++ b/crates/herondock/src/transport/fastcgi/exclusive.rs
@@ -50,13 +50,13 @@
         let Some(id) = begin_request(peer, &mut wire.client, &attempt) else { return Err(Ending::Moot) };
         match wait_for_end(wire, id).await {
             Ok(outcome) => {
-                if wire.client.open() == 0 && !wire.client.midway() {
+                if wire.client.open() == 0 && !wire.client.is_mid_record() {
                     let generation = alone.generation;
                     peer.return_idle(Conn::Exclusive(alone), generation, &attempt.gate);
                 }
                 return Ok(outcome);
             }
-            Err(ConnectionClosed) if wire.client.whole(id) => return Err(Ending::Reset),
+            Err(ConnectionClosed) if wire.client.is_fully_written(id) => return Err(Ending::Reset),
             // Its last byte was not written, so nothing ran. An idle connection that had been closed meanwhile says nothing
             // about the upstream, so the next one is tried; each is tried once.
             Err(ConnectionClosed) if reused => {}
--- a/crates/herondock/src/transport/fastcgi/multiplexed.rs
+++ b/crates/herondock/src/transport/fastcgi/multiplexed.rs
@@ -75,7 +75,7 @@
 pub struct Links(RefCell<Vec<PooledLink>>);
 
 impl Links {
-    fn take_out(&self, link: &Rc<Link>) -> Option<PooledLink> {
+    fn remove(&self, link: &Rc<Link>) -> Option<PooledLink> {
         let mut all = self.0.borrow_mut();
         let k = all.iter().position(|held| Rc::ptr_eq(&held.link, link))?;
         Some(all.swap_remove(k))
@@ -226,12 +226,12 @@
         self.closed.set(true);
         let waiters = std::mem::take(&mut *self.pending.borrow_mut());
         for (id, waiter) in waiters {
-            let whole = self.connection.borrow().client.whole(id);
+            let whole = self.connection.borrow().client.is_fully_written(id);
             // A request that was cancelled meanwhile is not waited for.
             let _ = waiter.result.send(AttemptEnd::ConnectionLost(whole));
         }
         // Out of use: dropped once its attempts have been notified.
-        drop(peer.upgrade().and_then(|peer| peer.protocol.links.take_out(&self)));
+        drop(peer.upgrade().and_then(|peer| peer.protocol.links.remove(&self)));
     }
 
     fn may_write(&self, id: u16) -> bool {
@@ -250,7 +250,7 @@
     fn return_if_idle(self: &Rc<Link>, peer: &Weak<Peer<FastCgi>>) {
         let (open, aborted) = {
             let client = &self.connection.borrow().client;
-            (client.open(), client.aborted())
+            (client.open(), client.aborted_requests())
         };
         if aborted == 0 {
             self.aborting_since.set(None);
@@ -259,7 +259,7 @@
             return;
         }
         if let Some(peer) = peer.upgrade() {
-            if let Some(held) = peer.protocol.links.take_out(self) {
+            if let Some(held) = peer.protocol.links.remove(self) {
                 peer.return_idle(Conn::Multiplexed(held), self.generation, &self.gate.borrow());
             }
         }
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -40,7 +40,7 @@
     /// Guards against requests on a connection that the other side has closed, and against reading bytes behind an answer, a
     /// duplicate or noise, as the answer to the next request.
     fn is_reusable(&self) -> bool {
-        self.sender.is_ready() && self.socket.quiet()
+        self.sender.is_ready() && self.socket.is_idle()
     }
 
     fn is_closed(&self) -> bool {
--- a/crates/herondock/tests/common/mod.rs
+++ b/crates/herondock/tests/common/mod.rs
@@ -206,7 +206,7 @@
         for seed in 1..=6 {
             let (stop, served, other) = (&stop, &served, &other);
             scope.spawn(move || {
-                let mut caller = Caller::new(ledger.clone(), seed).asks_first();
+                let mut caller = Caller::new(ledger.clone(), seed).with_readiness_check();
                 caller.know(addrs);
                 for &(class, effect) in classes.iter().cycle() {
                     if stop.load(Ordering::SeqCst) {
--- a/crates/herondock/tests/coordination_compatibility.rs
+++ b/crates/herondock/tests/coordination_compatibility.rs
@@ -55,7 +55,7 @@
     let mut expected = owned(&KEYS_BEFORE_LAST);
     expected.extend(owned(&[LAST_KEY]));
     expected.sort();
-    assert_eq!(voters.under(""), expected);
+    assert_eq!(voters.list(""), expected);
     let output = voters.command(&["get", "--key", "after/last"]);
     assert_eq!(String::from_utf8_lossy(&output.stdout), "written last\n", "{output:?}");
     // It goes on from there, also after another start.
@@ -70,7 +70,7 @@
 #[test]
 fn a_torn_last_record_of_an_earlier_build_is_dropped() {
     let mut voters = start_with("journal-torn-record");
-    assert_eq!(voters.under(""), owned(&KEYS_BEFORE_LAST));
+    assert_eq!(voters.list(""), owned(&KEYS_BEFORE_LAST));
     assert!(written(&voters.put("new", "1")));
     voters.machines[0].kill();
     voters.machines[0].start();
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -136,7 +136,7 @@
         workload.wait_for_operations(&voters, 40);
     }
     workload.stop_and_check();
-    voters.whole();
+    voters.wait_until_converged();
 }
 
 /// Guards against two leaders that both answer, a minority that does, and a voter that calls elections because it alone
@@ -156,7 +156,7 @@
         workload.wait_for_operations(&voters, 20);
         voters.net.heal();
         // One that hears the leader alone must not unseat it.
-        voters.whole();
+        voters.wait_until_converged();
         let l = voters.leader();
         let term = voters.statuses().iter().map(|s| s.term).max();
         let lonely = others.iter().copied().find(|n| *n != names[l]).expect("another");
@@ -178,7 +178,7 @@
         workload.wait_for_operations(&voters, 20);
     }
     workload.stop_and_check();
-    voters.whole();
+    voters.wait_until_converged();
 }
 
 /// Guards against a charge of the record that is made twice: its answer is lost, and it is sent again to the next leader.
@@ -213,7 +213,7 @@
         let outcome = writer.join().expect("no panic");
         assert!(written(&outcome), "{outcome:?}");
         voters.machines[l].start();
-        voters.whole();
+        voters.wait_until_converged();
     }
 }
 
@@ -269,7 +269,7 @@
     workload.wait_for_operations(&voters, 40);
     disk::room(pid(f)).expect("runs");
     voters.machines[f].process(0).logs("is back");
-    voters.whole();
+    voters.wait_until_converged();
 
     let l = voters.leader();
     disk::full_at(pid(l), 10).expect("runs");
@@ -280,7 +280,7 @@
     assert_eq!(aside.role, "aside");
     assert!(aside.storage_error.as_ref().is_some_and(|why| why.contains("too large")), "{aside:?}");
     disk::room(pid(l)).expect("runs");
-    voters.whole();
+    voters.wait_until_converged();
 
     // Two of three: nothing is agreed any more, and what was asked for is not said to be done.
     let l = voters.leader();
@@ -296,7 +296,7 @@
         "{outcome:?}"
     );
     two.iter().for_each(|&k| disk::room(pid(k)).expect("runs"));
-    voters.whole();
+    voters.wait_until_converged();
     workload.wait_for_operations(&voters, 40);
     workload.stop_and_check();
 }
@@ -375,7 +375,7 @@
     assert!(output.status.success(), "{output:?}");
     voters.machines[lost].process(0).logs("has joined council");
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
-    voters.whole();
+    voters.wait_until_converged();
 
     // Damage in the middle: refused with file and place, and nothing is voted by it.
     voters.machines[lost].process_mut(0).signal(Signal::TERM);
@@ -403,7 +403,7 @@
     assert!(written(&voters.put("k", "w")), "the majority goes on");
     drop(stranger);
     voters.machines[lost].start();
-    voters.whole();
+    voters.wait_until_converged();
     assert_eq!(voters.get("k").as_deref(), Some("w"));
 }
 
@@ -440,7 +440,7 @@
     replace(&mut voters, other);
     voters
         .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
-    voters.whole();
+    voters.wait_until_converged();
     let output = voters.command(&["remove", "--name", &voters.names[l]]);
     assert!(output.status.success(), "it hands over first: {output:?}");
     assert!(voters.machines[l].process_mut(0).wait().success(), "it ends by itself");
@@ -448,7 +448,7 @@
     voters.machines[l].start();
     voters
         .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
-    voters.whole();
+    voters.wait_until_converged();
     assert_eq!((voters.get("k").as_deref(), voters.members()), (Some("v"), 3));
 }
 
@@ -484,7 +484,7 @@
     voters.machines[away].kill();
     voters.machines[away].start();
     voters.net.heal();
-    voters.whole();
+    voters.wait_until_converged();
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
 }
 
@@ -598,16 +598,16 @@
 fn a_disk_that_was_put_back_does_not_vote() {
     let mut voters = start(3);
     assert!(written(&voters.put("k", "old")));
-    voters.whole();
+    voters.wait_until_converged();
     let l = voters.leader();
     let f = (l + 1) % 3;
     voters.machines[f].kill();
     let copy = std::fs::read(voters.machines[f].disk().join("journal")).expect("reads");
     voters.machines[f].start();
-    voters.whole();
+    voters.wait_until_converged();
     // What it acknowledges now is not on the copy.
     assert!(written(&voters.put("k", "new")));
-    voters.whole();
+    voters.wait_until_converged();
     voters.machines[f].kill();
     std::fs::write(voters.machines[f].disk().join("journal"), copy).expect("writes");
     voters.machines[f].start();
@@ -621,7 +621,7 @@
     voters.machines[f].wipe();
     voters.machines[f].start();
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
-    voters.whole();
+    voters.wait_until_converged();
     assert_eq!(voters.get("k").as_deref(), Some("newer"));
 }
 
@@ -638,7 +638,7 @@
     workload.wait_for_operations(&voters, 300);
     slow.logs("ms for a save");
     workload.stop_and_check();
-    voters.whole();
+    voters.wait_until_converged();
     slow.kill();
 }
 
@@ -748,6 +748,6 @@
     }
     heal(&mut voters);
     workload.wait_for_operations(&voters, 20);
-    voters.whole();
+    voters.wait_until_converged();
     workload.stop_and_check();
 }
--- a/crates/herondock/tests/fastcgi.rs
+++ b/crates/herondock/tests/fastcgi.rs
@@ -268,7 +268,7 @@
     let mut web = WebServer::connect(addr).expect("connects");
     web.send(&params("served", "read", "GET"), b"");
     assert_eq!(status(&mut web).0, 200);
-    node.holds(|held| held < before + 20, "they are kept");
+    node.wait_for_descriptors(|held| held < before + 20, "they are kept");
     drop(all);
 }
 
--- a/crates/herondock/tests/multiplex.rs
+++ b/crates/herondock/tests/multiplex.rs
@@ -380,7 +380,7 @@
     let mut silent = TcpStream::connect(addr).expect("connects");
     silent.write_all(&ask(1, "/api/large")).expect("writes");
     upstream.request();
-    node.holds(|held| held <= before, "it is kept");
+    node.wait_for_descriptors(|held| held <= before, "it is kept");
     let mut web = WebServer::connect(addr).expect("connects");
     web.send(&params("next", "/api/next"), b"");
     assert!(matches!(web.ended(), Some((_, Ended::Answered(..)))));
--- a/crates/herondock/tests/sockets.rs
+++ b/crates/herondock/tests/sockets.rs
@@ -127,7 +127,7 @@
     for i in 0..20 {
         assert_eq!(client.call(&pay(&format!("r{i}"), "5000m")).status(), 200);
         assert_eq!(upstream.request().header("req-id"), Some(format!("r{i}").as_str()));
-        node.holds(|n| n <= without, "the closed connection is still held");
+        node.wait_for_descriptors(|n| n <= without, "the closed connection is still held");
     }
     assert_eq!(upstream.further(), 0);
 }
@@ -330,9 +330,9 @@
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
     // The caller's socket and the one that dials.
-    node.holds(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
     drop(client);
-    node.holds(|n| n <= without + 1, "it does not see that the client left");
+    node.wait_for_descriptors(|n| n <= without + 1, "it does not see that the client left");
     assert!(read(&mut full.reach()).is_none());
 }
 
@@ -342,7 +342,7 @@
     let without = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.holds(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
     node.discovery.answer(&listing(2, false, &[(0, full.addr, "leaving")]));
     assert!(node.discovery.called().contains("since=2&"));
     assert!(read(&mut full.reach()).is_none());
@@ -357,7 +357,7 @@
     let without = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.holds(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
     for (version, state) in [(2, "leaving"), (3, "active"), (4, "leaving")] {
         node.discovery.answer(&listing(version, false, &[(0, full.addr, state)]));
         assert!(node.discovery.called().contains(&format!("since={version}&")));
--- a/crates/herondock/tests/takeover.rs
+++ b/crates/herondock/tests/takeover.rs
@@ -197,7 +197,7 @@
             client.send(&text[..written]);
             all.push((client, text[written..].to_string()));
         }
-        node.holds(|held| held >= before + 4 * n, "not all were accepted");
+        node.wait_for_descriptors(|held| held >= before + 4 * n, "not all were accepted");
         // Behind all that was written: one thread reads it in turn.
         assert_eq!(node.client().call(&get("turn", "20000m")).status(), 200);
         Quiet(all)
--- a/crates/herondock/tests/tiers.rs
+++ b/crates/herondock/tests/tiers.rs
@@ -341,7 +341,7 @@
     let client = lower.client_that_sent(&order("late"));
     upstream.request();
     drop(client);
-    lower.holds(|held| held < before_it + 1, "its attempt is called off");
+    lower.wait_for_descriptors(|held| held < before_it + 1, "its attempt is called off");
     word.send(()).expect("it waits");
     assert_eq!(lower.client().call(&get("next", "15000m")).status(), 200);
     assert_eq!(ran.load(SeqCst), 2, "the first attempt, and the next request");
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -233,7 +233,7 @@
     }
 
     /// What it holds of requests, in all its tables.
-    pub fn holds(&self) -> usize {
+    pub fn retained_entries(&self) -> usize {
         self.open.len() + self.balancer.open() + self.events.len()
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// The registry tells it; what it was told of each upstream, as the rules count it.
-    pub fn told(
+    pub fn update_endpoints(
         &mut self,
         now: Nanos,
         news: SourceUpdate,
@@ -392,7 +392,7 @@
     }
 
     /// The attempt, if it is still out.
-    pub fn out(&mut self, id: u32, number: u32) -> Option<(&mut InFlightAttempt, u64)> {
+    pub fn in_flight_attempt(&mut self, id: u32, number: u32) -> Option<(&mut InFlightAttempt, u64)> {
         let open = self.open.get_mut(&id)?;
         let request = open.request;
         open.out.iter_mut().find(|o| o.number == number).map(|out| (out, request))
--- a/crates/verification/fleet-simulation/src/invariant_checks.rs
+++ b/crates/verification/fleet-simulation/src/invariant_checks.rs
@@ -92,8 +92,8 @@
     }
 
     /// An instance was told of an upstream.
-    pub fn told(&mut self, now: Nanos, instance: usize, server: usize, state: State) {
-        self.news.entry((instance, server)).or_default().told(span(now), state);
+    pub fn notify(&mut self, now: Nanos, instance: usize, server: usize, state: State) {
+        self.news.entry((instance, server)).or_default().notify(span(now), state);
     }
 
     /// Another process of an instance knows nothing yet.
--- a/crates/verification/fleet-simulation/src/main.rs
+++ b/crates/verification/fleet-simulation/src/main.rs
@@ -90,7 +90,7 @@
         "{name}: service {:.3}, earned {:.3}; {} asked, {} in time, {} late, {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
          {} requests, {} attempts; {:.0} % of upstreams slowed by crowding; {} of {:.0}/s [{}]",
         s.service(),
-        s.whole(),
+        s.total(),
         e.asked,
         e.in_time,
         e.late,
@@ -156,7 +156,7 @@
                     Some(fault) => r.violations.iter().any(|v| v.fault == fault),
                     None => !r.grown.is_empty(),
                 };
-                let least = shrink(&Case::whole(*seed, fleet.size), mutant, &shows);
+                let least = shrink(&Case::full_run(*seed, fleet.size), mutant, &shows);
                 println!("  the least of it:\n{}", toml::to_string(&least).unwrap_or_default());
             }
             println!("the least service:");
--- a/crates/verification/fleet-simulation/src/score.rs
+++ b/crates/verification/fleet-simulation/src/score.rs
@@ -43,7 +43,7 @@
 pub struct Score {
     /// How operations ended.
     pub ends: Ends,
-    whole: EarnedWeight,
+    total: EarnedWeight,
     steps: Vec<EarnedWeight>,
     classes: Vec<EarnedWeight>,
     clubs: Vec<EarnedWeight>,
@@ -109,7 +109,7 @@
             w.earned += earned;
             w.asked += op.worth;
         };
-        add(&mut self.whole);
+        add(&mut self.total);
         add(at(&mut self.steps, (op.at / STEP) as usize));
         add(at(&mut self.classes, op.class));
         if op.within {
@@ -128,12 +128,12 @@
             })
         });
         let worst = sums.map(EarnedWeight::part).fold(1.0, f64::min);
-        0.4 * self.whole.part() + 0.1 * worst + 0.1 * least(&self.classes) + 0.4 * least(&self.clubs)
+        0.4 * self.total.part() + 0.1 * worst + 0.1 * least(&self.classes) + 0.4 * least(&self.clubs)
     }
 
     /// The part of what was asked for that was earned.
-    pub fn whole(&self) -> f64 {
-        self.whole.part()
+    pub fn total(&self) -> f64 {
+        self.total.part()
     }
 
     /// The time, in milliseconds, within which this part of the served ones was served.
--- a/crates/verification/fleet-simulation/src/search.rs
+++ b/crates/verification/fleet-simulation/src/search.rs
@@ -35,7 +35,7 @@
 
 impl Case {
     /// The whole run of a seed.
-    pub fn whole(seed: u64, size: Size) -> Case {
+    pub fn full_run(seed: u64, size: Size) -> Case {
         Case { why: String::new(), seed, size, troubles: None, ends_ms: None }
     }
 
--- a/crates/verification/fleet-simulation/src/server.rs
+++ b/crates/verification/fleet-simulation/src/server.rs
@@ -255,7 +255,7 @@
     }
 
     /// A request in work is over; who comes next from the line.
-    pub fn leaves(&mut self, now: Nanos) -> Option<u64> {
+    pub fn complete_request(&mut self, now: Nanos) -> Option<u64> {
         self.reckon(now);
         self.version += 1;
         match self.line.pop_front() {
@@ -294,7 +294,7 @@
     }
 
     /// Requests that it holds.
-    pub fn holds(&self) -> usize {
+    pub fn requests(&self) -> usize {
         self.held + self.line.len()
     }
 }
--- a/crates/verification/fleet-simulation/src/server/tests.rs
+++ b/crates/verification/fleet-simulation/src/server/tests.rs
@@ -24,7 +24,7 @@
     let mut server = plain(2.0);
     let places: Vec<Place> = (0..6).map(|job| server.take(0, job)).collect();
     assert_eq!(places[3..], [Place::Work, Place::Line, Place::None]);
-    assert_eq!((server.leaves(0), server.holds()), (Some(4), 4), "the line moves up");
+    assert_eq!((server.complete_request(0), server.requests()), (Some(4), 4), "the line moves up");
     server.ends(0);
     server.starts(ms(10.0));
     server.works(ms(10.0), 9, 1e-6);
@@ -45,7 +45,7 @@
     server.reckon(0);
     server.reckon(second);
     assert!(server.slowed());
-    assert_eq!((server.leaves(second), server.leaves(second)), (None, None));
+    assert_eq!((server.complete_request(second), server.complete_request(second)), (None, None));
     server.reckon(second + 1);
     server.reckon(2 * second + 2);
     assert!(!server.slowed());
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -670,7 +670,7 @@
         self.attempts += 1;
         self.note(3, u64::from(attempt.id), server as u64);
         let of = attempt.of.instance;
-        if let Some((out, _)) = self.instances[of].out(attempt.id, attempt.number) {
+        if let Some((out, _)) = self.instances[of].in_flight_attempt(attempt.id, attempt.number) {
             let until = out.until;
             self.agenda.at(until, Happening::Due(attempt));
         }
@@ -679,7 +679,7 @@
         self.carry_out(of);
         match rested {
             Some(rested) => {
-                if let Some((out, _)) = self.instances[of].out(attempt.id, attempt.number) {
+                if let Some((out, _)) = self.instances[of].in_flight_attempt(attempt.id, attempt.number) {
                     out.connected = true;
                 }
                 let lost = self.stale.is_some_and(|most| rested > most);
@@ -708,7 +708,9 @@
         if !dialled || !s.up || s.connections >= s.build.connections {
             return self.ended(attempt, Ending::ConnectFailed, None);
         }
-        let Some((out, _)) = self.instances[attempt.of.instance].out(attempt.id, attempt.number) else {
+        let Some((out, _)) =
+            self.instances[attempt.of.instance].in_flight_attempt(attempt.id, attempt.number)
+        else {
             return;
         };
         out.connected = true;
@@ -720,7 +722,9 @@
     fn written(&mut self, attempt: Attempt, server: usize, fresh: bool, lost: bool) {
         let now = self.agenda.now();
         let of = attempt.of.instance;
-        let Some((out, request)) = self.instances[of].out(attempt.id, attempt.number) else { return };
+        let Some((out, request)) = self.instances[of].in_flight_attempt(attempt.id, attempt.number) else {
+            return;
+        };
         let until = out.until;
         if !self.instances[of].may_be_written(now, attempt.id, server, until) {
             return self.ended(attempt, Ending::Moot, None);
@@ -884,9 +888,9 @@
         let now = self.agenda.now();
         let failed = matches!(news, SourceUpdate::Unavailable(_));
         let known = self.instances[instance].known;
-        for (server, state) in self.instances[instance].told(now, news, &mut self.does) {
+        for (server, state) in self.instances[instance].update_endpoints(now, news, &mut self.does) {
             self.note(6, instance as u64, server as u64);
-            self.judge.told(now, instance, server, state);
+            self.judge.notify(now, instance, server, state);
         }
         self.carry_out(instance);
         if !known && self.instances[instance].known {
@@ -1019,7 +1023,7 @@
         match works {
             Some(seconds) => {
                 self.servers[server].works(now, job, seconds);
-                self.looks(server);
+                self.schedule_server(server);
             }
             None => {
                 let cut = j.cut;
@@ -1067,14 +1071,14 @@
         if !hung {
             self.agenda.after(way, Happening::Back { attempt: j.attempt, ending, kept });
         }
-        if let Some(next) = self.servers[j.server].leaves(now) {
+        if let Some(next) = self.servers[j.server].complete_request(now) {
             self.begins_work(next);
         }
-        self.looks(j.server);
+        self.schedule_server(j.server);
     }
 
     /// When an upstream is to be looked at next.
-    fn looks(&mut self, server: usize) {
+    fn schedule_server(&mut self, server: usize) {
         let now = self.agenda.now();
         let s = &self.servers[server];
         self.slowed[server] |= s.slowed();
@@ -1091,7 +1095,7 @@
         while let Some(job) = self.servers[server].through(now) {
             self.step(job);
         }
-        self.looks(server);
+        self.schedule_server(server);
     }
 
     /// An upstream's process ends: what it held is reset.
@@ -1213,14 +1217,14 @@
         s.reckon(now);
         change(s);
         s.version += 1;
-        self.looks(server);
+        self.schedule_server(server);
     }
 
     /// What came of it, once nothing more happens.
     fn report(self) -> Report {
         let mut grown = Vec::new();
-        for (k, i) in self.instances.iter().enumerate().filter(|(_, i)| i.up && i.holds() > 0) {
-            grown.push((format!("instance {k}"), i.holds()));
+        for (k, i) in self.instances.iter().enumerate().filter(|(_, i)| i.up && i.retained_entries() > 0) {
+            grown.push((format!("instance {k}"), i.retained_entries()));
         }
         let tables = [
             ("operations", self.operations.len()),
--- a/crates/verification/fleet-simulation/tests/rules.rs
+++ b/crates/verification/fleet-simulation/tests/rules.rs
@@ -60,7 +60,7 @@
     let found = search(Size::SMALL, mutant, 1, 40, Duration::MAX, THREADS);
     let many = |seed: u64| Scenario::draw(seed, Size::SMALL).troubles.len() > 1;
     let (seed, _) = found.broken.iter().find(|(seed, r)| lost(r) && many(*seed)).expect("one is caught");
-    let whole = Case::whole(*seed, Size::SMALL);
+    let whole = Case::full_run(*seed, Size::SMALL);
     let least = shrink(&whole, mutant, &lost);
     assert!(lost(&play(&least.scenario(), mutant)));
     assert!(least.scenario().troubles.len() < whole.scenario().troubles.len());
--- a/crates/verification/invariants/src/lib.rs
+++ b/crates/verification/invariants/src/lib.rs
@@ -158,7 +158,7 @@
 
 impl NotificationDeadline {
     /// It was told this.
-    pub fn told(&mut self, at: Duration, state: State) {
+    pub fn notify(&mut self, at: Duration, state: State) {
         self.0 = match state {
             State::Ready => None,
             State::Closed => self.0.or(Some(at)),
--- a/crates/verification/testkit/src/caller.rs
+++ b/crates/verification/testkit/src/caller.rs
@@ -156,18 +156,18 @@
 
     /// Adds a balancer, or changes where it is.
     pub fn reach(&mut self, name: &str, addr: SocketAddr) {
-        self.leave(name);
+        self.remove_balancer(name);
         self.balancers.push((name.into(), addr));
     }
 
     /// Takes a balancer out: nothing new goes there.
-    pub fn leave(&mut self, name: &str) {
+    pub fn remove_balancer(&mut self, name: &str) {
         self.balancers.retain(|(n, _)| n != name);
     }
 
     /// Asks on each new connection first whether the balancer is ready, as a front does that keeps away from what is
     /// leaving; and goes to another if it is not.
-    pub fn asks_first(mut self) -> Caller {
+    pub fn with_readiness_check(mut self) -> Caller {
         self.asks = true;
         self
     }
@@ -295,7 +295,7 @@
             self.ledger.write(Entry::Sent { request: sent, balancer, effect, patience });
             // A little longer than it promised to: whether an answer is late is the ledger's to judge.
             let left = until.saturating_duration_since(Instant::now()) + Duration::from_millis(200);
-            let answer = match link.ask(operation, key, &request, patience, left) {
+            let answer = match link.request(operation, key, &request, patience, left) {
                 ResponseOutcome::Answer(answer) => answer,
                 // A balancer may close a connection between requests, and this one crossed that: once more, on another,
                 // as the same request. Silence is something else.
@@ -345,7 +345,7 @@
 }
 
 impl Link {
-    fn ask(
+    fn request(
         &mut self,
         op: &Operation,
         key: &str,
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -198,7 +198,7 @@
     }
 
     /// Waits until there is a leader and all voters have applied the same entries.
-    pub fn whole(&self) {
+    pub fn wait_until_converged(&self) {
         self.until("whole", |all| {
             let led = all.iter().any(|s| s.role == "leader");
             let last = all.iter().map(|s| s.applied_index).max();
@@ -225,7 +225,7 @@
     }
 
     /// Reads all keys with a prefix, and their values.
-    pub fn under(&self, prefix: &str) -> Vec<(String, String)> {
+    pub fn list(&self, prefix: &str) -> Vec<(String, String)> {
         self.read(Select::Prefix(prefix.into()))
     }
 
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -245,7 +245,7 @@
                     }
                 }
                 Entry::Told { balancer, upstream, state } => {
-                    news.entry((balancer, upstream)).or_default().told(r.at, *state);
+                    news.entry((balancer, upstream)).or_default().notify(r.at, *state);
                 }
                 Entry::Started { upstream, cold } => {
                     warming.insert(upstream, Warming::new(r.at, *cold));
--- a/crates/verification/testkit/src/node.rs
+++ b/crates/verification/testkit/src/node.rs
@@ -145,7 +145,7 @@
     }
 
     /// Waits until the number of its descriptors is as wanted.
-    pub fn holds(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
+    pub fn wait_for_descriptors(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
         let started = Instant::now();
         while !wanted(self.descriptors()) {
             assert!(started.elapsed() < PATIENCE, "{otherwise}");
--- a/crates/verification/testkit/src/plain.rs
+++ b/crates/verification/testkit/src/plain.rs
@@ -79,7 +79,7 @@
             };
             // What such a caller does: between two requests, or between connecting and asking, time passes.
             thread::sleep(self.rest.mul_f64(f64::from(step % 8) / 7.0));
-            match self.ask(&mut stream, ledger) {
+            match self.request(&mut stream, ledger) {
                 None if used => met.crossed += 1,
                 None => met.cut_off += 1,
                 Some((status, closes)) => {
@@ -100,7 +100,7 @@
     }
 
     /// Status of the answer, and whether its connection closes with it; `None`: there was none.
-    fn ask(self, stream: &mut BufReader<TcpStream>, ledger: &Arc<Ledger>) -> Option<(u16, bool)> {
+    fn request(self, stream: &mut BufReader<TcpStream>, ledger: &Arc<Ledger>) -> Option<(u16, bool)> {
         let request = format!("plain-{:x}-{:x}", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
         let (effect, patience, balancer) = (Effect::Unsafe, Duration::from_secs(10), self.balancer.into());
         ledger.write(Entry::Sent { request: request.clone(), balancer, effect, patience });
--- a/crates/verification/testkit/tests/standins.rs
+++ b/crates/verification/testkit/tests/standins.rs
@@ -77,7 +77,7 @@
             }
         }
     });
-    let mut caller = Caller::new(ledger.clone(), 3).asks_first();
+    let mut caller = Caller::new(ledger.clone(), 3).with_readiness_check();
     caller.reach("n1", addr);
     let done = caller.call(&operation(Effect::Unsafe));
     assert!(matches!((done.outcome, done.tries), (Outcome::Served { .. }, 1)), "{done:?}");
