--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -150,12 +150,17 @@
         Ok(BuildPaths { old: path(table, "old", &self.old)?, new: path(table, "new", &self.new)? })
     }
 
-    fn stages(&self, table: &TableReader<'_>) -> Result<Vec<Stage>, ConfigError> {
-        let stages = self.waves.get_ref();
-        if stages.is_empty() || stages.len() > MAX_STAGES {
-            let message = format!("there are {}, and not 1 to {MAX_STAGES}", stages.len());
+    fn check_stage_count(&self, table: &TableReader<'_>) -> Result<(), ConfigError> {
+        let count = self.waves.get_ref().len();
+        if !(1..=MAX_STAGES).contains(&count) {
+            let message = format!("there are {count}, and not 1 to {MAX_STAGES}");
             return Err(table.error(self.waves.span().start, "waves", message));
         }
+        Ok(())
+    }
+
+    fn stages(&self, table: &TableReader<'_>) -> Result<Vec<Stage>, ConfigError> {
+        let stages = self.waves.get_ref();
         let resolve = |(k, value)| stage(table, &format!("waves[{k}]"), value);
         stages.iter().enumerate().map(resolve).collect()
     }
@@ -176,9 +181,31 @@
     }
 }
 
+/// Least amounts that the analysis takes into account.
+struct AnalysisMinimums {
+    memory_bytes: usize,
+    requests: u64,
+}
+
 impl RawAnalysis {
-    fn resolve(self, text: &str, max_checks: u32) -> Result<CanaryAnalysis, ConfigError> {
-        let table = TableReader { text, path: "gate".into() };
+    fn minimums(&mut self, table: &TableReader<'_>) -> Result<AnalysisMinimums, ConfigError> {
+        let memory = self.memory.take();
+        let memory_key = table.field("memory");
+        let memory_bytes =
+            quantity(table.text, &memory_key, memory, DEFAULT_MEMORY_BYTES, 1, MAX_MEMORY_BYTES)?;
+        let requests = match &self.requests {
+            Some(requests) => min_requests(table, requests)?,
+            None => CanaryAnalysis::default().min_requests,
+        };
+        Ok(AnalysisMinimums { memory_bytes, requests })
+    }
+
+    fn resolve(
+        self,
+        table: &TableReader<'_>,
+        minimums: &AnalysisMinimums,
+        max_checks: u32,
+    ) -> Result<CanaryAnalysis, ConfigError> {
         let default = CanaryAnalysis::default();
         let share = |key: &str, value: Option<&Spanned<String>>, default: f64| match value {
             Some(value) => Ok(proportion(table.share(key, value)?)),
@@ -188,22 +215,17 @@
             let min_difference = share(key, value, default.min_difference)?;
             Ok(MetricThreshold { min_difference })
         };
-        let memory_key = table.field("memory");
-        let memory = quantity(text, &memory_key, self.memory, DEFAULT_MEMORY_BYTES, 1, MAX_MEMORY_BYTES)?;
         Ok(CanaryAnalysis {
             unserved: threshold("unserved", self.unserved.as_ref(), default.unserved)?,
             late: threshold("late", self.late.as_ref(), default.late)?,
-            memory: MetricThreshold { min_difference: memory as f64 / f64::from(MB) },
+            memory: MetricThreshold { min_difference: minimums.memory_bytes as f64 / f64::from(MB) },
             false_positive_rate: share(
                 "false_halts",
                 self.false_halts.as_ref(),
                 default.false_positive_rate,
             )?,
             max_checks,
-            min_requests: match &self.requests {
-                Some(requests) => min_requests(&table, requests)?,
-                None => default.min_requests,
-            },
+            min_requests: minimums.requests,
         })
     }
 }
@@ -246,14 +268,17 @@
 /// The first fault, with its place.
 pub fn parse(bytes: &[u8]) -> Result<RolloutConfig, ConfigError> {
     let (text, raw) = read_text::<RawConfig>(bytes)?;
-    let RawConfig { council, release: mut rollout, gate: analysis, machine: machines } = raw;
+    let RawConfig { council, release: mut rollout, gate: mut analysis, machine: machines } = raw;
     let coordination = council.resolve(text)?;
     let table = TableReader { text, path: "release".into() };
     let paths = rollout.paths(&table)?;
     let machine_paths = machine_paths(text, &machines, &paths)?;
-    let stages = rollout.stages(&table)?;
+    rollout.check_stage_count(&table)?;
     let durations = rollout.durations(&table)?;
-    let analysis = analysis.resolve(text, durations.max_checks(stages.len()))?;
+    let analysis_table = TableReader { text, path: "gate".into() };
+    let minimums = analysis.minimums(&analysis_table)?;
+    let stages = rollout.stages(&table)?;
+    let analysis = analysis.resolve(&analysis_table, &minimums, durations.max_checks(stages.len()))?;
     let Durations { bake, check_interval, max_bake } = durations;
     Ok(RolloutConfig {
         coordination,
