--- a/crates/foundations/config/src/disruption.rs
+++ b/crates/foundations/config/src/disruption.rs
@@ -1,5 +1,6 @@
 //! File of disruption budgets and of the coordination service that stores them. `deploy/outages.example.toml` documents it.
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::file::{read_config, ConfigFileError};
 use crate::table_reader::TableReader;
 use crate::values::{fault_at, read_text, ConfigError};
 use disruption::budget::{DisruptionBudget, DisruptionBudgets, GroupBy, InvalidBudget, MAX_NAME_BYTES};
@@ -126,8 +127,8 @@
 ///
 /// # Errors
 /// One line: the path, line and column if known, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<DisruptionConfig, String> {
-    crate::operator::read_with(path, parse)
+pub fn read(path: &Path) -> Result<DisruptionConfig, ConfigFileError> {
+    read_config(path, parse)
 }
 
 /// Whether a TOML file contains disruption budgets.
--- a/crates/foundations/config/src/file.rs
+++ b/crates/foundations/config/src/file.rs
@@ -1,9 +1,9 @@
 //! Reading configuration files; an error names the file and, where there is one, the place.
-use crate::values::{read_consistent, ConfigError, MAX_FILE_BYTES};
+use crate::values::{read_consistent, ConfigError, ReadFileError, MAX_FILE_BYTES};
 use std::path::{Path, PathBuf};
 
 /// A configuration file can't be read or is invalid.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The file can't be read.
     #[error("{}: {reason}", path.display())]
@@ -11,7 +11,7 @@
         /// The file.
         path: PathBuf,
         /// Why it can't be read.
-        reason: String,
+        reason: ReadFileError,
     },
     /// The content is invalid.
     #[error("{}:{}{error}", path.display(), if error.line == 0 { " " } else { "" })]
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -5,10 +5,11 @@
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
 use crate::discovery::{DiscoveryConfig, RawConsul, RawRegistry, RawStatic};
 use crate::fastcgi::{FastCgi, RawFastCgi};
+use crate::file::{read_config, ConfigFileError};
 use crate::request_budget::{BudgetTable, RawBudget};
 use crate::routing::{RawRouting, Routing};
 use crate::values::{path_value, quantity, read_text, Quantity};
-pub use crate::values::{read_consistent, ConfigError, MAX_FILE_BYTES};
+pub use crate::values::{read_consistent, ConfigError, ReadFileError, MAX_FILE_BYTES};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -231,8 +232,8 @@
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<OperatorConfig, String> {
-    read_with(path, parse)
+pub fn read(path: &Path) -> Result<OperatorConfig, ConfigFileError> {
+    read_config(path, parse)
 }
 
 /// Whether a line of a file is the header of this table.
@@ -241,9 +242,5 @@
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == header)
 }
 
-pub(crate) fn read_with<T>(path: &Path, parse: fn(&[u8]) -> Result<T, ConfigError>) -> Result<T, String> {
-    crate::file::read_config(path, parse).map_err(|error| error.to_string())
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/foundations/config/src/operator/tests.rs
+++ b/crates/foundations/config/src/operator/tests.rs
@@ -122,14 +122,14 @@
 #[test]
 fn files_that_are_none_are_refused() {
     let here = Path::new(env!("CARGO_MANIFEST_DIR"));
-    assert!(read(here).expect_err("a directory").ends_with("is a directory"));
+    assert!(read(here).expect_err("a directory").to_string().ends_with("is a directory"));
     assert!(read(&here.join("none")).is_err());
-    assert!(read(Path::new("/dev/zero")).expect_err("endless").ends_with("is no regular file"));
+    assert!(read(Path::new("/dev/zero")).expect_err("endless").to_string().ends_with("is no regular file"));
     let large = std::env::temp_dir().join(format!("herondock-large-{}.toml", std::process::id()));
     std::fs::write(&large, vec![b'#'; 10 << 20]).expect("writes");
     let error = read(&large).expect_err("10 MiB");
     std::fs::remove_file(&large).expect("removes");
-    assert!(error.ends_with("holds more than 1048576 bytes"), "{error}");
+    assert!(error.to_string().ends_with("holds more than 1048576 bytes"), "{error}");
 }
 
 /// Guards against a mixture of an old and a new file: one writer replaces it all the time.
--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -1,6 +1,7 @@
 //! File of a rollout: the builds, the stages, the analysis, and the coordination service that stores it.
 //! `deploy/release.example.toml` documents it.
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::file::{read_config, ConfigFileError};
 use crate::table_reader::{DurationRange, TableReader};
 use crate::values::{quantity, read_text, ConfigError};
 use rollout::canary::MetricThreshold;
@@ -298,8 +299,8 @@
 ///
 /// # Errors
 /// One line: the path, line and column if known, the field, and what is wrong.
-pub fn read(path: &Path) -> Result<RolloutConfig, String> {
-    crate::operator::read_with(path, parse)
+pub fn read(path: &Path) -> Result<RolloutConfig, ConfigFileError> {
+    read_config(path, parse)
 }
 
 /// Whether a TOML file contains a rollout.
--- a/crates/foundations/config/src/supervisor.rs
+++ b/crates/foundations/config/src/supervisor.rs
@@ -1,5 +1,6 @@
 //! Configuration file of a supervisor: TOML, documented by `deploy/fleet.example.toml`.
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
+use crate::file::{read_config, ConfigFileError};
 use crate::table_reader::{DurationRange, TableReader};
 use crate::values::{read_text, ConfigError};
 use ::supervisor::SupervisorPolicy;
@@ -216,8 +217,8 @@
 ///
 /// # Errors
 /// One line: the file's path, then line and column where there are any, the field, and the fault.
-pub fn read(path: &Path) -> Result<FleetConfig, String> {
-    let mut fleet = crate::operator::read_with(path, parse)?;
+pub fn read(path: &Path) -> Result<FleetConfig, ConfigFileError> {
+    let mut fleet = read_config(path, parse)?;
     let base = path.parent().unwrap_or(Path::new(""));
     fleet.folder = base.join(&fleet.folder);
     for instance in &mut fleet.instances {
--- a/crates/foundations/config/src/values.rs
+++ b/crates/foundations/config/src/values.rs
@@ -168,38 +168,57 @@
     Ok((text, raw))
 }
 
-/// Reads a file whole that may be replaced meanwhile: what is returned stood in it at one time.
+/// Why a file can't be read; the path is not part of the message.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadFileError {
+    /// It is a directory.
+    #[error("is a directory")]
+    Directory,
+    /// It is neither a regular file nor a directory.
+    #[error("is no regular file")]
+    NotRegular,
+    /// It is larger than this number of bytes.
+    #[error("holds more than {0} bytes")]
+    TooLarge(u64),
+    /// Its content changed during each attempt to read it.
+    #[error("changes while it is read")]
+    Unstable,
+    /// The system can't read it.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
+/// Reads a complete file that may be replaced or written meanwhile: the result is its content at one time.
 ///
 /// # Errors
 /// It is no regular file, holds more than `most` bytes, can't be read, or goes on changing.
-pub fn read_consistent(path: &Path, most: u64) -> Result<Vec<u8>, String> {
-    let plain = |e: std::io::Error| e.to_string();
+pub fn read_consistent(path: &Path, most: u64) -> Result<Vec<u8>, ReadFileError> {
     // Before it is opened: opening a pipe would wait for its writer.
-    let kind = std::fs::metadata(path).map_err(plain)?;
+    let kind = std::fs::metadata(path)?;
     if kind.is_dir() {
-        return Err("is a directory".into());
+        return Err(ReadFileError::Directory);
     }
     if !kind.is_file() {
-        return Err("is no regular file".into());
+        return Err(ReadFileError::NotRegular);
     }
     for _ in 0..READS {
-        let mut file = File::open(path).map_err(plain)?;
-        let before = file.metadata().map_err(plain)?;
+        let mut file = File::open(path)?;
+        let before = file.metadata()?;
         let mut bytes = Vec::new();
         match file.by_ref().take(most + 1).read_to_end(&mut bytes) {
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-            Err(e) => return Err(e.to_string()),
+            Err(e) => return Err(e.into()),
         }
         if bytes.len() as u64 > most {
-            return Err(format!("holds more than {most} bytes"));
+            return Err(ReadFileError::TooLarge(most));
         }
-        let after = file.metadata().map_err(plain)?;
+        let after = file.metadata()?;
         // Guards against the half of a file that is being written in place: replaced by renaming it is whole.
         let same = before.modified().ok() == after.modified().ok() && after.len() == bytes.len() as u64;
         if same {
             return Ok(bytes);
         }
     }
-    Err("changes while it is read".into())
+    Err(ReadFileError::Unstable)
 }
--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -2,6 +2,7 @@
 use crate::node_config::{self, NodeConfigError};
 use crate::run::{read_table, RunError};
 use balancer::{Balancer, SettingsError};
+use config::file::ConfigFileError;
 use config::{coordination, disruption, operator, rollout, routing, supervisor};
 use route_table::spec::KnownNames;
 use std::path::{Path, PathBuf};
@@ -19,8 +20,10 @@
 #[derive(Debug, thiserror::Error)]
 enum FileError {
     /// It can't be read or parsed.
-    #[error("{0}")]
-    Config(String),
+    #[error(transparent)]
+    Config(#[from] ConfigFileError),
+    #[error("{}: {source}", .path.display())]
+    InstanceOperatorFile { path: PathBuf, source: ConfigFileError },
     #[error(transparent)]
     NodeConfig(#[from] NodeConfigError),
     #[error(transparent)]
@@ -66,24 +69,21 @@
     path.extension().is_some_and(|extension| extension == "json")
 }
 
-fn invalid(error: impl ToString) -> FileError {
-    FileError::Config(error.to_string())
-}
-
 fn check_file(path: &Path, world: Option<&KnownNames>) -> Result<(), FileError> {
     if is_node_config(path) {
-        check_node_config(path)
+        check_node_config(path)?;
     } else if coordination::is_coordination_file(path) {
-        coordination::read(path).map(drop).map_err(invalid)
+        coordination::read(path)?;
     } else if disruption::is_disruption_file(path) {
-        disruption::read(path).map(drop).map_err(invalid)
+        disruption::read(path)?;
     } else if rollout::is_rollout_file(path) {
-        rollout::read(path).map(drop).map_err(invalid)
+        rollout::read(path)?;
     } else if supervisor::is_fleet_file(path) {
-        check_fleet(path)
+        check_fleet(path)?;
     } else {
-        check_operator(path, world)
+        check_operator(path, world)?;
     }
+    Ok(())
 }
 
 fn check_node_config(path: &Path) -> Result<(), FileError> {
@@ -94,7 +94,7 @@
 
 /// Checks a fleet's file and all files that it refers to.
 fn check_fleet(path: &Path) -> Result<(), FileError> {
-    let fleet = supervisor::read(path).map_err(invalid)?;
+    let fleet = supervisor::read(path)?;
     check_coordination(path, &fleet)?;
     for instance in &fleet.instances {
         check_file(&instance.config, None)?;
@@ -114,7 +114,8 @@
     }
     for instance in &fleet.instances {
         let operator = instance.operator.as_deref().map(operator::read).transpose();
-        let operator = operator.map_err(|e| invalid(format!("{}: {e}", path.display())))?;
+        let operator =
+            operator.map_err(|source| FileError::InstanceOperatorFile { path: path.into(), source })?;
         if operator.is_none_or(|operator| operator.council.is_none()) {
             let instance = instance.name.clone();
             return Err(FileError::WithoutCoordination { path: path.into(), instance });
@@ -124,7 +125,7 @@
 }
 
 fn check_operator(path: &Path, world: Option<&KnownNames>) -> Result<(), FileError> {
-    let operator = operator::read(path).map_err(invalid)?;
+    let operator = operator::read(path)?;
     if operator.routing.table.is_none() {
         return Ok(());
     }
--- a/crates/herondock/src/cli/disruption.rs
+++ b/crates/herondock/src/cli/disruption.rs
@@ -87,6 +87,6 @@
 }
 
 fn run(file: &Path, command: Command) -> anyhow::Result<()> {
-    let config = config::disruption::read(file).map_err(anyhow::Error::msg)?;
+    let config = config::disruption::read(file)?;
     disruption_agent::command::run(&config, command).map_err(anyhow::Error::msg)
 }
--- a/crates/herondock/src/cli/rollout.rs
+++ b/crates/herondock/src/cli/rollout.rs
@@ -53,7 +53,7 @@
             RolloutArgs::Resume { file } => (file, Command::Operator(OperatorCommand::Resume)),
             RolloutArgs::Rollback { file, why } => (file, Command::Operator(OperatorCommand::RollBack(why))),
         };
-        let config = config::rollout::read(&file).map_err(anyhow::Error::msg)?;
+        let config = config::rollout::read(&file)?;
         run(&config, command).map_err(anyhow::Error::msg)
     }
 }
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -1,5 +1,5 @@
 //! The platform's configuration of one balancer (`NODE_CONFIG`, JSON) as typed values.
-use config::operator::read_consistent;
+use config::operator::{read_consistent, ReadFileError};
 use config::Deployment;
 use discovery::platform::staleness::StalenessSettings;
 use discovery::platform::{self, EndpointListResponse};
@@ -35,7 +35,7 @@
         /// The file.
         path: PathBuf,
         /// Why.
-        reason: String,
+        reason: ReadFileError,
     },
     /// The content of the file is not valid.
     #[error("{}: {source}", .path.display())]
@@ -120,7 +120,7 @@
 /// # Errors
 /// It can't be read, or is not valid.
 pub fn read(path: &Path) -> Result<NodeConfig, NodeConfigError> {
-    let unreadable = |reason: String| NodeConfigError::Unreadable { path: path.into(), reason };
+    let unreadable = |reason| NodeConfigError::Unreadable { path: path.into(), reason };
     let text = read_consistent(path, MAX_FILE_BYTES).map_err(unreadable)?;
     NodeConfig::parse(&text).map_err(|source| NodeConfigError::Invalid { path: path.into(), source })
 }
--- a/crates/herondock/src/routing/inspect.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -34,7 +34,7 @@
 }
 
 fn load_table(file: &Path, world: &KnownNames) -> Result<(Table, Vec<Expectation>), String> {
-    let operator = operator::read(file)?;
+    let operator = operator::read(file).map_err(|error| error.to_string())?;
     let base = file.parent().unwrap_or(Path::new(""));
     let found = routing::read(&operator.routing, base, world).map_err(|faults| faults.join("\n"))?;
     found.ok_or_else(|| format!("{}: there is no routing.table", file.display()))
--- a/crates/herondock/src/run/error.rs
+++ b/crates/herondock/src/run/error.rs
@@ -5,6 +5,7 @@
 use crate::request_budgets::SecretError;
 use crate::routing::TooManyTableChanges;
 use balancer::SettingsError;
+use config::file::ConfigFileError;
 use daemon::pid_file::PidFileError;
 use daemon::service_manager::ActivationError;
 use daemon::signals::SignalError;
@@ -20,8 +21,8 @@
     #[error(transparent)]
     NodeConfig(#[from] NodeConfigError),
     /// The operator's file can't be used.
-    #[error("{0}")]
-    OperatorFile(String),
+    #[error(transparent)]
+    OperatorFile(#[from] ConfigFileError),
     /// The routing table can't be used: all that is wrong with it.
     #[error("{0}")]
     RoutingTable(String),
