--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -170,7 +170,7 @@
         self.all_pools().iter().for_each(|pool| pool.driver.answer_within(time));
     }
 
-    /// Fails every open request; see [`DriverHandle::fail_open`].
+    /// Fails every open request; see [`DriverHandle::fail_open_requests`].
     pub fn fail_open_requests(&self) {
         self.all_pools().iter().for_each(|pool| pool.driver.fail_open_requests());
     }
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use testkit::ledger::{Effect, Entry, Fault, Figures, Ledger};
+//! use testkit::ledger::{Breach, Effect, Entry, Ledger, RuleParameters};
 //!
 //! let ledger = Ledger::new();
 //! let ms = Duration::from_millis;
@@ -18,8 +18,8 @@
 //! ledger.write_at(ms(5), ran);
 //! // A refusal promises that another try is harmless, and this one has run.
 //! ledger.write_at(ms(20), Entry::Answered { request, status: 503 });
-//! let found = ledger.check(&Figures::default());
-//! assert_eq!(found[0].fault, Fault::RefusedAfterRunning);
+//! let found = ledger.check(&RuleParameters::default());
+//! assert_eq!(found[0].fault, Breach::RefusedAfterRunning);
 //! ```
 pub use invariants::{Breach, Cold, Effect, Rule, RuleParameters, Scope, State};
 use invariants::{NotificationDeadline, RequestHistory, Warming};
--- a/crates/verification/testkit/src/lib.rs
+++ b/crates/verification/testkit/src/lib.rs
@@ -21,12 +21,12 @@
 //!
 //! Everything listens on ephemeral loopback ports, and runs in plain threads that block. A test waits for what it
 //! needs to have happened and never for a time: what stand-ins see comes over channels, [`node::Node::logs`] and
-//! [`node::Node::holds`] wait for a state of the program, and [`PATIENCE`] only ends a test that has failed.
+//! [`node::Node::wait_for_descriptors`] wait for a state of the program, and [`PATIENCE`] only ends a test that has failed.
 //!
 //! ```
 //! use std::sync::Arc;
 //! use testkit::caller::{Caller, Operation, Outcome};
-//! use testkit::ledger::{Effect, Figures, Ledger};
+//! use testkit::ledger::{Effect, RuleParameters, Ledger};
 //! use testkit::script::Script;
 //! use testkit::upstream::{ok, Options, Then, Upstream};
 //!
@@ -40,7 +40,7 @@
 //! // Turned away once, which promises that another try is harmless; then served.
 //! let done = caller.call(&operation);
 //! assert!(matches!(done.outcome, Outcome::Served { .. }) && done.tries == 2);
-//! assert_eq!(ledger.check(&Figures::default()), []);
+//! assert_eq!(ledger.check(&RuleParameters::default()), []);
 //! ```
 pub mod caller;
 pub mod consul;
