--- a/crates/data-plane/request-budget/src/lib.rs
+++ b/crates/data-plane/request-budget/src/lib.rs
@@ -1,101 +1,102 @@
-//! What a request may still use on its way through the tiers, without I/O: time until its caller gives up, repeats, worth,
-//! and where it has been.
+//! Request budgets, without I/O: the time, retries and worth that a request has left on its way through the tiers, and the
+//! path that it has taken.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`grammar`] | the fields in which it is carried, read and written |
-//! | [`path`] | where a request has been, and loops |
-//! | [`retry_budget`] | the repeats of one request: spent, granted downwards, given back |
-//! | [`usage_feedback`] | whether an upstream tells what was used below it |
-//! | [`log_throttle`] | what is said once for each cause, and not for each request |
+//! | [`grammar`] | parsing and formatting of the header fields |
+//! | [`path`] | the path of a request, and detection of loops |
+//! | [`retry_budget`] | retries of one request: spent, granted to attempts, and returned unused |
+//! | [`usage_feedback`] | whether an upstream reports the retries that were used below it |
+//! | [`log_throttle`] | rate limit for log lines, by cause |
 //!
-//! A *repeat* is an attempt beyond the first at a hop. First attempts are the work itself: a call that a tier has to make
-//! costs nothing here, however deep the chain is.
+//! A *retry* is an attempt beyond the first at a hop. First attempts cost nothing, however deep the chain of tiers is: they
+//! are calls that a tier has to make.
 pub mod grammar;
 pub mod log_throttle;
 pub mod path;
 pub mod retry_budget;
 pub mod usage_feedback;
 
-use grammar::{BudgetOffer, MalformedBudget};
+use grammar::{MalformedBudget, RequestedBudget};
 use path::{HopMarker, Path, PathRejection};
 
-/// The most that any caller is believed.
+/// Upper bounds of a budget, whatever the caller requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Repeats for a whole request; also what one begins with that brings none.
+    /// Maximum number of retries of a request, and the number of a request that comes without one.
     pub retries: u32,
-    /// Hops that a request may have behind it.
+    /// Maximum number of hops that a request may have passed.
     pub hops: usize,
-    /// The worth of a request that its caller marks as a repeat of its own and states no worth for, 0 to 1.
+    /// Worth, from 0 to 1, of a request that its caller marks as a retry and that states no worth.
     pub repeat_worth: f64,
 }
 
-/// What came with a request, as its front found it.
+/// Header fields of an incoming request, as received by the front.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingFields<'a> {
-    /// Every value of the budget's field.
+    /// All values of the budget field.
     pub budget: &'a [&'a [u8]],
-    /// Every value of the path's field.
+    /// All values of the path field.
     pub path: &'a [&'a [u8]],
-    /// How long the caller waits, in milliseconds, by the field that always says so.
+    /// Time that the caller waits for the response, in milliseconds, from the deadline field that every request has.
     pub patience: f64,
-    /// Whether the caller marks the request as a repeat of its own.
+    /// Whether the caller marks the request as a retry.
     pub repeated: bool,
-    /// Whether callers at this front are believed.
+    /// Whether budgets of callers at this front are accepted; otherwise they are ignored.
     pub trusted: bool,
 }
 
-/// What a request may still use at this hop and below it.
+/// Budget of a request at this hop and below it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Milliseconds until its caller gives up.
+    /// Time until the caller's deadline, in milliseconds.
     pub left: f64,
-    /// Repeats.
+    /// Number of retries that are left.
     pub retries: u32,
-    /// What an answer is worth, 0 to 1.
+    /// Value of serving the request, 0 to 1.
     pub worth: f64,
-    /// Where it has been, this hop included.
+    /// Pools that the request has passed, this one included.
     pub path: Path,
-    /// Whether it came with a budget, so that its caller is told what was used.
+    /// Whether the request came with a budget field, so that its response reports the usage.
     pub told: bool,
 }
 
-/// Why a request is not taken.
+/// Reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetRejection {
-    /// Its fields can't be believed: bad input.
+    /// The budget field is malformed, or contradicts the deadline: a client error.
     Bad(MalformedBudget),
-    /// It has been here, or at too many places: refused, and nothing ran.
+    /// The request has passed this pool before, or too many hops: refused without an effect.
     Refused(PathRejection),
 }
 
 impl Budget {
-    /// What a request may use that came with this.
+    /// The budget of a request with these fields.
     ///
-    /// Nothing that a caller says widens anything: repeats are bounded, worth is at most 1, and time is the least of what
-    /// was said. A forged path harms the request alone that carries it, so that paths are honoured whoever sends them.
+    /// No field extends the bounds: retries are bounded, worth is at most 1, and the caller's deadline must not be longer
+    /// than the time left in the budget. Paths are respected whoever sends them: a forged one affects only the request that
+    /// carries it.
     ///
     /// # Errors
     /// See [`BudgetRejection`].
-    pub fn of(given: &IncomingFields, bounds: &Bounds, own: &HopMarker) -> Result<Budget, BudgetRejection> {
-        let path = Path::read(given.path.iter().copied()).map_err(BudgetRejection::Refused)?;
-        let path = path.visit(own, bounds.hops).map_err(BudgetRejection::Refused)?;
-        let offer = match given.trusted {
-            true => grammar::read_budget(given.budget).map_err(BudgetRejection::Bad)?,
+    pub fn of(fields: &IncomingFields, bounds: &Bounds, own: &HopMarker) -> Result<Budget, BudgetRejection> {
+        let path = Path::read(fields.path.iter().copied()).map_err(BudgetRejection::Refused)?;
+        let path = path.with_hop(own, bounds.hops).map_err(BudgetRejection::Refused)?;
+        let requested = match fields.trusted {
+            true => grammar::read_budget(fields.budget).map_err(BudgetRejection::Bad)?,
             false => None,
         };
-        let BudgetOffer { left, retries, worth } = offer.unwrap_or_default();
-        if left.is_some_and(|left| given.patience > left + grammar::ROUNDING) {
-            return Err(BudgetRejection::Bad(MalformedBudget::Conflict));
+        let RequestedBudget { left_ms, retries, worth } = requested.unwrap_or_default();
+        if left_ms.is_some_and(|left_ms| fields.patience > left_ms + grammar::ROUNDING_TOLERANCE_MS) {
+            return Err(BudgetRejection::Bad(MalformedBudget::LateDeadline));
         }
-        let usual = if given.repeated { bounds.repeat_worth } else { 1.0 };
+        let default_worth = if fields.repeated { bounds.repeat_worth } else { 1.0 };
         Ok(Budget {
-            left: given.patience,
+            left: fields.patience,
             retries: retries.map_or(bounds.retries, |n| n.min(bounds.retries)),
-            worth: worth.unwrap_or(usual).clamp(0.0, 1.0),
+            worth: worth.unwrap_or(default_worth).clamp(0.0, 1.0),
             path,
-            told: offer.is_some(),
+            told: requested.is_some(),
         })
     }
 }
--- a/crates/data-plane/request-budget/src/path.rs
+++ b/crates/data-plane/request-budget/src/path.rs
@@ -1,43 +1,44 @@
-//! Where a request has been: the entries of `Via` (RFC 9110, section 7.6.3), which proxies pass on where they drop what they
-//! don't know. Each pool adds a pseudonym that tells outsiders nothing; a request that carries one's own has come back.
-use crate::grammar::Stop;
+//! Path of a request: the entries of `Via` (RFC 9110, section 7.6.3), a field that proxies forward even where they drop
+//! unknown ones. Each pool appends a pseudonym that reveals nothing to outsiders; a request that carries the pool's own
+//! pseudonym has come back in a loop.
+use crate::grammar::StopReason;
 use std::fmt;
 use std::rc::Rc;
 
-/// Longest path that is looked at, in bytes.
+/// Maximum length of a path, in bytes.
 const MAX_PATH_BYTES: usize = 2048;
 
-/// The pseudonym of a pool: the same for all its instances, and for nobody to guess who has not its secret.
+/// Pseudonym of a pool: the same for all its instances, and not predictable without its secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HopMarker(Rc<str>);
 
 impl HopMarker {
-    /// The mark of this pool under this secret.
+    /// The marker of a pool, derived from this secret.
     pub fn new(secret: &[u8], pool: &str) -> HopMarker {
         HopMarker(format!("hd-{:016x}", hashing::keyed(secret, pool.as_bytes())).into())
     }
 
-    /// As it stands in the path.
+    /// Text of the marker, as it is written in the path.
     pub fn text(&self) -> &str {
         &self.0
     }
 }
 
-/// Why a request goes no further.
+/// Reason why a request is not forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathRejection {
-    /// It carries this pool's mark.
+    /// The path contains this pool's marker.
     Loop,
-    /// It has been at too many places.
-    Hops,
+    /// The path has too many hops, or is too long.
+    TooManyHops,
 }
 
 impl PathRejection {
-    /// What its caller is told.
-    pub fn stop(self) -> Stop {
+    /// Stop reason that is reported to the caller.
+    pub fn stop(self) -> StopReason {
         match self {
-            PathRejection::Loop => Stop::Loop,
-            PathRejection::Hops => Stop::Hops,
+            PathRejection::Loop => StopReason::Loop,
+            PathRejection::TooManyHops => StopReason::TooManyHops,
         }
     }
 }
@@ -46,40 +47,40 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             PathRejection::Loop => "the request has been here before: its route is a loop",
-            PathRejection::Hops => "the request has been at too many places",
+            PathRejection::TooManyHops => "the request has passed too many hops",
         })
     }
 }
 
-/// Where a request has been, in order.
+/// Path of a request: its hops in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Path(Rc<str>);
 
-/// The entries of one text, split at commas outside comments.
-fn entries(text: &str) -> impl Iterator<Item = &str> {
-    let mut depth = 0_u32;
+/// Entries of a `Via` value, split at commas outside comments.
+fn via_entries(text: &str) -> impl Iterator<Item = &str> {
+    let mut comment_depth = 0_u32;
     text.split(move |c| {
         match c {
-            '(' => depth += 1,
-            ')' => depth = depth.saturating_sub(1),
+            '(' => comment_depth += 1,
+            ')' => comment_depth = comment_depth.saturating_sub(1),
             _ => {}
         }
-        c == ',' && depth == 0
+        c == ',' && comment_depth == 0
     })
     .map(str::trim)
     .filter(|entry| !entry.is_empty())
 }
 
 impl Path {
-    /// The path of a request, from every value of its field. What is no text is left out.
+    /// The path of a request, from all values of its field. Values that are not UTF-8 are ignored.
     ///
     /// # Errors
-    /// It is longer than any that is looked at.
+    /// It is longer than the maximum length.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Path, PathRejection> {
         let mut text = String::new();
         for value in values {
             if text.len() + value.len() + 2 > MAX_PATH_BYTES {
-                return Err(PathRejection::Hops);
+                return Err(PathRejection::TooManyHops);
             }
             if let Ok(value) = std::str::from_utf8(value) {
                 if !text.is_empty() && !value.trim().is_empty() {
@@ -91,23 +92,23 @@
         Ok(Path(text.into()))
     }
 
-    /// How many places it names.
+    /// Number of hops.
     pub fn hops(&self) -> usize {
-        entries(&self.0).count()
+        via_entries(&self.0).count()
     }
 
-    /// The path with this place behind it.
+    /// The path with this hop appended.
     ///
     /// # Errors
-    /// It is on it already, or there are `most` places on it.
-    pub fn visit(&self, own: &HopMarker, most: usize) -> Result<Path, PathRejection> {
-        // A comment of somebody's, behind the pseudonym, is no place.
-        let places = || entries(&self.0).map(|entry| entry.split_whitespace().nth(1).unwrap_or(""));
-        if places().any(|place| place == own.text()) {
+    /// The path contains this hop already, or has `max_hops` hops.
+    pub fn with_hop(&self, own: &HopMarker, max_hops: usize) -> Result<Path, PathRejection> {
+        // The pseudonym is the second word of an entry; a comment that follows it is ignored.
+        let pseudonyms = || via_entries(&self.0).map(|entry| entry.split_whitespace().nth(1).unwrap_or(""));
+        if pseudonyms().any(|pseudonym| pseudonym == own.text()) {
             return Err(PathRejection::Loop);
         }
-        if places().count() >= most {
-            return Err(PathRejection::Hops);
+        if pseudonyms().count() >= max_hops {
+            return Err(PathRejection::TooManyHops);
         }
         let own = own.text();
         Ok(Path(if self.0.is_empty() {
@@ -117,15 +118,15 @@
         }))
     }
 
-    /// As it is written.
+    /// Text of the field value.
     pub fn text(&self) -> &str {
         &self.0
     }
 
-    /// The place before this one, for whoever looks for a loop.
+    /// The previous hop, for log lines about loops: the last entry without control characters, at most 64 characters.
     pub fn last(values: &[&[u8]]) -> String {
-        let last = values.last().and_then(|v| std::str::from_utf8(v).ok()).unwrap_or("");
-        let entry = entries(last).last().unwrap_or("nowhere");
+        let last_value = values.last().and_then(|v| std::str::from_utf8(v).ok()).unwrap_or("");
+        let entry = via_entries(last_value).last().unwrap_or("nowhere");
         entry.chars().filter(|c| !c.is_control()).take(64).collect()
     }
 }
--- a/crates/data-plane/request-budget/src/retry_budget.rs
+++ b/crates/data-plane/request-budget/src/retry_budget.rs
@@ -1,78 +1,83 @@
-//! The repeats of one request at one hop. What is granted to an attempt is out of hand until its answer tells what was used
-//! of it; an attempt that is lost has used all of it. So no chain of hops spends more than was given, whatever is lost.
-use crate::grammar::{Stop, Used};
+//! The retry budget of one request at one hop. Retries that are granted to an attempt are unavailable until its response
+//! reports how many were used; a lost attempt counts as having used its complete grant. So no chain of hops spends more
+//! retries than it was given, whatever is lost.
+use crate::grammar::{StopReason, Used};
 
-/// What the end of an attempt tells.
+/// Usage that is known at the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptUsage {
-    /// What was used.
+    /// The response reports this usage.
     Used(Used),
-    /// Nothing, but that the attempt never ran: nothing was used.
+    /// The attempt never ran: nothing of its grant was used.
     NeverRan,
-    /// Nothing: all may have been used.
+    /// The usage is not known: the complete grant may have been used.
     Unknown,
 }
 
-/// See the module's page.
+/// Retry budget of one request at this hop.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    left: u32,
+    /// Retries that can be sent or granted.
+    remaining: u32,
+    /// Retries that were used, here and below.
     spent: u32,
-    sends: u32,
-    /// Attempts that are out, and what each was granted. As many as the module has out at once.
-    out: Vec<(u32, u32)>,
-    stop: Option<Stop>,
+    /// Number of attempts that were sent.
+    attempts: u32,
+    /// Number and grant of each attempt in flight: one entry for each that was sent and has not ended.
+    in_flight: Vec<(u32, u32)>,
+    /// Reason why nothing must be retried any more.
+    stop: Option<StopReason>,
 }
 
 impl RetryBudget {
-    /// With so many repeats.
-    pub fn new(given: u32) -> RetryBudget {
-        RetryBudget { left: given, spent: 0, sends: 0, out: Vec::new(), stop: None }
+    /// A budget of this many retries.
+    pub fn new(retries: u32) -> RetryBudget {
+        RetryBudget { remaining: retries, spent: 0, attempts: 0, in_flight: Vec::new(), stop: None }
     }
 
-    /// Repeats that may be sent now.
+    /// Number of retries that can be sent now.
     pub fn left(&self) -> u32 {
-        self.left
+        self.remaining
     }
 
-    /// Books an attempt: what is granted to it. Where its upstream is not `heard` to tell what was used, a grant would be
-    /// lost with each answer, and there is none; else half of what is left, for repeats cost least where the trouble is,
-    /// and only this hop can try another upstream.
-    pub fn send(&mut self, number: u32, heard: bool) -> u32 {
-        if self.sends > 0 {
-            self.left = self.left.saturating_sub(1);
+    /// Records that an attempt is sent, and returns the number of retries that are granted to it: none if its upstream does
+    /// not report usage, since the grant would be lost with each response; otherwise half of the remaining ones. Retries
+    /// cost least close to the fault, but only this hop can try another upstream.
+    pub fn send(&mut self, number: u32, reports_usage: bool) -> u32 {
+        if self.attempts > 0 {
+            self.remaining = self.remaining.saturating_sub(1);
             self.spent = self.spent.saturating_add(1);
         }
-        self.sends = self.sends.saturating_add(1);
-        let grant = if heard { self.left / 2 } else { 0 };
-        self.left -= grant;
-        self.out.push((number, grant));
+        self.attempts = self.attempts.saturating_add(1);
+        let grant = if reports_usage { self.remaining / 2 } else { 0 };
+        self.remaining -= grant;
+        self.in_flight.push((number, grant));
         grant
     }
 
-    /// Books the end of an attempt; only its first end counts.
-    pub fn ended(&mut self, number: u32, told: AttemptUsage) {
-        let Some(k) = self.out.iter().position(|&(n, _)| n == number) else { return };
-        let (_, grant) = self.out.swap_remove(k);
-        let used = match told {
+    /// Records the end of an attempt. Later calls for the same attempt have no effect.
+    pub fn ended(&mut self, number: u32, usage: AttemptUsage) {
+        let Some(index) = self.in_flight.iter().position(|&(other, _)| other == number) else { return };
+        let (_, grant) = self.in_flight.swap_remove(index);
+        let used = match usage {
             AttemptUsage::Used(used) => {
                 self.stop = self.stop.or(used.stop);
-                // More than was granted can't have been.
+                // An upstream cannot have used more than its grant.
                 used.retries.min(grant)
             }
             AttemptUsage::NeverRan => 0,
             AttemptUsage::Unknown => grant,
         };
         self.spent = self.spent.saturating_add(used);
-        self.left += grant - used;
+        self.remaining += grant - used;
         if self.stop.is_some() {
-            self.left = 0;
+            self.remaining = 0;
         }
     }
 
-    /// What the caller is told: attempts that are still out count as if they used all.
+    /// Usage to report to the caller: attempts in flight count as having used their complete grants.
     pub fn used(&self) -> Used {
-        let out: u32 = self.out.iter().map(|&(_, grant)| grant).sum();
-        Used { retries: self.spent.saturating_add(out), stop: self.stop }
+        let granted: u32 = self.in_flight.iter().map(|&(_, grant)| grant).sum();
+        Used { retries: self.spent.saturating_add(granted), stop: self.stop }
     }
 }
--- a/crates/data-plane/request-budget/src/usage_feedback.rs
+++ b/crates/data-plane/request-budget/src/usage_feedback.rs
@@ -1,20 +1,20 @@
-//! Whether an upstream tells what was used below it. One that passes nothing on is the normal case: what was granted to it
-//! would be lost.
+//! Whether an upstream reports the retries that were used below it. Most upstreams do not: retries that are granted to one
+//! that does not report would be lost.
 
-/// Answers without a word after which one is not believed to tell any more.
-const SILENT_ANSWERS_LIMIT: u8 = 16;
+/// Consecutive responses without a report after which an upstream is no longer considered to report usage.
+const MAX_SILENT_RESPONSES: u8 = 16;
 
-/// What was heard of one upstream.
+/// Usage reports of one upstream: the number of further responses without a report after which it counts as not reporting.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UsageFeedback(u8);
 
 impl UsageFeedback {
-    /// An answer came, and told or did not.
-    pub fn answered(&mut self, told: bool) {
-        self.0 = if told { SILENT_ANSWERS_LIMIT } else { self.0.saturating_sub(1) };
+    /// Records a response, with or without a usage report.
+    pub fn answered(&mut self, reported: bool) {
+        self.0 = if reported { MAX_SILENT_RESPONSES } else { self.0.saturating_sub(1) };
     }
 
-    /// Whether it tells.
+    /// Whether the upstream is considered to report usage.
     pub fn tells(self) -> bool {
         self.0 > 0
     }
--- a/crates/data-plane/request-budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -1,9 +1,9 @@
-//! Budgets against what callers send and what gets lost.
+//! Request budgets with invalid fields, lost responses and upstreams that report wrong usage.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use request_budget::grammar::Used;
 use request_budget::grammar::{
-    read_budget, read_used, write_budget, write_used, BudgetOffer, MalformedBudget, Stop,
+    read_budget, read_used, write_budget, write_used, MalformedBudget, RequestedBudget, StopReason,
 };
 use request_budget::log_throttle::LogThrottle;
 use request_budget::path::{HopMarker, Path, PathRejection};
@@ -13,173 +13,192 @@
 
 const BOUNDS: Bounds = Bounds { retries: 2, hops: 4, repeat_worth: 0.25 };
 
-fn mark(pool: &str) -> HopMarker {
+fn marker(pool: &str) -> HopMarker {
     HopMarker::new(b"secret", pool)
 }
 
-fn given<'a>(budget: &'a [&'a [u8]], path: &'a [&'a [u8]]) -> IncomingFields<'a> {
+fn fields<'a>(budget: &'a [&'a [u8]], path: &'a [&'a [u8]]) -> IncomingFields<'a> {
     IncomingFields { budget, path, patience: 500.0, repeated: false, trusted: true }
 }
 
 #[test]
-fn what_is_known_is_read_strictly_and_the_rest_passed_over() {
+fn known_keys_are_parsed_strictly_and_unknown_keys_are_ignored() {
     let read = |text: &str| read_budget(&[text.as_bytes()]);
-    let all = BudgetOffer { left: Some(480.125), retries: Some(2), worth: Some(0.25) };
+    let all = RequestedBudget { left_ms: Some(480.125), retries: Some(2), worth: Some(0.25) };
     assert_eq!(read("left=480.125, retries=2, worth=0.25"), Ok(Some(all)));
     assert_eq!(read("worth=0.25,retries=2,left=480.125,later=x,flag"), Ok(Some(all)));
-    assert_eq!(read("").map(|o| o.is_some()), Ok(true));
+    assert_eq!(read("").map(|requested| requested.is_some()), Ok(true));
     assert_eq!(read_budget(&[]), Ok(None));
-    assert_eq!(read_budget(&[b"left=1", b"left=1"]), Err(MalformedBudget::Twice));
-    for (text, wanted) in [
-        ("left=-1", MalformedBudget::Number("left")),
-        ("left=1e9", MalformedBudget::Number("left")),
-        ("left=inf", MalformedBudget::Number("left")),
-        ("left=86400001", MalformedBudget::Number("left")),
-        ("left=0.1234", MalformedBudget::Number("left")),
-        ("retries=-1", MalformedBudget::Number("retries")),
-        ("retries=1.5", MalformedBudget::Number("retries")),
-        ("retries=9999999999999999", MalformedBudget::Number("retries")),
-        ("worth=infinity", MalformedBudget::Number("worth")),
-        ("worth=NaN", MalformedBudget::Number("worth")),
-        ("worth", MalformedBudget::Number("worth")),
-        ("left=1, left=1", MalformedBudget::Key("left")),
-        ("retries=1, =2", MalformedBudget::Grammar(10)),
-        ("Left=1", MalformedBudget::Grammar(0)),
-        ("left=", MalformedBudget::Grammar(0)),
-        ("left=1,,retries=1", MalformedBudget::Grammar(7)),
-        ("left=1 2", MalformedBudget::Grammar(0)),
+    assert_eq!(read_budget(&[b"left=1", b"left=1"]), Err(MalformedBudget::DuplicateField));
+    for (text, expected) in [
+        ("left=-1", MalformedBudget::InvalidNumber("left")),
+        ("left=1e9", MalformedBudget::InvalidNumber("left")),
+        ("left=inf", MalformedBudget::InvalidNumber("left")),
+        ("left=86400001", MalformedBudget::InvalidNumber("left")),
+        ("left=0.1234", MalformedBudget::InvalidNumber("left")),
+        ("retries=-1", MalformedBudget::InvalidNumber("retries")),
+        ("retries=1.5", MalformedBudget::InvalidNumber("retries")),
+        ("retries=9999999999999999", MalformedBudget::InvalidNumber("retries")),
+        ("worth=infinity", MalformedBudget::InvalidNumber("worth")),
+        ("worth=NaN", MalformedBudget::InvalidNumber("worth")),
+        ("worth", MalformedBudget::InvalidNumber("worth")),
+        ("left=1, left=1", MalformedBudget::DuplicateKey("left")),
+        ("retries=1, =2", MalformedBudget::Syntax(10)),
+        ("Left=1", MalformedBudget::Syntax(0)),
+        ("left=", MalformedBudget::Syntax(0)),
+        ("left=1,,retries=1", MalformedBudget::Syntax(7)),
+        ("left=1 2", MalformedBudget::Syntax(0)),
     ] {
-        assert_eq!(read(text), Err(wanted), "{text:?}");
-        assert!(!wanted.to_string().is_empty());
+        assert_eq!(read(text), Err(expected), "{text:?}");
+        assert!(!expected.to_string().is_empty());
     }
-    assert_eq!(read(&"x".repeat(257)), Err(MalformedBudget::Long));
-    assert_eq!(read(&vec!["a=1"; 17].join(",")), Err(MalformedBudget::Long));
-    assert_eq!(read("retries=999999999999999").map(|o| o.and_then(|o| o.retries)), Ok(Some(u32::MAX)));
+    assert_eq!(read(&"x".repeat(257)), Err(MalformedBudget::TooLong));
+    assert_eq!(read(&vec!["a=1"; 17].join(",")), Err(MalformedBudget::TooLong));
+    assert_eq!(
+        read("retries=999999999999999").map(|requested| requested.and_then(|requested| requested.retries)),
+        Ok(Some(u32::MAX))
+    );
     assert_eq!(write_budget(480.1259, 2, 0.25), "left=480.125, retries=2, worth=0.250");
     assert_eq!(write_budget(-1.0, 0, 7.0), "left=0.000, retries=0");
-    for used in [Used { retries: 3, stop: None }, Used { retries: 0, stop: Some(Stop::Loop) }] {
+    for used in [Used { retries: 3, stop: None }, Used { retries: 0, stop: Some(StopReason::Loop) }] {
         assert_eq!(read_used(write_used(used).as_bytes()), Some(used));
     }
-    for nothing in ["", "stop=loop", "retries=-1", "retries=1, retries=2", "=", "retries=x"] {
-        assert_eq!(read_used(nothing.as_bytes()), None, "{nothing:?}");
+    for malformed in ["", "stop=loop", "retries=-1", "retries=1, retries=2", "=", "retries=x"] {
+        assert_eq!(read_used(malformed.as_bytes()), None, "{malformed:?}");
     }
 }
 
-/// Guards against callers that help themselves: whatever they say, nothing gets wider.
+/// Guards against callers that request more than the bounds allow.
 #[test]
-fn nobody_gets_more_than_the_bounds() {
-    let own = mark("portal");
-    let of = |given: IncomingFields| Budget::of(&given, &BOUNDS, &own);
-    let million = of(given(&[b"retries=1000000, worth=99"], &[])).expect("bounded");
-    assert_eq!((million.retries, million.worth, million.left, million.told), (2, 1.0, 500.0, true));
-    let none = of(given(&[], &[])).expect("the normal case");
-    assert_eq!((none.retries, none.worth, none.told), (2, 1.0, false));
-    // One that is not believed: not even what is malformed matters.
-    let stranger =
-        IncomingFields { trusted: false, ..given(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
-    let stranger = of(stranger).expect("not looked at");
-    assert_eq!((stranger.retries, stranger.worth, stranger.told), (2, 1.0, false));
-    assert_eq!(of(given(&[b"left=499"], &[])), Err(BudgetRejection::Bad(MalformedBudget::Conflict)));
-    assert!(of(given(&[b"left=500"], &[])).is_ok() && of(given(&[b"left=501"], &[])).is_ok());
-    let repeat = of(IncomingFields { repeated: true, ..given(&[], &[]) }).expect("good");
-    assert_eq!(repeat.worth, 0.25);
-    let stated = of(IncomingFields { repeated: true, ..given(&[b"worth=0.75"], &[]) }).expect("good");
-    assert_eq!(stated.worth, 0.75);
+fn requested_budgets_are_limited_to_the_bounds() {
+    let own = marker("portal");
+    let budget_of = |fields: IncomingFields| Budget::of(&fields, &BOUNDS, &own);
+    let excessive = budget_of(fields(&[b"retries=1000000, worth=99"], &[])).expect("limited to the bounds");
+    assert_eq!((excessive.retries, excessive.worth, excessive.left, excessive.told), (2, 1.0, 500.0, true));
+    let without_budget = budget_of(fields(&[], &[])).expect("a request without a budget");
+    assert_eq!((without_budget.retries, without_budget.worth, without_budget.told), (2, 1.0, false));
+    // The budget of an untrusted caller is ignored, even if it is malformed.
+    let untrusted =
+        IncomingFields { trusted: false, ..fields(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
+    let untrusted = budget_of(untrusted).expect("the budget is ignored");
+    assert_eq!((untrusted.retries, untrusted.worth, untrusted.told), (2, 1.0, false));
+    assert_eq!(
+        budget_of(fields(&[b"left=499"], &[])),
+        Err(BudgetRejection::Bad(MalformedBudget::LateDeadline))
+    );
+    assert!(budget_of(fields(&[b"left=500"], &[])).is_ok() && budget_of(fields(&[b"left=501"], &[])).is_ok());
+    let retry = budget_of(IncomingFields { repeated: true, ..fields(&[], &[]) }).expect("valid");
+    assert_eq!(retry.worth, 0.25);
+    let stated_worth =
+        budget_of(IncomingFields { repeated: true, ..fields(&[b"worth=0.75"], &[]) }).expect("valid");
+    assert_eq!(stated_worth.worth, 0.75);
 }
 
 #[test]
-fn a_request_that_comes_back_is_refused_and_marks_tell_nothing() {
-    let (portal, cuentas) = (mark("portal"), mark("cuentas"));
-    assert!(portal != cuentas && portal != HopMarker::new(b"other", "portal") && portal == mark("portal"));
+fn loops_are_refused_and_markers_do_not_reveal_their_pool() {
+    let (portal, cuentas) = (marker("portal"), marker("cuentas"));
+    assert!(portal != cuentas && portal != HopMarker::new(b"other", "portal") && portal == marker("portal"));
     assert!(!portal.text().contains("portal") && portal.text().len() == 19);
-    let first = Path::default().visit(&portal, 4).expect("nowhere yet");
-    let second = first.visit(&cuentas, 4).expect("not there yet");
+    let first = Path::default().with_hop(&portal, 4).expect("an empty path");
+    let second = first.with_hop(&cuentas, 4).expect("a path without this hop");
     assert_eq!(second.hops(), 2);
-    assert_eq!(first.visit(&portal, 4), Err(PathRejection::Loop));
-    assert_eq!(second.visit(&portal, 4), Err(PathRejection::Loop), "over two pools");
-    // As a proxy between passes it on: its own entry behind ours, with a comment, on a line of its own.
+    assert_eq!(first.with_hop(&portal, 4), Err(PathRejection::Loop));
+    assert_eq!(second.with_hop(&portal, 4), Err(PathRejection::Loop), "a loop through two pools");
+    // A proxy in between appends its own entry with a comment, on a separate header line.
     let lines = [second.text().as_bytes(), b"1.0 fred (a, (nested), proxy), 1.1 p.example.net (Squid)"];
-    let passed = Path::read(lines.into_iter()).expect("short enough");
-    assert_eq!((passed.hops(), passed.visit(&cuentas, 9)), (4, Err(PathRejection::Loop)));
-    assert_eq!(passed.visit(&mark("third"), 4), Err(PathRejection::Hops));
-    let long = vec![b'x'; 3000];
-    assert_eq!(Path::read([&long[..]].into_iter()), Err(PathRejection::Hops));
-    let thousand = vec!["1.1 a"; 1000].join(",");
-    assert_eq!(Path::read([thousand.as_bytes()].into_iter()).map(|_| ()), Err(PathRejection::Hops));
+    let forwarded = Path::read(lines.into_iter()).expect("short enough");
+    assert_eq!((forwarded.hops(), forwarded.with_hop(&cuentas, 9)), (4, Err(PathRejection::Loop)));
+    assert_eq!(forwarded.with_hop(&marker("third"), 4), Err(PathRejection::TooManyHops));
+    let long_value = vec![b'x'; 3000];
+    assert_eq!(Path::read([&long_value[..]].into_iter()), Err(PathRejection::TooManyHops));
+    let thousand_hops = vec!["1.1 a"; 1000].join(",");
+    assert_eq!(
+        Path::read([thousand_hops.as_bytes()].into_iter()).map(|_| ()),
+        Err(PathRejection::TooManyHops)
+    );
     let comment = format!("1.1 x ({})", portal.text());
     let in_comment = Path::read([comment.as_bytes()].into_iter()).expect("short enough");
-    assert!(in_comment.visit(&portal, 4).is_ok(), "a comment is no place");
+    assert!(in_comment.with_hop(&portal, 4).is_ok(), "a marker in a comment is not a hop");
     assert_eq!(Path::last(&[b"1.1 a, 1.1 hd-x\t(c)"]), "1.1 hd-x(c)");
     assert!(
-        Path::read([&b"\xff"[..], b"1.1 a"].into_iter()).expect("what is no text is left out").hops() == 1
+        Path::read([&b"\xff"[..], b"1.1 a"].into_iter())
+            .expect("values that are not UTF-8 are ignored")
+            .hops()
+            == 1
     );
 }
 
 #[test]
-fn grants_go_only_where_it_is_told_what_was_used() {
-    let mut hearing = UsageFeedback::default();
-    assert!(!hearing.tells());
-    hearing.answered(true);
-    (0..15).for_each(|_| hearing.answered(false));
-    assert!(hearing.tells());
-    hearing.answered(false);
-    assert!(!hearing.tells());
-    let mut purse = RetryBudget::new(3);
-    assert_eq!((purse.send(0, false), purse.left()), (0, 3));
-    purse.ended(0, AttemptUsage::Unknown);
-    assert_eq!((purse.send(1, true), purse.left()), (1, 1));
-    purse.ended(1, AttemptUsage::Used(Used { retries: 9, stop: None }));
-    assert_eq!(purse.used().retries, 2, "a repeat here, and no more below than was granted");
-    assert_eq!((purse.send(2, true), purse.left()), (0, 0));
-    purse.ended(2, AttemptUsage::Used(Used { retries: 0, stop: Some(Stop::Loop) }));
-    purse.ended(2, AttemptUsage::Used(Used { retries: 5, stop: None }));
-    assert_eq!(purse.used(), Used { retries: 3, stop: Some(Stop::Loop) });
-    // A loop below ends it here too, whatever is left.
-    let mut purse = RetryBudget::new(5);
-    purse.send(0, true);
-    purse.ended(0, AttemptUsage::Used(Used { retries: 0, stop: Some(Stop::Hops) }));
-    assert_eq!(purse.left(), 0);
-    // What certainly never ran used nothing.
-    let mut purse = RetryBudget::new(4);
-    assert_eq!(purse.send(0, true), 2);
-    purse.ended(0, AttemptUsage::NeverRan);
-    assert_eq!((purse.left(), purse.used().retries), (4, 0));
+fn retries_are_granted_only_to_upstreams_that_report_usage() {
+    let mut feedback = UsageFeedback::default();
+    assert!(!feedback.tells());
+    feedback.answered(true);
+    (0..15).for_each(|_| feedback.answered(false));
+    assert!(feedback.tells());
+    feedback.answered(false);
+    assert!(!feedback.tells());
+    let mut retry_budget = RetryBudget::new(3);
+    assert_eq!((retry_budget.send(0, false), retry_budget.left()), (0, 3));
+    retry_budget.ended(0, AttemptUsage::Unknown);
+    assert_eq!((retry_budget.send(1, true), retry_budget.left()), (1, 1));
+    retry_budget.ended(1, AttemptUsage::Used(Used { retries: 9, stop: None }));
+    assert_eq!(retry_budget.used().retries, 2, "one retry here, and at most the granted one below");
+    assert_eq!((retry_budget.send(2, true), retry_budget.left()), (0, 0));
+    retry_budget.ended(2, AttemptUsage::Used(Used { retries: 0, stop: Some(StopReason::Loop) }));
+    retry_budget.ended(2, AttemptUsage::Used(Used { retries: 5, stop: None }));
+    assert_eq!(retry_budget.used(), Used { retries: 3, stop: Some(StopReason::Loop) });
+    // A stop reason from below ends the retries here too, whatever is left.
+    let mut retry_budget = RetryBudget::new(5);
+    retry_budget.send(0, true);
+    retry_budget.ended(0, AttemptUsage::Used(Used { retries: 0, stop: Some(StopReason::TooManyHops) }));
+    assert_eq!(retry_budget.left(), 0);
+    // An attempt that never ran has used nothing of its grant.
+    let mut retry_budget = RetryBudget::new(4);
+    assert_eq!(retry_budget.send(0, true), 2);
+    retry_budget.ended(0, AttemptUsage::NeverRan);
+    assert_eq!((retry_budget.left(), retry_budget.used().retries), (4, 0));
 }
 
 #[test]
-fn a_cause_is_said_once_and_then_counted() {
-    let mut causes = LogThrottle::default();
-    assert_eq!(causes.record("loop", 0.0), Some(1));
-    assert!((1..1000).all(|k| causes.record("loop", f64::from(k)).is_none()));
-    assert_eq!(causes.record("other", 5.0), Some(1));
-    assert_eq!(causes.record("loop", 60_000.0), Some(1000));
+fn each_cause_is_logged_once_and_then_counted() {
+    let mut throttle = LogThrottle::default();
+    assert_eq!(throttle.record("loop", 0.0), Some(1));
+    assert!((1..1000).all(|k| throttle.record("loop", f64::from(k)).is_none()));
+    assert_eq!(throttle.record("other", 5.0), Some(1));
+    assert_eq!(throttle.record("loop", 60_000.0), Some(1000));
     for k in 0..1000 {
-        causes.record(&format!("c{k}"), 60_001.0);
+        throttle.record(&format!("c{k}"), 60_001.0);
     }
-    assert!(format!("{causes:?}").len() < 4000, "it has an end");
+    assert!(format!("{throttle:?}").len() < 4000, "the number of causes is bounded");
 }
 
-/// What one hop of a chain does, by a script: each attempt is lost, tells the truth, lies or never runs.
-fn hop(given: u32, depth: u32, script: &mut impl Iterator<Item = u8>, sent: &mut u32) -> (Used, bool) {
-    let mut purse = RetryBudget::new(given);
+/// Simulates one hop of a chain: by the script, each attempt is lost, reports its usage or a wrong one, or never runs.
+/// Returns the usage that the hop reports and whether the request was served; counts the retries in `retries_sent`.
+fn hop(
+    given: u32,
+    depth: u32,
+    script: &mut impl Iterator<Item = u8>,
+    retries_sent: &mut u32,
+) -> (Used, bool) {
+    let mut retry_budget = RetryBudget::new(given);
     let (mut number, mut served) = (0, false);
-    while number == 0 || (purse.left() > 0 && !served) {
-        let what = script.next().unwrap_or(0);
-        let grant = purse.send(number, what & 1 == 0);
-        *sent += u32::from(number > 0);
-        let told = match what % 7 {
+    while number == 0 || (retry_budget.left() > 0 && !served) {
+        let action = script.next().unwrap_or(0);
+        let grant = retry_budget.send(number, action & 1 == 0);
+        *retries_sent += u32::from(number > 0);
+        let usage = match action % 7 {
             0 | 1 if depth > 0 => {
-                let (used, done) = hop(grant, depth - 1, script, sent);
-                served = done;
+                let (used, served_below) = hop(grant, depth - 1, script, retries_sent);
+                served = served_below;
                 AttemptUsage::Used(used)
             }
             2 if depth > 0 => {
-                hop(grant, depth - 1, script, sent);
+                hop(grant, depth - 1, script, retries_sent);
                 AttemptUsage::Unknown
             }
             3 if depth > 0 => {
-                // More than was granted, from one that does not know what it says.
-                let (used, _) = hop(grant, depth - 1, script, sent);
+                // A faulty upstream that reports more than its grant.
+                let (used, _) = hop(grant, depth - 1, script, retries_sent);
                 AttemptUsage::Used(Used { retries: used.retries.saturating_add(1 << 20), stop: None })
             }
             4 => AttemptUsage::NeverRan,
@@ -189,10 +208,10 @@
                 AttemptUsage::Used(Used::default())
             }
         };
-        purse.ended(number, told);
+        retry_budget.ended(number, usage);
         number += 1;
     }
-    (purse.used(), served)
+    (retry_budget.used(), served)
 }
 
 proptest! {
@@ -203,10 +222,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// No chain of tiers ever spends more than was given, whatever is lost on the way; and what is told is never less
-    /// than what was spent.
+    /// No chain of tiers spends more retries than it was given, whatever is lost on the way, and the reported usage is
+    /// never less than the retries that were sent.
     #[test]
-    fn no_chain_spends_more_than_was_given(
+    fn no_chain_of_hops_spends_more_retries_than_it_was_given(
         given in 0u32..40,
         depth in 0u32..5,
         script in proptest::collection::vec(any::<u8>(), 0..200),
@@ -214,21 +233,33 @@
         let (mut script, mut sent) = (script.into_iter(), 0);
         let (used, _) = hop(given, depth, &mut script, &mut sent);
         prop_assert!(sent <= given, "{sent} of {given}");
-        prop_assert!((sent..=given).contains(&used.retries), "{sent} sent, {} told, {given} given", used.retries);
+        prop_assert!(
+            (sent..=given).contains(&used.retries),
+            "{sent} sent, {} reported, {given} given",
+            used.retries
+        );
     }
 
-    /// Noise is refused or bounded, and what is written is read again.
+    /// Arbitrary input is rejected or limited to the bounds, and formatted fields can be parsed.
     #[test]
-    fn fields_are_read_or_refused(noise in "[ -~]{0,300}", left in 0.0f64..1e8, retries: u32, worth in 0.0f64..1.0) {
-        if let Ok(Some(offer)) = read_budget(&[noise.as_bytes()]) {
-            prop_assert!(offer.left.is_none_or(|l| (0.0..=86_400_000.0).contains(&l)));
-            prop_assert!(offer.worth.is_none_or(|w| w.is_finite() && w >= 0.0));
+    fn arbitrary_fields_are_parsed_or_rejected(
+        noise in "[ -~]{0,300}",
+        left_ms in 0.0f64..1e8,
+        retries: u32,
+        worth in 0.0f64..1.0,
+    ) {
+        if let Ok(Some(requested)) = read_budget(&[noise.as_bytes()]) {
+            prop_assert!(requested.left_ms.is_none_or(|ms| (0.0..=86_400_000.0).contains(&ms)));
+            prop_assert!(requested.worth.is_none_or(|worth| worth.is_finite() && worth >= 0.0));
         }
         let _ = read_used(noise.as_bytes());
-        let _ = Path::read([noise.as_bytes()].into_iter()).map(|p| p.visit(&mark("x"), 8).map(|p| p.hops()));
-        let text = write_budget(left, retries, worth);
-        let offer = read_budget(&[text.as_bytes()]).expect("good").expect("there");
-        prop_assert!(offer.left.is_some_and(|l| l <= left.min(86_400_000.0) && l > left.min(86_400_000.0) - 0.01));
-        prop_assert_eq!(offer.retries, Some(retries));
+        let _ = Path::read([noise.as_bytes()].into_iter())
+            .map(|path| path.with_hop(&marker("x"), 8).map(|path| path.hops()));
+        let text = write_budget(left_ms, retries, worth);
+        let requested = read_budget(&[text.as_bytes()]).expect("valid").expect("a budget");
+        prop_assert!(requested.left_ms.is_some_and(
+            |ms| ms <= left_ms.min(86_400_000.0) && ms > left_ms.min(86_400_000.0) - 0.01
+        ));
+        prop_assert_eq!(requested.retries, Some(retries));
     }
 }
