--- a/crates/data-plane/discovery/src/consul/mod.rs
+++ b/crates/data-plane/discovery/src/consul/mod.rs
@@ -11,13 +11,13 @@
 
 /// Percent-encodes a path segment or query value (RFC 3986, section 2.3: unreserved characters stay).
 pub fn percent_encode(text: &str) -> String {
-    let mut out = String::with_capacity(text.len());
+    let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~') {
-            out.push(char::from(byte));
+            encoded.push(char::from(byte));
         } else {
-            out.push_str(&format!("%{byte:02X}"));
+            encoded.push_str(&format!("%{byte:02X}"));
         }
     }
-    out
+    encoded
 }
--- a/crates/data-plane/discovery/src/consul/registration.rs
+++ b/crates/data-plane/discovery/src/consul/registration.rs
@@ -23,7 +23,7 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// Smallest upper bound of the delay after a failed request, for short TTLs.
 const MIN_MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Renewals in each TTL: two of them may be lost.
+/// Number of renewals in each TTL: two of them may be lost.
 const RENEWALS_PER_TTL: u32 = 3;
 
 /// Registration of a service.
@@ -74,7 +74,7 @@
     Call(Call),
     /// Wait until this time, or until the desired state changes.
     Wait(Duration),
-    /// Nothing is left to do.
+    /// The service is deregistered; nothing is left to do.
     Done,
 }
 
@@ -136,7 +136,7 @@
     pub fn set_desired_state(&mut self, now: Duration, desired: DesiredState) {
         if desired > self.desired {
             self.desired = desired;
-            // At once, whatever the backoff.
+            // A change of state is sent at once, regardless of the backoff.
             self.next_call_at = now;
         }
     }
@@ -147,7 +147,7 @@
             (Some(DesiredState::Deregistered), _) | (None, DesiredState::Deregistered) => {
                 return NextStep::Done;
             }
-            // A service that was never registered need not be taken out of service.
+            // A service that was never registered does not have to be taken out of service.
             (None, DesiredState::ShuttingDown | DesiredState::Absent)
             | (Some(DesiredState::ShuttingDown), DesiredState::ShuttingDown) => {
                 return NextStep::Wait(Duration::MAX);
@@ -199,7 +199,7 @@
                     .then(|| milliseconds(deregister_after)),
             },
         };
-        // Cannot fail: texts and numbers only.
+        // Cannot fail: the body has texts and numbers only.
         let body = serde_json::to_string(&body).unwrap_or_default();
         Call { path: "/v1/agent/service/register?replace-existing-checks=true".into(), body }
     }
@@ -227,7 +227,7 @@
             404 | 500 if self.confirmed.is_some() && requested != DesiredState::Deregistered => {
                 self.confirmed = None;
                 self.next_call_at = now + self.backoff.next_delay(draw);
-                Some(format!("the agent answered {status}: it is registered again"))
+                Some(format!("the agent answered {status}: the service will be registered again"))
             }
             _ => {
                 self.next_call_at = now + self.backoff.next_delay(draw);
--- a/crates/data-plane/discovery/src/consul/service_list/entry.rs
+++ b/crates/data-plane/discovery/src/consul/service_list/entry.rs
@@ -11,7 +11,7 @@
 const MAX_META_KEYS: usize = 64;
 /// Maximum length of a metadata key and its value together, in bytes (Consul's own limits).
 const MAX_META_ENTRY_BYTES: usize = 128 + 512;
-/// Start times at and above this are invalid, in Unix milliseconds.
+/// Start times at and above this are invalid. Unix time in milliseconds.
 const MAX_STARTED_MS: f64 = 1e15;
 
 /// Entry of `/v1/health/service/:name`.
@@ -48,11 +48,11 @@
     #[serde(rename = "Meta", default)]
     meta: Option<HashMap<String, String>>,
     #[serde(rename = "TaggedAddresses", default)]
-    tagged: Option<HashMap<String, TaggedAddress>>,
+    tagged_addresses: Option<HashMap<String, TaggedAddress>>,
     #[serde(rename = "Weights", default)]
     weights: Option<Weights>,
     #[serde(rename = "CreateIndex", default)]
-    created: u64,
+    create_index: u64,
 }
 
 #[derive(Deserialize)]
@@ -65,13 +65,13 @@
 
 #[derive(Deserialize)]
 struct Weights {
-    #[serde(rename = "Passing", default = "one")]
+    #[serde(rename = "Passing", default = "default_weight")]
     passing: i64,
-    #[serde(rename = "Warning", default = "one")]
+    #[serde(rename = "Warning", default = "default_weight")]
     warning: i64,
 }
 
-fn one() -> i64 {
+fn default_weight() -> i64 {
     1
 }
 
@@ -105,11 +105,11 @@
     #[serde(rename = "ServiceMeta", default)]
     meta: Option<HashMap<String, String>>,
     #[serde(rename = "ServiceTaggedAddresses", default)]
-    tagged: Option<HashMap<String, TaggedAddress>>,
+    tagged_addresses: Option<HashMap<String, TaggedAddress>>,
     #[serde(rename = "ServiceWeights", default)]
     weights: Option<Weights>,
     #[serde(rename = "CreateIndex", default)]
-    created: u64,
+    create_index: u64,
 }
 
 /// Parses an entry. The inner error describes an entry whose owner configured it wrongly.
@@ -131,8 +131,8 @@
                 addresses: [&service.address, &node.address],
                 port: service.port,
                 metas: [service.meta.as_ref(), node.meta.as_ref()],
-                tagged: service.tagged.as_ref(),
-                created: service.created,
+                tagged_addresses: service.tagged_addresses.as_ref(),
+                create_index: service.create_index,
             };
             Ok(entry.report(mapping, state))
         }
@@ -146,8 +146,8 @@
                 addresses: [&service.service_address, &service.address],
                 port: service.port,
                 metas: [service.meta.as_ref(), service.node_meta.as_ref()],
-                tagged: service.tagged.as_ref(),
-                created: service.created,
+                tagged_addresses: service.tagged_addresses.as_ref(),
+                create_index: service.create_index,
             };
             Ok(entry.report(mapping, state))
         }
@@ -206,17 +206,17 @@
     port: u32,
     /// Metadata of the service and of its node.
     metas: [Option<&'a HashMap<String, String>>; 2],
-    tagged: Option<&'a HashMap<String, TaggedAddress>>,
-    created: u64,
+    tagged_addresses: Option<&'a HashMap<String, TaggedAddress>>,
+    create_index: u64,
 }
 
 impl ServiceEntry<'_> {
     fn report(&self, mapping: &EntryMapping, service: ServiceState) -> Result<EndpointReport, String> {
         if self.node.is_empty() || self.id.is_empty() {
-            return Err(self.error("it has no name"));
+            return Err(self.error("the node name or the service ID is empty"));
         }
         let addr = self.addr(mapping)?;
-        // An invalid value counts as absent: without a start the endpoint counts as just started.
+        // An invalid value counts as absent: an endpoint without a start time counts as just started.
         let started_ms = self.meta(&mapping.start_key).parse::<f64>().ok();
         Ok(EndpointReport {
             name: self.name(mapping),
@@ -228,7 +228,7 @@
             state: service.state,
             reason: service.reason,
             started_ms: started_ms.filter(|ms| (0.0..MAX_STARTED_MS).contains(ms)),
-            registration_index: self.created,
+            registration_index: self.create_index,
             meta: self.all_meta(),
         })
     }
@@ -237,7 +237,7 @@
         format!("{}/{}: {message}", self.node, self.id)
     }
 
-    /// Value of a metadata key, of the service or else of its node; empty if there is none.
+    /// Value of a metadata key of the service, or else of its node; empty if there is none.
     fn meta(&self, key: &str) -> &str {
         if key.is_empty() {
             return "";
@@ -245,15 +245,15 @@
         self.metas.iter().flatten().find_map(|meta| meta.get(key)).map_or("", String::as_str)
     }
 
-    /// The service's metadata, and its node's for other keys.
+    /// Metadata of the service, and of its node for keys that the service lacks; limited in number and length.
     fn all_meta(&self) -> Meta {
-        let mut all = BTreeMap::new();
+        let mut merged = BTreeMap::new();
         for (key, value) in self.metas.iter().flatten().flat_map(|meta| meta.iter()) {
-            if all.len() < MAX_META_KEYS && key.len() + value.len() <= MAX_META_ENTRY_BYTES {
-                all.entry(key.clone()).or_insert_with(|| value.clone());
+            if merged.len() < MAX_META_KEYS && key.len() + value.len() <= MAX_META_ENTRY_BYTES {
+                merged.entry(key.clone()).or_insert_with(|| value.clone());
             }
         }
-        Meta::new(all)
+        Meta::new(merged)
     }
 
     fn name(&self, mapping: &EntryMapping) -> Name {
@@ -267,15 +267,16 @@
     }
 
     fn addr(&self, mapping: &EntryMapping) -> Result<SocketAddr, String> {
-        let tagged = self.tagged.and_then(|tagged| tagged.get(&mapping.tagged_address));
+        let tagged = self.tagged_addresses.and_then(|addresses| addresses.get(&mapping.tagged_address));
         let (address, port) = match tagged.filter(|_| !mapping.tagged_address.is_empty()) {
             Some(tagged) => (tagged.address.as_str(), tagged.port),
             None => (self.addresses.into_iter().find(|a| !a.is_empty()).unwrap_or(""), self.port),
         };
-        let bare = address.strip_prefix('[').and_then(|a| a.strip_suffix(']')).unwrap_or(address);
-        let ip: IpAddr = bare.parse().map_err(|_| self.error(&format!("{address:?} is no IP address")))?;
+        let unbracketed = address.strip_prefix('[').and_then(|a| a.strip_suffix(']')).unwrap_or(address);
+        let ip: IpAddr =
+            unbracketed.parse().map_err(|_| self.error(&format!("{address:?} is not an IP address")))?;
         let port = u16::try_from(port).ok().filter(|&port| port > 0);
-        let port = port.ok_or_else(|| self.error("its port is not between 1 and 65535"))?;
+        let port = port.ok_or_else(|| self.error("the port is not between 1 and 65535"))?;
         Ok(SocketAddr::new(ip, port))
     }
 }
--- a/crates/data-plane/discovery/src/consul/service_list/mod.rs
+++ b/crates/data-plane/discovery/src/consul/service_list/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// Number of entry errors that an update reports.
+/// Maximum number of entry errors that an update reports.
 const MAX_ENTRY_ERRORS: usize = 8;
 
 /// The response is not a list of services.
@@ -42,7 +42,7 @@
     Catalogue,
 }
 
-/// How entries are mapped to reports. Metadata keys apply to the service's metadata, or else to its node's.
+/// Mapping of entries to reports. Metadata keys apply to the service's metadata, or else to that of its node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryMapping {
     /// Structure of the entries.
@@ -58,7 +58,7 @@
     pub kind_key: String,
     /// Metadata key of the cell.
     pub cell_key: String,
-    /// Metadata key of the start, in Unix milliseconds.
+    /// Metadata key of the start time, in Unix milliseconds.
     pub start_key: String,
     /// Name of the tagged address to use; empty: the address itself.
     pub tagged_address: String,
@@ -69,17 +69,17 @@
 /// A parsed entry.
 struct CachedEntry {
     text: Box<str>,
-    /// The report, or why the entry is not usable.
+    /// The report, or the reason why the entry is not usable.
     report: Result<EndpointReport, String>,
-    /// The last response that contained it.
+    /// Number of the last response that contained it.
     generation: u64,
 }
 
 /// An entry of a response.
 enum ScannedEntry {
-    /// Its bytes are those of a cached entry.
+    /// A cached entry with this key has the same bytes.
     Unchanged(u64),
-    /// It was parsed.
+    /// The entry was parsed, and has this key.
     Parsed(u64, CachedEntry),
 }
 
@@ -131,7 +131,7 @@
     /// Applies the body of a response. With `keep_missing`, endpoints that it lacks stay.
     ///
     /// # Errors
-    /// It is not a list of this kind; then the list is unchanged.
+    /// The body is not a list of this kind; the list is unchanged then.
     pub fn apply(&mut self, body: &[u8], keep_missing: bool) -> Result<ListUpdate, ListError> {
         let scanned = self.scan(body)?;
         self.generation += 1;
@@ -201,7 +201,7 @@
                 return true;
             }
             match &entry.report {
-                // The name has another entry by now.
+                // Another entry has replaced this one for its name.
                 Ok(report) if names.get(&report.name) != Some(key) => false,
                 Ok(_) if keep_missing => true,
                 Ok(report) => {
--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -3,7 +3,7 @@
 //!
 //! | response | meaning |
 //! | --- | --- |
-//! | 200, with a leader, fresh enough, complete | an update: applied at once, also if it is short or empty |
+//! | 200, with a leader, fresh enough, complete | an update: applied at once, even if it is short or empty |
 //! | the same, with an index that went backwards | an update of the endpoints that it contains; missing ones stay for [`WatchIntervals::regrow_timeout`] |
 //! | 200 without a leader, or older than [`WatchIntervals::max_staleness`] | no update; the next agent is queried |
 //! | 200, filtered for lack of permissions (`X-Consul-Results-Filtered-By-ACLs`) | no update: it may lack any endpoint |
@@ -35,7 +35,7 @@
 /// Intervals and timeouts of all watches of a source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchIntervals {
-    /// Longest time that a query waits for changes: Consul's `wait`.
+    /// Maximum time that a query waits for changes: Consul's `wait`.
     pub wait: Duration,
     /// Minimum time between a response and the next query; more frequent changes are reported together.
     pub min_poll_interval: Duration,
@@ -45,7 +45,7 @@
     pub max_backoff: Duration,
     /// Maximum age of a response in the stale mode (`X-Consul-LastContact`).
     pub max_staleness: Duration,
-    /// Time that endpoints stay which a list lacks after its index went backwards.
+    /// Time after an index went backwards during which endpoints that the list lacks stay.
     pub regrow_timeout: Duration,
 }
 
@@ -92,7 +92,7 @@
     /// Answered by the leader, which relies on its lease.
     #[default]
     Default,
-    /// Answered by any server, however far behind.
+    /// Answered by any server, which may be behind the leader.
     Stale,
     /// Answered by the leader after a quorum confirmed its leadership.
     Consistent,
@@ -146,7 +146,7 @@
     pub known_leader: Option<bool>,
     /// `X-Consul-LastContact`, in milliseconds.
     pub last_contact: Option<u64>,
-    /// `X-Consul-Results-Filtered-By-ACLs`.
+    /// `X-Consul-Results-Filtered-By-ACLs`: entries are missing for lack of permissions.
     pub filtered: bool,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
@@ -180,16 +180,16 @@
 /// Longest part of an error response that is quoted, in characters.
 const MAX_QUOTED_CHARS: usize = 120;
 
-/// Why a response is not an update.
+/// Reason why a response is not an update.
 #[derive(Debug, Error)]
 enum ResponseRejection {
     #[error("answered {status}: {text}")]
     Status { status: u16, text: String },
-    #[error("its servers have no leader")]
+    #[error("the Consul servers have no leader")]
     NoLeader,
-    #[error("its answer was filtered: the token may not read all of it")]
+    #[error("the response was filtered: the token lacks permissions to read the complete list")]
     Filtered,
-    #[error("its answer is {age_ms} ms behind the leader")]
+    #[error("the response is {age_ms} ms behind the leader")]
     Stale { age_ms: u64 },
     #[error(transparent)]
     List(#[from] ListError),
@@ -204,7 +204,7 @@
     agent: usize,
     list: ServiceList,
     kind: ListKind,
-    /// Index of the last update, also by an earlier process.
+    /// Index of the last update, which an earlier process may have received.
     index: Option<u64>,
     /// Whether the last query brought an update, so that the next one can wait for changes. After a failure it must not
     /// wait: a server with another history that is behind the index would not answer before the end of the wait.
@@ -355,7 +355,7 @@
         self.agent = (self.agent + 1) % self.agent_count;
     }
 
-    /// Delays the next query by `Retry-After`, with jitter, since all clients were told the same.
+    /// Delays the next query by `Retry-After`, with jitter, since all clients received the same value.
     fn respect_retry_after(&mut self, now: Duration, head: &ResponseHead) {
         let retry_after = Duration::from_secs(head.retry_after.unwrap_or(0)).min(MAX_RETRY_AFTER);
         let backoff = self.watch.next_call_at().saturating_sub(now);
@@ -370,7 +370,7 @@
         body: &[u8],
     ) -> Result<ResponseOutcome, ResponseRejection> {
         self.check_head(head, body)?;
-        // An index of 0 cannot be waited on, and says nothing about the history.
+        // An index of 0 cannot be waited on and does not identify a history.
         let index = head.index.filter(|&index| index > 0);
         let went_backwards = matches!((index, self.index), (Some(new), Some(known)) if new < known);
         let mut incomplete_until = self.incomplete_until.filter(|&until| now < until);
@@ -384,7 +384,7 @@
             self.full_list_reported = true;
             list_update.update = SourceUpdate::Full(self.list.reports());
         }
-        // Also if it went backwards: the next response follows the new history.
+        // Also applies if the index went backwards: the next response follows the new history.
         self.index = index;
         Ok(ResponseOutcome { update: list_update.update, entry_errors: list_update.entry_errors })
     }
@@ -411,7 +411,7 @@
     }
 }
 
-/// A query parameter; without a value if that is empty.
+/// A query parameter; the name alone if the value is empty.
 fn parameter(name: &str, value: &str) -> String {
     match value {
         "" => name.into(),
--- a/crates/data-plane/discovery/src/endpoint.rs
+++ b/crates/data-plane/discovery/src/endpoint.rs
@@ -14,7 +14,7 @@
     /// Accepts new requests.
     #[default]
     Ready,
-    /// Its health checks fail: it gets no new requests, although it is not draining.
+    /// Fails its health checks: it gets no new requests, although it is not draining.
     #[serde(rename = "critical")]
     Unhealthy,
     /// Completes its open requests and gets no new ones.
@@ -43,15 +43,15 @@
     pub zone: Arc<str>,
     /// Name of its machine kind; empty if there is none.
     pub kind: Arc<str>,
-    /// Its cell: the endpoints of a cell share the deduplication keys that they have seen.
+    /// Number of its cell: the endpoints of a cell share a deduplication store.
     pub cell: u16,
-    /// Protocol that it speaks.
+    /// Protocol that the endpoint speaks; HTTP/1.1 if a stored report has none.
     #[serde(rename = "speaks", default)]
     pub protocol: EndpointProtocol,
-    /// Its state.
+    /// State that the source reports.
     #[serde(rename = "standing")]
     pub state: EndpointState,
-    /// Why it is not ready, in a few words; empty if it is ready.
+    /// Reason why it is not ready, in a few words; empty if it is ready.
     #[serde(rename = "why")]
     pub reason: Arc<str>,
     /// Start of its process, in Unix milliseconds; 0: long ago; `None`: the source does not report it.
@@ -59,7 +59,7 @@
     /// Increases with each registration at the source: of two names at one address, the latest registration applies.
     #[serde(rename = "registered")]
     pub registration_index: u64,
-    /// Metadata of its owner; up to 64 keys, the limit of Consul.
+    /// Metadata from the registration; at most 64 keys, which is the limit of Consul.
     #[serde(default)]
     pub meta: Meta,
 }
@@ -67,13 +67,13 @@
 /// Metadata of an endpoint, by key.
 pub type Meta = Arc<BTreeMap<String, String>>;
 
-/// Update of a source's list.
+/// Update of the list of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
-    /// The complete list: endpoints that it lacks are removed, also if it is short or empty.
+    /// The complete list: endpoints that it lacks are removed, even if it is short or empty.
     Full(Vec<EndpointReport>),
     /// Changes since the last update: new or changed endpoints, and names of removed ones.
     Delta(Vec<EndpointReport>, Vec<Name>),
-    /// No usable update, for this reason: the list stays as it is.
+    /// No usable update, for this reason: the list is unchanged.
     Unavailable(String),
 }
--- a/crates/data-plane/discovery/src/endpoint_cache.rs
+++ b/crates/data-plane/discovery/src/endpoint_cache.rs
@@ -1,5 +1,5 @@
-//! Serialised endpoint set, kept over a restart: the reports of each source, first-seen times, and the progress of the
-//! watches. Encoded as JSON; checksum, age and version are those of the file that contains it.
+//! Serialised endpoint set, which outlives a restart: the reports of each source, first-seen times, and the positions of
+//! the watches. Encoded as JSON; the file that contains it has the checksum, the age and the version.
 use crate::endpoint::EndpointReport;
 use crate::endpoint_set::{CachedReport, EndpointSet, Source};
 use serde::{Deserialize, Serialize};
@@ -55,7 +55,7 @@
 
     /// Encodes the cache.
     pub fn encode(&self) -> Vec<u8> {
-        // Cannot fail: numbers and texts only. Empty content would be rejected when it is decoded.
+        // Cannot fail: the content has numbers and texts only. Empty output would be rejected when it is decoded.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
--- a/crates/data-plane/discovery/src/endpoint_set/merge.rs
+++ b/crates/data-plane/discovery/src/endpoint_set/merge.rs
@@ -98,7 +98,7 @@
             Some(started_ms) => started_ms,
             None => self.reports.first_seen_ms(addr, &names, &registrations, now_ms),
         };
-        endpoint.started_ms = self.returned_ms.get(name).map_or(started_ms, |&ms| started_ms.max(ms));
+        endpoint.started_ms = self.hold_out_ended_ms.get(name).map_or(started_ms, |&ms| started_ms.max(ms));
         Some(endpoint)
     }
 }
--- a/crates/data-plane/discovery/src/endpoint_set/mod.rs
+++ b/crates/data-plane/discovery/src/endpoint_set/mod.rs
@@ -33,7 +33,7 @@
 pub struct Source {
     /// Position in the operator's file.
     pub rank: u16,
-    /// Name, with the datacentre.
+    /// Name of the source, with the datacentre.
     pub label: Arc<str>,
 }
 
@@ -48,9 +48,9 @@
     pub zone: Arc<str>,
     /// Name of its machine kind; empty if there is none.
     pub kind: Arc<str>,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u16,
-    /// Protocol that it speaks.
+    /// Protocol that the endpoint speaks.
     #[serde(rename = "speaks")]
     pub protocol: EndpointProtocol,
     /// The most severe state that a source reports.
@@ -59,13 +59,13 @@
     /// Whether it gets new requests.
     #[serde(rename = "takes")]
     pub accepts_requests: bool,
-    /// Why it is not ready; empty if it is ready.
+    /// Reason why it is not ready; empty if it is ready.
     #[serde(rename = "why")]
     pub reason: Arc<str>,
     /// Start of its process in Unix milliseconds, reported or else first seen; 0: long ago.
     #[serde(rename = "since")]
     pub started_ms: f64,
-    /// Whether a source reports the start.
+    /// Whether a source reports the start time.
     #[serde(rename = "stated")]
     pub start_reported: bool,
     /// Labels of the sources that report it, in order of precedence.
@@ -88,7 +88,7 @@
 pub struct SourceStatus {
     /// Time of the last usable update, in Unix milliseconds.
     pub updated_ms: Option<f64>,
-    /// Why the last update was not usable; `None` if it was.
+    /// Reason why the last update was not usable; `None` if it was.
     pub error: Option<String>,
     /// Number of endpoints that it reports.
     pub endpoint_count: usize,
@@ -104,10 +104,10 @@
     reports: ReportIndex,
     endpoints: BTreeMap<Name, Endpoint>,
     last_resort: bool,
-    /// Names that are held out, with the reason.
+    /// Reason of each name that is held out.
     held_out: BTreeMap<Name, Arc<str>>,
-    /// Names that were held out, and the end of that in Unix milliseconds.
-    returned_ms: BTreeMap<Name, f64>,
+    /// End of the last hold-out of each name, in Unix milliseconds.
+    hold_out_ended_ms: BTreeMap<Name, f64>,
     /// Number of ready endpoints.
     ready_count: usize,
     /// Names of the unhealthy endpoints.
@@ -210,7 +210,7 @@
         for name in self.held_out.keys().filter(|name| !held_out.contains_key(*name)) {
             affected.insert(name.clone());
             if self.endpoints.contains_key(name) {
-                self.returned_ms.insert(name.clone(), now_ms);
+                self.hold_out_ended_ms.insert(name.clone(), now_ms);
             }
         }
         let changed = held_out.iter().filter(|(name, reason)| self.held_out.get(*name) != Some(reason));
@@ -242,7 +242,7 @@
         // First-seen time and hold-out are forgotten with the last report of the name at the address.
         if !self.reports.of_name(name).any(|(_, other)| other.addr == report.addr) {
             self.reports.forget_first_seen(name, report.addr);
-            self.returned_ms.remove(name);
+            self.hold_out_ended_ms.remove(name);
         }
     }
 
@@ -265,7 +265,7 @@
             before.insert(name, old);
         }
         if self.uses_last_resort() != used_last_resort {
-            // All unhealthy endpoints begin or cease to accept requests.
+            // All unhealthy endpoints start or stop accepting requests.
             for name in &self.unhealthy {
                 before.entry(name.clone()).or_insert_with(|| self.endpoints.get(name).cloned());
             }
@@ -316,7 +316,7 @@
         before
     }
 
-    /// Whether unhealthy endpoints accept requests now.
+    /// Whether unhealthy endpoints accept requests, since none is ready.
     fn uses_last_resort(&self) -> bool {
         self.last_resort && self.ready_count == 0
     }
--- a/crates/data-plane/discovery/src/endpoint_set/reports.rs
+++ b/crates/data-plane/discovery/src/endpoint_set/reports.rs
@@ -4,16 +4,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// When an endpoint was first seen.
+/// First-seen time of an endpoint.
 #[derive(Clone, Debug)]
 struct FirstSeen {
     /// Unix time in milliseconds.
     at_ms: f64,
-    /// Its registration index at each source.
+    /// Registration index of the endpoint at each source.
     registrations: BTreeMap<Source, u64>,
 }
 
-/// All reports.
+/// All reports, by name and by address.
 #[derive(Debug, Default)]
 pub(super) struct ReportIndex {
     by_name: BTreeMap<(Name, Source), EndpointReport>,
@@ -59,7 +59,7 @@
     /// Names that a source reports and that a complete list lacks.
     pub(super) fn missing_names(&self, source: &Source, list: &[EndpointReport]) -> Vec<Name> {
         let listed: BTreeSet<&Name> = list.iter().map(|report| &report.name).collect();
-        let missing = self.by_name.keys().filter(|(name, s)| s == source && !listed.contains(name));
+        let missing = self.by_name.keys().filter(|(name, other)| other == source && !listed.contains(name));
         missing.map(|(name, _)| name.clone()).collect()
     }
 
@@ -85,7 +85,7 @@
     ) -> Option<EndpointReport> {
         let key = (name.clone(), source.clone());
         let report = self.by_name.remove(&key)?;
-        // Before it is removed from its address: the names that share the address are affected.
+        // Added before the report is removed from its address, since the names that share the address are affected.
         self.add_affected(&report, affected);
         if let Some(keys) = self.by_addr.get_mut(&report.addr) {
             keys.remove(&key);
@@ -106,8 +106,8 @@
         self.by_addr.get(&addr).into_iter().flatten().map(|(name, _)| name.clone())
     }
 
-    /// These names, and those at any of their addresses: an address may pass from one name to another, and a name from
-    /// one of its addresses to another.
+    /// These names, and those that share one of their addresses: an address may move to another name, and a name to
+    /// another of its addresses.
     pub(super) fn with_shared_addresses(&self, names: BTreeSet<Name>) -> BTreeSet<Name> {
         let addrs_of = |name| self.of_name(name).map(|(_, report)| report.addr).collect::<Vec<_>>();
         let addrs: BTreeSet<SocketAddr> = names.iter().flat_map(addrs_of).collect();
--- a/crates/data-plane/discovery/src/lib.rs
+++ b/crates/data-plane/discovery/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`endpoint`] | reports of a source about its endpoints |
+//! | [`endpoint`] | reports of one source about endpoints |
 //! | [`endpoint_set`] | the set of all sources' endpoints: merges reports and returns the changes |
-//! | [`endpoint_cache`] | serialised endpoint set, kept over a restart |
+//! | [`endpoint_cache`] | serialised endpoint set, which outlives a restart |
 //! | [`watch`] | timing of a watch: intervals, long polls, timeouts and backoff |
 //! | [`platform`] | the platform's discovery service: responses, requests and staleness bounds |
 //! | [`consul`] | Consul's HTTP API: requests and the meaning of responses |
--- a/crates/data-plane/discovery/src/platform/mod.rs
+++ b/crates/data-plane/discovery/src/platform/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`staleness`] | when changes count as known, and the timing of a watch that reads them before |
+//! | [`staleness`] | when changes count as known, and the timing of a watch that reads them by then |
 //! | [`watch`] | requests, and the meaning of responses |
 pub mod staleness;
 pub mod watch;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Start times at and above this are invalid, in Unix milliseconds.
+/// Start times at and above this are invalid. Unix time in milliseconds.
 const MAX_STARTED_MS: f64 = 1e15;
 
 /// The response is not a list of endpoints.
@@ -70,7 +70,7 @@
 enum EntryUpdate {
     Updated(EndpointReport),
     Removed(Name),
-    /// The endpoint is draining, and the rest of the entry is not usable, for this reason.
+    /// The endpoint is draining, and the rest of the entry is malformed, for this reason.
     Draining(Name, String),
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// Parses a response. Entries that are not usable are reported as [`EndpointListResponse::entry_errors`] and have no
-/// effect, except that an entry which says that an endpoint is draining or removed applies whatever else is wrong with it.
+/// effect, except that an entry which marks an endpoint as draining or removed applies even if it is malformed otherwise.
 ///
 /// # Errors
 /// The response is not a list of endpoints.
@@ -108,7 +108,7 @@
             raw.servers.into_iter().for_each(|endpoint| entries.add(entry_update(endpoint)));
             (raw.version, raw.full)
         }
-        // Entry by entry, which costs several times as much, only if one of them is malformed.
+        // Parsing each entry separately costs several times as much, so it is done only if one of them is malformed.
         Err(_) => {
             let raw: RawResponse<Value> = serde_json::from_slice(json)?;
             raw.servers.into_iter().for_each(|entry| entries.add(salvage_entry(entry)));
@@ -122,13 +122,16 @@
 
 fn entry_update(endpoint: RawEndpoint) -> Result<EntryUpdate, String> {
     if endpoint.id.is_empty() {
-        return Err("an upstream without an id".into());
+        return Err("an upstream has no id".into());
     }
     if endpoint.state == "left" {
         return Ok(EntryUpdate::Removed(endpoint.id.into()));
     }
     if !(0.0..MAX_STARTED_MS).contains(&endpoint.started_ms) {
-        let error = format!("upstream {:?}: started_ms reads {}", endpoint.id, endpoint.started_ms);
+        let error = format!(
+            "upstream {:?}: started_ms is {}, which is out of range",
+            endpoint.id, endpoint.started_ms
+        );
         return match endpoint.state.as_str() {
             "leaving" => Ok(EntryUpdate::Draining(endpoint.id.into(), error)),
             _ => Err(error),
--- a/crates/data-plane/discovery/src/platform/staleness.rs
+++ b/crates/data-plane/discovery/src/platform/staleness.rs
@@ -11,13 +11,13 @@
 //! | 6.0 s | the missed change counts as known ([`SILENT_WATCH_DEADLINE`]; the wait and [`AFTER_WAIT_DEADLINE`] add up to 4 s) |
 //! | 7.05 s | no request may be sent by the old list any more: 3.75 s for connecting, the queue and the response, or for a retry |
 //!
-//! A request that opens a watch waits 100 ms for changes, so that it is answered as soon as its turn has come, and has 4 s
-//! for the queue. Whatever fails, a change counts as known [`SILENT_WATCH_DEADLINE`] after the service had it and could be
-//! reached. A request that was rejected at once has cost the service nothing: the backoff doubles from 0.3 to 3 s, to 1 s
-//! after a change of the address. A request that waited and failed is retried 2 s after its own start at the earliest, and at
-//! the latest with half a second left of the 7.05 s (random between). Earlier retries would be worse: the service works
-//! through its queue in order, expired requests included, and instances that retry at once keep it full of requests that
-//! time out (`tests/watch.rs` simulates both).
+//! A request that opens a watch waits 100 ms for changes, so that it is answered as soon as it reaches the head of the
+//! queue, and times out after 4 s, including its time in the queue. Whatever fails, a change counts as known
+//! [`SILENT_WATCH_DEADLINE`] after the service had it and could be reached. A request that was rejected at once has used
+//! no time of the service: the backoff doubles from 0.3 to 3 s, to 1 s after a change of the address. A request that
+//! waited and failed is retried 2 s after its own start at the earliest, and at the latest with half a second left of
+//! the 7.05 s (random between). Earlier retries would be worse: the service handles its queue in order, expired requests
+//! included, and instances that retry at once keep it full of requests that time out (`tests/watch.rs` simulates both).
 //!
 //! Where lists are pushed to an agent on this machine, which responds at once and at no cost, a change counts as known as
 //! soon as the agent has it, whether or not a watch is established: wait and response timeout together stay below the grace,
@@ -25,17 +25,18 @@
 use crate::watch::{RetrySpread, WatchTiming};
 use std::time::Duration;
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-/// A change that a silent watch missed counts as known this long after the watch fell silent.
+/// Time after a watch fell silent at which a change that it missed counts as known.
 pub const SILENT_WATCH_DEADLINE: Duration = ms(6000);
-/// But not earlier than this after the end of the wait of its last request.
+/// Minimum time between the end of the wait of the watch's last request and the moment at which such a change counts as
+/// known.
 pub const AFTER_WAIT_DEADLINE: Duration = ms(2000);
 /// Maximum time between a response and the next request of an established watch.
 pub const MAX_WATCH_GAP: Duration = ms(200);
-/// After a change of the service's address in the configuration, its list counts as known this much later.
+/// Time after a change of the service's address in the configuration at which its list counts as known.
 pub const ADDRESS_CHANGE_DEADLINE: Duration = ms(4000);
 /// Extension of each time limit on sockets.
 pub const SOCKET_SLACK: Duration = ms(50);
@@ -106,7 +107,7 @@
         if !self.lists_are_pushed {
             return queried;
         }
-        // Half of the grace is for the wait, a quarter for the response, and the rest for the next request.
+        // Half of the grace is for the wait, a quarter for the response, and the remaining quarter for the next request.
         let grace = self.drain_grace + SOCKET_SLACK;
         let wait = (grace / 2).clamp(ms(100), ms(500));
         let response_timeout = (grace / 4).clamp(ms(50), ms(250));
--- a/crates/data-plane/discovery/src/platform/watch.rs
+++ b/crates/data-plane/discovery/src/platform/watch.rs
@@ -5,7 +5,7 @@
 //! | --- | --- |
 //! | 200, full list, all entries usable | an update: what it lacks is removed, whatever its version |
 //! | 200, changes that follow the known version | an update |
-//! | 200 with entries that are not usable | an update by the other entries; the version stays, so that the rest is requested again |
+//! | 200 with entries that are not usable | an update by the other entries; the version stays, so that the unusable ones are requested again |
 //! | 200, changes of an older version | no update; the full list is requested |
 //! | 200 that is malformed, any other status, none in time | no update |
 use super::staleness::StalenessSettings;
@@ -52,18 +52,18 @@
 pub struct Watch {
     watch: watch::Watch,
     version: Option<u64>,
-    answers: bool,
+    awaiting_first_response: bool,
 }
 
 impl Watch {
-    /// A watch. `version` is that of the known list, if there is one.
-    pub fn new(terms: &StalenessSettings, version: Option<u64>) -> Watch {
-        Watch::with_timing(terms.watch_timing(), version)
+    /// A watch that meets the staleness bounds of these settings. `version` is that of the known list, if there is one.
+    pub fn new(settings: &StalenessSettings, version: Option<u64>) -> Watch {
+        Watch::with_timing(settings.watch_timing(), version)
     }
 
     /// A watch with this timing.
-    pub fn with_timing(plan: WatchTiming, version: Option<u64>) -> Watch {
-        Watch { watch: watch::Watch::new(plan), version, answers: true }
+    pub fn with_timing(timing: WatchTiming, version: Option<u64>) -> Watch {
+        Watch { watch: watch::Watch::new(timing), version, awaiting_first_response: true }
     }
 
     /// The address of the discovery service has changed; versions of the former one have no meaning there.
@@ -92,42 +92,43 @@
         if status != 200 {
             return self.on_failure(now, &format!("answered {status}"), draw);
         }
-        let answer = match parse_response(body) {
-            Ok(answer) => answer,
+        let response = match parse_response(body) {
+            Ok(response) => response,
             Err(error) => return self.on_failure(now, &error.to_string(), draw),
         };
-        let EndpointListResponse { version, full, update: news, entry_errors: faults } = answer;
+        let EndpointListResponse { version, full, update: list_update, entry_errors: errors } = response;
         if !full && self.version.is_none_or(|v| version < v) {
-            // Guards against requesting changes forever since a version that the service does not know any more.
+            // Requests the full list next. Otherwise changes would be requested forever since a version that the service does
+            // not know any more.
             let known = self.version.take().unwrap_or(0);
             return self.on_failure(now, &format!("version {version} does not follow {known}"), draw);
         }
-        if !faults.is_empty() {
-            // The usable entries apply; the absence of others means nothing.
-            let news = match news {
+        if !errors.is_empty() {
+            // The usable entries apply. Endpoints that they lack are not removed: they may be among the unusable entries.
+            let list_update = match list_update {
                 SourceUpdate::Full(reports) => SourceUpdate::Delta(reports, Vec::new()),
-                news => news,
+                list_update => list_update,
             };
             let failed = self.on_failure(now, "", draw);
-            return ResponseOutcome { update: news, entry_errors: faults, ..failed };
+            return ResponseOutcome { update: list_update, entry_errors: errors, ..failed };
         }
         self.version = Some(version);
         self.watch.call_succeeded(now);
-        let answers = std::mem::take(&mut self.answers);
+        let is_first = std::mem::take(&mut self.awaiting_first_response);
         ResponseOutcome {
-            update: news,
+            update: list_update,
             version: self.version,
-            is_first_response: answers,
-            entry_errors: faults,
+            is_first_response: is_first,
+            entry_errors: errors,
         }
     }
 
     /// No complete response was received. `draw`, from 0 to 1, is the jitter of the delay.
     pub fn on_failure(&mut self, now: Duration, reason: &str, draw: f64) -> ResponseOutcome {
         self.watch.call_failed(now, draw);
-        let news = SourceUpdate::Unavailable(reason.into());
+        let unavailable = SourceUpdate::Unavailable(reason.into());
         ResponseOutcome {
-            update: news,
+            update: unavailable,
             version: self.version,
             is_first_response: false,
             entry_errors: Vec::new(),
--- a/crates/data-plane/discovery/src/watch.rs
+++ b/crates/data-plane/discovery/src/watch.rs
@@ -59,7 +59,7 @@
     pub response_reserve: Duration,
 }
 
-/// Kind of a request.
+/// Kind of a request to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// Requests the full list, without a wait.
@@ -70,16 +70,16 @@
     LongPoll,
 }
 
-/// What the driver has to do next.
+/// Next action of the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing until this time.
+    /// Wait until this time.
     Wait(Duration),
     /// Send a request and report its result.
     Call {
         /// Kind of the request.
         kind: CallKind,
-        /// Time that the request waits for changes.
+        /// Maximum time that the request waits for changes.
         wait: Duration,
         /// Time until its response must be complete.
         timeout: Duration,
@@ -88,11 +88,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// No request has succeeded since the start, the last failure or the last change of the address.
     Opening,
+    /// The last request succeeded.
     Established,
 }
 
-/// The last request.
+/// A request that was sent.
 #[derive(Clone, Copy, Debug)]
 struct SentCall {
     kind: CallKind,
@@ -105,7 +107,7 @@
 pub struct Watch {
     timing: WatchTiming,
     phase: Phase,
-    /// The registry's address has changed, and no response has come since.
+    /// Whether the registry's address has changed and no response was received since.
     address_changed: bool,
     /// Time by which missed changes must have been read.
     read_deadline: Duration,
@@ -141,9 +143,9 @@
         self.phase = Phase::Opening;
         self.next_call_at = now;
         self.address_changed = true;
-        let read_within =
+        let max_read_delay =
             self.timing.retry_spread.map_or(Duration::ZERO, |spread| spread.moved_read_deadline);
-        self.read_deadline = now + read_within;
+        self.read_deadline = now + max_read_delay;
         self.backoff.reset();
     }
 
@@ -187,7 +189,7 @@
 
     /// The request was answered, with or without changes.
     pub fn call_succeeded(&mut self, now: Duration) {
-        // Opening a watch that then breaks is no success.
+        // Opening a watch does not reset the backoff, since the watch may break right after.
         let kind = self.last_call.map(|call| call.kind);
         if matches!(kind, Some(CallKind::LongPoll | CallKind::FullList)) {
             self.backoff.reset();
@@ -231,13 +233,13 @@
         }
         let reserve = spread.response_reserve;
         if now < call.started_at + reserve {
-            // Rejected at once, which cost the registry nothing, and its queue moves on.
+            // Rejected at once: the request has used no time of the registry, whose queue moves on.
             return Duration::ZERO;
         }
         let remaining = self.read_deadline.saturating_sub(call.started_at + reserve);
-        // If it is too late for the missed changes, later ones have the whole time again.
-        let whole = spread.read_deadline.saturating_sub(reserve);
-        let latest = if remaining < reserve { whole } else { remaining.min(whole) };
+        // If it is too late for the missed changes, later ones have the complete time again.
+        let full_delay = spread.read_deadline.saturating_sub(reserve);
+        let latest = if remaining < reserve { full_delay } else { remaining.min(full_delay) };
         let earliest = spread.min_delay.min(latest);
         call.started_at + earliest + (latest - earliest).mul_f64(backoff::clamp_draw(draw))
     }
--- a/crates/data-plane/discovery/tests/consul.rs
+++ b/crates/data-plane/discovery/tests/consul.rs
@@ -103,7 +103,7 @@
     for (bad, what) in [
         (entry("bad", 0, "", ""), "port"),
         (entry("bad", 1, "", "").replace("127.0.0.1", "a host"), "IP address"),
-        (entry("", 1, "", ""), "no name"),
+        (entry("", 1, "", ""), "service ID is empty"),
     ] {
         let read =
             ServiceList::new(reading()).apply(list(&[bad, good.clone()]).as_bytes(), false).expect("a list");
--- a/crates/data-plane/request-budget/src/path.rs
+++ b/crates/data-plane/request-budget/src/path.rs
@@ -93,7 +93,7 @@
     }
 
     /// Number of hops.
-    pub fn hops(&self) -> usize {
+    pub fn hop_count(&self) -> usize {
         via_entries(&self.0).count()
     }
 
--- a/crates/data-plane/request-budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -101,13 +101,13 @@
     assert!(!portal.text().contains("portal") && portal.text().len() == 19);
     let first = Path::default().with_hop(&portal, 4).expect("an empty path");
     let second = first.with_hop(&cuentas, 4).expect("a path without this hop");
-    assert_eq!(second.hops(), 2);
+    assert_eq!(second.hop_count(), 2);
     assert_eq!(first.with_hop(&portal, 4), Err(PathRejection::Loop));
     assert_eq!(second.with_hop(&portal, 4), Err(PathRejection::Loop), "a loop through two pools");
     // A proxy in between appends its own entry with a comment, on a separate header line.
     let lines = [second.text().as_bytes(), b"1.0 fred (a, (nested), proxy), 1.1 p.example.net (Squid)"];
     let forwarded = Path::read(lines.into_iter()).expect("short enough");
-    assert_eq!((forwarded.hops(), forwarded.with_hop(&cuentas, 9)), (4, Err(PathRejection::Loop)));
+    assert_eq!((forwarded.hop_count(), forwarded.with_hop(&cuentas, 9)), (4, Err(PathRejection::Loop)));
     assert_eq!(forwarded.with_hop(&marker("third"), 4), Err(PathRejection::TooManyHops));
     let long_value = vec![b'x'; 3000];
     assert_eq!(Path::read([&long_value[..]].into_iter()), Err(PathRejection::TooManyHops));
@@ -123,7 +123,7 @@
     assert!(
         Path::read([&b"\xff"[..], b"1.1 a"].into_iter())
             .expect("values that are not UTF-8 are ignored")
-            .hops()
+            .hop_count()
             == 1
     );
 }
@@ -254,7 +254,7 @@
         }
         let _ = read_used(noise.as_bytes());
         let _ = Path::read([noise.as_bytes()].into_iter())
-            .map(|path| path.with_hop(&marker("x"), 8).map(|path| path.hops()));
+            .map(|path| path.with_hop(&marker("x"), 8).map(|path| path.hop_count()));
         let text = write_budget(left_ms, retries, worth);
         let requested = read_budget(&[text.as_bytes()]).expect("valid").expect("a budget");
         prop_assert!(requested.left_ms.is_some_and(
