--- a/crates/data-plane/discovery/tests/encoding.rs
+++ b/crates/data-plane/discovery/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The bytes of a saved list of endpoints, against those that earlier builds wrote.
+//! Encoding of the endpoint cache, compared with the bytes that earlier builds wrote.
 use discovery::endpoint::{EndpointProtocol, EndpointReport, EndpointState};
 use discovery::endpoint_cache::{EndpointCache, FORMAT_VERSION};
 use discovery::endpoint_set::{EndpointSet, Source};
@@ -7,7 +7,7 @@
 
 const FIXTURE: &str = include_str!("fixtures/saved.json");
 
-fn saved() -> EndpointCache {
+fn sample_cache() -> EndpointCache {
     let source = |rank, label: &str| Source { rank, label: label.into() };
     let report = EndpointReport {
         name: "u1".into(),
@@ -45,24 +45,24 @@
 }
 
 #[test]
-fn a_saved_list_keeps_its_encoding() {
+fn the_encoding_of_a_cache_does_not_change() {
     assert_eq!(FORMAT_VERSION, 1);
-    assert_eq!(String::from_utf8(saved().encode()).expect("text"), FIXTURE.trim_end());
-    assert_eq!(EndpointCache::decode(FIXTURE.as_bytes()).expect("reads"), saved());
+    assert_eq!(String::from_utf8(sample_cache().encode()).expect("UTF-8"), FIXTURE.trim_end());
+    assert_eq!(EndpointCache::decode(FIXTURE.as_bytes()).expect("a valid cache"), sample_cache());
 }
 
-/// Saved endpoint list that `herondock run` of the former build left, with two static endpoints.
+/// Endpoint cache that `herondock run` of the former build wrote, with two static endpoints.
 const FORMER_BUILD: &[u8] = include_bytes!("fixtures/former-build-endpoints");
 
-/// Guards against an upgrade after which an instance does not find the endpoints that it had saved.
+/// Guards against an upgrade after which an instance cannot restore the endpoints that the former build saved.
 #[test]
-fn the_saved_endpoint_list_of_the_former_build_is_restored() {
+fn the_endpoint_cache_of_the_former_build_is_restored() {
     let header_end = FORMER_BUILD.iter().position(|&b| b == b'\n').expect("a header");
     let content = &FORMER_BUILD[header_end + 1..];
-    let cache = EndpointCache::decode(content).expect("good");
-    // Times in fractions of a millisecond may be read one unit in the last place off.
-    let times = content.windows(7).position(|w| w == b"\"told\":").expect("times");
-    assert_eq!(cache.encode()[..times], content[..times], "written back byte for byte");
+    let cache = EndpointCache::decode(content).expect("a valid cache");
+    // Times with fractions of a millisecond may be decoded one unit in the last place off.
+    let times_offset = content.windows(7).position(|w| w == b"\"told\":").expect("times");
+    assert_eq!(cache.encode()[..times_offset], content[..times_offset], "encoded to the same bytes");
     let source = Source { rank: u16::MAX, label: "static".into() };
     let mut endpoints = EndpointSet::new(true);
     endpoints.add_source(&source);
--- a/crates/data-plane/discovery/tests/platform.rs
+++ b/crates/data-plane/discovery/tests/platform.rs
@@ -6,74 +6,76 @@
 };
 use std::time::Duration;
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 #[test]
-fn a_bad_entry_costs_itself_alone_and_what_leaves_leaves() {
+fn a_malformed_entry_affects_only_itself_and_leaving_endpoints_are_drained_or_removed() {
     let text = r#"{"version":4,"full":false,"servers":[
         {"id":"s-1","addr":"127.0.0.1:10","zone":"a","kind":"m2","cell":3,"state":"leaving","weight":1.0,"started_ms":7},
         {"id":"s-2","addr":"127.0.0.1:11","state":"left"}]}"#;
-    let told = |text: &str| {
-        let answer = parse_response(text.as_bytes()).expect("a list");
-        let SourceUpdate::Delta(reports, gone) = answer.update else { panic!("{:?}", answer.update) };
-        let stands = reports.iter().map(|r| (r.name.to_string(), r.state, r.started_ms));
-        (stands.collect::<Vec<_>>(), gone, answer.entry_errors.len())
+    let parsed = |text: &str| {
+        let response = parse_response(text.as_bytes()).expect("a list");
+        let SourceUpdate::Delta(reports, removed) = response.update else { panic!("{:?}", response.update) };
+        let states = reports.iter().map(|r| (r.name.to_string(), r.state, r.started_ms));
+        (states.collect::<Vec<_>>(), removed, response.entry_errors.len())
     };
-    let (leaves, left) = ((String::from("s-1"), EndpointState::Draining, Some(7.0)), Name::from("s-2"));
-    assert_eq!(told(text), (vec![leaves.clone()], vec![left.clone()], 0));
-    // What `left` needs is enough, and what is left out of an entry of another kind is a fault of its own.
+    let (leaving, left) = ((String::from("s-1"), EndpointState::Draining, Some(7.0)), Name::from("s-2"));
+    assert_eq!(parsed(text), (vec![leaving.clone()], vec![left.clone()], 0));
+    // An entry with the state `left` needs only its id; missing fields of another entry make that entry unusable.
     let bare = text.replace("\"addr\":\"127.0.0.1:11\",", "");
-    assert_eq!(told(&bare), (vec![leaves.clone()], vec![left.clone()], 0));
-    for (from, to, known) in [
-        ("left", "odd", (vec![leaves.clone()], vec![], 1)),
-        ("\"s-2\"", "\"\"", (vec![leaves.clone()], vec![], 1)),
-        ("\"s-2\"", "{}", (vec![leaves.clone()], vec![], 1)),
+    assert_eq!(parsed(&bare), (vec![leaving.clone()], vec![left.clone()], 0));
+    for (from, to, expected) in [
+        ("left", "odd", (vec![leaving.clone()], vec![], 1)),
+        ("\"s-2\"", "\"\"", (vec![leaving.clone()], vec![], 1)),
+        ("\"s-2\"", "{}", (vec![leaving.clone()], vec![], 1)),
         (":7}", ":-1}", (vec![], vec![Name::from("s-1"), left.clone()], 1)),
         ("127.0.0.1:10", "x", (vec![], vec![Name::from("s-1"), left.clone()], 1)),
-        ("127.0.0.1:11", "x", (vec![leaves.clone()], vec![left.clone()], 0)),
+        ("127.0.0.1:11", "x", (vec![leaving.clone()], vec![left.clone()], 0)),
     ] {
-        assert_eq!(told(&text.replace(from, to)), known, "{from} for {to}");
+        assert_eq!(parsed(&text.replace(from, to)), expected, "{from} replaced by {to}");
     }
-    assert!(parse_response(text.replace("]}", "").as_bytes()).is_err(), "cut off");
+    assert!(parse_response(text.replace("]}", "").as_bytes()).is_err(), "a truncated response");
 }
 
-/// The table above, for any grace: a silent watch is given up and opened again with half of the time left.
+/// Checks the table of [`discovery::platform::staleness`] for several values of the grace: after a silent watch has timed
+/// out, at least half of the open timeout is left to reopen it.
 #[test]
-fn every_constant_fits_into_what_counts_as_told() {
+fn the_timing_meets_the_staleness_bounds() {
     for grace in [0, 50, 200, 1000, 5000] {
-        let asked = StalenessSettings { lists_are_pushed: false, drain_grace: ms(grace) };
-        let plan = asked.watch_timing();
-        let by = asked.silent_read_deadline(plan.max_wait);
+        let queried = StalenessSettings { lists_are_pushed: false, drain_grace: ms(grace) };
+        let timing = queried.watch_timing();
+        let read_deadline = queried.silent_read_deadline(timing.max_wait);
         assert!(
-            plan.max_wait + AFTER_WAIT_DEADLINE <= SILENT_WATCH_DEADLINE,
-            "the wait does not put off what counts"
+            timing.max_wait + AFTER_WAIT_DEADLINE <= SILENT_WATCH_DEADLINE,
+            "the wait does not delay the time at which a change counts as known"
         );
         assert!(
-            plan.max_wait + plan.response_timeout + plan.initial_backoff + plan.open_timeout / 2 <= by,
-            "{grace}: {plan:?}"
+            timing.max_wait + timing.response_timeout + timing.initial_backoff + timing.open_timeout / 2
+                <= read_deadline,
+            "{grace}: {timing:?}"
         );
         assert!(
-            plan.open_timeout + plan.initial_backoff + plan.open_timeout / 2 - ms(500) <= by,
-            "{grace}: {plan:?}"
+            timing.open_timeout + timing.initial_backoff + timing.open_timeout / 2 - ms(500) <= read_deadline,
+            "{grace}: {timing:?}"
         );
-        assert!(plan.max_backoff <= ADDRESS_CHANGE_DEADLINE / 4);
-        let pushed = StalenessSettings { lists_are_pushed: true, ..asked };
-        let plan = pushed.watch_timing();
+        assert!(timing.max_backoff <= ADDRESS_CHANGE_DEADLINE / 4);
+        let pushed = StalenessSettings { lists_are_pushed: true, ..queried };
+        let timing = pushed.watch_timing();
         assert!(
-            plan.max_wait + plan.response_timeout + plan.initial_backoff
+            timing.max_wait + timing.response_timeout + timing.initial_backoff
                 < SILENT_WATCH_DEADLINE + SOCKET_SLACK
         );
         if grace >= 200 {
             assert!(
-                plan.max_wait + plan.response_timeout + plan.initial_backoff
-                    < asked.drain_grace + SOCKET_SLACK,
-                "{grace}: {plan:?}"
+                timing.max_wait + timing.response_timeout + timing.initial_backoff
+                    < queried.drain_grace + SOCKET_SLACK,
+                "{grace}: {timing:?}"
             );
             assert!(
-                plan.open_timeout + plan.max_backoff < asked.drain_grace + SOCKET_SLACK,
-                "{grace}: {plan:?}"
+                timing.open_timeout + timing.max_backoff < queried.drain_grace + SOCKET_SLACK,
+                "{grace}: {timing:?}"
             );
         }
     }
