--- a/crates/data-plane/discovery/src/consul/registration.rs
+++ b/crates/data-plane/discovery/src/consul/registration.rs
@@ -35,9 +35,9 @@
     pub id: String,
     /// Address at which clients connect.
     pub addr: SocketAddr,
-    /// Tags.
+    /// Tags of the service.
     pub tags: Vec<String>,
-    /// Metadata.
+    /// Metadata of the service, by key.
     pub meta: BTreeMap<String, String>,
     /// Time without a renewal after which the check turns critical.
     pub ttl: Duration,
--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -105,20 +105,20 @@
     pub service: String,
     /// Datacentre; `None`: the agent's own.
     pub datacentre: Option<String>,
-    /// Namespace (Enterprise).
+    /// Namespace (Consul Enterprise).
     pub namespace: Option<String>,
-    /// Admin partition (Enterprise).
+    /// Admin partition (Consul Enterprise).
     pub partition: Option<String>,
-    /// Filter expression.
+    /// Filter expression of the queries.
     pub filter: Option<String>,
-    /// Consistency mode.
+    /// Consistency mode of the queries.
     pub consistency: Consistency,
 }
 
 /// A query to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Position of the agent.
+    /// Position of the agent in the list of agents.
     pub agent: usize,
     /// Path and query.
     pub path: String,
@@ -138,18 +138,18 @@
 /// Status and relevant headers of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
     /// `X-Consul-Index`; `None`: absent or no number.
     pub index: Option<u64>,
-    /// `X-Consul-KnownLeader`; `None`: absent.
+    /// `X-Consul-KnownLeader`: whether the server knows a leader; `None`: absent.
     pub known_leader: Option<bool>,
-    /// `X-Consul-LastContact`, in milliseconds.
-    pub last_contact: Option<u64>,
+    /// `X-Consul-LastContact`: time since the server was in contact with the leader, in milliseconds.
+    pub last_contact_ms: Option<u64>,
     /// `X-Consul-Results-Filtered-By-ACLs`: entries are missing for lack of permissions.
     pub filtered: bool,
     /// `Retry-After`, in seconds.
-    pub retry_after: Option<u64>,
+    pub retry_after_secs: Option<u64>,
 }
 
 impl ResponseHead {
@@ -161,9 +161,9 @@
             status,
             index: number("x-consul-index"),
             known_leader: flag("x-consul-knownleader"),
-            last_contact: number("x-consul-lastcontact"),
+            last_contact_ms: number("x-consul-lastcontact"),
             filtered: flag("x-consul-results-filtered-by-acls").unwrap_or(false),
-            retry_after: number("retry-after"),
+            retry_after_secs: number("retry-after"),
         }
     }
 }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Name of the watch; the same after a restart.
+    /// Name of the watch, which is the same after a restart: service and datacentre.
     pub fn label(&self) -> String {
         let datacentre = self.target.datacentre.as_deref().unwrap_or("agent");
         format!("{}@{datacentre}", self.target.service)
@@ -251,7 +251,7 @@
         self.index
     }
 
-    /// Number of endpoints.
+    /// Number of endpoints in the list.
     pub fn endpoint_count(&self) -> usize {
         self.list.len()
     }
@@ -357,7 +357,7 @@
 
     /// Delays the next query by `Retry-After`, with jitter, since all clients received the same value.
     fn respect_retry_after(&mut self, now: Duration, head: &ResponseHead) {
-        let retry_after = Duration::from_secs(head.retry_after.unwrap_or(0)).min(MAX_RETRY_AFTER);
+        let retry_after = Duration::from_secs(head.retry_after_secs.unwrap_or(0)).min(MAX_RETRY_AFTER);
         let backoff = self.watch.next_call_at().saturating_sub(now);
         self.watch.postpone(now + backoff.max(retry_after + backoff.min(retry_after)));
     }
@@ -402,7 +402,7 @@
             return Err(ResponseRejection::Filtered);
         }
         let max_age_ms = u64::try_from(self.intervals.max_staleness.as_millis()).unwrap_or(u64::MAX);
-        match head.last_contact {
+        match head.last_contact_ms {
             Some(age_ms) if self.target.consistency == Consistency::Stale && age_ms > max_age_ms => {
                 Err(ResponseRejection::Stale { age_ms })
             }
--- a/crates/data-plane/discovery/src/endpoint_set/mod.rs
+++ b/crates/data-plane/discovery/src/endpoint_set/mod.rs
@@ -83,7 +83,7 @@
     Removed(Endpoint),
 }
 
-/// Status of a source.
+/// Status of a source, as of its last update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SourceStatus {
     /// Time of the last usable update, in Unix milliseconds.
--- a/crates/data-plane/discovery/tests/consul.rs
+++ b/crates/data-plane/discovery/tests/consul.rs
@@ -174,7 +174,7 @@
         status: 200,
         index: Some(index),
         known_leader: Some(true),
-        last_contact: Some(0),
+        last_contact_ms: Some(0),
         ..ResponseHead::default()
     }
 }
@@ -228,7 +228,7 @@
     let good = list(&[entry("a", 1, "", "")]);
     for (head, body, expected_reason) in [
         (ResponseHead { known_leader: Some(false), ..head(50) }, "[]", "no leader"),
-        (ResponseHead { last_contact: Some(5001), ..head(50) }, "[]", "behind the leader"),
+        (ResponseHead { last_contact_ms: Some(5001), ..head(50) }, "[]", "behind the leader"),
         (ResponseHead { filtered: true, ..head(50) }, "[]", "filtered"),
         (ResponseHead { status: 500, ..head(50) }, "[]", "answered 500"),
         (ResponseHead { status: 403, ..head(50) }, "Permission\r\ndenied", "answered 403: Permissiondenied"),
@@ -260,7 +260,7 @@
     assert_eq!(next_request(&mut watch, 250).agent, 1);
     watch.on_response(
         ms(300),
-        &ResponseHead { status: 429, retry_after: Some(3), ..ResponseHead::default() },
+        &ResponseHead { status: 429, retry_after_secs: Some(3), ..ResponseHead::default() },
         b"",
         1.0,
     );
