--- a/crates/data-plane/request-budget/src/grammar.rs
+++ b/crates/data-plane/request-budget/src/grammar.rs
@@ -18,7 +18,7 @@
 /// Tolerance in milliseconds when times are compared: they are written with three decimals.
 pub(crate) const ROUNDING_TOLERANCE_MS: f64 = 0.002;
 
-/// Reason why a budget field is rejected.
+/// Reason why a budget field is rejected. Its text is the body of the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MalformedBudget {
     /// The request has several budget fields.
@@ -38,12 +38,14 @@
 impl fmt::Display for MalformedBudget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MalformedBudget::DuplicateField => f.write_str("the request has more than one budget field"),
+            MalformedBudget::DuplicateField => f.write_str("the budget is there twice"),
             MalformedBudget::TooLong => f.write_str("the budget is too long"),
-            MalformedBudget::Syntax(offset) => write!(f, "the budget has a syntax error at byte {offset}"),
-            MalformedBudget::DuplicateKey(key) => write!(f, "the budget has the key {key} twice"),
-            MalformedBudget::InvalidNumber(key) => write!(f, "the budget's {key} is not a valid number"),
-            MalformedBudget::LateDeadline => f.write_str("the deadline exceeds the time left in the budget"),
+            MalformedBudget::Syntax(offset) => write!(f, "the budget can't be read from byte {offset}"),
+            MalformedBudget::DuplicateKey(key) => write!(f, "the budget has {key} twice"),
+            MalformedBudget::InvalidNumber(key) => {
+                write!(f, "the budget's {key} is no number that it can be")
+            }
+            MalformedBudget::LateDeadline => f.write_str("the deadline is longer than the budget's left"),
         }
     }
 }
--- a/crates/data-plane/request-budget/src/path.rs
+++ b/crates/data-plane/request-budget/src/path.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reason why a request is not forwarded.
+/// Reason why a request is not forwarded. Its text is the body of the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathRejection {
     /// The path contains this pool's marker.
@@ -47,7 +47,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             PathRejection::Loop => "the request has been here before: its route is a loop",
-            PathRejection::TooManyHops => "the request has passed too many hops",
+            PathRejection::TooManyHops => "the request has been at too many places",
         })
     }
 }
