--- a/crates/data-plane/balancer/src/interface.rs
+++ b/crates/data-plane/balancer/src/interface.rs
@@ -1,116 +1,119 @@
-//! What a [`Balancer`](crate::Balancer) is told and what it asks for: settings, ids, events, actions.
+//! Public types of the [`Balancer`](crate::Balancer): settings, ids, events and actions.
 //!
-//! Every time is in milliseconds on one clock that only increases; the balancer reads no clock itself.
+//! All times are in milliseconds on one clock that never goes back; the balancer reads no clock itself.
 use std::fmt;
 
-/// Milliseconds: a point on the caller's clock, or a span of it.
+/// Milliseconds: a time on the caller's clock, or a duration.
 pub type Millis = f64;
-/// Names one request for as long as it lasts; never used twice within an instance's life.
+/// Id of a request. It is unique during the lifetime of a balancer instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
-/// Names one upstream server. Carries no meaning; the same value at every balancer.
+/// Id of an upstream server. It is opaque and the same at every balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
 
-/// What repeating a request of a class may do.
+/// Effect of running a request of a class more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Effect {
     /// May run any number of times.
     #[default]
     Free,
-    /// Carries a key; upstreams within `scope` discard repeats for `window` after the first send.
+    /// Carries an idempotency key: for `window` after the first attempt, upstreams within `scope` discard duplicates.
     Guarded {
-        /// The upstreams that discard each other's repeats.
+        /// Upstreams that discard each other's duplicates.
         scope: DedupScope,
-        /// How long they remember, counted from the send of the first attempt that may have run.
+        /// Time for which they remember a key, counted from the sending of the first attempt that may have run.
         window: Millis,
     },
-    /// Must never run twice.
+    /// Must never run more than once.
     SingleShot,
 }
 
-/// Which upstreams share the memory of keys for [`Effect::Guarded`] requests.
+/// Upstreams that share a deduplication store for [`Effect::Guarded`] requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every upstream of the tier.
+    /// All upstreams of the tier.
     All,
-    /// Those in the same zone.
+    /// Upstreams in the same zone.
     Zone,
-    /// Those of the same group.
+    /// Upstreams of the same group.
     Cell,
 }
 
-/// A class of requests.
+/// Settings of a class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth. Above zero.
+    /// Time within which an answer earns the full worth. Above zero.
     pub objective: Millis,
-    /// The most a client waits over all its tries. At least `objective`.
+    /// Maximum time that a client waits over all attempts, meant to be at least `objective`.
     pub deadline: Millis,
-    /// What a repeat may do.
+    /// Effect of running a request of this class more than once.
     pub effect: Effect,
-    /// The part of its worth that an answer after `objective` still earns.
+    /// Fraction of its worth that an answer after `objective` still earns.
     pub late_worth: f64,
-    /// The only zones it may be sent to, at every attempt; `None`: any. Not an empty list.
+    /// Zones that every attempt is limited to; `None` allows all zones. Must not be empty.
     pub runs_in: Option<Vec<u16>>,
-    /// The only machine kinds it may be sent to, at every attempt; `None`: any. Not an empty list.
+    /// Machine kinds that every attempt is limited to; `None` allows all kinds. Must not be empty.
     pub kinds_only: Option<Vec<u8>>,
 }
 
-/// A tenant with a stated part in the service.
+/// A tenant and its share of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its part relative to the other tenants; need not sum to one. At least zero.
+    /// Share relative to the other tenants. At least zero; the shares need not add up to one.
     pub share: f64,
-    /// Requests per second within its share, over all balancers together; zero when not stated.
+    /// Quota in requests per second, over all balancers together; zero if not stated.
     pub quota_per_s: f64,
 }
 
-/// Everything an instance is told at its start. [`Settings::default`] gives documented defaults.
+/// Settings of a balancer instance. [`Settings::default`] gives documented defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This instance's number among the balancers of its tier, from zero.
+    /// Index of this instance among the balancers of its tier, from zero.
     pub index: u32,
-    /// How many balancers the tier has. At least one.
+    /// Number of balancers in the tier. At least one.
     pub balancers: u32,
-    /// The tier this instance sends into; zero is the one that clients reach first.
+    /// Tier that this instance sends requests to. Zero is the tier that clients reach first.
     pub stage: u32,
-    /// The zone this instance runs in.
+    /// Zone that this instance runs in.
     pub zone: u16,
-    /// Request classes; requests name them by position. At least one.
+    /// Request classes; requests refer to them by index. At least one.
     pub classes: Vec<Class>,
-    /// Tenants; requests name them by position. Empty: all traffic is one tenant's.
+    /// Tenants; requests refer to them by index. If empty, all traffic belongs to one tenant.
     pub tenants: Vec<Tenant>,
-    /// Most attempts for one request. At least one.
+    /// Maximum number of attempts per request. At least one.
     pub attempts_cap: u32,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Whether the list of upstreams must be asked for (`true`) or is pushed (`false`).
+    /// Whether the list of upstreams must be requested (`true`) or is pushed (`false`).
     pub ask_for_list: bool,
-    /// An instance that has neither a subscription nor asked for this long counts as told all the same.
+    /// Time after which an instance without a subscription is considered notified of list changes all the same, unless
+    /// it has requested the list since.
     pub ask_within: Millis,
-    /// Idle connections close after this time.
+    /// Time after which idle connections close.
     pub idle_close: Millis,
-    /// Longest advice to stay away that clients heed; zero: no advice is passed on.
+    /// Maximum retry delay that clients follow when advised; zero: no advice is given.
     pub max_retry_after: Millis,
-    /// A cold upstream starts at this fraction of its capacity or higher.
+    /// Fraction of its capacity, or a lower bound of it, that a cold upstream starts with.
     pub cold_from: f64,
-    /// A cold upstream is warm after this time at the latest.
+    /// Maximum time until a cold upstream is warm.
     pub ramp_time: Millis,
-    /// A cold upstream falls over when sent more than this many times what it can do at that moment.
+    /// Multiple of its current capacity above which a cold upstream falls over.
     pub tip_multiple: f64,
-    /// Upstreams also shed work that they had begun: [`Ending::Full`] is no proof that an attempt never ran.
+    /// Whether upstreams also shed work that they had begun, so that [`Ending::Full`] does not prove that an attempt
+    /// never ran.
     pub late_shedding: bool,
-    /// Price of one zone crossing per first try, as a part of a request's worth.
+    /// Price of one zone crossing per first attempt, as a fraction of a request's worth.
     pub cross_zone_price: f64,
-    /// Whether a request is refused at once that has less time left than the fastest answers of its class take.
+    /// Whether a request is refused at once if it has less time left than the fastest answers of its class take.
     pub refuse_hopeless: bool,
-    /// Further attempts allowed for each first one of a tenant, on average; zero: no bound but the one for all.
+    /// Average number of retries allowed per first attempt of a tenant; zero: no limit apart from the one over all
+    /// tenants.
     pub tenant_retries: f64,
 }
 
 impl Default for Settings {
-    /// One balancer, one free class (1 s aim, 3 s deadline), one tenant, a pushed list, one zone.
+    /// One balancer, one free class (1 s objective, 3 s deadline), one tenant, a pushed list, one zone.
     fn default() -> Self {
         Settings {
             index: 0,
@@ -141,12 +144,12 @@
     }
 }
 
-/// Why [`Settings`] were refused.
+/// Reason why [`Settings`] were rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What it must be.
+    /// Requirement that the field must meet.
     pub must: &'static str,
 }
 
@@ -162,37 +165,45 @@
     /// Checks every field.
     ///
     /// # Errors
-    /// A field is out of its bounds; the first such field is named.
+    /// Returns the first field that is out of bounds.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let need = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
-        // Far beyond any use, and small enough that products of two stay finite.
-        let span = |v: f64| (0.0..=1e15).contains(&v);
-        need(self.balancers >= 1, "balancers", "at least 1")?;
-        need(!self.classes.is_empty(), "classes", "at least one")?;
-        need(self.attempts_cap >= 1, "attempts_cap", "at least 1")?;
-        for c in &self.classes {
-            need(span(c.objective) && c.objective > 0.0, "classes.objective", "a time above 0")?;
-            need(span(c.deadline) && c.deadline > 0.0, "classes.deadline", "a time above 0")?;
-            need(span(c.late_worth), "classes.late_worth", "a number of at least 0")?;
-            need(c.runs_in.as_ref().is_none_or(|l| !l.is_empty()), "classes.runs_in", "absent or not empty")?;
-            let kinds = c.kinds_only.as_ref();
-            need(kinds.is_none_or(|l| !l.is_empty()), "classes.kinds_only", "absent or not empty")?;
-            if let Effect::Guarded { window, .. } = c.effect {
-                need(span(window), "classes.window", "a time of at least 0")?;
+        let require = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
+        // Far beyond any practical value, and small enough that the product of two stays finite.
+        let in_bounds = |v: f64| (0.0..=1e15).contains(&v);
+        require(self.balancers >= 1, "balancers", "at least 1")?;
+        require(!self.classes.is_empty(), "classes", "at least one")?;
+        require(self.attempts_cap >= 1, "attempts_cap", "at least 1")?;
+        for class in &self.classes {
+            require(
+                in_bounds(class.objective) && class.objective > 0.0,
+                "classes.objective",
+                "a time above 0",
+            )?;
+            require(in_bounds(class.deadline) && class.deadline > 0.0, "classes.deadline", "a time above 0")?;
+            require(in_bounds(class.late_worth), "classes.late_worth", "a number of at least 0")?;
+            require(
+                class.runs_in.as_ref().is_none_or(|l| !l.is_empty()),
+                "classes.runs_in",
+                "absent or not empty",
+            )?;
+            let kinds = class.kinds_only.as_ref();
+            require(kinds.is_none_or(|l| !l.is_empty()), "classes.kinds_only", "absent or not empty")?;
+            if let Effect::Guarded { window, .. } = class.effect {
+                require(in_bounds(window), "classes.window", "a time of at least 0")?;
             }
         }
-        for t in &self.tenants {
-            need(span(t.share), "tenants.share", "a number of at least 0")?;
-            need(span(t.quota_per_s), "tenants.quota_per_s", "a rate of at least 0")?;
+        for tenant in &self.tenants {
+            require(in_bounds(tenant.share), "tenants.share", "a number of at least 0")?;
+            require(in_bounds(tenant.quota_per_s), "tenants.quota_per_s", "a rate of at least 0")?;
         }
-        need(span(self.ask_within) && self.ask_within > 0.0, "ask_within", "a time above 0")?;
-        need(span(self.idle_close), "idle_close", "a time of at least 0")?;
-        need(span(self.max_retry_after), "max_retry_after", "a time of at least 0")?;
-        need(span(self.cold_from) && self.cold_from <= 1.0, "cold_from", "between 0 and 1")?;
-        need(span(self.ramp_time), "ramp_time", "a time of at least 0")?;
-        need(span(self.tip_multiple), "tip_multiple", "a number of at least 0")?;
-        need(span(self.tenant_retries), "tenant_retries", "a number of at least 0")?;
-        need(span(self.cross_zone_price), "cross_zone_price", "a number of at least 0")
+        require(in_bounds(self.ask_within) && self.ask_within > 0.0, "ask_within", "a time above 0")?;
+        require(in_bounds(self.idle_close), "idle_close", "a time of at least 0")?;
+        require(in_bounds(self.max_retry_after), "max_retry_after", "a time of at least 0")?;
+        require(in_bounds(self.cold_from) && self.cold_from <= 1.0, "cold_from", "between 0 and 1")?;
+        require(in_bounds(self.ramp_time), "ramp_time", "a time of at least 0")?;
+        require(in_bounds(self.tip_multiple), "tip_multiple", "a number of at least 0")?;
+        require(in_bounds(self.tenant_retries), "tenant_retries", "a number of at least 0")?;
+        require(in_bounds(self.cross_zone_price), "cross_zone_price", "a number of at least 0")
     }
 }
 
@@ -202,192 +213,193 @@
     /// Takes new work.
     #[default]
     Ready,
-    /// Finishes what it holds; nothing new may be sent.
+    /// Finishes the work in flight; nothing new may be sent.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// One line of the list of upstreams.
+/// Entry of the list of upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
-    /// Which upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Its zone.
+    /// Zone that the upstream runs in.
     pub zone: u16,
-    /// Its machine kind.
+    /// Machine kind of the upstream.
     pub kind: u8,
-    /// The group whose members share the keys they have seen.
+    /// Group of upstreams that share a deduplication store.
     pub group: u16,
-    /// Whether it takes new work.
+    /// Whether the upstream takes new work.
     pub availability: Availability,
-    /// When its process last started; zero: long ago.
+    /// Time at which its process last started; zero: long ago.
     pub since: Millis,
 }
 
-/// News about the list of upstreams.
+/// Update of the list of upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Membership {
-    /// The whole list; what it lacks is gone.
+    /// The full list; upstreams missing from it are gone.
     Full(Vec<Member>),
-    /// The whole list as this instance last had it, perhaps old.
+    /// The full list as this instance last had it, possibly outdated.
     Cached(Vec<Member>),
-    /// Only what changed.
+    /// Only the changed entries.
     Delta(Vec<Member>),
-    /// A call for the list failed or the subscription broke; the old list stands.
+    /// A request for the list failed or the subscription broke; the previous list stays in use.
     Failed,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// Answered successfully.
     Ok,
-    /// An error answer; it may have run.
+    /// Answered with an error; the attempt may have run.
     Error,
-    /// Turned away (full or draining); never ran, unless [`Settings::late_shedding`] is set.
+    /// Declined because the upstream is full or draining; the attempt never ran unless [`Settings::late_shedding`] is
+    /// set.
     Full,
-    /// No answer in time; may have run or still run.
+    /// No answer before the timeout; the attempt may have run or may still run.
     Timeout,
-    /// No connection could be made; never ran.
+    /// No connection could be established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled; the attempt may have run.
     Cancelled,
-    /// Was not sent at all; never ran.
+    /// Not sent at all; the attempt never ran.
     Moot,
-    /// Something unknown; counts as one that may have run.
+    /// Unknown outcome; treated as an attempt that may have run.
     Unknown,
 }
 
 impl Ending {
-    /// Whether this ending proves that the attempt never ran; see [`Settings::late_shedding`] for `Full`.
+    /// Whether this outcome proves that the attempt never ran; for `Full`, see [`Settings::late_shedding`].
     pub fn never_ran(self) -> bool {
         matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
     }
 }
 
-/// A client's request.
+/// Request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Position in [`Settings::classes`].
+    /// Index into [`Settings::classes`].
     pub class: usize,
-    /// Position in [`Settings::tenants`].
+    /// Index into [`Settings::tenants`].
     pub tenant: usize,
-    /// When the client gives up.
+    /// Time at which the client stops waiting.
     pub deadline: Millis,
-    /// Attempts beyond the first that it may use; the settings' bound holds too.
+    /// Maximum number of retries; the bound in the settings applies too.
     pub retries: u32,
-    /// What an answer is worth, 0 to 1. Where not all can pass, what is worth less goes first.
+    /// Value of an answer, from 0 to 1. Under overload, requests of less worth are refused first.
     pub worth: f64,
 }
 
 impl Request {
-    /// A request of full worth, bounded by the settings alone.
+    /// Creates a request of full worth whose retries only the settings limit.
     pub fn plain(id: RequestId, class: usize, tenant: usize, deadline: Millis) -> Request {
         Request { id, class, tenant, deadline, retries: u32::MAX, worth: 1.0 }
     }
 }
 
-/// What an instance has learned of its next tier and its tenants, for one that takes its place: calls per cycle, and
-/// the mean time of an unqueued answer. Nothing of single upstreams: their health is found out anew.
+/// State that an instance has learned about its next tier and its tenants, for a successor. It contains nothing about
+/// single upstreams: their health is learned anew.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Learned {
-    /// The learned capacity.
+    /// Learned capacity, in requests per cycle.
     pub capacity: f64,
-    /// The most that was lately admitted.
+    /// Recent peak of admitted requests per cycle.
     pub peak: f64,
-    /// The unloaded answer time.
+    /// Mean time of an unqueued answer.
     pub unloaded: Millis,
-    /// Each tenant's demand, the place for unlisted ones last.
+    /// Demand of each tenant in requests per cycle, with the entry for unlisted tenants last.
     pub demands: Vec<f64>,
 }
 
-/// What happened.
+/// Input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News about the list of upstreams.
+    /// The list of upstreams changed, or could not be fetched.
     Membership(Membership),
-    /// A request came in: one final answer is now owed.
+    /// A request arrived; it needs exactly one final answer.
     Request(Request),
-    /// The answer of a streamed request has begun; its attempt is now the client's.
+    /// A streamed answer has begun to reach the client, so that its attempt can no longer be replaced.
     Streaming {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// So many attempts more may be used for a request, whatever was said before.
+    /// The number of retries that a request may still use has changed. This replaces any earlier number.
     Left {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempts.
+        /// Number of retries left.
         retries: u32,
     },
-    /// An attempt ended. Exactly one for each [`Action::Send`].
+    /// An attempt ended. There is exactly one such event for each [`Action::Send`].
     Outcome {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt's number, counted from zero in the order of sends.
+        /// Number of the attempt, counted from zero in the order of sending.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         ending: Ending,
-        /// Time since it was sent; finite.
+        /// Time since the attempt was sent; finite.
         duration: Millis,
-        /// The request has ended, by this outcome or earlier.
+        /// Whether the request has its final answer, by this outcome or an earlier one.
         closed: bool,
     },
-    /// The client left, or its time ran out: nothing is owed any more.
+    /// The client disconnected or its deadline passed; no answer is needed any more.
     ClientGone(RequestId),
-    /// A timer asked for with [`Action::SetTimer`] is due.
+    /// A timer set with [`Action::SetTimer`] expired.
     Timer(u32),
 }
 
-/// What the balancer wants done, in order.
+/// Output of the balancer, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Start an attempt.
     Send {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Where to.
+        /// Upstream to send the attempt to.
         upstream: UpstreamId,
-        /// Time-out of this attempt; zero: until the client's deadline.
+        /// Timeout of the attempt; zero: until the client's deadline.
         timeout: Millis,
     },
-    /// Stop waiting for an attempt; its outcome still comes.
+    /// Stop waiting for an attempt; its outcome is still reported.
     Cancel {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused, and another try does no harm.
+    /// Final answer: refused, and a retry by the client does no harm.
     Refuse {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// How long the client should stay away; zero: no advice.
+        /// Time that the client should wait before a retry; zero: no advice.
         retry_after: Millis,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed, with no promise about the effect.
     Fail {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Close the connections to an upstream that carry no call now.
+    /// Close the idle connections to an upstream.
     CloseIdle(UpstreamId),
     /// Subscribe to changes of the list; one [`Membership`] event answers.
     Subscribe,
-    /// Ask for one [`Event::Timer`].
+    /// Request one [`Event::Timer`].
     SetTimer {
-        /// From now.
+        /// Delay from now.
         after: Millis,
-        /// Handed back with the event.
+        /// Token that the event returns.
         token: u32,
     },
-    /// A line for the operator's log.
+    /// Line for the operator's log.
     Log(String),
 }
--- a/crates/data-plane/balancer/src/lib.rs
+++ b/crates/data-plane/balancer/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of a load balancer for services that call services, as a sans-I/O state machine.
+//! Decision logic of a load balancer for services that call services, as a sans-I/O state machine.
 //!
-//! A [`Balancer`] is told what happens ([`Event`]) and answers with what to do ([`Action`]); it opens no
-//! socket, reads no clock and shares nothing with other instances.
+//! A [`Balancer`] takes events ([`Event`]) and returns actions ([`Action`]). It opens no socket, reads no clock and
+//! shares no state with other instances.
 //!
 //! ```
 //! use balancer::*;
@@ -21,7 +21,7 @@
 //! actions.clear();
 //! let answer = Event::Outcome { request: id, attempt: 0, ending: Ending::Ok, duration: 20.0, closed: true };
 //! balancer.handle(21.0, answer, &mut actions);
-//! assert!(actions.is_empty(), "a served request is over");
+//! assert!(actions.is_empty(), "no action follows a served request");
 //! ```
 mod interface;
 mod policy;
--- a/crates/data-plane/balancer/src/policy/mod.rs
+++ b/crates/data-plane/balancer/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! Every decision of the balancer. The types it speaks in are in `interface.rs`.
+//! The balancer's decision logic. Its input and output types are in `interface.rs`.
 //!
-//! Ordinary path of a request: count it as its tenant's demand; admit it when its tenant is within its limit
-//! or the cycle's capacity is not used up, refuse it otherwise; send it to the less busy of two random ready
-//! upstreams by our own calls in flight. Everything else is an exception, and says what it guards against.
+//! Each request is counted as demand of its tenant. It is admitted if its tenant is within its limit or the capacity of
+//! the current cycle is not used up, and refused otherwise. An admitted request goes to one of two random ready
+//! upstreams: the one with fewer attempts of this instance in flight. Everything else handles an exception, and its
+//! comment states the failure that it guards against.
 mod admission;
 mod deadline_admission;
 mod endpoint_selection;
@@ -14,148 +15,155 @@
 use crate::interface::{
     Action, Event, Learned, Membership, Millis, RequestId, Settings, SettingsError, UpstreamId,
 };
-use admission::{Admission, RETRY_SAVED, SUCCESS_WANTED};
+use admission::{Admission, MAX_SAVED_RETRIES, MIN_SUCCESS};
 use deadline_admission::FastestAnswers;
 use endpoints::Endpoints;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use random::unit;
-use retries::Pending;
+use random::uniform;
+use retries::PendingRequest;
 use std::collections::BTreeMap;
 
 pub use limits::limits;
 
-/// Length of a cycle. The published 10 s is too slow for capacity that is learned instead of benchmarked.
+/// Length of an admission cycle, in milliseconds. The published 10 s is too slow for a capacity that is learned
+/// instead of benchmarked.
 const CYCLE: Millis = 1000.0;
-/// Pause before asking for the list again after a failure, doubling up to a third of `ask_within`.
+/// Base delay before the endpoint list is requested again after a failure, in milliseconds. It doubles with every
+/// failure up to a third of `ask_within`.
 const LIST_RETRY_INTERVAL: Millis = 400.0;
-const TIMER_CYCLE: u32 = 0;
+const CYCLE_TIMER: u32 = 0;
 const LIST_TIMER: u32 = 1;
 
-fn mean_objective(s: &Settings) -> Millis {
-    s.classes.iter().map(|c| c.objective).sum::<f64>() / s.classes.len() as f64
+fn mean_objective(settings: &Settings) -> Millis {
+    settings.classes.iter().map(|c| c.objective).sum::<f64>() / settings.classes.len() as f64
 }
 
-/// One instance of the decision logic.
+/// One instance of the balancer's decision logic.
 pub struct Balancer {
     settings: Settings,
     rng: Pcg64Mcg,
     admission: Admission,
-    fleet: Endpoints,
-    pending: BTreeMap<RequestId, Pending>,
-    retries: f64,
-    fastest: FastestAnswers,
+    endpoints: Endpoints,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    /// Number of retries that may be sent now.
+    retry_budget: f64,
+    fastest_answers: FastestAnswers,
     started: bool,
-    ask_failures: u32,
-    late: bool,
+    /// Number of endpoint list requests that have failed in a row.
+    list_failures: u32,
+    /// Whether too few answers arrived in time, as of the last cycle.
+    answers_late: bool,
 }
 
 impl Balancer {
-    /// Creates an instance without endpoints. `seed` determines its random choices.
+    /// Creates an instance without endpoints at time `now`. `seed` determines its random choices.
     ///
     /// # Errors
-    /// The settings are out of bounds.
+    /// Returns the first field of `settings` that is out of bounds.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         let admission = Admission::new(&settings, now);
-        let mut fleet = Endpoints::new(&settings);
-        fleet.resize_subset(&settings, admission.recent);
+        let mut endpoints = Endpoints::new(&settings);
+        endpoints.resize_subset(&settings, admission.mean_admitted);
         Ok(Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
             admission,
-            fleet,
+            endpoints,
             pending: BTreeMap::new(),
-            retries: RETRY_SAVED,
-            fastest: FastestAnswers::new(settings.classes.len()),
+            retry_budget: MAX_SAVED_RETRIES,
+            fastest_answers: FastestAnswers::new(settings.classes.len()),
             started: false,
-            ask_failures: 0,
-            late: false,
+            list_failures: 0,
+            answers_late: false,
             settings,
         })
     }
 
-    /// Requests that it has not forgotten yet.
+    /// Returns the number of requests that still have state: unanswered, or with an attempt in flight.
     pub fn open(&self) -> usize {
         self.pending.len()
     }
 
-    /// The upstreams that are not used now, since they fail.
+    /// Returns the upstreams that are ejected at time `now` because their attempts fail.
     pub fn ejected(&self, now: Millis) -> impl Iterator<Item = UpstreamId> + '_ {
-        self.fleet.ejected(now)
+        self.endpoints.ejected(now)
     }
 
-    /// What it has learned so far.
+    /// Returns the learned capacity, answer time and tenant demands.
     pub fn learned(&self) -> Learned {
         self.admission.learned()
     }
 
-    /// Begins with what another instance learned, before anything else happens. What is unsound is left out.
+    /// Starts from the state that another instance learned. Call it before the first event. Learned state with
+    /// implausible values is ignored.
     pub fn recall(&mut self, learned: &Learned, now: Millis) {
         self.admission.recall(learned, now);
-        self.fleet.resize_subset(&self.settings, self.admission.recent);
+        self.endpoints.resize_subset(&self.settings, self.admission.mean_admitted);
     }
 
-    /// Takes one event and appends what is to be done. `now` must not go back.
+    /// Handles one event and appends the resulting actions to `actions`. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let now = if now.is_finite() { now } else { 0.0 };
         if !self.started {
             self.started = true;
-            // Copies started together must not recompute in step.
-            let after = CYCLE * (0.5 + 0.5 * unit(&mut self.rng));
-            actions.push(Action::SetTimer { after, token: TIMER_CYCLE });
+            // The random delay keeps instances that start together from recomputing in step.
+            let after = CYCLE * (0.5 + 0.5 * uniform(&mut self.rng));
+            actions.push(Action::SetTimer { after, token: CYCLE_TIMER });
             if self.settings.ask_for_list {
                 actions.push(Action::Subscribe);
             }
         }
         match event {
             Event::Membership(Membership::Failed) if self.settings.ask_for_list => {
-                // The registry is one queue for all: back off with jitter, yet stay well within the time
-                // after which we count as told.
-                let most = self.settings.ask_within / 3.0;
-                let pause = (LIST_RETRY_INTERVAL * f64::from(1u32 << self.ask_failures.min(10))).min(most);
-                self.ask_failures += 1;
-                let after = pause * (0.5 + 0.5 * unit(&mut self.rng));
+                // All instances query the same registry, so they back off with jitter. The delay stays well below
+                // `ask_within`, after which this instance is considered notified.
+                let max_delay = self.settings.ask_within / 3.0;
+                let delay =
+                    (LIST_RETRY_INTERVAL * f64::from(1u32 << self.list_failures.min(10))).min(max_delay);
+                self.list_failures += 1;
+                let after = delay * (0.5 + 0.5 * uniform(&mut self.rng));
                 actions.push(Action::SetTimer { after, token: LIST_TIMER });
             }
-            Event::Membership(news) => {
-                if !matches!(news, Membership::Cached(_)) {
-                    self.ask_failures = 0;
+            Event::Membership(update) => {
+                if !matches!(update, Membership::Cached(_)) {
+                    self.list_failures = 0;
                 }
-                self.fleet.apply(news, &self.settings, now, &mut self.rng);
+                self.endpoints.apply(update, &self.settings, now, &mut self.rng);
             }
-            Event::Request(r) => self.request(now, r, actions),
+            Event::Request(request) => self.handle_request(now, request, actions),
             Event::Outcome { request, attempt, ending, duration, closed } => {
-                self.outcome(now, request, attempt, (ending, duration, closed), actions);
+                self.handle_outcome(now, request, attempt, (ending, duration, closed), actions);
             }
             Event::Left { request, retries } => {
-                if let Some(p) = self.pending.get_mut(&request) {
-                    p.cap = p.sends.saturating_add(retries);
+                if let Some(pending) = self.pending.get_mut(&request) {
+                    pending.max_attempts = pending.sent_attempts.saturating_add(retries);
                 }
             }
             Event::ClientGone(id) => {
-                if let Some(p) = self.pending.get_mut(&id) {
-                    p.over = true;
-                    for &(attempt, ..) in p.out.iter().filter(|_| self.settings.cancel) {
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.finished = true;
+                    for &(attempt, ..) in pending.in_flight.iter().filter(|_| self.settings.cancel) {
                         actions.push(Action::Cancel { request: id, attempt });
                     }
-                    if p.out.is_empty() {
+                    if pending.in_flight.is_empty() {
                         self.pending.remove(&id);
                     }
                 }
             }
-            Event::Timer(TIMER_CYCLE) => {
-                self.judge_unanswered(now);
-                self.admission.note_latency(self.fleet.latency);
-                let (ready, most) = self.fleet.ready;
-                self.admission.ready = ready as f64 / most.max(1) as f64;
+            Event::Timer(CYCLE_TIMER) => {
+                self.record_overdue_attempts(now);
+                self.admission.update_unloaded_latency(self.endpoints.mean_latency);
+                let (ready, max_ready) = self.endpoints.ready_counts;
+                self.admission.ready_fraction = ready as f64 / max_ready.max(1) as f64;
                 self.admission.end_cycle(now);
-                let late = self.admission.success < SUCCESS_WANTED;
-                if std::mem::replace(&mut self.late, late) != late {
+                let late = self.admission.success < MIN_SUCCESS;
+                if std::mem::replace(&mut self.answers_late, late) != late {
                     let state = if late { "late or failed: capacity is cut" } else { "in time again" };
                     actions.push(Action::Log(format!("answers of tier {} {state}", self.settings.stage)));
                 }
-                self.fleet.resize_subset(&self.settings, self.admission.recent);
-                actions.push(Action::SetTimer { after: CYCLE, token: TIMER_CYCLE });
+                self.endpoints.resize_subset(&self.settings, self.admission.mean_admitted);
+                actions.push(Action::SetTimer { after: CYCLE, token: CYCLE_TIMER });
             }
             Event::Timer(LIST_TIMER) => actions.push(Action::Subscribe),
             Event::Streaming { .. } | Event::Timer(_) => {}
--- a/crates/data-plane/balancer/src/policy/random.rs
+++ b/crates/data-plane/balancer/src/policy/random.rs
@@ -1,11 +1,13 @@
-//! Random draws.
+//! Random draws from the balancer's generator.
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
-pub(super) fn unit(rng: &mut Pcg64Mcg) -> f64 {
+/// Draws a number from 0 to below 1, uniformly.
+pub(super) fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-pub(super) fn below(rng: &mut Pcg64Mcg, n: usize) -> usize {
-    ((u128::from(rng.next_u64()) * n as u128) >> 64) as usize
+/// Draws an integer from 0 to below `bound`, uniformly.
+pub(super) fn uniform_below(rng: &mut Pcg64Mcg, bound: usize) -> usize {
+    ((u128::from(rng.next_u64()) * bound as u128) >> 64) as usize
 }
