--- a/crates/data-plane/balancer/src/interface.rs
+++ b/crates/data-plane/balancer/src/interface.rs
@@ -87,8 +87,8 @@
     pub cancel: bool,
     /// Whether the list of upstreams must be requested (`true`) or is pushed (`false`).
     pub ask_for_list: bool,
-    /// Time after which an instance without a subscription is considered notified of list changes all the same, unless
-    /// it has requested the list since.
+    /// Time after which an instance that has no subscription and has not requested the list is considered notified all
+    /// the same.
     pub ask_within: Millis,
     /// Time after which idle connections close.
     pub idle_close: Millis,
--- a/crates/data-plane/balancer/tests/limits.rs
+++ b/crates/data-plane/balancer/tests/limits.rs
@@ -1,42 +1,51 @@
-//! The published rule as a pure function: the post's worked table, edges, and what always holds.
+//! The published rate limiting rule as a pure function: the published example, edge cases and invariants.
 use balancer::limits;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The post prints whole numbers, rounded loosely: it has A at 3 in cycle 3, where its demand was 3.
-fn near(got: &[f64], want: &[f64]) {
-    for (g, w) in got.iter().zip(want) {
-        assert!((g - w).abs() <= 0.75, "limits {got:?}, the table has {want:?}");
+/// Tolerance for the published table, which has loosely rounded whole numbers: it shows a limit of 3 for tenant A in
+/// cycle 3, where its demand was 3.
+fn assert_near(got: &[f64], want: &[f64]) {
+    for (g, harness) in got.iter().zip(want) {
+        assert!((g - harness).abs() <= 0.75, "limits {got:?}, the published table has {want:?}");
     }
 }
 
 #[test]
-fn the_posts_worked_table() {
+fn published_example() {
     let equal = [1.0; 4];
     let next = |demands: &[f64]| limits(40.0, demands, &equal, 0.1);
-    // The first cycle splits equally: nothing was asked yet, and all that is left goes back in parts.
-    near(&next(&[0.0; 4]), &[10.0; 4]);
-    near(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
-    near(&next(&[3.0, 15.0, 50.0, 10.0]), &[3.0, 11.0, 16.0, 10.0]);
-    near(&next(&[0.0, 15.0, 50.0, 5.0]), &[1.0, 12.0, 22.0, 5.0]);
+    // The first cycle has no demand yet, so that all capacity is split equally.
+    assert_near(&next(&[0.0; 4]), &[10.0; 4]);
+    assert_near(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
+    assert_near(&next(&[3.0, 15.0, 50.0, 10.0]), &[3.0, 11.0, 16.0, 10.0]);
+    assert_near(&next(&[0.0, 15.0, 50.0, 5.0]), &[1.0, 12.0, 22.0, 5.0]);
 }
 
 #[test]
-fn edges() {
+fn edge_cases() {
     assert_eq!(limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
-    assert_eq!(limits(12.0, &[50.0], &[1.0], 0.1), [12.0], "one tenant has it all and no one to borrow from");
+    assert_eq!(
+        limits(12.0, &[50.0], &[1.0], 0.1),
+        [12.0],
+        "a single tenant gets all capacity and can borrow from no other"
+    );
     assert_eq!(limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
-    assert_eq!(limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1), [10.0; 3], "all over: the defaults");
-    assert_eq!(limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1), [5.0, 5.0], "shares of an empty total");
+    assert_eq!(
+        limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
+        [10.0; 3],
+        "all tenants over their defaults get the defaults"
+    );
+    assert_eq!(limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1), [5.0, 5.0], "zero shares are treated as equal");
     assert!(limits(10.0, &[], &[], 0.1).is_empty());
     let unequal = limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
-    assert_eq!(unequal, [95.0, 5.0], "stated shares set the defaults; what is unused is lent");
+    assert_eq!(unequal, [95.0, 5.0], "stated shares set the defaults, and unused capacity is lent");
 }
 
 #[test]
 fn limits_are_never_negative_and_never_exceed_the_capacity() {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
-    let mut draw = |most: f64| (rng.next_u32() as f64 / u32::MAX as f64) * most;
+    let mut draw = |max: f64| (rng.next_u32() as f64 / u32::MAX as f64) * max;
     for _ in 0..20_000 {
         let n = 1 + draw(9.0) as usize;
         let capacity = draw(1000.0);
--- a/crates/data-plane/balancer/tests/rules.rs
+++ b/crates/data-plane/balancer/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules under random events (fixed seeds), by a checker that knows nothing of the decisions.
+//! The four rules under random events with fixed seeds, checked independently of the balancer's decisions.
 mod common;
 
 use balancer::*;
@@ -10,10 +10,11 @@
     from[rng.next_u32() as usize % from.len()]
 }
 
-fn storm(seed: u64) -> Vec<Action> {
+fn run_random_events(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let guarded = |scope| Effect::Guarded { scope, window: 700.0 };
-    // Where late answers earn nothing, requests end before the window does: half of the storms let them last.
+    // Where late answers earn nothing, requests end before the deduplication window does. Half of the runs give late
+    // answers some worth, so that requests last longer.
     let class =
         |effect| Class { late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 }, ..class(effect) };
     let settings = Settings {
@@ -38,10 +39,10 @@
         ..Settings::default()
     };
     let zoned = |id: u64| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
-    let mut world = World::new(settings, seed, (1..9).map(zoned).collect());
+    let mut harness = Harness::new(settings, seed, (1..9).map(zoned).collect());
     let mut since = 0.0;
     for id in 0..1500u32 {
-        world.pass(f64::from(rng.next_u32() % 40));
+        harness.advance(f64::from(rng.next_u32() % 40));
         match rng.next_u32() % 20 {
             0 => {
                 since += 1000.0;
@@ -49,15 +50,15 @@
                 let ready = Availability::Ready;
                 let availability =
                     pick(&mut rng, &[ready, ready, Availability::Draining, Availability::Gone]);
-                if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id)) {
-                    world.list(Membership::Delta(vec![Member { availability, since, ..zoned(id) }]));
+                if availability != Availability::Gone || harness.listed.contains_key(&UpstreamId(id)) {
+                    harness.update_list(Membership::Delta(vec![Member { availability, since, ..zoned(id) }]));
                 }
             }
-            1 if id.is_multiple_of(7) => world.list(Membership::Full((1..7).map(zoned).collect())),
-            2 if world.settings.ask_for_list => world.list(Membership::Failed),
+            1 if id.is_multiple_of(7) => harness.update_list(Membership::Full((1..7).map(zoned).collect())),
+            2 if harness.settings.ask_for_list => harness.update_list(Membership::Failed),
             _ => {}
         }
-        world.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
+        harness.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
         let endings = [
             Ending::Ok,
             Ending::Ok,
@@ -71,101 +72,107 @@
             Ending::Unknown,
         ];
         for _ in 0..rng.next_u32() % 4 {
-            let open = |s: &Seen| s.ended.iter().position(Option::is_none);
-            let out: Vec<_> = world.seen.iter().filter_map(|(id, s)| Some((id.0, open(s)?))).collect();
+            let open = |s: &RequestRecord| s.outcomes.iter().position(Option::is_none);
+            let out: Vec<_> = harness.requests.iter().filter_map(|(id, s)| Some((id.0, open(s)?))).collect();
             if let Some(&(id, attempt)) = out.get(rng.next_u32() as usize % out.len().max(1)) {
                 match rng.next_u32() % 12 {
-                    0 => drop(world.gone(id)),
-                    _ => drop(world.outcome(id, attempt, pick(&mut rng, &endings))),
+                    0 => drop(harness.client_gone(id)),
+                    _ => drop(harness.outcome(id, attempt, pick(&mut rng, &endings))),
                 }
             }
         }
     }
-    world.pass(10_000.0);
-    assert!(world.seen.values().all(|s| s.answered), "every request has its final answer");
-    world.log
+    harness.advance(10_000.0);
+    assert!(harness.requests.values().all(|s| s.answered), "every request has its final answer");
+    harness.log
 }
 
 #[test]
-fn random_storms_keep_the_rules() {
+fn random_events_break_no_rule() {
     let mut sends = 0;
     for seed in 0..16 {
-        sends += storm(seed).iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        sends += run_random_events(seed).iter().filter(|a| matches!(a, Action::Send { .. })).count();
     }
-    assert!(sends > 4000, "the storms sent {sends} attempts only: too few to prove anything");
+    assert!(sends > 4000, "only {sends} attempts were sent: too few for a meaningful check");
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    assert_eq!(storm(17), storm(17));
-    assert_ne!(storm(17), storm(18));
+    assert_eq!(run_random_events(17), run_random_events(17));
+    assert_ne!(run_random_events(17), run_random_events(18));
 }
 
 fn one_class(effect: Effect) -> Settings {
-    // Late answers are worth something, so that requests last until their deadline.
+    // Late answers have some worth, so that requests last until their deadline.
     let class = Class { late_worth: 0.5, ..class(effect) };
     Settings { classes: vec![class], ..Settings::default() }
 }
 
 #[test]
-fn a_single_shot_goes_on_after_proof_that_it_never_ran_and_stops_otherwise() {
-    let mut world = World::new(one_class(Effect::SingleShot), 1, (1..5).map(member).collect());
-    world.request(1, 0, 0);
-    assert!(matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]), "never ran: sent again");
-    assert!(matches!(world.outcome(1, 1, Ending::Full)[..], [Action::Send { .. }]));
-    assert!(matches!(world.outcome(1, 2, Ending::Full)[..], [Action::Refuse { .. }]), "attempts are spent");
-    world.request(2, 0, 0);
-    assert!(matches!(world.outcome(2, 0, Ending::Reset)[..], [Action::Fail { .. }]), "it may have run");
+fn single_shot_is_retried_only_after_proof_that_it_never_ran() {
+    let mut harness = Harness::new(one_class(Effect::SingleShot), 1, (1..5).map(member).collect());
+    harness.request(1, 0, 0);
+    assert!(matches!(harness.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]), "never ran: retried");
+    assert!(matches!(harness.outcome(1, 1, Ending::Full)[..], [Action::Send { .. }]));
+    assert!(
+        matches!(harness.outcome(1, 2, Ending::Full)[..], [Action::Refuse { .. }]),
+        "no attempts are left"
+    );
+    harness.request(2, 0, 0);
+    assert!(matches!(harness.outcome(2, 0, Ending::Reset)[..], [Action::Fail { .. }]), "it may have run");
 }
 
 #[test]
-fn full_is_no_proof_where_upstreams_shed_work_that_they_had_begun() {
+fn full_is_no_proof_when_upstreams_shed_work_that_they_had_begun() {
     let settings = Settings { late_shedding: true, ..one_class(Effect::SingleShot) };
-    let mut world = World::new(settings, 1, (1..5).map(member).collect());
-    world.request(1, 0, 0);
-    assert!(matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]), "it may have run");
-    world.request(2, 0, 0);
-    assert!(matches!(world.outcome(2, 0, Ending::ConnectFailed)[..], [Action::Send { .. }]), "it never ran");
+    let mut harness = Harness::new(settings, 1, (1..5).map(member).collect());
+    harness.request(1, 0, 0);
+    assert!(matches!(harness.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]), "it may have run");
+    harness.request(2, 0, 0);
+    assert!(
+        matches!(harness.outcome(2, 0, Ending::ConnectFailed)[..], [Action::Send { .. }]),
+        "it never ran"
+    );
 
     let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 700.0 };
     let settings = Settings { late_shedding: true, ..one_class(guarded) };
     let groups = |id| Member { group: (id % 2) as u16, ..member(id) };
-    let mut world = World::new(settings, 1, (1..9).map(groups).collect());
+    let mut harness = Harness::new(settings, 1, (1..9).map(groups).collect());
     for id in 0..40 {
-        world.request(id, 0, 0);
-        world.pass(50.0);
-        // The checker holds the group and the window to the attempt that was answered 'full'.
-        world.outcome(id, 0, Ending::Full);
-        if world.seen[&RequestId(id)].ended.len() == 2 {
-            world.outcome(id, 1, Ending::Ok);
+        harness.request(id, 0, 0);
+        harness.advance(50.0);
+        // The harness checks that retries stay in the group and window of the attempt that ended with `Full`.
+        harness.outcome(id, 0, Ending::Full);
+        if harness.requests[&RequestId(id)].outcomes.len() == 2 {
+            harness.outcome(id, 1, Ending::Ok);
         }
     }
 }
 
 #[test]
-fn a_class_goes_only_where_it_is_placed_and_is_refused_when_nothing_there_is_ready() {
+fn class_stays_in_its_placement_and_is_refused_when_no_upstream_there_is_ready() {
     let placed = Class { runs_in: Some(vec![1]), kinds_only: Some(vec![2]), ..class(Effect::Free) };
     let settings = Settings { classes: vec![placed], ..Settings::default() };
-    let far = |id| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
-    // Of sixty, ten are open to the class: drawing among all would miss them often.
-    let mut world = World::new(settings, 1, (1..=60).map(far).collect());
+    let placed_member = |id| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
+    // The class may use 10 of the 60 upstreams: draws among all of them would often miss these.
+    let mut harness = Harness::new(settings, 1, (1..=60).map(placed_member).collect());
     for id in 0..200 {
-        assert!(
-            matches!(world.request(id, 0, 0)[..], [.., Action::Send { .. }]),
-            "request {id} finds a place"
-        );
-        world.outcome(id, 0, if id % 9 == 0 { Ending::ConnectFailed } else { Ending::Ok });
-        if world.seen[&RequestId(id)].ended.last() == Some(&None) {
-            world.outcome(id, 1, Ending::Ok);
+        assert!(matches!(harness.request(id, 0, 0)[..], [.., Action::Send { .. }]), "request {id} is sent");
+        harness.outcome(id, 0, if id % 9 == 0 { Ending::ConnectFailed } else { Ending::Ok });
+        if harness.requests[&RequestId(id)].outcomes.last() == Some(&None) {
+            harness.outcome(id, 1, Ending::Ok);
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
-    world.list(Membership::Full((1..=60).filter(elsewhere).map(far).collect()));
-    assert!(matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]), "never anywhere else");
+    harness.update_list(Membership::Full((1..=60).filter(elsewhere).map(placed_member).collect()));
+    assert!(
+        matches!(harness.request(999, 0, 0)[..], [Action::Refuse { .. }]),
+        "no upstream outside the placement is used"
+    );
 }
 
 #[test]
-fn bad_settings_name_their_field() {
+fn invalid_settings_name_their_field() {
     let field = |change: &dyn Fn(&mut Settings)| {
         let mut s = Settings { tenants: tenants(&[1.0], 10.0), ..Settings::default() };
         change(&mut s);
@@ -184,81 +191,88 @@
 }
 
 #[test]
-fn a_guarded_request_is_repeated_within_its_group_and_window_only() {
+fn guarded_request_is_retried_only_within_its_group_and_window() {
     let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 700.0 };
     let members = |group| (1..5).map(|id| Member { group, ..member(id) }).collect::<Vec<_>>();
-    let mut world = World::new(one_class(guarded), 1, members(4));
-    world.request(1, 0, 0);
-    world.pass(600.0);
-    assert!(matches!(world.outcome(1, 0, Ending::Error)[..], [Action::Send { .. }]), "they remember it");
-    world.request(2, 0, 0);
-    world.pass(701.0);
+    let mut harness = Harness::new(one_class(guarded), 1, members(4));
+    harness.request(1, 0, 0);
+    harness.advance(600.0);
+    assert!(
+        matches!(harness.outcome(1, 0, Ending::Error)[..], [Action::Send { .. }]),
+        "upstreams still remember the key"
+    );
+    harness.request(2, 0, 0);
+    harness.advance(701.0);
     assert!(
-        matches!(world.outcome(2, 0, Ending::Error)[..], [Action::Fail { .. }]),
-        "they have forgotten it"
+        matches!(harness.outcome(2, 0, Ending::Error)[..], [Action::Fail { .. }]),
+        "upstreams have forgotten the key"
     );
-    let strangers = (1..5).map(|id| Member { group: id as u16, ..member(id) }).collect();
-    let mut world = World::new(one_class(guarded), 1, strangers);
-    world.request(1, 0, 0);
-    let again = world.outcome(1, 0, Ending::Error);
-    let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == world.seen[&RequestId(1)].sends[0].0);
+    let other_groups = (1..5).map(|id| Member { group: id as u16, ..member(id) }).collect();
+    let mut harness = Harness::new(one_class(guarded), 1, other_groups);
+    harness.request(1, 0, 0);
+    let actions = harness.outcome(1, 0, Ending::Error);
+    let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == harness.requests[&RequestId(1)].sends[0].0);
     assert!(
-        again.iter().all(|a| matches!(a, Action::Fail { .. }) || to(a)),
-        "no other has its key: {again:?}"
+        actions.iter().all(|a| matches!(a, Action::Fail { .. }) || to(a)),
+        "no other upstream has its key: {actions:?}"
     );
 }
 
 #[test]
-fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
-    let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
+fn draining_or_removed_upstream_gets_no_new_attempts() {
+    let mut harness = Harness::new(Settings::default(), 1, (1..4).map(member).collect());
     let gone = |id, availability| Member { availability, ..member(id) };
-    world.list(Membership::Delta(vec![gone(1, Availability::Draining), gone(2, Availability::Gone)]));
+    harness
+        .update_list(Membership::Delta(vec![gone(1, Availability::Draining), gone(2, Availability::Gone)]));
     for id in 0..50 {
-        world.request(id, 0, 0);
-        world.outcome(id, 0, Ending::Ok);
+        harness.request(id, 0, 0);
+        harness.outcome(id, 0, Ending::Ok);
     }
-    assert!(world.seen.values().all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
-    world.list(Membership::Full(Vec::new()));
-    assert!(matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]), "what a full list lacks is gone");
+    assert!(harness.requests.values().all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
+    harness.update_list(Membership::Full(Vec::new()));
+    assert!(
+        matches!(harness.request(99, 0, 0)[..], [Action::Refuse { .. }]),
+        "upstreams missing from a full list are gone"
+    );
 }
 
 #[test]
-fn no_ready_upstream_is_a_refusal_at_once() {
-    let mut world = World::new(Settings::default(), 1, Vec::new());
-    assert!(matches!(world.request(1, 0, 0)[..], [Action::Refuse { .. }]));
-    world.list(Membership::Full(vec![Member { availability: Availability::Draining, ..member(1) }]));
-    assert!(matches!(world.request(2, 0, 0)[..], [Action::Refuse { .. }]));
+fn request_without_a_ready_upstream_is_refused_at_once() {
+    let mut harness = Harness::new(Settings::default(), 1, Vec::new());
+    assert!(matches!(harness.request(1, 0, 0)[..], [Action::Refuse { .. }]));
+    harness.update_list(Membership::Full(vec![Member { availability: Availability::Draining, ..member(1) }]));
+    assert!(matches!(harness.request(2, 0, 0)[..], [Action::Refuse { .. }]));
 }
 
 #[test]
-fn a_killed_instance_starts_from_nothing_but_its_cached_list() {
+fn restarted_instance_starts_from_its_cached_list_only() {
     let settings = Settings { ask_for_list: true, ..Settings::default() };
-    let mut world = World::new(settings.clone(), 5, vec![member(1)]);
-    world.request(1, 0, 0);
-    let mut again = World::new(settings, 6, vec![member(1)]);
-    assert!(again.log.contains(&Action::Subscribe), "it asks for the list at once");
+    let mut harness = Harness::new(settings.clone(), 5, vec![member(1)]);
+    harness.request(1, 0, 0);
+    let mut restarted = Harness::new(settings, 6, vec![member(1)]);
+    assert!(restarted.log.contains(&Action::Subscribe), "the list is requested at once");
     let late =
         Event::Outcome { request: RequestId(1), attempt: 0, ending: Ending::Ok, duration: 5.0, closed: true };
-    assert!(again.event(late).is_empty(), "outcomes of a former life are ignored");
-    assert!(matches!(again.request(2, 0, 0)[..], [Action::Send { .. }]));
+    assert!(restarted.event(late).is_empty(), "outcomes for an earlier instance are ignored");
+    assert!(matches!(restarted.request(2, 0, 0)[..], [Action::Send { .. }]));
 }
 
 #[test]
-fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
-    let mut world = World::new(Settings::default(), 1, vec![member(1)]);
-    let stranger = Request::plain(RequestId(9), 7, 7, 900.0);
+fn unknown_classes_tenants_requests_and_timers_are_handled() {
+    let mut harness = Harness::new(Settings::default(), 1, vec![member(1)]);
+    let unknown = Request::plain(RequestId(9), 7, 7, 900.0);
     let mut actions = Vec::new();
-    world.balancer.handle(0.0, Event::Request(stranger), &mut actions);
+    harness.balancer.handle(0.0, Event::Request(unknown), &mut actions);
     assert!(matches!(actions[..], [Action::Refuse { .. }]), "an unknown class is refused: nothing has run");
-    assert!(world.event(Event::ClientGone(RequestId(77))).is_empty());
-    assert!(world.event(Event::Timer(12345)).is_empty());
-    assert!(world.event(Event::Streaming { request: RequestId(77), attempt: 3 }).is_empty());
-    assert!(matches!(world.request(1, 0, 999)[..], [Action::Send { .. }]), "an unlisted tenant is served");
+    assert!(harness.event(Event::ClientGone(RequestId(77))).is_empty());
+    assert!(harness.event(Event::Timer(12345)).is_empty());
+    assert!(harness.event(Event::Streaming { request: RequestId(77), attempt: 3 }).is_empty());
+    assert!(matches!(harness.request(1, 0, 999)[..], [Action::Send { .. }]), "an unlisted tenant is served");
 }
 
-/// The module must not panic, whatever the host hands it.
+/// The balancer must not panic on any input.
 #[test]
-fn odd_numbers_for_times_do_no_harm() {
+fn non_finite_and_negative_times_are_handled() {
     let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0, 0.0, 1e300, 40.0];
     let mut balancer = Balancer::new(one_class(Effect::Free), 3, 0.0).expect("settings");
     let mut actions = Vec::new();
@@ -276,79 +290,87 @@
         balancer.handle(now, outcome, &mut actions);
         balancer.handle(now, Event::Timer(0), &mut actions);
     }
-    let spans = actions.iter().filter_map(|a| match a {
+    let timeouts = actions.iter().filter_map(|a| match a {
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
-    assert!(spans.clone().count() > 0 && !spans.clone().any(f64::is_nan), "{:?}", spans.collect::<Vec<_>>());
+    assert!(
+        timeouts.clone().count() > 0 && !timeouts.clone().any(f64::is_nan),
+        "{:?}",
+        timeouts.collect::<Vec<_>>()
+    );
 }
 
 #[test]
-fn the_list_is_asked_for_again_with_backoff_well_within_ask_within() {
+fn list_is_requested_again_with_backoff_well_within_ask_within() {
     let settings = Settings { ask_for_list: true, ..Settings::default() };
-    let mut world = World::new(settings.clone(), 3, vec![member(1)]);
-    let mut waits = Vec::new();
+    let mut harness = Harness::new(settings.clone(), 3, vec![member(1)]);
+    let mut delays = Vec::new();
     for _ in 0..12 {
-        let actions = world.event(Event::Membership(Membership::Failed));
-        let wait = actions.iter().find_map(|a| match a {
+        let actions = harness.event(Event::Membership(Membership::Failed));
+        let timer = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
-        let (after, token) = wait.expect("a timer to ask again");
-        world.now += after;
-        assert_eq!(world.event(Event::Timer(token)), [Action::Subscribe]);
-        waits.push(after);
+        let (after, token) = timer.expect("a timer for the next request");
+        harness.now += after;
+        assert_eq!(harness.event(Event::Timer(token)), [Action::Subscribe]);
+        delays.push(after);
     }
-    assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
-    assert!(waits.iter().all(|&w| w < settings.ask_within / 2.0), "never counts as told: {waits:?}");
+    assert!(delays[11] > 4.0 * delays[0], "the delays grow: {delays:?}");
+    assert!(
+        delays.iter().all(|&harness| harness < settings.ask_within / 2.0),
+        "the list is requested again before the instance is considered notified: {delays:?}"
+    );
 }
 
-/// Hundreds of balancers see one upstream restart; together they must stay under the tipping point.
+/// Guards against overload of a restarted upstream by hundreds of balancers: together they must stay below the load at
+/// which it falls over.
 #[test]
-fn a_cold_upstream_is_not_pushed_over_by_all_together() {
-    const COPIES: u32 = 200;
+fn cold_upstream_is_not_overloaded_by_all_instances_together() {
+    const INSTANCES: u32 = 200;
     let settings = |index| Settings {
         index,
-        balancers: COPIES,
+        balancers: INSTANCES,
         cold_from: 0.15,
         ramp_time: 20_000.0,
         tip_multiple: 2.5,
         ..Settings::default()
     };
     let members = || (1..=20).map(member).collect::<Vec<_>>();
-    let mut worlds: Vec<World> =
-        (0..COPIES).map(|i| World::new(settings(i), u64::from(i), members())).collect();
+    let mut harnesses: Vec<Harness> =
+        (0..INSTANCES).map(|i| Harness::new(settings(i), u64::from(i), members())).collect();
     let (mut id, mut sent_to, mut cold_sends) = (0, 0, Vec::new());
     for step in 0..200 {
-        // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
-        for (i, w) in worlds.iter_mut().enumerate() {
+        // Each instance sends 2 requests per second, answered after 50 ms. The upstream restarts after 10 seconds.
+        for (i, harness) in harnesses.iter_mut().enumerate() {
             if step == 100 {
-                w.list(Membership::Delta(vec![Member { since: w.now, ..member(1) }]));
+                harness.update_list(Membership::Delta(vec![Member { since: harness.now, ..member(1) }]));
             }
             if (step + i).is_multiple_of(5) {
                 id += 1;
-                w.request(id, 0, 0);
-                if let Some(&(to, at)) = w.seen[&RequestId(id)].sends.last() {
+                harness.request(id, 0, 0);
+                if let Some(&(to, at)) = harness.requests[&RequestId(id)].sends.last() {
                     sent_to += u32::from(step >= 100);
                     if to == UpstreamId(1) && step >= 100 {
                         cold_sends.push(at);
                     }
-                    w.pass(50.0);
-                    w.outcome(id, 0, Ending::Ok);
-                    w.pass(50.0);
+                    harness.advance(50.0);
+                    harness.outcome(id, 0, Ending::Ok);
+                    harness.advance(50.0);
                     continue;
                 }
             }
-            w.pass(100.0);
+            harness.advance(100.0);
         }
     }
-    assert!(sent_to > 3000, "the others carry on: {sent_to}");
-    // 400 calls a second over 20 upstreams: each carries 20 a second at least.
+    assert!(sent_to > 3000, "the other upstreams serve: {sent_to}");
+    // 400 requests per second over 20 upstreams: each one gets at least 20 per second when warm.
     for window in 0..10 {
         let from = 10_000.0 + f64::from(window) * 1000.0;
         let calls = cold_sends.iter().filter(|&&t| t >= from && t < from + 1000.0).count() as f64;
         let warmth = 0.15 + 0.85 * f64::from(window) / 20.0;
-        assert!(calls <= 2.5 * 20.0 * warmth, "{calls} calls in second {window} at warmth {warmth}");
+        assert!(calls <= 2.5 * 20.0 * warmth, "{calls} attempts in second {window} at warmth {warmth}");
     }
-    assert!(!cold_sends.is_empty(), "it is warmed up, not shut out");
+    assert!(!cold_sends.is_empty(), "the cold upstream gets some attempts");
 }
