--- a/crates/verification/invariants/src/lib.rs
+++ b/crates/verification/invariants/src/lib.rs
@@ -1,83 +1,85 @@
-//! The four rules, judged over what was sent, run and answered: by the ledger of the tests over real sockets, and by the
-//! simulation on every event. Times are spans since the run began, on one clock. Nothing here asks a balancer anything.
+//! The four rules of the load balancer, checked over what was sent, run and answered. The ledger of the socket tests
+//! and the simulation, on every event, both use these checks. All times are durations since the start of the run, on
+//! one clock. The checks never query a balancer.
 //!
-//! | what | judges |
+//! | type | checks |
 //! | --- | --- |
-//! | [`RequestHistory`] | one request: rules 1 and 2, and 3 by how long its upstreams had been closed |
-//! | [`NotificationDeadline`] | how long an upstream has been closed, by what a balancer was told |
-//! | [`Warming`] | what a cold upstream was sent: rule 4 |
+//! | [`RequestHistory`] | one request: rules 1 and 2, and rule 3 by how long its upstreams had been closed |
+//! | [`NotificationDeadline`] | how long an upstream has been closed, by the updates that a balancer got |
+//! | [`Warming`] | the work sent to a cold upstream: rule 4 |
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What repeating a request may do.
+/// Effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// May run any number of times.
     Safe,
-    /// Carries a key; a group of upstreams drops its repeats within a window.
+    /// Carries an idempotency key; a group of upstreams discards duplicates within a window.
     Keyed,
-    /// Must never run twice.
+    /// Must never run more than once.
     Unsafe,
 }
 
-/// Whether an upstream takes new work, as a balancer was told.
+/// Whether an upstream takes new work, as a balancer was notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Takes new work.
     Ready,
-    /// Drains or is gone: takes none.
+    /// Draining or gone: takes no new work.
     Closed,
 }
 
-/// How an upstream that has just started comes to its full capacity: evenly over `ramp` from `from`.
+/// Cold start of an upstream: its capacity grows linearly over `ramp`, starting at the fraction `from`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cold {
-    /// Work that it does at once when warm.
+    /// Number of units of work that it processes in parallel when warm.
     pub cores: f64,
-    /// The part of its capacity that it starts with.
+    /// Fraction of its capacity that it starts with.
     pub from: f64,
-    /// When it is warm.
+    /// Time from its start until it is warm.
     pub ramp: Duration,
 }
 
 impl Cold {
-    /// What it can do from `a` to `b` after its start.
-    pub fn work(&self, a: Duration, b: Duration) -> Duration {
-        // The part that is there grows evenly: over a span it is its mean, the part at the middle.
-        let part = |at: Duration| {
-            let done = (at.as_secs_f64() / self.ramp.as_secs_f64().max(1e-9)).min(1.0);
-            self.from + (1.0 - self.from) * done
+    /// Returns the work that the upstream can do from `start` to `end` after its start.
+    pub fn work(&self, start: Duration, end: Duration) -> Duration {
+        // The mean of the capacity over the span by Simpson's rule, which is exact where the capacity grows linearly.
+        let fraction = |time: Duration| {
+            let progress = (time.as_secs_f64() / self.ramp.as_secs_f64().max(1e-9)).min(1.0);
+            self.from + (1.0 - self.from) * progress
         };
-        let mean = (part(a) + 4.0 * part((a + b) / 2) + part(b)) / 6.0;
-        (b - a).mul_f64(self.cores * mean)
+        let mean = (fraction(start) + 4.0 * fraction((start + end) / 2) + fraction(end)) / 6.0;
+        (end - start).mul_f64(self.cores * mean)
     }
 }
 
 /// The four rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// What a running balancer took gets exactly one final answer in time, and nothing is sent for it after that.
+    /// A request that a running balancer accepted gets exactly one final answer in time, and no attempt is sent after
+    /// it.
     NoRequestLost,
-    /// An unsafe request runs once at most, a keyed one again only where its repeat is dropped.
+    /// An unsafe request runs at most once, and a keyed one runs again only where its duplicate is discarded.
     NoEffectTwice,
-    /// Nothing new goes to an upstream after the grace.
+    /// No new attempt goes to a closed upstream after the grace period.
     DrainsKept,
     /// A cold upstream is not sent more than a multiple of what it can do.
     ColdNotPushedOver,
 }
 
-/// The ways to break them.
+/// Violations of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
     /// No answer came.
     AnswerLost,
-    /// More than one came.
+    /// More than one answer came.
     TwoAnswers,
-    /// It came after the caller had stopped waiting.
+    /// The answer came after the caller had stopped waiting.
     AnswerLate,
-    /// A request was served that no upstream had worked on.
+    /// A request was served although no upstream had worked on it.
     ServedByNobody,
-    /// An attempt went out after the final answer.
+    /// An attempt was sent after the final answer.
     SentAfterAnswer,
     /// An unsafe request ran again.
     UnsafeRepeated,
@@ -85,18 +87,18 @@
     KeyedOutsideGroup,
     /// A keyed request ran again after the window.
     KeyedOutsideWindow,
-    /// A request was refused that has run, where a repeat is not harmless.
+    /// A request that had run was refused, although a retry of it is not harmless.
     RefusedAfterRunning,
-    /// An attempt went to an upstream that drains or is gone, after the grace.
+    /// An attempt went to a draining or removed upstream after the grace period.
     SentAfterGrace,
     /// A cold upstream was sent too much.
     ColdPushedOver,
-    /// The ledger was told more than it holds.
+    /// The ledger got more records than it can hold.
     LedgerFull,
 }
 
 impl Breach {
-    /// The rule that it breaks; `None` for a fault of the ledger itself.
+    /// Returns the rule that it violates; `None` for a fault of the ledger itself.
     pub fn rule(self) -> Option<Rule> {
         use Breach::*;
         match self {
@@ -113,29 +115,29 @@
     }
 }
 
-/// Who drops the repeats of a keyed request.
+/// Upstreams that discard duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Every upstream.
+    /// All upstreams.
     All,
-    /// Those of the group that it ran in first.
+    /// Upstreams of the group in which the request first ran.
     Group,
 }
 
-/// The rules in figures. [`RuleParameters::default`] has the platform's.
+/// Parameters of the rules. [`RuleParameters::default`] has the platform's values.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
-    /// Time limits are this much longer, for what the way takes.
+    /// Tolerance that is added to all time limits, for transmission delays.
     pub slack: Duration,
-    /// How long after the news sends to an upstream may still begin.
+    /// Time after a notification during which attempts to a closed upstream may still begin.
     pub grace: Duration,
-    /// Who drops repeats.
+    /// Upstreams that discard duplicates.
     pub scope: Scope,
-    /// And for how long.
+    /// Time for which duplicates are discarded.
     pub window: Duration,
-    /// How many times what it can do a cold upstream may be sent.
+    /// Maximum work sent to a cold upstream, as a multiple of what it can do.
     pub cold_multiple: f64,
-    /// Within any span of this length.
+    /// Length of the spans over which that work is summed.
     pub cold_span: Duration,
 }
 
@@ -152,164 +154,166 @@
     }
 }
 
-/// What a balancer was told of an upstream.
+/// Time since when an upstream has been closed, as a balancer was notified; `None` while it is ready.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NotificationDeadline(Option<Duration>);
 
 impl NotificationDeadline {
-    /// It was told this.
-    pub fn notify(&mut self, at: Duration, state: State) {
+    /// Records a notification.
+    pub fn notify(&mut self, time: Duration, state: State) {
         self.0 = match state {
             State::Ready => None,
-            State::Closed => self.0.or(Some(at)),
+            State::Closed => self.0.or(Some(time)),
         };
     }
 
-    /// How long the upstream has been closed, counted from the first news.
-    pub fn closed_for(&self, at: Duration) -> Duration {
-        self.0.map_or(Duration::ZERO, |when| at.saturating_sub(when))
+    /// Returns how long the upstream has been closed, counted from the first notification.
+    pub fn closed_for(&self, time: Duration) -> Duration {
+        self.0.map_or(Duration::ZERO, |when| time.saturating_sub(when))
     }
 }
 
-/// All that belongs to one request.
+/// Events of one request.
 #[derive(Clone, Debug)]
 pub struct RequestHistory {
-    /// When its caller began to send it.
+    /// Time at which the caller began to send it.
     pub sent: Duration,
-    /// How long it waits.
+    /// Time that the caller waits for an answer.
     pub patience: Duration,
-    /// What a repeat may do.
+    /// Effect of running it more than once.
     pub effect: Effect,
-    /// Whole answers: when, and with which status. 200 is served, 429 and 503 are refusals, all else has failed.
+    /// Complete answers: time and status. 200 means served, 429 and 503 refused, and all others failed.
     pub answers: Vec<(Duration, u16)>,
-    /// When the caller went away of its own accord: nothing is owed any more.
+    /// Time at which the caller disconnected of its own accord, after which no answer is needed.
     pub left: Option<Duration>,
-    /// When its first bytes reached upstreams, and how long these had been closed by what its balancer knew.
+    /// Times at which its first bytes reached upstreams, and how long these had been closed as its balancer knew.
     pub begun: Vec<(Duration, Duration)>,
-    /// When upstreams began to work on it, and their groups.
+    /// Times at which upstreams began to work on it, and their groups.
     pub ran: Vec<(Duration, u32)>,
-    /// Whether its balancer was killed while it had it: what it held is its caller's to send again.
+    /// Whether its balancer was killed while it held the request, which the caller then has to send again.
     pub excused: bool,
 }
 
 impl RequestHistory {
-    /// One that was just sent.
+    /// Creates the history of a request that was just sent.
     pub fn new(sent: Duration, effect: Effect, patience: Duration) -> RequestHistory {
         let (answers, begun, ran) = Default::default();
         RequestHistory { sent, patience, effect, answers, left: None, begun, ran, excused: false }
     }
 
-    /// Judges it, once nothing more can come of it: without an answer it counts as lost.
-    pub fn judge(&self, figures: &RuleParameters, fault: &mut impl FnMut(Breach, Duration)) {
-        self.judge_answers(figures, fault);
-        self.judge_effects(figures, fault);
-        for &(at, closed) in &self.begun {
-            if closed > figures.grace + figures.slack {
-                fault(Breach::SentAfterGrace, at);
+    /// Checks the history once it is complete: a request without an answer counts as lost.
+    pub fn judge(&self, rules: &RuleParameters, report: &mut impl FnMut(Breach, Duration)) {
+        self.check_answers(rules, report);
+        self.check_effects(rules, report);
+        for &(time, closed) in &self.begun {
+            if closed > rules.grace + rules.slack {
+                report(Breach::SentAfterGrace, time);
             }
         }
     }
 
-    fn judge_answers(&self, figures: &RuleParameters, fault: &mut impl FnMut(Breach, Duration)) {
-        let (story, sent, patience, excused) = (self, self.sent, self.patience, self.excused);
-        match (story.answers.first(), story.left) {
-            (None, None) if !excused => fault(Breach::AnswerLost, sent),
-            (Some(&(at, _)), _) if at > sent + patience + figures.slack => fault(Breach::AnswerLate, at),
+    fn check_answers(&self, rules: &RuleParameters, report: &mut impl FnMut(Breach, Duration)) {
+        let (request, sent, patience, excused) = (self, self.sent, self.patience, self.excused);
+        match (request.answers.first(), request.left) {
+            (None, None) if !excused => report(Breach::AnswerLost, sent),
+            (Some(&(time, _)), _) if time > sent + patience + rules.slack => report(Breach::AnswerLate, time),
             _ => {}
         }
-        if let Some(&(at, _)) = story.answers.get(1) {
-            fault(Breach::TwoAnswers, at);
+        if let Some(&(time, _)) = request.answers.get(1) {
+            report(Breach::TwoAnswers, time);
         }
-        if let Some(&(at, 200)) = story.answers.first() {
-            if story.ran.iter().all(|&(ran, _)| ran > at) {
-                fault(Breach::ServedByNobody, at);
+        if let Some(&(time, 200)) = request.answers.first() {
+            if request.ran.iter().all(|&(ran, _)| ran > time) {
+                report(Breach::ServedByNobody, time);
             }
         }
-        // Whichever came first ended it.
-        let over = story.answers.first().map(|&(at, _)| at).into_iter().chain(story.left).min();
-        if let Some(&(at, _)) =
-            story.begun.iter().find(|&&(at, _)| over.is_some_and(|o| at > o + figures.slack))
+        // The answer or the disconnection, whichever came first, ended the request.
+        let finished_at =
+            request.answers.first().map(|&(time, _)| time).into_iter().chain(request.left).min();
+        if let Some(&(time, _)) =
+            request.begun.iter().find(|&&(time, _)| finished_at.is_some_and(|end| time > end + rules.slack))
         {
-            fault(Breach::SentAfterAnswer, at);
+            report(Breach::SentAfterAnswer, time);
         }
     }
 
-    fn judge_effects(&self, figures: &RuleParameters, fault: &mut impl FnMut(Breach, Duration)) {
-        let (story, effect) = (self, self.effect);
-        let Some((&(first, group), again)) = story.ran.split_first() else { return };
+    fn check_effects(&self, rules: &RuleParameters, report: &mut impl FnMut(Breach, Duration)) {
+        let (request, effect) = (self, self.effect);
+        let Some((&(first, group), reruns)) = request.ran.split_first() else { return };
         match effect {
             Effect::Safe => {}
-            Effect::Unsafe => again.iter().for_each(|&(at, _)| fault(Breach::UnsafeRepeated, at)),
+            Effect::Unsafe => reruns.iter().for_each(|&(time, _)| report(Breach::UnsafeRepeated, time)),
             Effect::Keyed => {
-                for &(at, other) in again {
-                    if figures.scope == Scope::Group && other != group {
-                        fault(Breach::KeyedOutsideGroup, at);
+                for &(time, other_group) in reruns {
+                    if rules.scope == Scope::Group && other_group != group {
+                        report(Breach::KeyedOutsideGroup, time);
                     }
-                    if at > first + figures.window + figures.slack {
-                        fault(Breach::KeyedOutsideWindow, at);
+                    if time > first + rules.window + rules.slack {
+                        report(Breach::KeyedOutsideWindow, time);
                     }
                 }
             }
         }
-        let harmless = effect == Effect::Safe || (effect == Effect::Keyed && figures.scope == Scope::All);
-        for &(at, status) in &story.answers {
+        let harmless = effect == Effect::Safe || (effect == Effect::Keyed && rules.scope == Scope::All);
+        for &(time, status) in &request.answers {
             if matches!(status, 429 | 503) && !harmless {
-                fault(Breach::RefusedAfterRunning, at);
+                report(Breach::RefusedAfterRunning, time);
             }
         }
     }
 }
 
-/// What an upstream was sent since it started.
+/// Work that was sent to an upstream since it started.
 #[derive(Clone, Debug)]
 pub struct Warming {
     started: Duration,
     cold: Cold,
-    /// Work that it began on within the last span, with when.
+    /// Recently started work, within the last span: time and amount.
     recent: VecDeque<(Duration, Duration)>,
-    broken: bool,
+    violated: bool,
 }
 
 impl Warming {
-    /// One that has just started.
+    /// Creates the record of an upstream that has just started.
     pub fn new(started: Duration, cold: Cold) -> Warming {
-        Warming { started, cold, recent: VecDeque::new(), broken: false }
+        Warming { started, cold, recent: VecDeque::new(), violated: false }
     }
 
-    /// Whether it has come to its full capacity: nothing more is judged.
-    pub fn warm(&self, at: Duration) -> bool {
-        at >= self.started + self.cold.ramp
+    /// Whether the upstream is warm, after which no more checks apply.
+    pub fn warm(&self, time: Duration) -> bool {
+        time >= self.started + self.cold.ramp
     }
 
-    /// It began on this much work. Looks at each span that begins with a piece of work; one request more than the budget
-    /// is chance. The first span that has too much: when it began, and what was sent in it.
+    /// Records work that the upstream began at `time`. Checks each span that begins with a piece of work: its sum
+    /// may exceed the budget by the largest single piece, since one request more is chance. For the first span above
+    /// that, returns the start of the span and the work sent in it.
     pub fn executed(
         &mut self,
-        at: Duration,
+        time: Duration,
         work: Duration,
-        figures: &RuleParameters,
+        rules: &RuleParameters,
     ) -> Option<(Duration, Duration)> {
-        if self.broken || self.warm(at) {
+        if self.violated || self.warm(time) {
             return None;
         }
-        while self.recent.front().is_some_and(|&(from, _)| at >= from + figures.cold_span) {
+        while self.recent.front().is_some_and(|&(from, _)| time >= from + rules.cold_span) {
             self.recent.pop_front();
         }
-        self.recent.push_back((at, work));
+        self.recent.push_back((time, work));
         let mut sum: Duration = self.recent.iter().map(|(_, w)| *w).sum();
-        // From the newest on: the largest piece of each span.
+        // Largest piece of work in each span, from the newest span on.
         let mut largest: Vec<Duration> = Vec::with_capacity(self.recent.len());
         for &(_, work) in self.recent.iter().rev() {
             largest.push(largest.last().map_or(work, |&l| l.max(work)));
         }
-        for (&(from, own), &largest) in self.recent.iter().zip(largest.iter().rev()) {
+        for (&(from, first_work), &largest) in self.recent.iter().zip(largest.iter().rev()) {
             let since = from - self.started;
-            let room = self.cold.work(since, since + figures.cold_span).mul_f64(figures.cold_multiple);
-            if sum > room + largest {
-                self.broken = true;
+            let budget = self.cold.work(since, since + rules.cold_span).mul_f64(rules.cold_multiple);
+            if sum > budget + largest {
+                self.violated = true;
                 return Some((from, sum));
             }
-            sum -= own;
+            sum -= first_work;
         }
         None
     }
--- a/crates/verification/simulator-adapter/src/main.rs
+++ b/crates/verification/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts balancers on the simulator's wire: frames in on standard input, replies out.
+//! Runs balancers behind the simulator's wire protocol: reads frames from standard input and writes replies to standard
+//! output.
 mod wire;
 
 use balancer::{Action, Balancer, Event};
@@ -13,58 +14,63 @@
     tables: BTreeMap<u32, Table>,
     actions: Vec<Action>,
     reply: Reply,
-    /// The instance that the reply's records belong to so far.
-    answering: Option<u16>,
+    /// Instance that the last records of the reply belong to.
+    reply_instance: Option<u16>,
 }
 
 impl Host {
-    fn batch(&mut self, batch: &Batch) -> Result<Vec<u8>, String> {
+    fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, String> {
         let mut target = None;
-        self.answering = None;
-        for (i, record) in batch.records.iter().enumerate() {
-            self.record(batch, record, &mut target).map_err(|e| format!("record {i}: {e}"))?;
+        self.reply_instance = None;
+        for (index, record) in batch.records.iter().enumerate() {
+            self.handle_record(batch, record, &mut target).map_err(|e| format!("record {index}: {e}"))?;
         }
         Ok(self.reply.finish(batch.number))
     }
 
-    fn record(&mut self, batch: &Batch, record: &Record, target: &mut Option<u16>) -> Result<(), String> {
+    fn handle_record(
+        &mut self,
+        batch: &Batch,
+        record: &Record,
+        target: &mut Option<u16>,
+    ) -> Result<(), String> {
         let now = batch.now;
-        let instance = || target.ok_or("no instance was named before this record".to_string());
+        let target_instance = || target.ok_or("no instance was named before this record".to_string());
         match record {
             Record::Target(id) => *target = Some(*id),
             Record::Table { number, members } => {
                 self.tables.insert(*number, members.clone());
             }
-            Record::Configure { seed, setup } => {
-                let id = instance()?;
-                let settings = config::parse(&batch.tail[setup.clone()])
+            Record::Configure { seed, settings_range } => {
+                let id = target_instance()?;
+                let settings = config::parse(&batch.tail[settings_range.clone()])
                     .map_err(|e| format!("settings of instance {id}: {e}"))?;
                 let balancer = Balancer::new(settings, *seed, now).map_err(|e| e.to_string())?;
                 self.balancers.insert(id, balancer);
             }
             Record::Destroy => {
-                self.balancers.remove(&instance()?);
+                self.balancers.remove(&target_instance()?);
             }
             Record::Sync { kind, table } => {
-                let news = wire::membership(*kind, self.tables.get(table))
+                let update = wire::resolve_membership(*kind, self.tables.get(table))
                     .map_err(|e| format!("table {table}: {e}"))?;
-                self.event(instance()?, now, Event::Membership(news));
+                self.handle_event(target_instance()?, now, Event::Membership(update));
             }
-            Record::Event(event) => self.event(instance()?, now, event.clone()),
-            Record::Skip => {}
+            Record::Event(event) => self.handle_event(target_instance()?, now, event.clone()),
+            Record::Ignored => {}
         }
         Ok(())
     }
 
-    fn event(&mut self, id: u16, now: f64, event: Event) {
+    fn handle_event(&mut self, id: u16, now: f64, event: Event) {
         let Some(balancer) = self.balancers.get_mut(&id) else { return };
         balancer.handle(now, event, &mut self.actions);
         if self.actions.is_empty() {
             return;
         }
-        if self.answering != Some(id) {
-            self.reply.at(id);
-            self.answering = Some(id);
+        if self.reply_instance != Some(id) {
+            self.reply.select_instance(id);
+            self.reply_instance = Some(id);
         }
         for action in self.actions.drain(..) {
             self.reply.action(&action);
@@ -78,7 +84,7 @@
     for number in 0.. {
         let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else { break };
         let batch = wire::decode(&frame, number).map_err(|e| e.to_string())?;
-        let reply = host.batch(&batch).map_err(|e| format!("frame {number}, {e}"))?;
+        let reply = host.handle_batch(&batch).map_err(|e| format!("frame {number}, {e}"))?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
--- a/crates/verification/simulator-adapter/src/wire.rs
+++ b/crates/verification/simulator-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The frame codec: batches in, replies out. Every read is bounds-checked; errors say what and where.
+//! Codec of the simulator's wire protocol: decodes batches and encodes replies. Every read is bounds-checked, and
+//! errors state the reason and the place.
 use balancer::{
     Action, Availability, Ending, Event, Member, Membership, Millis, Request, RequestId, UpstreamId,
 };
@@ -6,27 +7,32 @@
 use std::io::{self, Read};
 use std::ops::Range;
 
-/// Largest frame accepted; a stated size beyond it is an error, not an allocation.
-pub const MAX_FRAME: usize = 256 << 20;
-const HEADER_IN: usize = 20;
-const HEADER_OUT: usize = 12;
-const EVENT: usize = 48;
-const ACTION: usize = 24;
-const ENTRY: usize = 24;
-/// How much of a frame is taken from the pipe at once, so that memory follows what arrives.
-const CHUNK: usize = 1 << 20;
+/// Maximum size of a frame in bytes. A larger stated size is an error and allocates nothing.
+pub const MAX_FRAME_SIZE: usize = 256 << 20;
+/// Size of the header of a batch, in bytes.
+const BATCH_HEADER_SIZE: usize = 20;
+/// Size of the header of a reply, in bytes.
+const REPLY_HEADER_SIZE: usize = 12;
+/// Size of a record of a batch, in bytes.
+const EVENT_SIZE: usize = 48;
+/// Size of a record of a reply, in bytes.
+const ACTION_SIZE: usize = 24;
+/// Size of an entry of a table, in bytes.
+const ENTRY_SIZE: usize = 24;
+/// Maximum number of bytes read at once, so that memory use follows the data that arrives.
+const READ_CHUNK_SIZE: usize = 1 << 20;
 
-/// What was wrong with the input, and where.
+/// Error in the input, with its place.
 #[derive(Debug)]
 pub enum WireError {
-    /// The pipe failed.
+    /// Reading the input failed.
     Io(io::Error),
     /// The input ended inside a frame.
     Truncated { batch: u64, wanted: usize, got: usize },
-    /// A header that cannot be right.
-    Header { batch: u64, what: String },
-    /// A record that cannot be right.
-    Record { batch: u64, record: usize, what: String },
+    /// A frame header is invalid.
+    Header { batch: u64, cause: String },
+    /// A record is invalid.
+    Record { batch: u64, record: usize, cause: String },
 }
 
 impl fmt::Display for WireError {
@@ -36,71 +42,73 @@
             WireError::Truncated { batch, wanted, got } => {
                 write!(f, "frame {batch}: input ended after {got} of {wanted} bytes")
             }
-            WireError::Header { batch, what } => write!(f, "frame {batch}: header: {what}"),
-            WireError::Record { batch, record, what } => write!(f, "frame {batch}, record {record}: {what}"),
+            WireError::Header { batch, cause } => write!(f, "frame {batch}: header: {cause}"),
+            WireError::Record { batch, record, cause } => {
+                write!(f, "frame {batch}, record {record}: {cause}")
+            }
         }
     }
 }
 
 impl std::error::Error for WireError {}
 
-/// A list of upstreams as a `table` record carries it.
+/// List of upstreams, as a `table` record carries it.
 pub type Table = Vec<Member>;
 
-/// One record of a batch.
+/// Record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// The next records belong to this instance.
+    /// Selects the instance that the next records belong to.
     Target(u16),
-    /// An instance starts with these settings (a range of the frame's tail).
-    Configure { seed: u64, setup: Range<usize> },
-    /// An instance was killed.
+    /// Starts an instance with settings that are at this range of the batch's tail.
+    Configure { seed: u64, settings_range: Range<usize> },
+    /// Removes an instance that was killed.
     Destroy,
-    /// A numbered list for the whole process.
+    /// Stores a list under a number, for all instances of the process.
     Table { number: u32, members: Table },
-    /// News about upstreams, pointing at a table.
+    /// Updates the list of upstreams of an instance from a stored table.
     Sync { kind: u8, table: u32 },
-    /// Anything else the module handles.
+    /// Any other event that the balancer handles.
     Event(Event),
-    /// A legal record that the module has no use for.
-    Skip,
+    /// A valid record that the balancer does not use.
+    Ignored,
 }
 
-/// A decoded batch.
+/// Decoded batch.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock.
+    /// Time of the batch on the simulator's clock, in milliseconds.
     pub now: Millis,
-    /// The batch number to be echoed.
+    /// Number of the batch, which the reply repeats.
     pub number: u32,
-    /// The records in order.
+    /// Records in order.
     pub records: Vec<Record>,
-    /// Variable-size data.
+    /// Variable-size data that records refer to.
     pub tail: Vec<u8>,
 }
 
-fn take<const N: usize>(b: &[u8], at: usize) -> [u8; N] {
+fn take<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
     let mut out = [0; N];
-    out.copy_from_slice(&b[at..at + N]);
+    out.copy_from_slice(&bytes[offset..offset + N]);
     out
 }
-fn u16_at(b: &[u8], at: usize) -> u16 {
-    u16::from_be_bytes(take(b, at))
+fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_be_bytes(take(bytes, offset))
 }
-fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_be_bytes(take(b, at))
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_be_bytes(take(bytes, offset))
 }
-fn u64_at(b: &[u8], at: usize) -> u64 {
-    u64::from_be_bytes(take(b, at))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_be_bytes(take(bytes, offset))
 }
-fn f64_at(b: &[u8], at: usize) -> f64 {
-    f64::from_bits(u64_at(b, at))
+fn f64_at(bytes: &[u8], offset: usize) -> f64 {
+    f64::from_bits(u64_at(bytes, offset))
 }
-fn upstream_at(b: &[u8], at: usize) -> UpstreamId {
-    UpstreamId((u64::from(u32_at(b, at)) << 16) | u64::from(u16_at(b, at + 4)))
+fn upstream_at(bytes: &[u8], offset: usize) -> UpstreamId {
+    UpstreamId((u64::from(u32_at(bytes, offset)) << 16) | u64::from(u16_at(bytes, offset + 4)))
 }
 
-/// Reads one frame; `None` at a clean end of input.
+/// Reads one frame. Returns `None` if the input ends before its first byte.
 pub fn read_frame(input: &mut impl Read, batch: u64) -> Result<Option<Vec<u8>>, WireError> {
     let mut frame = Vec::new();
     fill(input, &mut frame, 4, batch)?;
@@ -108,18 +116,18 @@
         return Ok(None);
     }
     let size = u32_at(&frame, 0) as usize;
-    if !(HEADER_IN..=MAX_FRAME).contains(&size) {
-        let what = format!("stated size of {size} bytes is outside {HEADER_IN} to {MAX_FRAME}");
-        return Err(WireError::Header { batch, what });
+    if !(BATCH_HEADER_SIZE..=MAX_FRAME_SIZE).contains(&size) {
+        let cause = format!("stated size of {size} bytes is outside {BATCH_HEADER_SIZE} to {MAX_FRAME_SIZE}");
+        return Err(WireError::Header { batch, cause });
     }
     fill(input, &mut frame, size, batch)?;
     Ok(Some(frame))
 }
 
-/// Extends `frame` to `wanted` bytes. An end of input before the first byte leaves it empty.
+/// Reads until `frame` has `wanted` bytes. If the input ends before the first byte of the frame, leaves it empty.
 fn fill(input: &mut impl Read, frame: &mut Vec<u8>, wanted: usize, batch: u64) -> Result<(), WireError> {
     while frame.len() < wanted {
-        let step = (wanted - frame.len()).min(CHUNK) as u64;
+        let step = (wanted - frame.len()).min(READ_CHUNK_SIZE) as u64;
         let got = input.take(step).read_to_end(frame).map_err(WireError::Io)?;
         if got == 0 {
             if frame.is_empty() {
@@ -131,105 +139,111 @@
     Ok(())
 }
 
-/// Decodes a whole frame. `batch` counts frames from zero, for messages only.
+/// Decodes a complete frame. `batch` is the number of the frame, counted from zero, and is used in errors only.
 pub fn decode(frame: &[u8], batch: u64) -> Result<Batch, WireError> {
-    let header = |what: String| WireError::Header { batch, what };
-    if frame.len() < HEADER_IN {
+    let header = |cause: String| WireError::Header { batch, cause };
+    if frame.len() < BATCH_HEADER_SIZE {
         return Err(header(format!("{} bytes are too few for a frame", frame.len())));
     }
     if u32_at(frame, 0) as usize != frame.len() {
         return Err(header(format!(
-            "stated size {} is not the {} bytes at hand",
+            "stated size {} does not match the {} bytes received",
             u32_at(frame, 0),
             frame.len()
         )));
     }
     let count = u32_at(frame, 4) as usize;
-    let body = frame.len() - HEADER_IN;
-    if count > body / EVENT {
+    let body = frame.len() - BATCH_HEADER_SIZE;
+    if count > body / EVENT_SIZE {
         return Err(header(format!("{count} records do not fit into {body} bytes")));
     }
     let now = f64_at(frame, 8);
     if !now.is_finite() {
-        return Err(header(format!("the clock reads {now}")));
+        return Err(header(format!("the clock is {now}, not a finite number")));
     }
-    let tail = &frame[HEADER_IN + count * EVENT..];
+    let tail = &frame[BATCH_HEADER_SIZE + count * EVENT_SIZE..];
     let mut records = Vec::with_capacity(count);
-    for i in 0..count {
-        let r = &frame[HEADER_IN + i * EVENT..HEADER_IN + (i + 1) * EVENT];
-        records.push(decode_record(r, tail).map_err(|what| WireError::Record { batch, record: i, what })?);
+    for index in 0..count {
+        let record =
+            &frame[BATCH_HEADER_SIZE + index * EVENT_SIZE..BATCH_HEADER_SIZE + (index + 1) * EVENT_SIZE];
+        records.push(decode_record(record, tail).map_err(|cause| WireError::Record {
+            batch,
+            record: index,
+            cause,
+        })?);
     }
     Ok(Batch { now, number: u32_at(frame, 16), records, tail: tail.to_vec() })
 }
 
-fn span(tail: &[u8], offset: u32, len: u64, what: &str) -> Result<Range<usize>, String> {
+fn tail_range(tail: &[u8], offset: u32, len: u64, field: &str) -> Result<Range<usize>, String> {
     let end = u64::from(offset) + len;
     if end > tail.len() as u64 {
-        return Err(format!("{what}: bytes {offset} to {end} lie outside the tail of {}", tail.len()));
+        return Err(format!("{field}: bytes {offset} to {end} lie outside the tail of {}", tail.len()));
     }
     Ok(offset as usize..end as usize)
 }
 
-fn finite(v: f64, what: &str) -> Result<f64, String> {
-    if v.is_finite() {
-        Ok(v)
+fn finite(value: f64, field: &str) -> Result<f64, String> {
+    if value.is_finite() {
+        Ok(value)
     } else {
-        Err(format!("{what} reads {v}"))
+        Err(format!("{field} is {value}, not a finite number"))
     }
 }
 
-fn decode_record(r: &[u8], tail: &[u8]) -> Result<Record, String> {
-    Ok(match r[0] {
-        0 => Record::Event(Event::Timer(u32_at(r, 1))),
+fn decode_record(record: &[u8], tail: &[u8]) -> Result<Record, String> {
+    Ok(match record[0] {
+        0 => Record::Event(Event::Timer(u32_at(record, 1))),
         1 => Record::Destroy,
-        2 => Record::Sync { kind: r[1], table: u32_at(r, 10) },
-        3 | 7 => Record::Skip,
+        2 => Record::Sync { kind: record[1], table: u32_at(record, 10) },
+        3 | 7 => Record::Ignored,
         4 => {
-            let setup = span(tail, u32_at(r, 9), u64::from(u32_at(r, 13)), "settings")?;
-            Record::Configure { seed: u64_at(r, 1), setup }
+            let settings_range =
+                tail_range(tail, u32_at(record, 9), u64::from(u32_at(record, 13)), "settings")?;
+            Record::Configure { seed: u64_at(record, 1), settings_range }
         }
         5 => Record::Event(Event::Request(Request::plain(
-            RequestId(u32_at(r, 1)),
-            usize::from(r[5]),
-            u32_at(r, 6) as usize,
-            finite(f64_at(r, 18), "deadline")?,
+            RequestId(u32_at(record, 1)),
+            usize::from(record[5]),
+            u32_at(record, 6) as usize,
+            finite(f64_at(record, 18), "deadline")?,
         ))),
         6 => {
-            let bytes = u64::from(u32_at(r, 9)) * ENTRY as u64;
-            let range = span(tail, u32_at(r, 5), bytes, "entries")?;
-            let members = tail[range].chunks_exact(ENTRY).map(decode_entry).collect::<Result<_, _>>()?;
-            Record::Table { number: u32_at(r, 1), members }
+            let bytes = u64::from(u32_at(record, 9)) * ENTRY_SIZE as u64;
+            let range = tail_range(tail, u32_at(record, 5), bytes, "entries")?;
+            let members = tail[range].chunks_exact(ENTRY_SIZE).map(decode_entry).collect::<Result<_, _>>()?;
+            Record::Table { number: u32_at(record, 1), members }
         }
         8 => Record::Event(Event::Outcome {
-            request: RequestId(u32_at(r, 1)),
-            attempt: u32::from(u16_at(r, 5)),
-            ending: ending(u16_at(r, 13)),
-            duration: finite(f64_at(r, 15), "duration")?,
-            closed: r[23] != 0,
+            request: RequestId(u32_at(record, 1)),
+            attempt: u32::from(u16_at(record, 5)),
+            ending: decode_ending(u16_at(record, 13)),
+            duration: finite(f64_at(record, 15), "duration")?,
+            closed: record[23] != 0,
         }),
-        9 => Record::Event(Event::ClientGone(RequestId(u32_at(r, 1)))),
-        10 => Record::Target(u16_at(r, 1)),
+        9 => Record::Event(Event::ClientGone(RequestId(u32_at(record, 1)))),
+        10 => Record::Target(u16_at(record, 1)),
         11 => Record::Event(Event::Streaming {
-            request: RequestId(u32_at(r, 1)),
-            attempt: u32::from(u16_at(r, 11)),
+            request: RequestId(u32_at(record, 1)),
+            attempt: u32::from(u16_at(record, 11)),
         }),
         code => return Err(format!("unknown event code {code}")),
     })
 }
 
-fn decode_entry(e: &[u8]) -> Result<Member, String> {
-    let availability = match e[11] {
+fn decode_entry(entry: &[u8]) -> Result<Member, String> {
+    let availability = match entry[11] {
         3 => Availability::Ready,
         0 => Availability::Draining,
         2 => Availability::Gone,
         other => return Err(format!("unknown availability {other}")),
     };
-    let since = finite(f64_at(e, 16), "start time of an upstream")?;
-    let (zone, kind, group) = (u16_at(e, 6), e[8], u16_at(e, 9));
-    Ok(Member { id: upstream_at(e, 0), zone, kind, group, availability, since })
+    let since = finite(f64_at(entry, 16), "start time of an upstream")?;
+    let (zone, kind, group) = (u16_at(entry, 6), entry[8], u16_at(entry, 9));
+    Ok(Member { id: upstream_at(entry, 0), zone, kind, group, availability, since })
 }
 
-fn ending(code: u16) -> Ending {
+fn decode_ending(code: u16) -> Ending {
     match code {
         200 => Ending::Ok,
         502 => Ending::Error,
@@ -243,19 +257,19 @@
     }
 }
 
-/// Resolves what a `sync` record says against the table it points at.
-pub fn membership(kind: u8, table: Option<&Table>) -> Result<Membership, String> {
-    let list = || table.cloned().ok_or_else(|| "points at a table that was never sent".to_string());
+/// Builds the list update of a `sync` record from the table that it refers to.
+pub fn resolve_membership(kind: u8, table: Option<&Table>) -> Result<Membership, String> {
+    let members = || table.cloned().ok_or_else(|| "refers to a table that was never sent".to_string());
     Ok(match kind {
-        0 => Membership::Full(list()?),
+        0 => Membership::Full(members()?),
         1 => Membership::Failed,
-        2 => Membership::Delta(list()?),
-        3 => Membership::Cached(list()?),
-        other => return Err(format!("unknown kind of news {other}")),
+        2 => Membership::Delta(members()?),
+        3 => Membership::Cached(members()?),
+        other => return Err(format!("unknown kind of list update {other}")),
     })
 }
 
-/// A reply being put together.
+/// Reply under construction.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -264,61 +278,61 @@
 }
 
 impl Reply {
-    fn record(&mut self, code: u8) -> &mut [u8] {
-        let at = self.records.len();
-        self.records.resize(at + ACTION, 0);
-        self.records[at] = code;
+    fn push(&mut self, code: u8) -> &mut [u8] {
+        let offset = self.records.len();
+        self.records.resize(offset + ACTION_SIZE, 0);
+        self.records[offset] = code;
         self.count += 1;
-        &mut self.records[at..]
+        &mut self.records[offset..]
     }
 
-    /// Names the instance that the next actions belong to.
-    pub fn at(&mut self, instance: u16) {
-        self.record(8)[1..3].copy_from_slice(&instance.to_be_bytes());
+    /// Selects the instance that the next actions belong to.
+    pub fn select_instance(&mut self, instance: u16) {
+        self.push(8)[1..3].copy_from_slice(&instance.to_be_bytes());
     }
 
-    /// Adds one action.
+    /// Appends an action.
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::Send { request, upstream, timeout } => {
-                let r = self.record(7);
-                r[1..5].copy_from_slice(&request.0.to_be_bytes());
-                r[5..11].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
-                r[11..19].copy_from_slice(&timeout.to_be_bytes());
+                let record = self.push(7);
+                record[1..5].copy_from_slice(&request.0.to_be_bytes());
+                record[5..11].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
+                record[11..19].copy_from_slice(&timeout.to_be_bytes());
             }
             Action::Cancel { request, attempt } => {
-                let r = self.record(12);
-                r[1..5].copy_from_slice(&request.0.to_be_bytes());
-                r[5..7].copy_from_slice(&(*attempt as u16).to_be_bytes());
+                let record = self.push(12);
+                record[1..5].copy_from_slice(&request.0.to_be_bytes());
+                record[5..7].copy_from_slice(&(*attempt as u16).to_be_bytes());
             }
             Action::Refuse { request, retry_after } => {
-                let r = self.record(3);
-                r[1..5].copy_from_slice(&request.0.to_be_bytes());
-                r[5..13].copy_from_slice(&retry_after.to_be_bytes());
+                let record = self.push(3);
+                record[1..5].copy_from_slice(&request.0.to_be_bytes());
+                record[5..13].copy_from_slice(&retry_after.to_be_bytes());
             }
-            Action::Fail { request } => self.record(1)[1..5].copy_from_slice(&request.0.to_be_bytes()),
+            Action::Fail { request } => self.push(1)[1..5].copy_from_slice(&request.0.to_be_bytes()),
             Action::CloseIdle(upstream) => {
-                self.record(2)[1..7].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
+                self.push(2)[1..7].copy_from_slice(&upstream.0.to_be_bytes()[2..]);
             }
-            Action::Subscribe => self.record(5)[1] = 1,
+            Action::Subscribe => self.push(5)[1] = 1,
             Action::SetTimer { after, token } => {
-                let r = self.record(10);
-                r[1..9].copy_from_slice(&after.to_be_bytes());
-                r[9..13].copy_from_slice(&token.to_be_bytes());
+                let record = self.push(10);
+                record[1..9].copy_from_slice(&after.to_be_bytes());
+                record[9..13].copy_from_slice(&token.to_be_bytes());
             }
             Action::Log(text) => {
                 let (offset, len) = (self.tail.len() as u32, text.len() as u32);
                 self.tail.extend_from_slice(text.as_bytes());
-                let r = self.record(6);
-                r[1..5].copy_from_slice(&offset.to_be_bytes());
-                r[5..9].copy_from_slice(&len.to_be_bytes());
+                let record = self.push(6);
+                record[1..5].copy_from_slice(&offset.to_be_bytes());
+                record[5..9].copy_from_slice(&len.to_be_bytes());
             }
         }
     }
 
-    /// The finished frame; the reply is empty again afterwards.
+    /// Returns the encoded frame and clears the reply.
     pub fn finish(&mut self, number: u32) -> Vec<u8> {
-        let size = HEADER_OUT + self.records.len() + self.tail.len();
+        let size = REPLY_HEADER_SIZE + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(size);
         frame.extend_from_slice(&(size as u32).to_be_bytes());
         frame.extend_from_slice(&self.count.to_be_bytes());
--- a/crates/verification/simulator-adapter/src/wire/tests.rs
+++ b/crates/verification/simulator-adapter/src/wire/tests.rs
@@ -6,20 +6,20 @@
 }
 
 fn padded(hex: &str, size: usize) -> Vec<u8> {
-    let mut b = bytes(hex);
-    b.resize(size, 0);
-    b
+    let mut padded = bytes(hex);
+    padded.resize(size, 0);
+    padded
 }
 
 #[test]
-fn the_documented_empty_batch_and_reply() {
+fn documented_empty_batch_and_reply() {
     let batch = decode(&bytes("00000014 00000000 40c06e2000000000 00000001"), 0).unwrap();
     assert_eq!((batch.now, batch.number, batch.records.len()), (8412.25, 1, 0));
     assert_eq!(Reply::default().finish(1), bytes("0000000c 00000000 00000001"));
 }
 
 #[test]
-fn the_documented_batch_and_its_reply() {
+fn documented_batch_and_reply() {
     let mut frame = bytes("00000104 00000005 40c06e2000000000 0000000c");
     frame.extend(padded("0a 0003", 48));
     frame.extend(padded("05 5d3a91c4 00 00000000 91f03b7c55d20a64 40c0e62000000000 4028000000000000 01", 48));
@@ -36,23 +36,23 @@
     assert_eq!(batch.records[4], Record::Event(Event::ClientGone(RequestId(0x0e6f_2b19))));
 
     let mut reply = Reply::default();
-    reply.at(3);
+    reply.select_instance(3);
     reply.action(&Action::Send { request: id, upstream: UpstreamId(0x0a12_4a07_2bc3), timeout: 80.0 });
     reply.action(&Action::SetTimer { after: 500.0, token: 0x4d });
-    reply.at(5);
+    reply.select_instance(5);
     reply.action(&Action::Log("two servers known".into()));
-    let mut want = bytes("00000095 00000005 0000000c");
-    want.extend(padded("08 0003", 24));
-    want.extend(padded("07 5d3a91c4 0a124a07 2bc3 4054000000000000", 24));
-    want.extend(padded("0a 407f400000000000 0000004d", 24));
-    want.extend(padded("08 0005", 24));
-    want.extend(padded("06 00000000 00000011", 24));
-    want.extend(b"two servers known");
-    assert_eq!(reply.finish(12), want);
+    let mut expected = bytes("00000095 00000005 0000000c");
+    expected.extend(padded("08 0003", 24));
+    expected.extend(padded("07 5d3a91c4 0a124a07 2bc3 4054000000000000", 24));
+    expected.extend(padded("0a 407f400000000000 0000004d", 24));
+    expected.extend(padded("08 0005", 24));
+    expected.extend(padded("06 00000000 00000011", 24));
+    expected.extend(b"two servers known");
+    assert_eq!(reply.finish(12), expected);
 }
 
 #[test]
-fn the_documented_list() {
+fn documented_table() {
     let mut frame = bytes("00000000 00000001 40c06e2000000000 0000000c");
     frame.extend(padded("06 00000000 00000000 00000002", 48));
     frame.extend(bytes("0a124a07 2bc3 0000 00 0000 03 3f800000 0000000000000000"));
@@ -63,12 +63,12 @@
     let Record::Table { number: 0, members } = &batch.records[0] else { panic!("{batch:?}") };
     assert_eq!(members[1].id, UpstreamId(0x0a90_11f2_2bec));
     assert_eq!(members[1].since, 6100.0);
-    assert!(matches!(membership(2, Some(members)), Ok(Membership::Delta(m)) if m.len() == 2));
+    assert!(matches!(resolve_membership(2, Some(members)), Ok(Membership::Delta(m)) if m.len() == 2));
 }
 
 #[test]
-fn bad_frames_are_named_and_never_panic() {
-    let read = |b: &[u8]| read_frame(&mut &b[..], 4).map_err(|e| e.to_string());
+fn invalid_frames_are_described_and_never_panic() {
+    let read = |input: &[u8]| read_frame(&mut &input[..], 4).map_err(|e| e.to_string());
     assert!(matches!(read(&[]), Ok(None)));
     assert!(read(&[0, 0]).unwrap_err().contains("ended after 2 of 4"));
     assert!(read(&bytes("ffffffff 00000000")).unwrap_err().contains("stated size"));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn unknown_endings_may_have_run() {
-    assert_eq!(ending(777), Ending::Unknown);
-    assert!(!ending(777).never_ran());
+fn unknown_ending_may_have_run() {
+    assert_eq!(decode_ending(777), Ending::Unknown);
+    assert!(!decode_ending(777).never_ran());
 }
--- a/crates/verification/simulator-adapter/tests/bad_input.rs
+++ b/crates/verification/simulator-adapter/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! The binary on bad input: a plain message on standard error, a non-zero exit, nothing further on output.
+//! The binary on invalid input: an error message on standard error, a non-zero exit status, and no further output.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -9,9 +9,9 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    // It may stop reading early: a broken pipe is its right.
-    let _ = child.stdin.take().expect("a pipe").write_all(input);
-    let out = child.wait_with_output().expect("it ends");
+    // The process may exit before it has read all input, so a broken pipe is not an error.
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input);
+    let out = child.wait_with_output().expect("the binary exits");
     (out.status.success(), out.stdout, String::from_utf8_lossy(&out.stderr).into_owned())
 }
 
@@ -32,33 +32,39 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_a_clean_exit() {
+fn empty_batch_is_answered_and_end_of_input_is_a_clean_exit() {
     let (ok, out, err) = run(&frame(&[], &[]));
     assert!(ok && err.is_empty(), "{err}");
     assert_eq!(out, [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 7]);
 }
 
 #[test]
-fn what_is_wrong_is_named_and_nothing_further_is_written() {
-    let good = frame(&[], &[]);
+fn error_names_the_fault_and_nothing_further_is_written() {
+    let valid = frame(&[], &[]);
     let target: &[u8] = &[10, 0, 3];
     let configure: Vec<u8> = [&[4u8][..], &[0; 8], &[0, 0, 0, 0, 0, 0, 0, 2]].concat();
     let nan = [&[5u8][..], &[0; 17], &f64::NAN.to_be_bytes()].concat();
     let cases: [(Vec<u8>, &str); 10] = [
-        ([&good[..], &good[..9]].concat(), "frame 1: input ended"),
-        ([&good[..], &[0xff; 8]].concat(), "frame 1: header: stated size"),
-        ([&good[..], &frame(&[&[99]], &[])].concat(), "record 0: unknown event code 99"),
-        ([&good[..], &frame(&[&[9]], &[])].concat(), "no instance was named"),
-        ([&good[..], &frame(&[target, &[2, 3]], &[])].concat(), "table 0: points at a table"),
-        ([&good[..], &frame(&[target, &configure], b"{}")].concat(), "settings of instance 3: missing field"),
-        ([&good[..], &frame(&[target, &configure], b"{x")].concat(), "settings of instance 3"),
-        ([&good[..], &frame(&[target, &nan], &[])].concat(), "frame 1, record 1: deadline reads NaN"),
+        ([&valid[..], &valid[..9]].concat(), "frame 1: input ended"),
+        ([&valid[..], &[0xff; 8]].concat(), "frame 1: header: stated size"),
+        ([&valid[..], &frame(&[&[99]], &[])].concat(), "record 0: unknown event code 99"),
+        ([&valid[..], &frame(&[&[9]], &[])].concat(), "no instance was named"),
+        ([&valid[..], &frame(&[target, &[2, 3]], &[])].concat(), "table 0: refers to a table"),
         (
-            [&good[..], &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2]], &[0; 47])].concat(),
+            [&valid[..], &frame(&[target, &configure], b"{}")].concat(),
+            "settings of instance 3: missing field",
+        ),
+        ([&valid[..], &frame(&[target, &configure], b"{x")].concat(), "settings of instance 3"),
+        (
+            [&valid[..], &frame(&[target, &nan], &[])].concat(),
+            "frame 1, record 1: deadline is NaN, not a finite number",
+        ),
+        (
+            [&valid[..], &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2]], &[0; 47])].concat(),
             "outside the tail",
         ),
         (
-            [&good[..], &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1]], &[9; 24])].concat(),
+            [&valid[..], &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1]], &[9; 24])].concat(),
             "availability 9",
         ),
     ];
@@ -66,6 +72,6 @@
         let (ok, out, err) = run(&input);
         assert!(!ok && err.contains(message), "wanted {message:?}, got {err:?}");
         assert!(!err.contains("panicked"), "{err}");
-        assert_eq!(out.len(), 12, "only the good frame before it is answered ({message})");
+        assert_eq!(out.len(), 12, "only the valid frame before it is answered ({message})");
     }
 }
