--- a/crates/data-plane/balancer/src/policy/endpoints.rs
+++ b/crates/data-plane/balancer/src/policy/endpoints.rs
@@ -118,6 +118,7 @@
 }
 
 impl Endpoints {
+    /// Returns the upstreams that are ejected at time `now`.
     pub(super) fn ejected(&self, now: Millis) -> impl Iterator<Item = UpstreamId> + '_ {
         self.by_id.iter().filter(move |(_, &slot)| now < self.slots[slot].ejected_until).map(|(&id, _)| id)
     }
@@ -143,6 +144,7 @@
         }
     }
 
+    /// Applies an update of the list and selects the subset anew.
     pub(super) fn apply(&mut self, update: Membership, settings: &Settings, now: Millis, rng: &mut Pcg64Mcg) {
         let (members, is_full) = match update {
             Membership::Full(members) | Membership::Cached(members) => (members, true),
--- a/crates/data-plane/balancer/tests/budgets.rs
+++ b/crates/data-plane/balancer/tests/budgets.rs
@@ -20,8 +20,8 @@
     let request = RequestId(id);
     let deadline = harness.now + 2000.0;
     let mut actions = Vec::new();
-    let fresh = Request { retries, ..Request::plain(request, 0, 0, deadline) };
-    harness.balancer.handle(harness.now, Event::Request(fresh), &mut actions);
+    let new_request = Request { retries, ..Request::plain(request, 0, 0, deadline) };
+    harness.balancer.handle(harness.now, Event::Request(new_request), &mut actions);
     let mut sent = sends(&actions);
     for attempt in 0.. {
         if sent <= attempt {
--- a/crates/data-plane/balancer/tests/failures.rs
+++ b/crates/data-plane/balancer/tests/failures.rs
@@ -407,8 +407,8 @@
     let mut harness = harness_with(shared(&[1.0]), 1);
     for id in 0..8 {
         harness.request(id, 0, 0);
-        let s = &harness.requests[&RequestId(id)];
-        assert!(!s.sends.is_empty(), "request {id} is sent");
+        let record = &harness.requests[&RequestId(id)];
+        assert!(!record.sends.is_empty(), "request {id} is sent");
         harness.outcome(id, 0, Ending::Reset);
         if harness.requests[&RequestId(id)].outcomes.last() == Some(&None) {
             let last = harness.requests[&RequestId(id)].outcomes.len() - 1;
--- a/crates/data-plane/balancer/tests/rules.rs
+++ b/crates/data-plane/balancer/tests/rules.rs
@@ -73,8 +73,11 @@
         ];
         for _ in 0..rng.next_u32() % 4 {
             let open = |s: &RequestRecord| s.outcomes.iter().position(Option::is_none);
-            let out: Vec<_> = harness.requests.iter().filter_map(|(id, s)| Some((id.0, open(s)?))).collect();
-            if let Some(&(id, attempt)) = out.get(rng.next_u32() as usize % out.len().max(1)) {
+            let open_attempts: Vec<_> =
+                harness.requests.iter().filter_map(|(id, s)| Some((id.0, open(s)?))).collect();
+            if let Some(&(id, attempt)) =
+                open_attempts.get(rng.next_u32() as usize % open_attempts.len().max(1))
+            {
                 match rng.next_u32() % 12 {
                     0 => drop(harness.client_gone(id)),
                     _ => drop(harness.outcome(id, attempt, pick(&mut rng, &endings))),
@@ -174,9 +177,9 @@
 #[test]
 fn invalid_settings_name_their_field() {
     let field = |change: &dyn Fn(&mut Settings)| {
-        let mut s = Settings { tenants: tenants(&[1.0], 10.0), ..Settings::default() };
-        change(&mut s);
-        Balancer::new(s, 1, 0.0).err().map(|e| e.field)
+        let mut settings = Settings { tenants: tenants(&[1.0], 10.0), ..Settings::default() };
+        change(&mut settings);
+        Balancer::new(settings, 1, 0.0).err().map(|e| e.field)
     };
     assert_eq!(field(&|_| {}), None);
     assert_eq!(field(&|s| s.balancers = 0), Some("balancers"));
--- a/crates/verification/simulator-adapter/src/wire.rs
+++ b/crates/verification/simulator-adapter/src/wire.rs
@@ -30,9 +30,9 @@
     /// The input ended inside a frame.
     Truncated { batch: u64, wanted: usize, got: usize },
     /// A frame header is invalid.
-    Header { batch: u64, cause: String },
+    Header { batch: u64, text: String },
     /// A record is invalid.
-    Record { batch: u64, record: usize, cause: String },
+    Record { batch: u64, record: usize, text: String },
 }
 
 impl fmt::Display for WireError {
@@ -42,10 +42,8 @@
             WireError::Truncated { batch, wanted, got } => {
                 write!(f, "frame {batch}: input ended after {got} of {wanted} bytes")
             }
-            WireError::Header { batch, cause } => write!(f, "frame {batch}: header: {cause}"),
-            WireError::Record { batch, record, cause } => {
-                write!(f, "frame {batch}, record {record}: {cause}")
-            }
+            WireError::Header { batch, text } => write!(f, "frame {batch}: header: {text}"),
+            WireError::Record { batch, record, text } => write!(f, "frame {batch}, record {record}: {text}"),
         }
     }
 }
@@ -117,8 +115,8 @@
     }
     let size = u32_at(&frame, 0) as usize;
     if !(BATCH_HEADER_SIZE..=MAX_FRAME_SIZE).contains(&size) {
-        let cause = format!("stated size of {size} bytes is outside {BATCH_HEADER_SIZE} to {MAX_FRAME_SIZE}");
-        return Err(WireError::Header { batch, cause });
+        let text = format!("stated size of {size} bytes is outside {BATCH_HEADER_SIZE} to {MAX_FRAME_SIZE}");
+        return Err(WireError::Header { batch, text });
     }
     fill(input, &mut frame, size, batch)?;
     Ok(Some(frame))
@@ -141,7 +139,7 @@
 
 /// Decodes a complete frame. `batch` is the number of the frame, counted from zero, and is used in errors only.
 pub fn decode(frame: &[u8], batch: u64) -> Result<Batch, WireError> {
-    let header = |cause: String| WireError::Header { batch, cause };
+    let header = |text: String| WireError::Header { batch, text };
     if frame.len() < BATCH_HEADER_SIZE {
         return Err(header(format!("{} bytes are too few for a frame", frame.len())));
     }
@@ -166,10 +164,10 @@
     for index in 0..count {
         let record =
             &frame[BATCH_HEADER_SIZE + index * EVENT_SIZE..BATCH_HEADER_SIZE + (index + 1) * EVENT_SIZE];
-        records.push(decode_record(record, tail).map_err(|cause| WireError::Record {
+        records.push(decode_record(record, tail).map_err(|text| WireError::Record {
             batch,
             record: index,
-            cause,
+            text,
         })?);
     }
     Ok(Batch { now, number: u32_at(frame, 16), records, tail: tail.to_vec() })
