--- a/crates/data-plane/balancer/tests/common/mod.rs
+++ b/crates/data-plane/balancer/tests/common/mod.rs
@@ -161,7 +161,7 @@
         let mut attempts_by_upstream = BTreeMap::new();
         let mut requests = 0;
         for record in self.requests.values() {
-            let attempts: Vec<_> = record.sends.iter().filter(|(_, at)| *at >= from).collect();
+            let attempts: Vec<_> = record.sends.iter().filter(|(_, time)| *time >= from).collect();
             requests += usize::from(!attempts.is_empty());
             attempts.iter().for_each(|(id, _)| *attempts_by_upstream.entry(*id).or_insert(0) += 1);
         }
@@ -180,21 +180,21 @@
                 self.requests.iter().filter_map(|(id, record)| Some((id, record, next_timeout(record)?)));
             let expiries = open_attempts
                 .map(|(id, record, n)| (record.times_out_at[n].max(self.now), Some(*id), n as u32));
-            let timers = self.timers.iter().map(|&(at, token)| (at, None, token));
+            let timers = self.timers.iter().map(|&(time, token)| (time, None, token));
             let next = expiries.chain(timers).min_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((at, request, token)) = next.filter(|n| n.0 <= until) else { break };
-            self.now = at;
+            let Some((time, request, token)) = next.filter(|n| n.0 <= until) else { break };
+            self.now = time;
             match request {
                 Some(id) => {
                     self.outcome(id.0, token as usize, Ending::Timeout);
                     let record = &self.requests[&id];
                     assert!(
-                        at < record.deadline || record.answered || record.outcomes.contains(&None),
+                        time < record.deadline || record.answered || record.outcomes.contains(&None),
                         "{id:?} has no final answer before its deadline"
                     );
                 }
                 None => {
-                    let i = self.timers.iter().position(|t| *t == (at, token)).expect("the timer is set");
+                    let i = self.timers.iter().position(|t| *t == (time, token)).expect("the timer is set");
                     self.timers.remove(i);
                     self.event(Event::Timer(token));
                 }
