--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -1,11 +1,12 @@
-//! Drives one decision module ([`Balancer`]) on behalf of one pool: feeds it events in order, carries out its actions, and
-//! keeps its clock, its timers and the ids of requests and attempts. Decides nothing itself and knows no protocol.
+//! Runs the decision module ([`Balancer`]) of one pool: passes events to it in order, performs its actions, and keeps
+//! the clock, the timers and the ids of requests and attempts. The driver makes no decisions of its own and is
+//! independent of protocols.
 //!
 //! | file | contents |
 //! | --- | --- |
 //! | `mod.rs` | [`DriverHandle`], through which fronts, transports and endpoint sources reach the driver |
 //! | `state.rs` | requests, attempts, upstreams and timers |
-//! | `open_request.rs` | one request without a final answer, one attempt in flight |
+//! | `open_request.rs` | a request without a final answer, and an attempt in flight |
 mod open_request;
 mod state;
 
@@ -26,14 +27,14 @@
 use tokio::time::Instant;
 use tracing::{debug, info};
 
-/// Time left for the final answer to reach the client before it stops waiting.
+/// Time reserved for the final answer to reach the client before the client's deadline, in milliseconds.
 const ANSWER_MARGIN_MS: Millis = 5.0;
-/// How often idle connections are checked for expiry.
+/// Interval between expiry checks of idle connections.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest timer that the decision module may ask for.
+/// Longest timer that the decision module may set, in milliseconds (71 minutes).
 const MAX_TIMER_MS: Millis = 71.0 * 60_000.0;
 
-/// Why a request was not admitted. Nothing ran for it.
+/// Reason why a request was not admitted. Nothing ran for it.
 #[derive(Debug, thiserror::Error)]
 pub enum AdmissionError {
     /// The limit on open requests is reached.
@@ -44,47 +45,48 @@
     DuplicateId,
 }
 
-/// Creates the transport for an upstream, by the protocol that it speaks.
+/// Creates the transport of an upstream according to its protocol.
 pub type TransportFactory = Box<dyn Fn(&ListedEndpoint) -> Rc<dyn Upstream>>;
 
-/// Clients' ids of the requests that are open, shared by the drivers of all pools.
+/// Client-assigned ids of open requests, shared by the drivers of all pools.
 pub type OpenRequestIds = Rc<RefCell<HashSet<Bytes>>>;
 
-/// What a driver is built from.
+/// Configuration of a driver.
 pub struct DriverConfig {
     /// The decision module.
     pub balancer: Balancer,
-    /// When the decision module's clock read `start_ms`.
+    /// Instant at which the decision module's clock reads `start_ms`.
     pub start: Instant,
-    /// Its clock at the start, in Unix milliseconds. It advances by elapsed time alone, whatever is done to the system's
-    /// clock.
+    /// Initial reading of the decision module's clock, in Unix milliseconds. The clock advances by elapsed time only,
+    /// regardless of adjustments to the system clock.
     pub start_ms: Millis,
-    /// Creates transports for upstreams.
+    /// Creates the transports of upstreams.
     pub transports: TransportFactory,
-    /// Descriptors of the process.
+    /// Budget of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// Maximum number of open requests.
     pub max_open: usize,
-    /// Whether upstreams also shed work that they had begun: a rejection is then no proof that nothing ran.
+    /// Whether upstreams also shed work that they have begun: a rejection then does not prove that nothing ran.
     pub late_shedding: bool,
-    /// Clients' ids of open requests.
+    /// Client-assigned ids of open requests.
     pub open_ids: OpenRequestIds,
-    /// Counters of the process.
+    /// Request counters of the process.
     pub counters: Rc<RequestCounters>,
     /// Latency objective of each class.
     pub objectives: Vec<Duration>,
-    /// For each class, how long upstreams discard duplicates; `None`: duplicates do no harm, or there are none.
+    /// For each class, the time during which upstreams discard duplicates; `None`: duplicates do no harm, or do not
+    /// occur.
     pub dedup_windows: Vec<Option<Duration>>,
 }
 
-/// A driver, as the rest of the process sees it. Clones refer to the same driver.
+/// Handle of a driver. Clones refer to the same driver.
 #[derive(Clone)]
 pub struct DriverHandle(Rc<Shared>);
 
 struct Shared {
     driver: RefCell<Driver>,
-    /// Notified when a timer was set that may be the next one due.
-    timers: Notify,
+    /// Notified when a new timer may be due before all others.
+    timer_set: Notify,
 }
 
 impl EndpointSubscriber for DriverHandle {
@@ -94,51 +96,52 @@
     }
 }
 
-/// An admitted request that waits for its final answer. Dropping it means that the client is gone.
+/// An admitted request that waits for its final answer. Dropping it before that reports the client as gone.
 pub struct PendingAnswer {
     handle: DriverHandle,
     id: RequestId,
     answer: oneshot::Receiver<FinalAnswer>,
-    done: bool,
+    answered: bool,
 }
 
 impl PendingAnswer {
     /// Waits for the final answer.
     pub async fn answer(mut self) -> FinalAnswer {
-        let lost = |_| FinalAnswer { answer: Answer::Failed, may_have_run: true, used: Used::default() };
-        let answer = (&mut self.answer).await.unwrap_or_else(lost);
-        self.done = true;
+        let driver_gone =
+            |_| FinalAnswer { answer: Answer::Failed, may_have_run: true, used: Used::default() };
+        let answer = (&mut self.answer).await.unwrap_or_else(driver_gone);
+        self.answered = true;
         answer
     }
 }
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        if !self.done {
+        if !self.answered {
             self.handle.client_gone(self.id);
         }
     }
 }
 
 impl DriverHandle {
-    /// Sets up a driver. [`DriverHandle::run`] must run for its timers to fire.
+    /// Creates a driver. Its timers fire only while [`DriverHandle::run`] runs.
     pub fn new(config: DriverConfig) -> DriverHandle {
         let driver = RefCell::new(Driver::new(config));
-        DriverHandle(Rc::new(Shared { driver, timers: Notify::new() }))
+        DriverHandle(Rc::new(Shared { driver, timer_set: Notify::new() }))
     }
 
-    /// Fires timers; never returns.
+    /// Fires timers when they are due. Never returns.
     pub async fn run(&self) {
         self.0.driver.borrow_mut().set_timer(Instant::now() + IDLE_SWEEP_INTERVAL, TimerKind::IdleSweep);
         loop {
-            let next = self.0.driver.borrow().timers.first_key_value().map(|(&(at, _), _)| at);
-            match next {
-                Some(at) if at <= Instant::now() => self.fire_next_timer(),
-                Some(at) => tokio::select! {
-                    () = tokio::time::sleep_until(at) => {}
-                    () = self.0.timers.notified() => {}
+            let next_due = self.0.driver.borrow().timers.first_key_value().map(|(&(due_at, _), _)| due_at);
+            match next_due {
+                Some(due_at) if due_at <= Instant::now() => self.fire_next_timer(),
+                Some(due_at) => tokio::select! {
+                () = tokio::time::sleep_until(due_at) => {}
+                () = self.0.timer_set.notified() => {}
                 },
-                None => self.0.timers.notified().await,
+                None => self.0.timer_set.notified().await,
             }
         }
     }
@@ -151,8 +154,8 @@
             TimerKind::IdleSweep => {
                 let mut driver = self.0.driver.borrow_mut();
                 let now = Instant::now();
-                for known in driver.upstreams.values() {
-                    known.upstream.close_expired(now);
+                for entry in driver.upstreams.values() {
+                    entry.upstream.close_expired(now);
                 }
                 driver.set_timer(now + IDLE_SWEEP_INTERVAL, TimerKind::IdleSweep);
             }
@@ -175,13 +178,14 @@
         self.0.driver.borrow().open.values().filter(|o| o.reply.is_some()).count()
     }
 
-    /// Bounds the time of requests that are admitted from now on: each has its final answer within `time` from now.
-    pub fn answer_within(&self, time: Duration) {
+    /// Limits the time of requests that are admitted from now on: each has its final answer within `timeout` from
+    /// now.
+    pub fn set_answer_timeout(&self, timeout: Duration) {
         let mut driver = self.0.driver.borrow_mut();
-        driver.shutdown_deadline = driver.now() + time.as_secs_f64() * 1000.0;
+        driver.shutdown_deadline = driver.now() + timeout.as_secs_f64() * 1000.0;
     }
 
-    /// Fails every open request, with no promise about its effect.
+    /// Answers every open request with a failure, which makes no promise about its effect.
     pub fn fail_open_requests(&self) {
         let failed: Vec<RequestId> = {
             let mut driver = self.0.driver.borrow_mut();
@@ -199,12 +203,12 @@
         self.0.driver.borrow_mut().close_oldest_idle();
     }
 
-    /// Since when the connection that has been idle longest is idle, of all upstreams.
+    /// Start of the longest idle period among the connections of all upstreams; `None`: no connection is idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
-        self.0.driver.borrow().upstreams.values().filter_map(|k| k.upstream.oldest_idle_since()).min()
+        self.0.driver.borrow().upstreams.values().filter_map(|e| e.upstream.oldest_idle_since()).min()
     }
 
-    /// What the decision module has learned of capacity and demand, for a successor process.
+    /// Capacity and demand that the decision module has learned, for a successor process.
     pub fn learned(&self) -> Learned {
         self.0.driver.borrow().balancer.learned()
     }
@@ -215,7 +219,7 @@
         self.handle_event(Event::Membership(Membership::Cached(listing.members().collect())));
     }
 
-    /// Admits a request that its client waits `patience` milliseconds for: from now on one final answer is owed.
+    /// Admits a request whose client waits for `timeout` milliseconds: from now on one final answer is owed.
     ///
     /// # Errors
     /// Too many requests are open, or one with its id is.
@@ -223,18 +227,18 @@
         &self,
         class: usize,
         tenant: usize,
-        patience: Millis,
+        timeout: Millis,
         request: Request,
     ) -> Result<PendingAnswer, AdmissionError> {
-        let admitted = self.0.driver.borrow_mut().admit(class, tenant, patience, request)?;
+        let admitted = self.0.driver.borrow_mut().admit(class, tenant, timeout, request)?;
         self.handle_event(admitted.event);
-        Ok(PendingAnswer { handle: self.clone(), id: admitted.id, answer: admitted.answer, done: false })
+        Ok(PendingAnswer { handle: self.clone(), id: admitted.id, answer: admitted.answer, answered: false })
     }
 
     fn client_gone(&self, id: RequestId) {
         {
             let mut driver = self.0.driver.borrow_mut();
-            // Answered in the same instant: the decision module has ended it already.
+            // The request has just been answered: the decision module has already closed it.
             if driver.open.get_mut(&id).and_then(OpenRequest::take_reply).is_none() {
                 return;
             }
@@ -243,7 +247,7 @@
         self.handle_event(Event::ClientGone(id));
     }
 
-    /// Reports the end of an attempt to the decision module, unless an earlier end of it counts.
+    /// Reports the end of an attempt to the decision module, unless it has already ended.
     fn attempt_ended(&self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) {
         let event = self.0.driver.borrow_mut().finish_attempt(id, number, ending, answer);
         if let Some(event) = event {
@@ -251,7 +255,8 @@
         }
     }
 
-    /// Hands an event to the decision module and performs its actions, then the events that follow from them at once.
+    /// Passes an event to the decision module and performs its actions, then handles the events that result from
+    /// them.
     fn handle_event(&self, event: Event) {
         let mut driver = self.0.driver.borrow_mut();
         driver.events.push_back(event);
@@ -278,22 +283,22 @@
             }
             Action::Fail { request } => driver.answer(request, Answer::Failed),
             Action::CloseIdle(id) => {
-                if let Some(known) = driver.upstreams.get(&id) {
-                    known.upstream.close_idle();
+                if let Some(entry) = driver.upstreams.get(&id) {
+                    entry.upstream.close_idle();
                 }
             }
-            // Endpoint sources watch by themselves.
+            // Endpoint sources watch for changes on their own.
             Action::Subscribe => {}
             Action::SetTimer { after, token } => {
-                let after = Duration::from_secs_f64(after.clamp(0.0, MAX_TIMER_MS) / 1000.0);
-                driver.set_timer(Instant::now() + after, TimerKind::Balancer(token));
-                self.0.timers.notify_one();
+                let delay = Duration::from_secs_f64(after.clamp(0.0, MAX_TIMER_MS) / 1000.0);
+                driver.set_timer(Instant::now() + delay, TimerKind::Balancer(token));
+                self.0.timer_set.notify_one();
             }
             Action::Log(line) => info!("{line}"),
         }
     }
 
-    /// Begins an attempt. `timeout`: in milliseconds; 0: until the request's deadline.
+    /// Starts an attempt. `timeout`: in milliseconds; 0: the attempt may last until the request's deadline.
     fn send(&self, driver: &mut Driver, id: RequestId, upstream: UpstreamId, timeout: Millis) {
         let (now, now_ms) = (Instant::now(), driver.now());
         let Some(open) = driver.open.get_mut(&id) else { return };
@@ -307,10 +312,10 @@
             driver.events.push_back(outcome);
             return;
         };
-        debug!("request {}: attempt {number} goes to {}", open.request.label(), target.entry.addr);
-        let left = (open.deadline - now_ms).max(0.0);
-        let wait = if timeout > 0.0 { timeout.min(left) } else { left };
-        let deadline = now + Duration::from_secs_f64(wait / 1000.0);
+        debug!("request {}: attempt {number} is sent to {}", open.request.label(), target.entry.addr);
+        let remaining_ms = (open.deadline - now_ms).max(0.0);
+        let wait_ms = if timeout > 0.0 { timeout.min(remaining_ms) } else { remaining_ms };
+        let deadline = now + Duration::from_secs_f64(wait_ms / 1000.0);
         let dedup_deadline = open.dedup_deadline(now);
         open.attempts_in_flight += 1;
         let reports_usage = target.usage_feedback.tells();
@@ -338,6 +343,6 @@
         let in_flight =
             InFlightAttempt { upstream, sent: now, task: task.abort_handle(), timer, budget_grant };
         driver.attempts.insert((id, number), in_flight);
-        self.0.timers.notify_one();
+        self.0.timer_set.notify_one();
     }
 }
--- a/crates/herondock/src/driver/open_request.rs
+++ b/crates/herondock/src/driver/open_request.rs
@@ -1,4 +1,4 @@
-//! One request without a final answer, and one attempt that has not ended.
+//! A request without a final answer, and an attempt that has not ended.
 use crate::exchange::{Answer, BudgetGrant, FinalAnswer, Request};
 use crate::request_counters::{self, RequestCounters};
 use balancer::{Millis, UpstreamId};
@@ -10,29 +10,29 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A request that was admitted, until it has its final answer and none of its attempts is in flight.
+/// An admitted request, kept until it has its final answer and none of its attempts is in flight.
 pub(super) struct OpenRequest {
     /// Channel to the client; `None` once the final answer is given or the client is gone.
     pub(super) reply: Option<oneshot::Sender<FinalAnswer>>,
-    /// What is sent to upstreams.
+    /// Request that is forwarded to upstreams.
     pub(super) request: Rc<Request>,
-    /// Time of the final answer at the latest, on the decision module's clock.
+    /// Latest time of the final answer, in milliseconds on the decision module's clock.
     pub(super) deadline: Millis,
-    /// Attempts sent so far; the number of the next one.
+    /// Number of attempts sent so far, and thereby the number of the next attempt.
     pub(super) attempts_sent: u32,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub(super) attempts_in_flight: u32,
     /// Whether an attempt that has ended may have run.
     pub(super) may_have_run: bool,
     /// Send time of the first attempt that may have run, or of an earlier one.
     pub(super) first_sent: Option<Instant>,
-    /// How long after `first_sent` upstreams discard duplicates; `None`: without limit.
+    /// Time after `first_sent` during which upstreams discard duplicates; `None`: unlimited.
     pub(super) dedup_window: Option<Duration>,
     /// Retries left, where request budgets are on.
     pub(super) retry_budget: Option<RetryBudget>,
-    /// Counters of the process.
+    /// Request counters of the process.
     pub(super) counters: Rc<RequestCounters>,
-    /// An answer after this time counts as late.
+    /// Time after which an answer counts as late.
     pub(super) late_at: Instant,
 }
 
@@ -43,7 +43,7 @@
         self.reply.take()
     }
 
-    /// Gives the final answer; `false` if it was given before or the client is gone.
+    /// Gives the final answer. Returns `false` if it was given before or the client is gone.
     pub(super) fn answer(&mut self, answer: Answer) -> bool {
         let Some(reply) = self.take_reply() else { return false };
         if matches!(answer, Answer::Served { .. }) {
@@ -51,7 +51,7 @@
         }
         let used = self.retry_budget.as_ref().map_or(Used::default(), RetryBudget::used);
         let may_have_run = self.may_have_run || self.attempts_in_flight > 0;
-        // A client that left in the same instant gets nothing; it is no longer owed anything.
+        // Sending fails if the client has just left; it is then no longer owed an answer.
         let _ = reply.send(FinalAnswer { answer, may_have_run, used });
         true
     }
@@ -63,9 +63,10 @@
         }
     }
 
-    /// Until when an attempt that is sent now may be written, and notes its send time. An attempt beside or after one that
-    /// may have run is a duplicate: past the window upstreams would run it again. Between this choice and the first byte
-    /// lie a dial and a queue, so the transport checks the time once more.
+    /// Returns the time until which an attempt that is sent now may be written (`None`: unlimited), and records its
+    /// send time. An attempt beside or after one that may have run is a duplicate, which upstreams would execute
+    /// again once the window has passed. Dialing and queueing delay the first byte, so the transport checks the time
+    /// again before it writes.
     pub(super) fn dedup_deadline(&mut self, now: Instant) -> Option<Instant> {
         let duplicate = self.attempts_in_flight > 0 || self.may_have_run;
         if !duplicate {
@@ -79,11 +80,11 @@
 
 /// An attempt that has not ended.
 pub(super) struct InFlightAttempt {
-    /// The upstream that it was sent to.
+    /// Upstream that it was sent to.
     pub(super) upstream: UpstreamId,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub(super) sent: Instant,
-    /// The task that carries it out; aborting it closes its connection.
+    /// Task that executes it; aborting the task closes its connection.
     pub(super) task: AbortHandle,
     /// Key of its timeout among the driver's timers.
     pub(super) timer: (Instant, u64),
--- a/crates/herondock/src/driver/state.rs
+++ b/crates/herondock/src/driver/state.rs
@@ -1,4 +1,4 @@
-//! The driver's state: requests and attempts in flight, upstreams, timers, and the decision module that all of it serves.
+//! State of the driver: the decision module, requests and attempts in flight, upstreams and timers.
 use super::open_request::{InFlightAttempt, OpenRequest};
 use super::{AdmissionError, DriverConfig, OpenRequestIds, TransportFactory, ANSWER_MARGIN_MS};
 use crate::descriptor_budget::DescriptorBudget;
@@ -16,43 +16,44 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Latency objective of a class that has none.
+/// Latency objective that is assumed for a class without one: one day, so that its answers never count as late.
 const NO_OBJECTIVE: Duration = Duration::from_secs(86_400);
 
-/// What a timer is for.
+/// Purpose of a timer.
 pub(super) enum TimerKind {
-    /// The decision module asked for it, with this token.
+    /// Set by the decision module, with this token.
     Balancer(u32),
-    /// An attempt is given up.
+    /// Timeout of an attempt, by request and attempt number.
     AttemptTimeout(RequestId, u32),
-    /// Idle connections are checked for expiry.
+    /// Expiry check of idle connections.
     IdleSweep,
 }
 
-/// An upstream that the decision module may name.
+/// An upstream that the decision module may refer to.
 pub(super) struct UpstreamEntry {
-    /// Its transport and connections.
+    /// Transport of the upstream, with its connections.
     pub(super) upstream: Rc<dyn Upstream>,
-    /// Closed while it drains.
+    /// Closed while the upstream drains.
     pub(super) gate: Rc<DrainGate>,
-    /// Its newest entry in the endpoint list.
+    /// Latest entry of the upstream in the endpoint list.
     pub(super) entry: ListedEndpoint,
-    /// Whether its answers report the retries that were used below it.
+    /// Whether the upstream's answers report the retries that were used below it.
     pub(super) usage_feedback: UsageFeedback,
 }
 
-/// See the module's documentation. Borrowed for one event at a time.
+/// State of a driver; mutably borrowed for one event at a time.
 pub(super) struct Driver {
     /// The decision module.
     pub(super) balancer: Balancer,
     start: Instant,
     start_ms: Millis,
     transports: TransportFactory,
-    /// Descriptors of the process.
+    /// Budget of the process's file descriptors.
     pub(super) descriptors: DescriptorBudget,
     max_open: usize,
     late_shedding: bool,
-    /// Every request has its final answer by then; infinite while the process serves.
+    /// Time by which every request has its final answer, in milliseconds on the decision module's clock; infinite
+    /// until a shutdown begins.
     pub(super) shutdown_deadline: Millis,
     next_id: u32,
     /// Requests without a final answer or with attempts in flight.
@@ -63,27 +64,27 @@
     dedup_windows: Vec<Option<Duration>>,
     /// Attempts in flight, by request and number.
     pub(super) attempts: HashMap<(RequestId, u32), InFlightAttempt>,
-    /// Every upstream that the decision module may name: those listed, and those with attempts in flight.
+    /// Every upstream that the decision module may refer to: those listed, and those with attempts in flight.
     pub(super) upstreams: HashMap<UpstreamId, UpstreamEntry>,
-    /// Timers by due time; the number keeps those of one instant apart.
+    /// Timers by due time; the sequence number distinguishes timers that are due at the same instant.
     pub(super) timers: BTreeMap<(Instant, u64), TimerKind>,
     timer_sequence: u64,
-    /// Events that follow from the one being handled.
+    /// Events that result from the one being handled, in order.
     pub(super) events: VecDeque<Event>,
 }
 
-/// What [`Driver::admit`] returns: the event for the decision module, and where the final answer arrives.
+/// Result of [`Driver::admit`]: the event for the decision module, and the receiver of the final answer.
 pub(super) struct Admitted {
-    /// The request's number.
+    /// Id of the request within this driver.
     pub(super) id: RequestId,
-    /// To be handed to the decision module.
+    /// Event to pass to the decision module.
     pub(super) event: Event,
     /// Receives the final answer.
     pub(super) answer: oneshot::Receiver<FinalAnswer>,
 }
 
 impl Driver {
-    /// A driver without requests and upstreams.
+    /// Creates a driver without requests and upstreams.
     pub(super) fn new(config: DriverConfig) -> Driver {
         Driver {
             balancer: config.balancer,
@@ -108,39 +109,39 @@
         }
     }
 
-    /// Time on the decision module's clock, in milliseconds.
+    /// Current time on the decision module's clock, in milliseconds.
     pub(super) fn now(&self) -> Millis {
         self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     /// Sets a timer and returns its key.
-    pub(super) fn set_timer(&mut self, at: Instant, kind: TimerKind) -> (Instant, u64) {
+    pub(super) fn set_timer(&mut self, due_at: Instant, kind: TimerKind) -> (Instant, u64) {
         self.timer_sequence += 1;
-        self.timers.insert((at, self.timer_sequence), kind);
-        (at, self.timer_sequence)
+        self.timers.insert((due_at, self.timer_sequence), kind);
+        (due_at, self.timer_sequence)
     }
 
     /// Admits a request: from now on one final answer is owed.
     ///
     /// # Errors
-    /// Too many requests are open, or one with its id is.
+    /// Too many requests are open, or one with the same id is.
     pub(super) fn admit(
         &mut self,
         class: usize,
         tenant: usize,
-        patience: Millis,
+        timeout: Millis,
         request: Request,
     ) -> Result<Admitted, AdmissionError> {
         if self.open.len() >= self.max_open {
             return Err(AdmissionError::TooManyOpen);
         }
-        // Guards against one request's id on another while any attempt of the first is in flight: upstreams recognise
-        // retries by it.
+        // Prevents a request from reusing the id of another while any attempt of the other is in flight: upstreams
+        // recognise retries by the id.
         if request.id.as_ref().is_some_and(|id| !self.open_ids.borrow_mut().insert(id.clone())) {
             return Err(AdmissionError::DuplicateId);
         }
         let id = self.next_request_id();
-        let deadline = (self.now() + (patience - ANSWER_MARGIN_MS).max(0.0)).min(self.shutdown_deadline);
+        let deadline = (self.now() + (timeout - ANSWER_MARGIN_MS).max(0.0)).min(self.shutdown_deadline);
         let route_retries = request.max_attempts.map_or(u32::MAX, |attempts| attempts.saturating_sub(1));
         let budget = request.budget.as_ref().map(|carried| &carried.budget);
         let (retries, worth) =
@@ -167,7 +168,7 @@
         Ok(Admitted { id, event, answer })
     }
 
-    /// A number that no open request has; numbers wrap around.
+    /// Returns an id that no open request has. Ids wrap around.
     fn next_request_id(&mut self) -> RequestId {
         while self.open.contains_key(&RequestId(self.next_id)) {
             self.next_id = self.next_id.wrapping_add(1);
@@ -177,8 +178,9 @@
         id
     }
 
-    /// Books the end of an attempt; only the first one counts. Its task is stopped, which closes its connection. Returns
-    /// the decision module's one outcome for the send.
+    /// Records the end of an attempt; only the first end counts. Aborts its task, which closes its connection.
+    /// Returns the one outcome event that the decision module gets for the send; `None`: the attempt had already
+    /// ended.
     pub(super) fn finish_attempt(
         &mut self,
         id: RequestId,
@@ -197,14 +199,14 @@
                 entry.usage_feedback.answered(reported.is_some());
             }
         }
-        let closed = self.book_ending(id, number, ending, reported, answer);
+        let closed = self.record_ending(id, number, ending, reported, answer);
         self.remove_if_done(id);
         Some(Event::Outcome { request: id, attempt: number, ending, duration, closed })
     }
 
-    /// Notes an attempt's end at its request, and gives the request its answer if the attempt brought one. Whether the
-    /// request has its final answer.
-    fn book_ending(
+    /// Records the end of an attempt in its request, and answers the request if the attempt brought an answer.
+    /// Returns whether the request has its final answer.
+    fn record_ending(
         &mut self,
         id: RequestId,
         number: u32,
@@ -223,7 +225,7 @@
                 None => AttemptUsage::Unknown,
             };
             retry_budget.ended(number, usage);
-            // Before the outcome, by which the decision module decides whether to retry.
+            // Precedes the outcome event, on which the decision module decides whether to retry.
             self.events.push_back(Event::Left { request: id, retries: retry_budget.left() });
         }
         if let Some(answer) = answer {
@@ -249,12 +251,12 @@
         }
     }
 
-    /// Removes an upstream that the endpoint list has no more, once no attempt is in flight there.
+    /// Removes an upstream that is no longer in the endpoint list, once no attempt to it is in flight.
     fn remove_if_gone(&mut self, id: UpstreamId) {
         let gone = self
             .upstreams
             .get(&id)
-            .is_some_and(|known| known.entry.member.availability == Availability::Gone);
+            .is_some_and(|upstream| upstream.entry.member.availability == Availability::Gone);
         if gone && !self.attempts.values().any(|a| a.upstream == id) {
             self.upstreams.remove(&id);
         }
@@ -263,38 +265,39 @@
     /// Closes the connection that has been idle longest, of all upstreams, to free its descriptor.
     pub(super) fn close_oldest_idle(&mut self) {
         let oldest =
-            self.upstreams.values().filter_map(|k| Some((k.upstream.oldest_idle_since()?, &k.upstream)));
+            self.upstreams.values().filter_map(|e| Some((e.upstream.oldest_idle_since()?, &e.upstream)));
         if let Some((_, upstream)) = oldest.min_by_key(|&(since, _)| since) {
             upstream.close_oldest_idle();
         }
     }
 
-    /// Brings upstreams, their connections and drain gates in step with the endpoint list. Gates close at once: when the
-    /// change was written, or counted as notified, is not known, and part of the grace may be over.
+    /// Updates upstreams, their connections and drain gates from the endpoint list. Gates close immediately: the time
+    /// at which the change was written or considered notified is unknown, and part of the drain grace may have
+    /// passed.
     pub(super) fn update_upstreams(&mut self, listing: &EndpointUpdate) {
         let now = Instant::now();
         for entry in &listing.endpoints {
             let member = &entry.member;
-            debug!("list: {} is {:?}", entry.addr, member.availability);
-            let known = self.upstreams.entry(member.id).or_insert_with(|| UpstreamEntry {
+            debug!("endpoint list: {} is {:?}", entry.addr, member.availability);
+            let current = self.upstreams.entry(member.id).or_insert_with(|| UpstreamEntry {
                 upstream: (self.transports)(entry),
                 gate: Rc::default(),
                 entry: entry.clone(),
                 usage_feedback: UsageFeedback::default(),
             });
-            // Another address or another start: connections to the former process lead nowhere.
-            if known.entry.addr != entry.addr || known.entry.member.since != member.since {
-                known.upstream.process_replaced(entry.addr);
+            // A new address or start time means a new process: connections to the former process are unusable.
+            if current.entry.addr != entry.addr || current.entry.member.since != member.since {
+                current.upstream.process_replaced(entry.addr);
             }
-            if known.entry.protocol != entry.protocol {
-                known.upstream = (self.transports)(entry);
+            if current.entry.protocol != entry.protocol {
+                current.upstream = (self.transports)(entry);
             }
-            known.entry = entry.clone();
+            current.entry = entry.clone();
             match member.availability {
-                Availability::Ready => known.gate.open(),
+                Availability::Ready => current.gate.open(),
                 Availability::Draining | Availability::Gone => {
-                    known.gate.close_at(now);
-                    known.upstream.close_idle();
+                    current.gate.close_at(now);
+                    current.upstream.close_idle();
                 }
             }
             if member.availability == Availability::Gone {
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -1,9 +1,9 @@
-//! Routing: the pools, which of them a request goes to, and which endpoints each has.
+//! Routing: the pools, the choice of a pool for each request, and the endpoints of each pool.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `request_attributes.rs` | what the routing table needs to know of a request, for either front |
-//! | `pool.rs` | a pool: a driver with a decision module of its own, and the endpoints that belong to it |
+//! | `request_attributes.rs` | attributes of a request that the routing table evaluates, for either front |
+//! | `pool.rs` | a pool: a driver with its own decision module, and the endpoints that belong to it |
 //! | `inspect.rs` | `herondock routes` |
 //!
 //! Without a table there is one pool with all endpoints.
@@ -18,7 +18,7 @@
 use config::Deployment;
 use pool::Pool;
 use request_attributes::{RequestAttributes, RoutingError};
-use route_table::spec::Pool as Spec;
+use route_table::spec::Pool as PoolSpec;
 use route_table::table::Table;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -28,7 +28,8 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Maximum number of former tables whose requests with idempotency keys may still be retried; further changes are rejected.
+/// Maximum number of former tables whose requests with idempotency keys may still be retried. Further changes of the
+/// table are rejected.
 const MAX_FORMER_TABLES: usize = 256;
 
 /// The routing table has changed too often within the time in which idempotency keys are remembered.
@@ -36,10 +37,10 @@
 #[error("routing.table: more than {MAX_FORMER_TABLES} changes within the time in which keys are remembered")]
 pub struct TooManyTableChanges;
 
-/// Creates the driver of a pool, by its name.
+/// Creates the driver of a pool, given the pool's name.
 pub type DriverFactory = Box<dyn Fn(&str) -> DriverHandle>;
 
-/// The table in use.
+/// A routing table with its pools.
 struct ActiveTable {
     table: Table,
     /// The pools, in the order of the table.
@@ -50,32 +51,32 @@
     driver_factory: DriverFactory,
     deployment: Deployment,
     current: RefCell<Option<Rc<ActiveTable>>>,
-    /// The pool of all endpoints, while there is no table.
+    /// Pool of all endpoints, while there is no table.
     default_pool: RefCell<Option<Rc<Pool>>>,
-    /// Pools of former tables, until their requests have ended.
+    /// Former pools, until their requests have ended.
     draining_pools: RefCell<Vec<Weak<Pool>>>,
-    /// Former tables, and until when requests that they routed may be retried.
+    /// Former tables, each with the time until which requests that it routed may be retried.
     former_tables: RefCell<Vec<(Rc<ActiveTable>, Instant)>>,
-    /// All endpoints.
+    /// All known endpoints.
     endpoints: RefCell<BTreeMap<UpstreamId, ListedEndpoint>>,
     has_endpoints: Cell<bool>,
     /// Notified once endpoints are known.
     endpoints_known: Notify,
-    /// Notified when a driver's timers have stopped, without which no request can be served.
+    /// Notified when the timer task of a driver has failed, without which no request can be served.
     timers_failed: Rc<Notify>,
     max_open: usize,
-    /// Every request has its final answer by then, during a graceful shutdown.
+    /// Time by which every request has its final answer, during a graceful shutdown.
     shutdown_deadline: Cell<Option<Instant>>,
 }
 
-/// All pools, as the rest of the process sees them. Clones refer to the same pools.
+/// Handle of all pools. Clones refer to the same pools.
 #[derive(Clone)]
 pub struct Pools(Rc<Inner>);
 
-/// An admitted request, with its fallback if it certainly has not run.
+/// An admitted request, with the fallback for the case that it is rejected and certainly has not run.
 pub struct AdmittedRequest {
-    waiting: PendingAnswer,
-    /// Keeps the pool while the request is open.
+    pending: PendingAnswer,
+    /// Keeps the pool alive while the request is open.
     _pool: Option<Rc<Pool>>,
     fallback: Option<Box<Fallback>>,
 }
@@ -84,56 +85,56 @@
     pool: Rc<Pool>,
     class: usize,
     tenant: usize,
-    until: Instant,
+    deadline: Instant,
     request: Request,
 }
 
 impl AdmittedRequest {
     /// Waits for the final answer. A request that was rejected and certainly has not run goes to its fallback pool first.
     pub async fn answer(self) -> FinalAnswer {
-        let AdmittedRequest { waiting, fallback, _pool } = self;
-        let first = waiting.answer().await;
-        let Some(fallback) = fallback else { return first };
-        let Fallback { pool, class, tenant, until, request } = *fallback;
-        if first.may_have_run || !matches!(first.answer, Answer::Rejected { .. }) {
-            return first;
+        let AdmittedRequest { pending, fallback, _pool } = self;
+        let first_answer = pending.answer().await;
+        let Some(fallback) = fallback else { return first_answer };
+        let Fallback { pool, class, tenant, deadline, request } = *fallback;
+        if first_answer.may_have_run || !matches!(first_answer.answer, Answer::Rejected { .. }) {
+            return first_answer;
         }
-        let left = until.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        match pool.driver.admit(class, tenant, left, request) {
-            Ok(waiting) => waiting.answer().await,
-            Err(_) => first,
+        let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
+        match pool.driver.admit(class, tenant, remaining_ms, request) {
+            Ok(pending) => pending.answer().await,
+            Err(_) => first_answer,
         }
     }
 }
 
 impl Pools {
-    /// Pools without a table.
-    pub fn new(maker: DriverFactory, deployment: Deployment) -> Pools {
+    /// Creates the default pool, without a routing table.
+    pub fn new(factory: DriverFactory, deployment: Deployment) -> Pools {
         let max_open = usize::try_from(deployment.max_open).unwrap_or(usize::MAX);
-        let broken = Rc::new(Notify::new());
-        let whole = Pool::start(&maker, "", None, &broken);
+        let failure = Rc::new(Notify::new());
+        let default_pool = Pool::start(&factory, "", None, &failure);
         Pools(Rc::new(Inner {
-            driver_factory: maker,
+            driver_factory: factory,
             deployment,
             current: RefCell::default(),
-            default_pool: RefCell::new(Some(whole)),
+            default_pool: RefCell::new(Some(default_pool)),
             draining_pools: RefCell::default(),
             former_tables: RefCell::default(),
             endpoints: RefCell::default(),
             has_endpoints: Cell::new(false),
             endpoints_known: Notify::new(),
-            timers_failed: broken,
+            timers_failed: failure,
             max_open,
             shutdown_deadline: Cell::new(None),
         }))
     }
 
-    /// Waits until a driver's timers have stopped.
+    /// Waits until the timer task of a driver has failed.
     pub async fn wait_for_failure(&self) {
         self.0.timers_failed.notified().await;
     }
 
-    /// Every pool that may have requests, draining ones included.
+    /// Every pool that may have requests, including draining ones.
     fn all_pools(&self) -> Vec<Rc<Pool>> {
         let inner = &self.0;
         let mut all: Vec<Rc<Pool>> = inner.default_pool.borrow().iter().cloned().collect();
@@ -152,11 +153,11 @@
         self.all_pools().iter().map(|pool| pool.driver.in_flight(upstream)).sum()
     }
 
-    /// The pools in use; the default pool has an empty name.
+    /// Pools in use; the default pool has an empty name.
     pub fn active_pools(&self) -> Vec<Rc<Pool>> {
         let inner = &self.0;
-        let whole: Vec<Rc<Pool>> = inner.default_pool.borrow().iter().cloned().collect();
-        whole.into_iter().chain(inner.current.borrow().iter().flat_map(|c| c.pools.clone())).collect()
+        let pools: Vec<Rc<Pool>> = inner.default_pool.borrow().iter().cloned().collect();
+        pools.into_iter().chain(inner.current.borrow().iter().flat_map(|c| c.pools.clone())).collect()
     }
 
     /// Number of requests without a final answer.
@@ -164,10 +165,11 @@
         self.all_pools().iter().map(|pool| pool.driver.open_requests()).sum()
     }
 
-    /// Bounds the time of requests that are admitted from now on.
-    pub fn answer_within(&self, time: Duration) {
-        self.0.shutdown_deadline.set(Some(Instant::now() + time));
-        self.all_pools().iter().for_each(|pool| pool.driver.answer_within(time));
+    /// Limits the time of requests that are admitted from now on: each has its final answer within `timeout` from
+    /// now.
+    pub fn answer_within(&self, timeout: Duration) {
+        self.0.shutdown_deadline.set(Some(Instant::now() + timeout));
+        self.all_pools().iter().for_each(|pool| pool.driver.set_answer_timeout(timeout));
     }
 
     /// Fails every open request; see [`DriverHandle::fail_open_requests`].
@@ -191,7 +193,8 @@
         }
     }
 
-    /// What the decision module of the default pool has learned; nothing with a routing table.
+    /// Capacity and demand that the decision module of the default pool has learned; empty if there is a routing
+    /// table.
     pub fn learned(&self) -> Learned {
         self.0.default_pool.borrow().as_ref().map(|pool| pool.driver.learned()).unwrap_or_default()
     }
@@ -200,56 +203,56 @@
     pub fn apply_cached(&self, listing: &EndpointUpdate) {
         self.record_changes(listing);
         for pool in self.all_pools() {
-            let own = pool.filter_changes(listing);
-            pool.driver.apply_cached(&own);
+            let pool_changes = pool.filter_changes(listing);
+            pool.driver.apply_cached(&pool_changes);
         }
     }
 
     fn record_changes(&self, listing: &EndpointUpdate) {
-        let mut view = self.0.endpoints.borrow_mut();
+        let mut known_endpoints = self.0.endpoints.borrow_mut();
         if listing.endpoints.iter().any(|e| e.member.availability != Availability::Gone) {
             self.0.has_endpoints.set(true);
             self.0.endpoints_known.notify_one();
         }
         for entry in &listing.endpoints {
             match entry.member.availability {
-                Availability::Gone => drop(view.remove(&entry.member.id)),
-                _ => drop(view.insert(entry.member.id, entry.clone())),
+                Availability::Gone => drop(known_endpoints.remove(&entry.member.id)),
+                _ => drop(known_endpoints.insert(entry.member.id, entry.clone())),
             }
         }
     }
 
-    /// Replaces the routing table. Open requests keep the table that they began with; a pool of the same name stays, with what its
-    /// decision module has learned.
+    /// Replaces the routing table. Open requests keep the table that they were admitted with. A pool whose name stays
+    /// keeps its decision module with everything that it has learned.
     ///
     /// # Errors
-    /// There were too many changes within the time in which requests may be retried.
+    /// The table has changed too often within the time in which requests may be retried.
     pub fn replace_table(&self, table: Option<Table>) -> Result<(), TooManyTableChanges> {
         let inner = &self.0;
         let now = Instant::now();
-        let same = match (&*inner.current.borrow(), &table) {
+        let unchanged = match (&*inner.current.borrow(), &table) {
             (Some(current), Some(table)) => {
-                let specs = |t: &Table| {
-                    (t.pools.clone(), t.routes.iter().map(|c| c.route.clone()).collect::<Vec<_>>())
+                let specs = |table: &Table| {
+                    (table.pools.clone(), table.routes.iter().map(|c| c.route.clone()).collect::<Vec<_>>())
                 };
                 specs(&current.table) == specs(table)
             }
             (None, None) => true,
             _ => false,
         };
-        if same {
+        if unchanged {
             return Ok(());
         }
-        inner.former_tables.borrow_mut().retain(|(_, until)| now < *until);
+        inner.former_tables.borrow_mut().retain(|(_, retry_deadline)| now < *retry_deadline);
         if inner.former_tables.borrow().len() >= MAX_FORMER_TABLES {
             return Err(TooManyTableChanges);
         }
         let former = inner.current.borrow_mut().take();
-        let mut kept: BTreeMap<String, Rc<Pool>> =
+        let mut former_pools: BTreeMap<String, Rc<Pool>> =
             former.iter().flat_map(|c| &c.pools).map(|pool| (pool.name.clone(), pool.clone())).collect();
         match table {
             Some(table) => {
-                let one = |spec: &route_table::spec::Pool| match kept.remove(&spec.name) {
+                let pool_for = |spec: &route_table::spec::Pool| match former_pools.remove(&spec.name) {
                     Some(pool) => {
                         pool.update_spec(spec.clone(), &inner.endpoints.borrow());
                         pool
@@ -261,23 +264,23 @@
                             Some(spec.clone()),
                             &inner.timers_failed,
                         );
-                        if let Some(last) = inner.shutdown_deadline.get() {
-                            pool.driver.answer_within(last.saturating_duration_since(now));
+                        if let Some(deadline) = inner.shutdown_deadline.get() {
+                            pool.driver.set_answer_timeout(deadline.saturating_duration_since(now));
                         }
                         pool.load(&inner.endpoints.borrow(), inner.has_endpoints.get());
                         pool
                     }
                 };
-                let pools: Vec<Rc<Pool>> = table.pools.iter().map(one).collect();
+                let pools: Vec<Rc<Pool>> = table.pools.iter().map(pool_for).collect();
                 for (pool, spec) in pools.iter().zip(&table.pools) {
                     if inner.has_endpoints.get() && pool.member_count() == 0 {
-                        info!("routes: pool {:?} is without members now", spec.name);
+                        info!("routes: pool {:?} has no members", spec.name);
                     }
                 }
                 inner.current.replace(Some(Rc::new(ActiveTable { table, pools })));
-                let whole = inner.default_pool.borrow_mut().take();
-                inner.draining_pools.borrow_mut().extend(whole.iter().map(Rc::downgrade));
-                self.keep_while_open(whole);
+                let former_default = inner.default_pool.borrow_mut().take();
+                inner.draining_pools.borrow_mut().extend(former_default.iter().map(Rc::downgrade));
+                self.keep_while_open(former_default);
             }
             None => {
                 let pool = Pool::start(&inner.driver_factory, "", None, &inner.timers_failed);
@@ -285,24 +288,28 @@
                 inner.default_pool.replace(Some(pool));
             }
         }
-        for pool in kept.into_values() {
+        for pool in former_pools.into_values() {
             inner.draining_pools.borrow_mut().push(Rc::downgrade(&pool));
             self.keep_while_open(Some(pool));
         }
         inner.draining_pools.borrow_mut().retain(|pool| pool.strong_count() > 0);
         if let Some(former) = former {
-            let until = now + Duration::from_secs_f64(self.max_dedup_window() / 1000.0);
-            inner.former_tables.borrow_mut().push((former, until));
+            let retry_deadline = now + Duration::from_secs_f64(self.max_dedup_window() / 1000.0);
+            inner.former_tables.borrow_mut().push((former, retry_deadline));
             let pools = self.clone();
             tokio::task::spawn_local(async move {
-                tokio::time::sleep_until(until).await;
-                pools.0.former_tables.borrow_mut().retain(|(_, until)| Instant::now() < *until);
+                tokio::time::sleep_until(retry_deadline).await;
+                pools
+                    .0
+                    .former_tables
+                    .borrow_mut()
+                    .retain(|(_, retry_deadline)| Instant::now() < *retry_deadline);
             });
         }
         Ok(())
     }
 
-    /// Keeps a former pool until its requests have ended.
+    /// Keeps a former pool alive until its requests have ended.
     fn keep_while_open(&self, pool: Option<Rc<Pool>>) {
         let Some(pool) = pool else { return };
         tokio::task::spawn_local(async move {
@@ -312,7 +319,7 @@
         });
     }
 
-    /// The longest time for which upstreams discard duplicates, in milliseconds.
+    /// Longest time during which upstreams discard duplicates, in milliseconds.
     fn max_dedup_window(&self) -> Millis {
         let windows = self.0.deployment.policy.classes.iter().map(|c| match c.effect {
             Effect::Guarded { window, .. } => window,
@@ -321,83 +328,89 @@
         windows.fold(0.0, f64::max)
     }
 
-    /// The route of a request: its pool, fallback and limits.
+    /// Returns the pool, the fallback and the limits that the routing table has for a request.
     fn choose_route(
         &self,
-        asked: &RequestAttributes,
+        attributes: &RequestAttributes,
         class: usize,
         tenant: usize,
     ) -> Result<RouteChoice, RoutingError> {
         let current = self.0.current.borrow().clone();
         let Some(current) = current else {
-            let whole = self.0.default_pool.borrow().clone();
-            return whole.map(RouteChoice::without_limits).ok_or(RoutingError::NoRoute);
+            let default_pool = self.0.default_pool.borrow().clone();
+            return default_pool.map(RouteChoice::without_limits).ok_or(RoutingError::NoRoute);
         };
         let now = Instant::now();
-        let past: Vec<Rc<ActiveTable>> = self
+        let former_tables: Vec<Rc<ActiveTable>> = self
             .0
             .former_tables
             .borrow()
             .iter()
-            .filter(|(_, until)| now < *until)
+            .filter(|(_, retry_deadline)| now < *retry_deadline)
             .map(|(c, _)| c.clone())
             .collect();
-        let needed = past.iter().chain([&current]).flat_map(|c| &c.table.headers);
-        let query = request_attributes::Query::parse(asked, needed)?;
+        let needed = former_tables.iter().chain([&current]).flat_map(|c| &c.table.headers);
+        let query = request_attributes::Query::parse(attributes, needed)?;
         let (route, pool) = query.route_in(&current.table, class, tenant).ok_or(RoutingError::NoRoute)?;
-        let k = pool.ok_or_else(|| RoutingError::rejected_by(&route.route))?;
-        let pool = current.pools[k].clone();
-        // Guards against a retry that leaves the group that discards it: a request with this key may have run where the former
-        // table led it, and is remembered only there.
+        let pool_index = pool.ok_or_else(|| RoutingError::rejected_by(&route.route))?;
+        let pool = current.pools[pool_index].clone();
+        // Keeps a retry within the group of upstreams that discards it as a duplicate: a request with this key may
+        // have run in the pool of a former table, and only that pool remembers it.
         if matches!(
             self.0.deployment.policy.classes.get(class).map(|c| c.effect),
             Some(Effect::Guarded { .. })
         ) {
-            let spec = &current.table.pools[k];
-            let last = self.0.former_tables.borrow().last().map_or(now, |(_, until)| *until);
-            for past in &past {
-                let was = query.route_in(&past.table, class, tenant).and_then(|(_, k)| k);
+            let spec = &current.table.pools[pool_index];
+            let last_retry_deadline =
+                self.0.former_tables.borrow().last().map_or(now, |(_, deadline)| *deadline);
+            for former in &former_tables {
+                let former_pool = query.route_in(&former.table, class, tenant).and_then(|(_, pool)| pool);
                 // A pool of another name with the same endpoints discards the same duplicates.
-                let same =
-                    |was: &Spec| Spec { name: String::new(), place: spec.place.clone(), ..was.clone() };
-                if was.is_some_and(|was| same(&past.table.pools[was]) != same(spec)) {
-                    return Err(RoutingError::Migrating(last - now));
+                let unnamed = |pool: &PoolSpec| PoolSpec {
+                    name: String::new(),
+                    place: spec.place.clone(),
+                    ..pool.clone()
+                };
+                if former_pool.is_some_and(|index| unnamed(&former.table.pools[index]) != unnamed(spec)) {
+                    return Err(RoutingError::Migrating(last_retry_deadline - now));
                 }
             }
         }
-        let fallback = route.fallback.map(|k| current.pools[k].clone());
+        let fallback = route.fallback.map(|index| current.pools[index].clone());
         Ok(RouteChoice { pool, fallback, attempts: route.route.attempts, time_ms: route.route.time_ms })
     }
 
-    /// Admits a request: from now on one final answer is owed.
+    /// Admits a request whose client waits for `timeout` milliseconds: from now on one final answer is owed.
     ///
     /// # Errors
-    /// Why it was not admitted; nothing ran for it.
+    /// The reason why the request was not admitted; nothing ran for it.
     pub fn admit(
         &self,
-        asked: &RequestAttributes,
+        attributes: &RequestAttributes,
         class: usize,
         tenant: usize,
-        patience: Millis,
+        timeout: Millis,
         mut request: Request,
     ) -> Result<AdmittedRequest, RoutingError> {
-        let RouteChoice { pool, fallback, attempts, time_ms } = self.choose_route(asked, class, tenant)?;
+        let RouteChoice { pool, fallback, attempts, time_ms } =
+            self.choose_route(attributes, class, tenant)?;
         let routed = self.0.current.borrow().is_some();
         if routed && self.open_requests() >= self.0.max_open {
             return Err(RoutingError::NotAdmitted(AdmissionError::TooManyOpen));
         }
-        let patience = time_ms.map_or(patience, |ms| patience.min(ms as f64));
+        let timeout = time_ms.map_or(timeout, |ms| timeout.min(ms as f64));
         request.max_attempts = attempts;
         let fallback = fallback.map(|pool| {
-            let until = Instant::now() + Duration::from_secs_f64(patience.max(0.0) / 1000.0);
-            Box::new(Fallback { pool, class, tenant, until, request: request.duplicate() })
+            let deadline = Instant::now() + Duration::from_secs_f64(timeout.max(0.0) / 1000.0);
+            Box::new(Fallback { pool, class, tenant, deadline, request: request.duplicate() })
         });
-        let waiting =
-            pool.driver.admit(class, tenant, patience, request).map_err(RoutingError::NotAdmitted)?;
-        Ok(AdmittedRequest { waiting, _pool: routed.then_some(pool), fallback })
+        let pending =
+            pool.driver.admit(class, tenant, timeout, request).map_err(RoutingError::NotAdmitted)?;
+        Ok(AdmittedRequest { pending, _pool: routed.then_some(pool), fallback })
     }
 }
 
+/// Result of the choice of a route for a request.
 struct RouteChoice {
     pool: Rc<Pool>,
     fallback: Option<Rc<Pool>>,
@@ -415,8 +428,8 @@
     fn endpoints_changed(&self, listing: &EndpointUpdate) {
         self.record_changes(listing);
         for pool in self.all_pools() {
-            let own = pool.filter_changes(listing);
-            pool.driver.endpoints_changed(&own);
+            let pool_changes = pool.filter_changes(listing);
+            pool.driver.endpoints_changed(&pool_changes);
         }
     }
 }
--- a/crates/herondock/tests/routing.rs
+++ b/crates/herondock/tests/routing.rs
@@ -425,7 +425,7 @@
     );
     assert_eq!(
         explain(&["--path", "/a//b"]),
-        (true, "turned away with 400: the path has an empty segment\n".into())
+        (true, "rejected with 400: the path has an empty segment\n".into())
     );
     let (fine, text) = explain(&["--club", "nobody"]);
     assert!(!fine && text.contains("there is no club \"nobody\""), "{text}");
