--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -1,7 +1,9 @@
-//! Types that fronts, the driver and transports exchange: a request, its final answer, an attempt and its result.
+//! Types that are shared by fronts, the driver and transports: a request, its final answer, an attempt and its
+//! result.
 //!
-//! Independent of protocols: a front converts its protocol's messages into a [`Request`] and an [`Answer`] back into them, the
-//! driver numbers and times attempts, and a transport executes one [`Attempt`] in the protocol of its upstream.
+//! The types are independent of protocols: a front converts messages of its protocol into a [`Request`] and an
+//! [`Answer`] back into messages, the driver numbers attempts and sets their deadlines, and a transport executes one
+//! [`Attempt`] in the protocol of its upstream.
 use balancer::{Ending, Millis};
 use bytes::{BufMut, Bytes, BytesMut};
 use config::request_budget::FieldNames;
@@ -17,7 +19,7 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Method of a request. Whether it may be repeated depends on its class.
+/// Method of a request. Whether a request may be retried depends on its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     /// GET, without a body.
@@ -26,22 +28,24 @@
     Post,
 }
 
-/// Names and values in order, in one allocation. Names may occur more than once.
+/// Ordered names and values in one allocation. Names may occur more than once.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
     text: Bytes,
-    /// Where each name and each value ends.
+    /// End offsets of each name and its value in `text`.
     field_ends: Vec<(u32, u32)>,
 }
 
 impl Fields {
-    /// Collects fields. The caller has bounded them: beyond 4 GiB they are truncated.
+    /// Collects fields. The caller limits their total size: from the first field that ends beyond 4 GiB on, they are
+    /// dropped.
     pub fn new<'a>(fields: impl Iterator<Item = (&'a str, &'a [u8])>) -> Fields {
         let (mut text, mut ends) = (BytesMut::with_capacity(512), Vec::with_capacity(12));
         for (name, value) in fields {
-            let end = |more: usize| u32::try_from(more).ok();
+            let offset = |position: usize| u32::try_from(position).ok();
             let name_end = text.len() + name.len();
-            let (Some(name_ends), Some(value_ends)) = (end(name_end), end(name_end + value.len())) else {
+            let (Some(name_ends), Some(value_ends)) = (offset(name_end), offset(name_end + value.len()))
+            else {
                 break;
             };
             text.put_slice(name.as_bytes());
@@ -51,7 +55,7 @@
         Fields { text: text.freeze(), field_ends: ends }
     }
 
-    /// Each name and value; values share the allocation.
+    /// Iterates over names and values in order; values share the allocation.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], Bytes)> + '_ {
         let mut start = 0;
         self.field_ends.iter().map(move |&(name, value)| {
@@ -70,31 +74,31 @@
 
 /// A complete request as it is forwarded to upstreams.
 pub struct Request {
-    /// The client's id of the request, by which upstreams recognise retries.
+    /// Client-assigned id, by which upstreams recognise retries.
     pub id: Option<Bytes>,
-    /// Method.
+    /// Request method.
     pub method: Method,
-    /// Path and query, as the client wrote them.
+    /// Path and query, unchanged from the client's request.
     pub target: Box<str>,
     /// End-to-end fields.
     pub fields: Fields,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
     /// Request budget, where budgets are on.
     pub budget: Option<Box<CarriedBudget>>,
-    /// Maximum number of attempts, if its route allows fewer than its class.
+    /// Maximum number of attempts that the request's route allows; `None`: the route sets no limit.
     pub max_attempts: Option<u32>,
-    /// Set when the request has its final answer or its client is gone: nothing more is written for it.
+    /// Set once the request has its final answer or its client is gone: nothing more is written for it.
     pub finished: Cell<bool>,
 }
 
 impl Request {
-    /// The client's id, for the log.
+    /// Client-assigned id for log lines.
     pub fn label(&self) -> Cow<'_, str> {
         self.id.as_deref().map_or(Cow::Borrowed("without an id"), String::from_utf8_lossy)
     }
 
-    /// A copy that has not finished.
+    /// Returns a copy that is not marked as finished.
     pub fn duplicate(&self) -> Request {
         Request {
             id: self.id.clone(),
@@ -114,18 +118,18 @@
 pub struct CarriedBudget {
     /// The budget.
     pub budget: Budget,
-    /// Names of its fields.
+    /// Names of the fields that carry it.
     pub names: Rc<FieldNames>,
 }
 
-/// The final answer to a request, with what the client may be told besides.
+/// The final answer to a request, with details that the front may report to the client.
 #[derive(Debug)]
 pub struct FinalAnswer {
-    /// Answer.
+    /// Outcome for the client.
     pub answer: Answer,
     /// Whether an attempt may have run.
     pub may_have_run: bool,
-    /// Retries used of its budget.
+    /// Retries used of the request's budget.
     pub used: Used,
 }
 
@@ -134,12 +138,12 @@
 pub enum Answer {
     /// An upstream's answer.
     Served {
-        /// Its end-to-end fields.
+        /// End-to-end fields of the answer.
         fields: Fields,
-        /// Its whole body.
+        /// Complete body of the answer.
         body: Bytes,
     },
-    /// Rejected: nothing ran, and a retry does no harm.
+    /// Rejected without any effect: a retry does no harm.
     Rejected {
         /// Retry-After in milliseconds; 0: no advice.
         retry_after: Millis,
@@ -150,7 +154,7 @@
     Failed,
 }
 
-/// How an attempt ended, and its answer if there is one.
+/// Ending of an attempt, and its answer if there is one.
 pub type AttemptResult = (Ending, Option<Answer>);
 
 /// Whether attempts may still be written to an upstream. Shared by the driver, which closes it when the upstream drains, and
@@ -159,19 +163,19 @@
 pub struct DrainGate(Cell<Option<Instant>>);
 
 impl DrainGate {
-    /// Closes the gate at `at`, unless it closes earlier already.
-    pub fn close_at(&self, at: Instant) {
-        self.0.set(Some(self.0.get().map_or(at, |before| before.min(at))));
+    /// Closes the gate at `time`, unless it is set to close earlier.
+    pub fn close_at(&self, time: Instant) {
+        self.0.set(Some(self.0.get().map_or(time, |earlier| earlier.min(time))));
     }
 
-    /// Opens the gate: the upstream takes new requests again.
+    /// Opens the gate: the upstream accepts new requests again.
     pub fn open(&self) {
         self.0.set(None);
     }
 
-    /// Whether nothing may be written any more.
+    /// Whether the gate is closed, so that no further attempt may be written.
     pub fn closed(&self, now: Instant) -> bool {
-        self.0.get().is_some_and(|at| now >= at)
+        self.0.get().is_some_and(|closes_at| now >= closes_at)
     }
 }
 
@@ -180,43 +184,44 @@
 pub struct BudgetGrant {
     /// Retries that the tiers below may use.
     pub retries: u32,
-    /// Usage that the answer reported, if it did.
+    /// Usage that the answer reported; `None`: it reported none.
     pub reported_usage: Cell<Option<Used>>,
 }
 
-/// One attempt: a request to one upstream, written once at most.
+/// One attempt: a request to one upstream, written at most once.
 #[derive(Clone)]
 pub struct Attempt {
     /// The request.
     pub request: Rc<Request>,
     /// Closed while the upstream drains.
     pub gate: Rc<DrainGate>,
-    /// When the attempt times out.
+    /// Time at which the attempt times out.
     pub deadline: Instant,
-    /// Where an earlier attempt may have run: when upstreams stop discarding duplicates; nothing is written from then on.
+    /// If an earlier attempt may have run, the time at which upstreams stop discarding duplicates; nothing is written
+    /// from then on.
     pub dedup_deadline: Option<Instant>,
-    /// Its share of the retry budget, where budgets are on.
+    /// Share of the request's retry budget, where budgets are on.
     pub budget_grant: Option<Rc<BudgetGrant>>,
 }
 
 impl Attempt {
-    /// Names and values of the budget's fields, to be written with the request. The remaining time counts from `now`, so that
-    /// no clock is compared between machines.
+    /// Returns names and values of the budget's fields, which are written with the request. The remaining time is
+    /// relative to `now`, so that clocks of different machines are not compared.
     pub fn budget_fields(&self, now: Instant) -> Option<[(&str, String); 2]> {
         let CarriedBudget { budget, names } = self.request.budget.as_deref()?;
-        let left = self.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
+        let remaining_ms = self.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
         let value = grammar::write_budget(
-            left,
-            self.budget_grant.as_ref().map_or(0, |hop| hop.retries),
+            remaining_ms,
+            self.budget_grant.as_ref().map_or(0, |grant| grant.retries),
             budget.worth,
         );
         Some([(&names.budget, value), (&names.path, budget.path.text().into())])
     }
 
-    /// Records the usage that an answer reports. `field` yields the value of a field of the answer.
+    /// Records the usage that an answer reports. `field` returns the value of a field of the answer.
     pub fn record_usage<'a>(&self, field: impl FnOnce(&str) -> Option<&'a [u8]>) {
-        if let (Some(carried), Some(hop)) = (&self.request.budget, &self.budget_grant) {
-            hop.reported_usage.set(field(&carried.names.used).and_then(grammar::read_used));
+        if let (Some(carried), Some(grant)) = (&self.request.budget, &self.budget_grant) {
+            grant.reported_usage.set(field(&carried.names.used).and_then(grammar::read_used));
         }
     }
 
@@ -225,41 +230,46 @@
         self.request.budget.as_ref().map(|carried| carried.names.used.as_str())
     }
 
-    /// Whether its first byte may be written now. A transport asks right before it writes: between the decision and the first
-    /// byte the upstream may have begun to drain, the attempt may have timed out, upstreams may have stopped discarding
-    /// duplicates, or the request may have finished.
+    /// Whether the first byte of the attempt may be written now. A transport checks this right before it writes:
+    /// since the decision to send, the upstream may have begun to drain, the attempt may have timed out, upstreams
+    /// may have stopped discarding duplicates, or the request may have finished.
     pub fn may_write(&self, now: Instant) -> bool {
-        let may = !self.gate.closed(now)
+        let allowed = !self.gate.closed(now)
             && now < self.deadline
-            && self.dedup_deadline.is_none_or(|by| now < by)
+            && self.dedup_deadline.is_none_or(|deadline| now < deadline)
             && !self.request.finished.get();
         debug!(
             "request {}: {}",
             self.request.label(),
-            if may { "is written" } else { "comes too late to be written" }
+            if allowed {
+                "is written"
+            } else {
+                "is not written: its time has passed, its upstream drains or it has finished"
+            }
         );
-        may
+        allowed
     }
 }
 
-/// An attempt in execution. Dropping it closes its connection.
+/// An attempt that is being executed. Dropping it cancels the attempt.
 pub type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
-/// One upstream, reached by its protocol, with its pooled connections.
+/// One upstream with its pooled connections, reached by its protocol.
 pub trait Upstream {
-    /// Executes one attempt: its request is written once at most.
+    /// Executes one attempt: its request is written at most once.
     fn attempt(self: Rc<Self>, attempt: Attempt) -> AttemptFuture;
 
-    /// Another process serves at `addr` now: connections to the former one, also those in use, carry no further request.
+    /// Records that another process now serves at `addr`: connections to the former process, including those in use,
+    /// carry no further request.
     fn process_replaced(&self, addr: SocketAddr);
 
-    /// Closes the idle connections.
+    /// Closes all idle connections.
     fn close_idle(&self);
 
-    /// Closes connections that have been idle for too long, and those that the other side closed.
+    /// Closes connections that have been idle for too long, and those that the peer has closed.
     fn close_expired(&self, now: Instant);
 
-    /// Since when the connection that has been idle longest is idle.
+    /// Start of the longest idle period among its connections; `None`: no connection is idle.
     fn oldest_idle_since(&self) -> Option<Instant>;
 
     /// Closes the connection that has been idle longest.
--- a/crates/herondock/src/exchange/tests.rs
+++ b/crates/herondock/src/exchange/tests.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[test]
-fn fields_keep_their_order_and_repeats() {
+fn fields_keep_their_order_and_duplicates() {
     let given = [("a", &b"1"[..]), ("long-name", b""), ("a", b"2 3")];
     let fields = Fields::new(given.iter().copied());
     let got: Vec<_> = fields.iter().map(|(n, v)| (n.to_vec(), v.to_vec())).collect();
@@ -10,9 +10,9 @@
     assert_eq!((got, fields.len()), (wanted, 3));
 }
 
-/// Guards against later news of a drain giving an upstream more time than the first.
+/// Guards against a later drain notification extending the time that the first one gave an upstream.
 #[test]
-fn a_gate_keeps_its_earliest_end() {
+fn a_gate_keeps_its_earliest_closing_time() {
     let (gate, now) = (DrainGate::default(), Instant::now());
     let later = now + Duration::from_secs(1);
     gate.close_at(later);
--- a/crates/herondock/src/request_budgets.rs
+++ b/crates/herondock/src/request_budgets.rs
@@ -1,4 +1,5 @@
-//! Request budgets of this process: what the operator's file allows, the marker of its pool, and logging of loops.
+//! Request budgets of this process: the policy from the operator's file, the hop marker of its pool, and logging of
+//! loops.
 use crate::exchange::CarriedBudget;
 use config::request_budget::{BudgetTable, FieldNames};
 use request_budget::log_throttle::LogThrottle;
@@ -12,10 +13,10 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Largest file with a secret, in bytes.
+/// Maximum number of bytes that are read from the file with the secret.
 const MAX_SECRET_BYTES: u64 = 4096;
 
-/// The front that a request came in by.
+/// Front that received a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontKind {
     /// HTTP.
@@ -32,11 +33,11 @@
     source: std::io::Error,
 }
 
-/// Request budgets, where the operator's file turns them on.
+/// Policy for request budgets, where the operator's file enables them.
 pub struct BudgetPolicy {
     bounds: Bounds,
     hop_marker: HopMarker,
-    /// Names of the fields.
+    /// Names of the fields that carry budgets.
     pub names: Rc<FieldNames>,
     trust_http: bool,
     trust_fastcgi: bool,
@@ -45,20 +46,20 @@
 }
 
 impl BudgetPolicy {
-    /// The policy of this tier; `None`: budgets are off.
+    /// Returns the policy of this tier; `None`: budgets are off.
     ///
     /// # Errors
-    /// The secret can't be read.
+    /// The file with the secret can't be read.
     pub fn from_config(table: &BudgetTable, tier: u32) -> Result<Option<Rc<BudgetPolicy>>, SecretError> {
         let Some(pool) = &table.pool else { return Ok(None) };
-        // Several tiers may share a file.
+        // Several tiers may share a configuration file.
         let pool = pool.replace("{tier}", &tier.to_string());
         let mut secret = Vec::new();
         if let Some(path) = &table.secret_file {
-            let fault = |source| SecretError { path: path.clone(), source };
+            let read_error = |source| SecretError { path: path.clone(), source };
             File::open(path)
                 .and_then(|f| f.take(MAX_SECRET_BYTES).read_to_end(&mut secret))
-                .map_err(fault)?;
+                .map_err(read_error)?;
         }
         Ok(Some(Rc::new(BudgetPolicy {
             bounds: Bounds { retries: table.retries, hops: table.hops, repeat_worth: table.repeat_worth },
@@ -71,33 +72,35 @@
         })))
     }
 
-    /// The budget of a request, given every value of the fields for budget and path.
+    /// Returns the budget of a request, given every value of the budget field and of the path field. `patience`: how
+    /// long the client waits, in milliseconds; `repeated`: whether the request is a retry by its client.
     ///
     /// # Errors
-    /// Why the request is rejected. A loop is logged, once for each place that it comes from.
+    /// The reason why the request is rejected. Loops are logged with the last hop that they came from, at a limited
+    /// rate.
     pub fn carried_budget(
         &self,
-        side: FrontKind,
+        front: FrontKind,
         (budget, path): (&[&[u8]], &[&[u8]]),
         patience: f64,
         repeated: bool,
     ) -> Result<CarriedBudget, BudgetRejection> {
-        let trusted = match side {
+        let trusted = match front {
             FrontKind::Http => self.trust_http,
             FrontKind::FastCgi => self.trust_fastcgi,
         };
-        let given = IncomingFields { budget, path, patience, repeated, trusted };
-        match Budget::of(&given, &self.bounds, &self.hop_marker) {
+        let incoming = IncomingFields { budget, path, patience, repeated, trusted };
+        match Budget::of(&incoming, &self.bounds, &self.hop_marker) {
             Ok(budget) => Ok(CarriedBudget { budget, names: self.names.clone() }),
-            Err(BudgetRejection::Refused(why)) => {
-                let cause = format!("{why}; it came from {}", Path::last(path));
+            Err(BudgetRejection::Refused(reason)) => {
+                let cause = format!("{reason}; it came from {}", Path::last(path));
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
-                if let Some(n) = self.log_throttle.borrow_mut().record(&cause, now) {
-                    info!("refused: {cause} ({n} times)");
+                if let Some(count) = self.log_throttle.borrow_mut().record(&cause, now) {
+                    info!("refused: {cause} ({count} times)");
                 }
-                Err(BudgetRejection::Refused(why))
+                Err(BudgetRejection::Refused(reason))
             }
-            Err(bad) => Err(bad),
+            Err(error) => Err(error),
         }
     }
 }
--- a/crates/herondock/src/stream.rs
+++ b/crates/herondock/src/stream.rs
@@ -1,4 +1,4 @@
-//! A socket that can be inspected while a protocol library reads and writes it.
+//! A socket that can be inspected while a protocol library reads from it and writes to it.
 use std::future::pending;
 use std::io;
 use std::mem::MaybeUninit;
@@ -9,26 +9,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP stream with several owners; closed when the last one drops it.
+/// A TCP stream with several owners; closed when the last owner drops it.
 #[derive(Clone)]
 pub struct SharedStream(Rc<TcpStream>);
 
 impl SharedStream {
-    /// Shares a stream.
+    /// Creates the first handle of a stream.
     pub fn new(stream: TcpStream) -> SharedStream {
         SharedStream(Rc::new(stream))
     }
 
-    /// Whether the socket is open and holds no unread bytes. Asks the system: the runtime learns of bytes and of the end of the
-    /// stream only when it next waits.
+    /// Whether the socket is open and holds no unread bytes. Queries the operating system, because the runtime learns
+    /// of received bytes and of the end of the stream only when it next polls for events.
     pub fn is_idle(&self) -> bool {
         let peeked = socket2::SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Returns once the other side has closed or reset the connection, also while bytes before that are unread.
+    /// Returns once the peer has closed or reset the connection, even if earlier bytes are still unread.
     pub async fn hung_up(&self) {
-        // Waits for urgent data, which nobody sends: the end of the stream is reported with it, and unread bytes are not.
+        // Waits for urgent data, which peers do not send: readiness for it reports the end of the stream but not
+        // unread bytes.
         match self.0.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => pending().await,
             _ => {}
@@ -53,7 +54,7 @@
 }
 
 impl SharedStream {
-    /// Writes once the socket takes something.
+    /// Calls `write` once the socket is writable.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -63,7 +64,7 @@
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
