--- a/crates/herondock/src/transport/connection_pool.rs
+++ b/crates/herondock/src/transport/connection_pool.rs
@@ -1,4 +1,4 @@
-//! An upstream and its pool of idle connections, whatever protocol it speaks.
+//! An upstream and its pool of idle connections, independent of the protocol.
 use crate::descriptor_budget::DescriptorBudget;
 use crate::exchange::{Attempt, AttemptFuture, AttemptResult, DrainGate, Upstream};
 use crate::live_config::LiveConfig;
@@ -19,60 +19,61 @@
 pub trait PooledConnection {
     /// Whether it can carry a request now: it is open, and holds no unread bytes.
     fn is_reusable(&self) -> bool;
-    /// Whether the other side has closed it.
+    /// Whether the peer has closed it.
     fn is_closed(&self) -> bool;
 }
 
-/// A protocol of upstreams.
+/// A protocol that upstreams speak.
 pub trait UpstreamProtocol: Sized + 'static {
-    /// Its kind of connection.
+    /// Type of the protocol's connections.
     type Conn: PooledConnection;
 
-    /// Executes one attempt: its request is written once at most. Dropping the future closes the connection.
+    /// Executes one attempt: its request is written at most once. Dropping the future cancels the attempt.
     fn execute(peer: &Rc<Peer<Self>>, attempt: Attempt) -> impl Future<Output = AttemptResult> + '_;
 }
 
 /// Settings of connections to upstreams.
 #[derive(Clone)]
 pub struct ConnectionSettings {
-    /// A connection that is not established after this long counts as failed.
+    /// Time after which a connection that is not established counts as failed.
     pub dial_timeout: Duration,
-    /// How long upstreams keep idle connections open.
+    /// Time for which upstreams keep idle connections open.
     pub idle_close: Duration,
-    /// Descriptors of the process.
+    /// Budget of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// Limits on sizes and waits.
     pub limits: LiveConfig<Limits>,
 }
 
 impl ConnectionSettings {
-    /// How long connections may be idle. Shorter than the upstream's timeout: a request on a connection that the upstream is
-    /// about to close ends as a reset, and the upstream counts from its last byte, not from when it was read here.
+    /// Maximum idle time of a connection. It is shorter than the upstream's timeout, because a request on a
+    /// connection that the upstream is about to close ends in a reset, and the upstream's timeout starts when it
+    /// sends its last byte, not when that byte is read here.
     fn max_idle(&self) -> Duration {
         self.idle_close.saturating_sub(self.limits.get().upstream_idle_margin).max(self.idle_close / 2)
     }
 }
 
-/// A new connection.
+/// A newly established connection.
 pub struct DialedConnection {
     /// The socket.
     pub socket: SharedStream,
     /// Generation of the upstream process that it leads to.
     pub generation: u64,
-    /// Its descriptor.
+    /// Permit for its file descriptor.
     pub permit: OwnedSemaphorePermit,
 }
 
-/// One upstream: its address, and its idle connections.
+/// One upstream: its address and its idle connections.
 pub struct Peer<P: UpstreamProtocol> {
-    /// Settings of its connections.
+    /// Settings of the connections to the upstream.
     pub settings: ConnectionSettings,
-    /// State of its protocol.
+    /// Protocol with its state for this upstream.
     pub protocol: P,
     addr: Cell<SocketAddr>,
-    /// Counts the processes that have served at the address.
+    /// Number of times that the upstream's process has been replaced.
     generation: Cell<u64>,
-    /// Idle connections and since when; the one used last is at the end.
+    /// Idle connections, each with the start of its idle time; the one used last is at the end.
     idle: RefCell<Vec<(P::Conn, Instant)>>,
 }
 
@@ -92,8 +93,8 @@
     }
 
     fn close_expired(&self, now: Instant) {
-        let most = self.settings.max_idle();
-        self.idle.borrow_mut().retain(|(conn, since)| !conn.is_closed() && now - *since < most);
+        let max_idle = self.settings.max_idle();
+        self.idle.borrow_mut().retain(|(conn, since)| !conn.is_closed() && now - *since < max_idle);
     }
 
     fn oldest_idle_since(&self) -> Option<Instant> {
@@ -109,25 +110,36 @@
 }
 
 impl<P: UpstreamProtocol> Peer<P> {
-    /// An upstream without connections.
-    pub fn new(reach: ConnectionSettings, own: P, addr: SocketAddr) -> Rc<Peer<P>> {
+    /// Creates an upstream without connections.
+    pub fn new(
+        connection_settings: ConnectionSettings,
+        upstream_protocol: P,
+        addr: SocketAddr,
+    ) -> Rc<Peer<P>> {
         let (addr, generation) = (Cell::new(addr), Cell::new(0));
-        Rc::new(Peer { settings: reach, protocol: own, addr, generation, idle: RefCell::default() })
+        Rc::new(Peer {
+            settings: connection_settings,
+            protocol: upstream_protocol,
+            addr,
+            generation,
+            idle: RefCell::default(),
+        })
     }
 
-    /// Takes the idle connection that was used last: the others then expire, instead of all being kept open by turns.
+    /// Takes the idle connection that was used last, so that surplus connections expire instead of all being kept
+    /// open by use in rotation.
     pub fn take_idle(&self) -> Option<P::Conn> {
-        let (now, most) = (Instant::now(), self.settings.max_idle());
+        let (now, max_idle) = (Instant::now(), self.settings.max_idle());
         let mut idle = self.idle.borrow_mut();
         while let Some((conn, since)) = idle.pop() {
-            if now - since < most && conn.is_reusable() {
+            if now - since < max_idle && conn.is_reusable() {
                 return Some(conn);
             }
         }
         None
     }
 
-    /// Returns a connection of this generation to the pool, unless its upstream drains.
+    /// Returns a connection to the pool, unless its upstream drains or `generation` is not the present one.
     pub fn return_idle(&self, conn: P::Conn, generation: u64, gate: &DrainGate) {
         if !gate.closed(Instant::now()) && self.is_current(generation) {
             self.idle.borrow_mut().push((conn, Instant::now()));
@@ -144,26 +156,27 @@
         self.generation.get()
     }
 
-    /// Establishes a connection.
+    /// Establishes a connection until `deadline`, or until the dial timeout if that ends earlier.
     ///
     /// # Errors
-    /// The ending of the attempt that it was for.
-    pub async fn dial(&self, until: Instant) -> Result<DialedConnection, Ending> {
-        // A shortage of descriptors here is no failure of the upstream.
+    /// The ending of the attempt that needs the connection.
+    pub async fn dial(&self, deadline: Instant) -> Result<DialedConnection, Ending> {
+        // A shortage of descriptors in this process is no failure of the upstream.
         let permit = self.settings.descriptors.try_upstream().ok_or(Ending::Moot)?;
-        let until = until.min(Instant::now() + self.settings.dial_timeout);
+        let deadline = deadline.min(Instant::now() + self.settings.dial_timeout);
         let generation = self.generation.get();
-        let dialled = timeout_at(until, TcpStream::connect(self.addr.get())).await;
-        let dialled = dialled.map_err(|_| Ending::ConnectFailed)?;
+        let connected = timeout_at(deadline, TcpStream::connect(self.addr.get())).await;
+        let connected = connected.map_err(|_| Ending::ConnectFailed)?;
         let stream =
-            dialled.map_err(|e| if is_local_shortage(&e) { Ending::Moot } else { Ending::ConnectFailed })?;
+            connected
+                .map_err(|e| if is_local_shortage(&e) { Ending::Moot } else { Ending::ConnectFailed })?;
         stream.set_nodelay(true).map_err(|_| Ending::ConnectFailed)?;
         Ok(DialedConnection { socket: SharedStream::new(stream), generation, permit })
     }
 }
 
-/// Whether a connection failed for want of a resource of this machine.
-fn is_local_shortage(e: &io::Error) -> bool {
+/// Whether a connection failed because this machine lacks a resource, such as descriptors or ports.
+fn is_local_shortage(error: &io::Error) -> bool {
     // ENFILE, EMFILE, EADDRNOTAVAIL and ENOBUFS of Linux.
-    matches!(e.raw_os_error(), Some(23 | 24 | 99 | 105))
+    matches!(error.raw_os_error(), Some(23 | 24 | 99 | 105))
 }
--- a/crates/herondock/src/transport/fastcgi/capabilities.rs
+++ b/crates/herondock/src/transport/fastcgi/capabilities.rs
@@ -1,7 +1,9 @@
-//! Whether an application takes several requests at once on a connection (section 4.1 of the specification).
+//! Detects whether an application accepts several concurrent requests on a connection (section 4.1 of the
+//! specification).
 //!
-//! It is asked on a connection of its own: some answer and close (PHP-FPM), others close on records that they don't know, and a
-//! request beside the question would fail with it. Until it has answered it gets one request at a time.
+//! The application is queried on a separate connection: some applications answer and close (PHP-FPM), others close on
+//! records that they don't know, and a request on the same connection would fail with it. Until the application has
+//! answered, each connection carries one request at a time.
 use super::exclusive::ExclusiveConnection;
 use super::FastCgi;
 use crate::exchange::Attempt;
@@ -14,19 +16,21 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// An application that did not answer is asked again after this, by the next attempt.
+/// Time after which the next attempt queries again an application that did not report support for concurrent
+/// requests.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(60);
 
+/// Support of an application for concurrent requests on a connection.
 #[derive(Clone, Copy)]
 enum Multiplexing {
     Unknown,
-    /// One request at a time, as far as is known since then.
+    /// One request at a time; assumed or known since this time.
     Single(Instant),
-    /// So many concurrent requests.
+    /// At most this number of concurrent requests.
     UpTo(usize),
 }
 
-/// Answer of the upstream process of one generation.
+/// What is known about the upstream process of one generation.
 pub struct CapabilityCache(Cell<(u64, Multiplexing)>);
 
 impl Default for CapabilityCache {
@@ -36,16 +40,17 @@
 }
 
 impl CapabilityCache {
-    /// The application rejected a second request on a connection, whatever it answered before.
+    /// Records that the application rejected a second request on a connection, whatever it reported before.
     pub fn mark_single(&self) {
         self.0.set((self.0.get().0, Multiplexing::Single(Instant::now())));
     }
 }
 
-/// How many concurrent requests the application takes on a connection, if more than one; asks it where that is not known.
+/// Returns the number of concurrent requests that the application accepts on a connection; `None`: one. Starts a
+/// query if this is not known.
 pub(super) fn max_concurrent_requests(peer: &Rc<Peer<FastCgi>>, attempt: &Attempt) -> Option<usize> {
-    let most = peer.protocol.settings.multiplex;
-    if most <= 1 {
+    let max_requests = peer.protocol.settings.multiplex;
+    if max_requests <= 1 {
         return None;
     }
     let now = Instant::now();
@@ -62,19 +67,19 @@
         let (peer, gate) = (peer.clone(), attempt.gate.clone());
         tokio::task::spawn_local(async move {
             let wait = peer.settings.limits.get().flush_wait;
-            let asking = async {
-                let alone = ExclusiveConnection::dial(&peer, Instant::now() + wait).await.ok()?;
-                // Nothing new goes to one that drains, a question neither.
+            let query = async {
+                let connection = ExclusiveConnection::dial(&peer, Instant::now() + wait).await.ok()?;
+                // A draining upstream gets nothing new, including queries.
                 if gate.closed(Instant::now()) {
                     return None;
                 }
-                let generation = alone.generation;
-                Some((generation, query_values(alone).await?))
+                let generation = connection.generation;
+                Some((generation, query_values(connection).await?))
             };
-            if let Ok(Some((generation, values))) = timeout(wait, asking).await {
-                let n = allowed_requests(&values, peer.protocol.settings.multiplex);
-                if let (Some(n), true) = (n, peer.is_current(generation)) {
-                    peer.protocol.capabilities.0.set((generation, Multiplexing::UpTo(n)));
+            if let Ok(Some((generation, values))) = timeout(wait, query).await {
+                let allowed = allowed_requests(&values, peer.protocol.settings.multiplex);
+                if let (Some(allowed), true) = (allowed, peer.is_current(generation)) {
+                    peer.protocol.capabilities.0.set((generation, Multiplexing::UpTo(allowed)));
                 }
             }
         });
@@ -82,11 +87,12 @@
     None
 }
 
-async fn query_values(mut alone: ExclusiveConnection) -> Option<Vec<Pair>> {
+/// Queries the application's capabilities; `None`: it closed the connection or does not know the query.
+async fn query_values(mut exclusive: ExclusiveConnection) -> Option<Vec<Pair>> {
     let (mut events, mut unsent) = (Vec::new(), Vec::new());
-    alone.connection.client.query_capabilities();
+    exclusive.connection.client.query_capabilities();
     loop {
-        poll_fn(|cx| alone.connection.poll(cx, |_| false, &mut unsent, &mut events)).await.ok()?;
+        poll_fn(|cx| exclusive.connection.poll(cx, |_| false, &mut unsent, &mut events)).await.ok()?;
         for event in events.drain(..) {
             match event {
                 Event::Values(values) => return Some(values),
@@ -97,14 +103,15 @@
     }
 }
 
-/// The number of concurrent requests that the application's values allow, if more than one.
-fn allowed_requests(values: &[Pair], most: usize) -> Option<usize> {
-    let one = |name: &str| values.iter().find(|(n, _)| n == name.as_bytes()).map(|(_, v)| &v[..]);
-    if one("FCGI_MPXS_CONNS") != Some(b"1") {
+/// Returns the number of concurrent requests that the application's values allow, limited to `max_requests`; `None`:
+/// one.
+fn allowed_requests(values: &[Pair], max_requests: usize) -> Option<usize> {
+    let value = |name: &str| values.iter().find(|(n, _)| n == name.as_bytes()).map(|(_, v)| &v[..]);
+    if value("FCGI_MPXS_CONNS") != Some(b"1") {
         return None;
     }
-    let theirs = one("FCGI_MAX_REQS").and_then(|v| std::str::from_utf8(v).ok()?.parse::<usize>().ok());
-    Some(theirs.map_or(most, |n| n.min(most))).filter(|&n| n > 1)
+    let reported = value("FCGI_MAX_REQS").and_then(|v| std::str::from_utf8(v).ok()?.parse::<usize>().ok());
+    Some(reported.map_or(max_requests, |n| n.min(max_requests))).filter(|&n| n > 1)
 }
 
 #[cfg(test)]
--- a/crates/herondock/src/transport/fastcgi/connection.rs
+++ b/crates/herondock/src/transport/fastcgi/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a FastCGI application: the protocol's state and its socket.
+//! A connection to a FastCGI application: the protocol state and the socket.
 use crate::stream::SharedStream;
 use bytes::{Buf, BytesMut};
 use fastcgi::client::{Client, Event};
@@ -8,30 +8,30 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncReadExt, AsyncWrite};
 
-/// Bytes that are read at once.
+/// Number of bytes by which the read buffer is extended.
 const READ_BYTES: usize = 16 << 10;
-/// A buffer with less space than this is extended.
+/// A read buffer with less free space than this, in bytes, is extended.
 const MIN_READ_BYTES: usize = 2 << 10;
-/// Maximum number of slices that are written with one system call.
+/// Maximum number of slices in one vectored write.
 const MAX_WRITE_SLICES: usize = 16;
 
-/// The connection has ended, or bytes on it can't be parsed.
+/// Error: the connection has ended, or bytes on it can't be parsed.
 pub struct ConnectionClosed;
 
-/// A connection.
+/// A connection to an application.
 pub struct FastCgiConnection {
     socket: SharedStream,
-    /// The protocol's state.
+    /// Protocol state.
     pub client: Client,
     buffer: BytesMut,
-    /// The other side takes no more bytes.
+    /// The peer accepts no more bytes.
     write_closed: bool,
     /// No more bytes can be read.
     read_closed: bool,
 }
 
 impl FastCgiConnection {
-    /// A new connection.
+    /// Creates the state of a new connection.
     pub fn new(socket: SharedStream, client: Client) -> FastCgiConnection {
         FastCgiConnection { socket, client, buffer: BytesMut::new(), write_closed: false, read_closed: false }
     }
@@ -45,12 +45,16 @@
             && self.socket.is_idle()
     }
 
-    /// Whether the other side has closed it, or wrote bytes that no request asked for.
+    /// Whether the peer has closed it, or has sent bytes outside any request.
     pub fn is_closed(&self) -> bool {
         self.read_closed || self.write_closed || !self.socket.is_idle()
     }
 
-    /// Writes and reads until there are events, or requests that must not be written any more (`unsent`).
+    /// Writes and reads until there are events, or requests that may no longer be written (`unsent`). `may_begin`
+    /// decides whether the first byte of a request may be written now.
+    ///
+    /// # Errors
+    /// The connection has ended, and all events before its end have been returned.
     pub fn poll(
         &mut self,
         cx: &mut Context<'_>,
@@ -73,7 +77,7 @@
             match read {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(n)) if n > 0 => {
-                    // Events before the fault count; they are reported first.
+                    // Events before a fault are valid and are returned first.
                     self.read_closed = self.client.receive(self.buffer.split().freeze(), events).is_err();
                 }
                 Poll::Ready(_) => self.read_closed = true,
@@ -81,30 +85,30 @@
         }
     }
 
-    /// A failure to write does not end the connection: an answer may have come before it, for instance that the application is
-    /// overloaded.
+    /// Writes pending output. A write error does not end the connection: the application may have sent an answer
+    /// before, for instance that it is overloaded.
     fn write(
         &mut self,
         cx: &mut Context<'_>,
         may_begin: &mut impl FnMut(u16) -> bool,
         unsent: &mut Vec<u16>,
     ) {
-        // Guards against beginning a request on a connection that has ended behind answers to others: input is read first.
-        // A connection without other requests was checked when it was taken.
+        // Guards against starting a request on a connection that has ended after the answers to other requests: input
+        // is read first. A connection without other requests was checked when it was taken from the pool.
         if self.client.open() > 1 && self.client.has_unstarted_request() && !self.socket.is_idle() {
             return;
         }
         while !self.write_closed && !self.read_closed {
             self.client.fill(&mut *may_begin, unsent);
-            let out = self.client.outgoing();
-            if !out.has_remaining() {
+            let output = self.client.outgoing();
+            if !output.has_remaining() {
                 return;
             }
-            let mut parts = [IoSlice::new(&[]); MAX_WRITE_SLICES];
-            let n = out.chunks_vectored(&mut parts);
-            match Pin::new(&mut self.socket).poll_write_vectored(cx, &parts[..n]) {
+            let mut slices = [IoSlice::new(&[]); MAX_WRITE_SLICES];
+            let slice_count = output.chunks_vectored(&mut slices);
+            match Pin::new(&mut self.socket).poll_write_vectored(cx, &slices[..slice_count]) {
                 Poll::Pending => return,
-                Poll::Ready(Ok(n)) if n > 0 => out.advance(n),
+                Poll::Ready(Ok(n)) if n > 0 => output.advance(n),
                 Poll::Ready(_) => self.write_closed = true,
             }
         }
--- a/crates/herondock/src/transport/fastcgi/exclusive.rs
+++ b/crates/herondock/src/transport/fastcgi/exclusive.rs
@@ -1,4 +1,4 @@
-//! Connections that carry one request at a time: cancelling it closes the connection.
+//! Connections that carry one request at a time: cancelling the request closes the connection.
 use super::connection::{ConnectionClosed, FastCgiConnection};
 use super::{begin_request, new_client, Conn, FastCgi};
 use crate::exchange::Attempt;
@@ -10,18 +10,18 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// A connection that carries one request at most.
+/// A connection that carries at most one request at a time.
 pub struct ExclusiveConnection {
-    /// The connection itself.
+    /// Protocol state and socket.
     pub connection: FastCgiConnection,
     pub(super) generation: u64,
     pub(super) permit: OwnedSemaphorePermit,
 }
 
 impl ExclusiveConnection {
-    /// Makes a connection.
-    pub(super) async fn dial(peer: &Peer<FastCgi>, until: Instant) -> Result<ExclusiveConnection, Ending> {
-        let DialedConnection { socket, generation, permit } = peer.dial(until).await?;
+    /// Establishes a connection; see [`Peer::dial`].
+    pub(super) async fn dial(peer: &Peer<FastCgi>, deadline: Instant) -> Result<ExclusiveConnection, Ending> {
+        let DialedConnection { socket, generation, permit } = peer.dial(deadline).await?;
         Ok(ExclusiveConnection {
             connection: FastCgiConnection::new(socket, new_client(peer)),
             generation,
@@ -30,35 +30,37 @@
     }
 }
 
-/// Executes an attempt; its request is written once at most.
+/// Executes an attempt; its request is written at most once.
 ///
 /// # Errors
 /// The ending of an attempt without an answer.
 pub(super) async fn execute(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> Result<Outcome, Ending> {
     loop {
-        let (mut alone, reused) = match peer.take_idle() {
-            Some(Conn::Exclusive(alone)) => (alone, true),
-            // The application has taken back that it takes several.
+        let (mut exclusive, reused) = match peer.take_idle() {
+            Some(Conn::Exclusive(exclusive)) => (exclusive, true),
+            // The application no longer accepts concurrent requests.
             Some(Conn::Multiplexed(_)) => continue,
             None => (Box::new(ExclusiveConnection::dial(peer, attempt.deadline).await?), false),
         };
         if !attempt.may_write(Instant::now()) {
             return Err(Ending::Moot);
         }
-        let wire = &mut alone.connection;
-        // An idle connection always takes a request.
-        let Some(id) = begin_request(peer, &mut wire.client, &attempt) else { return Err(Ending::Moot) };
-        match wait_for_end(wire, id).await {
+        let conn = &mut exclusive.connection;
+        // An idle connection always accepts a request.
+        let Some(id) = begin_request(peer, &mut conn.client, &attempt) else {
+            return Err(Ending::Moot);
+        };
+        match wait_for_end(conn, id).await {
             Ok(outcome) => {
-                if wire.client.open() == 0 && !wire.client.is_mid_record() {
-                    let generation = alone.generation;
-                    peer.return_idle(Conn::Exclusive(alone), generation, &attempt.gate);
+                if conn.client.open() == 0 && !conn.client.is_mid_record() {
+                    let generation = exclusive.generation;
+                    peer.return_idle(Conn::Exclusive(exclusive), generation, &attempt.gate);
                 }
                 return Ok(outcome);
             }
-            Err(ConnectionClosed) if wire.client.is_fully_written(id) => return Err(Ending::Reset),
-            // Its last byte was not written, so nothing ran. An idle connection that had been closed meanwhile says nothing
-            // about the upstream, so the next one is tried; each is tried once.
+            Err(ConnectionClosed) if conn.client.is_fully_written(id) => return Err(Ending::Reset),
+            // The last byte of the request was not written, so nothing ran. That an idle connection has been closed
+            // in the meantime is no failure of the upstream, so the next connection is tried; each is tried once.
             Err(ConnectionClosed) if reused => {}
             Err(ConnectionClosed) => return Err(Ending::ConnectFailed),
         }
@@ -66,10 +68,10 @@
 }
 
 /// Writes and reads until the request has ended.
-async fn wait_for_end(wire: &mut FastCgiConnection, id: u16) -> Result<Outcome, ConnectionClosed> {
+async fn wait_for_end(conn: &mut FastCgiConnection, id: u16) -> Result<Outcome, ConnectionClosed> {
     let (mut events, mut unsent) = (Vec::new(), Vec::new());
     loop {
-        poll_fn(|cx| wire.poll(cx, |_| true, &mut unsent, &mut events)).await?;
+        poll_fn(|cx| conn.poll(cx, |_| true, &mut unsent, &mut events)).await?;
         for event in events.drain(..) {
             match event {
                 Event::Ended(ended, outcome) if ended == id => return Ok(outcome),
--- a/crates/herondock/src/transport/fastcgi/mod.rs
+++ b/crates/herondock/src/transport/fastcgi/mod.rs
@@ -1,29 +1,29 @@
-//! Attempts over FastCGI 1.0: one request to one application, written once.
+//! Attempts over FastCGI 1.0: one request to one application, written at most once.
 //!
-//! | what happens | has it run? | counts as |
+//! | event | has the request run? | ending of the attempt |
 //! | --- | --- | --- |
-//! | the connection is refused or never comes up | never | could not connect |
-//! | it breaks before the last STDIN record is written | never: an application begins with its last byte | could not connect |
-//! | it breaks or ends after that, also in the middle of an answer | it may have | reset |
-//! | END with OVERLOADED, CANT_MPX_CONN or UNKNOWN_ROLE, and nothing before it | never | turned away |
-//! | the same behind output | it may have | error |
-//! | END, and no output, or on STDERR only, whatever its status | it may have | error |
-//! | END, and output without a head that can be read | it may have | error |
-//! | status 503 or 504 with `Srv-Declined: 1` | never | turned away |
+//! | the connection is refused or not established | no | connect failed |
+//! | it breaks before the last STDIN record is written | no: an application starts once it has the last byte | connect failed |
+//! | it breaks or ends after that, also in the middle of an answer | possibly | reset |
+//! | END with OVERLOADED, CANT_MPX_CONN or UNKNOWN_ROLE, without output before it | no | rejected |
+//! | the same after output | possibly | error |
+//! | END without output, or with output on STDERR only, whatever its status | possibly | error |
+//! | END, and output whose head can't be parsed | possibly | error |
+//! | status 503 or 504 with `Srv-Declined: 1` | no | rejected |
 //! | status 200 | yes | served |
-//! | status 4xx | it may have | the caller's fault |
-//! | any other status | it may have | error |
-//! | nothing | it may have, or may yet | timed out |
+//! | status 4xx | possibly | client error |
+//! | any other status | possibly | error |
+//! | no answer | possibly, or it may still run | timeout |
 //!
-//! Cancelling an attempt that is alone on its connection closes the connection: nothing of it can reach another request. On a
-//! multiplexed connection it is cancelled by ABORT, and its id is not used again before its END.
+//! Cancelling an attempt on an exclusive connection closes the connection, so that no part of it can reach another
+//! request. On a multiplexed connection the attempt is cancelled by ABORT, and its id is not reused before its END.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `exclusive.rs` | one request at a time on a connection |
-//! | `multiplexed.rs` | several, where the application has said that it takes them |
-//! | `capabilities.rs` | asks the application whether it does |
-//! | `connection.rs` | a connection: the protocol's state and its socket |
+//! | `exclusive.rs` | connections that carry one request at a time |
+//! | `multiplexed.rs` | connections that carry concurrent requests, where the application supports them |
+//! | `capabilities.rs` | query whether the application supports concurrent requests |
+//! | `connection.rs` | a connection: the protocol state and the socket |
 mod capabilities;
 mod connection;
 mod exclusive;
@@ -45,7 +45,8 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Params that the operator declares, with their templates: `{path}` and `{query}` stand for those of the request.
+/// Params that the operator declares, with their templates. `{path}` and `{query}` are replaced by those of the
+/// request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Params(pub Vec<(String, String)>);
 
@@ -54,27 +55,27 @@
 pub struct FastCgiSettings {
     /// Declared params.
     pub params: Params,
-    /// Maximum number of concurrent requests on a connection; 1: applications are not asked whether they take several.
+    /// Maximum number of concurrent requests on a connection; 1: applications are not queried for support of them.
     pub multiplex: usize,
 }
 
-/// An upstream that speaks FastCGI.
+/// Creates an upstream that speaks FastCGI.
 pub fn upstream(
-    reach: ConnectionSettings,
+    connection_settings: ConnectionSettings,
     addr: SocketAddr,
     settings: Rc<FastCgiSettings>,
 ) -> Rc<dyn Upstream> {
     Peer::new(
-        reach,
+        connection_settings,
         FastCgi { settings, capabilities: CapabilityCache::default(), links: Links::default() },
         addr,
     )
 }
 
-/// FastCGI 1.0, to a responder.
+/// FastCGI 1.0 in the role of a client of responders.
 pub struct FastCgi {
     settings: Rc<FastCgiSettings>,
-    /// How many concurrent requests the application takes on a connection.
+    /// Support of the application for concurrent requests on a connection.
     capabilities: CapabilityCache,
     /// Multiplexed connections with requests in flight, or with cancelled ones that have not ended.
     links: Links,
@@ -84,22 +85,22 @@
 pub enum Conn {
     /// Carries one request at a time.
     Exclusive(Box<ExclusiveConnection>),
-    /// Carries several.
+    /// Carries concurrent requests.
     Multiplexed(PooledLink),
 }
 
 impl PooledConnection for Conn {
     fn is_reusable(&self) -> bool {
         match self {
-            Conn::Exclusive(alone) => alone.connection.is_reusable(),
-            Conn::Multiplexed(held) => held.is_reusable(),
+            Conn::Exclusive(exclusive) => exclusive.connection.is_reusable(),
+            Conn::Multiplexed(link) => link.is_reusable(),
         }
     }
 
     fn is_closed(&self) -> bool {
         match self {
-            Conn::Exclusive(alone) => alone.connection.is_closed(),
-            Conn::Multiplexed(held) => held.is_closed(),
+            Conn::Exclusive(exclusive) => exclusive.connection.is_closed(),
+            Conn::Multiplexed(link) => link.is_closed(),
         }
     }
 }
@@ -109,7 +110,7 @@
 
     async fn execute(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> AttemptResult {
         let outcome = match capabilities::max_concurrent_requests(peer, &attempt) {
-            Some(most) => multiplexed::execute(peer, attempt.clone(), most).await,
+            Some(max_requests) => multiplexed::execute(peer, attempt.clone(), max_requests).await,
             None => exclusive::execute(peer, attempt.clone()).await,
         };
         match outcome {
@@ -126,49 +127,52 @@
     }
 }
 
-/// The protocol state of a new connection.
+/// Creates the protocol state of a new connection.
 fn new_client(peer: &Peer<FastCgi>) -> Client {
     let limits = peer.settings.limits.get();
     let requests = peer.protocol.settings.multiplex.max(1);
     Client::new(Limits { head: limits.head, body: limits.body, requests, ..Limits::default() })
 }
 
-/// Begins an attempt's request; its id, or `None`: the connection takes no more.
+/// Starts an attempt's request. Returns its id on the connection; `None`: the connection accepts no more requests.
 fn begin_request(peer: &Peer<FastCgi>, client: &mut Client, attempt: &Attempt) -> Option<u16> {
     let now = Instant::now();
-    let left = format!("{}u", (attempt.deadline - now).as_micros());
+    let remaining = format!("{}u", (attempt.deadline - now).as_micros());
     let (deadline, carried) = (DEADLINE, attempt.budget_fields(now));
-    let own = [(deadline.as_str(), left)].into_iter().chain(carried.into_iter().flatten());
-    let params = request_params(&attempt.request, &peer.protocol.settings.params, own);
-    let all = params.iter().map(|(name, value)| (&name[..], &value[..]));
-    client.begin(all, attempt.request.body.clone(), true)
+    let hop_fields = [(deadline.as_str(), remaining)].into_iter().chain(carried.into_iter().flatten());
+    let params = request_params(&attempt.request, &peer.protocol.settings.params, hop_fields);
+    let pairs = params.iter().map(|(name, value)| (&name[..], &value[..]));
+    client.begin(pairs, attempt.request.body.clone(), true)
 }
 
-/// How an attempt ended by its answer. Only the mark of a rejection proves that the request never ran.
-fn interpret_answer(head: &Head, body: Bytes, used: Option<&str>) -> AttemptResult {
+/// Returns the result of an attempt by its answer. Only the field that marks a rejection proves that the request
+/// never ran. `used_field`: name of the field that reports budget usage.
+fn interpret_answer(head: &Head, body: Bytes, used_field: Option<&str>) -> AttemptResult {
     let declined = head.fields.iter().any(|(n, v)| n.eq_ignore_ascii_case(b"srv-declined") && &v[..] == b"1");
     match head.status {
         200 => {
             let text = |name: &Bytes| String::from_utf8_lossy(name).to_ascii_lowercase();
-            let is_used = |name: &Bytes| used.is_some_and(|used| name.eq_ignore_ascii_case(used.as_bytes()));
-            let kept = head.fields.iter().filter(|(name, _)| !is_hop_by_hop(name) && !is_used(name));
-            let all: Vec<(String, Bytes)> = kept.map(|(name, value)| (text(name), value.clone())).collect();
-            let fields = Fields::new(all.iter().map(|(name, value)| (name.as_str(), &value[..])));
+            let is_used =
+                |name: &Bytes| used_field.is_some_and(|used| name.eq_ignore_ascii_case(used.as_bytes()));
+            let forwarded = head.fields.iter().filter(|(name, _)| !is_hop_by_hop(name) && !is_used(name));
+            let named: Vec<(String, Bytes)> =
+                forwarded.map(|(name, value)| (text(name), value.clone())).collect();
+            let fields = Fields::new(named.iter().map(|(name, value)| (name.as_str(), &value[..])));
             (Ending::Ok, Some(Answer::Served { fields, body }))
         }
         503 | 504 if declined => (Ending::Full, None),
-        // Guards against callers whose bad input makes upstreams look bad.
+        // Guards against counting the invalid input of a client as a failure of the upstream.
         status @ 400..=499 => (Ending::Cancelled, Some(Answer::ClientError(status))),
         _ => (Ending::Error, None),
     }
 }
 
-/// The params of a request (RFC 3875, section 4.1): those that any responder expects, the request's fields, this hop's own
-/// fields, and the declared params.
+/// Returns the params of a request (RFC 3875, section 4.1): those that every responder expects, the request's fields,
+/// the fields of this hop, and the declared params, which replace others of the same name.
 fn request_params<'a>(
     request: &Request,
     declared: &Params,
-    own: impl Iterator<Item = (&'a str, String)>,
+    hop_fields: impl Iterator<Item = (&'a str, String)>,
 ) -> Vec<(Vec<u8>, Vec<u8>)> {
     let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
     let method = match request.method {
@@ -176,7 +180,7 @@
         Method::Post => "POST",
     };
     let length = request.body.len().to_string();
-    let mut all: Vec<(Vec<u8>, Vec<u8>)> = [
+    let mut params: Vec<(Vec<u8>, Vec<u8>)> = [
         ("GATEWAY_INTERFACE", "CGI/1.1"),
         ("SERVER_PROTOCOL", "HTTP/1.1"),
         ("SERVER_SOFTWARE", "herondock"),
@@ -190,14 +194,14 @@
     .into();
     let mut fields: BTreeMap<Vec<u8>, Vec<u8>> = BTreeMap::new();
     for (name, value) in request.fields.iter() {
-        // Guards against a caller that sets HTTP_PROXY, which scripts take for their own proxy.
+        // Guards against a client that sets HTTP_PROXY, which scripts interpret as the setting of their own proxy.
         if name.eq_ignore_ascii_case(b"proxy") {
             continue;
         }
         let mut param: Vec<u8> =
             if name.eq_ignore_ascii_case(b"content-type") { Vec::new() } else { b"HTTP_".into() };
         param.extend(name.iter().map(|b| if *b == b'-' { b'_' } else { b.to_ascii_uppercase() }));
-        // The same field twice is one param (section 4.1.18).
+        // Several fields of one name are joined in one param (section 4.1.18).
         match fields.get_mut(&param) {
             Some(before) => {
                 before.extend_from_slice(b", ");
@@ -206,17 +210,17 @@
             None => drop(fields.insert(param, value.to_vec())),
         }
     }
-    for (name, value) in own {
+    for (name, value) in hop_fields {
         let name = format!("HTTP_{}", name.replace('-', "_").to_ascii_uppercase());
         fields.insert(name.into_bytes(), value.into_bytes());
     }
-    all.extend(fields);
+    params.extend(fields);
     for (name, template) in &declared.0 {
         let value = template.replace("{path}", path).replace("{query}", query);
-        all.retain(|(n, _)| n != name.as_bytes());
-        all.push((name.clone().into_bytes(), value.into_bytes()));
+        params.retain(|(n, _)| n != name.as_bytes());
+        params.push((name.clone().into_bytes(), value.into_bytes()));
     }
-    all
+    params
 }
 
 #[cfg(test)]
--- a/crates/herondock/src/transport/fastcgi/multiplexed.rs
+++ b/crates/herondock/src/transport/fastcgi/multiplexed.rs
@@ -1,5 +1,6 @@
-//! Connections that carry several requests. Each request ends by itself: a cancelled one is aborted and keeps its id until its
-//! END; when the connection is lost, only requests that were written completely may have run.
+//! Connections that carry concurrent requests. Requests end independently of each other: a cancelled request is
+//! aborted and keeps its id until its END. When the connection is lost, only requests that were written completely
+//! may have run.
 use super::connection::FastCgiConnection;
 use super::exclusive::ExclusiveConnection;
 use super::{begin_request, Conn, FastCgi};
@@ -17,12 +18,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// How a request on a multiplexed connection ended.
+/// End of a request on a multiplexed connection.
 enum AttemptEnd {
     Ended(Outcome),
-    /// It was not written: its deadline had passed, its upstream drains, or it had finished.
+    /// The request was not written: its deadline has passed, its upstream drains, or it has finished.
     NotWritten,
-    /// The connection was lost; whether the request had been written completely.
+    /// The connection was lost. The flag is true if the request had been written completely.
     ConnectionLost(bool),
 }
 
@@ -31,13 +32,13 @@
     result: oneshot::Sender<AttemptEnd>,
 }
 
-/// A multiplexed connection, driven by a task of its own.
+/// A multiplexed connection, served by its own task.
 pub struct Link {
     connection: RefCell<FastCgiConnection>,
     pending: RefCell<BTreeMap<u16, PendingAttempt>>,
     /// Notified when a request was added or cancelled.
     work_available: Notify,
-    /// Since when there is a cancelled request that has not ended.
+    /// Time since which some cancelled request has not ended; `None`: there is none.
     aborting_since: Cell<Option<Instant>>,
     closed: Cell<bool>,
     used: Cell<bool>,
@@ -46,7 +47,7 @@
     _permit: OwnedSemaphorePermit,
 }
 
-/// A link and its task, which is aborted with it.
+/// A link and its task. Dropping it aborts the task.
 pub struct PooledLink {
     link: Rc<Link>,
     task: AbortHandle,
@@ -64,21 +65,21 @@
         !self.link.closed.get() && self.link.connection.borrow().is_reusable()
     }
 
-    /// Whether the other side has closed it.
+    /// Whether the peer has closed it.
     pub fn is_closed(&self) -> bool {
         self.link.closed.get() || self.link.connection.borrow().is_closed()
     }
 }
 
-/// The multiplexed connections of an upstream with requests on them.
+/// Multiplexed connections of an upstream that have open requests.
 #[derive(Default)]
 pub struct Links(RefCell<Vec<PooledLink>>);
 
 impl Links {
     fn remove(&self, link: &Rc<Link>) -> Option<PooledLink> {
         let mut all = self.0.borrow_mut();
-        let k = all.iter().position(|held| Rc::ptr_eq(&held.link, link))?;
-        Some(all.swap_remove(k))
+        let index = all.iter().position(|pooled| Rc::ptr_eq(&pooled.link, link))?;
+        Some(all.swap_remove(index))
     }
 }
 
@@ -90,7 +91,7 @@
 
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        // Not pending any more: it has ended.
+        // The request has already ended.
         if self.link.pending.borrow_mut().remove(&self.id).is_none() {
             return;
         }
@@ -102,33 +103,34 @@
     }
 }
 
-/// Executes an attempt on a connection with `most` concurrent requests at most; its request is written once at most.
+/// Executes an attempt on a connection with at most `max_requests` concurrent requests; its request is written at
+/// most once.
 ///
 /// # Errors
 /// The ending of an attempt without an answer.
 pub(super) async fn execute(
     peer: &Rc<Peer<FastCgi>>,
     attempt: Attempt,
-    most: usize,
+    max_requests: usize,
 ) -> Result<Outcome, Ending> {
     loop {
-        let link = match link_with_capacity(peer, most) {
+        let link = match link_with_capacity(peer, max_requests) {
             Some(link) => link,
             None => match peer.take_idle() {
-                Some(Conn::Multiplexed(held)) => add_link(peer, held),
-                Some(Conn::Exclusive(alone)) => add_link(peer, spawn_link(peer, *alone, &attempt)),
+                Some(Conn::Multiplexed(pooled)) => add_link(peer, pooled),
+                Some(Conn::Exclusive(exclusive)) => add_link(peer, spawn_link(peer, *exclusive, &attempt)),
                 None => {
-                    let alone = ExclusiveConnection::dial(peer, attempt.deadline).await?;
-                    add_link(peer, spawn_link(peer, alone, &attempt))
+                    let exclusive = ExclusiveConnection::dial(peer, attempt.deadline).await?;
+                    add_link(peer, spawn_link(peer, exclusive, &attempt))
                 }
             },
         };
         let reused = link.used.replace(true);
         let begun = {
-            let mut wire = link.connection.borrow_mut();
+            let mut connection = link.connection.borrow_mut();
             attempt
                 .may_write(Instant::now())
-                .then(|| begin_request(peer, &mut wire.client, &attempt))
+                .then(|| begin_request(peer, &mut connection.client, &attempt))
                 .flatten()
         };
         let Some(id) = begun else {
@@ -136,13 +138,13 @@
             return Err(Ending::Moot);
         };
         link.gate.replace(attempt.gate.clone());
-        let (tell, told) = oneshot::channel();
-        link.pending.borrow_mut().insert(id, PendingAttempt { attempt: attempt.clone(), result: tell });
+        let (sender, receiver) = oneshot::channel();
+        link.pending.borrow_mut().insert(id, PendingAttempt { attempt: attempt.clone(), result: sender });
         link.work_available.notify_one();
-        let calling = CancelOnDrop { link, id };
-        let how = told.await;
-        drop(calling);
-        match how {
+        let cancel_guard = CancelOnDrop { link, id };
+        let end = receiver.await;
+        drop(cancel_guard);
+        match end {
             Ok(AttemptEnd::Ended(outcome)) => {
                 if outcome == Outcome::Refused(Protocol::CantMultiplex) {
                     peer.protocol.capabilities.mark_single();
@@ -150,65 +152,65 @@
                 return Ok(outcome);
             }
             Ok(AttemptEnd::NotWritten) => return Err(Ending::Moot),
-            // As on an exclusive connection: one that was reused and had been closed says nothing about the upstream.
+            // As for exclusive connections, the loss of a reused connection is no failure of the upstream.
             Ok(AttemptEnd::ConnectionLost(false)) if reused => {}
             Ok(AttemptEnd::ConnectionLost(false)) => return Err(Ending::ConnectFailed),
-            // Dropped with its connection: it may have run.
+            // `Err`: the result sender was dropped with its connection. In both cases the request may have run.
             Ok(AttemptEnd::ConnectionLost(true)) | Err(_) => return Err(Ending::Reset),
         }
     }
 }
 
-/// The first connection with capacity: the others then become idle and close.
-fn link_with_capacity(peer: &Peer<FastCgi>, most: usize) -> Option<Rc<Link>> {
-    let (now, patience) = (Instant::now(), peer.settings.limits.get().flush_wait);
-    let fits = |link: &Link| {
+/// Returns the first connection with capacity, so that the others become idle and close.
+fn link_with_capacity(peer: &Peer<FastCgi>, max_requests: usize) -> Option<Rc<Link>> {
+    let (now, abort_timeout) = (Instant::now(), peer.settings.limits.get().flush_wait);
+    let has_capacity = |link: &Link| {
         let open = link.connection.borrow().client.open();
-        // A connection that does not end cancelled requests gets no more.
-        let stuck = link.aborting_since.get().is_some_and(|since| now - since >= patience);
-        !link.closed.get() && !stuck && open < most && peer.is_current(link.generation)
+        // A connection whose cancelled requests do not end gets no further requests.
+        let stuck = link.aborting_since.get().is_some_and(|since| now - since >= abort_timeout);
+        !link.closed.get() && !stuck && open < max_requests && peer.is_current(link.generation)
     };
-    peer.protocol.links.0.borrow().iter().map(|held| &held.link).find(|link| fits(link)).cloned()
+    peer.protocol.links.0.borrow().iter().map(|pooled| &pooled.link).find(|link| has_capacity(link)).cloned()
 }
 
-fn add_link(peer: &Peer<FastCgi>, held: PooledLink) -> Rc<Link> {
-    let link = held.link.clone();
-    peer.protocol.links.0.borrow_mut().push(held);
+fn add_link(peer: &Peer<FastCgi>, pooled: PooledLink) -> Rc<Link> {
+    let link = pooled.link.clone();
+    peer.protocol.links.0.borrow_mut().push(pooled);
     link
 }
 
-/// Starts the task of a connection.
-fn spawn_link(peer: &Rc<Peer<FastCgi>>, alone: ExclusiveConnection, attempt: &Attempt) -> PooledLink {
+/// Makes an exclusive connection multiplexed, and starts its task.
+fn spawn_link(peer: &Rc<Peer<FastCgi>>, exclusive: ExclusiveConnection, attempt: &Attempt) -> PooledLink {
     let link = Rc::new(Link {
-        connection: RefCell::new(alone.connection),
+        connection: RefCell::new(exclusive.connection),
         pending: RefCell::default(),
         work_available: Notify::new(),
         aborting_since: Cell::new(None),
         closed: Cell::new(false),
         used: Cell::new(false),
         gate: RefCell::new(attempt.gate.clone()),
-        generation: alone.generation,
-        _permit: alone.permit,
+        generation: exclusive.generation,
+        _permit: exclusive.permit,
     });
-    let patience = peer.settings.limits.get().flush_wait;
-    let task = tokio::task::spawn_local(link.clone().run(Rc::downgrade(peer), patience));
+    let abort_timeout = peer.settings.limits.get().flush_wait;
+    let task = tokio::task::spawn_local(link.clone().run(Rc::downgrade(peer), abort_timeout));
     PooledLink { link, task: task.abort_handle() }
 }
 
 impl Link {
-    async fn run(self: Rc<Link>, peer: Weak<Peer<FastCgi>>, patience: Duration) {
+    async fn run(self: Rc<Link>, peer: Weak<Peer<FastCgi>>, abort_timeout: Duration) {
         let (mut events, mut unsent) = (Vec::new(), Vec::new());
         loop {
-            // Only the ends of cancelled requests are waited for.
-            let given_up = self.aborting_since.get().filter(|_| self.pending.borrow().is_empty());
-            let given_up = given_up.map(|since| since + patience);
+            // Applies while only cancelled requests are open.
+            let abort_deadline = self.aborting_since.get().filter(|_| self.pending.borrow().is_empty());
+            let abort_deadline = abort_deadline.map(|since| since + abort_timeout);
             let io = poll_fn(|cx| {
                 self.connection.borrow_mut().poll(cx, |id| self.may_write(id), &mut unsent, &mut events)
             });
-            let over = tokio::select! {
+            let finished = tokio::select! {
                 polled = io => polled.is_err(),
                 () = self.work_available.notified() => false,
-                () = sleep_until(given_up.unwrap_or_else(Instant::now)), if given_up.is_some() => true,
+                () = sleep_until(abort_deadline.unwrap_or_else(Instant::now)), if abort_deadline.is_some() => true,
             };
             for id in unsent.drain(..) {
                 self.finish(id, AttemptEnd::NotWritten);
@@ -218,7 +220,7 @@
                     self.finish(id, AttemptEnd::Ended(outcome));
                 }
             }
-            if over {
+            if finished {
                 break;
             }
             self.return_if_idle(&peer);
@@ -226,11 +228,11 @@
         self.closed.set(true);
         let waiters = std::mem::take(&mut *self.pending.borrow_mut());
         for (id, waiter) in waiters {
-            let whole = self.connection.borrow().client.is_fully_written(id);
-            // A request that was cancelled meanwhile is not waited for.
-            let _ = waiter.result.send(AttemptEnd::ConnectionLost(whole));
+            let fully_written = self.connection.borrow().client.is_fully_written(id);
+            // Sending fails if the attempt has been cancelled in the meantime.
+            let _ = waiter.result.send(AttemptEnd::ConnectionLost(fully_written));
         }
-        // Out of use: dropped once its attempts have been notified.
+        // The connection is dropped once its attempts have been notified.
         drop(peer.upgrade().and_then(|peer| peer.protocol.links.remove(&self)));
     }
 
@@ -239,14 +241,15 @@
         self.pending.borrow().get(&id).is_some_and(|w| w.attempt.may_write(now))
     }
 
-    fn finish(&self, id: u16, how: AttemptEnd) {
+    /// Reports the end of a request to its attempt.
+    fn finish(&self, id: u16, end: AttemptEnd) {
         if let Some(waiter) = self.pending.borrow_mut().remove(&id) {
-            // A request that was cancelled meanwhile is not waited for.
-            let _ = waiter.result.send(how);
+            // Sending fails if the attempt has been cancelled in the meantime.
+            let _ = waiter.result.send(end);
         }
     }
 
-    /// Returns the connection to the idle ones once no request is open on it.
+    /// Returns the connection to the pool of idle connections once no request is open on it.
     fn return_if_idle(self: &Rc<Link>, peer: &Weak<Peer<FastCgi>>) {
         let (open, aborted) = {
             let client = &self.connection.borrow().client;
@@ -259,8 +262,8 @@
             return;
         }
         if let Some(peer) = peer.upgrade() {
-            if let Some(held) = peer.protocol.links.remove(self) {
-                peer.return_idle(Conn::Multiplexed(held), self.generation, &self.gate.borrow());
+            if let Some(pooled) = peer.protocol.links.remove(self) {
+                peer.return_idle(Conn::Multiplexed(pooled), self.generation, &self.gate.borrow());
             }
         }
     }
--- a/crates/herondock/src/transport/fastcgi/tests.rs
+++ b/crates/herondock/src/transport/fastcgi/tests.rs
@@ -15,9 +15,9 @@
         finished: Cell::new(false),
     };
     let declared = Params(vec![("SCRIPT_FILENAME".into(), "/srv{path}".into())]);
-    let all = request_params(&request, &declared, [("req-deadline", "5u".into())].into_iter());
+    let params = request_params(&request, &declared, [("req-deadline", "5u".into())].into_iter());
     let get = |name: &str| {
-        let found = all.iter().find(|(n, _)| n == name.as_bytes());
+        let found = params.iter().find(|(n, _)| n == name.as_bytes());
         found.map(|(_, v)| String::from_utf8_lossy(v).into_owned())
     };
     for (name, wanted) in [
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -1,4 +1,4 @@
-//! Attempts over HTTP/1.1: one request to one upstream, written once, and the pooled connections.
+//! Attempts over HTTP/1.1: one request to one upstream, written at most once, on pooled connections.
 use super::connection_pool::{DialedConnection, Peer, PooledConnection, UpstreamProtocol};
 use crate::exchange::{Answer, Attempt, AttemptResult};
 use crate::http::{end_to_end_fields, to_headers, to_method, DEADLINE, DECLINED};
@@ -17,7 +17,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-/// How long a connection may take to be ready for its next request once an answer has been read completely.
+/// Maximum time until a connection is ready for its next request after an answer has been read completely.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// An open connection; closed when dropped.
@@ -37,8 +37,8 @@
 }
 
 impl PooledConnection for Conn {
-    /// Guards against requests on a connection that the other side has closed, and against reading bytes behind an answer, a
-    /// duplicate or noise, as the answer to the next request.
+    /// Guards against requests on a connection that the peer has closed, and against taking surplus bytes after an
+    /// answer, such as a duplicate answer, for the answer to the next request.
     fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.socket.is_idle()
     }
@@ -51,13 +51,13 @@
 /// HTTP/1.1 (RFC 9112).
 pub struct Http;
 
-async fn dial(peer: &Peer<Http>, until: Instant) -> Result<Conn, Ending> {
-    let DialedConnection { socket, generation, permit } = peer.dial(until).await?;
+async fn dial(peer: &Peer<Http>, deadline: Instant) -> Result<Conn, Ending> {
+    let DialedConnection { socket, generation, permit } = peer.dial(deadline).await?;
     let io = TokioIo::new(socket.clone());
-    let made = http1::Builder::new().max_buf_size(peer.settings.limits.get().head).handshake(io).await;
-    let (sender, conn) = made.map_err(|_| Ending::ConnectFailed)?;
+    let handshake = http1::Builder::new().max_buf_size(peer.settings.limits.get().head).handshake(io).await;
+    let (sender, conn) = handshake.map_err(|_| Ending::ConnectFailed)?;
     let task = tokio::task::spawn_local(async move {
-        // The attempt on the connection reports how it ended.
+        // Errors reach the attempt on the connection, which reports them.
         let _ = conn.await;
     });
     Ok(Conn { sender, socket, generation, task: task.abort_handle(), _permit: permit })
@@ -68,7 +68,7 @@
 
     async fn execute(peer: &Rc<Peer<Http>>, attempt: Attempt) -> AttemptResult {
         let Ok(mut request) = to_message(&attempt.request) else { return (Ending::Moot, None) };
-        let body_most = peer.settings.limits.get().body;
+        let max_body = peer.settings.limits.get().body;
         let (mut conn, answer) = loop {
             let (mut conn, reused) = match peer.take_idle() {
                 Some(conn) => (conn, true),
@@ -81,9 +81,9 @@
             if !attempt.may_write(now) {
                 return (Ending::Moot, None);
             }
-            let left = (attempt.deadline - now).as_micros();
-            if let Ok(left) = HeaderValue::try_from(format!("{left}u")) {
-                request.headers_mut().insert(DEADLINE, left);
+            let remaining_us = (attempt.deadline - now).as_micros();
+            if let Ok(value) = HeaderValue::try_from(format!("{remaining_us}u")) {
+                request.headers_mut().insert(DEADLINE, value);
             }
             for (name, value) in attempt.budget_fields(now).into_iter().flatten() {
                 if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
@@ -92,35 +92,37 @@
             }
             match conn.sender.try_send_request(request).await {
                 Ok(answer) => break (conn, answer),
-                // Handed back: nothing was written. An idle connection that had been closed meanwhile says nothing about the
-                // upstream, so the next one is tried; each is tried once.
-                Err(mut e) => match e.take_message() {
-                    Some(back) if reused => request = back,
+                // hyper returns the request if nothing of it was written. That an idle connection has been closed in
+                // the meantime is no failure of the upstream, so the next connection is tried; each is tried once.
+                Err(mut error) => match error.take_message() {
+                    Some(unsent) if reused => request = unsent,
                     Some(_) => return (Ending::ConnectFailed, None),
                     None => return (Ending::Reset, None),
                 },
             }
         };
         attempt.record_usage(|name| answer.headers().get(name).map(HeaderValue::as_bytes));
-        if !has_an_end(&answer) || answer.body().size_hint().lower() > body_most as u64 {
+        if !has_unambiguous_length(&answer) || answer.body().size_hint().lower() > max_body as u64 {
             return (Ending::Reset, None);
         }
         let ending = ending_of(&answer);
         let (head, body) = answer.into_parts();
-        let Ok(body) = Limited::new(body, body_most).collect().await else { return (Ending::Reset, None) };
-        // Returned before the outcome is reported: the next attempt may use this connection.
+        let Ok(body) = Limited::new(body, max_body).collect().await else {
+            return (Ending::Reset, None);
+        };
+        // Returned before the outcome is reported, so that the next attempt can use this connection.
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, conn.sender.ready()).await {
-            // Whether it holds unread bytes is checked when it is taken again.
+            // Unread bytes on the connection are checked for when it is taken again.
             let generation = conn.generation;
             peer.return_idle(conn, generation, &attempt.gate);
         }
         let answer = match ending {
             Ending::Ok => {
-                let used = attempt.used_field().and_then(|name| HeaderName::try_from(name).ok());
-                let fields = end_to_end_fields(&head.headers, |name| used.as_ref() == Some(name));
+                let used_header = attempt.used_field().and_then(|name| HeaderName::try_from(name).ok());
+                let fields = end_to_end_fields(&head.headers, |name| used_header.as_ref() == Some(name));
                 Some(Answer::Served { fields, body: body.to_bytes() })
             }
-            // A client's bad input says nothing about the upstream, and another upstream would reject it as well.
+            // Invalid input of a client is no failure of the upstream, and another upstream would reject it as well.
             Ending::Cancelled => Some(Answer::ClientError(head.status.as_u16())),
             _ => None,
         };
@@ -128,18 +130,19 @@
     }
 }
 
-/// Whether it is certain where an answer ends: it states its length once, in one way. One that ends with its
-/// connection may be cut short, and one with two framings may be read otherwise than it was meant.
-fn has_an_end<B>(answer: &Response<B>) -> bool {
-    let all = |name| answer.headers().get_all(name).iter().collect::<Vec<_>>();
-    match (&all(header::TRANSFER_ENCODING)[..], &all(header::CONTENT_LENGTH)[..]) {
+/// Whether an answer states its length exactly once, in one way. An answer that is delimited by the end of its
+/// connection may be truncated, and one with two framings may be interpreted differently than the upstream intended.
+fn has_unambiguous_length<B>(answer: &Response<B>) -> bool {
+    let values = |name| answer.headers().get_all(name).iter().collect::<Vec<_>>();
+    match (&values(header::TRANSFER_ENCODING)[..], &values(header::CONTENT_LENGTH)[..]) {
         ([], [length]) => length.as_bytes().iter().all(u8::is_ascii_digit),
         ([coding], []) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
         _ => false,
     }
 }
 
-/// How an attempt ended by its answer. Only the mark of a rejection proves that the request never ran.
+/// Returns the ending of an attempt by its answer. Only the header that marks a rejection proves that the request
+/// never ran.
 fn ending_of<B>(answer: &Response<B>) -> Ending {
     let declined = answer.headers().get(DECLINED).is_some_and(|v| v == "1");
     match answer.status() {
@@ -150,7 +153,7 @@
     }
 }
 
-/// A request as an HTTP message.
+/// Converts a request to an HTTP message.
 fn to_message(request: &crate::exchange::Request) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
     let message = Request::builder().method(to_method(request.method)).uri(&*request.target);
     let mut message = message.body(Full::new(request.body.clone()))?;
--- a/crates/herondock/src/transport/http/tests.rs
+++ b/crates/herondock/src/transport/http/tests.rs
@@ -27,21 +27,27 @@
         max_attempts: None,
         finished: Cell::new(false),
     };
-    let until = Instant::now() + Duration::from_secs(5);
-    let (gate, hop) = (Rc::new(DrainGate::default()), None);
-    Attempt { request: Rc::new(request), gate, deadline: until, dedup_deadline: None, budget_grant: hop }
+    let timeout_at = Instant::now() + Duration::from_secs(5);
+    let (gate, no_grant) = (Rc::new(DrainGate::default()), None);
+    Attempt {
+        request: Rc::new(request),
+        gate,
+        deadline: timeout_at,
+        dedup_deadline: None,
+        budget_grant: no_grant,
+    }
 }
 
-fn alone(test: impl std::future::Future<Output = ()>) {
+fn run_local(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Guards against a repeat that is written when repeats are not dropped any more: it was chosen before, and its connection came
-/// up after.
+/// Guards against a retry that is written after upstreams have stopped discarding duplicates. This happens when the
+/// retry is decided on before that time and its connection is established after it.
 #[test]
-fn nothing_is_repeated_after_the_window() {
-    alone(async {
+fn no_retry_is_written_after_the_dedup_window() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = upstream(DescriptorBudget::new(64), listener.local_addr().expect("an address"));
         let late = Attempt { dedup_deadline: Some(Instant::now()), ..attempt() };
@@ -53,19 +59,20 @@
     });
 }
 
-/// Guards against requests written to a connection of which the system knows, and the runtime not yet, that
-/// it is closed or holds more than the last answer: nothing between that and the next request yields.
+/// Guards against requests that are written to a connection that is closed or holds surplus bytes after the last
+/// answer, when the operating system knows this and the runtime does not yet: the task does not yield between the
+/// last answer and the next request.
 #[test]
-fn a_connection_with_something_unread_is_not_used_again() {
-    alone(async {
+fn a_connection_with_unread_bytes_is_not_reused() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
-        let rested = |extra: Option<&'static [u8]>| {
+        let is_reused = |extra: Option<&'static [u8]>| {
             let listener = listener.try_clone().expect("a listener");
             async move {
-                let until = Instant::now() + Duration::from_secs(5);
+                let deadline = Instant::now() + Duration::from_secs(5);
                 let upstream = upstream(DescriptorBudget::new(64), addr);
-                let mut conn = dial(&upstream, until).await.expect("connects");
+                let mut conn = dial(&upstream, deadline).await.expect("connects");
                 let (mut peer, _) = listener.accept().expect("accepts");
                 conn.sender.ready().await.expect("it is open");
                 upstream.return_idle(conn, 0, &attempt().gate);
@@ -78,26 +85,26 @@
                 taken
             }
         };
-        assert!(rested(Some(b"")).await, "one that rests is used");
-        assert!(!rested(Some(b"x")).await, "one with noise is not");
-        assert!(!rested(None).await, "nor one that is closed");
+        assert!(is_reused(Some(b"")).await, "an idle connection is reused");
+        assert!(!is_reused(Some(b"x")).await, "a connection with surplus bytes is not reused");
+        assert!(!is_reused(None).await, "a closed connection is not reused");
     });
 }
 
-/// Guards against blaming an upstream for our own want of descriptors: nothing was tried.
+/// Guards against blaming an upstream for a shortage of descriptors in this process: no connection was attempted.
 #[test]
-fn a_shortage_of_our_own_is_no_failure_of_the_upstream() {
-    alone(async {
+fn a_local_descriptor_shortage_is_no_failure_of_the_upstream() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let sockets = DescriptorBudget::new(64);
-        let all: Vec<_> = std::iter::from_fn(|| sockets.try_upstream()).collect();
-        let to = upstream(sockets, listener.local_addr().expect("an address"));
+        let all_permits: Vec<_> = std::iter::from_fn(|| sockets.try_upstream()).collect();
+        let upstream = upstream(sockets, listener.local_addr().expect("an address"));
         let attempt = attempt();
-        let (ending, _) = to.attempt(attempt).await;
+        let (ending, _) = upstream.attempt(attempt).await;
         assert_eq!(ending, Ending::Moot);
-        drop(all);
+        drop(all_permits);
         listener.set_nonblocking(true).expect("a listener");
-        let nobody = listener.accept().map(|(mut s, _)| s.read(&mut [0]));
-        assert!(nobody.is_err(), "nothing was connected");
+        let accepted = listener.accept().map(|(mut s, _)| s.read(&mut [0]));
+        assert!(accepted.is_err(), "nothing was connected");
     });
 }
--- a/crates/herondock/src/transport/mod.rs
+++ b/crates/herondock/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Transports: how an attempt reaches its upstream, by what that speaks.
+//! Transports: execute attempts in the protocol of the upstream.
 pub mod connection_pool;
 pub mod fastcgi;
 pub mod http;
@@ -8,13 +8,13 @@
 use connection_pool::{ConnectionSettings, Peer};
 use std::rc::Rc;
 
-/// Chooses the transport of each upstream.
+/// Returns a factory that creates the transport of an upstream according to its protocol.
 pub fn transport_factory(
-    reach: ConnectionSettings,
+    settings: ConnectionSettings,
     fastcgi: Rc<fastcgi::FastCgiSettings>,
 ) -> impl Fn(&ListedEndpoint) -> Rc<dyn Upstream> {
     move |entry| match entry.protocol {
-        Protocol::Http => Peer::new(reach.clone(), http::Http, entry.addr),
-        Protocol::FastCgi => fastcgi::upstream(reach.clone(), entry.addr, fastcgi.clone()),
+        Protocol::Http => Peer::new(settings.clone(), http::Http, entry.addr),
+        Protocol::FastCgi => fastcgi::upstream(settings.clone(), entry.addr, fastcgi.clone()),
     }
 }
