--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -138,8 +138,8 @@
             match next_due {
                 Some(due_at) if due_at <= Instant::now() => self.fire_next_timer(),
                 Some(due_at) => tokio::select! {
-                () = tokio::time::sleep_until(due_at) => {}
-                () = self.0.timer_set.notified() => {}
+                    () = tokio::time::sleep_until(due_at) => {}
+                    () = self.0.timer_set.notified() => {}
                 },
                 None => self.0.timer_set.notified().await,
             }
--- a/crates/herondock/src/transport/fastcgi/exclusive.rs
+++ b/crates/herondock/src/transport/fastcgi/exclusive.rs
@@ -47,9 +47,7 @@
         }
         let conn = &mut exclusive.connection;
         // An idle connection always accepts a request.
-        let Some(id) = begin_request(peer, &mut conn.client, &attempt) else {
-            return Err(Ending::Moot);
-        };
+        let Some(id) = begin_request(peer, &mut conn.client, &attempt) else { return Err(Ending::Moot) };
         match wait_for_end(conn, id).await {
             Ok(outcome) => {
                 if conn.client.open() == 0 && !conn.client.is_mid_record() {
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -107,9 +107,7 @@
         }
         let ending = ending_of(&answer);
         let (head, body) = answer.into_parts();
-        let Ok(body) = Limited::new(body, max_body).collect().await else {
-            return (Ending::Reset, None);
-        };
+        let Ok(body) = Limited::new(body, max_body).collect().await else { return (Ending::Reset, None) };
         // Returned before the outcome is reported, so that the next attempt can use this connection.
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, conn.sender.ready()).await {
             // Unread bytes on the connection are checked for when it is taken again.
