--- a/crates/herondock/src/front/fastcgi/admission.rs
+++ b/crates/herondock/src/front/fastcgi/admission.rs
@@ -1,4 +1,4 @@
-//! From a whole request to its admission: checks its params, classifies it, and hands it to the pools.
+//! Admission of requests: checks the params of a complete request, classifies it and passes it to the pools.
 use super::params::{fields, header_param, param_name, single_param, target};
 use super::FastCgiFront;
 use crate::driver::AdmissionError;
@@ -18,21 +18,21 @@
 /// Position of this front in the routing table's fronts.
 const FRONT: usize = 1;
 
-/// An admitted request, and whether its client is told what was used of its budget.
+/// An admitted request, and whether the answer reports the usage of its budget.
 pub(super) struct Admitted {
-    /// Yields the final answer.
+    /// Admitted request, which returns the final answer.
     pub(super) request: AdmittedRequest,
-    /// Whether the request came with a budget.
+    /// Whether the request arrived with a budget.
     pub(super) reports_usage: bool,
 }
 
-/// The answer to a request that goes no further.
+/// Answer to a request that is not admitted.
 pub(super) struct Rejection {
     /// HTTP status.
     pub(super) status: u16,
-    /// Advice to stay away, in milliseconds.
+    /// Advised delay before a retry, in milliseconds.
     pub(super) retry_after: Option<f64>,
-    /// Why, in a line; empty: without a body.
+    /// Reason in one line; empty: the answer has no body.
     pub(super) reason: String,
     /// Further fields with their values.
     pub(super) fields: Vec<(String, String)>,
@@ -49,16 +49,16 @@
 }
 
 impl FastCgiFront {
-    /// Hands a request to the pools.
+    /// Passes a request to the pools.
     pub(super) fn admit(&self, request: &server::Request) -> Result<Admitted, Rejection> {
         let limits = self.limits.get();
         let names = &self.settings.names;
         let param = |name: &str| single_param(&request.params, name);
-        let Classification { class, tenant, deadline_ms: patience, method } =
+        let Classification { class, tenant, deadline_ms: timeout_ms, method } =
             self.classify(request, limits.request_id)?;
         check_body(request, method)?;
         let target = target(&param).ok_or_else(|| Rejection::bad_request("REQUEST_URI is bad"))?;
-        let budget = self.carried_budget(request, patience)?;
+        let budget = self.carried_budget(request, timeout_ms)?;
         let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.told);
         let upstream_request = self.upstream_request(request, method, &target, budget);
         let headers = |name: &str| -> Vec<&[u8]> {
@@ -77,7 +77,7 @@
             request_id: &|| param(&names.id).unwrap_or("").as_bytes(),
             headers: &headers,
         };
-        match self.pools.admit(&attributes, class, tenant, patience, upstream_request) {
+        match self.pools.admit(&attributes, class, tenant, timeout_ms, upstream_request) {
             Ok(request) => Ok(Admitted { request, reports_usage }),
             Err(error) => Err(self.routing_rejection(error, limits.full_pause)),
         }
@@ -96,17 +96,17 @@
         classify(&self.deployment, max_id_bytes, &head).map_err(Rejection::bad_request)
     }
 
-    /// What a request may use, where budgets are on.
+    /// Returns the budget of a request, where budgets are on.
     fn carried_budget(
         &self,
         request: &server::Request,
-        patience: f64,
+        timeout_ms: f64,
     ) -> Result<Option<Box<CarriedBudget>>, Rejection> {
         let Some(budgets) = &self.budgets else { return Ok(None) };
-        let all = |name: &str| all_params(request, &header_param(name));
-        let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
+        let values = |name: &str| all_params(request, &header_param(name));
+        let (budget, path) = (values(&budgets.names.budget), values(&budgets.names.path));
         let is_retry = single_param(&request.params, &header_param(RETRY.as_str())) == Some("1");
-        match budgets.carried_budget(FrontKind::FastCgi, (&budget, &path), patience, is_retry) {
+        match budgets.carried_budget(FrontKind::FastCgi, (&budget, &path), timeout_ms, is_retry) {
             Ok(carried) => Ok(Some(Box::new(carried))),
             Err(BudgetRejection::Bad(malformed)) => Err(Rejection::bad_request(malformed)),
             Err(BudgetRejection::Refused(rejection)) => {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The request as it goes to upstreams, without the fields of this hop.
+    /// Creates the request that is forwarded to upstreams, without the fields of this hop.
     fn upstream_request(
         &self,
         request: &server::Request,
@@ -126,11 +126,11 @@
         budget: Option<Box<CarriedBudget>>,
     ) -> Request {
         let names = &self.settings.names;
-        let own: Vec<String> = match &self.budgets {
+        let hop_params: Vec<String> = match &self.budgets {
             None => Vec::new(),
             Some(b) => [&b.names.budget, &b.names.path, &b.names.used].map(|name| header_param(name)).into(),
         };
-        let forwarded = request.params.iter().filter(|(n, _)| !own.iter().any(|o| n == o.as_bytes()));
+        let forwarded = request.params.iter().filter(|(n, _)| !hop_params.iter().any(|p| n == p.as_bytes()));
         Request {
             id: single_param(&request.params, &names.id).map(|id| Bytes::copy_from_slice(id.as_bytes())),
             method,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Fields that report what was used of a budget, and that nothing ran where that is certain.
+    /// Returns fields that report the usage of a budget and, where it is certain, that nothing ran.
     pub(super) fn budget_fields(&self, used: Option<Used>, nothing_ran: bool) -> Vec<(String, String)> {
         let Some(budgets) = &self.budgets else { return Vec::new() };
         let declined = nothing_ran.then(|| (DECLINED.as_str().to_string(), "1".to_string()));
@@ -151,7 +151,8 @@
         declined.into_iter().chain(used).collect()
     }
 
-    /// The answer to a request that the pools did not admit. `full_pause`: advice to clients that found too many open.
+    /// Returns the answer to a request that the pools did not admit. `full_pause`: advised delay before a retry if
+    /// too many requests are open.
     fn routing_rejection(&self, error: RoutingError, full_pause: Duration) -> Rejection {
         let reject = |pause: Option<Duration>, reason: &str| Rejection {
             retry_after: pause.map(|pause| pause.as_secs_f64() * 1000.0),
@@ -171,12 +172,12 @@
     }
 }
 
-/// Every value of a param.
+/// Returns every value of a param.
 fn all_params<'a>(request: &'a server::Request, name: &str) -> Vec<&'a [u8]> {
     request.params.iter().filter(|(n, _)| n == name.as_bytes()).map(|(_, v)| &v[..]).collect()
 }
 
-/// Whether the body is allowed and complete: a web server that was cut off may end it before its time.
+/// Checks that the body is allowed and complete: a web server that is interrupted may end the body early.
 fn check_body(request: &server::Request, method: Method) -> Result<(), Rejection> {
     if method == Method::Get && !request.body.is_empty() {
         return Err(Rejection::bad_request("GET has no body"));
--- a/crates/herondock/src/front/fastcgi/connection.rs
+++ b/crates/herondock/src/front/fastcgi/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a web server.
+//! Serves one connection of a FastCGI client, usually a web server.
 use super::admission::{Admitted, Rejection};
 use super::open_requests::{OpenRequests, ReadyAnswer, RequestKey};
 use super::response::{head, head_with};
@@ -15,33 +15,35 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::info;
 
-/// Bytes that are read at once in the middle of a request.
+/// Number of bytes by which the read buffer is extended in the middle of a request.
 const READ_BYTES: usize = 16 << 10;
-/// Bytes that are read at once before a request.
+/// Number of bytes by which the read buffer is extended between requests.
 const FIRST_READ_BYTES: usize = 4 << 10;
-/// A buffer with less space than this is extended.
+/// A read buffer with less free space than this, in bytes, is extended.
 const MIN_READ_BYTES: usize = 1 << 10;
 
+/// State of one connection.
 struct Connection {
     front: Rc<FastCgiFront>,
-    /// The protocol's state.
+    /// Protocol state.
     protocol: Protocol,
     requests: OpenRequests,
     answers: mpsc::Sender<ReadyAnswer>,
     limits: Rc<Limits>,
-    /// Since when the client is waited for.
+    /// Time since which the front waits for the client.
     waiting_since: Instant,
-    /// Whether it has carried no request; such a connection keeps its time whatever shuts down.
+    /// Whether the connection has carried no request; a shutdown does not shorten the time that such a connection has
+    /// to send one.
     newcomer: bool,
 }
 
-/// What a connection waits for.
+/// Events that a connection waits for.
 struct Waits {
-    /// No request is open or partly read.
+    /// Whether no request is open or partly read.
     idle: bool,
-    /// When the client has been waited for long enough; `None`: all that is open is on its way to be answered.
+    /// Time at which waiting for the client times out; `None`: the front waits only for answers.
     client_due: Option<Instant>,
-    /// Output is ready for the client.
+    /// Whether output is ready for the client.
     writes: bool,
 }
 
@@ -66,14 +68,14 @@
         }
     }
 
-    /// Moves answers into the output. `None`: the connection is to close now.
+    /// Moves answers into the output. `None`: the connection has to close now.
     fn advance(&mut self, phase: ShutdownPhase) -> Option<Waits> {
         let finished = self.protocol.fill() > 0;
         if finished {
             (self.waiting_since, self.newcomer) = (Instant::now(), false);
         }
         let idle = self.protocol.open() == 0 && !self.protocol.midway();
-        // The end is announced by closing behind an answer: the protocol has no other way.
+        // The connection is closed after an answer, because the protocol has no other way to announce the end.
         let shutting_down =
             phase == ShutdownPhase::ClosingIdle || (finished && phase >= ShutdownPhase::ClosingConnections);
         if self.protocol.closes() || (idle && !self.newcomer && shutting_down) {
@@ -85,7 +87,7 @@
         Some(Waits { idle, client_due, writes: self.protocol.outgoing().has_remaining() })
     }
 
-    /// Handles an event of the protocol.
+    /// Handles a protocol event.
     fn handle(&mut self, event: Event) {
         match event {
             Event::Request(request) => {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Hands an answer to the protocol, unless its request was aborted.
+    /// Passes an answer to the protocol state, unless its request was aborted.
     fn send_answer(&mut self, answer: ReadyAnswer) {
         if self.requests.remove_answered(answer.request) {
             self.protocol.answer(answer.request.id, &answer.head, answer.body);
@@ -125,7 +127,7 @@
         shutdown: &mut watch::Receiver<ShutdownProgress>,
     ) {
         let mut buffer = BytesMut::new();
-        // Since when the client has taken nothing of the output.
+        // Time since which the client has not read any output.
         let mut unread_since = Instant::now();
         loop {
             let phase = shutdown.borrow_and_update().phase;
@@ -140,7 +142,7 @@
                     }
                     unread_since = Instant::now();
                 }
-                // A client that does not read its answers may still abort them, and send more requests within its bound.
+                // A client that does not read its answers may still abort requests, and send more within the limit.
                 read = reader.read_buf(&mut buffer), if !clogged => {
                     if !matches!(read, Ok(n) if n > 0) {
                         return;
@@ -148,11 +150,11 @@
                     if waits.idle && !self.newcomer {
                         self.waiting_since = Instant::now();
                     }
-                    if let Err(e) = self.receive(buffer.split().freeze()) {
-                        info!("fastcgi: {e}");
-                        // What was answered before the fault still goes out.
-                        let rest = self.protocol.drain();
-                        let _ = timeout(self.limits.flush_wait, writer.write_all(&rest)).await;
+                    if let Err(error) = self.receive(buffer.split().freeze()) {
+                        info!("fastcgi: {error}");
+                        // Answers that were given before the fault are still written.
+                        let remaining_output = self.protocol.drain();
+                        let _ = timeout(self.limits.flush_wait, writer.write_all(&remaining_output)).await;
                         return;
                     }
                     unread_since = if waits.writes { unread_since } else { Instant::now() };
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Takes in bytes, and handles the events before a fault as well.
+    /// Parses bytes and handles their events, including those before a fault.
     fn receive(&mut self, bytes: Bytes) -> Result<(), fastcgi::Error> {
         let mut events = Vec::new();
         let received = self.protocol.receive(bytes, &mut events);
@@ -207,19 +209,19 @@
                 (head_with(status, retry_after, &Fields::default(), &fields), body)
             }
         };
-        // The connection may have ended meanwhile.
+        // Sending fails if the connection has ended in the meantime.
         let _ = answers.send(ReadyAnswer { request: key, head, body }).await;
     }
 
-    /// Head and body of the final answer.
+    /// Waits for the final answer and returns its head and body.
     async fn final_answer(&self, admitted: Admitted) -> (Bytes, Bytes) {
         let FinalAnswer { answer, may_have_run, used } = admitted.request.answer().await;
         let nothing_ran = matches!(answer, Answer::Rejected { .. }) && !may_have_run;
-        let more = self.budget_fields(admitted.reports_usage.then_some(used), nothing_ran);
+        let extra = self.budget_fields(admitted.reports_usage.then_some(used), nothing_ran);
         let without_body =
-            |status, retry_after| (head_with(status, retry_after, &Fields::default(), &more), Bytes::new());
+            |status, retry_after| (head_with(status, retry_after, &Fields::default(), &extra), Bytes::new());
         match answer {
-            Answer::Served { fields, body } => (head_with(200, None, &fields, &more), body),
+            Answer::Served { fields, body } => (head_with(200, None, &fields, &extra), body),
             Answer::Rejected { retry_after } => without_body(503, Some(retry_after)),
             Answer::ClientError(status) => without_body(status, None),
             Answer::Failed => without_body(502, None),
--- a/crates/herondock/src/front/fastcgi/listeners.rs
+++ b/crates/herondock/src/front/fastcgi/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners of the FastCGI front: TCP and Unix sockets, new or passed on by a predecessor.
+//! Listeners of the FastCGI front: TCP and Unix sockets, new or inherited from a predecessor.
 use config::fastcgi::Listen;
 use std::io;
 use std::os::fd::OwnedFd;
@@ -10,9 +10,9 @@
     /// A listener of the operator's file can't be opened.
     #[error("fastcgi.listen: {name}: {source}")]
     Open {
-        /// Its address or path.
+        /// Address or path of the listener.
         name: String,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An open listener can't be used.
@@ -29,29 +29,29 @@
 }
 
 impl FrontListener {
-    /// A listener that a predecessor passed on.
-    fn from_descriptor(passed: OwnedFd) -> FrontListener {
-        let tcp = std::net::TcpListener::from(passed);
+    /// Creates a listener from a descriptor that a predecessor passed on.
+    fn from_descriptor(descriptor: OwnedFd) -> FrontListener {
+        let tcp = std::net::TcpListener::from(descriptor);
         match tcp.local_addr() {
             Ok(_) => FrontListener::Tcp(tcp),
             Err(_) => FrontListener::Unix(OwnedFd::from(tcp).into()),
         }
     }
 
-    /// Whether this is the listener that the operator's file names.
+    /// Whether this listener is bound to the address or path that the operator's file names.
     fn matches(&self, listen: &Listen) -> bool {
         match (self, listen) {
             (FrontListener::Tcp(l), Listen::Tcp(addr)) => l
                 .local_addr()
-                .is_ok_and(|at| at.ip() == addr.ip() && (addr.port() == 0 || at.port() == addr.port())),
+                .is_ok_and(|own| own.ip() == addr.ip() && (addr.port() == 0 || own.port() == addr.port())),
             (FrontListener::Unix(l), Listen::Unix(path)) => {
-                l.local_addr().is_ok_and(|at| at.as_pathname() == Some(path))
+                l.local_addr().is_ok_and(|own| own.as_pathname() == Some(path))
             }
             _ => false,
         }
     }
 
-    /// Another handle of the same socket.
+    /// Creates another handle of the same socket.
     pub(super) fn try_clone(&self) -> io::Result<FrontListener> {
         Ok(match self {
             FrontListener::Tcp(l) => FrontListener::Tcp(l.try_clone()?),
@@ -59,7 +59,7 @@
         })
     }
 
-    /// The socket's descriptor.
+    /// Returns the descriptor of the socket.
     pub(super) fn into_descriptor(self) -> OwnedFd {
         match self {
             FrontListener::Tcp(listener) => OwnedFd::from(listener),
@@ -75,7 +75,7 @@
                 Ok(FrontListener::Tcp(listener))
             }
             Listen::Unix(path) => {
-                // A socket that a former process left there makes way.
+                // A socket file that a former process left behind is replaced.
                 match std::fs::remove_file(path) {
                     Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
                     _ => {}
@@ -88,28 +88,33 @@
     }
 }
 
-/// The listeners that the operator's file names: those that a predecessor passed on, and new ones for the others.
+/// Returns the listeners that the operator's file names: those that a predecessor passed on, and new ones for the
+/// others.
 ///
 /// # Errors
-/// An address or path can't be listened on.
-pub fn open_listeners(listen: &[Listen], passed: Vec<OwnedFd>) -> Result<Vec<FrontListener>, ListenerError> {
-    let mut passed: Vec<FrontListener> = passed.into_iter().map(FrontListener::from_descriptor).collect();
-    let one = |listen: &Listen| {
+/// It is not possible to listen on an address or path.
+pub fn open_listeners(
+    listen: &[Listen],
+    inherited: Vec<OwnedFd>,
+) -> Result<Vec<FrontListener>, ListenerError> {
+    let mut inherited: Vec<FrontListener> =
+        inherited.into_iter().map(FrontListener::from_descriptor).collect();
+    let open = |listen: &Listen| {
         let name = match listen {
             Listen::Tcp(addr) => addr.to_string(),
             Listen::Unix(path) => path.display().to_string(),
         };
-        let listener = match passed.iter().position(|listener| listener.matches(listen)) {
-            Some(k) => passed.swap_remove(k),
+        let listener = match inherited.iter().position(|listener| listener.matches(listen)) {
+            Some(index) => inherited.swap_remove(index),
             None => FrontListener::bind(listen)
                 .map_err(|source| ListenerError::Open { name: name.clone(), source })?,
         };
-        let at = match &listener {
-            FrontListener::Tcp(l) => l.local_addr().map_or(name, |at| at.to_string()),
+        let address = match &listener {
+            FrontListener::Tcp(l) => l.local_addr().map_or(name, |bound| bound.to_string()),
             FrontListener::Unix(_) => name,
         };
-        info!("fastcgi: callers may connect to {at}");
+        info!("fastcgi: callers may connect to {address}");
         Ok(listener)
     };
-    listen.iter().map(one).collect()
+    listen.iter().map(open).collect()
 }
--- a/crates/herondock/src/front/fastcgi/mod.rs
+++ b/crates/herondock/src/front/fastcgi/mod.rs
@@ -1,16 +1,16 @@
-//! The front for clients that speak FastCGI 1.0, such as a web server's gateway: reads whole requests, hands them to the pools
-//! and writes the one final answer.
+//! The front for clients that speak FastCGI 1.0, such as the gateway of a web server: reads complete requests, passes
+//! them to the pools and writes the final answer of each request.
 //!
-//! Bad params get an answer with a 4xx status; what makes a connection's bytes uncertain ends it. An ABORT, or the end of the
-//! connection, cancels what is in flight.
+//! Invalid params are answered with a 4xx status; bytes that make the framing of a connection uncertain end the
+//! connection. An ABORT cancels its request, and the end of a connection cancels all of its requests.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `mod.rs` | accepting |
-//! | `listeners.rs` | listeners, new or passed on |
-//! | `connection.rs` | one connection |
-//! | `open_requests.rs` | its requests without an answer |
-//! | `admission.rs`, `params.rs` | from params to an admitted request |
+//! | `mod.rs` | accepting connections |
+//! | `listeners.rs` | listeners, new or inherited from a predecessor |
+//! | `connection.rs` | serving one connection |
+//! | `open_requests.rs` | requests of a connection without an answer |
+//! | `admission.rs`, `params.rs` | admission of requests by their params |
 //! | `response.rs` | the head of an answer |
 mod admission;
 mod connection;
@@ -42,30 +42,30 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// Pause after an accept that failed, for want of descriptors for instance.
+/// Delay after an accept that failed, for instance because no descriptor was left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What a front is built from.
+/// Configuration of a front.
 pub struct FastCgiFrontConfig {
-    /// The pools.
+    /// Pools that requests are passed to.
     pub pools: Pools,
-    /// The platform's settings.
+    /// Settings of the platform.
     pub deployment: Deployment,
-    /// `[fastcgi]` of the operator's file.
+    /// Section `[fastcgi]` of the operator's file.
     pub settings: FastCgi,
-    /// Descriptors of the process.
+    /// Budget of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// Limits on sizes and waits.
     pub limits: LiveConfig<Limits>,
-    /// How far a graceful shutdown has come.
+    /// Progress of a graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownProgress>,
     /// Request budgets, where they are on.
     pub budgets: Option<Rc<BudgetPolicy>>,
-    /// Its listeners.
+    /// Listeners to accept on.
     pub listeners: Vec<FrontListener>,
 }
 
-/// The front.
+/// The FastCGI front.
 pub struct FastCgiFront {
     pools: Pools,
     deployment: Deployment,
@@ -74,12 +74,12 @@
     limits: LiveConfig<Limits>,
     shutdown: watch::Receiver<ShutdownProgress>,
     budgets: Option<Rc<BudgetPolicy>>,
-    /// Listeners to be passed on; those that are accepted on are clones of them.
+    /// Listeners that are passed on to a successor; connections are accepted on clones of them.
     listeners: RefCell<Vec<FrontListener>>,
 }
 
 impl FastCgiFront {
-    /// A front that does not accept yet.
+    /// Creates a front that does not accept yet.
     pub fn new(config: FastCgiFrontConfig) -> Rc<FastCgiFront> {
         Rc::new(FastCgiFront {
             pools: config.pools,
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Accepts until the shutdown drains, or another process accepts here.
+    /// Starts tasks that accept until a shutdown drains, or until another process accepts at these addresses.
     ///
     /// # Errors
     /// A listener can't be used.
@@ -111,7 +111,7 @@
         tokio::task::spawn_local(self.clone().accept(move |cx: &mut Context<'_>| {
             let accepted = ready!(listener.poll_accept(cx));
             Poll::Ready(accepted.map(|(stream, _)| {
-                // Where it fails the client is gone.
+                // If this fails, the client is gone.
                 let _ = stream.set_nodelay(true);
                 stream
             }))
@@ -124,7 +124,7 @@
         }));
     }
 
-    /// Clones of its listeners, for a successor.
+    /// Returns clones of the listeners, for a successor.
     ///
     /// # Errors
     /// There is no descriptor left.
@@ -134,7 +134,8 @@
         clones.collect()
     }
 
-    /// Gives up its listeners; those that are accepted on close once nobody waits to be accepted.
+    /// Drops the listeners. The clones that connections are accepted on close in a shutdown, once no client waits to
+    /// be accepted.
     pub fn close(&self) {
         self.listeners.borrow_mut().clear();
     }
@@ -147,16 +148,17 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                // Another process accepts here by now.
+                // Another process now accepts at this address.
                 _ = handed_over.wait_for(|progress| progress.handed_over) => return,
                 accepted = poll_fn(&mut poll) => accepted,
-                // Only once nobody waits to be accepted: what they have written counts as taken.
+                // Last, so that clients that wait to be accepted are accepted first: what they have written counts as
+                // accepted.
                 _ = draining.wait_for(|progress| progress.phase >= ShutdownPhase::Draining) => return,
             };
             match accepted {
                 Ok(stream) => self.spawn(stream),
-                Err(e) => {
-                    info!("fastcgi: accept: {e}");
+                Err(error) => {
+                    info!("fastcgi: accept: {error}");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -166,7 +168,7 @@
     fn spawn(self: &Rc<FastCgiFront>, stream: impl AsyncRead + AsyncWrite + Unpin + 'static) {
         let front = self.clone();
         tokio::task::spawn_local(async move {
-            // A connection that gets no descriptor within its time for a request has to close.
+            // A connection that gets no descriptor within the timeout for a request is closed.
             let wait = front.limits.get().request_wait;
             if let Ok(Some(_permit)) = timeout(wait, front.descriptors.acquire_caller()).await {
                 front.serve(stream).await;
--- a/crates/herondock/src/front/fastcgi/open_requests.rs
+++ b/crates/herondock/src/front/fastcgi/open_requests.rs
@@ -1,24 +1,24 @@
-//! The requests of one connection that have no answer yet.
+//! Requests of one connection that have no answer yet.
 use bytes::Bytes;
 use std::collections::HashMap;
 use tokio::task::AbortHandle;
 
-/// A request of a connection. Its id is used again for later requests, its number is not.
+/// Identifies a request of a connection. The id is reused for later requests, the number is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestKey {
     /// FastCGI request id.
     pub(super) id: u16,
-    /// Counts the requests of the connection.
+    /// Sequence number of the request on the connection, from 1.
     pub(super) number: u64,
 }
 
-/// An answer on its way to its connection.
+/// An answer that is sent to its connection.
 pub(super) struct ReadyAnswer {
-    /// The request that it answers.
+    /// Request that it answers.
     pub(super) request: RequestKey,
-    /// Head, as a responder writes it.
+    /// Head in the format of a responder (RFC 3875, section 6).
     pub(super) head: Bytes,
-    /// Body.
+    /// Complete body.
     pub(super) body: Bytes,
 }
 
@@ -27,7 +27,7 @@
     task: AbortHandle,
 }
 
-/// The open requests of a connection. Dropping it aborts their tasks: nobody waits for the answers any more.
+/// Open requests of a connection. Dropping it aborts their tasks, because no client waits for the answers any more.
 #[derive(Default)]
 pub(super) struct OpenRequests {
     open: HashMap<u16, OpenRequest>,
@@ -35,13 +35,13 @@
 }
 
 impl OpenRequests {
-    /// The key of the next request, which has this id.
+    /// Returns the key of the next request, which has this id.
     pub(super) fn next_key(&mut self, id: u16) -> RequestKey {
         self.started += 1;
         RequestKey { id, number: self.started }
     }
 
-    /// Adds a request with the task that waits for its answer.
+    /// Adds a request with the task that waits for the answer.
     pub(super) fn insert(&mut self, key: RequestKey, task: AbortHandle) {
         self.open.insert(key.id, OpenRequest { number: key.number, task });
     }
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Removes a request that has its answer; `false`: it is not open any more. Guards against the answer to a request that
-    /// was aborted, on its way meanwhile, reaching the next one with its id.
+    /// Removes a request that has its answer. Returns `false` if it is no longer open. Guards against delivering the
+    /// answer to a request that was aborted in the meantime to the next request with the same id.
     pub(super) fn remove_answered(&mut self, key: RequestKey) -> bool {
-        let known = self.open.get(&key.id).is_some_and(|open| open.number == key.number);
-        known && self.open.remove(&key.id).is_some()
+        let is_open = self.open.get(&key.id).is_some_and(|open| open.number == key.number);
+        is_open && self.open.remove(&key.id).is_some()
     }
 }
 
--- a/crates/herondock/src/front/fastcgi/open_requests/tests.rs
+++ b/crates/herondock/src/front/fastcgi/open_requests/tests.rs
@@ -1,13 +1,13 @@
 use super::OpenRequests;
 
-/// Guards against an answer that crosses an abort and reaches the next request with the same id.
+/// Guards against an answer to an aborted request being delivered to the next request with the same id.
 #[tokio::test]
 async fn an_answer_belongs_to_its_request_and_not_to_its_id() {
     let mut requests = OpenRequests::default();
     let handle = || tokio::spawn(async {}).abort_handle();
     let first = requests.next_key(1);
     requests.insert(first, handle());
-    // Aborted while its answer is on its way, and the id begins again.
+    // The first request is aborted before its answer arrives, and the id is reused.
     requests.abort(1);
     let second = requests.next_key(1);
     requests.insert(second, handle());
--- a/crates/herondock/src/front/fastcgi/params.rs
+++ b/crates/herondock/src/front/fastcgi/params.rs
@@ -1,4 +1,5 @@
-//! The params of a request (RFC 3875): which field of a request stands in which, and what of them goes to upstreams.
+//! The params of a request (RFC 3875): which param carries which field of a request, and which fields are forwarded
+//! to upstreams.
 use crate::exchange::Fields;
 use crate::front::classify::{RequestField, KEY};
 use crate::http::is_hop_by_hop;
@@ -6,14 +7,14 @@
 use config::fastcgi::Names;
 use fastcgi::pairs::Pair;
 
-/// The one value of a param; `None`: absent, no text, or there several times.
+/// Returns the value of a param; `None`: it is absent, not valid text, or present several times.
 pub(super) fn single_param<'a>(params: &'a [Pair], name: &str) -> Option<&'a str> {
     let mut all = params.iter().filter(|(n, _)| n == name.as_bytes());
     let value = std::str::from_utf8(&all.next()?.1).ok()?;
     all.next().is_none().then_some(value)
 }
 
-/// The name of the param that carries a field.
+/// Returns the name of the param that carries a field.
 pub(super) fn param_name<'a>(names: &'a Names, field: &RequestField) -> &'a str {
     match field.header {
         "req-id" => &names.id,
@@ -24,7 +25,7 @@
     }
 }
 
-/// Path and query, as the web server received them; `None`: they are not valid.
+/// Returns path and query, unchanged from the request that the web server received; `None`: they are not valid.
 pub(super) fn target<'a>(param: &impl Fn(&str) -> Option<&'a str>) -> Option<String> {
     let text = match param("REQUEST_URI") {
         Some(uri) => uri.to_string(),
@@ -40,12 +41,13 @@
     valid.then_some(text)
 }
 
-/// The end-to-end fields of a request: params that stand for headers, and its id and key under their own names.
+/// Returns the end-to-end fields of a request: params that represent headers, and the params for id, key, class and
+/// tenant under the names of their headers.
 pub(super) fn fields<'a>(params: impl Iterator<Item = &'a Pair>, names: &Names) -> Fields {
-    let text = |b: &Bytes| std::str::from_utf8(b).ok().map(String::from);
+    let text = |bytes: &Bytes| std::str::from_utf8(bytes).ok().map(String::from);
     let field = |(name, value): &Pair| {
         let name = text(name)?;
-        let own = match name.as_str() {
+        let header = match name.as_str() {
             n if n == names.deadline => return None,
             n if n == names.id => "req-id".to_string(),
             n if n == names.key => KEY.header.to_string(),
@@ -54,15 +56,15 @@
             "CONTENT_TYPE" => "content-type".into(),
             n => n.strip_prefix("HTTP_")?.replace('_', "-").to_ascii_lowercase(),
         };
-        // `Host` is the next hop's own, and empty params stand for what is not there.
-        let end_to_end = !is_hop_by_hop(own.as_bytes()) && !value.is_empty();
-        end_to_end.then(|| (own, value.clone()))
+        // Empty params represent absent headers.
+        let end_to_end = !is_hop_by_hop(header.as_bytes()) && !value.is_empty();
+        end_to_end.then(|| (header, value.clone()))
     };
-    let all: Vec<(String, Bytes)> = params.filter_map(field).collect();
-    Fields::new(all.iter().map(|(name, value)| (name.as_str(), &value[..])))
+    let fields: Vec<(String, Bytes)> = params.filter_map(field).collect();
+    Fields::new(fields.iter().map(|(name, value)| (name.as_str(), &value[..])))
 }
 
-/// The param that stands for a header (RFC 3875, section 4.1.18).
+/// Returns the name of the param that represents a header (RFC 3875, section 4.1.18).
 pub(super) fn header_param(header: &str) -> String {
     format!("HTTP_{}", header.replace('-', "_").to_ascii_uppercase())
 }
--- a/crates/herondock/src/front/http/admission.rs
+++ b/crates/herondock/src/front/http/admission.rs
@@ -1,4 +1,4 @@
-//! From a request's head to its admission: reads the whole request, classifies it, and hands it to the pools.
+//! Admission of requests: classifies a request by its head, reads its body and passes it to the pools.
 use super::response::{final_answer, reject_input, BodyNotRead, Response};
 use super::HttpFront;
 use crate::driver::AdmissionError;
@@ -27,19 +27,19 @@
 /// Header with the client's id of a request.
 const REQUEST_ID: &str = "req-id";
 
-/// An admitted request, and whether its client is told what was used of its budget.
+/// An admitted request, and whether the answer reports the usage of its budget.
 pub(super) struct Admitted {
-    /// Yields the final answer.
+    /// Admitted request, which returns the final answer.
     pub(super) request: AdmittedRequest,
-    /// Whether the request came with a budget.
+    /// Whether the request arrived with a budget.
     pub(super) reports_usage: bool,
 }
 
-/// Why a request goes no further: the response to its client.
+/// Response to a request that is not admitted.
 type Rejection = Box<Response>;
 
 impl HttpFront {
-    /// Reads a whole request and hands it to the pools. `body_due`: when its body has to be complete.
+    /// Reads a complete request and passes it to the pools. `body_due`: time by which its body has to be complete.
     pub(super) async fn admit(
         &self,
         request: hyper::Request<Incoming>,
@@ -50,7 +50,7 @@
         let (head, body) = request.into_parts();
         let limits = self.limits.get();
         let classification = self.classify(&head, limits.request_id)?;
-        // Before its body has come: what goes no further is answered at once.
+        // Precedes reading the body, so that a rejected request is answered immediately.
         let mut budget =
             self.carried_budget(&head.headers, classification.deadline_ms).map_err(|mut response| {
                 if !body.is_end_stream() {
@@ -59,13 +59,15 @@
                 response
             })?;
         let body = read_body(body, classification.method, body_due, &limits).await?;
-        // What it waited here behind others of its connection is part of the time that its client gave it.
-        let waited = activity.completed_at(number).map_or(Duration::ZERO, |at| at.elapsed());
-        // With a budget so is what its way here took, as far as it can be seen: no clock of another machine is needed.
+        // The time that the request waited behind others of its connection is part of the client's deadline.
+        let waited =
+            activity.completed_at(number).map_or(Duration::ZERO, |completed_at| completed_at.elapsed());
+        // With a budget, so is the time that it took to arrive, as far as it can be measured without the clock of
+        // another machine: from the first byte of its head.
         let waited = if budget.is_some() { waited.max(head_started.elapsed()) } else { waited };
-        let patience = (classification.deadline_ms - waited.as_secs_f64() * 1000.0).max(0.0);
+        let timeout_ms = (classification.deadline_ms - waited.as_secs_f64() * 1000.0).max(0.0);
         if let Some(carried) = &mut budget {
-            carried.budget.left = patience;
+            carried.budget.left = timeout_ms;
         }
         let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.told);
         let request = upstream_request(&head, classification.method, body, budget);
@@ -80,7 +82,7 @@
             request_id: &|| head.headers.get(REQUEST_ID).map_or(b"", |id| id.as_bytes()),
             headers: &|name| head.headers.get_all(name).iter().map(HeaderValue::as_bytes).collect(),
         };
-        match self.pools.admit(&attributes, class, tenant, patience, request) {
+        match self.pools.admit(&attributes, class, tenant, timeout_ms, request) {
             Ok(request) => Ok(Admitted { request, reports_usage }),
             Err(error) => Err(Box::new(self.routing_rejection(error, limits.full_pause))),
         }
@@ -101,18 +103,18 @@
         classify(&self.deployment, max_id_bytes, &request_head).map_err(bad_request)
     }
 
-    /// What a request may use; or the response to one that goes no further.
+    /// Returns the budget of a request, where budgets are on, or the response to a request that is rejected.
     fn carried_budget(
         &self,
         headers: &HeaderMap,
-        patience: f64,
+        timeout_ms: f64,
     ) -> Result<Option<Box<CarriedBudget>>, Rejection> {
         let Some(budgets) = &self.budgets else { return Ok(None) };
-        let all =
+        let values =
             |name: &str| -> Vec<&[u8]> { headers.get_all(name).iter().map(HeaderValue::as_bytes).collect() };
-        let (budget, path) = (all(&budgets.names.budget), all(&budgets.names.path));
+        let (budget, path) = (values(&budgets.names.budget), values(&budgets.names.path));
         let is_retry = headers.get(RETRY).is_some_and(|v| v == "1");
-        match budgets.carried_budget(FrontKind::Http, (&budget, &path), patience, is_retry) {
+        match budgets.carried_budget(FrontKind::Http, (&budget, &path), timeout_ms, is_retry) {
             Ok(carried) => Ok(Some(Box::new(carried))),
             Err(BudgetRejection::Bad(malformed)) => Err(bad_request(&malformed.to_string())),
             Err(BudgetRejection::Refused(rejection)) => {
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Reports what was used of a budget, and that nothing ran where that is certain: the tier above may then try elsewhere.
+    /// Adds fields that report the usage of a budget and, where it is certain, that nothing ran: the tier above may
+    /// then retry elsewhere.
     pub(super) fn add_budget_fields(&self, response: &mut Response, used: Option<Used>, nothing_ran: bool) {
         let Some(budgets) = &self.budgets else { return };
         if nothing_ran {
@@ -138,7 +141,8 @@
         }
     }
 
-    /// The response to a request that the pools did not admit. `full_pause`: advice to clients that found too many open.
+    /// Returns the response to a request that the pools did not admit. `full_pause`: advised delay before a retry if
+    /// too many requests are open.
     fn routing_rejection(&self, error: RoutingError, full_pause: Duration) -> Response {
         let reject = |pause: Duration, reason: &str| {
             let mut response = final_answer(Answer::Rejected { retry_after: pause.as_secs_f64() * 1000.0 });
@@ -165,7 +169,7 @@
     Box::new(reject_input(StatusCode::BAD_REQUEST, reason))
 }
 
-/// Reads the whole body within its bounds of size and time.
+/// Reads the complete body, which is limited in size and has to be complete at `due`.
 async fn read_body(
     body: Incoming,
     method: Method,
@@ -187,26 +191,26 @@
     }
 }
 
-/// The request as it goes to upstreams, without the fields of this hop.
+/// Creates the request that is forwarded to upstreams, without the fields of this hop.
 fn upstream_request(
     head: &Parts,
     method: Method,
     body: Bytes,
     budget: Option<Box<CarriedBudget>>,
 ) -> Request {
-    let own: Vec<HeaderName> = match &budget {
+    let hop_fields: Vec<HeaderName> = match &budget {
         None => Vec::new(),
         Some(carried) => {
             let names = &carried.names;
-            let all = [&names.budget, &names.path, &names.used];
-            all.into_iter().flat_map(HeaderName::try_from).collect()
+            let fields = [&names.budget, &names.path, &names.used];
+            fields.into_iter().flat_map(HeaderName::try_from).collect()
         }
     };
     Request {
         id: head.headers.get(REQUEST_ID).map(|id| Bytes::copy_from_slice(id.as_bytes())),
         method,
         target: target(head).into(),
-        fields: end_to_end_fields(&head.headers, |name| *name == DEADLINE || own.contains(name)),
+        fields: end_to_end_fields(&head.headers, |name| *name == DEADLINE || hop_fields.contains(name)),
         body,
         budget,
         max_attempts: None,
@@ -214,13 +218,13 @@
     }
 }
 
-/// Path and query.
+/// Path and query of a request.
 fn target(head: &Parts) -> &str {
     head.uri.path_and_query().map_or("/", |target| target.as_str())
 }
 
-/// The host of a request, empty if there is none; `None`: there are several. Upstreams get the header, so that a target with
-/// a host of its own must say the same.
+/// Returns the host of a request, empty if there is none; `None`: there are several. Upstreams get the header, so a
+/// target that contains a host has to agree with it.
 fn request_host(head: &Parts) -> Option<&str> {
     let mut hosts = head.headers.get_all(header::HOST).iter().map(|host| host.to_str().ok());
     match (hosts.next(), hosts.next(), head.uri.authority()) {
--- a/crates/herondock/src/front/http/idle.rs
+++ b/crates/herondock/src/front/http/idle.rs
@@ -1,4 +1,4 @@
-//! Connections between requests, and which of them makes way when a new client finds no descriptor left.
+//! Idle connections, and the choice of the connection that is evicted when no descriptor is left for a new client.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -6,22 +6,23 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection that has carried no request yet makes way after this long.
+/// Age after which a connection that has carried no request (a newcomer) may be evicted.
 const NEWCOMER_GRACE: Duration = Duration::from_millis(30);
-/// Or, while no used connection has been idle for [`IDLE_BEFORE_EVICTION`], after this long.
+/// Age after which a newcomer may be evicted while no used connection has been idle for [`IDLE_BEFORE_EVICTION`].
 const MIN_NEWCOMER_GRACE: Duration = Duration::from_millis(5);
-/// A used connection makes way before young newcomers once it has been idle this long.
+/// Idle time after which a used connection is evicted before newcomers that are younger than [`NEWCOMER_GRACE`].
 const IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
-/// Or at once, while newcomers hold less than one in so many of the clients' descriptors: closing so few would not make room
-/// for the clients that wait to be accepted, whose requests count as taken.
+/// While newcomers hold less than one in this many of the clients' descriptors, a used connection may be evicted
+/// regardless of its idle time: evicting so few newcomers would not make room for the clients that wait to be
+/// accepted, whose requests count as accepted.
 const FEW_NEWCOMERS_DIVISOR: usize = 4;
 
-/// Identifies a connection among the idle ones. Ordered: newcomers first, then by how long they have been idle.
+/// Key of an idle connection. Ordered: newcomers before used connections, then by idle time, longest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct IdleSlot {
     /// Whether the connection has carried a request.
     used: bool,
-    /// Counts the times at which a connection became idle.
+    /// Sequence number of the time at which the connection became idle.
     turn: u64,
 }
 
@@ -30,17 +31,18 @@
     evicted: Rc<Notify>,
 }
 
-/// The connections between requests.
+/// Connections that are between requests.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     connections: RefCell<BTreeMap<IdleSlot, IdleConnection>>,
-    /// How many of them have carried no request.
+    /// Number of idle connections that have carried no request.
     newcomers: Cell<usize>,
     turns: Cell<u64>,
 }
 
 impl IdleConnections {
-    /// Adds a connection that became idle; `used`: it has carried a request. `evicted` is notified when it has to close.
+    /// Adds a connection that became idle. `used`: whether it has carried a request. `evicted` is notified when the
+    /// connection has to close.
     pub(super) fn insert(&self, used: bool, evicted: &Rc<Notify>) -> IdleSlot {
         self.turns.set(self.turns.get() + 1);
         let slot = IdleSlot { used, turn: self.turns.get() };
@@ -63,11 +65,13 @@
         Some(connection)
     }
 
-    /// Evicts a connection, if one may be. `max_callers`: how many clients may be connected.
+    /// Evicts a connection, if one may be evicted; returns whether it did. `max_callers`: maximum number of connected
+    /// clients.
     ///
-    /// Newcomers go first, once what they may have sent had time to be read: silent clients by the hundred must not shut out
-    /// those that send requests. Used connections that have been idle for long, or that hold nearly all descriptors, go
-    /// before that time is over: each accept would wait as long, and what waits to be accepted grows stale.
+    /// Newcomers are evicted first, once there was time to read what they may have sent: hundreds of silent clients
+    /// must not shut out those that send requests. Used connections that have been idle for long, or that hold nearly
+    /// all descriptors, are evicted before that time has passed: otherwise each accept would wait that long, and
+    /// requests of clients that wait to be accepted would expire.
     pub(super) fn evict(&self, max_callers: usize) -> bool {
         let few_newcomers = self.newcomers.get() < max_callers / FEW_NEWCOMERS_DIVISOR;
         let slot = match (self.oldest(false), self.oldest(true)) {
@@ -83,7 +87,8 @@
         true
     }
 
-    /// The connection that has been idle longest, of the used ones or of the newcomers, and for how long.
+    /// Returns the connection that has been idle longest, among the used ones or among the newcomers, and its idle
+    /// time.
     fn oldest(&self, used: bool) -> Option<(IdleSlot, Duration)> {
         let connections = self.connections.borrow();
         let slots = IdleSlot { used, turn: 0 }..=IdleSlot { used, turn: u64::MAX };
--- a/crates/herondock/src/front/http/mod.rs
+++ b/crates/herondock/src/front/http/mod.rs
@@ -1,12 +1,12 @@
-//! The front for clients that speak HTTP/1.1: accepts their connections, reads whole requests, hands them to the pools and
-//! writes the one final answer.
+//! The front for clients that speak HTTP/1.1: accepts connections, reads complete requests, passes them to the pools
+//! and writes the final answer of each request.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `mod.rs` | accepting, and the life of a connection |
+//! | `mod.rs` | accepting and serving connections |
 //! | `admission.rs` | from a request's head to its admission |
-//! | `idle.rs` | connections between requests, and which of them makes way |
-//! | `response.rs` | responses |
+//! | `idle.rs` | idle connections and their eviction |
+//! | `response.rs` | construction of responses |
 mod admission;
 mod idle;
 mod response;
@@ -40,36 +40,36 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::info;
 
-/// How often the waits of a connection are checked.
+/// Maximum interval between checks of a connection's timeouts.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after an accept that failed, for want of descriptors for instance.
+/// Delay after an accept that failed, for instance because no descriptor was left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Pause until the next attempt to evict a connection, while all of them carry requests.
+/// Delay before the next attempt to evict a connection, while none may be evicted.
 const EVICTION_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Bytes that are read at once of input that is discarded.
+/// Size of the buffer for input that is discarded, in bytes.
 const DISCARD_CHUNK_BYTES: usize = 16 << 10;
 /// Path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
-/// Path of requests for upstreams, and of all below it.
+/// Path of requests for upstreams, which includes all paths below it.
 const SERVICE_PATH: &str = "/api";
 
-/// What a front is built from.
+/// Configuration of a front.
 pub struct HttpFrontConfig {
-    /// The pools.
+    /// Pools that requests are passed to.
     pub pools: Pools,
-    /// The platform's settings.
+    /// Settings of the platform.
     pub deployment: Deployment,
-    /// Descriptors of the process.
+    /// Budget of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// Limits on sizes and waits.
     pub limits: LiveConfig<Limits>,
-    /// How far a graceful shutdown has come.
+    /// Progress of a graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownProgress>,
     /// Request budgets, where they are on.
     pub budgets: Option<Rc<BudgetPolicy>>,
 }
 
-/// The front.
+/// The HTTP front.
 pub struct HttpFront {
     pools: Pools,
     deployment: Deployment,
@@ -80,20 +80,20 @@
     idle: IdleConnections,
 }
 
-/// One client's connection, as its task and its requests see it.
+/// Connection of one client, shared by its task and its requests.
 struct ClientConnection {
     activity: Rc<ConnectionActivity>,
     stream: SharedStream,
-    /// Notified when it has to make way for another.
+    /// Notified when the connection is evicted to make room for another.
     evicted: Rc<Notify>,
-    /// Its place among the idle connections while it is between requests.
+    /// Key of the connection among the idle ones while it is between requests.
     idle_slot: Cell<Option<IdleSlot>>,
-    /// Whether its last response rejected bad input.
+    /// Whether the last response on the connection rejected invalid input.
     rejected_input: Cell<bool>,
 }
 
 impl HttpFront {
-    /// A front that does not accept yet.
+    /// Creates a front that does not accept yet.
     pub fn new(config: HttpFrontConfig) -> Rc<HttpFront> {
         let HttpFrontConfig { pools, deployment, descriptors, limits, shutdown, budgets } = config;
         let idle = IdleConnections::default();
@@ -107,26 +107,29 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                // Another process accepts here by now.
+                // Another process now accepts at this address.
                 _ = handed_over.wait_for(|progress| progress.handed_over) => break,
                 accepted = listener.accept() => accepted,
-                // Only once nobody waits to be accepted: what they have written counts as taken.
+                // Last, so that clients that wait to be accepted are accepted first: what they have written counts as
+                // accepted.
                 _ = draining.wait_for(|progress| progress.phase >= ShutdownPhase::Draining) => break,
             };
             match accepted {
                 Ok((stream, _)) => {
                     failing = false;
                     let Some(permit) = self.acquire_permit().await else { break };
-                    // Without it answers wait for the client's acknowledgements; where it fails the client is gone.
+                    // Without this option answers would wait for the client's acknowledgements. If setting it fails,
+                    // the client is gone.
                     if stream.set_nodelay(true).is_ok() {
                         let connection = self.register(stream);
                         tokio::task::spawn_local(self.clone().serve(connection, permit));
                     }
                 }
-                // Out of descriptors, or a client that left at once: no reason to end, nor to spin.
-                Err(e) => {
+                // No descriptor is left, or the client has closed the connection before it was accepted: neither is a
+                // reason to stop accepting, nor to retry without delay.
+                Err(error) => {
                     if !std::mem::replace(&mut failing, true) {
-                        info!("accept: {e}");
+                        info!("accept: {error}");
                     }
                     self.evict_idle();
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -141,8 +144,8 @@
         self.idle.evict(self.descriptors.max_callers())
     }
 
-    /// A permit for one more client. What is written to a connection that waits to be accepted counts as taken, so an idle
-    /// one makes way for it.
+    /// Acquires a permit for one more client. What is written to a connection that waits to be accepted counts as
+    /// accepted, so an idle connection is evicted to make room for it.
     async fn acquire_permit(&self) -> Option<CallerPermit> {
         loop {
             if let Some(permit) = self.descriptors.try_caller() {
@@ -151,14 +154,14 @@
             if !self.evict_idle() && self.descriptors.exhausted() {
                 self.pools.close_oldest_idle();
             }
-            // A connection that closes returns its permit; while all are busy, look again a little later.
+            // A connection that closes returns its permit. While all are busy, eviction is retried after the delay.
             if let Ok(permit) = timeout(EVICTION_RETRY_DELAY, self.descriptors.acquire_caller()).await {
                 return permit;
             }
         }
     }
 
-    /// Adds a new connection to the idle ones at once, so that it makes way and not an older one in use.
+    /// Adds a new connection to the idle ones immediately, so that it can be evicted instead of an older one in use.
     fn register(&self, stream: TcpStream) -> Rc<ClientConnection> {
         let evicted = Rc::new(Notify::new());
         let idle_slot = Cell::new(Some(self.idle.insert(false, &evicted)));
@@ -205,44 +208,46 @@
         loop {
             let mut evicted = false;
             tokio::select! {
-                // A client's broken connection or garbage ends this connection only.
+                // A broken connection or malformed input ends only this connection.
                 _ = connection.as_mut() => return,
-                // hyper sees no end behind bytes that it has read and not taken, and asks for no more of them: what is in
-                // flight for a client that has left ends here, and what waits behind it is not begun.
+                // hyper does not notice the end of the stream while it holds unparsed bytes, because it reads no
+                // further then. Returning here cancels the requests in flight of a client that has left, and does not
+                // start those that wait behind them.
                 () = client.stream.hung_up() => return,
-                // No answer is owed, and a partial request may be in the way of a graceful end.
+                // No answer is owed, and a partial request could prevent a graceful end.
                 () = client.wait_timed_out(&self.limits) => return,
                 () = client.evicted.notified() => evicted = true,
                 _ = shutdown.wait_for(|p| p.phase == ShutdownPhase::ClosingIdle), if !closing_idle => {
                     closing_idle = true;
                 }
             }
-            // Guards against cutting off a client that has just connected: it has its time to send a request, after a
-            // handoff as before, and nobody else will take what it is about to write.
+            // Guards against disconnecting a client that has just connected: it has its full time to send a request,
+            // also after a handoff, and no other process will accept what it is about to write.
             let newcomer = client.activity.heads_delivered.get() == 0;
             if newcomer && !evicted {
                 continue;
             }
-            // A whole request that was written counts as taken, also if nobody has read it yet; a partial head on a
-            // connection that never carried a request does not.
+            // A complete request that was written counts as accepted, even if it has not been read yet; a partial
+            // head on a connection that never carried a request does not.
             let partial_head = client.activity.partial_head.get();
             if partial_head && newcomer {
                 return;
             }
             if client.idle_slot.get().is_some() && !partial_head && client.stream.is_idle() {
                 connection.as_mut().graceful_shutdown();
-                // Bounded: a client may never read its answer.
+                // Limited in time, because a client may never read its answer.
                 let _ = timeout(self.limits.get().flush_wait, connection.as_mut()).await;
                 return;
             }
         }
     }
 
+    /// Returns the response to a request.
     async fn respond(&self, request: hyper::Request<Incoming>, client: &ClientConnection) -> Response {
         let activity = &client.activity;
         activity.heads_delivered.set(activity.heads_delivered.get() + 1);
-        // Guards against requests hidden in the body of another: behind a head that states its length in two ways nothing is
-        // read, and behind chunks, whose end the observed stream does not follow, neither.
+        // Guards against request smuggling: the connection closes after a request whose head states its length more
+        // than once, and after a chunked body, whose end the observed stream does not track.
         let ambiguous = activity.ambiguous_head.get() == Some(activity.heads_delivered.get());
         let last = ambiguous || request.headers().contains_key(header::TRANSFER_ENCODING);
         let mut response = match request.uri().path() {
@@ -259,7 +264,7 @@
         let rejected =
             response.status().is_client_error() || response.extensions().get::<BodyNotRead>().is_some();
         client.rejected_input.set(rejected);
-        // During a shutdown the requests that were sent behind this one are still answered.
+        // During a shutdown, requests that were already sent after this one are still answered.
         let closing = self.shutdown.borrow().phase >= ShutdownPhase::ClosingConnections
             && !activity.has_undelivered()
             && client.stream.is_idle();
@@ -269,7 +274,7 @@
         response
     }
 
-    /// Has a request admitted, and waits for its final answer.
+    /// Admits a request to the pools and waits for its final answer.
     async fn forward(&self, request: hyper::Request<Incoming>, activity: &ConnectionActivity) -> Response {
         let body_due = activity.waiting_since.get() + self.limits.get().request_wait;
         let Admitted { request, reports_usage } = match self.admit(request, body_due, activity).await {
@@ -283,9 +288,9 @@
         response
     }
 
-    /// Whether clients that connect to this address now are served, by this process or by its successor. Guards against a
-    /// load balancer in front that meets the former process's last connections after a handoff and takes the address for
-    /// one that is shutting down.
+    /// Whether clients that connect to this address now are served, by this process or by its successor. Guards
+    /// against a load balancer in front of this one that checks readiness on a remaining connection to the former
+    /// process after a handoff, and concludes that the address is shutting down.
     fn is_serving(&self) -> bool {
         let progress = *self.shutdown.borrow();
         progress.phase == ShutdownPhase::Serving || progress.handed_over
@@ -293,7 +298,7 @@
 }
 
 impl ClientConnection {
-    /// Returns once the client has been waited for long enough.
+    /// Returns once the client has exceeded its idle or request timeout.
     async fn wait_timed_out(&self, limits: &LiveConfig<Limits>) {
         let activity = &self.activity;
         loop {
@@ -302,18 +307,19 @@
             let limits = limits.get();
             let idle = activity.heads_delivered.get() > 0 && !activity.partial_head.get();
             let wait = if idle { limits.idle_wait } else { limits.request_wait };
-            let due = activity.waiting_since.get() + wait;
-            if waiting && now >= due {
+            let deadline = activity.waiting_since.get() + wait;
+            if waiting && now >= deadline {
                 return;
             }
-            // A partial head may come at any time, so that the next check is never far.
+            // Part of a head, to which another timeout applies, may arrive at any time, so the interval to the next
+            // check is limited.
             let next_check = now + DEADLINE_CHECK_INTERVAL;
-            sleep_until(if waiting { due.min(next_check) } else { next_check }).await;
+            sleep_until(if waiting { deadline.min(next_check) } else { next_check }).await;
         }
     }
 }
 
-/// Reads and discards input, `max_bytes` at most.
+/// Reads and discards input until at least `max_bytes` bytes have been read or the input ends.
 async fn discard_input(stream: &mut SharedStream, mut max_bytes: usize) {
     let mut buffer = vec![0; DISCARD_CHUNK_BYTES];
     while max_bytes > 0 {
--- a/crates/herondock/src/front/mod.rs
+++ b/crates/herondock/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Fronts: what clients connect to, one for each protocol.
+//! Fronts: accept connections of clients, one front for each protocol.
 mod classify;
 pub mod fastcgi;
 pub mod http;
@@ -7,28 +7,28 @@
 /// Phases of graceful shutdown, as fronts see them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// No shutdown goes on.
+    /// No shutdown is in progress.
     Serving,
-    /// SIGTERM has come: connections are still accepted and served, the readiness check fails.
+    /// SIGTERM has been received: connections are still accepted and served, and the readiness check fails.
     Announced,
-    /// No connection is accepted any more, once nobody waits to be accepted; open ones are served.
+    /// Connections that wait to be accepted are accepted, then no more; open connections are served.
     Draining,
-    /// Connections end with their next answer.
+    /// Connections close after their next answer.
     ClosingConnections,
     /// Idle connections are closed as well.
     ClosingIdle,
 }
 
-/// How far a graceful shutdown has come.
+/// Progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownProgress {
-    /// Its phase.
+    /// Current phase.
     pub phase: ShutdownPhase,
     /// Whether a successor process accepts at the same address.
     pub handed_over: bool,
 }
 
 impl ShutdownProgress {
-    /// No shutdown goes on.
+    /// No shutdown is in progress.
     pub const UP: ShutdownProgress = ShutdownProgress { phase: ShutdownPhase::Serving, handed_over: false };
 }
--- a/crates/herondock/src/front/observed_stream.rs
+++ b/crates/herondock/src/front/observed_stream.rs
@@ -1,5 +1,5 @@
-//! Observes a client's bytes before hyper parses them: hyper drops `Content-Length` beside `Transfer-Encoding`, and does not
-//! report a partial head.
+//! Observes the bytes of a client before hyper parses them: hyper drops `Content-Length` if there is a
+//! `Transfer-Encoding`, and does not report a partial head.
 use crate::stream::SharedStream;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -10,29 +10,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// Capacity for a typical head, which each connection keeps.
+/// Capacity for a typical head, which each connection keeps allocated.
 const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// What has been observed on a connection.
+/// Activity of the client that has been observed on a connection.
 pub struct ConnectionActivity {
-    /// Complete heads read.
+    /// Number of complete heads that have been read.
     pub heads_read: Cell<u64>,
-    /// Of these, those that hyper has handed to the service.
+    /// Number of these that hyper has passed to the service.
     pub heads_delivered: Cell<u64>,
     /// Whether part of a head has been read.
     pub partial_head: Cell<bool>,
-    /// Since when the client is waited for: its connection, the first byte of a head, or the last response.
+    /// Time since which the front waits for the client: when it connected, when the first byte of a head was read, or
+    /// when the last response was given.
     pub waiting_since: Cell<Instant>,
-    /// When the first byte of the last head was read.
+    /// Time at which the first byte of the last head was read.
     pub head_started: Cell<Instant>,
-    /// When requests were read completely, by number from 1, until the time is taken. Bounded by what hyper reads ahead.
+    /// Times at which requests were read completely, by request number from 1, until they are taken. Bounded by the
+    /// amount that hyper reads ahead.
     complete_requests: RefCell<VecDeque<(u64, Instant)>>,
-    /// Number, from 1, of a head that states the length of its body in two ways.
+    /// Number, from 1, of a head that states the length of its body more than once.
     pub ambiguous_head: Cell<Option<u64>>,
 }
 
 impl ConnectionActivity {
-    /// Of a new connection.
+    /// Creates the activity of a new connection.
     pub fn new() -> Rc<ConnectionActivity> {
         Rc::new(ConnectionActivity {
             heads_read: Cell::new(0),
@@ -45,14 +47,15 @@
         })
     }
 
-    /// When the request with this number had been read completely: its client's time counts from then, not from when those before
-    /// it on the connection were answered. `None`: its end is not tracked. Numbers must not go back.
+    /// Takes the time at which the request with this number had been read completely. The client's deadline counts
+    /// from then, not from the time at which earlier requests on the connection were answered. `None`: the end of the
+    /// request is not tracked. Numbers must not decrease between calls.
     pub fn completed_at(&self, number: u64) -> Option<Instant> {
-        let mut whole = self.complete_requests.borrow_mut();
-        while whole.front().is_some_and(|&(n, _)| n < number) {
-            whole.pop_front();
+        let mut completed = self.complete_requests.borrow_mut();
+        while completed.front().is_some_and(|&(n, _)| n < number) {
+            completed.pop_front();
         }
-        whole.pop_front_if(|&mut (n, _)| n == number).map(|(_, at)| at)
+        completed.pop_front_if(|&mut (n, _)| n == number).map(|(_, time)| time)
     }
 
     /// Whether more has been read than the service has received.
@@ -61,12 +64,13 @@
     }
 }
 
+/// Position in the messages of a client.
 enum FramePosition {
     /// Within a head, or before one.
     Head,
-    /// Within a body with this much to come.
+    /// Within a body, with this number of bytes left.
     Body(u64),
-    /// Behind a head after which the connection closes, or that hyper rejects.
+    /// After a head that hyper rejects or that is the last one on the connection.
     Untracked,
 }
 
@@ -81,13 +85,13 @@
 }
 
 impl ObservedStream {
-    /// Observes a new stream, whose heads hold at most `head_most` bytes.
-    pub fn new(stream: SharedStream, watch: Rc<ConnectionActivity>, head_most: usize) -> ObservedStream {
+    /// Observes a new stream, whose heads have at most `max_bytes` bytes, and records its activity in `record`.
+    pub fn new(stream: SharedStream, record: Rc<ConnectionActivity>, max_bytes: usize) -> ObservedStream {
         ObservedStream {
             stream,
-            activity: watch,
+            activity: record,
             head: Vec::new(),
-            max_head_bytes: head_most,
+            max_head_bytes: max_bytes,
             position: FramePosition::Head,
         }
     }
@@ -97,10 +101,10 @@
             match self.position {
                 FramePosition::Untracked => return,
                 FramePosition::Body(left) => {
-                    let n = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-                    bytes = &bytes[n..];
-                    self.position = if left > n as u64 {
-                        FramePosition::Body(left - n as u64)
+                    let consumed = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
+                    bytes = &bytes[consumed..];
+                    self.position = if left > consumed as u64 {
+                        FramePosition::Body(left - consumed as u64)
                     } else {
                         self.complete_request()
                     };
@@ -111,7 +115,7 @@
         self.activity.partial_head.set(!self.head.is_empty());
     }
 
-    /// The last byte of a request has been read.
+    /// Records that the last byte of a request has been read.
     fn complete_request(&self) -> FramePosition {
         self.activity
             .complete_requests
@@ -145,13 +149,13 @@
                 self.activity.heads_read.set(self.activity.heads_read.get() + 1);
                 self.position = match framing(&self.head) {
                     Ok(FramePosition::Body(0)) => self.complete_request(),
-                    Ok(at) => at,
+                    Ok(position) => position,
                     Err(AmbiguousLength) => {
                         self.activity.ambiguous_head.set(Some(self.activity.heads_read.get()));
                         FramePosition::Untracked
                     }
                 };
-                // Kept for the next head, unless this one was large.
+                // The buffer is kept for the next head, unless this head was large.
                 self.head.clear();
                 self.head.shrink_to(TYPICAL_HEAD_BYTES);
                 return bytes;
@@ -165,9 +169,10 @@
     }
 }
 
+/// Error: a head states the length of its body more than once.
 struct AmbiguousLength;
 
-/// What the bytes behind a head belong to.
+/// Returns the position that follows a head.
 fn framing(head: &[u8]) -> Result<FramePosition, AmbiguousLength> {
     let (mut lengths, mut codings) = (0, 0);
     let mut length = Some(0);
--- a/crates/herondock/src/front/observed_stream/tests.rs
+++ b/crates/herondock/src/front/observed_stream/tests.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-fn kind(head: &str) -> String {
+fn position_after(head: &str) -> String {
     match framing(head.as_bytes()) {
         Ok(FramePosition::Body(n)) => n.to_string(),
-        Ok(_) => "lost".into(),
+        Ok(_) => "untracked".into(),
         Err(AmbiguousLength) => "ambiguous".into(),
     }
 }
 
 #[test]
-fn heads_tell_where_their_body_ends() {
-    for (headers, wanted) in [
+fn heads_determine_the_end_of_their_body() {
+    for (headers, expected) in [
         ("", "0"),
         ("Content-Length: 12\r\n", "12"),
         ("content-length:\t7 \n", "7"),
-        ("Content-Length: -1\r\n", "lost"),
-        ("Transfer-Encoding: chunked\r\n", "lost"),
+        ("Content-Length: -1\r\n", "untracked"),
+        ("Transfer-Encoding: chunked\r\n", "untracked"),
         ("Transfer-Encoding: chunked\r\nX: y\r\nCONTENT-LENGTH: 3\r\n", "ambiguous"),
         ("Content-Length: x\r\nTransfer-Encoding: odd\r\n", "ambiguous"),
         ("Content-Length: 3\r\nContent-Length: 3\r\n", "ambiguous"),
         ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "ambiguous"),
     ] {
-        assert_eq!(kind(&format!("POST /api HTTP/1.1\r\n{headers}\r\n")), wanted, "{headers:?}");
+        assert_eq!(position_after(&format!("POST /api HTTP/1.1\r\n{headers}\r\n")), expected, "{headers:?}");
     }
 }
