--- a/crates/herondock/src/driver/open_request.rs
+++ b/crates/herondock/src/driver/open_request.rs
@@ -64,9 +64,9 @@
     }
 
     /// Returns the time until which an attempt that is sent now may be written (`None`: unlimited), and records its
-    /// send time. An attempt beside or after one that may have run is a duplicate, which upstreams would execute
-    /// again once the window has passed. Dialing and queueing delay the first byte, so the transport checks the time
-    /// again before it writes.
+    /// send time. An attempt that is concurrent with or follows one that may have run is a duplicate, which upstreams
+    /// would execute again once the window has passed. Dialing and queueing delay the first byte, so the transport
+    /// checks the time again before it writes.
     pub(super) fn dedup_deadline(&mut self, now: Instant) -> Option<Instant> {
         let duplicate = self.attempts_in_flight > 0 || self.may_have_run;
         if !duplicate {
--- a/crates/herondock/src/front/observed_stream.rs
+++ b/crates/herondock/src/front/observed_stream.rs
@@ -124,7 +124,7 @@
         FramePosition::Head
     }
 
-    /// Observes bytes of a head and returns those behind it.
+    /// Observes bytes of a head and returns the bytes after it.
     fn observe_head<'a>(&mut self, mut bytes: &'a [u8]) -> &'a [u8] {
         if self.head.is_empty() {
             // Empty lines before a request are allowed.
