--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// An admitted request that waits for its final answer. Dropping it before that reports the client as gone.
+/// An admitted request that waits for its final answer. Dropping it without an answer reports the client as gone.
 pub struct PendingAnswer {
     handle: DriverHandle,
     id: RequestId,
@@ -222,7 +222,7 @@
     /// Admits a request whose client waits for `timeout` milliseconds: from now on one final answer is owed.
     ///
     /// # Errors
-    /// Too many requests are open, or one with its id is.
+    /// Too many requests are open, or one with the same id is.
     pub fn admit(
         &self,
         class: usize,
--- a/crates/herondock/src/front/fastcgi/mod.rs
+++ b/crates/herondock/src/front/fastcgi/mod.rs
@@ -152,7 +152,7 @@
                 _ = handed_over.wait_for(|progress| progress.handed_over) => return,
                 accepted = poll_fn(&mut poll) => accepted,
                 // Last, so that clients that wait to be accepted are accepted first: what they have written counts as
-                // accepted.
+                // received.
                 _ = draining.wait_for(|progress| progress.phase >= ShutdownPhase::Draining) => return,
             };
             match accepted {
--- a/crates/herondock/src/front/http/idle.rs
+++ b/crates/herondock/src/front/http/idle.rs
@@ -14,7 +14,7 @@
 const IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 /// While newcomers hold less than one in this many of the clients' descriptors, a used connection may be evicted
 /// regardless of its idle time: evicting so few newcomers would not make room for the clients that wait to be
-/// accepted, whose requests count as accepted.
+/// accepted, whose requests count as received.
 const FEW_NEWCOMERS_DIVISOR: usize = 4;
 
 /// Key of an idle connection. Ordered: newcomers before used connections, then by idle time, longest first.
--- a/crates/herondock/src/front/http/mod.rs
+++ b/crates/herondock/src/front/http/mod.rs
@@ -111,7 +111,7 @@
                 _ = handed_over.wait_for(|progress| progress.handed_over) => break,
                 accepted = listener.accept() => accepted,
                 // Last, so that clients that wait to be accepted are accepted first: what they have written counts as
-                // accepted.
+                // received.
                 _ = draining.wait_for(|progress| progress.phase >= ShutdownPhase::Draining) => break,
             };
             match accepted {
@@ -145,7 +145,7 @@
     }
 
     /// Acquires a permit for one more client. What is written to a connection that waits to be accepted counts as
-    /// accepted, so an idle connection is evicted to make room for it.
+    /// received, so an idle connection is evicted to make room for it.
     async fn acquire_permit(&self) -> Option<CallerPermit> {
         loop {
             if let Some(permit) = self.descriptors.try_caller() {
@@ -227,7 +227,7 @@
             if newcomer && !evicted {
                 continue;
             }
-            // A complete request that was written counts as accepted, even if it has not been read yet; a partial
+            // A complete request that was written counts as received, even if it has not been read yet; a partial
             // head on a connection that never carried a request does not.
             let partial_head = client.activity.partial_head.get();
             if partial_head && newcomer {
