--- a/crates/verification/fleet-simulation/src/agenda.rs
+++ b/crates/verification/fleet-simulation/src/agenda.rs
@@ -1,79 +1,79 @@
-//! The one clock, and what is to happen when: in order of time, and of being written down where times are the same.
+//! Virtual clock and event queue. Events are ordered by time, and by insertion order where times are equal.
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Nanoseconds since the run began.
+/// Nanoseconds since the start of the run.
 pub type Nanos = u64;
 
-/// Nanoseconds of so many milliseconds.
+/// Converts milliseconds to nanoseconds.
 pub fn ms(ms: f64) -> Nanos {
-    // A cast of what is out of range gives the nearest that is within it.
+    // The cast saturates: an out-of-range value becomes the nearest value in range.
     (ms * 1e6) as Nanos
 }
 
-struct Slot<E> {
+struct ScheduledEvent<E> {
     at: Nanos,
-    turn: u64,
-    what: E,
+    sequence: u64,
+    event: E,
 }
 
-impl<E> PartialEq for Slot<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.turn) == (other.at, other.turn)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl<E> Eq for Slot<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> PartialOrd for Slot<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Slot<E> {
-    /// The earliest is the greatest, for the heap gives that first.
+impl<E> Ord for ScheduledEvent<E> {
+    /// Reverses the order, because the heap returns its greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.turn).cmp(&(self.at, self.turn))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// See the module's page.
+/// Event queue with a virtual clock.
 pub struct Agenda<E> {
     now: Nanos,
-    turn: u64,
-    slots: BinaryHeap<Slot<E>>,
+    sequence: u64,
+    events: BinaryHeap<ScheduledEvent<E>>,
 }
 
 impl<E> Default for Agenda<E> {
-    /// Nothing is to happen yet.
+    /// Returns an empty queue at time 0.
     fn default() -> Agenda<E> {
-        Agenda { now: 0, turn: 0, slots: BinaryHeap::new() }
+        Agenda { now: 0, sequence: 0, events: BinaryHeap::new() }
     }
 }
 
 impl<E> Agenda<E> {
-    /// The time.
+    /// Returns the current time.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// This happens then, or now if that has passed.
-    pub fn at(&mut self, at: Nanos, what: E) {
-        self.turn += 1;
-        self.slots.push(Slot { at: at.max(self.now), turn: self.turn, what });
+    /// Schedules an event at a time, or now if that time has passed.
+    pub fn at(&mut self, at: Nanos, event: E) {
+        self.sequence += 1;
+        self.events.push(ScheduledEvent { at: at.max(self.now), sequence: self.sequence, event });
     }
 
-    /// This happens after so long.
-    pub fn after(&mut self, span: Nanos, what: E) {
-        self.at(self.now.saturating_add(span), what);
+    /// Schedules an event after a duration.
+    pub fn after(&mut self, delay: Nanos, event: E) {
+        self.at(self.now.saturating_add(delay), event);
     }
 
-    /// What happens next; the clock goes there.
+    /// Removes the next event and advances the clock to it.
     pub fn turn(&mut self) -> Option<E> {
-        let Slot { at, what, .. } = self.slots.pop()?;
+        let ScheduledEvent { at, event, .. } = self.events.pop()?;
         self.now = at;
-        Some(what)
+        Some(event)
     }
 }
 
--- a/crates/verification/fleet-simulation/src/lib.rs
+++ b/crates/verification/fleet-simulation/src/lib.rs
@@ -1,19 +1,20 @@
-//! The whole fleet on one thread, one virtual clock and one seed: the real decision module, lifecycle and view of members of
-//! every balancer of two tiers, between modelled clients, upstreams, network and registry; and the four rules on every event.
+//! Simulates the whole fleet on one thread and one virtual clock from one seed. Every balancer of both tiers runs the
+//! production decision module, lifecycle and endpoint view. Clients, upstreams, network and registry are models. Four
+//! invariants are checked on every event.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | [`scenario`] | what a seed decides: fleet, load, troubles, and the sources of its figures |
-//! | [`world`] | the run: callers, network, registry, and what happens when |
-//! | [`instance`] | one balancer around the real module |
-//! | [`server`] | the model of an upstream, and its sources |
-//! | [`invariant_checks`] | the four rules, and what was told to whom |
-//! | [`score`] | service as the users count it |
-//! | [`mutant`] | faulty variants that show that the invariants catch |
-//! | [`search`] | looks for seeds that break rules or lose most, and shrinks them |
+//! | [`scenario`] | the parameters that a seed determines (fleet, load, faults), with the sources of the figures |
+//! | [`world`] | the run: clients, network, registry and the event handlers |
+//! | [`instance`] | one balancer instance around the production module |
+//! | [`server`] | the model of an upstream, with its sources |
+//! | [`invariant_checks`] | the four invariants, and the notifications that each instance received |
+//! | [`score`] | the service score as the users define it |
+//! | [`mutant`] | faulty variants that show that the invariants detect violations |
+//! | [`search`] | searches for seeds that violate invariants or have the lowest score, and shrinks them |
 //!
-//! One seed names a run whole: played again it happens again, to the same digest, on any machine and in any build. Times are
-//! integers, tables are not gone through in their own order where that could show, and logarithms are `libm`'s.
+//! A seed determines a run completely: repeating it gives the same digest on any machine and in any build. Times are
+//! integers, hash tables are not iterated in their own order where that could matter, and logarithms come from `libm`.
 pub mod agenda;
 pub mod draw;
 pub mod instance;
--- a/crates/verification/fleet-simulation/src/mutant.rs
+++ b/crates/verification/fleet-simulation/src/mutant.rs
@@ -1,19 +1,20 @@
-//! Faulty variants of an instance, each of which breaks one rule: what shows that an invariant can catch anything.
+//! Faulty variants of an instance, each of which violates one invariant. They prove that the invariants detect
+//! violations.
 
-/// What is wrong with every instance of a run.
+/// Defect of every instance in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Mutant {
-    /// Nothing.
+    /// No defect.
     #[default]
     None,
-    /// One request in fifty that is to be refused or failed gets no answer.
+    /// One in fifty requests that should be refused or failed gets no answer.
     AnswersForgotten,
-    /// What may have run counts as never run, and is sent again.
+    /// Attempts that may have been executed are treated as never executed, and are sent again.
     EffectsForgotten,
-    /// Upstreams that drain go on being used.
+    /// Draining upstreams still receive requests.
     DrainsIgnored,
-    /// Whatever has just started gets every attempt: it holds the fewest calls.
+    /// The most recently started upstream receives every attempt, as if chosen for having the fewest calls.
     ColdPreferred,
-    /// Requests that are over stay in its tables.
+    /// Finished requests stay in the tables.
     NothingForgotten,
 }
