--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -1,5 +1,6 @@
-//! One balancer: the real decision module, lifecycle and view of members, with what a driver keeps around them: ids, open
-//! requests, attempts, gates and kept connections. It does nothing itself: what it wants comes out as [`Does`].
+//! One balancer instance: the production decision module, lifecycle and endpoint view, with the state that a driver
+//! keeps around them: ids, open requests, attempts, closed upstreams and idle connections. It performs no I/O; the
+//! actions that it wants performed are returned as [`Output`] values.
 use crate::agenda::{ms, Nanos};
 use crate::mutant::Mutant;
 use balancer::{
@@ -9,147 +10,150 @@
 use discovery::endpoint::{EndpointReport, EndpointState, SourceUpdate};
 use discovery::endpoint_set::{Endpoint, EndpointChange, EndpointSet, Source};
 use fnv::FnvHashMap;
-use lifecycle::{Event as Life, Lifecycle, ShutdownTimeouts};
+use lifecycle::{Event as LifecycleEvent, Lifecycle, ShutdownTimeouts};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Unix time at the beginning of every run, in milliseconds.
-pub const BEGAN: f64 = 1_800_000_000_000.0;
-/// Time for the last answer to reach the caller; as the driver's.
-const MARGIN: Millis = 5.0;
-/// For how long after the news an attempt that was decided before may still be written.
-const GRACE: Nanos = 1_000_000_000;
+/// Unix time at the start of every run, in milliseconds.
+pub const START_UNIX_MS: f64 = 1_800_000_000_000.0;
+/// Time reserved for the last answer to reach the caller, in milliseconds; the driver reserves as much.
+const ANSWER_MARGIN_MS: Millis = 5.0;
+/// Time after the notification that an upstream is closed during which attempts decided earlier may still be written,
+/// in nanoseconds.
+const WRITE_GRACE: Nanos = 1_000_000_000;
 
-/// One process of an instance.
+/// A process of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Process {
-    /// The instance.
+    /// Index of the instance.
     pub instance: usize,
-    /// Which of its processes.
+    /// Counter that distinguishes the processes of an instance.
     pub epoch: u32,
 }
 
-/// What an instance wants done.
+/// An action that an instance wants performed.
 #[derive(Debug)]
-pub enum Does {
-    /// Answer a request, with a pause that is advised in milliseconds.
+pub enum Output {
+    /// Answer a request with a status and an advised retry delay in milliseconds.
     Answer(u64, u16, f64),
-    /// Send an attempt to this upstream.
+    /// Send an attempt (request id and attempt number) to an upstream.
     Send(u32, u32, usize),
-    /// Wake its module after this long.
-    Timer(Nanos, u32),
-    /// Ask the registry for the list.
-    Ask,
-    /// So many connections to this upstream are closed.
-    Closed(usize, u32),
+    /// Fire the decision module's timer with this token after this time.
+    SetTimer(Nanos, u32),
+    /// Request the full endpoint list from the registry.
+    RequestEndpoints,
+    /// This number of connections to an upstream was closed.
+    ConnectionsClosed(usize, u32),
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub struct InFlightAttempt {
-    /// Its number.
+    /// Number of the attempt within its request.
     pub number: u32,
-    /// Where.
+    /// Index of the upstream.
     pub server: usize,
-    /// When it was sent, and when it is given up.
-    pub sent: Nanos,
-    /// See `sent`.
-    pub until: Nanos,
+    /// Time at which it was sent.
+    pub sent_at: Nanos,
+    /// Time at which it times out.
+    pub deadline: Nanos,
     /// Whether it has a connection.
     pub connected: bool,
 }
 
-/// A request without an end.
-pub struct Open {
-    /// Which, over the whole fleet.
+/// A request that is not finished yet.
+pub struct OpenRequest {
+    /// Id of the request, unique in the whole fleet.
     pub request: u64,
     answered: bool,
-    /// Whether a repeat does harm.
-    once: bool,
+    /// Whether executing the request twice does harm.
+    single_shot: bool,
     deadline: Millis,
-    sends: u32,
-    /// Attempts that are out; as many as the module allows a request.
-    pub out: Vec<InFlightAttempt>,
+    attempts_sent: u32,
+    /// Attempts in flight; the decision module limits their number.
+    pub in_flight: Vec<InFlightAttempt>,
 }
 
-/// A connection that rests: since when, and to which process of the upstream.
-type Rested = (Nanos, u32);
+/// An idle connection: the time since which it is idle, and the epoch of the upstream process that it leads to.
+type IdleConnection = (Nanos, u32);
 
-/// See the module's page.
+/// One balancer instance, over the lifetime of all its processes.
 pub struct Instance {
-    /// The tier that it sends to.
+    /// Tier that it sends requests to.
     pub tier: usize,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub up: bool,
-    /// Counts its processes.
+    /// Number of process starts. Distinguishes the processes of an instance.
     pub epoch: u32,
     /// Whether it accepts new connections.
     pub accepting: bool,
-    /// Its life.
-    pub life: Lifecycle,
-    /// When its process began.
-    pub born: Nanos,
-    /// How far its wall clock is off, in milliseconds.
-    pub skew: f64,
-    /// Whether it knows members.
-    pub known: bool,
+    /// Lifecycle of the current process.
+    pub lifecycle: Lifecycle,
+    /// Time at which the current process started.
+    pub started_at: Nanos,
+    /// Offset of its wall clock, in milliseconds.
+    pub clock_skew_ms: f64,
+    /// Whether it has learned of at least one ready endpoint.
+    pub has_endpoints: bool,
     settings: Settings,
-    figures: ShutdownTimeouts,
+    shutdown_timeouts: ShutdownTimeouts,
     seed: u64,
     balancer: Balancer,
-    view: EndpointSet,
+    endpoints: EndpointSet,
     source: Source,
-    open: BTreeMap<u32, Open>,
-    next: u32,
-    last: Millis,
-    gates: FnvHashMap<usize, Nanos>,
-    idle: FnvHashMap<usize, Vec<Rested>>,
+    open_requests: BTreeMap<u32, OpenRequest>,
+    next_id: u32,
+    /// Wall-clock time by which every request must be answered; infinite until the lifecycle sets it.
+    last_answer_at: Millis,
+    /// Time from which no attempt may be written to an upstream that is closed.
+    write_cutoffs: FnvHashMap<usize, Nanos>,
+    idle_connections: FnvHashMap<usize, Vec<IdleConnection>>,
     events: VecDeque<Event>,
-    /// Upstreams that it was told of, by the ids that its module knows.
-    names: FnvHashMap<UpstreamId, usize>,
-    /// The one that started last, for a variant that prefers it.
-    newest: Option<usize>,
+    /// Upstreams that it has been notified of, by the ids that the decision module uses.
+    servers_by_id: FnvHashMap<UpstreamId, usize>,
+    /// The upstream that became ready last, for the mutant that prefers it.
+    newest_server: Option<usize>,
     mutant: Mutant,
 }
 
-/// The name of an upstream, the same at every instance.
-pub fn name(server: usize) -> Arc<str> {
+/// Returns the name of an upstream, which is the same at every instance.
+pub fn upstream_name(server: usize) -> Arc<str> {
     format!("s-{server}").into()
 }
 
-/// Its id as the program gives it.
-pub fn id(server: usize) -> UpstreamId {
-    UpstreamId(hashing::stable(name(server).as_bytes()))
+/// Returns the id of an upstream, computed as in production.
+pub fn upstream_id(server: usize) -> UpstreamId {
+    UpstreamId(hashing::stable(upstream_name(server).as_bytes()))
 }
 
-/// What the registry says of an upstream.
+/// The registry's entry for an upstream.
 #[derive(Clone, Debug)]
-pub struct Line {
-    /// Which.
+pub struct RegistryEntry {
+    /// Index of the upstream.
     pub server: usize,
-    /// Its group.
+    /// Deduplication group of the upstream.
     pub group: u16,
-    /// How it stands; `None`: gone.
-    pub standing: Option<EndpointState>,
-    /// When its process started by its own wall clock, in Unix milliseconds; 0: long ago.
-    pub started: f64,
+    /// State of the upstream; `None` if it is gone.
+    pub state: Option<EndpointState>,
+    /// Start time of its process by its own wall clock, in Unix milliseconds; 0 means long ago.
+    pub started_ms: f64,
 }
 
-impl Line {
-    /// The report that instances get.
+impl RegistryEntry {
+    /// Converts the entry to the report that instances receive.
     pub fn into_report(self) -> EndpointReport {
-        let n = self.server as u32;
+        let index = self.server as u32;
         EndpointReport {
-            name: name(self.server),
-            addr: SocketAddr::from(([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 80)),
+            name: upstream_name(self.server),
+            addr: SocketAddr::from(([10, (index >> 16) as u8, (index >> 8) as u8, index as u8], 80)),
             zone: "caba-1".into(),
             kind: "portal".into(),
             cell: self.group,
             protocol: Default::default(),
-            state: self.standing.unwrap_or_default(),
+            state: self.state.unwrap_or_default(),
             reason: "".into(),
-            started_ms: Some(self.started),
+            started_ms: Some(self.started_ms),
             registration_index: 0,
             meta: Default::default(),
         }
@@ -157,356 +161,395 @@
 }
 
 impl Instance {
-    /// One whose first process begins now. `None`: its settings are unsound.
-    pub fn new(settings: Settings, seed: u64, skew: f64, mutant: Mutant) -> Option<Instance> {
+    /// Returns an instance whose first process starts now, or `None` if the settings are invalid.
+    pub fn new(settings: Settings, seed: u64, clock_skew_ms: f64, mutant: Mutant) -> Option<Instance> {
         let source = Source { rank: 0, label: "platform".into() };
-        let balancer = Balancer::new(settings.clone(), seed, BEGAN + skew).ok()?;
-        let figures = ShutdownTimeouts::default();
-        let mut view = EndpointSet::new(false);
-        view.add_source(&source);
+        let balancer = Balancer::new(settings.clone(), seed, START_UNIX_MS + clock_skew_ms).ok()?;
+        let shutdown_timeouts = ShutdownTimeouts::default();
+        let mut endpoints = EndpointSet::new(false);
+        endpoints.add_source(&source);
         Some(Instance {
             tier: settings.stage as usize,
             up: true,
             epoch: 0,
             accepting: false,
-            life: Lifecycle::new(figures.clone()),
-            born: 0,
-            skew,
-            known: false,
+            lifecycle: Lifecycle::new(shutdown_timeouts.clone()),
+            started_at: 0,
+            clock_skew_ms,
+            has_endpoints: false,
             settings,
-            figures,
+            shutdown_timeouts,
             seed,
             balancer,
-            view,
+            endpoints,
             source,
-            open: BTreeMap::new(),
-            next: 0,
-            last: f64::INFINITY,
-            gates: FnvHashMap::default(),
-            idle: FnvHashMap::default(),
+            open_requests: BTreeMap::new(),
+            next_id: 0,
+            last_answer_at: f64::INFINITY,
+            write_cutoffs: FnvHashMap::default(),
+            idle_connections: FnvHashMap::default(),
             events: VecDeque::new(),
-            names: FnvHashMap::default(),
-            newest: None,
+            servers_by_id: FnvHashMap::default(),
+            newest_server: None,
             mutant,
         })
     }
 
-    /// Another process begins, with nothing known.
-    pub fn starts(&mut self, now: Nanos) {
+    /// Starts a new process, which knows no endpoints.
+    pub fn start_process(&mut self, now: Nanos) {
         let (settings, seed) = (self.settings.clone(), self.seed ^ u64::from(self.epoch + 1) << 40);
-        // The same settings were sound before.
-        if let Ok(balancer) = Balancer::new(settings, seed, self.clock(now)) {
+        // The same settings were accepted by `Instance::new`.
+        if let Ok(balancer) = Balancer::new(settings, seed, self.wall_clock(now)) {
             self.balancer = balancer;
         }
-        self.view = EndpointSet::new(false);
-        self.view.add_source(&self.source);
-        self.life = Lifecycle::new(self.figures.clone());
-        (self.up, self.born, self.known, self.last) = (true, now, false, f64::INFINITY);
+        self.endpoints = EndpointSet::new(false);
+        self.endpoints.add_source(&self.source);
+        self.lifecycle = Lifecycle::new(self.shutdown_timeouts.clone());
+        (self.up, self.started_at, self.has_endpoints, self.last_answer_at) =
+            (true, now, false, f64::INFINITY);
         self.epoch += 1;
     }
 
-    /// Its process ends: connections are cut. Those that rested to each upstream, and the requests that it held.
-    pub fn ends(&mut self) -> (Vec<(usize, u32)>, Vec<u64>) {
+    /// Ends the process and closes its connections. Returns the number of connections closed to each upstream, and the
+    /// requests that were not answered yet.
+    pub fn end_process(&mut self) -> (Vec<(usize, u32)>, Vec<u64>) {
         (self.up, self.accepting) = (false, false);
         let mut closed: BTreeMap<usize, u32> = BTreeMap::new();
-        for (server, rested) in self.idle.drain() {
-            *closed.entry(server).or_default() += rested.len() as u32;
+        for (server, connections) in self.idle_connections.drain() {
+            *closed.entry(server).or_default() += connections.len() as u32;
         }
-        let open = std::mem::take(&mut self.open);
-        for out in open.values().flat_map(|o| &o.out).filter(|out| out.connected) {
-            *closed.entry(out.server).or_default() += 1;
+        let open = std::mem::take(&mut self.open_requests);
+        for attempt in open.values().flat_map(|o| &o.in_flight).filter(|attempt| attempt.connected) {
+            *closed.entry(attempt.server).or_default() += 1;
         }
-        self.gates.clear();
+        self.write_cutoffs.clear();
         self.events.clear();
-        let held = open.values().filter(|o| !o.answered).map(|o| o.request);
-        (closed.into_iter().collect(), held.collect())
+        let held_requests = open.values().filter(|o| !o.answered).map(|o| o.request);
+        (closed.into_iter().collect(), held_requests.collect())
     }
 
-    /// Its wall clock.
-    fn clock(&self, now: Nanos) -> Millis {
-        BEGAN + self.skew + now as f64 / 1e6
+    /// Returns the time on its wall clock.
+    fn wall_clock(&self, now: Nanos) -> Millis {
+        START_UNIX_MS + self.clock_skew_ms + now as f64 / 1e6
     }
 
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
-        self.open.values().filter(|o| !o.answered).count()
+        self.open_requests.values().filter(|o| !o.answered).count()
     }
 
-    /// What it holds of requests, in all its tables.
+    /// Returns the number of entries that its tables hold for requests.
     pub fn retained_entries(&self) -> usize {
-        self.open.len() + self.balancer.open() + self.events.len()
+        self.open_requests.len() + self.balancer.open() + self.events.len()
     }
 
-    /// Requests that are taken from now on have their answer by then, by its life.
-    pub fn answers_by(&mut self, at: Duration) {
-        self.last = self.clock(self.born) + at.as_secs_f64() * 1000.0;
+    /// Sets the time by which requests accepted from now on must be answered, as the lifecycle demands.
+    pub fn set_answer_deadline(&mut self, deadline: Duration) {
+        self.last_answer_at = self.wall_clock(self.started_at) + deadline.as_secs_f64() * 1000.0;
     }
 
-    /// Time of its life.
-    pub fn age(&self, now: Nanos) -> Duration {
-        Duration::from_nanos(now - self.born)
+    /// Returns the age of the current process.
+    pub fn process_age(&self, now: Nanos) -> Duration {
+        Duration::from_nanos(now - self.started_at)
     }
 
-    /// What its life says to an event.
-    pub fn lives(&mut self, now: Nanos, event: Life) -> Vec<lifecycle::Action> {
-        let (age, mut actions) = (self.age(now), Vec::new());
-        self.life.handle(age, event, &mut actions);
+    /// Passes an event to the lifecycle and returns the resulting actions.
+    pub fn handle_lifecycle(&mut self, now: Nanos, event: LifecycleEvent) -> Vec<lifecycle::Action> {
+        let (age, mut actions) = (self.process_age(now), Vec::new());
+        self.lifecycle.handle(age, event, &mut actions);
         actions
     }
 
-    /// Takes a request.
-    pub fn takes(
+    /// Accepts a request.
+    pub fn accept_request(
         &mut self,
         now: Nanos,
         request: u64,
-        (class, club): (usize, usize),
-        (patience, worth): (Millis, f64),
-        does: &mut Vec<Does>,
+        (class, tenant): (usize, usize),
+        (timeout, worth): (Millis, f64),
+        outputs: &mut Vec<Output>,
     ) {
-        while self.open.contains_key(&self.next) {
-            self.next = self.next.wrapping_add(1);
+        while self.open_requests.contains_key(&self.next_id) {
+            self.next_id = self.next_id.wrapping_add(1);
         }
-        let id = self.next;
-        self.next = self.next.wrapping_add(1);
-        let deadline = (self.clock(now) + (patience - MARGIN).max(0.0)).min(self.last);
-        let once = self.settings.classes[class].effect == balancer::Effect::SingleShot;
-        self.open.insert(id, Open { request, answered: false, once, deadline, sends: 0, out: Vec::new() });
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        let deadline =
+            (self.wall_clock(now) + (timeout - ANSWER_MARGIN_MS).max(0.0)).min(self.last_answer_at);
+        let single_shot = self.settings.classes[class].effect == balancer::Effect::SingleShot;
+        self.open_requests.insert(
+            id,
+            OpenRequest {
+                request,
+                answered: false,
+                single_shot,
+                deadline,
+                attempts_sent: 0,
+                in_flight: Vec::new(),
+            },
+        );
         let request =
-            balancer::Request { worth, ..balancer::Request::plain(RequestId(id), class, club, deadline) };
-        self.feed(now, Event::Request(request), does);
+            balancer::Request { worth, ..balancer::Request::plain(RequestId(id), class, tenant, deadline) };
+        self.handle_event(now, Event::Request(request), outputs);
     }
 
-    /// Its caller waits no more.
-    pub fn left(&mut self, now: Nanos, request: u64, does: &mut Vec<Does>) {
-        let found = self.open.iter_mut().find(|(_, o)| o.request == request && !o.answered);
+    /// Handles a caller that stopped waiting for its request.
+    pub fn caller_left(&mut self, now: Nanos, request: u64, outputs: &mut Vec<Output>) {
+        let found = self.open_requests.iter_mut().find(|(_, o)| o.request == request && !o.answered);
         let Some((&id, open)) = found else { return };
         open.answered = true;
-        self.forget(id);
-        self.feed(now, Event::ClientGone(RequestId(id)), does);
+        self.remove_if_finished(id);
+        self.handle_event(now, Event::ClientGone(RequestId(id)), outputs);
     }
 
-    /// Ends every request that is open.
-    pub fn fails_all(&mut self, now: Nanos, does: &mut Vec<Does>) {
-        let open: Vec<u32> = self.open.iter().filter(|(_, o)| !o.answered).map(|(&id, _)| id).collect();
+    /// Fails every open request with status 502.
+    pub fn fail_open_requests(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
+        let open: Vec<u32> =
+            self.open_requests.iter().filter(|(_, o)| !o.answered).map(|(&id, _)| id).collect();
         for id in open {
-            self.answers(id, 502, 0.0, does);
-            self.feed(now, Event::ClientGone(RequestId(id)), does);
+            self.answer(id, 502, 0.0, outputs);
+            self.handle_event(now, Event::ClientGone(RequestId(id)), outputs);
         }
     }
 
-    /// Its module's timer.
-    pub fn wakes(&mut self, now: Nanos, token: u32, does: &mut Vec<Does>) {
-        self.feed(now, Event::Timer(token), does);
+    /// Passes a timer expiry to the decision module.
+    pub fn timer_fired(&mut self, now: Nanos, token: u32, outputs: &mut Vec<Output>) {
+        self.handle_event(now, Event::Timer(token), outputs);
     }
 
-    /// The registry tells it; what it was told of each upstream, as the rules count it.
+    /// Applies a registry update. Returns the new state of each changed upstream, as the invariants define it.
     pub fn update_endpoints(
         &mut self,
         now: Nanos,
-        news: SourceUpdate,
-        does: &mut Vec<Does>,
+        update: SourceUpdate,
+        outputs: &mut Vec<Output>,
     ) -> Vec<(usize, invariants::State)> {
-        let failed = matches!(news, SourceUpdate::Unavailable(_));
-        let changes = self.view.apply_update(self.clock(now), &self.source, news);
+        let failed = matches!(update, SourceUpdate::Unavailable(_));
+        let changes = self.endpoints.apply_update(self.wall_clock(now), &self.source, update);
         if failed {
-            self.feed(now, Event::Membership(Membership::Failed), does);
+            self.handle_event(now, Event::Membership(Membership::Failed), outputs);
         }
-        let (mut members, mut states) = (Vec::new(), Vec::new());
+        let (mut members, mut new_states) = (Vec::new(), Vec::new());
         for change in &changes {
-            let (m, gone) = match change {
-                EndpointChange::Updated(m) => (m, false),
-                EndpointChange::Removed(m) => (m, true),
+            let (endpoint, gone) = match change {
+                EndpointChange::Updated(endpoint) => (endpoint, false),
+                EndpointChange::Removed(endpoint) => (endpoint, true),
             };
-            let Some(server) = m.name.strip_prefix("s-").and_then(|n| n.parse::<usize>().ok()) else {
+            let Some(server) = endpoint.name.strip_prefix("s-").and_then(|n| n.parse::<usize>().ok()) else {
                 continue;
             };
-            let member = self.member(m, server, gone);
-            let open = member.availability == Availability::Ready;
-            states.push((
+            let member = self.member(endpoint, server, gone);
+            let ready = member.availability == Availability::Ready;
+            new_states.push((
                 server,
-                if m.accepts_requests && !gone {
+                if endpoint.accepts_requests && !gone {
                     invariants::State::Ready
                 } else {
                     invariants::State::Closed
                 },
             ));
-            self.known |= open;
-            self.names.insert(member.id, server);
+            self.has_endpoints |= ready;
+            self.servers_by_id.insert(member.id, server);
             if self.mutant == Mutant::ColdPreferred && member.since > 0.0 {
-                self.newest = open.then_some(server);
+                self.newest_server = ready.then_some(server);
             }
-            if open {
-                self.gates.remove(&server);
+            if ready {
+                self.write_cutoffs.remove(&server);
             } else {
-                self.gates.entry(server).or_insert(now + GRACE);
-                let rested = self.idle.remove(&server).map_or(0, |r| r.len() as u32);
-                does.push(Does::Closed(server, rested));
+                self.write_cutoffs.entry(server).or_insert(now + WRITE_GRACE);
+                let idle_count = self.idle_connections.remove(&server).map_or(0, |r| r.len() as u32);
+                outputs.push(Output::ConnectionsClosed(server, idle_count));
             }
             members.push(member);
         }
         if !members.is_empty() {
-            self.feed(now, Event::Membership(Membership::Delta(members)), does);
+            self.handle_event(now, Event::Membership(Membership::Delta(members)), outputs);
         }
-        states
+        new_states
     }
 
-    fn member(&self, m: &Endpoint, server: usize, gone: bool) -> Member {
-        let availability = match (gone, m.accepts_requests || self.mutant == Mutant::DrainsIgnored) {
+    fn member(&self, endpoint: &Endpoint, server: usize, gone: bool) -> Member {
+        let availability = match (gone, endpoint.accepts_requests || self.mutant == Mutant::DrainsIgnored) {
             (true, _) => Availability::Gone,
             (false, true) => Availability::Ready,
             (false, false) => Availability::Draining,
         };
-        Member { id: id(server), zone: 0, kind: 0, group: m.cell, availability, since: m.started_ms }
+        Member {
+            id: upstream_id(server),
+            zone: 0,
+            kind: 0,
+            group: endpoint.cell,
+            availability,
+            since: endpoint.started_ms,
+        }
     }
 
-    /// The connection used last to this upstream, if one rests that is open, as far as is known.
-    pub fn connection(
+    /// Takes the most recently used idle connection to this upstream that is believed to be open. Returns its idle
+    /// time.
+    pub fn take_idle_connection(
         &mut self,
         now: Nanos,
         server: usize,
         epoch: u32,
-        does: &mut Vec<Does>,
+        outputs: &mut Vec<Output>,
     ) -> Option<Nanos> {
-        let rested = self.idle.get_mut(&server)?;
-        let most = ms(self.settings.idle_close) - ms(250.0);
-        while let Some((since, of)) = rested.pop() {
-            if of == epoch && now - since < most {
+        let idle_connections = self.idle_connections.get_mut(&server)?;
+        let max_idle = ms(self.settings.idle_close) - ms(250.0);
+        while let Some((since, connection_epoch)) = idle_connections.pop() {
+            if connection_epoch == epoch && now - since < max_idle {
                 return Some(now - since);
             }
-            does.push(Does::Closed(server, u32::from(of == epoch)));
+            outputs.push(Output::ConnectionsClosed(server, u32::from(connection_epoch == epoch)));
         }
         None
     }
 
-    /// Closes connections that have rested for too long.
-    pub fn sweeps(&mut self, now: Nanos, does: &mut Vec<Does>) {
-        let most = ms(self.settings.idle_close) - ms(250.0);
-        for (&server, rested) in &mut self.idle {
-            let before = rested.len();
-            rested.retain(|&(since, _)| now - since < most);
-            if rested.len() < before {
-                does.push(Does::Closed(server, (before - rested.len()) as u32));
+    /// Closes connections that have been idle for too long.
+    pub fn close_idle_connections(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
+        let max_idle = ms(self.settings.idle_close) - ms(250.0);
+        for (&server, connections) in &mut self.idle_connections {
+            let before = connections.len();
+            connections.retain(|&(since, _)| now - since < max_idle);
+            if connections.len() < before {
+                outputs.push(Output::ConnectionsClosed(server, (before - connections.len()) as u32));
             }
         }
-        self.idle.retain(|_, rested| !rested.is_empty());
+        self.idle_connections.retain(|_, connections| !connections.is_empty());
     }
 
-    /// The attempt, if it is still out.
+    /// Returns the attempt and its request, if it is still in flight.
     pub fn in_flight_attempt(&mut self, id: u32, number: u32) -> Option<(&mut InFlightAttempt, u64)> {
-        let open = self.open.get_mut(&id)?;
+        let open = self.open_requests.get_mut(&id)?;
         let request = open.request;
-        open.out.iter_mut().find(|o| o.number == number).map(|out| (out, request))
+        open.in_flight.iter_mut().find(|attempt| attempt.number == number).map(|attempt| (attempt, request))
     }
 
-    /// Whether an attempt's first byte may be written now.
-    pub fn may_be_written(&self, now: Nanos, id: u32, server: usize, until: Nanos) -> bool {
-        let over = self.open.get(&id).is_none_or(|o| o.answered);
-        let closed = self.gates.get(&server).is_some_and(|&at| now >= at);
-        !over && now < until && (!closed || self.mutant == Mutant::DrainsIgnored)
+    /// Returns whether the first byte of an attempt may be written now.
+    pub fn may_write(&self, now: Nanos, id: u32, server: usize, deadline: Nanos) -> bool {
+        let finished = self.open_requests.get(&id).is_none_or(|o| o.answered);
+        let write_forbidden = self.write_cutoffs.get(&server).is_some_and(|&at| now >= at);
+        !finished && now < deadline && (!write_forbidden || self.mutant == Mutant::DrainsIgnored)
     }
 
-    /// An attempt has ended, and its connection is kept or closed; only the first end counts.
-    pub fn ended(
+    /// Handles the end of an attempt. Its connection is kept if `kept_epoch` names the upstream process that it leads
+    /// to, and closed otherwise. Only the first end of an attempt counts.
+    pub fn attempt_ended(
         &mut self,
         now: Nanos,
         (id, number): (u32, u32),
         ending: Ending,
-        kept: Option<u32>,
-        does: &mut Vec<Does>,
+        kept_epoch: Option<u32>,
+        outputs: &mut Vec<Output>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(k) = open.out.iter().position(|o| o.number == number) else { return };
-        let out = open.out.swap_remove(k);
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let Some(position) = open.in_flight.iter().position(|attempt| attempt.number == number) else {
+            return;
+        };
+        let ended_attempt = open.in_flight.swap_remove(position);
         if ending == Ending::Ok && !open.answered {
             open.answered = true;
-            does.push(Does::Answer(open.request, 200, 0.0));
+            outputs.push(Output::Answer(open.request, 200, 0.0));
         }
         let closed = open.answered;
-        // A module that takes what may have run for what never did sends it again.
-        let believed = match ending {
+        // This mutant reports an attempt that may have been executed as never sent, so the module retries it.
+        let reported_ending = match ending {
             Ending::Reset | Ending::Timeout | Ending::Error
-                if self.mutant == Mutant::EffectsForgotten && open.once =>
+                if self.mutant == Mutant::EffectsForgotten && open.single_shot =>
             {
                 Ending::ConnectFailed
             }
             ending => ending,
         };
-        let shut = self.gates.contains_key(&out.server);
-        match kept.filter(|_| out.connected && !shut) {
-            Some(epoch) => self.idle.entry(out.server).or_default().push((now, epoch)),
-            None => does.push(Does::Closed(out.server, u32::from(out.connected))),
+        let upstream_closed = self.write_cutoffs.contains_key(&ended_attempt.server);
+        match kept_epoch.filter(|_| ended_attempt.connected && !upstream_closed) {
+            Some(epoch) => self.idle_connections.entry(ended_attempt.server).or_default().push((now, epoch)),
+            None => outputs
+                .push(Output::ConnectionsClosed(ended_attempt.server, u32::from(ended_attempt.connected))),
         }
-        self.forget(id);
-        let duration = (now - out.sent) as f64 / 1e6;
+        self.remove_if_finished(id);
+        let duration = (now - ended_attempt.sent_at) as f64 / 1e6;
         let (request, attempt) = (RequestId(id), number);
-        self.feed(now, Event::Outcome { request, attempt, ending: believed, duration, closed }, does);
+        self.handle_event(
+            now,
+            Event::Outcome { request, attempt, ending: reported_ending, duration, closed },
+            outputs,
+        );
     }
 
-    fn forget(&mut self, id: u32) {
-        let over = self.open.get(&id).is_some_and(|o| o.answered && o.out.is_empty());
-        if over && self.mutant != Mutant::NothingForgotten {
-            self.open.remove(&id);
+    fn remove_if_finished(&mut self, id: u32) {
+        let finished = self.open_requests.get(&id).is_some_and(|o| o.answered && o.in_flight.is_empty());
+        if finished && self.mutant != Mutant::NothingForgotten {
+            self.open_requests.remove(&id);
         }
     }
 
-    fn answers(&mut self, id: u32, status: u16, pause: f64, does: &mut Vec<Does>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let lost = self.mutant == Mutant::AnswersForgotten && open.request % 50 == 7;
-        if !std::mem::replace(&mut open.answered, true) && !lost {
-            does.push(Does::Answer(open.request, status, pause));
+    fn answer(&mut self, id: u32, status: u16, retry_after: f64, outputs: &mut Vec<Output>) {
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let dropped = self.mutant == Mutant::AnswersForgotten && open.request % 50 == 7;
+        if !std::mem::replace(&mut open.answered, true) && !dropped {
+            outputs.push(Output::Answer(open.request, status, retry_after));
         }
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    /// Hands the module an event, and what follows at once from that.
-    fn feed(&mut self, now: Nanos, event: Event, does: &mut Vec<Does>) {
-        let clock = self.clock(now);
+    /// Passes an event to the decision module, and then the events that follow from it.
+    fn handle_event(&mut self, now: Nanos, event: Event, outputs: &mut Vec<Output>) {
+        let clock = self.wall_clock(now);
         self.events.push_back(event);
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.balancer.handle(clock, event, &mut actions);
             for action in std::mem::take(&mut actions) {
-                self.perform(now, action, does);
+                self.perform(now, action, outputs);
             }
         }
     }
 
-    fn perform(&mut self, now: Nanos, action: Action, does: &mut Vec<Does>) {
+    fn perform(&mut self, now: Nanos, action: Action, outputs: &mut Vec<Output>) {
         match action {
             Action::Send { request, upstream, timeout } => {
-                self.sends(now, request.0, upstream, timeout, does)
+                self.send_attempt(now, request.0, upstream, timeout, outputs)
             }
             Action::Cancel { request, attempt } => {
-                self.ended(now, (request.0, attempt), Ending::Cancelled, None, does);
+                self.attempt_ended(now, (request.0, attempt), Ending::Cancelled, None, outputs);
             }
-            Action::Refuse { request, retry_after } => self.answers(request.0, 503, retry_after, does),
-            Action::Fail { request } => self.answers(request.0, 502, 0.0, does),
+            Action::Refuse { request, retry_after } => self.answer(request.0, 503, retry_after, outputs),
+            Action::Fail { request } => self.answer(request.0, 502, 0.0, outputs),
             Action::CloseIdle(upstream) => {
-                let server = self.names.get(&upstream).copied();
-                if let Some((server, rested)) = server.and_then(|s| self.idle.remove(&s).map(|r| (s, r))) {
-                    does.push(Does::Closed(server, rested.len() as u32));
+                let server = self.servers_by_id.get(&upstream).copied();
+                if let Some((server, connections)) =
+                    server.and_then(|s| self.idle_connections.remove(&s).map(|r| (s, r)))
+                {
+                    outputs.push(Output::ConnectionsClosed(server, connections.len() as u32));
                 }
             }
-            Action::Subscribe => does.push(Does::Ask),
-            Action::SetTimer { after, token } => does.push(Does::Timer(ms(after.max(0.0)), token)),
+            Action::Subscribe => outputs.push(Output::RequestEndpoints),
+            Action::SetTimer { after, token } => outputs.push(Output::SetTimer(ms(after.max(0.0)), token)),
             Action::Log(_) => {}
         }
     }
 
-    fn sends(&mut self, now: Nanos, id: u32, to: UpstreamId, timeout: Millis, does: &mut Vec<Does>) {
-        let clock = self.clock(now);
-        let server = self.newest.or(self.names.get(&to).copied());
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let number = open.sends;
-        open.sends += 1;
+    fn send_attempt(
+        &mut self,
+        now: Nanos,
+        id: u32,
+        to: UpstreamId,
+        timeout: Millis,
+        outputs: &mut Vec<Output>,
+    ) {
+        let clock = self.wall_clock(now);
+        let server = self.newest_server.or(self.servers_by_id.get(&to).copied());
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let number = open.attempts_sent;
+        open.attempts_sent += 1;
         let (Some(server), false) = (server, open.answered) else {
             let (request, attempt, closed) = (RequestId(id), number, open.answered);
             let moot = Event::Outcome { request, attempt, ending: Ending::Moot, duration: 0.0, closed };
             return self.events.push_back(moot);
         };
-        let left = (open.deadline - clock).max(0.0);
-        let until = now + ms(if timeout > 0.0 { timeout.min(left) } else { left });
-        open.out.push(InFlightAttempt { number, server, sent: now, until, connected: false });
-        does.push(Does::Send(id, number, server));
+        let remaining = (open.deadline - clock).max(0.0);
+        let deadline = now + ms(if timeout > 0.0 { timeout.min(remaining) } else { remaining });
+        open.in_flight.push(InFlightAttempt { number, server, sent_at: now, deadline, connected: false });
+        outputs.push(Output::Send(id, number, server));
     }
 }
--- a/crates/verification/fleet-simulation/src/invariant_checks.rs
+++ b/crates/verification/fleet-simulation/src/invariant_checks.rs
@@ -1,4 +1,4 @@
-//! The four rules on every event, and the books of what each instance was told.
+//! Checks the four invariants on every event, and records the notifications that each instance received.
 use crate::agenda::Nanos;
 use fnv::FnvHashMap;
 use invariants::{
@@ -7,119 +7,120 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Violations that are kept; more are counted.
+/// Maximum number of violations that are kept; further ones are only counted.
 const MAX_VIOLATIONS: usize = 64;
 
-/// A rule that was broken once.
+/// A single violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// How.
-    pub fault: Breach,
-    /// When.
+    /// Kind of violation.
+    pub breach: Breach,
+    /// Time of the violation.
     pub at: Duration,
-    /// The request, the upstream or the instance.
-    pub whose: String,
+    /// The request, upstream or instance concerned.
+    pub subject: String,
 }
 
-/// See the module's page. It has the platform's figures.
+/// Checks the invariants of a run, with the platform's parameters.
 #[derive(Default)]
-pub struct Judge {
-    figures: RuleParameters,
-    stories: FnvHashMap<u64, RequestHistory>,
-    news: FnvHashMap<(usize, usize), NotificationDeadline>,
+pub struct InvariantChecker {
+    parameters: RuleParameters,
+    histories: FnvHashMap<u64, RequestHistory>,
+    notifications: FnvHashMap<(usize, usize), NotificationDeadline>,
     warming: BTreeMap<usize, Warming>,
-    /// The first violations, and how many there were.
-    pub found: Vec<Violation>,
-    /// See `found`.
-    pub count: u64,
+    /// The first violations.
+    pub violations: Vec<Violation>,
+    /// Total number of violations.
+    pub violation_count: u64,
 }
 
-fn span(at: Nanos) -> Duration {
+fn duration(at: Nanos) -> Duration {
     Duration::from_nanos(at)
 }
 
-impl Judge {
-    fn fault(&mut self, fault: Breach, at: Duration, whose: String) {
-        self.count += 1;
-        if self.found.len() < MAX_VIOLATIONS {
-            self.found.push(Violation { fault, at, whose });
+impl InvariantChecker {
+    fn record(&mut self, breach: Breach, at: Duration, subject: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(Violation { breach, at, subject });
         }
     }
 
-    /// A caller has sent a request.
-    pub fn sent(&mut self, now: Nanos, request: u64, effect: Effect, patience: Nanos) {
-        self.stories.insert(request, RequestHistory::new(span(now), effect, span(patience)));
+    /// Records that a caller has sent a request.
+    pub fn request_sent(&mut self, now: Nanos, request: u64, effect: Effect, timeout: Nanos) {
+        self.histories.insert(request, RequestHistory::new(duration(now), effect, duration(timeout)));
     }
 
-    /// Nobody took it: it was never sent.
-    pub fn unsent(&mut self, request: u64) {
-        self.stories.remove(&request);
+    /// Removes a request that no process accepted, as if it had not been sent.
+    pub fn request_not_sent(&mut self, request: u64) {
+        self.histories.remove(&request);
     }
 
-    /// Its answer has reached its caller.
-    pub fn answered(&mut self, now: Nanos, request: u64, status: u16) {
-        if let Some(story) = self.stories.get_mut(&request) {
-            story.answers.push((span(now), status));
+    /// Records that an answer has reached the caller.
+    pub fn answer_received(&mut self, now: Nanos, request: u64, status: u16) {
+        if let Some(history) = self.histories.get_mut(&request) {
+            history.answers.push((duration(now), status));
         }
     }
 
-    /// The process that held it was killed.
-    pub fn excused(&mut self, request: u64) {
-        if let Some(story) = self.stories.get_mut(&request) {
-            story.excused = true;
+    /// Excuses a request whose process was killed.
+    pub fn excuse(&mut self, request: u64) {
+        if let Some(history) = self.histories.get_mut(&request) {
+            history.excused = true;
         }
     }
 
-    /// Its first bytes have left an instance for an upstream.
-    pub fn begun(&mut self, now: Nanos, request: u64, instance: usize, server: usize) {
-        let news = self.news.get(&(instance, server)).copied().unwrap_or_default();
-        match self.stories.get_mut(&request) {
-            Some(story) => story.begun.push((span(now), news.closed_for(span(now)))),
-            // Judged, and so over, long ago.
-            None => self.fault(Breach::SentAfterAnswer, span(now), format!("request {request}")),
+    /// Records that an instance has written the first bytes of an attempt to an upstream.
+    pub fn attempt_written(&mut self, now: Nanos, request: u64, instance: usize, server: usize) {
+        let notification = self.notifications.get(&(instance, server)).copied().unwrap_or_default();
+        match self.histories.get_mut(&request) {
+            Some(history) => history.begun.push((duration(now), notification.closed_for(duration(now)))),
+            // The request was checked and removed long ago, so it is finished.
+            None => self.record(Breach::SentAfterAnswer, duration(now), format!("request {request}")),
         }
     }
 
-    /// An upstream begins to work on it.
-    pub fn ran(&mut self, now: Nanos, request: u64, server: usize, group: u16, work: Duration) {
-        if let Some(story) = self.stories.get_mut(&request) {
-            story.ran.push((span(now), u32::from(group)));
+    /// Records that an upstream starts to execute a request.
+    pub fn execution_started(&mut self, now: Nanos, request: u64, server: usize, group: u16, work: Duration) {
+        if let Some(history) = self.histories.get_mut(&request) {
+            history.ran.push((duration(now), u32::from(group)));
         }
-        let pushed = self.warming.get_mut(&server).and_then(|w| w.executed(span(now), work, &self.figures));
-        if let Some((at, sum)) = pushed {
-            self.fault(Breach::ColdPushedOver, at, format!("upstream {server}, sent {sum:?} of work"));
+        let overloaded =
+            self.warming.get_mut(&server).and_then(|w| w.executed(duration(now), work, &self.parameters));
+        if let Some((at, work_sent)) = overloaded {
+            self.record(Breach::ColdPushedOver, at, format!("upstream {server}, sent {work_sent:?} of work"));
         }
     }
 
-    /// An instance was told of an upstream.
+    /// Records that an instance was notified of the state of an upstream.
     pub fn notify(&mut self, now: Nanos, instance: usize, server: usize, state: State) {
-        self.news.entry((instance, server)).or_default().notify(span(now), state);
+        self.notifications.entry((instance, server)).or_default().notify(duration(now), state);
     }
 
-    /// Another process of an instance knows nothing yet.
-    pub fn forgets(&mut self, instance: usize, servers: usize) {
+    /// Removes the notifications of an instance whose process ended, because a new process knows nothing.
+    pub fn forget_notifications(&mut self, instance: usize, servers: usize) {
         for server in 0..servers {
-            self.news.remove(&(instance, server));
+            self.notifications.remove(&(instance, server));
         }
     }
 
-    /// An upstream's process has started.
-    pub fn started(&mut self, now: Nanos, server: usize, cold: Cold) {
-        self.warming.insert(server, Warming::new(span(now), cold));
+    /// Records that an upstream's process has started.
+    pub fn upstream_started(&mut self, now: Nanos, server: usize, cold: Cold) {
+        self.warming.insert(server, Warming::new(duration(now), cold));
     }
 
-    /// Nothing more can come of a request.
-    pub fn over(&mut self, request: u64) {
-        let Some(story) = self.stories.remove(&request) else { return };
-        let mut faults = Vec::new();
-        story.judge(&self.figures, &mut |fault, at| faults.push((fault, at)));
-        for (fault, at) in faults {
-            self.fault(fault, at, format!("request {request}"));
+    /// Checks a request that nothing more can happen to.
+    pub fn check_request(&mut self, request: u64) {
+        let Some(history) = self.histories.remove(&request) else { return };
+        let mut breaches = Vec::new();
+        history.judge(&self.parameters, &mut |breach, at| breaches.push((breach, at)));
+        for (breach, at) in breaches {
+            self.record(breach, at, format!("request {request}"));
         }
     }
 
-    /// Requests that are not judged yet.
-    pub fn open(&self) -> usize {
-        self.stories.len()
+    /// Returns the number of requests that have not been checked yet.
+    pub fn unchecked_requests(&self) -> usize {
+        self.histories.len()
     }
 }
--- a/crates/verification/fleet-simulation/src/main.rs
+++ b/crates/verification/fleet-simulation/src/main.rs
@@ -1,14 +1,14 @@
-//! `fleet-simulation`: plays runs of the whole fleet, searches for bad ones, and shrinks them.
+//! `fleet-simulation`: simulates the whole fleet, searches for runs that violate invariants, and shrinks them.
 use clap::{Args, Parser, Subcommand};
 use fleet_simulation::mutant::Mutant;
 use fleet_simulation::scenario::{Scenario, Size};
 use fleet_simulation::search::{search, shrink, Case};
-use fleet_simulation::world::{play, Report};
+use fleet_simulation::world::{run_scenario, Report};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The whole fleet on one virtual clock.
+/// Simulates the whole fleet on one virtual clock.
 #[derive(Parser)]
 #[command(name = "fleet-simulation")]
 struct Cli {
@@ -18,61 +18,62 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays seeds and prints a line for each.
+    /// Runs seeds and prints a summary of each.
     Play {
         #[command(flatten)]
         fleet: Fleet,
-        /// The first seed.
+        /// First seed.
         seed: u64,
-        /// How many.
+        /// Number of seeds.
         #[arg(default_value_t = 1)]
         count: u64,
-        /// With budgets at every instance.
+        /// Enable retry budgets at every instance.
         #[arg(long)]
         budgets: bool,
     },
-    /// Prints the digests of seeds, to be compared between machines and builds.
+    /// Prints the digests of seeds, for comparison between machines and builds.
     Digest {
         #[command(flatten)]
         fleet: Fleet,
-        /// The first seed.
+        /// First seed.
         seed: u64,
-        /// How many.
+        /// Number of seeds.
         #[arg(default_value_t = 1)]
         count: u64,
     },
-    /// Plays seeds for so long; prints those that break a rule, shrunk, and those that lose most.
+    /// Runs seeds for a limited time; prints those that violate an invariant, shrunk, and those with the lowest
+    /// service.
     Search {
         #[command(flatten)]
         fleet: Fleet,
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// The budget of time.
+        /// Time limit in seconds.
         #[arg(long, default_value_t = 60)]
         seconds: u64,
-        /// Threads; each run is on one.
+        /// Number of threads; each run uses one.
         #[arg(long, default_value_t = 4)]
         threads: usize,
     },
-    /// Plays cases from files.
+    /// Runs cases from files.
     Cases {
-        /// The files.
+        /// Case files in TOML.
         files: Vec<PathBuf>,
     },
 }
 
 #[derive(Args)]
 struct Fleet {
-    /// The size: `small`, `full`, or the number of balancers.
-    #[arg(long, default_value = "small", value_parser = size)]
+    /// Size of the fleet: `small`, `full`, or the number of balancers.
+    #[arg(long, default_value = "small", value_parser = parse_size)]
     size: Size,
-    /// A faulty variant, to see what catches it.
+    /// Faulty variant of the instances, to test the invariants.
     #[arg(long, value_enum, default_value = "none")]
     mutant: Mutant,
 }
 
-fn size(text: &str) -> Result<Size, String> {
+fn parse_size(text: &str) -> Result<Size, String> {
     match text {
         "small" => Ok(Size::SMALL),
         "full" => Ok(Size::FULL),
@@ -83,63 +84,63 @@
     }
 }
 
-fn line(name: &str, scenario: &Scenario, r: &Report) -> String {
-    let (s, e) = (&r.score, r.score.ends);
-    let troubles: Vec<String> = scenario.troubles.iter().map(|t| format!("{:?}", t.what)).collect();
+fn summary(name: &str, scenario: &Scenario, report: &Report) -> String {
+    let (score, outcomes) = (&report.score, report.score.outcomes);
+    let faults: Vec<String> = scenario.faults.iter().map(|t| format!("{:?}", t.kind)).collect();
     format!(
-        "{name}: service {:.3}, earned {:.3}; {} asked, {} in time, {} late, {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
-         {} requests, {} attempts; {:.0} % of upstreams slowed by crowding; {} of {:.0}/s [{}]",
-        s.service(),
-        s.total(),
-        e.asked,
-        e.in_time,
-        e.late,
-        e.refused,
-        e.failed,
-        s.quantile(0.5),
-        s.quantile(0.99),
-        r.requests,
-        r.attempts,
-        100.0 * r.slowed,
-        if r.sound() { "sound" } else { "BROKEN" },
+        "{name}: service {:.3}, earned {:.3}; {} operations, {} in time, {} late, {} refused, {} failed; \
+         p50 {:.0} ms, p99 {:.0} ms; {} requests, {} attempts; {:.0} % of upstreams slowed by congestion; {} of {:.0}/s [{}]",
+        score.service(),
+        score.earned_fraction(),
+        outcomes.operations,
+        outcomes.in_time,
+        outcomes.late,
+        outcomes.refused,
+        outcomes.failed,
+        score.latency_quantile_ms(0.5),
+        score.latency_quantile_ms(0.99),
+        report.requests,
+        report.attempts,
+        100.0 * report.slowed_fraction,
+        if report.is_correct() { "sound" } else { "BROKEN" },
         scenario.capacity,
-        troubles.join(", ")
+        faults.join(", ")
     )
 }
 
-fn broken(r: &Report) {
-    for v in r.violations.iter().take(5) {
-        println!("  {:?} at {:.3} s: {}", v.fault, v.at.as_secs_f64(), v.whose);
+fn print_violations(report: &Report) {
+    for violation in report.violations.iter().take(5) {
+        println!("  {:?} at {:.3} s: {}", violation.breach, violation.at.as_secs_f64(), violation.subject);
     }
-    for (what, n) in r.grown.iter().take(5) {
-        println!("  {what} still holds {n}");
+    for (table, count) in report.retained.iter().take(5) {
+        println!("  {table} retains {count} entries");
     }
 }
 
 fn main() -> ExitCode {
-    let mut sound = true;
+    let mut all_correct = true;
     match Cli::parse().command {
         Command::Play { fleet, seed, count, budgets } => {
             for seed in seed..seed.saturating_add(count) {
                 let scenario = Scenario { budgets, ..Scenario::draw(seed, fleet.size) };
-                let began = Instant::now();
-                let report = play(&scenario, fleet.mutant);
-                let took = began.elapsed().as_secs_f64();
-                println!("{}", line(&seed.to_string(), &scenario, &report));
+                let started = Instant::now();
+                let report = run_scenario(&scenario, fleet.mutant);
+                let elapsed_s = started.elapsed().as_secs_f64();
+                println!("{}", summary(&seed.to_string(), &scenario, &report));
                 println!(
                     "  {:.2} s, {} events, {:.0} thousand simulated requests a second, digest {:016x}",
-                    took,
+                    elapsed_s,
                     report.events,
-                    report.requests as f64 / took / 1000.0,
+                    report.requests as f64 / elapsed_s / 1000.0,
                     report.digest
                 );
-                broken(&report);
-                sound &= report.sound();
+                print_violations(&report);
+                all_correct &= report.is_correct();
             }
         }
         Command::Digest { fleet, seed, count } => {
             for seed in seed..seed.saturating_add(count) {
-                let report = play(&Scenario::draw(seed, fleet.size), fleet.mutant);
+                let report = run_scenario(&Scenario::draw(seed, fleet.size), fleet.mutant);
                 println!("{seed} {:016x} {}", report.digest, report.events);
             }
         }
@@ -147,45 +148,48 @@
             let mutant = fleet.mutant;
             let found =
                 search(fleet.size, mutant, from, u64::MAX - from, Duration::from_secs(seconds), threads);
-            println!("{} runs, {} of them broken", found.played, found.broken.len());
-            for (seed, report) in found.broken.iter().take(3) {
-                println!("{}", line(&seed.to_string(), &Scenario::draw(*seed, fleet.size), report));
-                broken(report);
-                let fault = report.violations.first().map(|v| v.fault);
-                let shows = |r: &Report| match fault {
-                    Some(fault) => r.violations.iter().any(|v| v.fault == fault),
-                    None => !r.grown.is_empty(),
+            println!("{} runs, {} of them incorrect", found.runs, found.violating.len());
+            for (seed, report) in found.violating.iter().take(3) {
+                println!("{}", summary(&seed.to_string(), &Scenario::draw(*seed, fleet.size), report));
+                print_violations(report);
+                let breach = report.violations.first().map(|v| v.breach);
+                let reproduces = |r: &Report| match breach {
+                    Some(breach) => r.violations.iter().any(|v| v.breach == breach),
+                    None => !r.retained.is_empty(),
                 };
-                let least = shrink(&Case::full_run(*seed, fleet.size), mutant, &shows);
-                println!("  the least of it:\n{}", toml::to_string(&least).unwrap_or_default());
+                let smallest = shrink(&Case::full_run(*seed, fleet.size), mutant, &reproduces);
+                println!(
+                    "  smallest case that reproduces it:\n{}",
+                    toml::to_string(&smallest).unwrap_or_default()
+                );
             }
-            println!("the least service:");
+            println!("lowest service:");
             for (seed, report) in &found.worst {
-                println!("{}", line(&seed.to_string(), &Scenario::draw(*seed, fleet.size), report));
+                println!("{}", summary(&seed.to_string(), &Scenario::draw(*seed, fleet.size), report));
             }
-            sound = found.broken.is_empty();
+            all_correct = found.violating.is_empty();
         }
         Command::Cases { files } => {
             for file in files {
                 let name = file.display().to_string();
                 let text = std::fs::read_to_string(&file).map_err(|e| e.to_string());
-                match text.and_then(|text| Case::read(&text)) {
+                match text.and_then(|text| Case::parse(&text)) {
                     Ok(case) => {
                         let scenario = case.scenario();
-                        let report = play(&scenario, Mutant::None);
-                        println!("{}", line(&name, &scenario, &report));
-                        broken(&report);
-                        sound &= report.sound();
+                        let report = run_scenario(&scenario, Mutant::None);
+                        println!("{}", summary(&name, &scenario, &report));
+                        print_violations(&report);
+                        all_correct &= report.is_correct();
                     }
-                    Err(why) => {
-                        eprintln!("{name}: {why}");
-                        sound = false;
+                    Err(error) => {
+                        eprintln!("{name}: {error}");
+                        all_correct = false;
                     }
                 }
             }
         }
     }
-    if sound {
+    if all_correct {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/verification/fleet-simulation/src/score.rs
+++ b/crates/verification/fleet-simulation/src/score.rs
@@ -1,60 +1,60 @@
-//! What callers got: service as the users count it, and how each request ended.
+//! Results for the clients: the service score as the users define it, and the outcome of each operation.
 use crate::agenda::Nanos;
 
-/// Length of the spans of which the worst counts.
-const SPAN: Nanos = 10_000_000_000;
-/// Length of the spans that are kept.
-const STEP: Nanos = 1_000_000_000;
+/// Length of the windows of which the worst counts in the service score, in nanoseconds.
+const WORST_WINDOW: Nanos = 10_000_000_000;
+/// Length of the time buckets that windows consist of, in nanoseconds.
+const BUCKET: Nanos = 1_000_000_000;
 
-/// How operations ended.
+/// Number of operations by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ends {
-    /// First tries.
-    pub asked: u64,
-    /// Served within the wanted time.
+pub struct OutcomeCounts {
+    /// All operations, each counted once regardless of its retries.
+    pub operations: u64,
+    /// Served within the latency objective.
     pub in_time: u64,
-    /// Served later.
+    /// Served after the latency objective.
     pub late: u64,
-    /// Refused at last.
+    /// Finally refused.
     pub refused: u64,
-    /// Failed at last, or without an answer.
+    /// Finally failed, or left without an answer.
     pub failed: u64,
 }
 
-/// Worth earned and asked for.
+/// Worth that was earned and worth that was requested.
 #[derive(Clone, Copy, Debug, Default)]
 struct EarnedWeight {
     earned: f64,
-    asked: f64,
+    requested: f64,
 }
 
 impl EarnedWeight {
-    fn part(self) -> f64 {
-        if self.asked > 0.0 {
-            self.earned / self.asked
+    fn fraction(self) -> f64 {
+        if self.requested > 0.0 {
+            self.earned / self.requested
         } else {
             1.0
         }
     }
 }
 
-/// The books of a run.
+/// Score of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Score {
-    /// How operations ended.
-    pub ends: Ends,
+    /// Number of operations by outcome.
+    pub outcomes: OutcomeCounts,
     total: EarnedWeight,
-    steps: Vec<EarnedWeight>,
+    buckets: Vec<EarnedWeight>,
     classes: Vec<EarnedWeight>,
-    clubs: Vec<EarnedWeight>,
-    /// Times of those served, in nanoseconds.
-    took: Vec<Nanos>,
+    tenants: Vec<EarnedWeight>,
+    /// Latencies of the served operations, in nanoseconds.
+    latencies: Vec<Nanos>,
 }
 
-/// How an operation ended.
+/// Outcome of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Served after so long.
+pub enum Outcome {
+    /// Served with this latency, in nanoseconds.
     Served(Nanos),
     /// Refused.
     Refused,
@@ -62,85 +62,94 @@
     Failed,
 }
 
-/// What an operation is, to the books.
+/// Properties of an operation that the score depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Counted {
-    /// Its class and club.
+pub struct OperationInfo {
+    /// Index of its class.
     pub class: usize,
-    /// See `class`.
-    pub club: usize,
-    /// When it was first tried.
-    pub at: Nanos,
-    /// What it is worth, and late.
+    /// Index of its tenant.
+    pub tenant: usize,
+    /// Time of its first attempt.
+    pub first_sent_at: Nanos,
+    /// Worth if served within the objective.
     pub worth: f64,
-    /// See `worth`.
+    /// Fraction of the worth that a late answer earns.
     pub late_worth: f64,
-    /// Within what it is wanted.
-    pub wanted: Nanos,
-    /// Whether its club was within its share: only these count for the worst club.
-    pub within: bool,
+    /// Latency objective, in nanoseconds.
+    pub objective: Nanos,
+    /// Whether its tenant was within its share. Only these operations count for the worst tenant.
+    pub within_share: bool,
 }
 
-fn at<T: Default + Clone>(all: &mut Vec<T>, k: usize) -> &mut T {
-    if all.len() <= k {
-        all.resize(k + 1, T::default());
+fn entry_at<T: Default + Clone>(entries: &mut Vec<T>, index: usize) -> &mut T {
+    if entries.len() <= index {
+        entries.resize(index + 1, T::default());
     }
-    &mut all[k]
+    &mut entries[index]
 }
 
 impl Score {
-    /// An operation has ended.
-    pub fn ended(&mut self, op: &Counted, end: End) {
-        let earned = match end {
-            End::Served(took) if took <= op.wanted => op.worth,
-            End::Served(_) => op.worth * op.late_worth,
+    /// Records the outcome of an operation.
+    pub fn record(&mut self, operation: &OperationInfo, outcome: Outcome) {
+        let earned = match outcome {
+            Outcome::Served(latency) if latency <= operation.objective => operation.worth,
+            Outcome::Served(_) => operation.worth * operation.late_worth,
             _ => 0.0,
         };
-        self.ends.asked += 1;
-        match end {
-            End::Served(took) => {
-                self.took.push(took);
-                *(if took <= op.wanted { &mut self.ends.in_time } else { &mut self.ends.late }) += 1;
+        self.outcomes.operations += 1;
+        match outcome {
+            Outcome::Served(latency) => {
+                self.latencies.push(latency);
+                *(if latency <= operation.objective {
+                    &mut self.outcomes.in_time
+                } else {
+                    &mut self.outcomes.late
+                }) += 1;
             }
-            End::Refused => self.ends.refused += 1,
-            End::Failed => self.ends.failed += 1,
+            Outcome::Refused => self.outcomes.refused += 1,
+            Outcome::Failed => self.outcomes.failed += 1,
         }
-        let add = |w: &mut EarnedWeight| {
-            w.earned += earned;
-            w.asked += op.worth;
+        let add = |weight: &mut EarnedWeight| {
+            weight.earned += earned;
+            weight.requested += operation.worth;
         };
         add(&mut self.total);
-        add(at(&mut self.steps, (op.at / STEP) as usize));
-        add(at(&mut self.classes, op.class));
-        if op.within {
-            add(at(&mut self.clubs, op.club));
+        add(entry_at(&mut self.buckets, (operation.first_sent_at / BUCKET) as usize));
+        add(entry_at(&mut self.classes, operation.class));
+        if operation.within_share {
+            add(entry_at(&mut self.tenants, operation.tenant));
         }
     }
 
-    /// Service, 0 to 1: 40 % the whole, 10 % the worst 10 s, 10 % the worst class, 40 % the worst club within its share.
+    /// Returns the service score, 0 to 1: 40 % all operations, 10 % the worst 10 s, 10 % the worst class, and 40 % the
+    /// worst tenant within its share.
     pub fn service(&self) -> f64 {
-        let least = |all: &[EarnedWeight]| all.iter().map(|w| w.part()).fold(1.0, f64::min);
-        let span = (SPAN / STEP) as usize;
-        let sums = self.steps.windows(span.min(self.steps.len()).max(1)).map(|w| {
+        let worst_fraction =
+            |weights: &[EarnedWeight]| weights.iter().map(|w| w.fraction()).fold(1.0, f64::min);
+        let window_buckets = (WORST_WINDOW / BUCKET) as usize;
+        let sums = self.buckets.windows(window_buckets.min(self.buckets.len()).max(1)).map(|w| {
             w.iter().fold(EarnedWeight::default(), |sum, w| EarnedWeight {
                 earned: sum.earned + w.earned,
-                asked: sum.asked + w.asked,
+                requested: sum.requested + w.requested,
             })
         });
-        let worst = sums.map(EarnedWeight::part).fold(1.0, f64::min);
-        0.4 * self.total.part() + 0.1 * worst + 0.1 * least(&self.classes) + 0.4 * least(&self.clubs)
+        let worst_window = sums.map(EarnedWeight::fraction).fold(1.0, f64::min);
+        0.4 * self.total.fraction()
+            + 0.1 * worst_window
+            + 0.1 * worst_fraction(&self.classes)
+            + 0.4 * worst_fraction(&self.tenants)
     }
 
-    /// The part of what was asked for that was earned.
-    pub fn total(&self) -> f64 {
-        self.total.part()
+    /// Returns the fraction of the requested worth that was earned.
+    pub fn earned_fraction(&self) -> f64 {
+        self.total.fraction()
     }
 
-    /// The time, in milliseconds, within which this part of the served ones was served.
-    pub fn quantile(&self, part: f64) -> f64 {
-        let mut took = self.took.clone();
-        took.sort_unstable();
-        let k = ((took.len() as f64 * part) as usize).min(took.len().saturating_sub(1));
-        took.get(k).map_or(0.0, |&t| t as f64 / 1e6)
+    /// Returns the latency, in milliseconds, at this quantile of the served operations.
+    pub fn latency_quantile_ms(&self, fraction: f64) -> f64 {
+        let mut latencies = self.latencies.clone();
+        latencies.sort_unstable();
+        let index = ((latencies.len() as f64 * fraction) as usize).min(latencies.len().saturating_sub(1));
+        latencies.get(index).map_or(0.0, |&t| t as f64 / 1e6)
     }
 }
--- a/crates/verification/fleet-simulation/src/server.rs
+++ b/crates/verification/fleet-simulation/src/server.rs
@@ -1,301 +1,312 @@
-//! An upstream: cores that all its requests share, places for those in work, a line behind them, and what makes it slow.
+//! An upstream: cores shared by all its requests, a limited number of concurrent requests, a bounded queue, and the
+//! effects that slow it down.
 //!
-//! | what | model, and its source |
+//! | behaviour | model and source |
 //! | --- | --- |
-//! | requests in work | processor sharing over the cores (Kleinrock, Queueing Systems II, 1976, 4.4) |
-//! | places and line | first come, first served, bounded; beyond them turned away unseen (M/G/c/K) |
-//! | holding many | less efficient: the universal scalability law's contention term (Gunther, 2007, 4.2) beyond a number |
-//! | crowded for long | slower until it has rested: a metastable failure (Bronson et al., HotOS 2021), figures of the users |
-//! | just started | a part of its capacity, rising evenly with time: the users' figures |
+//! | requests in service | processor sharing over the cores (Kleinrock, Queueing Systems II, 1976, 4.4) |
+//! | slots and queue | first come, first served, bounded; requests beyond that are rejected unprocessed (M/G/c/K) |
+//! | many requests held | contention term of the universal scalability law (Gunther, 2007, 4.2) above a threshold |
+//! | long congestion | slower until recovery: metastable failure (Bronson et al., HotOS 2021), the users' figures |
+//! | cold start | a fraction of its capacity that rises linearly with time, with the users' figures |
 use crate::agenda::{ms, Nanos};
 use crate::draw::Draws;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How an upstream's capacity turns out; drawn for each run from the users' figures.
+/// Capacity parameters of an upstream, drawn for each run from the users' figures.
 #[derive(Clone, Debug)]
-pub struct Build {
-    /// Cores, and the speed of each beside the yardstick's.
+pub struct ServerSpec {
+    /// Number of cores.
     pub cores: f64,
-    /// See `cores`.
+    /// Speed of each core relative to the reference core.
     pub speed: f64,
-    /// Requests in work at once, and in the line.
+    /// Maximum number of requests in service at once.
     pub slots: usize,
-    /// See `slots`.
-    pub line: usize,
-    /// The part of its capacity that is lost for each multiple of `steady` that it holds beyond that.
+    /// Maximum number of queued requests.
+    pub queue_limit: usize,
+    /// Fraction of capacity lost for each multiple of `contention_threshold` held above that threshold.
     pub contention: f64,
-    /// Requests that it holds without loss.
-    pub steady: f64,
-    /// The part of its capacity that a cold one has, and how long it takes to the whole.
-    pub cold_from: f64,
-    /// See `cold_from`.
-    pub cold_for: Nanos,
-    /// Open connections that it accepts.
-    pub connections: u32,
-    /// Whether and how crowding slows it.
-    pub crowd: Option<Crowd>,
-    /// Whether it turns away what is over before it is begun.
+    /// Number of requests that it holds without loss of capacity.
+    pub contention_threshold: f64,
+    /// Fraction of its capacity right after a cold start.
+    pub cold_fraction: f64,
+    /// Time from a cold start to full capacity, in nanoseconds.
+    pub warmup: Nanos,
+    /// Maximum number of open connections.
+    pub max_connections: u32,
+    /// Slowdown by congestion, if this upstream is subject to it.
+    pub congestion: Option<Congestion>,
+    /// Whether it rejects requests whose deadline has passed before they are started.
     pub drops_expired: bool,
 }
 
-/// How crowding slows an upstream.
+/// Slowdown of an upstream by congestion.
 #[derive(Clone, Copy, Debug)]
-pub struct Crowd {
-    /// More requests than this for `over` begin it.
-    pub from: f64,
-    /// See `from`.
-    pub over: Nanos,
-    /// So much slower.
-    pub slower: f64,
-    /// It ends after so long with less than this part of its cores busy, or after `most`.
-    pub rest: Nanos,
-    /// See `rest`.
-    pub below: f64,
-    /// See `rest`.
-    pub most: Nanos,
+pub struct Congestion {
+    /// The slowdown starts once more requests than this are held for `onset`.
+    pub threshold: f64,
+    /// Duration of the congestion that starts the slowdown, in nanoseconds.
+    pub onset: Nanos,
+    /// Factor by which the upstream is slower.
+    pub slowdown: f64,
+    /// The slowdown ends after this time with less than `idle_below` of the cores busy, or after `max_duration`, in
+    /// nanoseconds.
+    pub recovery: Nanos,
+    /// Fraction of the cores below which the upstream counts as idle.
+    pub idle_below: f64,
+    /// Maximum duration of the slowdown, in nanoseconds.
+    pub max_duration: Nanos,
 }
 
-impl Build {
-    /// One of a tier. `std` and `lento` halves, as the users have them.
-    pub fn draw(d: &mut Draws, tier: usize, crowds: bool) -> Build {
-        let std = d.chance(0.49);
-        let (cores, speed) = if std { (2.0, d.between((0.85, 1.1))) } else { (3.0, d.between((0.51, 0.69))) };
-        let per_core = if tier == 0 { (7.0, 17.0) } else { (9.0, 23.0) };
-        let slots = (cores * d.between(per_core)) as usize;
-        let line = (cores * d.between((9.0, 33.0))) as usize;
-        let crowd = Crowd {
-            // Far more than cores, yet within what it can hold.
-            from: (cores * 5.0).min(0.7 * (slots + line) as f64),
-            over: ms(d.between((1500.0, 2500.0))),
-            slower: d.between((2.1, 3.4)),
-            rest: ms(d.between((3300.0, 4900.0))),
-            below: 0.4,
-            most: ms(d.between((15_000.0, 32_000.0))),
+impl ServerSpec {
+    /// Draws an upstream of a tier. About half of them are of type `std` and half `lento`, as in the users' fleet.
+    pub fn draw(rng: &mut Draws, tier: usize, congests: bool) -> ServerSpec {
+        let standard = rng.chance(0.49);
+        let (cores, speed) =
+            if standard { (2.0, rng.between((0.85, 1.1))) } else { (3.0, rng.between((0.51, 0.69))) };
+        let slots_per_core = if tier == 0 { (7.0, 17.0) } else { (9.0, 23.0) };
+        let slots = (cores * rng.between(slots_per_core)) as usize;
+        let queue_limit = (cores * rng.between((9.0, 33.0))) as usize;
+        let congestion = Congestion {
+            // Far more than the cores, yet no more than the upstream can hold.
+            threshold: (cores * 5.0).min(0.7 * (slots + queue_limit) as f64),
+            onset: ms(rng.between((1500.0, 2500.0))),
+            slowdown: rng.between((2.1, 3.4)),
+            recovery: ms(rng.between((3300.0, 4900.0))),
+            idle_below: 0.4,
+            max_duration: ms(rng.between((15_000.0, 32_000.0))),
         };
-        Build {
+        ServerSpec {
             cores,
             speed,
             slots,
-            line,
-            contention: d.between((0.04, 0.14)),
-            steady: slots as f64,
-            cold_from: d.between((0.32, 0.57)),
-            cold_for: ms(d.between((3100.0, 9000.0))),
-            connections: d.between((110.0, 250.0)) as u32,
-            crowd: crowds.then_some(crowd),
-            drops_expired: d.chance(0.5),
+            queue_limit,
+            contention: rng.between((0.04, 0.14)),
+            contention_threshold: slots as f64,
+            cold_fraction: rng.between((0.32, 0.57)),
+            warmup: ms(rng.between((3100.0, 9000.0))),
+            max_connections: rng.between((110.0, 250.0)) as u32,
+            congestion: congests.then_some(congestion),
+            drops_expired: rng.chance(0.5),
         }
     }
 
-    /// What it does, warm and alone with its load, in yardstick cores.
+    /// Returns its capacity, warm and without contention, in reference cores.
     pub fn capacity(&self) -> f64 {
         self.cores * self.speed
     }
 }
 
-/// What becomes of a request that reaches an upstream.
+/// Decision on a request that arrives at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// It is worked on.
-    Work,
-    /// It waits for a place.
-    Line,
-    /// There is none: turned away unseen.
-    None,
+pub enum Admission {
+    /// It is in service.
+    InService,
+    /// It waits in the queue.
+    Queued,
+    /// Slots and queue are full: it is rejected unprocessed.
+    Rejected,
 }
 
-/// One upstream; see the module's page.
+/// State of one upstream.
 pub struct Server {
-    /// Its group of upstreams that share the keys that they have seen.
+    /// Group of upstreams that share the idempotency keys that they have seen.
     pub group: u16,
-    /// How it is built.
-    pub build: Build,
-    /// Whether its process runs.
+    /// Capacity parameters.
+    pub spec: ServerSpec,
+    /// Whether its process is running.
     pub up: bool,
-    /// Grows with each process.
+    /// Number of process starts since the run began.
     pub epoch: u32,
-    /// When that started; `None`: long ago.
-    pub started: Option<Nanos>,
-    /// Nothing moves, and nothing comes back.
+    /// Start time of the process; `None` means long ago.
+    pub started_at: Option<Nanos>,
+    /// Whether it hangs: no work progresses and no answer is sent.
     pub hung: bool,
-    /// So many times slower, by troubles.
-    pub slow: f64,
-    /// The part of requests that fails at once, and that whose answer is cut off.
-    pub errors: f64,
-    /// See `errors`.
-    pub resets: f64,
-    /// Open connections.
+    /// Factor by which faults slow it down.
+    pub slowdown: f64,
+    /// Fraction of requests that fail at once.
+    pub error_rate: f64,
+    /// Fraction of answers that are cut off by a reset.
+    pub reset_rate: f64,
+    /// Number of open connections.
     pub connections: u32,
-    /// Counts the changes of its pace: a wake-up that was set before the last says nothing.
-    pub version: u64,
-    held: usize,
-    line: VecDeque<u64>,
-    /// Work done for each request that has been on the cores all the time, in yardstick seconds; and when that was
-    /// reckoned.
-    done: f64,
-    reckoned: Nanos,
-    /// By when they are through, on that scale; the bits of a float above 0 have its order.
-    working: BTreeSet<(u64, u64)>,
-    crowded_since: Option<Nanos>,
+    /// Number of changes of its processing speed. A wake-up that was scheduled before the latest change is ignored.
+    pub speed_version: u64,
+    in_service: usize,
+    queue: VecDeque<u64>,
+    /// Work done, in reference-core seconds, for a request that has been on the cores all the time; and the time up to
+    /// which it was computed.
+    work_done: f64,
+    computed_at: Nanos,
+    /// Requests on the cores by the value of `work_done` at which they complete. Floats above 0 and their bit patterns
+    /// have the same order.
+    on_cpu: BTreeSet<(u64, u64)>,
+    congested_since: Option<Nanos>,
     idle_since: Option<Nanos>,
-    slowed_at: Option<Nanos>,
+    slowed_since: Option<Nanos>,
 }
 
 impl Server {
-    /// A warm one.
-    pub fn new(group: u16, build: Build) -> Server {
+    /// Returns a warm, running upstream.
+    pub fn new(group: u16, spec: ServerSpec) -> Server {
         Server {
             group,
-            build,
+            spec,
             up: true,
             epoch: 0,
-            started: None,
+            started_at: None,
             hung: false,
-            slow: 1.0,
-            errors: 0.0,
-            resets: 0.0,
+            slowdown: 1.0,
+            error_rate: 0.0,
+            reset_rate: 0.0,
             connections: 0,
-            version: 0,
-            held: 0,
-            line: VecDeque::new(),
-            done: 0.0,
-            reckoned: 0,
-            working: BTreeSet::new(),
-            crowded_since: None,
+            speed_version: 0,
+            in_service: 0,
+            queue: VecDeque::new(),
+            work_done: 0.0,
+            computed_at: 0,
+            on_cpu: BTreeSet::new(),
+            congested_since: None,
             idle_since: None,
-            slowed_at: None,
+            slowed_since: None,
         }
     }
 
-    /// Its process ends; what it held is gone.
-    pub fn ends(&mut self, now: Nanos) {
-        self.reckon(now);
+    /// Ends the process, which loses all its requests.
+    pub fn stop_process(&mut self, now: Nanos) {
+        self.advance(now);
         self.up = false;
-        self.held = 0;
-        self.line.clear();
-        self.working.clear();
-        (self.crowded_since, self.idle_since, self.slowed_at) = (None, None, None);
-        self.version += 1;
+        self.in_service = 0;
+        self.queue.clear();
+        self.on_cpu.clear();
+        (self.congested_since, self.idle_since, self.slowed_since) = (None, None, None);
+        self.speed_version += 1;
         self.connections = 0;
     }
 
-    /// Another process starts, cold.
-    pub fn starts(&mut self, now: Nanos) {
+    /// Starts a new, cold process.
+    pub fn start_process(&mut self, now: Nanos) {
         (self.up, self.hung) = (true, false);
         self.epoch += 1;
-        self.started = Some(now);
-        self.reckoned = now;
-        self.version += 1;
+        self.started_at = Some(now);
+        self.computed_at = now;
+        self.speed_version += 1;
     }
 
-    /// The part of its capacity that is there.
-    fn warmth(&self, now: Nanos) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
-        let part = now.saturating_sub(started) as f64 / self.build.cold_for.max(1) as f64;
-        (self.build.cold_from + (1.0 - self.build.cold_from) * part).min(1.0)
+    /// Returns the fraction of the capacity that is available.
+    fn available_fraction(&self, now: Nanos) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let warmed = now.saturating_sub(started_at) as f64 / self.spec.warmup.max(1) as f64;
+        (self.spec.cold_fraction + (1.0 - self.spec.cold_fraction) * warmed).min(1.0)
     }
 
-    /// Yardstick seconds of work a second that each request on the cores gets.
-    fn pace(&self, now: Nanos) -> f64 {
-        if self.hung || self.working.is_empty() {
+    /// Returns the reference-core seconds of work per second that each request on the cores receives.
+    fn speed(&self, now: Nanos) -> f64 {
+        if self.hung || self.on_cpu.is_empty() {
             return 0.0;
         }
-        let b = &self.build;
-        let holds = (self.held + self.line.len()) as f64;
-        let beyond = ((holds - b.steady) / b.steady).max(0.0);
-        let crowd = b.crowd.filter(|_| self.slowed_at.is_some()).map_or(1.0, |c| c.slower);
-        let shared = (b.cores / self.working.len() as f64).min(1.0);
-        b.speed * self.warmth(now) * shared / ((1.0 + b.contention * beyond) * crowd * self.slow)
+        let spec = &self.spec;
+        let requests_held = (self.in_service + self.queue.len()) as f64;
+        let excess = ((requests_held - spec.contention_threshold) / spec.contention_threshold).max(0.0);
+        let slowdown = spec.congestion.filter(|_| self.slowed_since.is_some()).map_or(1.0, |c| c.slowdown);
+        let shared = (spec.cores / self.on_cpu.len() as f64).min(1.0);
+        spec.speed * self.available_fraction(now) * shared
+            / ((1.0 + spec.contention * excess) * slowdown * self.slowdown)
     }
 
-    /// Brings the work done up to now; to be called before anything changes its pace.
-    pub fn reckon(&mut self, now: Nanos) {
-        self.done += self.pace(self.reckoned) * (now - self.reckoned) as f64 / 1e9;
-        self.reckoned = now;
-        let Some(c) = self.build.crowd else { return };
-        let since = |at: &mut Option<Nanos>, is: bool| {
-            *at = if is { at.or(Some(now)) } else { None };
-            at.map_or(0, |at| now - at)
+    /// Updates the work done up to `now`. Must be called before anything that changes the processing speed.
+    pub fn advance(&mut self, now: Nanos) {
+        self.work_done += self.speed(self.computed_at) * (now - self.computed_at) as f64 / 1e9;
+        self.computed_at = now;
+        let Some(congestion) = self.spec.congestion else { return };
+        let duration_of = |since: &mut Option<Nanos>, holds: bool| {
+            *since = if holds { since.or(Some(now)) } else { None };
+            since.map_or(0, |since| now - since)
         };
-        let crowded = since(&mut self.crowded_since, (self.held + self.line.len()) as f64 > c.from);
-        let idle = since(&mut self.idle_since, (self.working.len() as f64) < c.below * self.build.cores);
-        match self.slowed_at {
-            None if crowded >= c.over => self.slowed_at = Some(now),
-            Some(at) if idle >= c.rest || now - at >= c.most => {
-                (self.slowed_at, self.crowded_since) = (None, None);
+        let congested_for = duration_of(
+            &mut self.congested_since,
+            (self.in_service + self.queue.len()) as f64 > congestion.threshold,
+        );
+        let idle_for = duration_of(
+            &mut self.idle_since,
+            (self.on_cpu.len() as f64) < congestion.idle_below * self.spec.cores,
+        );
+        match self.slowed_since {
+            None if congested_for >= congestion.onset => self.slowed_since = Some(now),
+            Some(since) if idle_for >= congestion.recovery || now - since >= congestion.max_duration => {
+                (self.slowed_since, self.congested_since) = (None, None);
             }
             _ => {}
         }
     }
 
-    /// Whether crowding slows it now.
-    pub fn slowed(&self) -> bool {
-        self.slowed_at.is_some()
+    /// Returns whether congestion currently slows it down.
+    pub fn is_slowed(&self) -> bool {
+        self.slowed_since.is_some()
     }
 
-    /// Takes a request.
-    pub fn take(&mut self, now: Nanos, job: u64) -> Place {
-        self.reckon(now);
-        if self.held < self.build.slots {
-            self.held += 1;
-            return Place::Work;
+    /// Admits a request to service, queues it or rejects it.
+    pub fn admit(&mut self, now: Nanos, job: u64) -> Admission {
+        self.advance(now);
+        if self.in_service < self.spec.slots {
+            self.in_service += 1;
+            return Admission::InService;
         }
-        if self.line.len() < self.build.line {
-            self.line.push_back(job);
-            return Place::Line;
+        if self.queue.len() < self.spec.queue_limit {
+            self.queue.push_back(job);
+            return Admission::Queued;
         }
-        Place::None
+        Admission::Rejected
     }
 
-    /// A request in work goes on the cores with so many yardstick seconds of work.
-    pub fn works(&mut self, now: Nanos, job: u64, seconds: f64) {
-        self.reckon(now);
-        self.working.insert(((self.done + seconds.max(1e-9)).to_bits(), job));
-        self.version += 1;
+    /// Puts a request in service on the cores, with this work in reference-core seconds.
+    pub fn run_on_cpu(&mut self, now: Nanos, job: u64, seconds: f64) {
+        self.advance(now);
+        self.on_cpu.insert(((self.work_done + seconds.max(1e-9)).to_bits(), job));
+        self.speed_version += 1;
     }
 
-    /// A request in work is over; who comes next from the line.
+    /// Completes a request in service. Returns the next request from the queue.
     pub fn complete_request(&mut self, now: Nanos) -> Option<u64> {
-        self.reckon(now);
-        self.version += 1;
-        match self.line.pop_front() {
+        self.advance(now);
+        self.speed_version += 1;
+        match self.queue.pop_front() {
             Some(next) => Some(next),
             None => {
-                self.held = self.held.saturating_sub(1);
+                self.in_service = self.in_service.saturating_sub(1);
                 None
             }
         }
     }
 
-    /// The request that is through with its work on the cores by now.
-    pub fn through(&mut self, now: Nanos) -> Option<u64> {
-        self.reckon(now);
-        let &(end, job) = self.working.first()?;
-        // What is left is less than a nanosecond's work.
-        (f64::from_bits(end) <= self.done + 1e-9).then(|| {
-            self.working.pop_first();
-            self.version += 1;
+    /// Returns a request whose work on the cores is complete by now.
+    pub fn pop_completed(&mut self, now: Nanos) -> Option<u64> {
+        self.advance(now);
+        let &(completes_at, job) = self.on_cpu.first()?;
+        // The tolerance is less than a nanosecond of work.
+        (f64::from_bits(completes_at) <= self.work_done + 1e-9).then(|| {
+            self.on_cpu.pop_first();
+            self.speed_version += 1;
             job
         })
     }
 
-    /// When to look at it next.
-    pub fn wake(&self, now: Nanos) -> Option<Nanos> {
-        let &(end, _) = self.working.first()?;
-        let pace = self.pace(now);
-        if pace <= 0.0 {
+    /// Returns the time of the next possible completion.
+    pub fn next_completion(&self, now: Nanos) -> Option<Nanos> {
+        let &(end, _) = self.on_cpu.first()?;
+        let speed = self.speed(now);
+        if speed <= 0.0 {
             return None;
         }
-        let left = (f64::from_bits(end) - self.done).max(0.0) / pace;
-        let end = now.saturating_add((left * 1e9) as Nanos + 1);
-        // A cold one speeds up meanwhile.
-        let cold = self.started.is_some_and(|at| now < at + self.build.cold_for);
+        let remaining = (f64::from_bits(end) - self.work_done).max(0.0) / speed;
+        let end = now.saturating_add((remaining * 1e9) as Nanos + 1);
+        // A cold upstream speeds up in the meantime, so it is checked at least every 50 ms.
+        let cold = self.started_at.is_some_and(|at| now < at + self.spec.warmup);
         Some(if cold { end.min(now + ms(50.0)) } else { end })
     }
 
-    /// Requests that it holds.
-    pub fn requests(&self) -> usize {
-        self.held + self.line.len()
+    /// Returns the number of requests in service and in the queue.
+    pub fn requests_held(&self) -> usize {
+        self.in_service + self.queue.len()
     }
 }
 
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -1,57 +1,57 @@
-//! The run: callers, balancers, upstreams, network and registry on one clock. Everything that happens is a `Happening`,
-//! and there is a method for each.
+//! The simulation run: clients, balancers, upstreams, the network and the registry share one virtual clock. Each kind
+//! of event is a variant of `Event` and has a handler method.
 use crate::agenda::{ms, Agenda, Nanos};
 use crate::draw::Draws;
-use crate::instance::{Does, Instance, Line, Process, BEGAN};
-use crate::invariant_checks::{Judge, Violation};
+use crate::instance::{Instance, Output, Process, RegistryEntry, START_UNIX_MS};
+use crate::invariant_checks::{InvariantChecker, Violation};
 use crate::mutant::Mutant;
 use crate::scenario::{Fault, FaultKind, Scenario, TIER_WORK};
-use crate::score::{Counted, End, Score};
-use crate::server::{Place, Server};
+use crate::score::{OperationInfo, Outcome, Score};
+use crate::server::{Admission, Server};
 use balancer::{Class, DedupScope, Effect, Ending, Settings, Tenant};
 use discovery::endpoint::{EndpointState, SourceUpdate};
 use fnv::FnvHashMap;
 use hashing::Digest;
-use lifecycle::{Action as Act, Event as Life, State as Lives};
+use lifecycle::{Action as LifecycleAction, Event as LifecycleEvent, State as LifecycleState};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long the group's memory of a key lasts.
-const WINDOW: Nanos = 4_000_000_000;
-/// A connection that is not up after this long counts as refused.
-const DIAL: Nanos = 250_000_000;
-/// How often idle connections are looked through.
-const SWEEP: Nanos = 250_000_000;
-/// How long after its caller's patience a request is judged.
-const AFTER: Nanos = 1_000_000_000;
-/// How long the front takes to notice that a balancer is gone, in milliseconds.
-const FRONT: (f64, f64) = (1700.0, 3600.0);
-/// A second try of an operation that nobody could be reached for.
-const UNREACHED: Nanos = 20_000_000;
-/// The part of capacity that is stated as quotas.
-const QUOTA: f64 = 0.52;
-/// A process comes back after this long.
-const RETURN_DELAY: Nanos = 300_000_000;
-/// Where a process ends, its counts are taken this often.
-const COUNT: Nanos = 100_000_000;
-/// What a club sends beyond its share is worth this part.
-const OVER_SHARE: f64 = 0.05;
-/// What a caller's repeat is worth, and repeats for each first try of a club, where budgets are on.
-const RETRY_WEIGHT: f64 = 0.25;
-/// See [`RETRY_WEIGHT`].
-const CLUB_REPEATS: f64 = 0.1;
-/// Most events of a run: one that goes on for ever is a defect.
+/// Deduplication window of a group: how long it remembers an idempotency key, in nanoseconds.
+const DEDUP_WINDOW: Nanos = 4_000_000_000;
+/// Connect timeout, in nanoseconds. A connection that is not established by then counts as refused.
+const CONNECT_TIMEOUT: Nanos = 250_000_000;
+/// Interval between sweeps for idle connections, in nanoseconds.
+const IDLE_SWEEP_INTERVAL: Nanos = 250_000_000;
+/// Time between a request's client timeout and its check against the invariants, in nanoseconds.
+const CHECK_DELAY: Nanos = 1_000_000_000;
+/// Minimum and maximum time for the front to notice that a balancer is gone, in milliseconds.
+const FRONT_NOTICE_MS: (f64, f64) = (1700.0, 3600.0);
+/// Delay before an operation that reached no balancer is submitted again, in nanoseconds.
+const RESUBMIT_DELAY: Nanos = 20_000_000;
+/// Fraction of the capacity that is assigned as quotas.
+const QUOTA_FRACTION: f64 = 0.52;
+/// Delay before a process that exited is started again, in nanoseconds.
+const RESTART_DELAY: Nanos = 300_000_000;
+/// Interval between counts of the open requests of a process that is shutting down, in nanoseconds.
+const COUNT_INTERVAL: Nanos = 100_000_000;
+/// Worth of a tenant's requests beyond its share; a request within the share is worth 1.
+const OVER_SHARE_WORTH: f64 = 0.05;
+/// Worth of a client's retry where budgets are enabled; a first attempt is worth 1.
+const RETRY_WORTH: f64 = 0.25;
+/// Retries allowed for each first attempt of a tenant, where budgets are enabled.
+const TENANT_RETRIES: f64 = 0.1;
+/// Maximum number of events in a run. A run that reaches it does not terminate, which is a defect.
 const MAX_EVENTS: u64 = 500_000_000;
 
-/// An attempt: of which process, and its ids there.
+/// A balancer's attempt: the process that made it, and the request id and attempt number within that process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Attempt {
-    of: Process,
+    process: Process,
     id: u32,
     number: u32,
 }
 
-/// Who waits for an answer.
+/// The party that waits for an answer: a client's operation, or a job at an upstream that calls the second tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Caller {
     Operation(u64),
@@ -61,23 +61,23 @@
 struct Request {
     caller: Caller,
     class: usize,
-    club: usize,
+    tenant: usize,
     key: u64,
-    /// Yardstick seconds of the whole.
+    /// Total work in reference-core seconds.
     work: f64,
     instance: usize,
-    until: Nanos,
-    over: bool,
+    deadline: Nanos,
+    finished: bool,
 }
 
-/// What a client wants done: a first try and its retries.
+/// A client's operation: a first attempt and its retries.
 struct Operation {
-    counted: Counted,
+    info: OperationInfo,
     key: u64,
     work: f64,
     deadline: Nanos,
-    tries: usize,
-    waits_for: u64,
+    attempts_made: usize,
+    pending_request: u64,
 }
 
 /// A request at an upstream.
@@ -86,135 +86,152 @@
     server: usize,
     epoch: u32,
     attempt: Attempt,
-    /// What it does next: 0 work, 1 waiting on others, and then at the first tier calls and work by turns.
+    /// Next step: 0 is CPU work and 1 is waiting on other systems. After that, the first tier alternates between calls
+    /// and CPU work.
     step: usize,
     calls: usize,
-    /// Yardstick seconds of each piece of work, and of the connection that it came on.
-    piece: f64,
-    extra: f64,
-    waits: f64,
-    /// A repeat that its group drops.
-    repeat: bool,
-    /// Its answer is cut off.
-    cut: bool,
-    waits_for: Option<u64>,
+    /// Reference-core seconds of each CPU step, and of setting up the connection that the request arrived on.
+    work_per_step: f64,
+    connection_work: f64,
+    wait_s: f64,
+    /// Whether this is a retry that the group's deduplication drops.
+    duplicate: bool,
+    /// Whether the connection is reset instead of delivering the answer.
+    answer_cut: bool,
+    pending_request: Option<u64>,
 }
 
-enum Happening {
+enum Event {
     Arrival,
-    Offer(u64),
-    Reached(u64),
-    Timer(Process, u32),
-    Due(Attempt),
-    Write { attempt: Attempt, server: usize, dialled: bool },
-    Arrived { attempt: Attempt, request: u64, server: usize, epoch: u32, fresh: bool, lost: bool },
-    Cpu(usize, u64),
-    Waited(u64),
-    Back { attempt: Attempt, ending: Ending, kept: Option<u32> },
+    Submit(u64),
+    RequestReached(u64),
+    BalancerTimer(Process, u32),
+    AttemptTimeout(Attempt),
+    ConnectDone {
+        attempt: Attempt,
+        server: usize,
+        success: bool,
+    },
+    AttemptArrived {
+        attempt: Attempt,
+        request: u64,
+        server: usize,
+        epoch: u32,
+        new_connection: bool,
+        lost: bool,
+    },
+    CpuDone(usize, u64),
+    WaitFinished(u64),
+    Response {
+        attempt: Attempt,
+        ending: Ending,
+        kept_epoch: Option<u32>,
+    },
     Answer(u64, u16, f64),
-    Patience(u64),
-    Left(Process, u64),
-    Judge(u64),
-    News(Process, Line),
-    List(Process),
-    Live(Process),
-    Count(Process),
-    Start(usize),
-    Stop(usize),
-    Front(usize, bool),
-    Sweep(Process),
-    Begins(usize),
-    Ends(usize),
-    Restarts(usize),
-    Forget,
+    CallerTimeout(u64),
+    CallerLeft(Process, u64),
+    CheckRequest(u64),
+    RegistryUpdate(Process, RegistryEntry),
+    EndpointList(Process),
+    LifecycleTimeout(Process),
+    OpenCounts(Process),
+    StartInstance(usize),
+    StopInstance(usize),
+    FrontUpdate(usize, bool),
+    IdleSweep(Process),
+    FaultBegins(usize),
+    FaultEnds(usize),
+    RestartServer(usize),
+    ExpireKeys,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What callers got.
+    /// Outcomes and worth of the clients' operations.
     pub score: Score,
-    /// Rules that were broken, the first of them, and what has grown.
+    /// The first violations of the invariants, up to a limit.
     pub violations: Vec<Violation>,
-    /// How many there were.
-    pub broken: u64,
-    /// What did not come back to its idle size: which, and its size.
-    pub grown: Vec<(String, usize)>,
-    /// The digest of all that happened, in order.
+    /// Total number of violations.
+    pub violation_count: u64,
+    /// Tables that did not return to their idle size: the name and the remaining number of entries.
+    pub retained: Vec<(String, usize)>,
+    /// Digest of all recorded events, in order.
     pub digest: u64,
-    /// Events, requests to balancers, and attempts.
+    /// Number of events processed.
     pub events: u64,
-    /// See `events`.
+    /// Number of requests that balancers accepted.
     pub requests: u64,
-    /// See `events`.
+    /// Number of attempts that balancers made.
     pub attempts: u64,
-    /// The part of upstreams that crowding slowed at some time.
-    pub slowed: f64,
+    /// Fraction of the upstreams that congestion slowed at any time.
+    pub slowed_fraction: f64,
 }
 
 impl Report {
-    /// Whether every rule held and nothing grew.
-    pub fn sound(&self) -> bool {
-        self.broken == 0 && self.grown.is_empty()
+    /// Returns whether all invariants held and all tables returned to their idle size.
+    pub fn is_correct(&self) -> bool {
+        self.violation_count == 0 && self.retained.is_empty()
     }
 }
 
-/// See the module's page.
+/// State of a run.
 pub struct World<'s> {
     scenario: &'s Scenario,
-    agenda: Agenda<Happening>,
+    agenda: Agenda<Event>,
     instances: Vec<Instance>,
     servers: Vec<Server>,
-    /// Balancers that the front deals clients to.
-    front: Vec<usize>,
-    /// What the registry says of each upstream.
-    lines: Vec<Line>,
-    /// When each instance hears next, so that news come in order.
-    heard: Vec<Nanos>,
-    silent_until: Nanos,
-    /// The connections that rested for longer are dropped on the way.
-    stale: Option<Nanos>,
+    /// Balancers that the front sends client requests to.
+    front_targets: Vec<usize>,
+    /// Registry entry of each upstream.
+    registry: Vec<RegistryEntry>,
+    /// Time of each instance's latest scheduled registry update. Later updates are not scheduled before it, which keeps
+    /// their order.
+    last_notified: Vec<Nanos>,
+    registry_silent_until: Nanos,
+    /// Idle time beyond which connections lose requests silently, if that fault is active.
+    stale_after: Option<Nanos>,
     flood: Option<(usize, f64)>,
-    grown: f64,
+    load_factor: f64,
     operations: FnvHashMap<u64, Operation>,
     requests: FnvHashMap<u64, Request>,
     jobs: FnvHashMap<u64, Job>,
-    /// When a group saw a key last.
-    keys: FnvHashMap<(u16, u64), Nanos>,
-    /// What each club may still send within its share.
-    shares: Vec<(f64, Nanos)>,
-    number: u64,
-    judge: Judge,
+    /// Time at which a group first saw a key.
+    seen_keys: FnvHashMap<(u16, u64), Nanos>,
+    /// Number of requests that each tenant may still send within its share, and the time of the last update.
+    share_credits: Vec<(f64, Nanos)>,
+    last_id: u64,
+    checker: InvariantChecker,
     score: Score,
     digest: Digest,
     events: u64,
-    asked: u64,
+    requests_received: u64,
     attempts: u64,
-    slowed: Vec<bool>,
-    clients: Draws,
-    net: Draws,
-    work: Draws,
-    news: Draws,
-    does: Vec<Does>,
+    ever_slowed: Vec<bool>,
+    client_draws: Draws,
+    network_draws: Draws,
+    work_draws: Draws,
+    registry_draws: Draws,
+    outputs: Vec<Output>,
 }
 
-/// Plays a run to its end.
-pub fn play(scenario: &Scenario, mutant: Mutant) -> Report {
+/// Runs a scenario to completion.
+pub fn run_scenario(scenario: &Scenario, mutant: Mutant) -> Report {
     let mut world = World::new(scenario, mutant);
-    while let Some(what) = world.agenda.turn() {
+    while let Some(event) = world.agenda.turn() {
         world.events += 1;
         if world.events > MAX_EVENTS {
             break;
         }
-        world.happens(what);
+        world.handle(event);
     }
     world.report()
 }
 
 fn settings(scenario: &Scenario, tier: usize, index: usize) -> Settings {
     let classes = scenario.classes.iter().map(|c| Class {
-        objective: c.wanted,
-        deadline: c.deadline,
+        objective: c.objective_ms,
+        deadline: c.deadline_ms,
         effect: match c.keyed {
             true => Effect::Guarded { scope: DedupScope::Cell, window: 4000.0 },
             false => Effect::SingleShot,
@@ -224,7 +241,7 @@
         kinds_only: None,
     });
     let calls = if tier == 0 { 1.0 } else { scenario.calls.0 as f64 + scenario.calls.1 };
-    let quota = |share: f64| QUOTA * scenario.capacity * calls * share;
+    let quota = |share: f64| QUOTA_FRACTION * scenario.capacity * calls * share;
     let balancers = if tier == 0 { scenario.size.balancers } else { scenario.size.portals };
     Settings {
         index: index as u32,
@@ -232,7 +249,7 @@
         stage: tier as u32,
         classes: classes.collect(),
         tenants: scenario
-            .clubs
+            .tenants
             .iter()
             .map(|&(share, _)| Tenant { share, quota_per_s: quota(share) })
             .collect(),
@@ -246,7 +263,7 @@
         ramp_time: 9000.0,
         tip_multiple: 4.0,
         refuse_hopeless: scenario.budgets,
-        tenant_retries: if scenario.budgets { CLUB_REPEATS } else { 0.0 },
+        tenant_retries: if scenario.budgets { TENANT_RETRIES } else { 0.0 },
         ..Settings::default()
     }
 }
@@ -255,81 +272,87 @@
     fn new(scenario: &'s Scenario, mutant: Mutant) -> World<'s> {
         let seed = scenario.seed;
         let mut servers = Vec::new();
-        let mut d = Draws::new(seed, "groups", 0);
-        let portals = scenario.builds[0].len();
-        for (tier, builds) in scenario.builds.iter().enumerate() {
-            let cell = 4 + d.below(5);
-            for (k, build) in builds.iter().enumerate() {
-                servers.push(Server::new((1000 * tier + k / cell) as u16, build.clone()));
+        let mut draws = Draws::new(seed, "groups", 0);
+        let portals = scenario.specs[0].len();
+        for (tier, specs) in scenario.specs.iter().enumerate() {
+            let cell = 4 + draws.below(5);
+            for (k, spec) in specs.iter().enumerate() {
+                servers.push(Server::new((1000 * tier + k / cell) as u16, spec.clone()));
             }
         }
         let balancers = usize::from(scenario.size.balancers);
-        let mut d = Draws::new(seed, "clocks", 0);
-        let mut skew = || if scenario.skew > 0.0 { d.between((-scenario.skew, scenario.skew)) } else { 0.0 };
+        let mut draws = Draws::new(seed, "clocks", 0);
+        let mut skew = || {
+            if scenario.max_clock_skew_ms > 0.0 {
+                draws.between((-scenario.max_clock_skew_ms, scenario.max_clock_skew_ms))
+            } else {
+                0.0
+            }
+        };
         let mut instances = Vec::new();
         for k in 0..balancers + portals {
             let (tier, index) = if k < balancers { (0, k) } else { (1, k - balancers) };
             let seed = Draws::new(seed, "instance", k).bits();
             instances.extend(Instance::new(settings(scenario, tier, index), seed, skew(), mutant));
         }
-        let lines = servers.iter().enumerate().map(|(server, s)| Line {
+        let registry = servers.iter().enumerate().map(|(server, s)| RegistryEntry {
             server,
             group: s.group,
-            standing: Some(EndpointState::Ready),
-            started: 0.0,
+            state: Some(EndpointState::Ready),
+            started_ms: 0.0,
         });
-        let lines: Vec<Line> = lines.collect();
-        let heard = vec![0; instances.len()];
+        let registry: Vec<RegistryEntry> = registry.collect();
+        let last_notified = vec![0; instances.len()];
         let mut world = World {
             scenario,
             agenda: Agenda::default(),
-            slowed: vec![false; servers.len()],
+            ever_slowed: vec![false; servers.len()],
             instances,
             servers,
-            front: Vec::new(),
-            lines,
-            heard,
-            silent_until: 0,
-            stale: None,
+            front_targets: Vec::new(),
+            registry,
+            last_notified,
+            registry_silent_until: 0,
+            stale_after: None,
             flood: None,
-            grown: 1.0,
+            load_factor: 1.0,
             operations: FnvHashMap::default(),
             requests: FnvHashMap::default(),
             jobs: FnvHashMap::default(),
-            keys: FnvHashMap::default(),
-            shares: scenario.clubs.iter().map(|_| (1.0, 0)).collect(),
-            number: 0,
-            judge: Judge::default(),
+            seen_keys: FnvHashMap::default(),
+            share_credits: scenario.tenants.iter().map(|_| (1.0, 0)).collect(),
+            last_id: 0,
+            checker: InvariantChecker::default(),
             score: Score::default(),
             digest: Digest::default(),
             events: 0,
-            asked: 0,
+            requests_received: 0,
             attempts: 0,
-            clients: Draws::new(seed, "clients", 0),
-            net: Draws::new(seed, "network", 0),
-            work: Draws::new(seed, "work", 0),
-            news: Draws::new(seed, "news", 0),
-            does: Vec::new(),
+            client_draws: Draws::new(seed, "clients", 0),
+            network_draws: Draws::new(seed, "network", 0),
+            work_draws: Draws::new(seed, "work", 0),
+            registry_draws: Draws::new(seed, "news", 0),
+            outputs: Vec::new(),
         };
-        // What comes up with a trouble is not there yet, nor the instances of those.
+        // The upstreams that a fault starts later are not running yet, and neither are their instances.
         for k in portals - scenario.reserve.min(portals)..portals {
             world.servers[k].up = false;
-            world.lines[k].standing = None;
+            world.registry[k].state = None;
             world.instances[balancers + k].up = false;
         }
         let start = Draws::new(seed, "start", 0).between((110.0, 880.0));
-        let mut d = Draws::new(seed, "starts", 0);
+        let mut draws = Draws::new(seed, "starts", 0);
         for k in 0..world.instances.len() {
             if world.instances[k].up {
                 world.instances[k].up = false;
-                world.agenda.at(ms(d.between((0.0, start))), Happening::Start(k));
+                world.agenda.at(ms(draws.between((0.0, start))), Event::StartInstance(k));
             }
         }
-        for (k, t) in scenario.troubles.iter().enumerate() {
-            world.agenda.at(t.at, Happening::Begins(k));
+        for (k, fault) in scenario.faults.iter().enumerate() {
+            world.agenda.at(fault.starts_at, Event::FaultBegins(k));
         }
-        world.agenda.at(ms(1500.0), Happening::Arrival);
-        world.agenda.at(WINDOW, Happening::Forget);
+        world.agenda.at(ms(1500.0), Event::Arrival);
+        world.agenda.at(DEDUP_WINDOW, Event::ExpireKeys);
         world
     }
 
@@ -338,508 +361,556 @@
     }
 
     fn portals(&self) -> usize {
-        self.scenario.builds[0].len()
+        self.scenario.specs[0].len()
     }
 
-    fn fresh(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// One way between processes.
-    fn way(&mut self) -> Nanos {
-        let way = self.scenario.way.0;
-        ms(way * (1.0 + self.net.exponential(0.2)))
+    /// Draws the one-way network delay between two processes.
+    fn network_delay(&mut self) -> Nanos {
+        let delay = self.scenario.network_delay_ms.0;
+        ms(delay * (1.0 + self.network_draws.exponential(0.2)))
     }
 
-    fn of(&self, instance: usize) -> Process {
+    fn current_process(&self, instance: usize) -> Process {
         Process { instance, epoch: self.instances[instance].epoch }
     }
 
-    fn runs(&self, of: Process) -> bool {
-        let i = &self.instances[of.instance];
-        i.up && i.epoch == of.epoch
+    fn is_running(&self, process: Process) -> bool {
+        let balancer = &self.instances[process.instance];
+        balancer.up && balancer.epoch == process.epoch
     }
 
-    fn note(&mut self, tag: u64, a: u64, b: u64) {
+    fn record(&mut self, tag: u64, a: u64, b: u64) {
         for n in [self.agenda.now(), tag, a, b] {
             self.digest.write_u64(n);
         }
     }
 
-    fn happens(&mut self, what: Happening) {
-        match what {
-            Happening::Arrival => self.arrival(),
-            Happening::Offer(op) => self.offer(op),
-            Happening::Reached(request) => self.reached(request),
-            Happening::Timer(of, token) if self.runs(of) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrival => self.client_arrival(),
+            Event::Submit(op) => self.submit(op),
+            Event::RequestReached(request) => self.request_reached(request),
+            Event::BalancerTimer(process, token) if self.is_running(process) => {
                 let now = self.agenda.now();
-                self.instances[of.instance].wakes(now, token, &mut self.does);
-                self.carry_out(of.instance);
+                self.instances[process.instance].timer_fired(now, token, &mut self.outputs);
+                self.apply_outputs(process.instance);
             }
-            Happening::Due(attempt) => self.ended(attempt, Ending::Timeout, None),
-            Happening::Write { attempt, server, dialled } => self.write(attempt, server, dialled),
-            Happening::Arrived { attempt, request, server, epoch, fresh, lost } => {
-                self.arrived(attempt, request, (server, epoch), fresh, lost);
+            Event::AttemptTimeout(attempt) => self.end_attempt(attempt, Ending::Timeout, None),
+            Event::ConnectDone { attempt, server, success } => self.connect_done(attempt, server, success),
+            Event::AttemptArrived { attempt, request, server, epoch, new_connection, lost } => {
+                self.attempt_arrived(attempt, request, (server, epoch), new_connection, lost);
             }
-            Happening::Cpu(server, version) => self.cpu(server, version),
-            Happening::Waited(job) => self.step(job),
-            Happening::Back { attempt, ending, kept } => self.ended(attempt, ending, kept),
-            Happening::Answer(request, status, pause) => self.answer(request, status, pause),
-            Happening::Patience(request) => self.patience(request),
-            Happening::Left(of, request) if self.runs(of) => {
+            Event::CpuDone(server, speed_version) => self.cpu_done(server, speed_version),
+            Event::WaitFinished(job) => self.next_step(job),
+            Event::Response { attempt, ending, kept_epoch } => self.end_attempt(attempt, ending, kept_epoch),
+            Event::Answer(request, status, pause) => self.answer_received(request, status, pause),
+            Event::CallerTimeout(request) => self.caller_timed_out(request),
+            Event::CallerLeft(process, request) if self.is_running(process) => {
                 let now = self.agenda.now();
-                self.instances[of.instance].left(now, request, &mut self.does);
-                self.carry_out(of.instance);
+                self.instances[process.instance].caller_left(now, request, &mut self.outputs);
+                self.apply_outputs(process.instance);
             }
-            Happening::Judge(request) => {
+            Event::CheckRequest(request) => {
                 self.requests.remove(&request);
-                self.judge.over(request);
+                self.checker.check_request(request);
+            }
+            Event::RegistryUpdate(process, entry) if self.is_running(process) => {
+                self.registry_update(process.instance, entry)
             }
-            Happening::News(of, line) if self.runs(of) => self.hears(of.instance, line),
-            Happening::List(of) if self.runs(of) => self.listed(of.instance),
-            Happening::Live(of) if self.runs(of) => self.lives(of.instance, Life::Timeout),
-            Happening::Count(of) if self.runs(of) => self.counts(of),
-            Happening::Start(instance) => self.starts(instance),
-            Happening::Stop(instance) if self.instances[instance].up => self.lives(instance, Life::Stop),
-            Happening::Front(instance, takes) => self.noticed(instance, takes),
-            Happening::Sweep(of) if self.runs(of) => {
+            Event::EndpointList(process) if self.is_running(process) => self.endpoint_list(process.instance),
+            Event::LifecycleTimeout(process) if self.is_running(process) => {
+                self.handle_lifecycle(process.instance, LifecycleEvent::Timeout)
+            }
+            Event::OpenCounts(process) if self.is_running(process) => self.report_open_counts(process),
+            Event::StartInstance(instance) => self.start_instance(instance),
+            Event::StopInstance(instance) if self.instances[instance].up => {
+                self.handle_lifecycle(instance, LifecycleEvent::Stop)
+            }
+            Event::FrontUpdate(instance, accepting) => self.update_front(instance, accepting),
+            Event::IdleSweep(process) if self.is_running(process) => {
                 let now = self.agenda.now();
-                self.instances[of.instance].sweeps(now, &mut self.does);
-                self.carry_out(of.instance);
+                self.instances[process.instance].close_idle_connections(now, &mut self.outputs);
+                self.apply_outputs(process.instance);
                 if self.busy() {
-                    self.agenda.after(SWEEP, Happening::Sweep(of));
+                    self.agenda.after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
                 }
             }
-            Happening::Begins(k) => self.begins(self.scenario.troubles[k], k),
-            Happening::Ends(k) => self.passes(self.scenario.troubles[k]),
-            Happening::Restarts(server) => self.restarts(server),
-            Happening::Forget => {
+            Event::FaultBegins(k) => self.begin_fault(self.scenario.faults[k], k),
+            Event::FaultEnds(k) => self.end_fault(self.scenario.faults[k]),
+            Event::RestartServer(server) => self.restart_server(server),
+            Event::ExpireKeys => {
                 let now = self.agenda.now();
-                self.keys.retain(|_, at| now - *at < WINDOW);
+                self.seen_keys.retain(|_, at| now - *at < DEDUP_WINDOW);
                 if self.busy() {
-                    self.agenda.after(WINDOW, Happening::Forget);
+                    self.agenda.after(DEDUP_WINDOW, Event::ExpireKeys);
                 }
             }
-            Happening::Timer(..)
-            | Happening::Left(..)
-            | Happening::News(..)
-            | Happening::List(_)
-            | Happening::Live(_)
-            | Happening::Count(_)
-            | Happening::Stop(_)
-            | Happening::Sweep(_) => {}
+            Event::BalancerTimer(..)
+            | Event::CallerLeft(..)
+            | Event::RegistryUpdate(..)
+            | Event::EndpointList(_)
+            | Event::LifecycleTimeout(_)
+            | Event::OpenCounts(_)
+            | Event::StopInstance(_)
+            | Event::IdleSweep(_) => {}
         }
     }
 
-    /// Whether load still comes, or something of it is open.
+    /// Returns whether load is still arriving, or requests or jobs are open.
     fn busy(&self) -> bool {
-        self.agenda.now() < self.load_ends() || !self.requests.is_empty() || !self.jobs.is_empty()
+        self.agenda.now() < self.load_end() || !self.requests.is_empty() || !self.jobs.is_empty()
     }
 
-    fn load_ends(&self) -> Nanos {
-        self.scenario.ends + ms(1500.0)
+    fn load_end(&self) -> Nanos {
+        self.scenario.load_end + ms(1500.0)
     }
 
-    // --- callers ---
+    // --- clients ---
 
-    fn arrival(&mut self) {
+    fn client_arrival(&mut self) {
         let now = self.agenda.now();
-        let s = self.scenario;
-        if now >= self.load_ends() {
+        let scenario = self.scenario;
+        if now >= self.load_end() {
             return;
         }
-        let rate = s.rate(now - ms(1500.0)) * self.grown;
-        let sent: Vec<f64> = (0..s.clubs.len())
+        let rate = scenario.rate(now - ms(1500.0)) * self.load_factor;
+        let sent_by_tenant: Vec<f64> = (0..scenario.tenants.len())
             .map(|k| {
-                let (share, usage) = s.clubs[k];
-                let flood = self.flood.filter(|&(club, _)| club == k).map_or(1.0, |(_, times)| times);
+                let (share, usage) = scenario.tenants[k];
+                let flood = self.flood.filter(|&(tenant, _)| tenant == k).map_or(1.0, |(_, times)| times);
                 share * usage * flood
             })
             .collect();
-        let usual: f64 = s.clubs.iter().map(|&(share, usage)| share * usage).sum();
-        let all: f64 = sent.iter().sum();
-        let gap = self.clients.exponential(1.0 / (rate * all / usual).max(0.01));
-        self.agenda.after(ms(gap * 1000.0).max(1), Happening::Arrival);
-        let mut at = self.clients.unit() * all;
-        let club = sent.iter().position(|&part| {
-            at -= part;
-            at < 0.0
+        let usual_total: f64 = scenario.tenants.iter().map(|&(share, usage)| share * usage).sum();
+        let total: f64 = sent_by_tenant.iter().sum();
+        let gap = self.client_draws.exponential(1.0 / (rate * total / usual_total).max(0.01));
+        self.agenda.after(ms(gap * 1000.0).max(1), Event::Arrival);
+        let mut remaining = self.client_draws.unit() * total;
+        let tenant = sent_by_tenant.iter().position(|&fraction| {
+            remaining -= fraction;
+            remaining < 0.0
         });
-        let club = club.unwrap_or(sent.len() - 1);
-        let mut part = self.clients.unit();
-        let class = s.classes.iter().position(|c| {
-            part -= c.part;
-            part < 0.0
+        let tenant = tenant.unwrap_or(sent_by_tenant.len() - 1);
+        let mut fraction = self.client_draws.unit();
+        let class = scenario.classes.iter().position(|c| {
+            fraction -= c.fraction;
+            fraction < 0.0
         });
-        let class = class.unwrap_or(s.classes.len() - 1);
-        let c = &s.classes[class];
-        // Its share of capacity, with a second of it saved up at the most.
-        let allowed = s.capacity * self.grown * s.clubs[club].0;
-        let (saved, since) = self.shares[club];
-        let saved = (saved + allowed * (now - since) as f64 / 1e9).min(allowed.max(1.0));
-        let within = saved >= 1.0;
-        self.shares[club] = (if within { saved - 1.0 } else { saved }, now);
-        let counted = Counted {
+        let class = class.unwrap_or(scenario.classes.len() - 1);
+        let class_model = &scenario.classes[class];
+        // The tenant's share of capacity, of which at most one second's worth is saved up (and never less than one
+        // request).
+        let allowed_per_s = scenario.capacity * self.load_factor * scenario.tenants[tenant].0;
+        let (saved, since) = self.share_credits[tenant];
+        let saved = (saved + allowed_per_s * (now - since) as f64 / 1e9).min(allowed_per_s.max(1.0));
+        let within_share = saved >= 1.0;
+        self.share_credits[tenant] = (if within_share { saved - 1.0 } else { saved }, now);
+        let info = OperationInfo {
             class,
-            club,
-            at: now,
-            worth: if within { 1.0 } else { OVER_SHARE },
-            late_worth: c.late_worth,
-            wanted: ms(c.wanted),
-            within,
+            tenant,
+            first_sent_at: now,
+            worth: if within_share { 1.0 } else { OVER_SHARE_WORTH },
+            late_worth: class_model.late_worth,
+            objective: ms(class_model.objective_ms),
+            within_share,
         };
-        let work = self.work.lognormal(c.work, c.cv);
-        let (op, key, deadline) = (self.fresh(), self.fresh(), now + ms(c.deadline));
-        self.operations.insert(op, Operation { counted, key, work, deadline, tries: 0, waits_for: 0 });
-        self.offer(op);
+        let work = self.work_draws.lognormal(class_model.work, class_model.cv);
+        let (op, key, deadline) = (self.next_id(), self.next_id(), now + ms(class_model.deadline_ms));
+        self.operations
+            .insert(op, Operation { info, key, work, deadline, attempts_made: 0, pending_request: 0 });
+        self.submit(op);
     }
 
-    fn offer(&mut self, op: u64) {
+    fn submit(&mut self, op: u64) {
         let now = self.agenda.now();
-        let s = self.scenario;
-        let Some(o) = self.operations.get(&op) else { return };
-        let class = o.counted.class;
-        let patience = ms(s.classes[class].deadline * s.try_part).min(o.deadline.saturating_sub(now));
-        if patience < ms(1.0) {
-            return self.concludes(op, End::Failed);
-        }
-        if self.front.is_empty() {
-            return self.agenda.after(UNREACHED, Happening::Offer(op));
-        }
-        let instance = self.front[self.clients.below(self.front.len())];
-        let (club, key, work) = (o.counted.club, o.key, o.work);
-        let request = self.sends(Caller::Operation(op), instance, (class, club), (key, work), patience);
-        if let Some(o) = self.operations.get_mut(&op) {
-            o.waits_for = request;
-        }
-        let way = ms(s.way.1);
-        self.agenda.after(way, Happening::Reached(request));
+        let scenario = self.scenario;
+        let Some(operation) = self.operations.get(&op) else { return };
+        let class = operation.info.class;
+        let timeout = ms(scenario.classes[class].deadline_ms * scenario.attempt_fraction)
+            .min(operation.deadline.saturating_sub(now));
+        if timeout < ms(1.0) {
+            return self.conclude(op, Outcome::Failed);
+        }
+        if self.front_targets.is_empty() {
+            return self.agenda.after(RESUBMIT_DELAY, Event::Submit(op));
+        }
+        let instance = self.front_targets[self.client_draws.below(self.front_targets.len())];
+        let (tenant, key, work) = (operation.info.tenant, operation.key, operation.work);
+        let request =
+            self.send_request(Caller::Operation(op), instance, (class, tenant), (key, work), timeout);
+        if let Some(operation) = self.operations.get_mut(&op) {
+            operation.pending_request = request;
+        }
+        let delay = ms(scenario.network_delay_ms.1);
+        self.agenda.after(delay, Event::RequestReached(request));
     }
 
-    fn sends(
+    fn send_request(
         &mut self,
         caller: Caller,
         instance: usize,
-        (class, club): (usize, usize),
+        (class, tenant): (usize, usize),
         (key, work): (u64, f64),
-        patience: Nanos,
+        timeout: Nanos,
     ) -> u64 {
         let now = self.agenda.now();
-        let request = self.fresh();
-        let until = now + patience;
-        let fresh = Request { caller, class, club, key, work, instance, until, over: false };
-        self.requests.insert(request, fresh);
+        let request = self.next_id();
+        let deadline = now + timeout;
+        let pending = Request { caller, class, tenant, key, work, instance, deadline, finished: false };
+        self.requests.insert(request, pending);
         let keyed = self.scenario.classes[class].keyed;
         let effect = if keyed { invariants::Effect::Keyed } else { invariants::Effect::Unsafe };
-        self.judge.sent(now, request, effect, patience);
-        self.agenda.at(until, Happening::Patience(request));
-        self.agenda.at(until + AFTER, Happening::Judge(request));
+        self.checker.request_sent(now, request, effect, timeout);
+        self.agenda.at(deadline, Event::CallerTimeout(request));
+        self.agenda.at(deadline + CHECK_DELAY, Event::CheckRequest(request));
         request
     }
 
-    /// A request has come to its balancer, whole.
-    fn reached(&mut self, request: u64) {
+    /// Handles the arrival of a complete request at its balancer.
+    fn request_reached(&mut self, request: u64) {
         let now = self.agenda.now();
-        let Some(r) = self.requests.get(&request) else { return };
-        let (instance, class, club) = (r.instance, r.class, r.club);
-        let i = &self.instances[instance];
-        // New connections are refused; callers use those that they have for as long as these stay open.
-        let takes = match i.life.state() {
-            Lives::Draining => i.up && self.clients.chance(0.5),
-            _ => i.up && i.accepting,
+        let Some(pending) = self.requests.get(&request) else { return };
+        let (instance, class, tenant) = (pending.instance, pending.class, pending.tenant);
+        let balancer = &self.instances[instance];
+        // A draining instance refuses new connections, but clients keep using their existing ones while these stay
+        // open.
+        let accepts = match balancer.lifecycle.state() {
+            LifecycleState::Draining => balancer.up && self.client_draws.chance(0.5),
+            _ => balancer.up && balancer.accepting,
         };
-        if !takes {
-            self.judge.unsent(request);
-            let Some(r) = self.requests.get_mut(&request) else { return };
-            r.over = true;
-            return match r.caller {
-                Caller::Operation(op) => self.agenda.after(UNREACHED, Happening::Offer(op)),
-                Caller::Job(job) => self.fails(job),
+        if !accepts {
+            self.checker.request_not_sent(request);
+            let Some(pending) = self.requests.get_mut(&request) else { return };
+            pending.finished = true;
+            return match pending.caller {
+                Caller::Operation(op) => self.agenda.after(RESUBMIT_DELAY, Event::Submit(op)),
+                Caller::Job(job) => self.fail_job(job),
             };
         }
-        let patience = r.until.saturating_sub(now) as f64 / 1e6;
-        // Marked by its caller, where budgets are on.
-        let tries = |op| self.operations.get(op).map_or(0, |o| o.tries);
-        let repeat = matches!(&r.caller, Caller::Operation(op) if self.scenario.budgets && tries(op) > 0);
-        self.asked += 1;
-        self.note(1, request, instance as u64);
-        let given = (patience, if repeat { RETRY_WEIGHT } else { 1.0 });
-        self.instances[instance].takes(now, request, (class, club), given, &mut self.does);
-        self.carry_out(instance);
+        let timeout_ms = pending.deadline.saturating_sub(now) as f64 / 1e6;
+        // Clients mark their retries where budgets are enabled.
+        let attempts_made = |op| self.operations.get(op).map_or(0, |o| o.attempts_made);
+        let is_retry = matches!(
+            &pending.caller,
+            Caller::Operation(op) if self.scenario.budgets && attempts_made(op) > 0
+        );
+        self.requests_received += 1;
+        self.record(1, request, instance as u64);
+        let timeout_and_worth = (timeout_ms, if is_retry { RETRY_WORTH } else { 1.0 });
+        self.instances[instance].accept_request(
+            now,
+            request,
+            (class, tenant),
+            timeout_and_worth,
+            &mut self.outputs,
+        );
+        self.apply_outputs(instance);
     }
 
-    fn answer(&mut self, request: u64, status: u16, pause: f64) {
+    fn answer_received(&mut self, request: u64, status: u16, pause: f64) {
         let now = self.agenda.now();
-        self.note(2, request, u64::from(status));
-        self.judge.answered(now, request, status);
-        let Some(r) = self.requests.get_mut(&request) else { return };
-        if std::mem::replace(&mut r.over, true) {
+        self.record(2, request, u64::from(status));
+        self.checker.answer_received(now, request, status);
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        if std::mem::replace(&mut pending.finished, true) {
             return;
         }
-        match r.caller {
-            Caller::Operation(op) => self.settles(op, status, pause),
+        match pending.caller {
+            Caller::Operation(op) => self.client_attempt_ended(op, status, pause),
             Caller::Job(job) if status == 200 => {
-                if let Some(j) = self.jobs.get_mut(&job).filter(|j| j.waits_for == Some(request)) {
-                    j.waits_for = None;
-                    self.step(job);
+                if let Some(job_state) =
+                    self.jobs.get_mut(&job).filter(|job_state| job_state.pending_request == Some(request))
+                {
+                    job_state.pending_request = None;
+                    self.next_step(job);
                 }
             }
-            Caller::Job(job) => self.fails(job),
+            Caller::Job(job) => self.fail_job(job),
         }
     }
 
-    /// A try of an operation has ended with this; 0: without an answer.
-    fn settles(&mut self, op: u64, status: u16, pause: f64) {
+    /// Handles the end of a client's attempt with this status; 0 means no answer.
+    fn client_attempt_ended(&mut self, op: u64, status: u16, pause: f64) {
         let now = self.agenda.now();
-        let s = self.scenario;
-        let Some(o) = self.operations.get_mut(&op) else { return };
-        o.tries += 1;
-        let again = o.tries <= s.retries && now < o.deadline;
-        let keyed = s.classes[o.counted.class].keyed;
-        let at = o.counted.at;
+        let scenario = self.scenario;
+        let Some(operation) = self.operations.get_mut(&op) else { return };
+        operation.attempts_made += 1;
+        let may_retry = operation.attempts_made <= scenario.retries && now < operation.deadline;
+        let keyed = scenario.classes[operation.info.class].keyed;
+        let first_sent_at = operation.info.first_sent_at;
         match status {
-            200 => self.concludes(op, End::Served(now - at)),
-            429 | 503 if again => {
-                let heeds = self.clients.chance(s.heeds);
-                let pause = if heeds { s.pause.max(ms(pause)) } else { s.pause };
-                self.agenda.after(pause, Happening::Offer(op));
+            200 => self.conclude(op, Outcome::Served(now - first_sent_at)),
+            429 | 503 if may_retry => {
+                let accepts_advice = self.client_draws.chance(scenario.retry_after_compliance);
+                let pause =
+                    if accepts_advice { scenario.retry_pause.max(ms(pause)) } else { scenario.retry_pause };
+                self.agenda.after(pause, Event::Submit(op));
             }
-            429 | 503 => self.concludes(op, End::Refused),
-            _ if again && keyed => self.agenda.after(s.pause, Happening::Offer(op)),
-            _ => self.concludes(op, End::Failed),
+            429 | 503 => self.conclude(op, Outcome::Refused),
+            _ if may_retry && keyed => self.agenda.after(scenario.retry_pause, Event::Submit(op)),
+            _ => self.conclude(op, Outcome::Failed),
         }
     }
 
-    fn concludes(&mut self, op: u64, end: End) {
-        if let Some(o) = self.operations.remove(&op) {
-            self.score.ended(&o.counted, end);
+    fn conclude(&mut self, op: u64, outcome: Outcome) {
+        if let Some(operation) = self.operations.remove(&op) {
+            self.score.record(&operation.info, outcome);
         }
     }
 
-    /// The caller of a request has stopped waiting.
-    fn patience(&mut self, request: u64) {
-        let Some(r) = self.requests.get_mut(&request) else { return };
-        if std::mem::replace(&mut r.over, true) {
+    /// Handles the expiry of the timeout of a request's caller.
+    fn caller_timed_out(&mut self, request: u64) {
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        if std::mem::replace(&mut pending.finished, true) {
             return;
         }
-        let (caller, instance) = (r.caller, r.instance);
-        let (way, of) = (self.way(), self.of(instance));
-        self.agenda.after(way, Happening::Left(of, request));
+        let (caller, instance) = (pending.caller, pending.instance);
+        let (delay, process) = (self.network_delay(), self.current_process(instance));
+        self.agenda.after(delay, Event::CallerLeft(process, request));
         match caller {
-            Caller::Operation(op) => self.settles(op, 0, 0.0),
-            Caller::Job(job) => self.fails(job),
+            Caller::Operation(op) => self.client_attempt_ended(op, 0, 0.0),
+            Caller::Job(job) => self.fail_job(job),
         }
     }
 
     // --- balancers ---
 
-    /// Does what an instance wants.
-    fn carry_out(&mut self, instance: usize) {
-        let of = self.of(instance);
+    /// Carries out the outputs that an instance produced.
+    fn apply_outputs(&mut self, instance: usize) {
+        let process = self.current_process(instance);
         let tier = self.instances[instance].tier;
-        let does = std::mem::take(&mut self.does);
-        for one in does {
-            match one {
-                Does::Answer(request, status, pause) => {
-                    let way = if tier == 0 { ms(self.scenario.way.1) } else { self.way() / 4 };
-                    self.agenda.after(way, Happening::Answer(request, status, pause));
+        let outputs = std::mem::take(&mut self.outputs);
+        for output in outputs {
+            match output {
+                Output::Answer(request, status, pause) => {
+                    let delay = if tier == 0 {
+                        ms(self.scenario.network_delay_ms.1)
+                    } else {
+                        self.network_delay() / 4
+                    };
+                    self.agenda.after(delay, Event::Answer(request, status, pause));
                 }
-                Does::Send(id, number, server) => self.dials(Attempt { of, id, number }, server),
-                Does::Timer(after, token) => {
-                    // Cycles go on for ever; a run does not.
+                Output::Send(id, number, server) => self.dispatch(Attempt { process, id, number }, server),
+                Output::SetTimer(delay, token) => {
+                    // Periodic timers repeat for ever, so they are set only while the run is busy.
                     if self.busy() {
-                        self.agenda.after(after, Happening::Timer(of, token));
+                        self.agenda.after(delay, Event::BalancerTimer(process, token));
                     }
                 }
-                Does::Ask => {
-                    let after = ms(self.news.between((50.0, 430.0)));
-                    self.agenda.after(after, Happening::List(of));
+                Output::RequestEndpoints => {
+                    let delay = ms(self.registry_draws.between((50.0, 430.0)));
+                    self.agenda.after(delay, Event::EndpointList(process));
                 }
-                Does::Closed(server, n) => {
-                    let s = &mut self.servers[server];
-                    s.connections = s.connections.saturating_sub(n);
+                Output::ConnectionsClosed(server, count) => {
+                    let upstream = &mut self.servers[server];
+                    upstream.connections = upstream.connections.saturating_sub(count);
                 }
             }
         }
     }
 
-    /// An attempt is on its way: on a kept connection, or on a new one.
-    fn dials(&mut self, attempt: Attempt, server: usize) {
+    /// Starts an attempt on an idle connection, or opens a new one.
+    fn dispatch(&mut self, attempt: Attempt, server: usize) {
         let now = self.agenda.now();
         self.attempts += 1;
-        self.note(3, u64::from(attempt.id), server as u64);
-        let of = attempt.of.instance;
-        if let Some((out, _)) = self.instances[of].in_flight_attempt(attempt.id, attempt.number) {
-            let until = out.until;
-            self.agenda.at(until, Happening::Due(attempt));
+        self.record(3, u64::from(attempt.id), server as u64);
+        let instance = attempt.process.instance;
+        if let Some((in_flight, _)) = self.instances[instance].in_flight_attempt(attempt.id, attempt.number) {
+            let deadline = in_flight.deadline;
+            self.agenda.at(deadline, Event::AttemptTimeout(attempt));
         }
         let epoch = self.servers[server].epoch;
-        let rested = self.instances[of].connection(now, server, epoch, &mut self.does);
-        self.carry_out(of);
-        match rested {
-            Some(rested) => {
-                if let Some((out, _)) = self.instances[of].in_flight_attempt(attempt.id, attempt.number) {
-                    out.connected = true;
+        let idle_time = self.instances[instance].take_idle_connection(now, server, epoch, &mut self.outputs);
+        self.apply_outputs(instance);
+        match idle_time {
+            Some(idle_time) => {
+                if let Some((in_flight, _)) =
+                    self.instances[instance].in_flight_attempt(attempt.id, attempt.number)
+                {
+                    in_flight.connected = true;
                 }
-                let lost = self.stale.is_some_and(|most| rested > most);
-                self.written(attempt, server, false, lost);
+                let lost = self.stale_after.is_some_and(|max_idle| idle_time > max_idle);
+                self.write_attempt(attempt, server, false, lost);
             }
             None => {
                 let (up, hung) = (self.servers[server].up, self.servers[server].hung);
-                let trips = self.scenario.handshake.1;
-                let takes = match (up, hung) {
-                    (true, false) => ms(2.0 * trips * self.scenario.way.0),
-                    (true, true) => DIAL,
-                    (false, _) => 2 * self.way(),
+                let round_trips = self.scenario.handshake.1;
+                let duration = match (up, hung) {
+                    (true, false) => ms(2.0 * round_trips * self.scenario.network_delay_ms.0),
+                    (true, true) => CONNECT_TIMEOUT,
+                    (false, _) => 2 * self.network_delay(),
                 };
-                let dialled = up && !hung;
-                self.agenda.after(takes, Happening::Write { attempt, server, dialled });
+                let success = up && !hung;
+                self.agenda.after(duration, Event::ConnectDone { attempt, server, success });
             }
         }
     }
 
-    /// A new connection is up, or will not come up.
-    fn write(&mut self, attempt: Attempt, server: usize, dialled: bool) {
-        if !self.runs(attempt.of) {
+    /// Handles the result of opening a new connection.
+    fn connect_done(&mut self, attempt: Attempt, server: usize, success: bool) {
+        if !self.is_running(attempt.process) {
             return;
         }
-        let s = &mut self.servers[server];
-        if !dialled || !s.up || s.connections >= s.build.connections {
-            return self.ended(attempt, Ending::ConnectFailed, None);
+        let upstream = &mut self.servers[server];
+        if !success || !upstream.up || upstream.connections >= upstream.spec.max_connections {
+            return self.end_attempt(attempt, Ending::ConnectFailed, None);
         }
-        let Some((out, _)) =
-            self.instances[attempt.of.instance].in_flight_attempt(attempt.id, attempt.number)
+        let Some((in_flight, _)) =
+            self.instances[attempt.process.instance].in_flight_attempt(attempt.id, attempt.number)
         else {
             return;
         };
-        out.connected = true;
-        s.connections += 1;
-        self.written(attempt, server, true, false);
+        in_flight.connected = true;
+        upstream.connections += 1;
+        self.write_attempt(attempt, server, true, false);
     }
 
-    /// The attempt is written, unless it is too late for that.
-    fn written(&mut self, attempt: Attempt, server: usize, fresh: bool, lost: bool) {
+    /// Writes the attempt to its connection, unless it may no longer be written.
+    fn write_attempt(&mut self, attempt: Attempt, server: usize, new_connection: bool, lost: bool) {
         let now = self.agenda.now();
-        let of = attempt.of.instance;
-        let Some((out, request)) = self.instances[of].in_flight_attempt(attempt.id, attempt.number) else {
+        let instance = attempt.process.instance;
+        let Some((in_flight, request)) =
+            self.instances[instance].in_flight_attempt(attempt.id, attempt.number)
+        else {
             return;
         };
-        let until = out.until;
-        if !self.instances[of].may_be_written(now, attempt.id, server, until) {
-            return self.ended(attempt, Ending::Moot, None);
-        }
-        self.judge.begun(now, request, of, server);
-        let (epoch, way) = (self.servers[server].epoch, self.way());
-        self.agenda.after(way, Happening::Arrived { attempt, request, server, epoch, fresh, lost });
+        let deadline = in_flight.deadline;
+        if !self.instances[instance].may_write(now, attempt.id, server, deadline) {
+            return self.end_attempt(attempt, Ending::Moot, None);
+        }
+        self.checker.attempt_written(now, request, instance, server);
+        let (epoch, delay) = (self.servers[server].epoch, self.network_delay());
+        self.agenda
+            .after(delay, Event::AttemptArrived { attempt, request, server, epoch, new_connection, lost });
     }
 
-    fn ended(&mut self, attempt: Attempt, ending: Ending, kept: Option<u32>) {
-        if !self.runs(attempt.of) {
+    fn end_attempt(&mut self, attempt: Attempt, ending: Ending, kept_epoch: Option<u32>) {
+        if !self.is_running(attempt.process) {
             return;
         }
         let now = self.agenda.now();
-        let of = attempt.of.instance;
-        self.note(4, u64::from(attempt.id), ending as u64);
-        self.instances[of].ended(now, (attempt.id, attempt.number), ending, kept, &mut self.does);
-        self.carry_out(of);
+        let instance = attempt.process.instance;
+        self.record(4, u64::from(attempt.id), ending as u64);
+        self.instances[instance].attempt_ended(
+            now,
+            (attempt.id, attempt.number),
+            ending,
+            kept_epoch,
+            &mut self.outputs,
+        );
+        self.apply_outputs(instance);
     }
 
-    fn lives(&mut self, instance: usize, event: Life) {
+    fn handle_lifecycle(&mut self, instance: usize, event: LifecycleEvent) {
         let now = self.agenda.now();
-        let of = self.of(instance);
-        for action in self.instances[instance].lives(now, event) {
+        let process = self.current_process(instance);
+        for action in self.instances[instance].handle_lifecycle(now, event) {
             match action {
-                Act::Accept => self.instances[instance].accepting = true,
-                Act::NotifyReady => {
-                    self.agenda.after(ms(50.0), Happening::Front(instance, true));
+                LifecycleAction::Accept => self.instances[instance].accepting = true,
+                LifecycleAction::NotifyReady => {
+                    self.agenda.after(ms(50.0), Event::FrontUpdate(instance, true));
                 }
-                // Whoever asks hears that it is not ready any more; the front asks now and then.
-                Act::NotifyStopping => {
-                    let after = ms(self.news.between(FRONT)) / 8;
-                    self.agenda.after(after, Happening::Front(instance, false));
-                    self.agenda.after(COUNT, Happening::Count(of));
+                // Readiness checks fail from here on; the front polls them at intervals.
+                LifecycleAction::NotifyStopping => {
+                    let delay = ms(self.registry_draws.between(FRONT_NOTICE_MS)) / 8;
+                    self.agenda.after(delay, Event::FrontUpdate(instance, false));
+                    self.agenda.after(COUNT_INTERVAL, Event::OpenCounts(process));
                 }
-                Act::StopAccepting => self.instances[instance].accepting = false,
-                Act::AnswerBy(at) => self.instances[instance].answers_by(at),
-                Act::FailOpenRequests => {
-                    self.instances[instance].fails_all(now, &mut self.does);
-                    self.carry_out(instance);
+                LifecycleAction::StopAccepting => self.instances[instance].accepting = false,
+                LifecycleAction::AnswerBy(deadline) => self.instances[instance].set_answer_deadline(deadline),
+                LifecycleAction::FailOpenRequests => {
+                    self.instances[instance].fail_open_requests(now, &mut self.outputs);
+                    self.apply_outputs(instance);
                 }
-                Act::Exit(_) => {
-                    self.process_ends(instance, false);
-                    return self.agenda.after(RETURN_DELAY, Happening::Start(instance));
+                LifecycleAction::Exit(_) => {
+                    self.end_process(instance, false);
+                    return self.agenda.after(RESTART_DELAY, Event::StartInstance(instance));
                 }
                 _ => {}
             }
         }
-        if let Some(wake) = self.instances[instance].life.next_timeout() {
-            let born = self.instances[instance].born;
-            self.agenda.at(born.saturating_add(wake.as_nanos() as Nanos), Happening::Live(of));
+        if let Some(timeout) = self.instances[instance].lifecycle.next_timeout() {
+            let started_at = self.instances[instance].started_at;
+            self.agenda
+                .at(started_at.saturating_add(timeout.as_nanos() as Nanos), Event::LifecycleTimeout(process));
         }
     }
 
-    fn counts(&mut self, of: Process) {
-        let requests = self.instances[of.instance].unanswered();
-        self.lives(of.instance, Life::OpenCounts { requests, connections: requests });
-        if self.runs(of) {
-            self.agenda.after(COUNT, Happening::Count(of));
+    fn report_open_counts(&mut self, process: Process) {
+        let requests = self.instances[process.instance].unanswered();
+        self.handle_lifecycle(
+            process.instance,
+            LifecycleEvent::OpenCounts { requests, connections: requests },
+        );
+        if self.is_running(process) {
+            self.agenda.after(COUNT_INTERVAL, Event::OpenCounts(process));
         }
     }
 
-    /// A process of an instance is gone. What a killed one held is its callers' to send again.
-    fn process_ends(&mut self, instance: usize, killed: bool) {
+    /// Removes the process of an instance. Requests that a killed process held are left to their callers to retry.
+    fn end_process(&mut self, instance: usize, killed: bool) {
         if !self.instances[instance].up {
             return;
         }
-        self.note(5, instance as u64, u64::from(killed));
-        let (closed, held) = self.instances[instance].ends();
-        for (server, n) in closed {
-            let s = &mut self.servers[server];
-            s.connections = s.connections.saturating_sub(n);
+        self.record(5, instance as u64, u64::from(killed));
+        let (closed, held_requests) = self.instances[instance].end_process();
+        for (server, count) in closed {
+            let upstream = &mut self.servers[server];
+            upstream.connections = upstream.connections.saturating_sub(count);
         }
-        self.judge.forgets(instance, self.servers.len());
-        for request in held {
+        self.checker.forget_notifications(instance, self.servers.len());
+        for request in held_requests {
             if killed {
-                self.judge.excused(request);
+                self.checker.excuse(request);
             }
-            // Its caller sees the connection end.
-            let Some(r) = self.requests.get_mut(&request).filter(|r| !r.over) else { continue };
-            r.over = true;
-            match r.caller {
-                Caller::Operation(op) => self.settles(op, 0, 0.0),
-                Caller::Job(job) => self.fails(job),
+            // The caller sees the connection close.
+            let Some(pending) = self.requests.get_mut(&request).filter(|pending| !pending.finished) else {
+                continue;
+            };
+            pending.finished = true;
+            match pending.caller {
+                Caller::Operation(op) => self.client_attempt_ended(op, 0, 0.0),
+                Caller::Job(job) => self.fail_job(job),
             }
         }
-        let after = ms(self.news.between(FRONT));
-        self.agenda.after(after, Happening::Front(instance, false));
+        let delay = ms(self.registry_draws.between(FRONT_NOTICE_MS));
+        self.agenda.after(delay, Event::FrontUpdate(instance, false));
     }
 
-    fn starts(&mut self, instance: usize) {
+    fn start_instance(&mut self, instance: usize) {
         let now = self.agenda.now();
-        let own = instance.checked_sub(self.balancers());
-        // One of the second tier lives and dies with its upstream.
-        if self.instances[instance].up || own.is_some_and(|k| !self.servers[k].up) {
+        let own_server = instance.checked_sub(self.balancers());
+        // An instance of the second tier runs only while its upstream does.
+        if self.instances[instance].up || own_server.is_some_and(|k| !self.servers[k].up) {
             return;
         }
-        self.instances[instance].starts(now);
-        self.lives(instance, Life::Listening);
-        let of = self.of(instance);
-        self.agenda.after(ms(self.news.between((50.0, 430.0))), Happening::List(of));
-        self.agenda.after(SWEEP, Happening::Sweep(of));
+        self.instances[instance].start_process(now);
+        self.handle_lifecycle(instance, LifecycleEvent::Listening);
+        let process = self.current_process(instance);
+        self.agenda.after(ms(self.registry_draws.between((50.0, 430.0))), Event::EndpointList(process));
+        self.agenda.after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
     }
 
-    fn noticed(&mut self, instance: usize, takes: bool) {
+    fn update_front(&mut self, instance: usize, accepting: bool) {
         if instance >= self.balancers() {
             return;
         }
-        let serves = self.instances[instance].up && self.instances[instance].accepting;
-        let stands = takes && serves && self.instances[instance].life.state() == Lives::Ready;
-        let at = self.front.iter().position(|&i| i == instance);
-        match at {
-            None if stands => self.front.push(instance),
-            Some(at) if !(takes || serves && self.instances[instance].life.state() <= Lives::Ready) => {
-                self.front.swap_remove(at);
+        let listening = self.instances[instance].up && self.instances[instance].accepting;
+        let ready =
+            accepting && listening && self.instances[instance].lifecycle.state() == LifecycleState::Ready;
+        let position = self.front_targets.iter().position(|&i| i == instance);
+        match position {
+            None if ready => self.front_targets.push(instance),
+            Some(position)
+                if !(accepting
+                    || listening && self.instances[instance].lifecycle.state() <= LifecycleState::Ready) =>
+            {
+                self.front_targets.swap_remove(position);
             }
             _ => {}
         }
@@ -847,99 +918,103 @@
 
     // --- registry ---
 
-    fn publishes(&mut self, server: usize) {
+    fn publish_entry(&mut self, server: usize) {
         let now = self.agenda.now();
-        let line = self.lines[server].clone();
+        let entry = self.registry[server].clone();
         let tier = usize::from(server >= self.portals());
-        let (from, to) = self.scenario.notice;
-        let late = ms(self.news.between((from, to)));
-        let begin = (now + late).max(self.silent_until);
+        let (from, to) = self.scenario.registry_delay_ms;
+        let registry_delay = ms(self.registry_draws.between((from, to)));
+        let earliest = (now + registry_delay).max(self.registry_silent_until);
         for instance in 0..self.instances.len() {
             if self.instances[instance].tier != tier {
                 continue;
             }
-            let at = (begin + ms(self.news.between((0.0, 430.0)))).max(self.heard[instance]);
-            self.heard[instance] = at;
-            let of = self.of(instance);
-            self.agenda.at(at, Happening::News(of, line.clone()));
+            let notify_at =
+                (earliest + ms(self.registry_draws.between((0.0, 430.0)))).max(self.last_notified[instance]);
+            self.last_notified[instance] = notify_at;
+            let process = self.current_process(instance);
+            self.agenda.at(notify_at, Event::RegistryUpdate(process, entry.clone()));
         }
     }
 
-    fn hears(&mut self, instance: usize, line: Line) {
-        let news = match line.standing {
-            Some(_) => SourceUpdate::Delta(vec![line.into_report()], Vec::new()),
-            None => SourceUpdate::Delta(Vec::new(), vec![crate::instance::name(line.server)]),
+    fn registry_update(&mut self, instance: usize, entry: RegistryEntry) {
+        let update = match entry.state {
+            Some(_) => SourceUpdate::Delta(vec![entry.into_report()], Vec::new()),
+            None => SourceUpdate::Delta(Vec::new(), vec![crate::instance::upstream_name(entry.server)]),
         };
-        self.tells(instance, news);
+        self.apply_update(instance, update);
     }
 
-    fn listed(&mut self, instance: usize) {
-        if self.agenda.now() < self.silent_until {
-            return self.tells(instance, SourceUpdate::Unavailable("no answer".into()));
+    fn endpoint_list(&mut self, instance: usize) {
+        if self.agenda.now() < self.registry_silent_until {
+            return self.apply_update(instance, SourceUpdate::Unavailable("no answer".into()));
         }
         let tier = self.instances[instance].tier;
         let portals = self.portals();
-        let own = |l: &&Line| usize::from(l.server >= portals) == tier && l.standing.is_some();
-        let all = self.lines.iter().filter(own).map(|l| l.clone().into_report()).collect();
-        self.tells(instance, SourceUpdate::Full(all));
+        let visible = |l: &&RegistryEntry| usize::from(l.server >= portals) == tier && l.state.is_some();
+        let reports = self.registry.iter().filter(visible).map(|l| l.clone().into_report()).collect();
+        self.apply_update(instance, SourceUpdate::Full(reports));
     }
 
-    fn tells(&mut self, instance: usize, news: SourceUpdate) {
+    fn apply_update(&mut self, instance: usize, update: SourceUpdate) {
         let now = self.agenda.now();
-        let failed = matches!(news, SourceUpdate::Unavailable(_));
-        let known = self.instances[instance].known;
-        for (server, state) in self.instances[instance].update_endpoints(now, news, &mut self.does) {
-            self.note(6, instance as u64, server as u64);
-            self.judge.notify(now, instance, server, state);
-        }
-        self.carry_out(instance);
-        if !known && self.instances[instance].known {
-            self.lives(instance, Life::EndpointsKnown);
-        } else if !known && failed && self.busy() {
-            let of = self.of(instance);
-            self.agenda.after(ms(400.0), Happening::List(of));
+        let failed = matches!(update, SourceUpdate::Unavailable(_));
+        let had_endpoints = self.instances[instance].has_endpoints;
+        for (server, state) in self.instances[instance].update_endpoints(now, update, &mut self.outputs) {
+            self.record(6, instance as u64, server as u64);
+            self.checker.notify(now, instance, server, state);
+        }
+        self.apply_outputs(instance);
+        if !had_endpoints && self.instances[instance].has_endpoints {
+            self.handle_lifecycle(instance, LifecycleEvent::EndpointsKnown);
+        } else if !had_endpoints && failed && self.busy() {
+            let process = self.current_process(instance);
+            self.agenda.after(ms(400.0), Event::EndpointList(process));
         }
     }
 
     // --- upstreams ---
 
-    fn arrived(
+    fn attempt_arrived(
         &mut self,
         attempt: Attempt,
         request: u64,
         (server, epoch): (usize, u32),
-        fresh: bool,
+        new_connection: bool,
         lost: bool,
     ) {
         let now = self.agenda.now();
-        let way = self.way();
-        let s = &self.servers[server];
+        let delay = self.network_delay();
+        let upstream = &self.servers[server];
         if lost {
             return;
         }
-        if !s.up || s.epoch != epoch {
-            return self.agenda.after(way, Happening::Back { attempt, ending: Ending::Reset, kept: None });
+        if !upstream.up || upstream.epoch != epoch {
+            return self
+                .agenda
+                .after(delay, Event::Response { attempt, ending: Ending::Reset, kept_epoch: None });
         }
-        let (kept, group, errors, resets) = (Some(epoch), s.group, s.errors, s.resets);
-        let back = |ending| Happening::Back { attempt, ending, kept };
-        let Some(r) = self.requests.get(&request) else { return };
-        let (class, work) = (r.class, r.work);
-        if self.work.chance(errors) {
-            self.judge.ran(now, request, server, group, Duration::ZERO);
-            return self.agenda.after(way + ms(1.0), back(Ending::Error));
+        let (kept_epoch, group, error_rate, reset_rate) =
+            (Some(epoch), upstream.group, upstream.error_rate, upstream.reset_rate);
+        let respond = |ending| Event::Response { attempt, ending, kept_epoch };
+        let Some(pending) = self.requests.get(&request) else { return };
+        let (class, work) = (pending.class, pending.work);
+        if self.work_draws.chance(error_rate) {
+            self.checker.execution_started(now, request, server, group, Duration::ZERO);
+            return self.agenda.after(delay + ms(1.0), respond(Ending::Error));
         }
         let tier = usize::from(server >= self.portals());
-        let s = self.scenario;
+        let scenario = self.scenario;
         let calls = match tier {
-            0 => s.calls.0 + usize::from(self.work.chance(s.calls.1)),
+            0 => scenario.calls.0 + usize::from(self.work_draws.chance(scenario.calls.1)),
             _ => 0,
         };
-        let noise = self.work.lognormal(1.0, 0.3);
-        let pieces = if tier == 0 { calls + 1 } else { 2 };
-        let job = self.fresh();
-        let piece = work * TIER_WORK[tier] * noise / pieces as f64;
-        let extra = if fresh { s.handshake.0 } else { 0.0 };
-        let cut = self.work.chance(resets);
+        let noise = self.work_draws.lognormal(1.0, 0.3);
+        let cpu_steps = if tier == 0 { calls + 1 } else { 2 };
+        let job = self.next_id();
+        let work_per_step = work * TIER_WORK[tier] * noise / cpu_steps as f64;
+        let connection_work = if new_connection { scenario.handshake.0 } else { 0.0 };
+        let answer_cut = self.work_draws.chance(reset_rate);
         self.jobs.insert(
             job,
             Job {
@@ -949,301 +1024,317 @@
                 attempt,
                 step: 0,
                 calls,
-                piece,
-                extra,
-                waits: s.classes[class].waits * TIER_WORK[tier],
-                repeat: false,
-                cut,
-                waits_for: None,
+                work_per_step,
+                connection_work,
+                wait_s: scenario.classes[class].wait_s * TIER_WORK[tier],
+                duplicate: false,
+                answer_cut,
+                pending_request: None,
             },
         );
-        match self.servers[server].take(now, job) {
-            Place::Work => self.begins_work(job),
-            Place::Line => {}
-            Place::None => {
+        match self.servers[server].admit(now, job) {
+            Admission::InService => self.begin_work(job),
+            Admission::Queued => {}
+            Admission::Rejected => {
                 self.jobs.remove(&job);
-                self.agenda.after(way, back(Ending::Full));
+                self.agenda.after(delay, respond(Ending::Full));
             }
         }
     }
 
-    /// A request at an upstream has come to its turn.
-    fn begins_work(&mut self, job: u64) {
+    /// Starts a request that an upstream has admitted or taken from its queue.
+    fn begin_work(&mut self, job: u64) {
         let now = self.agenda.now();
-        let Some(j) = self.jobs.get_mut(&job) else { return };
-        let (server, request) = (j.server, j.request);
-        let s = &self.servers[server];
-        let Some(r) = self.requests.get(&request) else {
-            // Judged long ago: nobody waits for it.
-            return self.finishes(job, Ending::Full);
+        let Some(job_state) = self.jobs.get_mut(&job) else { return };
+        let (server, request) = (job_state.server, job_state.request);
+        let upstream = &self.servers[server];
+        let Some(pending) = self.requests.get(&request) else {
+            // The request was checked and removed long ago: no client waits for it.
+            return self.finish_job(job, Ending::Full);
         };
-        if s.build.drops_expired && now >= r.until {
-            return self.finishes(job, Ending::Full);
+        if upstream.spec.drops_expired && now >= pending.deadline {
+            return self.finish_job(job, Ending::Full);
         }
-        let keyed = self.scenario.classes[r.class].keyed;
+        let keyed = self.scenario.classes[pending.class].keyed;
         if keyed {
-            let seen = self.keys.insert((s.group, r.key), now);
-            j.repeat = seen.is_some_and(|at| now - at < WINDOW);
-            if let (true, Some(at)) = (j.repeat, seen) {
-                // Remembered from when it first ran.
-                self.keys.insert((s.group, r.key), at);
+            let previous = self.seen_keys.insert((upstream.group, pending.key), now);
+            job_state.duplicate = previous.is_some_and(|seen_at| now - seen_at < DEDUP_WINDOW);
+            if let (true, Some(first_seen)) = (job_state.duplicate, previous) {
+                // The window counts from the first execution.
+                self.seen_keys.insert((upstream.group, pending.key), first_seen);
             }
         }
-        let work =
-            Duration::from_secs_f64(j.piece * if s.group >= 1000 { 2.0 } else { (j.calls + 1) as f64 });
-        let group = s.group;
-        self.judge.ran(now, request, server, group, if j.repeat { Duration::ZERO } else { work });
-        self.step(job);
+        let work = Duration::from_secs_f64(
+            job_state.work_per_step * if upstream.group >= 1000 { 2.0 } else { (job_state.calls + 1) as f64 },
+        );
+        let group = upstream.group;
+        self.checker.execution_started(
+            now,
+            request,
+            server,
+            group,
+            if job_state.duplicate { Duration::ZERO } else { work },
+        );
+        self.next_step(job);
     }
 
-    /// The next step of a request at an upstream.
-    fn step(&mut self, job: u64) {
+    /// Performs the next step of a job at an upstream.
+    fn next_step(&mut self, job: u64) {
         let now = self.agenda.now();
         let portals = self.portals();
-        let Some(j) = self.jobs.get_mut(&job) else { return };
-        let (step, server) = (j.step, j.server);
-        if !self.servers[server].up || self.servers[server].epoch != j.epoch {
+        let Some(job_state) = self.jobs.get_mut(&job) else { return };
+        let (step, server) = (job_state.step, job_state.server);
+        if !self.servers[server].up || self.servers[server].epoch != job_state.epoch {
             return;
         }
-        j.step += 1;
-        let first = server < portals;
-        let works = match step {
-            0 => Some(if j.repeat { 1e-4 } else { j.piece } + j.extra),
-            _ if j.repeat => None,
+        job_state.step += 1;
+        let first_tier = server < portals;
+        let cpu_seconds = match step {
+            0 => Some(
+                if job_state.duplicate { 1e-4 } else { job_state.work_per_step } + job_state.connection_work,
+            ),
+            _ if job_state.duplicate => None,
             1 => {
-                let waits = ms(j.waits * 1000.0);
-                return self.agenda.after(waits, Happening::Waited(job));
+                let wait = ms(job_state.wait_s * 1000.0);
+                return self.agenda.after(wait, Event::WaitFinished(job));
             }
-            _ if first && step - 2 >= 2 * j.calls => None,
-            _ if first && step % 2 == 0 => return self.calls(job),
-            2 => Some(j.piece),
-            _ if first => Some(j.piece),
+            _ if first_tier && step - 2 >= 2 * job_state.calls => None,
+            _ if first_tier && step % 2 == 0 => return self.call_second_tier(job),
+            2 => Some(job_state.work_per_step),
+            _ if first_tier => Some(job_state.work_per_step),
             _ => None,
         };
-        match works {
+        match cpu_seconds {
             Some(seconds) => {
-                self.servers[server].works(now, job, seconds);
+                self.servers[server].run_on_cpu(now, job, seconds);
                 self.schedule_server(server);
             }
             None => {
-                let cut = j.cut;
-                self.finishes(job, if cut { Ending::Reset } else { Ending::Ok });
+                let answer_cut = job_state.answer_cut;
+                self.finish_job(job, if answer_cut { Ending::Reset } else { Ending::Ok });
             }
         }
     }
 
-    /// A request of the first tier calls the second, through the balancer of its upstream.
-    fn calls(&mut self, job: u64) {
+    /// Sends a call from a job of the first tier to the second, through the balancer of its upstream.
+    fn call_second_tier(&mut self, job: u64) {
         let now = self.agenda.now();
-        let Some(j) = self.jobs.get(&job) else { return };
-        let (server, step) = (j.server, j.step);
-        let Some(r) = self.requests.get(&j.request) else { return self.fails(job) };
-        let (class, club, key, work) = (r.class, r.club, r.key, r.work);
-        let whole = ms(self.scenario.classes[class].deadline);
-        let patience = if self.scenario.passes_deadline { r.until.saturating_sub(now) } else { whole };
-        if patience < ms(1.0) {
-            return self.fails(job);
+        let Some(job_state) = self.jobs.get(&job) else { return };
+        let (server, step) = (job_state.server, job_state.step);
+        let Some(pending) = self.requests.get(&job_state.request) else { return self.fail_job(job) };
+        let (class, tenant, key, work) = (pending.class, pending.tenant, pending.key, pending.work);
+        let full_deadline = ms(self.scenario.classes[class].deadline_ms);
+        let timeout =
+            if self.scenario.passes_deadline { pending.deadline.saturating_sub(now) } else { full_deadline };
+        if timeout < ms(1.0) {
+            return self.fail_job(job);
         }
         let instance = self.balancers() + server;
-        // A repeat of the request makes the same calls, with the same keys.
+        // A retry of the request makes the same calls with the same keys.
         let key = key.wrapping_mul(31).wrapping_add(step as u64) | 1 << 63;
-        let request = self.sends(Caller::Job(job), instance, (class, club), (key, work), patience);
-        if let Some(j) = self.jobs.get_mut(&job) {
-            j.waits_for = Some(request);
+        let request = self.send_request(Caller::Job(job), instance, (class, tenant), (key, work), timeout);
+        if let Some(job_state) = self.jobs.get_mut(&job) {
+            job_state.pending_request = Some(request);
         }
-        self.agenda.after(ms(0.05), Happening::Reached(request));
+        self.agenda.after(ms(0.05), Event::RequestReached(request));
     }
 
-    /// A call of a request at an upstream came to nothing: it answers with an error.
-    fn fails(&mut self, job: u64) {
+    /// Fails a job whose call failed: it answers with an error.
+    fn fail_job(&mut self, job: u64) {
         if self.jobs.get(&job).is_some_and(|j| self.servers[j.server].epoch == j.epoch) {
-            self.finishes(job, Ending::Error);
+            self.finish_job(job, Ending::Error);
         }
     }
 
-    /// A request at an upstream is over, and the next in line has its turn.
-    fn finishes(&mut self, job: u64, ending: Ending) {
+    /// Completes a job and starts the next one in the queue.
+    fn finish_job(&mut self, job: u64, ending: Ending) {
         let now = self.agenda.now();
-        let Some(j) = self.jobs.remove(&job) else { return };
-        let way = self.way();
-        let hung = self.servers[j.server].hung;
-        let kept = (ending != Ending::Reset).then_some(j.epoch);
+        let Some(job_state) = self.jobs.remove(&job) else { return };
+        let delay = self.network_delay();
+        let hung = self.servers[job_state.server].hung;
+        let kept_epoch = (ending != Ending::Reset).then_some(job_state.epoch);
         if !hung {
-            self.agenda.after(way, Happening::Back { attempt: j.attempt, ending, kept });
+            self.agenda.after(delay, Event::Response { attempt: job_state.attempt, ending, kept_epoch });
         }
-        if let Some(next) = self.servers[j.server].complete_request(now) {
-            self.begins_work(next);
+        if let Some(next) = self.servers[job_state.server].complete_request(now) {
+            self.begin_work(next);
         }
-        self.schedule_server(j.server);
+        self.schedule_server(job_state.server);
     }
 
-    /// When an upstream is to be looked at next.
+    /// Schedules the next completion of CPU work at an upstream.
     fn schedule_server(&mut self, server: usize) {
         let now = self.agenda.now();
-        let s = &self.servers[server];
-        self.slowed[server] |= s.slowed();
-        if let Some(at) = s.wake(now) {
-            self.agenda.at(at, Happening::Cpu(server, s.version));
+        let upstream = &self.servers[server];
+        self.ever_slowed[server] |= upstream.is_slowed();
+        if let Some(wake_at) = upstream.next_completion(now) {
+            self.agenda.at(wake_at, Event::CpuDone(server, upstream.speed_version));
         }
     }
 
-    fn cpu(&mut self, server: usize, version: u64) {
-        if self.servers[server].version != version {
+    fn cpu_done(&mut self, server: usize, speed_version: u64) {
+        if self.servers[server].speed_version != speed_version {
             return;
         }
         let now = self.agenda.now();
-        while let Some(job) = self.servers[server].through(now) {
-            self.step(job);
+        while let Some(job) = self.servers[server].pop_completed(now) {
+            self.next_step(job);
         }
         self.schedule_server(server);
     }
 
-    /// An upstream's process ends: what it held is reset.
-    fn dies(&mut self, server: usize) {
+    /// Kills the process of an upstream. Its open requests are reset.
+    fn kill_server(&mut self, server: usize) {
         let now = self.agenda.now();
         if !self.servers[server].up {
             return;
         }
-        self.note(7, server as u64, 0);
-        self.servers[server].ends(now);
-        // In the order in which they came, not that of a table.
-        let gone: BTreeMap<u64, Attempt> =
+        self.record(7, server as u64, 0);
+        self.servers[server].stop_process(now);
+        // Resets are sent in the order of arrival, because the iteration order of a hash table is not deterministic.
+        let lost_attempts: BTreeMap<u64, Attempt> =
             self.jobs.iter().filter(|(_, j)| j.server == server).map(|(&job, j)| (job, j.attempt)).collect();
-        for (job, attempt) in gone {
+        for (job, attempt) in lost_attempts {
             self.jobs.remove(&job);
-            let way = self.way();
-            self.agenda.after(way, Happening::Back { attempt, ending: Ending::Reset, kept: None });
+            let delay = self.network_delay();
+            self.agenda.after(delay, Event::Response { attempt, ending: Ending::Reset, kept_epoch: None });
         }
         if server < self.portals() {
-            self.process_ends(self.balancers() + server, true);
+            self.end_process(self.balancers() + server, true);
         }
     }
 
-    /// Another process of an upstream starts, cold.
-    fn restarts(&mut self, server: usize) {
+    /// Starts a new, cold process of an upstream.
+    fn restart_server(&mut self, server: usize) {
         let now = self.agenda.now();
         if self.servers[server].up {
             return;
         }
-        self.servers[server].starts(now);
-        let b = &self.servers[server].build;
-        let ramp = Duration::from_nanos(b.cold_for);
-        let cold = invariants::Cold { cores: b.capacity(), from: b.cold_from, ramp };
-        self.judge.started(now, server, cold);
-        self.lines[server].standing = Some(EndpointState::Ready);
-        self.lines[server].started = BEGAN + now as f64 / 1e6;
-        self.publishes(server);
+        self.servers[server].start_process(now);
+        let spec = &self.servers[server].spec;
+        let ramp = Duration::from_nanos(spec.warmup);
+        let cold = invariants::Cold { cores: spec.capacity(), from: spec.cold_fraction, ramp };
+        self.checker.upstream_started(now, server, cold);
+        self.registry[server].state = Some(EndpointState::Ready);
+        self.registry[server].started_ms = START_UNIX_MS + now as f64 / 1e6;
+        self.publish_entry(server);
         if server < self.portals() {
-            self.starts(self.balancers() + server);
+            self.start_instance(self.balancers() + server);
         }
     }
 
-    // --- troubles ---
+    // --- faults ---
 
-    fn begins(&mut self, t: Fault, k: usize) {
+    fn begin_fault(&mut self, fault: Fault, index: usize) {
         let now = self.agenda.now();
-        if t.lasts > 0 {
-            self.agenda.after(t.lasts, Happening::Ends(k));
+        if fault.duration > 0 {
+            self.agenda.after(fault.duration, Event::FaultEnds(index));
         }
         let all = 0..self.servers.len();
-        match t.what {
-            FaultKind::Crash(s, back) => {
-                self.dies(s);
-                // The registry notices by itself.
-                self.lines[s].standing = None;
-                self.publishes(s);
-                self.agenda.after(back, Happening::Restarts(s));
+        match fault.kind {
+            FaultKind::Crash(server, downtime) => {
+                self.kill_server(server);
+                // The registry detects the crash by itself.
+                self.registry[server].state = None;
+                self.publish_entry(server);
+                self.agenda.after(downtime, Event::RestartServer(server));
             }
-            FaultKind::Hang(s) => self.paces(s, |s| s.hung = true),
-            FaultKind::Slow(s, times) => self.paces(s, |s| s.slow *= times),
-            FaultKind::Errors(s, n, part) => {
-                let servers = self.servers.len();
-                (s..s + n).for_each(|k| self.servers[k % servers].errors = part);
+            FaultKind::Hang(server) => self.alter_speed(server, |s| s.hung = true),
+            FaultKind::Slow(server, factor) => self.alter_speed(server, |s| s.slowdown *= factor),
+            FaultKind::Errors(server, count, rate) => {
+                let server_count = self.servers.len();
+                (server..server + count).for_each(|k| self.servers[k % server_count].error_rate = rate);
             }
-            FaultKind::Resets(s, part) => self.servers[s].resets = part,
-            FaultKind::Stale(most) => self.stale = Some(most),
-            FaultKind::Drain(s) => {
-                self.lines[s].standing = Some(EndpointState::Draining);
-                self.publishes(s);
+            FaultKind::Resets(server, rate) => self.servers[server].reset_rate = rate,
+            FaultKind::Stale(max_idle) => self.stale_after = Some(max_idle),
+            FaultKind::Drain(server) => {
+                self.registry[server].state = Some(EndpointState::Draining);
+                self.publish_entry(server);
             }
-            FaultKind::Cold(n) => {
+            FaultKind::Cold(count) => {
                 let portals = self.portals();
-                for k in portals - n.min(portals)..portals {
-                    self.agenda.after(ms(50.0 * (k % 16) as f64), Happening::Restarts(k));
+                for k in portals - count.min(portals)..portals {
+                    self.agenda.after(ms(50.0 * (k % 16) as f64), Event::RestartServer(k));
                 }
-                self.grown = portals as f64 / (portals - n.min(portals - 1)) as f64;
+                self.load_factor = portals as f64 / (portals - count.min(portals - 1)) as f64;
             }
-            FaultKind::Flood(club, times) => self.flood = Some((club, times)),
-            FaultKind::SharedSlow(times) => all.for_each(|s| self.paces(s, |s| s.slow *= times)),
+            FaultKind::Flood(tenant, factor) => self.flood = Some((tenant, factor)),
+            FaultKind::SharedSlow(factor) => all.for_each(|k| self.alter_speed(k, |s| s.slowdown *= factor)),
             FaultKind::Roll(gap) => {
                 for k in 0..self.balancers() {
-                    // One at a time, as a supervisor does: each waits for its own end.
-                    self.agenda.after(gap * k as Nanos, Happening::Stop(k));
+                    // Balancers stop one after the other, as under a supervisor, and each waits for its own shutdown.
+                    self.agenda.after(gap * k as Nanos, Event::StopInstance(k));
                 }
             }
             FaultKind::Kill(instance) => {
-                self.process_ends(instance, true);
-                self.agenda.after(t.lasts, Happening::Start(instance));
+                self.end_process(instance, true);
+                self.agenda.after(fault.duration, Event::StartInstance(instance));
             }
-            FaultKind::Silence => self.silent_until = now + t.lasts,
+            FaultKind::Silence => self.registry_silent_until = now + fault.duration,
         }
     }
 
-    fn passes(&mut self, t: Fault) {
+    fn end_fault(&mut self, fault: Fault) {
         let all = 0..self.servers.len();
-        match t.what {
-            FaultKind::Hang(s) => self.paces(s, |s| s.hung = false),
-            FaultKind::Slow(s, times) => self.paces(s, |s| s.slow /= times),
-            FaultKind::Errors(s, n, _) => {
-                let servers = self.servers.len();
-                (s..s + n).for_each(|k| self.servers[k % servers].errors = 0.0);
+        match fault.kind {
+            FaultKind::Hang(server) => self.alter_speed(server, |s| s.hung = false),
+            FaultKind::Slow(server, factor) => self.alter_speed(server, |s| s.slowdown /= factor),
+            FaultKind::Errors(server, count, _) => {
+                let server_count = self.servers.len();
+                (server..server + count).for_each(|k| self.servers[k % server_count].error_rate = 0.0);
             }
-            FaultKind::Resets(s, _) => self.servers[s].resets = 0.0,
-            FaultKind::Stale(_) => self.stale = None,
-            FaultKind::Drain(s) => {
-                self.dies(s);
-                self.agenda.after(ms(1000.0), Happening::Restarts(s));
+            FaultKind::Resets(server, _) => self.servers[server].reset_rate = 0.0,
+            FaultKind::Stale(_) => self.stale_after = None,
+            FaultKind::Drain(server) => {
+                self.kill_server(server);
+                self.agenda.after(ms(1000.0), Event::RestartServer(server));
             }
             FaultKind::Flood(..) => self.flood = None,
-            FaultKind::SharedSlow(times) => all.for_each(|s| self.paces(s, |s| s.slow /= times)),
+            FaultKind::SharedSlow(factor) => all.for_each(|k| self.alter_speed(k, |s| s.slowdown /= factor)),
             _ => {}
         }
     }
 
-    /// Changes the pace of an upstream.
-    fn paces(&mut self, server: usize, change: impl Fn(&mut Server)) {
+    /// Changes the processing speed of an upstream.
+    fn alter_speed(&mut self, server: usize, change: impl Fn(&mut Server)) {
         let now = self.agenda.now();
-        let s = &mut self.servers[server];
-        s.reckon(now);
-        change(s);
-        s.version += 1;
+        let upstream = &mut self.servers[server];
+        upstream.advance(now);
+        change(upstream);
+        upstream.speed_version += 1;
         self.schedule_server(server);
     }
 
-    /// What came of it, once nothing more happens.
+    /// Builds the report once no events are left.
     fn report(self) -> Report {
-        let mut grown = Vec::new();
-        for (k, i) in self.instances.iter().enumerate().filter(|(_, i)| i.up && i.retained_entries() > 0) {
-            grown.push((format!("instance {k}"), i.retained_entries()));
+        let mut retained = Vec::new();
+        for (k, balancer) in self
+            .instances
+            .iter()
+            .enumerate()
+            .filter(|(_, balancer)| balancer.up && balancer.retained_entries() > 0)
+        {
+            retained.push((format!("instance {k}"), balancer.retained_entries()));
         }
         let tables = [
             ("operations", self.operations.len()),
             ("requests", self.requests.len()),
             ("jobs", self.jobs.len()),
-            ("stories", self.judge.open()),
+            ("request histories", self.checker.unchecked_requests()),
         ];
-        grown.extend(tables.into_iter().filter(|t| t.1 > 0).map(|(name, n)| (name.to_string(), n)));
-        let slowed = self.slowed.iter().filter(|&&s| s).count() as f64 / self.slowed.len().max(1) as f64;
+        retained.extend(tables.into_iter().filter(|t| t.1 > 0).map(|(name, n)| (name.to_string(), n)));
+        let slowed_fraction =
+            self.ever_slowed.iter().filter(|&&s| s).count() as f64 / self.ever_slowed.len().max(1) as f64;
         Report {
             score: self.score,
-            violations: self.judge.found,
-            broken: self.judge.count,
-            grown,
+            violations: self.checker.violations,
+            violation_count: self.checker.violation_count,
+            retained,
             digest: self.digest.finish(),
             events: self.events,
-            requests: self.asked,
+            requests: self.requests_received,
             attempts: self.attempts,
-            slowed,
+            slowed_fraction,
         }
     }
 }
--- a/crates/verification/fleet-simulation/tests/rules.rs
+++ b/crates/verification/fleet-simulation/tests/rules.rs
@@ -1,93 +1,99 @@
-//! Hundreds of seeds, and what shows that the invariants catch what they are there for.
+//! Runs hundreds of seeds, and shows that the invariants detect the defects that they exist for.
 use fleet_simulation::mutant::Mutant;
 use fleet_simulation::scenario::{Scenario, Size};
 use fleet_simulation::search::{search, shrink, Case};
-use fleet_simulation::world::play;
+use fleet_simulation::world::run_scenario;
 use invariants::Breach;
 use std::time::Duration;
 
 const THREADS: usize = 4;
 
-/// The figure of the simulation's promise: hundreds of small fleets in trouble, no rule broken, nothing grown.
+/// Hundreds of small fleets with faults violate no invariant and retain no entries.
 #[test]
-fn hundreds_of_seeds_break_no_rule() {
+fn hundreds_of_seeds_violate_no_invariant() {
     let found = search(Size::SMALL, Mutant::None, 1, 300, Duration::MAX, THREADS);
-    assert_eq!(found.played, 300);
-    let broken: Vec<_> =
-        found.broken.iter().map(|(seed, r)| (seed, r.violations.first(), r.grown.first())).collect();
-    assert!(broken.is_empty(), "{broken:?}");
+    assert_eq!(found.runs, 300);
+    let violating: Vec<_> =
+        found.violating.iter().map(|(seed, r)| (seed, r.violations.first(), r.retained.first())).collect();
+    assert!(violating.is_empty(), "{violating:?}");
 }
 
-/// Guards against invariants that nothing can break: each rule has a faulty variant that is caught, on the same seeds that
-/// the sound one passes.
+/// Guards against invariants that nothing can violate: for each there is a mutant that violates it, on the same seeds
+/// that the unmodified instances pass.
 #[test]
-fn every_rule_is_broken_by_a_faulty_variant_and_caught() {
-    for (mutant, faults) in [
+fn every_mutant_violates_its_invariant_and_is_caught() {
+    for (mutant, breaches) in [
         (Mutant::AnswersForgotten, &[Breach::AnswerLost][..]),
         (Mutant::EffectsForgotten, &[Breach::UnsafeRepeated, Breach::RefusedAfterRunning]),
         (Mutant::DrainsIgnored, &[Breach::SentAfterGrace]),
         (Mutant::ColdPreferred, &[Breach::ColdPushedOver]),
     ] {
         let found = search(Size::SMALL, mutant, 1, 60, Duration::MAX, THREADS);
-        for fault in faults {
-            let caught = found.broken.iter().any(|(_, r)| r.violations.iter().any(|v| v.fault == *fault));
-            assert!(caught, "{mutant:?} is not caught by {fault:?}");
+        for breach in breaches {
+            let caught =
+                found.violating.iter().any(|(_, r)| r.violations.iter().any(|v| v.breach == *breach));
+            assert!(caught, "{mutant:?} was not caught by {breach:?}");
         }
     }
     let found = search(Size::SMALL, Mutant::NothingForgotten, 1, 2, Duration::MAX, THREADS);
-    assert!(found.broken.iter().all(|(_, r)| !r.grown.is_empty()) && found.broken.len() == 2);
+    assert!(found.violating.iter().all(|(_, r)| !r.retained.is_empty()) && found.violating.len() == 2);
 }
 
-/// One seed is one run: again, and beside others.
+/// Guards against nondeterminism: a seed gives the same run when repeated, and different seeds give different runs.
 #[test]
-fn a_seed_happens_again_to_the_same_digest() {
+fn a_seed_reproduces_its_digest() {
     let digests = |seed| {
         let scenario = Scenario::draw(seed, Size::SMALL);
-        let (first, again) = (play(&scenario, Mutant::None), play(&scenario, Mutant::None));
+        let (first, again) = (run_scenario(&scenario, Mutant::None), run_scenario(&scenario, Mutant::None));
         assert_eq!((first.digest, first.events), (again.digest, again.events));
         first.digest
     };
     let all: std::collections::BTreeSet<u64> = (1..=4).map(digests).collect();
-    assert_eq!(all.len(), 4, "and another seed is another run");
+    assert_eq!(all.len(), 4, "different seeds give different digests");
 }
 
-/// What breaks is shrunk to fewer troubles and less load, and still breaks.
+/// A violating run is shrunk to fewer faults and less load, and still violates the invariant.
 #[test]
-fn what_breaks_is_shrunk_to_the_least_that_still_breaks() {
-    let lost =
-        |r: &fleet_simulation::world::Report| r.violations.iter().any(|v| v.fault == Breach::AnswerLost);
+fn a_violating_run_is_shrunk_and_still_violates() {
+    let loses_answer =
+        |r: &fleet_simulation::world::Report| r.violations.iter().any(|v| v.breach == Breach::AnswerLost);
     let mutant = Mutant::AnswersForgotten;
     let found = search(Size::SMALL, mutant, 1, 40, Duration::MAX, THREADS);
-    let many = |seed: u64| Scenario::draw(seed, Size::SMALL).troubles.len() > 1;
-    let (seed, _) = found.broken.iter().find(|(seed, r)| lost(r) && many(*seed)).expect("one is caught");
-    let whole = Case::full_run(*seed, Size::SMALL);
-    let least = shrink(&whole, mutant, &lost);
-    assert!(lost(&play(&least.scenario(), mutant)));
-    assert!(least.scenario().troubles.len() < whole.scenario().troubles.len());
-    assert!(least.ends_ms.is_some_and(|ends| ends < Size::SMALL.length_ms), "{least:?}");
-    // As it is kept in a file.
-    let text = toml::to_string(&least).expect("it can be written");
-    assert_eq!(Case::read(&text), Ok(least));
-    assert!(Case::read("seed = 1\nsizes = 3").is_err_and(|e| e.contains("sizes")));
+    let has_several_faults = |seed: u64| Scenario::draw(seed, Size::SMALL).faults.len() > 1;
+    let (seed, _) = found
+        .violating
+        .iter()
+        .find(|(seed, r)| loses_answer(r) && has_several_faults(*seed))
+        .expect("a run with several faults that loses an answer");
+    let full = Case::full_run(*seed, Size::SMALL);
+    let smallest = shrink(&full, mutant, &loses_answer);
+    assert!(loses_answer(&run_scenario(&smallest.scenario(), mutant)));
+    assert!(smallest.scenario().faults.len() < full.scenario().faults.len());
+    assert!(smallest.ends_ms.is_some_and(|ends| ends < Size::SMALL.length_ms), "{smallest:?}");
+    // The case survives a round trip through its file format.
+    let text = toml::to_string(&smallest).expect("serialize the case");
+    assert_eq!(Case::parse(&text), Ok(smallest));
+    assert!(Case::parse("seed = 1\nsizes = 3").is_err_and(|e| e.contains("sizes")));
 }
 
-/// The cases that a search once found.
+/// Cases saved by earlier searches violate no invariant.
 #[test]
-fn kept_cases_hold() {
+fn saved_cases_violate_no_invariant() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/cases");
-    let mut played = 0;
-    for file in std::fs::read_dir(folder).expect("the folder") {
-        let file = file.expect("a file").path();
-        let case = Case::read(&std::fs::read_to_string(&file).expect("it can be read")).expect("a case");
-        let report = play(&case.scenario(), Mutant::None);
+    let mut runs = 0;
+    for file in std::fs::read_dir(folder).expect("read the cases folder") {
+        let file = file.expect("read a folder entry").path();
+        let case = Case::parse(&std::fs::read_to_string(&file).expect("read the case file"))
+            .expect("parse the case");
+        let report = run_scenario(&case.scenario(), Mutant::None);
         assert!(
-            report.sound(),
+            report.is_correct(),
             "{}: {:?} {:?}",
             file.display(),
             report.violations.first(),
-            report.grown.first()
+            report.retained.first()
         );
-        played += 1;
+        runs += 1;
     }
-    assert!(played > 0);
+    assert!(runs > 0);
 }
