--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -22,7 +22,7 @@
 const CONNECT_TIMEOUT: Nanos = 250_000_000;
 /// Interval between sweeps for idle connections, in nanoseconds.
 const IDLE_SWEEP_INTERVAL: Nanos = 250_000_000;
-/// Time between a request's client timeout and its check against the invariants, in nanoseconds.
+/// Time between the timeout of a request's caller and the request's check against the invariants, in nanoseconds.
 const CHECK_DELAY: Nanos = 1_000_000_000;
 /// Minimum and maximum time for the front to notice that a balancer is gone, in milliseconds.
 const FRONT_NOTICE_MS: (f64, f64) = (1700.0, 3600.0);
@@ -93,6 +93,7 @@
     /// Reference-core seconds of each CPU step, and of setting up the connection that the request arrived on.
     work_per_step: f64,
     connection_work: f64,
+    /// Seconds that it waits on other systems.
     wait_s: f64,
     /// Whether this is a retry that the group's deduplication drops.
     duplicate: bool,
@@ -101,6 +102,7 @@
     pending_request: Option<u64>,
 }
 
+/// An event of the run; process-bound events are dropped once their process has ended.
 enum Event {
     Arrival,
     Submit(u64),
@@ -188,10 +190,13 @@
     /// Time of each instance's latest scheduled registry update. Later updates are not scheduled before it, which keeps
     /// their order.
     last_notified: Vec<Nanos>,
+    /// Time until which the registry sends no updates and rejects queries.
     registry_silent_until: Nanos,
     /// Idle time beyond which connections lose requests silently, if that fault is active.
     stale_after: Option<Nanos>,
+    /// The tenant that sends more than usual, and the factor, if that fault is active.
     flood: Option<(usize, f64)>,
+    /// Growth of the load along with the fleet; 1 before the fleet grows.
     load_factor: f64,
     operations: FnvHashMap<u64, Operation>,
     requests: FnvHashMap<u64, Request>,
@@ -384,6 +389,7 @@
         balancer.up && balancer.epoch == process.epoch
     }
 
+    /// Adds an event with its time to the digest.
     fn record(&mut self, tag: u64, a: u64, b: u64) {
         for n in [self.agenda.now(), tag, a, b] {
             self.digest.write_u64(n);
@@ -466,6 +472,7 @@
         self.agenda.now() < self.load_end() || !self.requests.is_empty() || !self.jobs.is_empty()
     }
 
+    /// Returns the end of the load, which starts 1.5 s into the run.
     fn load_end(&self) -> Nanos {
         self.scenario.load_end + ms(1500.0)
     }
@@ -896,6 +903,7 @@
         self.agenda.after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
     }
 
+    /// Adds or removes a balancer of the front's targets, after the front has checked its readiness.
     fn update_front(&mut self, instance: usize, accepting: bool) {
         if instance >= self.balancers() {
             return;
@@ -918,6 +926,7 @@
 
     // --- registry ---
 
+    /// Schedules the notification of a changed registry entry to every instance of the upstream's tier.
     fn publish_entry(&mut self, server: usize) {
         let now = self.agenda.now();
         let entry = self.registry[server].clone();
