--- a/crates/verification/fleet-simulation/src/scenario.rs
+++ b/crates/verification/fleet-simulation/src/scenario.rs
@@ -128,7 +128,7 @@
     /// Minimum and maximum delay of registry updates, in milliseconds.
     pub registry_delay_ms: (f64, f64),
     /// Maximum offset of a machine's wall clock, in milliseconds.
-    pub max_clock_skew_ms: f64,
+    pub skew: f64,
     /// Whether calls to the second tier carry the remaining deadline of their caller.
     pub passes_deadline: bool,
     /// Requests per second at full capacity.
@@ -196,7 +196,7 @@
             retry_pause: if rng.chance(0.5) { 0 } else { ms(rng.between((50.0, 400.0))) },
             retry_after_compliance: rng.between((0.0, 0.4)),
             registry_delay_ms: (rng.between((100.0, 980.0)), rng.between((1000.0, 4500.0))),
-            max_clock_skew_ms: if rng.chance(0.5) { 0.0 } else { rng.between((10.0, 3000.0)) },
+            skew: if rng.chance(0.5) { 0.0 } else { rng.between((10.0, 3000.0)) },
             passes_deadline: rng.chance(0.67),
             capacity,
             load,
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -133,7 +133,7 @@
     CallerTimeout(u64),
     CallerLeft(Process, u64),
     CheckRequest(u64),
-    RegistryUpdate(Process, RegistryEntry),
+    Notify(Process, RegistryEntry),
     EndpointList(Process),
     LifecycleTimeout(Process),
     OpenCounts(Process),
@@ -287,13 +287,8 @@
         }
         let balancers = usize::from(scenario.size.balancers);
         let mut draws = Draws::new(seed, "clocks", 0);
-        let mut skew = || {
-            if scenario.max_clock_skew_ms > 0.0 {
-                draws.between((-scenario.max_clock_skew_ms, scenario.max_clock_skew_ms))
-            } else {
-                0.0
-            }
-        };
+        let mut skew =
+            || if scenario.skew > 0.0 { draws.between((-scenario.skew, scenario.skew)) } else { 0.0 };
         let mut instances = Vec::new();
         for k in 0..balancers + portals {
             let (tier, index) = if k < balancers { (0, k) } else { (1, k - balancers) };
@@ -425,9 +420,7 @@
                 self.requests.remove(&request);
                 self.checker.check_request(request);
             }
-            Event::RegistryUpdate(process, entry) if self.is_running(process) => {
-                self.registry_update(process.instance, entry)
-            }
+            Event::Notify(process, entry) if self.is_running(process) => self.notify(process.instance, entry),
             Event::EndpointList(process) if self.is_running(process) => self.endpoint_list(process.instance),
             Event::LifecycleTimeout(process) if self.is_running(process) => {
                 self.handle_lifecycle(process.instance, LifecycleEvent::Timeout)
@@ -458,7 +451,7 @@
             }
             Event::BalancerTimer(..)
             | Event::CallerLeft(..)
-            | Event::RegistryUpdate(..)
+            | Event::Notify(..)
             | Event::EndpointList(_)
             | Event::LifecycleTimeout(_)
             | Event::OpenCounts(_)
@@ -942,11 +935,11 @@
                 (earliest + ms(self.registry_draws.between((0.0, 430.0)))).max(self.last_notified[instance]);
             self.last_notified[instance] = notify_at;
             let process = self.current_process(instance);
-            self.agenda.at(notify_at, Event::RegistryUpdate(process, entry.clone()));
+            self.agenda.at(notify_at, Event::Notify(process, entry.clone()));
         }
     }
 
-    fn registry_update(&mut self, instance: usize, entry: RegistryEntry) {
+    fn notify(&mut self, instance: usize, entry: RegistryEntry) {
         let update = match entry.state {
             Some(_) => SourceUpdate::Delta(vec![entry.into_report()], Vec::new()),
             None => SourceUpdate::Delta(Vec::new(), vec![crate::instance::upstream_name(entry.server)]),
