--- a/crates/herondock/benches/consul.rs
+++ b/crates/herondock/benches/consul.rs
@@ -11,9 +11,9 @@
 use testkit::consul::{Agent, Consul, Fault, Service};
 use testkit::discovery::Discovery;
 use testkit::ledger::{Effect, Entry, Ledger, RuleParameters, Scope, State};
-use testkit::message::ok_text;
+use testkit::message::ok_response;
 use testkit::node::{config, Node, Program};
-use testkit::upstream::{Options, Then, Upstream};
+use testkit::upstream::{Step, Upstream, UpstreamOptions};
 
 /// Rounds of a drain for each fault, and how long the fault lasts.
 const ROUNDS: usize = 15;
@@ -55,7 +55,7 @@
             scope.spawn(move || {
                 let classes = [("read", Effect::Safe), ("order", Effect::Keyed), ("pay", Effect::Unsafe)];
                 let mut caller = Caller::new(ledger.clone(), seed);
-                caller.reach("n0", addr);
+                caller.set_balancer("n0", addr);
                 for (class, effect) in classes.into_iter().cycle() {
                     if stop.load(Ordering::SeqCst) {
                         return;
@@ -80,7 +80,7 @@
 fn told_of(ledger: &Ledger, from: usize, wanted: State) -> Duration {
     let started = Instant::now();
     loop {
-        let told = |e: &Entry| matches!(e, Entry::Told { upstream, state, .. } if upstream == "u0" && *state == wanted);
+        let told = |e: &Entry| matches!(e, Entry::Notified { upstream, state, .. } if upstream == "u0" && *state == wanted);
         if let Some(r) = ledger.since(from).iter().find(|r| told(&r.entry)) {
             return r.at;
         }
@@ -106,16 +106,19 @@
         Fault::Behind(60_000),
         Fault::Filtered,
         Fault::NoIndex,
-        Fault::Refuses,
+        Fault::ClosesConnections,
     ] {
-        let ledger = Arc::new(Ledger::with_room(4 << 20));
+        let ledger = Arc::new(Ledger::with_capacity(4 << 20));
         let consul = Consul::new(Some(ledger.clone()));
         let _upstreams: Vec<Upstream> = (0..4)
             .map(|k| {
-                let options =
-                    Options { ledger: Some(ledger.clone()), cores: 8, ..Options::named(&format!("u{k}")) };
+                let options = UpstreamOptions {
+                    ledger: Some(ledger.clone()),
+                    cores: 8,
+                    ..UpstreamOptions::named(&format!("u{k}"))
+                };
                 let upstream =
-                    Upstream::with(options, |_| Then::Work(Duration::from_millis(2), ok_text("x")));
+                    Upstream::with(options, |_| Step::Work(Duration::from_millis(2), ok_response("x")));
                 consul.set("dc1", "portal", Service::new(&format!("u{k}"), upstream.addr));
                 upstream
             })
@@ -168,7 +171,7 @@
     println!("| --- | --- | --- | --- |");
     for size in [1, 30, 140] {
         let consul = Consul::new(None);
-        let upstream = Upstream::start(|_| Then::Answer(ok_text("x")));
+        let upstream = Upstream::start(|_| Step::Answer(ok_response("x")));
         for k in 0..107 {
             consul.set(
                 "dc1",
@@ -218,7 +221,7 @@
     for size in [107u32, 5000] {
         for rate in [0u64, 1, 50] {
             let consul = Consul::new(None);
-            let upstream = Upstream::start(|_| Then::Answer(ok_text("x")));
+            let upstream = Upstream::start(|_| Step::Answer(ok_response("x")));
             for k in 0..size {
                 let ip = [127, 2, (k / 250) as u8, (k % 250) as u8 + 1];
                 consul.set(
--- a/crates/herondock/benches/cost.rs
+++ b/crates/herondock/benches/cost.rs
@@ -18,7 +18,7 @@
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use testkit::discovery::{listing, Discovery};
+use testkit::discovery::{upstream_list, Discovery};
 use testkit::node::{config, Node, Program};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
@@ -159,7 +159,7 @@
     let upstream = Role::start(&["upstream"]);
     let relay = Role::start(&["relay", &upstream.1.to_string()]);
     let discovery = Discovery::start();
-    let known = listing(1, true, &[(0, upstream.1, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.1, "active")]);
     // A quota that is never reached: what is measured is the way of a request that is admitted.
     let config =
         config(discovery.addr, 1024, &known).replace("\"quota_per_s\":5000", "\"quota_per_s\":1000000");
--- a/crates/herondock/benches/council.rs
+++ b/crates/herondock/benches/council.rs
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
-use testkit::coordination::{run, written, Voters};
-use testkit::discovery::{listing, Discovery};
+use testkit::coordination::{is_committed, run, Voters};
+use testkit::discovery::{upstream_list, Discovery};
 use testkit::faults::link::Rule;
 use testkit::node::{config, Node, Program};
-use testkit::upstream::{ok, Options, Upstream};
+use testkit::upstream::{ok, Upstream, UpstreamOptions};
 
 const TICK: Duration = Duration::from_millis(100);
 const WITHIN: Duration = Duration::from_secs(30);
@@ -88,14 +88,14 @@
                     ClientHandle::spawn(client_config(voters, &format!("w{c}"), Duration::from_secs(10)));
                 tokio::task::spawn_local(async move {
                     // The session and the connection come first.
-                    assert!(written(&handle.transact(vec![], put(c), WITHIN).await));
+                    assert!(is_committed(&handle.transact(vec![], put(c), WITHIN).await));
                     let (mut took, started) = (micros(), Instant::now());
                     let mut n = 0;
                     while started.elapsed() < length {
                         n += 1;
                         let sent = Instant::now();
                         let outcome = handle.transact(vec![], put((c * 97 + n) % KEYS), WITHIN).await;
-                        assert!(written(&outcome), "{outcome:?}");
+                        assert!(is_committed(&outcome), "{outcome:?}");
                         took.record(sent.elapsed().as_micros() as u64).expect("within bounds");
                     }
                     (took, started)
@@ -139,7 +139,7 @@
         for clients in [1, 16, 128] {
             let mut rounds: [Vec<f64>; 4] = Default::default();
             for _ in 0..3 {
-                let (took, rate) = writes(&voters.reached(), clients, Duration::from_secs(3));
+                let (took, rate) = writes(&voters.client_addrs(), clients, Duration::from_secs(3));
                 let round = [rate, millis(&took, 0.5), millis(&took, 0.99), millis(&took, 1.0)];
                 rounds.iter_mut().zip(round).for_each(|(all, one)| all.push(one));
             }
@@ -166,7 +166,7 @@
             run(async {
                 let handle = ClientHandle::spawn(client_config(&voters, "probe", Duration::from_secs(30)));
                 while !stopped.load(Ordering::SeqCst) {
-                    if written(&handle.transact(vec![], put(0), WITHIN).await) {
+                    if is_committed(&handle.transact(vec![], put(0), WITHIN).await) {
                         let _ = tell.send(Instant::now());
                     }
                 }
@@ -201,7 +201,7 @@
     for fault in ["kill -9", "pause", "cut off", "SIGTERM"] {
         let mut voters = Voters::prepare(&program(), 3, TICK);
         voters.begin();
-        let probe = Probe::begin(&voters.reached());
+        let probe = Probe::begin(&voters.client_addrs());
         let (mut led, mut wrote) = (micros(), micros());
         for _ in 0..FAULTS {
             voters.wait_until_converged();
@@ -215,7 +215,7 @@
                 _ => {
                     let others: Vec<String> = voters.names.iter().filter(|n| **n != name).cloned().collect();
                     for other in others.iter().map(String::as_str).chain(["probe"]) {
-                        voters.net.set_both(&name, other, Rule::Hole);
+                        voters.network.set_both_ways(&name, other, Rule::Blackhole);
                     }
                 }
             }
@@ -231,7 +231,7 @@
             let at = another.get().expect("led");
             led.record((at - struck).as_micros() as u64).expect("within bounds");
             wrote.record((seen - struck).as_micros() as u64).expect("within bounds");
-            voters.net.heal();
+            voters.network.heal();
             voters.machines[l].resume();
             if fault == "SIGTERM" {
                 voters.machines[l].process_mut(0).wait();
@@ -255,7 +255,7 @@
 /// Starts a balancer with this upstream, as a client of these voters or of none.
 fn balancer(upstream: SocketAddr, voters: Option<&[String]>, name: &str) -> Node {
     let discovery = Discovery::start();
-    let known = listing(1, true, &[(0, upstream, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream, "active")]);
     let config = config(discovery.addr, 1024, &known)
         .replace("\"quota_per_s\":5000", "\"quota_per_s\":1000000")
         .replace("\"name\":\"n1\"", &format!("\"name\":\"{name}\""));
@@ -271,7 +271,7 @@
 }
 
 fn upstream() -> Upstream {
-    Upstream::with(Options { cores: 8, ..Options::named("u0") }, |_| ok("x"))
+    Upstream::with(UpstreamOptions { cores: 8, ..UpstreamOptions::named("u0") }, |_| ok("x"))
 }
 
 /// Makes this many writes over [`KEYS`] keys.
@@ -292,7 +292,7 @@
                         }
                         next.set(n + 1);
                         let outcome = handle.transact(vec![], put(n % KEYS), WITHIN).await;
-                        assert!(written(&outcome), "{outcome:?}");
+                        assert!(is_committed(&outcome), "{outcome:?}");
                     }
                 })
             })
@@ -315,17 +315,17 @@
     println!("| voters with | MB each, median (least to most) |");
     println!("| --- | --- |");
     println!("| nothing | {} |", spread(of_voters(), 1));
-    fill(&voters.reached(), KEYS, |_| {});
+    fill(&voters.client_addrs(), KEYS, |_| {});
     println!("| {KEYS} keys of {VALUE} bytes | {} |", spread(of_voters(), 1));
     run(async {
         let mut clients = Vec::new();
         for c in 0..CLIENTS {
             let handle = ClientHandle::spawn(client_config(
-                &voters.reached(),
+                &voters.client_addrs(),
                 &format!("m{c}"),
                 Duration::from_secs(10),
             ));
-            assert!(written(&handle.transact(vec![], put(c), WITHIN).await));
+            assert!(is_committed(&handle.transact(vec![], put(c), WITHIN).await));
             let watch = handle.watch("key/", None).await;
             clients.push((handle, watch));
         }
@@ -342,10 +342,10 @@
     let mut of: [Vec<f64>; 2] = Default::default();
     for k in 0..ROUNDS {
         for (way, of) in of.iter_mut().enumerate() {
-            let reached = voters.reached();
+            let reached = voters.client_addrs();
             let node = balancer(up.addr, (way == 1).then_some(&reached), &format!("m{k}"));
             if way == 1 {
-                node.logs("holds its session");
+                node.wait_for_log("holds its session");
             }
             of.push(memory(node.pid()));
         }
@@ -361,7 +361,7 @@
     let journal = voters.machines[0].disk().join("journal");
     let started = Instant::now();
     let count = std::env::var("COUNCIL_WRITES").ok().and_then(|n| n.parse().ok()).unwrap_or(HOUR);
-    fill(&voters.reached(), count, |done| {
+    fill(&voters.client_addrs(), count, |done| {
         let now = std::fs::metadata(&journal).map_or(0, |m| m.len());
         let (last, most, folds, least) = sizes.get();
         let folded = usize::from(now < last);
@@ -383,7 +383,7 @@
     for _ in 0..ROUNDS {
         let before = voters.statuses().iter().map(|s| s.log.0).max().unwrap_or(0);
         let room = 19_000u64.saturating_sub(before);
-        fill(&voters.reached(), usize::try_from(room).unwrap_or(0), |_| {});
+        fill(&voters.client_addrs(), usize::try_from(room).unwrap_or(0), |_| {});
         voters.wait_until_converged();
         let l = voters.leader();
         let f = (l + 1) % 3;
@@ -392,7 +392,7 @@
         voters.machines[f].kill();
         let started = Instant::now();
         voters.machines[f].start();
-        voters.machines[f].process(0).logs("listens on");
+        voters.machines[f].process(0).wait_for_log("listens on");
         let listens = started.elapsed().as_secs_f64();
         voters.wait_until_converged();
         took.push(listens * 1000.0);
@@ -409,9 +409,9 @@
     let mut voters = Voters::direct(&program(), 3, TICK);
     voters.begin();
     let up = upstream();
-    let reached = voters.reached();
+    let reached = voters.client_addrs();
     let nodes = [balancer(up.addr, None, "off"), balancer(up.addr, Some(&reached), "on")];
-    nodes[1].logs("holds its session");
+    nodes[1].wait_for_log("holds its session");
     let mut figures: [[Vec<f64>; 2]; 2] = Default::default();
     for round in 0..=ROUNDS {
         for (way, node) in nodes.iter().enumerate() {
--- a/crates/herondock/benches/fastcgi.rs
+++ b/crates/herondock/benches/fastcgi.rs
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use testkit::discovery::{listing, Discovery};
-use testkit::fastcgi::{begin, end, pairs, record};
+use testkit::discovery::{upstream_list, Discovery};
+use testkit::fastcgi::{begin_record, end_record, pairs, record};
 use testkit::node::{config, Node, Program};
 
 const CONNECTIONS: usize = 16;
@@ -71,7 +71,7 @@
         Speaks::Http => format!("HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n{body}").into_bytes(),
         Speaks::FastCgi => {
             let out = record(6, 1, format!("Status: 200 OK\r\n\r\n{body}").as_bytes(), 0);
-            [out, record(6, 1, b"", 0), end(1, 0, 0)].concat()
+            [out, record(6, 1, b"", 0), end_record(1, 0, 0)].concat()
         }
     };
     std::thread::spawn(move || {
@@ -92,7 +92,7 @@
     let addr = listener.local_addr().expect("an address");
     let output = format!("Status: 200 OK\r\n\r\n{}", "x".repeat(64));
     let answer =
-        move |id| [record(6, id, output.as_bytes(), 0), record(6, id, b"", 0), end(id, 0, 0)].concat();
+        move |id| [record(6, id, output.as_bytes(), 0), record(6, id, b"", 0), end_record(id, 0, 0)].concat();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let answer = answer.clone();
@@ -139,7 +139,8 @@
                 ("HTTP_REQ_OWNER", "club"),
                 ("HTTP_REQ_DEADLINE", "15000m"),
             ]);
-            [begin(1, true), record(4, 1, &all, 0), record(4, 1, b"", 0), record(5, 1, b"", 0)].concat()
+            [begin_record(1, true), record(4, 1, &all, 0), record(4, 1, b"", 0), record(5, 1, b"", 0)]
+                .concat()
         }
     }
 }
@@ -174,7 +175,7 @@
         format!("[registry]\nspeaks = \"{speaks}\"\n[fastcgi]\nlisten = [\"127.0.0.1:0\"]\n{multiplex}");
     let discovery = Discovery::start();
     let upstream = if at_once > 1 { upstream_at_once() } else { upstream(back) };
-    let known = listing(1, true, &[(0, upstream, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream, "active")]);
     // Room for a load without a limit: what is measured is the way of a request.
     let config =
         config(discovery.addr, 4096, &known).replace("\"quota_per_s\":5000", "\"quota_per_s\":1000000");
--- a/crates/herondock/benches/fleet.rs
+++ b/crates/herondock/benches/fleet.rs
@@ -12,12 +12,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use testkit::caller::{Caller, Operation, Outcome};
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 use testkit::ledger::{Effect, Ledger, RuleParameters, Scope};
-use testkit::message::ok_text;
+use testkit::message::ok_response;
 use testkit::node::{config, Program};
-use testkit::plain::{calling, Plain, Tally as Plainly};
-use testkit::upstream::{Options, Then, Upstream};
+use testkit::plain::{call_during, PlainCaller, Tally as Plainly};
+use testkit::upstream::{Step, Upstream, UpstreamOptions};
 
 /// What callers met in one phase.
 struct Met {
@@ -56,7 +56,7 @@
             scope.spawn(move || {
                 let classes = [("read", Effect::Safe), ("order", Effect::Keyed), ("pay", Effect::Unsafe)];
                 let mut caller = Caller::new(ledger.clone(), seed).with_readiness_check();
-                caller.know(addrs);
+                caller.set_balancers(addrs);
                 for (class, effect) in classes.into_iter().cycle() {
                     if stop.load(Ordering::SeqCst) {
                         return;
@@ -66,7 +66,7 @@
                         Operation { class: class.into(), effect, deadline, ..Operation::default() };
                     let done = caller.call(&operation);
                     let mut all = all.lock().expect("no panic");
-                    all.tries += u64::from(done.tries);
+                    all.tries += u64::from(done.attempts);
                     match done.outcome {
                         Outcome::Served { took } => all.took.saturating_record(took.as_micros() as u64),
                         _ => all.other += 1,
@@ -92,9 +92,9 @@
         ms(0.99),
         ms(0.999),
         plainly.served,
-        plainly.unconnected,
-        plainly.cut_off,
-        plainly.crossed,
+        plainly.connect_failures,
+        plainly.closed_unanswered,
+        plainly.reset_on_reuse,
         plainly.other
     );
 }
@@ -106,16 +106,20 @@
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let program = Program::new(env!("CARGO_BIN_EXE_herondock"), &folder);
-    let ledger = Arc::new(Ledger::with_room(8 << 20));
+    let ledger = Arc::new(Ledger::with_capacity(8 << 20));
     let registry = Registry::new(Some(ledger.clone()));
     let upstreams: Vec<Upstream> = (0..4)
         .map(|k| {
-            let options =
-                Options { ledger: Some(ledger.clone()), cores: 8, ..Options::named(&format!("u{k}")) };
-            let upstream = Upstream::with(options, |_| Then::Work(Duration::from_millis(5), ok_text("x")));
+            let options = UpstreamOptions {
+                ledger: Some(ledger.clone()),
+                cores: 8,
+                ..UpstreamOptions::named(&format!("u{k}"))
+            };
+            let upstream =
+                Upstream::with(options, |_| Step::Work(Duration::from_millis(5), ok_response("x")));
             registry.set(
                 &format!("u{k}"),
-                Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
+                ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
             );
             upstream
         })
@@ -126,7 +130,7 @@
         let ip = [127, 90, 1 + (k / 200) as u8, 1 + (k % 200) as u8];
         let addr =
             TcpListener::bind(SocketAddr::from((ip, 0))).and_then(|l| l.local_addr()).expect("an address");
-        let asked = registry.open(&format!("n{k}")).expect("a port");
+        let asked = registry.open_endpoint(&format!("n{k}")).expect("a port");
         let numbers = format!("\"balancers\":{size},\"index\":{k}");
         let config = config(asked, 256, "null")
             .replace("\"balancers\":1,\"index\":0", &numbers)
@@ -150,14 +154,14 @@
          | not connected | cut off | closes crossed | other answers |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let plain: Vec<Plain> = addrs
+    let plain: Vec<PlainCaller> = addrs
         .iter()
         .enumerate()
-        .map(|(k, (_, addr))| Plain {
+        .map(|(k, (_, addr))| PlainCaller {
             addr: *addr,
             balancer: "n",
-            keeps: k % 2 == 0,
-            rest: Duration::from_millis(100),
+            keeps_connection: k % 2 == 0,
+            max_idle_time: Duration::from_millis(100),
         })
         .collect();
     let rest = || std::thread::sleep(Duration::from_secs(10));
@@ -167,7 +171,7 @@
     };
     let phase = |what: &str, act: &dyn Fn()| {
         let from = Instant::now();
-        let (met, plainly) = calling(&plain, &ledger, || load(&ledger, &addrs, act));
+        let (met, plainly) = call_during(&plain, &ledger, || load(&ledger, &addrs, act));
         row(what, &met, &plainly, from.elapsed());
         let mut ready = numbers(&status(&file), "ready_ms");
         ready.sort_by(f64::total_cmp);
--- a/crates/herondock/benches/routes.rs
+++ b/crates/herondock/benches/routes.rs
@@ -12,10 +12,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
-use testkit::discovery::{listing, Discovery};
+use testkit::discovery::{upstream_list, Discovery};
 use testkit::message::get;
 use testkit::node::{config, signal, Node, Program};
-use testkit::upstream::{ok, Options, Upstream};
+use testkit::upstream::{ok, Upstream, UpstreamOptions};
 
 const CLUBS: usize = 100;
 const ROUNDS: usize = 9;
@@ -170,9 +170,9 @@
 /// Latency at 1,600 requests a second, with the table changed twice a second and without.
 fn reloading() {
     let program = Program::new(env!("CARGO_BIN_EXE_herondock"), env!("CARGO_TARGET_TMPDIR"));
-    let upstream = Upstream::with(Options::named("u"), |_| ok("x"));
+    let upstream = Upstream::with(UpstreamOptions::named("u"), |_| ok("x"));
     let discovery = Discovery::start();
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let tables = [1, 2].map(|n| {
         let mut text = String::from("[[pool]]\nname = \"main\"\n[[route]]\nname = \"rest\"\nprecedence = 99999\nto = \"main\"\n");
         for k in 0..1000 {
--- a/crates/herondock/benches/sizes.rs
+++ b/crates/herondock/benches/sizes.rs
@@ -6,10 +6,10 @@
 //! this process.
 use std::process::Command;
 use std::time::{Duration, Instant};
-use testkit::discovery::{Discovery, Listed, Registry};
-use testkit::message::{get, ok_text};
+use testkit::discovery::{Discovery, ListedUpstream, Registry};
+use testkit::message::{get, ok_response};
 use testkit::node::{config, Node, Program};
-use testkit::upstream::{ok, Options, Then, Upstream};
+use testkit::upstream::{ok, Step, Upstream, UpstreamOptions};
 
 /// Callers at one time, and how long they ask.
 const CALLERS: usize = 64;
@@ -66,14 +66,16 @@
     let upstreams: Vec<Upstream> = (0..size)
         .map(|k| {
             let name = format!("s-{k:04}");
-            let upstream = Upstream::with(Options { cores: 64, ..Options::named(&name) }, |_| {
-                Then::Work(Duration::from_millis(20), ok_text("x"))
-            });
-            registry.set(&name, Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+            let upstream =
+                Upstream::with(UpstreamOptions { cores: 64, ..UpstreamOptions::named(&name) }, |_| {
+                    Step::Work(Duration::from_millis(20), ok_response("x"))
+                });
+            registry
+                .set(&name, ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
             upstream
         })
         .collect();
-    let config = config(registry.open("n0").expect("a port"), 1024, "null")
+    let config = config(registry.open_endpoint("n0").expect("a port"), 1024, "null")
         .replace("\"balancers\":1,\"index\":0", &format!("\"balancers\":{size},\"index\":{}", size / 2))
         // Each balancer has its part of it.
         .replace("\"quota_per_s\":5000", &format!("\"quota_per_s\":{}", 5000 * size));
@@ -130,26 +132,26 @@
     let registry = Registry::new(None);
     let upstreams: Vec<Upstream> = (0..2).map(|_| Upstream::start(|_| ok("x"))).collect();
     for (k, upstream) in upstreams.iter().enumerate() {
-        let listed = Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 };
+        let listed = ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 };
         registry.set(&format!("s-{k}"), listed);
     }
     let started = Instant::now();
     let nodes: Vec<Node> = (0..size)
         .map(|k| {
-            let config = config(registry.open("n").expect("a port"), 1024, "null")
+            let config = config(registry.open_endpoint("n").expect("a port"), 1024, "null")
                 .replace("8c1f30d27a5be964", &format!("{:016x}", 977 * k + 1))
                 .replace("\"balancers\":1,\"index\":0", &format!("\"balancers\":{size},\"index\":{k}"));
             let mut command = program().command(&config);
             command.args(["run", "--log", "debug"]);
-            Node::run_keeping(command, Discovery::start(), |line| line.contains("list: "))
+            Node::run_filtered(command, Discovery::start(), |line| line.contains("list: "))
         })
         .collect();
     let has = |node: &Node, wanted: &str| node.log().iter().any(|l| l.ends_with(wanted));
     until("all lists", || nodes.iter().all(|n| has(n, "Ready")));
     let start = started.elapsed();
     // Discovery takes a call from each within 3 s.
-    registry.takes(Duration::from_secs(3) / u32::try_from(size).expect("a few"));
-    let silent = registry.hush();
+    registry.set_processing_time(Duration::from_secs(3) / u32::try_from(size).expect("a few"));
+    let silent = registry.silence_pending();
     registry.state("s-1", "leaving");
     let mut told: Vec<Option<Duration>> = vec![None; size];
     until("all told", || {
--- a/crates/herondock/benches/takeover.rs
+++ b/crates/herondock/benches/takeover.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
-use testkit::discovery::{listing, Discovery};
+use testkit::discovery::{upstream_list, Discovery};
 use testkit::ledger::{Ledger, RuleParameters, Scope};
-use testkit::message::{get, ok_text};
+use testkit::message::{get, ok_response};
 use testkit::node::{config, Node, Program};
-use testkit::plain::{calling, Plain, Tally};
-use testkit::upstream::{Options, Then, Upstream};
+use testkit::plain::{call_during, PlainCaller, Tally};
+use testkit::upstream::{Step, Upstream, UpstreamOptions};
 
 /// Take-overs of one play, and the time between two.
 const PLAY: usize = 10;
@@ -38,9 +38,9 @@
 }
 
 fn upstream(ledger: &Arc<Ledger>) -> (Upstream, String) {
-    let options = Options { cores: 32, ledger: Some(ledger.clone()), ..Options::named("u0") };
-    let upstream = Upstream::with(options, |_| Then::Work(Duration::from_millis(20), ok_text("x")));
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let options = UpstreamOptions { cores: 32, ledger: Some(ledger.clone()), ..UpstreamOptions::named("u0") };
+    let upstream = Upstream::with(options, |_| Step::Work(Duration::from_millis(20), ok_response("x")));
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     (upstream, known)
 }
 
@@ -51,15 +51,19 @@
 /// So many take-overs under load.
 fn play(way: &mut Way, times: usize) {
     let socket = socket(&way.program.folder);
-    let ledger = Arc::new(Ledger::with_room(1 << 20));
+    let ledger = Arc::new(Ledger::with_capacity(1 << 20));
     let (_upstream, known) = upstream(&ledger);
     let (mut now, _) = start(&way.program, &socket, &known);
     let addr = now.addr;
-    let plain =
-        [true, false].map(|keeps| Plain { addr, balancer: "n1", keeps, rest: Duration::from_millis(20) });
+    let plain = [true, false].map(|keeps_connection| PlainCaller {
+        addr,
+        balancer: "n1",
+        keeps_connection,
+        max_idle_time: Duration::from_millis(20),
+    });
     let callers = plain.map(|p| [p; 12]).concat();
     let mut old = Vec::new();
-    let ((), met) = calling(&callers, &ledger, || {
+    let ((), met) = call_during(&callers, &ledger, || {
         for _ in 0..times {
             std::thread::sleep(PAUSE);
             let (next, took) = start(&way.program, &socket, "null");
@@ -146,9 +150,9 @@
             ["this", "other"][k],
             way.ready.len(),
             m.served,
-            m.cut_off,
-            m.crossed,
-            m.unconnected,
+            m.closed_unanswered,
+            m.reset_on_reuse,
+            m.connect_failures,
             m.other,
             way.broken,
             ms(way.ready[way.ready.len() / 2]),
--- a/crates/herondock/benches/tiers.rs
+++ b/crates/herondock/benches/tiers.rs
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 use testkit::message::{get, Message};
 use testkit::node::{config, Node, Program};
-use testkit::upstream::{ok, Options, Then, Upstream};
+use testkit::upstream::{ok, Step, Upstream, UpstreamOptions};
 
 const PER_S: usize = 800;
 const CALLERS: usize = 400;
@@ -99,14 +99,14 @@
     let program = Program::new(env!("CARGO_BIN_EXE_herondock"), env!("CARGO_TARGET_TMPDIR"));
     let registry = Registry::new(None);
     for (k, &addr) in upstreams.iter().enumerate() {
-        registry.set(&format!("u{k}"), Listed { addr, group: 1, state: "active", started_ms: 0 });
+        registry.set(&format!("u{k}"), ListedUpstream { addr, group: 1, state: "active", started_ms: 0 });
     }
     let on = "trust = [\"http\"]\nrepeat_worth = 0.25\nrefuse_hopeless = true\ntenant_retries = 0.1\n";
     let text = match variant {
         Variant::Off => String::new(),
         _ => format!("[budget]\npool = \"{pool}\"\n{on}"),
     };
-    let asked = registry.open("n").expect("a port");
+    let asked = registry.open_endpoint("n").expect("a port");
     let stage = usize::from(pool == "below");
     let settings = config(asked, 1024, "null")
         .replace(
@@ -121,7 +121,7 @@
     let node = Node::run(command, testkit::discovery::Discovery::start());
     let began = Instant::now();
     while node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
-        assert!(began.elapsed() < testkit::PATIENCE, "never ready");
+        assert!(began.elapsed() < testkit::TEST_TIMEOUT, "never ready");
         std::thread::yield_now();
     }
     node
@@ -148,11 +148,11 @@
     let lower: Vec<Upstream> = (0..4)
         .map(|k| {
             let (tier, slow, cores) = (tiers[1].clone(), slow.clone(), Cores::new(3));
-            Upstream::with(Options::named(&format!("c{k}")), move |m: &Message| {
+            Upstream::with(UpstreamOptions::named(&format!("c{k}")), move |m: &Message| {
                 let times = if slow.load(SeqCst) { slower } else { 1.0 };
                 match worked(&tier, &cores, WORK[1].mul_f64(times), until(m)) {
                     true => ok("x"),
-                    false => Then::declined(),
+                    false => Step::declined(),
                 }
             })
         })
@@ -164,10 +164,10 @@
         .map(|own| {
             let (own, tier, cores, calls) = (own.addr, tiers[0].clone(), Cores::new(16), AtomicUsize::new(0));
             let kept: Mutex<Vec<Client>> = Mutex::default();
-            Upstream::with(Options::named(&format!("p{own}")), move |m: &Message| {
+            Upstream::with(UpstreamOptions::named(&format!("p{own}")), move |m: &Message| {
                 let until = until(m);
                 if !worked(&tier, &cores, WORK[0], until) {
-                    return Then::declined();
+                    return Step::declined();
                 }
                 let n = calls.fetch_add(1, SeqCst);
                 let left = until.saturating_duration_since(Instant::now()).as_micros();
@@ -189,15 +189,15 @@
                     }
                 }
                 let taken = kept.lock().expect("no panic").pop();
-                let Some(mut client) = taken.or_else(|| Client::connect(own)) else { return Then::Hang };
+                let Some(mut client) = taken.or_else(|| Client::connect(own)) else { return Step::Close };
                 client.send(&text);
-                let Some(answer) = client.answer() else { return Then::Hang };
+                let Some(answer) = client.answer() else { return Step::Close };
                 kept.lock().expect("no panic").push(client);
                 let used = answer.header("req-used").filter(|_| variant == Variant::Passed);
                 let used = used.map(|used| format!("Req-Used: {used}\r\n")).unwrap_or_default();
                 match answer.status() {
-                    200 => Then::Answer(format!("HTTP/1.1 200 OK\r\n{used}Content-Length: 2\r\n\r\nok")),
-                    _ => Then::Answer(format!("HTTP/1.1 500 Below\r\n{used}Content-Length: 0\r\n\r\n")),
+                    200 => Step::Answer(format!("HTTP/1.1 200 OK\r\n{used}Content-Length: 2\r\n\r\nok")),
+                    _ => Step::Answer(format!("HTTP/1.1 500 Below\r\n{used}Content-Length: 0\r\n\r\n")),
                 }
             })
         })
--- a/crates/herondock/src/demo/tally/tests.rs
+++ b/crates/herondock/src/demo/tally/tests.rs
@@ -7,7 +7,7 @@
     let ledger = Ledger::new();
     let sent = |request: &str, balancer: &str| {
         let (request, balancer) = (request.into(), balancer.into());
-        ledger.write(Entry::Sent { request, balancer, effect: Effect::Safe, patience: Duration::ZERO });
+        ledger.write(Entry::Sent { request, balancer, effect: Effect::Safe, timeout: Duration::ZERO });
     };
     let mut tally = Tally::default();
     sent("a", "n1");
--- a/crates/herondock/src/demo/world.rs
+++ b/crates/herondock/src/demo/world.rs
@@ -15,10 +15,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use testkit::caller::{Caller, Operation, Outcome};
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 use testkit::ledger::{Cold, Effect, Ledger, RuleParameters};
-use testkit::message::{ok_text, Message};
-use testkit::upstream::{Options, Then, Upstream};
+use testkit::message::{ok_response, Message};
+use testkit::upstream::{Step, Upstream, UpstreamOptions};
 
 /// Any free port.
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -133,7 +133,8 @@
         for k in 0..UPSTREAMS {
             let (name, group) = (format!("u-{}", k + 1), k as u32 % GROUPS + 1);
             let upstream = Upstream::at(ANY, options(&name, group, &ledger, None), works(k as u64))?;
-            registry.set(&name, Listed { addr: upstream.addr, group, state: "active", started_ms: 0 });
+            registry
+                .set(&name, ListedUpstream { addr: upstream.addr, group, state: "active", started_ms: 0 });
             servers.push(Server { name, group, state: "active", upstream });
         }
         let folder = folder()?;
@@ -153,7 +154,7 @@
         };
         for k in 0..INSTANCES {
             let name = format!("n{}", k + 1);
-            let discovery = world.registry.open(&name)?;
+            let discovery = world.registry.open_endpoint(&name)?;
             let config = world.folder.join(format!("{name}.json"));
             std::fs::write(&config, configuration(&name, k, discovery))?;
             let instance = Instance::start(&config)?;
@@ -241,8 +242,10 @@
                 let started_ms =
                     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
                 let addr = server.upstream.addr;
-                self.registry
-                    .set(&server.name, Listed { addr, group: server.group, state: "active", started_ms });
+                self.registry.set(
+                    &server.name,
+                    ListedUpstream { addr, group: server.group, state: "active", started_ms },
+                );
                 format!("upstream {} is back, cold: 32 % of its capacity at first", server.name)
             }
         })
@@ -295,7 +298,7 @@
             name: s.name.clone(),
             group: s.group,
             state: s.state,
-            busy: s.upstream.busy(),
+            busy: s.upstream.work_in_progress(),
             executed: self.tally.executed.get(&s.name).copied().unwrap_or(0),
         });
         let clubs = lock(&self.shared.clubs);
@@ -386,9 +389,9 @@
     took.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-fn options(name: &str, group: u32, ledger: &Arc<Ledger>, cold: Option<Cold>) -> Options {
+fn options(name: &str, group: u32, ledger: &Arc<Ledger>, cold: Option<Cold>) -> UpstreamOptions {
     let ledger = Some(ledger.clone());
-    Options { group, ledger, cores: CORES, queue: 32, cold, ..Options::named(name) }
+    UpstreamOptions { group, ledger, cores: CORES, queue: 32, cold, ..UpstreamOptions::named(name) }
 }
 
 /// xorshift64: enough for work that varies.
@@ -400,14 +403,14 @@
 }
 
 /// What an upstream does with a request: work that depends on its class, and varies.
-fn works(seed: u64) -> impl Fn(&Message) -> Then + Send + Sync + 'static {
+fn works(seed: u64) -> impl Fn(&Message) -> Step + Send + Sync + 'static {
     let state = Mutex::new(seed.wrapping_mul(0x2545_f491_4f6c_dd1d) | 1);
     move |request| {
         let kind = request.header("req-kind");
         let class = CLASSES.iter().find(|c| Some(c.name) == kind).unwrap_or(&CLASSES[0]);
         let (least, most) = class.work;
         let ms = least + draw(&mut lock(&state)) % (most - least + 1);
-        Then::Work(Duration::from_millis(ms), ok_text("recibido"))
+        Step::Work(Duration::from_millis(ms), ok_response("recibido"))
     }
 }
 
@@ -424,7 +427,7 @@
 fn calls(club: &'static str, mut caller: Caller, seed: u64, shared: &Shared) {
     let mut state = seed | 1;
     while !shared.stop.load(Ordering::SeqCst) {
-        caller.know(&lock(&shared.balancers));
+        caller.set_balancers(&lock(&shared.balancers));
         // 55 of 100 are sign-ups.
         let class = &CLASSES[usize::from(draw(&mut state) % 100 >= 55)];
         let operation = Operation {
--- a/crates/herondock/tests/callers.rs
+++ b/crates/herondock/tests/callers.rs
@@ -14,7 +14,7 @@
     let held = Mutex::new(Some(held));
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     let upstream = Upstream::start(move |_| match held.lock().expect("no panic").take() {
-        Some(word) => Then::Hold(word, answer.into()),
+        Some(word) => Step::Hold(word, answer.into()),
         None => ok("later"),
     });
     (go, upstream)
@@ -28,7 +28,8 @@
     let half_body = pay("r1", "15000m").replace("body", "b");
     let half_head = get("r2", "15000m").replace("\r\n\r\n", "\r\n");
     let mut silent = node.client();
-    let mut halves: Vec<Client> = [half_body, half_head].iter().map(|t| node.client_that_sent(t)).collect();
+    let mut halves: Vec<Client> =
+        [half_body, half_head].iter().map(|t| node.client_with_request(t)).collect();
     // On a connection that has been in use, half a request is not taken for a rest between two.
     let mut used = node.client();
     assert_eq!(used.call(&get("r3", "15000m")).status(), 200);
@@ -52,19 +53,19 @@
         "Content-Length: 4\r\nContent-Length: 4",
     ] {
         let head = pay("r1", "5000m").replace("Content-Length: 4\r\n\r\nbody", &format!("{framing}\r\n\r\n"));
-        let mut client = node.client_that_sent(&format!("{head}{chunks}{hidden}"));
+        let mut client = node.client_with_request(&format!("{head}{chunks}{hidden}"));
         assert_eq!(client.answer().expect("an answer").status(), 400, "{framing:?}");
         assert!(client.answer().is_none(), "nothing is read behind it");
     }
     // Chunks alone are fine, and the last request of their connection.
     let head =
         pay("r2", "5000m").replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n");
-    let mut client = node.client_that_sent(&format!("{head}{chunks}{hidden}"));
+    let mut client = node.client_with_request(&format!("{head}{chunks}{hidden}"));
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.answer().is_none());
-    assert_eq!(upstream.request().header("req-id"), Some("r2"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.next_request().header("req-id"), Some("r2"));
+    assert_eq!(upstream.count_new_requests(), 0);
 }
 
 #[test]
@@ -82,34 +83,34 @@
         (pay("r1", "5000m").replace("Content-Length: 4", "Content-Length: -4"), 400),
         (pay("r1", "5000m").replace("Content-Length: 4", "Content-Length: 70000000"), 413),
     ] {
-        let mut client = node.client_that_sent(&format!("{bad}{behind}"));
+        let mut client = node.client_with_request(&format!("{bad}{behind}"));
         let answer = client.answer().expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")), "{bad:.300}");
         assert!(client.answer().is_none(), "{bad:.300}");
     }
     assert_eq!(node.client().call(&get("good", "5000m")).status(), 200);
-    assert_eq!(upstream.request().header("req-id"), Some("good"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.next_request().header("req-id"), Some("good"));
+    assert_eq!(upstream.count_new_requests(), 0);
 }
 
 #[test]
 fn the_id_of_an_open_request_is_not_taken_twice() {
     let (go, upstream) = holding_the_first();
     let node = with(&[upstream.addr]);
-    let mut first = node.client_that_sent(&pay("r1", "15000m"));
-    upstream.request();
+    let mut first = node.client_with_request(&pay("r1", "15000m"));
+    upstream.next_request();
     assert_eq!(node.client().call(&pay("r1", "15000m")).status(), 409);
     go.send(()).expect("the upstream waits");
     assert_eq!(first.answer().expect("an answer").body, b"first");
     // Once it is over its name is free: nothing is kept of it.
     assert_eq!(node.client().call(&pay("r1", "15000m")).body, b"later");
-    assert_eq!(upstream.further(), 1);
+    assert_eq!(upstream.count_new_requests(), 1);
 }
 
 #[test]
 fn silent_callers_by_the_hundred_do_not_shut_out_good_ones() {
     let upstream = Upstream::start(|_| ok("x"));
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let node = start(64, &known);
     let mut kept = node.client();
     assert_eq!(kept.call(&get("r0", "10000m")).status(), 200);
@@ -124,13 +125,13 @@
 
 #[test]
 fn where_no_more_may_be_open_the_refusal_says_when_to_return() {
-    let upstream = Upstream::start(|_| Then::Wait);
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let upstream = Upstream::start(|_| Step::Silent);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let discovery = Discovery::start();
     let one = config(discovery.addr, 1024, &known).replace("\"cancel\"", "\"max_open\":1,\"cancel\"");
     let node = Node::run(command(&one), discovery);
-    let _first = node.client_that_sent(&get("r1", "15000m"));
-    upstream.request();
+    let _first = node.client_with_request(&get("r1", "15000m"));
+    upstream.next_request();
     let answer = node.client().call(&get("r2", "15000m"));
     assert_eq!(answer.status(), 503);
     let after: f64 = answer.header("retry-after").expect("advice").parse().expect("seconds");
@@ -143,10 +144,10 @@
     let mut node = with(&[upstream.addr]);
     let second = get("r2", "15000m");
     let (start, rest) = second.split_at(40);
-    let mut client = node.client_that_sent(&format!("{}{start}", get("r1", "15000m")));
-    upstream.request();
+    let mut client = node.client_with_request(&format!("{}{start}", get("r1", "15000m")));
+    upstream.next_request();
     node.terminate();
-    node.logs("told to end");
+    node.wait_for_log("told to end");
     client.send(rest);
     go.send(()).expect("the upstream waits");
     assert_eq!(client.answer().expect("an answer").body, b"first");
@@ -170,7 +171,7 @@
     let started = Instant::now();
     let mut crowd: Vec<Client> = Vec::new();
     for n in 0..600_usize {
-        crowd.push(node.client_that_sent(ready));
+        crowd.push(node.client_with_request(ready));
         // No more at once than the system lets wait: one that it drops comes again after a second.
         if let Some(earlier) = n.checked_sub(50).map(|n| &mut crowd[n]) {
             assert_eq!(earlier.answer().expect("an answer").status(), 200);
@@ -187,17 +188,17 @@
 /// reads yet, and each of them went on to an upstream after that.
 #[test]
 fn nothing_behind_a_request_is_sent_on_once_its_caller_has_left() {
-    let upstream = Upstream::start(|m| if m.header("req-id") == Some("r1") { Then::Wait } else { ok("x") });
+    let upstream = Upstream::start(|m| if m.header("req-id") == Some("r1") { Step::Silent } else { ok("x") });
     let node = with(&[upstream.addr]);
     let behind: String = (2..6).map(|i| get(&format!("r{i}"), "20000m")).collect();
-    let client = node.client_that_sent(&format!("{}{behind}", pay("r1", "20000m")));
-    assert_eq!(upstream.request().header("req-id"), Some("r1"));
+    let client = node.client_with_request(&format!("{}{behind}", pay("r1", "20000m")));
+    assert_eq!(upstream.next_request().header("req-id"), Some("r1"));
     drop(client);
     // Called off long before its deadline, since its caller has left.
-    upstream.closed();
+    upstream.wait_for_close();
     assert_eq!(node.client().call(&get("after", "5000m")).status(), 200);
-    assert_eq!(upstream.request().header("req-id"), Some("after"), "nothing of those behind it");
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.next_request().header("req-id"), Some("after"), "nothing of those behind it");
+    assert_eq!(upstream.count_new_requests(), 0);
 }
 
 /// Guards against a request that waits behind another on its connection and gets all its time again from then on: its caller
@@ -207,8 +208,8 @@
     let (go, upstream) = holding_the_first();
     let node = with(&[upstream.addr]);
     let (first, short, long) = (get("r1", "20000m"), pay("r2", "100m"), get("r3", "20000m"));
-    let mut client = node.client_that_sent(&format!("{first}{short}{long}"));
-    assert_eq!(upstream.request().header("req-id"), Some("r1"));
+    let mut client = node.client_with_request(&format!("{first}{short}{long}"));
+    assert_eq!(upstream.next_request().header("req-id"), Some("r1"));
     let sent = Instant::now();
     while sent.elapsed() < Duration::from_millis(150) {
         std::thread::yield_now();
@@ -221,7 +222,7 @@
         "nothing was sent, so another try is harmless"
     );
     assert_eq!(client.answer().expect("an answer").body, b"later");
-    let last = upstream.request();
+    let last = upstream.next_request();
     assert_eq!(last.header("req-id"), Some("r3"), "not the one whose time was over");
     let left = last.header("req-deadline").and_then(|d| d.strip_suffix('u')).expect("microseconds");
     assert!(left.parse::<u64>().expect("a number") <= 19_850_000, "{left}");
--- a/crates/herondock/tests/command.rs
+++ b/crates/herondock/tests/command.rs
@@ -70,7 +70,7 @@
 /// A balancer with an operator's file.
 fn operated(upstream: &Upstream, content: &str) -> (Node, PathBuf) {
     let discovery = Discovery::start();
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let file = program().file(".toml", content);
     let mut command = command(&config(discovery.addr, 1024, &known));
     command.args(["run", "--operator"]).arg(&file);
@@ -87,7 +87,7 @@
     let reload = |content: &str, wanted: &str| {
         std::fs::write(&file, content).expect("writes");
         testkit::node::signal(node.pid(), "HUP");
-        node.logs(wanted);
+        node.wait_for_log(wanted);
     };
     reload("[limits]\nrequest_id = \"64B\"\n", "reloaded");
     assert_eq!(status(), 200);
@@ -101,7 +101,7 @@
     assert_eq!(status(), 200);
     std::fs::remove_file(&file).expect("removes");
     testkit::node::signal(node.pid(), "HUP");
-    node.logs("No such file");
+    node.wait_for_log("No such file");
     assert_eq!(status(), 200);
 }
 
@@ -147,17 +147,17 @@
 fn it_goes_on_when_nobody_reads_its_log() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let mut child = command(&config(discovery.addr, 1024, &known)).spawn().expect("starts");
     let mut log = BufReader::new(child.stderr.take().expect("its log"));
     let mut line = String::new();
     log.read_line(&mut line).expect("a line");
     let addr = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
     drop(log);
-    discovery.called();
+    discovery.next_path();
     discovery.answer("no list at all");
     // It has logged that by the time it asks again.
-    discovery.called();
+    discovery.next_path();
     let mut client = Client::connect(addr).expect("connects");
     assert_eq!(client.call(&get("r1", "5000m")).status(), 200);
     child.kill().expect("it runs");
--- a/crates/herondock/tests/common/mod.rs
+++ b/crates/herondock/tests/common/mod.rs
@@ -12,11 +12,11 @@
 use testkit::ledger::{Effect, Ledger, RuleParameters, Scope};
 
 pub use testkit::caller::Client;
-pub use testkit::discovery::{listing, Discovery};
+pub use testkit::discovery::{upstream_list, Discovery};
 pub use testkit::message::{get, pay, read, Message};
 pub use testkit::node::{config, Node, Program};
-pub use testkit::upstream::{ok, refusing, status, Options, Then, Unreachable, Upstream};
-pub use testkit::PATIENCE;
+pub use testkit::upstream::{ok, refusing, status, Step, Unreachable, Upstream, UpstreamOptions};
+pub use testkit::TEST_TIMEOUT;
 
 /// The program as it was built for this test.
 pub fn program() -> Program {
@@ -47,7 +47,7 @@
 
 /// A list with this upstream.
 pub fn known(upstream: &Upstream) -> String {
-    listing(1, true, &[(0, upstream.addr, "active")])
+    upstream_list(1, true, &[(0, upstream.addr, "active")])
 }
 
 /// A balancer with further arguments; discovery is silent.
@@ -98,8 +98,12 @@
 
 impl Pairing {
     /// An upstream's options.
-    pub fn options(self, name: &str) -> Options {
-        Options { fastcgi: self.upstream, at_once: self.at_once, ..Options::named(name) }
+    pub fn options(self, name: &str) -> UpstreamOptions {
+        UpstreamOptions {
+            fastcgi: self.upstream,
+            max_concurrent: self.at_once,
+            ..UpstreamOptions::named(name)
+        }
     }
 
     /// The operator's file that goes with it.
@@ -128,7 +132,7 @@
     pub fn caller(self, ledger: &Arc<Ledger>, seed: u64) -> Caller {
         let caller = Caller::new(ledger.clone(), seed);
         if self.front {
-            caller.speaks_fastcgi()
+            caller.with_fastcgi()
         } else {
             caller
         }
@@ -151,7 +155,7 @@
     let addrs: Vec<_> = nodes.iter().enumerate().map(|(k, &addr)| (format!("n{k}"), addr)).collect();
     let one = |seed: u64| {
         let mut caller = pairing.caller(ledger, seed);
-        caller.know(&addrs);
+        caller.set_balancers(&addrs);
         let all = (0..operations).flat_map(|_| CLASSES);
         all.filter(|(class, effect)| {
             matches!(caller.call(&operation(class, *effect)).outcome, Outcome::Served { .. })
@@ -171,7 +175,7 @@
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < PATIENCE, "{what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{what}");
         thread::yield_now();
     }
 }
@@ -207,7 +211,7 @@
             let (stop, served, other) = (&stop, &served, &other);
             scope.spawn(move || {
                 let mut caller = Caller::new(ledger.clone(), seed).with_readiness_check();
-                caller.know(addrs);
+                caller.set_balancers(addrs);
                 for &(class, effect) in classes.iter().cycle() {
                     if stop.load(Ordering::SeqCst) {
                         return;
--- a/crates/herondock/tests/consul.rs
+++ b/crates/herondock/tests/consul.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use testkit::consul::{Agent, Consul, Fault, Service};
 use testkit::ledger::{Entry, Ledger, RuleParameters};
-use testkit::upstream::Options;
+use testkit::upstream::UpstreamOptions;
 
 /// A Consul with upstreams, and an instance whose one source it is.
 struct World {
@@ -23,7 +23,7 @@
 }
 
 fn upstream(ledger: &Arc<Ledger>, name: &str) -> Upstream {
-    let options = Options { ledger: Some(ledger.clone()), ..Options::named(name) };
+    let options = UpstreamOptions { ledger: Some(ledger.clone()), ..UpstreamOptions::named(name) };
     Upstream::with(options, |_: &Message| ok("x"))
 }
 
@@ -131,7 +131,7 @@
         until("some load", || w.executed("u3") > 20);
         w.consul.maintenance("portal", "u0", true);
         w.consul.remove("dc1", "portal", "u1");
-        w.consul.alter("dc1", "portal", "u2", |s| s.weight = 0);
+        w.consul.update("dc1", "portal", "u2", |s| s.weight = 0);
         assert!(loading.join().expect("no panic") > 1000);
     });
     until("told", || !w.takes("u0") && !w.takes("u2") && w.member("u1").is_none());
@@ -155,7 +155,7 @@
         Fault::NoLeader,
         Fault::Behind(60_000),
         Fault::Filtered,
-        Fault::Refuses,
+        Fault::ClosesConnections,
         Fault::Hung,
     ] {
         w.agent.fault(fault);
@@ -189,7 +189,7 @@
     let asked = w.agent.queries();
     // The one that waits is of after the last answer.
     until("a query waits", || w.agent.queries() > asked);
-    let silent = w.agent.hush();
+    let silent = w.agent.silence_pending();
     w.consul.maintenance("portal", "u0", true);
     until("told", || !w.takes("u0"));
     // Wait and its sixteenth, the time for the answer, a pause, and what a busy machine adds.
@@ -218,7 +218,7 @@
 #[test]
 fn lost_data_takes_nobody_out_and_what_it_says_binds() {
     let w = World::new(3, "regrow = \"10m\"");
-    w.consul.lose();
+    w.consul.lose_data();
     until("its index went back", || w.view()["sources"][0]["index"].as_u64().is_some_and(|i| i < 10));
     w.serves(30);
     assert!(["u0", "u1", "u2"].into_iter().all(|id| w.takes(id)), "{}", w.view());
@@ -244,7 +244,7 @@
     dead.kill();
     w.serves(100);
     assert!(w.takes("u0"), "so Consul says");
-    let options = Options { ledger: Some(w.ledger.clone()), ..Options::named("u0") };
+    let options = UpstreamOptions { ledger: Some(w.ledger.clone()), ..UpstreamOptions::named("u0") };
     let before = w.executed("u0");
     let back = Upstream::at(addr, options, |_: &Message| ok("x"));
     // Its port may have been taken meanwhile; then there is nothing to come back.
@@ -262,7 +262,7 @@
 #[test]
 fn a_flapping_check_is_no_restart_and_the_last_member_is_used_until_it_drains() {
     let w = World::new(1, "");
-    w.consul.alter("dc1", "portal", "u0", |s| drop(s.meta.remove("started_ms")));
+    w.consul.update("dc1", "portal", "u0", |s| drop(s.meta.remove("started_ms")));
     let up = |w: &World| w.member("u0").map_or(Value::Null, |m| m["stated"].clone());
     until("its start is no longer stated", || up(&w) == false);
     let since = |w: &World| {
@@ -349,7 +349,7 @@
     until("kept", || std::fs::read(&file).is_ok_and(|b| b.windows(2).any(|w| w == b"u0")));
     node.terminate();
     assert!(node.wait().success());
-    agent.fault(Fault::Refuses);
+    agent.fault(Fault::ClosesConnections);
     let mut node = run(&own, &socket);
     assert_eq!(node.client().call(&get("r", "5000m")).status(), 200, "{:?}", node.log());
     node.terminate();
@@ -359,7 +359,7 @@
     bytes[middle] ^= 1;
     std::fs::write(&file, bytes).expect("writes");
     let node = run(&own, &socket);
-    node.logs("its checksum differs; passed over");
+    node.wait_for_log("its checksum differs; passed over");
     assert!(!is_ready(&node));
     agent.fault(Fault::None);
     until("told again", || is_ready(&node));
@@ -378,7 +378,7 @@
         "{body}"
     );
     until("renewed", || w.consul.registered("herondock-n1").is_some_and(|r| r.passes > 1));
-    w.consul.forget();
+    w.consul.forget_registrations();
     until("registered again", || state(&w).as_deref() == Some("passing"));
     w.node.terminate();
     until("critical while it leaves", || state(&w).as_deref() == Some("critical"));
@@ -391,7 +391,7 @@
     let token = program().file(".token", "old\n");
     let more = format!("token_file = {token:?}");
     let w = World::new(1, &more);
-    w.agent.wants_token("new");
+    w.agent.require_token("new");
     until("refused", || w.trouble().is_some_and(|t| t.contains("answered 403: Permission denied")));
     w.serves(3);
     std::fs::write(&token, "new\n").expect("writes");
--- a/crates/herondock/tests/coordination_compatibility.rs
+++ b/crates/herondock/tests/coordination_compatibility.rs
@@ -13,8 +13,8 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
-use testkit::coordination::{written, Voters, TICK};
-use testkit::PATIENCE;
+use testkit::coordination::{is_committed, Voters, TICK};
+use testkit::TEST_TIMEOUT;
 
 const FRAMES: &str = include_str!("fixtures/coordination/frames.txt");
 /// Address of the voter that was recorded.
@@ -59,7 +59,7 @@
     let output = voters.command(&["get", "--key", "after/last"]);
     assert_eq!(String::from_utf8_lossy(&output.stdout), "written last\n", "{output:?}");
     // It goes on from there, also after another start.
-    assert!(written(&voters.put("new", "1")));
+    assert!(is_committed(&voters.put("new", "1")));
     voters.machines[0].kill();
     voters.machines[0].start();
     assert_eq!(voters.get("new").as_deref(), Some("1"));
@@ -71,7 +71,7 @@
 fn a_torn_last_record_of_an_earlier_build_is_dropped() {
     let mut voters = start_with("journal-torn-record");
     assert_eq!(voters.list(""), owned(&KEYS_BEFORE_LAST));
-    assert!(written(&voters.put("new", "1")));
+    assert!(is_committed(&voters.put("new", "1")));
     voters.machines[0].kill();
     voters.machines[0].start();
     assert_eq!(voters.get("new").as_deref(), Some("1"));
@@ -111,8 +111,8 @@
 fn recorded_calls_of_an_earlier_build_get_the_recorded_replies() {
     let voters = start_with("journal");
     let own_address = voters.addrs[0].to_string();
-    let mut stream = TcpStream::connect(voters.listens[0]).expect("connects");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    let mut stream = TcpStream::connect(voters.listen_addrs[0]).expect("connects");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
     let mut handshaken = false;
     for (number, line) in FRAMES.lines().enumerate() {
         let (side, hex) = line.split_once(' ').expect("a side and its bytes");
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use testkit::coordination::{client, run, written, Voters, REQUEST_TIMEOUT, TICK};
+use testkit::coordination::{client, is_committed, run, Voters, REQUEST_TIMEOUT, TICK};
 use testkit::faults::disk;
 use testkit::faults::link::Rule;
 use testkit::faults::machine::Machine;
 use testkit::process::Process;
-use testkit::PATIENCE;
+use testkit::TEST_TIMEOUT;
 
 /// Starts this many voters, each on a machine of its own, connected by links.
 fn start(size: usize) -> Voters {
@@ -94,7 +94,7 @@
         let from = self.done.load(Ordering::SeqCst);
         let started = Instant::now();
         while self.done.load(Ordering::SeqCst) < from + more {
-            assert!(started.elapsed() < 2 * PATIENCE, "nothing is done: {:#?}", voters.logs());
+            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "nothing is done: {:#?}", voters.logs());
             thread::yield_now();
         }
     }
@@ -147,14 +147,14 @@
     let names: Vec<&str> = voters.names.iter().map(String::as_str).collect();
     let workload = Workload::spawn(&voters, 5);
     workload.wait_for_operations(&voters, 40);
-    for rule in [Rule::Hole, Rule::Cut] {
+    for rule in [Rule::Blackhole, Rule::Cut] {
         // The leader's words arrive nowhere, but it hears the others; clients reach it.
         let l = voters.leader();
         let others: Vec<&str> = names.iter().copied().filter(|n| *n != names[l]).collect();
-        others.iter().for_each(|o| voters.net.set(names[l], o, rule));
+        others.iter().for_each(|o| voters.network.set(names[l], o, rule));
         voters.until("led by another", |all| all.iter().any(|s| s.role == "leader" && s.name != names[l]));
         workload.wait_for_operations(&voters, 20);
-        voters.net.heal();
+        voters.network.heal();
         // One that hears the leader alone must not unseat it.
         voters.wait_until_converged();
         let l = voters.leader();
@@ -163,18 +163,18 @@
         names
             .iter()
             .filter(|n| **n != lonely && **n != names[l])
-            .for_each(|o| voters.net.set_both(lonely, o, rule));
+            .for_each(|o| voters.network.set_both_ways(lonely, o, rule));
         workload.wait_for_operations(&voters, 60);
         assert_eq!(voters.statuses().iter().map(|s| s.term).max(), term, "it unseats nobody");
-        voters.net.heal();
+        voters.network.heal();
         // 2-2-1, and a bridge between them.
         let (a, b, bridge) = (&names[..2], &names[2..4], names[4]);
-        voters.net.split(a, b, rule);
+        voters.network.split(a, b, rule);
         workload.wait_for_operations(&voters, 20);
-        voters.net.split(&[bridge], a, rule);
-        voters.net.split(&[bridge], b, rule);
+        voters.network.split(&[bridge], a, rule);
+        voters.network.split(&[bridge], b, rule);
         voters.until("led by nobody who knows", |all| !all.is_empty());
-        voters.net.heal();
+        voters.network.heal();
         workload.wait_for_operations(&voters, 20);
     }
     workload.stop_and_check();
@@ -193,7 +193,9 @@
         let writer = thread::spawn(move || {
             run(async move {
                 let handle = ClientHandle::spawn(config);
-                ready.send(written(&handle.transact(vec![], vec![], REQUEST_TIMEOUT).await)).expect("heard");
+                ready
+                    .send(is_committed(&handle.transact(vec![], vec![], REQUEST_TIMEOUT).await))
+                    .expect("heard");
                 gone.await.expect("told");
                 // A second time it would differ: there is such a key then.
                 let key = format!("once/{k}");
@@ -202,16 +204,16 @@
                 handle.transact(absent, put, REQUEST_TIMEOUT).await
             })
         });
-        assert!(is_ready.recv_timeout(PATIENCE).expect("ready"), "{:#?}", voters.logs());
+        assert!(is_ready.recv_timeout(TEST_TIMEOUT).expect("ready"), "{:#?}", voters.logs());
         // From here on its answers are held back, and then its leader dies.
-        voters.names.iter().for_each(|n| voters.net.set(n, "writer", Rule::Hole));
+        voters.names.iter().for_each(|n| voters.network.set(n, "writer", Rule::Blackhole));
         go.send(()).expect("heard");
         voters.until("written by all", |all| all.iter().all(|s| s.size.0 > k));
         assert!(!writer.is_finished(), "nothing gets through");
         voters.machines[l].kill();
-        voters.net.heal();
+        voters.network.heal();
         let outcome = writer.join().expect("no panic");
-        assert!(written(&outcome), "{outcome:?}");
+        assert!(is_committed(&outcome), "{outcome:?}");
         voters.machines[l].start();
         voters.wait_until_converged();
     }
@@ -224,12 +226,12 @@
     run(async {
         let first = ClientHandle::spawn(voters.client("twin", true));
         let bound = |value: &str| vec![Op::Put { key: "twin".into(), value: value.into(), ephemeral: true }];
-        assert!(written(&first.transact(vec![], bound("first"), REQUEST_TIMEOUT).await));
+        assert!(is_committed(&first.transact(vec![], bound("first"), REQUEST_TIMEOUT).await));
         let (one, _) = first.active_session().expect("held");
         // Cut off, it believes on until its time is up; the second takes its name meanwhile.
         let second =
             ClientHandle::spawn(ClientConfig { name: "twin-2".into(), ..voters.client("twin", true) });
-        assert!(written(
+        assert!(is_committed(
             &second.transact(vec![Compare::SessionEnded(one)], bound("second"), REQUEST_TIMEOUT).await
         ));
         let (two, _) = second.active_session().expect("held");
@@ -264,28 +266,28 @@
     workload.wait_for_operations(&voters, 30);
     let l = voters.leader();
     let f = (l + 1) % 3;
-    disk::full_at(pid(f), 10).expect("runs");
-    voters.machines[f].process(0).logs("stands aside and does not vote");
+    disk::limit_file_size(pid(f), 10).expect("runs");
+    voters.machines[f].process(0).wait_for_log("stands aside and does not vote");
     workload.wait_for_operations(&voters, 40);
-    disk::room(pid(f)).expect("runs");
-    voters.machines[f].process(0).logs("is back");
+    disk::remove_limit(pid(f)).expect("runs");
+    voters.machines[f].process(0).wait_for_log("is back");
     voters.wait_until_converged();
 
     let l = voters.leader();
-    disk::full_at(pid(l), 10).expect("runs");
+    disk::limit_file_size(pid(l), 10).expect("runs");
     voters.until("led by another", |all| all.iter().any(|s| s.role == "leader" && s.name != voters.names[l]));
     workload.wait_for_operations(&voters, 40);
     let seen = voters.statuses();
     let aside = seen.iter().find(|s| s.name == voters.names[l]).expect("it still answers");
     assert_eq!(aside.role, "aside");
     assert!(aside.storage_error.as_ref().is_some_and(|why| why.contains("too large")), "{aside:?}");
-    disk::room(pid(l)).expect("runs");
+    disk::remove_limit(pid(l)).expect("runs");
     voters.wait_until_converged();
 
     // Two of three: nothing is agreed any more, and what was asked for is not said to be done.
     let l = voters.leader();
     let two = [l, (l + 1) % 3];
-    two.iter().for_each(|&k| disk::full_at(pid(k), 10).expect("runs"));
+    two.iter().for_each(|&k| disk::limit_file_size(pid(k), 10).expect("runs"));
     voters.until("two aside", |all| all.iter().filter(|s| s.role == "aside").count() == 2);
     let config = voters.client("late", true);
     let then = vec![Op::Put { key: "late".into(), value: "x".into(), ephemeral: false }];
@@ -295,7 +297,7 @@
         matches!(outcome, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
         "{outcome:?}"
     );
-    two.iter().for_each(|&k| disk::room(pid(k)).expect("runs"));
+    two.iter().for_each(|&k| disk::remove_limit(pid(k)).expect("runs"));
     voters.wait_until_converged();
     workload.wait_for_operations(&voters, 40);
     workload.stop_and_check();
@@ -306,7 +308,7 @@
 #[test]
 fn killed_at_every_step_of_its_disk_it_keeps_what_it_acknowledged() {
     let mut voters = prepare(1);
-    voters.form();
+    voters.form_cluster();
     let config = voters.client("writer", true);
     let mut visited = 0;
     for kind in ["read", "open", "write", "cut", "sync", "names", "rename"] {
@@ -322,13 +324,13 @@
                     let then = vec![Op::Put { key: "k".into(), value: value.clone(), ephemeral: false }];
                     let write = handle.transact(vec![], then, Duration::from_secs(10));
                     let died = async {
-                        while process.runs() {
+                        while process.is_running() {
                             tokio::time::sleep(Duration::from_millis(2)).await;
                         }
                     };
                     tokio::select! {
                         outcome = write => {
-                            assert!(written(&outcome), "{outcome:?}");
+                            assert!(is_committed(&outcome), "{outcome:?}");
                             last = Some(value);
                         }
                         () = died => break,
@@ -336,7 +338,7 @@
                 }
                 last
             });
-            let killed = !process.runs();
+            let killed = !process.is_running();
             process.signal(Signal::KILL);
             process.wait();
             let mut again = Process::start(voters.process(0, &["run"]));
@@ -362,18 +364,18 @@
 #[test]
 fn a_lost_or_foreign_disk_takes_no_part_until_an_operator_says_so() {
     let mut voters = start(3);
-    assert!(written(&voters.put("k", "v")));
+    assert!(is_committed(&voters.put("k", "v")));
     let l = voters.leader();
     let lost = (l + 1) % 3;
     let name = voters.names[lost].clone();
     voters.machines[lost].kill();
     voters.machines[lost].wipe();
     voters.machines[lost].start();
-    voters.machines[lost].process(0).logs("is a member with another disk");
+    voters.machines[lost].process(0).wait_for_log("is a member with another disk");
     assert_eq!(voters.statuses().iter().filter(|s| s.role == "unjoined").count(), 1);
     let output = voters.command(&["remove", "--name", &name]);
     assert!(output.status.success(), "{output:?}");
-    voters.machines[lost].process(0).logs("has joined council");
+    voters.machines[lost].process(0).wait_for_log("has joined council");
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.wait_until_converged();
 
@@ -392,15 +394,15 @@
 
     // Another council's voter at the address of the first.
     let other = prepare(1);
-    other.form();
+    other.form_cluster();
     let text = std::fs::read_to_string(other.file(0)).expect("reads");
-    let text = text.replace(&other.listens[0].to_string(), &voters.listens[lost].to_string());
+    let text = text.replace(&other.listen_addrs[0].to_string(), &voters.listen_addrs[lost].to_string());
     std::fs::write(other.file(0), text).expect("writes");
     let stranger = Process::start(other.process(0, &["run"]));
-    stranger.logs("listens on");
-    stranger.logs("turned away: c");
+    stranger.wait_for_log("listens on");
+    stranger.wait_for_log("turned away: c");
     assert!(stranger.log().iter().any(|l| l.contains("is of council")), "{:?}", stranger.log());
-    assert!(written(&voters.put("k", "w")), "the majority goes on");
+    assert!(is_committed(&voters.put("k", "w")), "the majority goes on");
     drop(stranger);
     voters.machines[lost].start();
     voters.wait_until_converged();
@@ -412,7 +414,7 @@
 #[test]
 fn voters_are_replaced_one_by_one_while_one_is_down() {
     let mut voters = start(3);
-    assert!(written(&voters.put("k", "v")));
+    assert!(is_committed(&voters.put("k", "v")));
     let replace = |voters: &mut Voters, k: usize| {
         let name = voters.names[k].clone();
         voters.machines[k].kill();
@@ -449,7 +451,7 @@
     voters
         .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.wait_until_converged();
-    assert_eq!((voters.get("k").as_deref(), voters.members()), (Some("v"), 3));
+    assert_eq!((voters.get("k").as_deref(), voters.voter_count()), (Some("v"), 3));
 }
 
 /// Guards against a snapshot that is broken off while it is sent, and is taken for a whole one or never sent again.
@@ -468,22 +470,22 @@
         let handle = ClientHandle::spawn(voters.client("filler", true));
         for k in 0..34 {
             let then = vec![Op::Put { key: format!("big/{k}"), value: big.clone(), ephemeral: false }];
-            assert!(written(&handle.transact(vec![], then, REQUEST_TIMEOUT).await));
+            assert!(is_committed(&handle.transact(vec![], then, REQUEST_TIMEOUT).await));
         }
     });
     let l = voters.leader();
-    voters.net.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
+    voters.network.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
     voters.machines[away].start();
-    voters.machines[away].process(0).logs("has joined council");
+    voters.machines[away].process(0).wait_for_log("has joined council");
     // It has begun, and takes ten seconds at this pace: broken off by a reset, and by the death of who takes it.
     voters.until("a learner", |all| {
         all.iter().any(|s| s.members.iter().any(|m| m.name == name && !m.is_voter))
     });
-    voters.net.set(&voters.names[l], &name, Rule::Cut);
-    voters.net.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
+    voters.network.set(&voters.names[l], &name, Rule::Cut);
+    voters.network.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
     voters.machines[away].kill();
     voters.machines[away].start();
-    voters.net.heal();
+    voters.network.heal();
     voters.wait_until_converged();
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
 }
@@ -492,7 +494,7 @@
 #[test]
 fn three_hundred_clients_come_to_the_next_leader() {
     let mut voters = start(3);
-    let reached = voters.reached();
+    let reached = voters.client_addrs();
     let (completed, completions) = std::sync::mpsc::channel();
     let (leave, left) = std::sync::mpsc::channel::<()>();
     let clients = thread::spawn(move || {
@@ -514,7 +516,7 @@
                         tasks.push(tokio::task::spawn_local(async move {
                             let key = format!("many/{k}");
                             let then = vec![Op::Put { key, value: round.to_string(), ephemeral: true }];
-                            written(&handle.transact(vec![], then, REQUEST_TIMEOUT).await)
+                            is_committed(&handle.transact(vec![], then, REQUEST_TIMEOUT).await)
                         }));
                     }
                     let mut done = 0;
@@ -548,7 +550,7 @@
 #[test]
 fn a_backup_brings_the_record_back_when_the_majority_is_lost() {
     let mut voters = start(3);
-    assert!(written(&voters.put("policy/limit", "7")));
+    assert!(is_committed(&voters.put("policy/limit", "7")));
     let text = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
     let status = text(&voters.command(&["status"]));
     assert!(status.lines().count() == 4 && status.contains("leader"), "{status}");
@@ -597,7 +599,7 @@
 #[test]
 fn a_disk_that_was_put_back_does_not_vote() {
     let mut voters = start(3);
-    assert!(written(&voters.put("k", "old")));
+    assert!(is_committed(&voters.put("k", "old")));
     voters.wait_until_converged();
     let l = voters.leader();
     let f = (l + 1) % 3;
@@ -606,15 +608,15 @@
     voters.machines[f].start();
     voters.wait_until_converged();
     // What it acknowledges now is not on the copy.
-    assert!(written(&voters.put("k", "new")));
+    assert!(is_committed(&voters.put("k", "new")));
     voters.wait_until_converged();
     voters.machines[f].kill();
     std::fs::write(voters.machines[f].disk().join("journal"), copy).expect("writes");
     voters.machines[f].start();
-    voters.machines[f].process(0).logs("stands aside");
+    voters.machines[f].process(0).wait_for_log("stands aside");
     voters.until("aside", |all| all.iter().any(|s| s.name == voters.names[f] && s.role == "aside"));
     assert_eq!(voters.get("k").as_deref(), Some("new"));
-    assert!(written(&voters.put("k", "newer")), "two are a majority");
+    assert!(is_committed(&voters.put("k", "newer")), "two are a majority");
     let output = voters.command(&["remove", "--name", &voters.names[f].clone()]);
     assert!(output.status.success(), "{output:?}");
     voters.machines[f].kill();
@@ -636,7 +638,7 @@
     let mut slow = Process::start(voters.process(f, &["run", "--halt-at", "slow:600"]));
     let workload = Workload::spawn(&voters, 4);
     workload.wait_for_operations(&voters, 300);
-    slow.logs("ms for a save");
+    slow.wait_for_log("ms for a save");
     workload.stop_and_check();
     voters.wait_until_converged();
     slow.kill();
@@ -655,8 +657,8 @@
         voters.machines[l].pause();
         let writer = ClientHandle::spawn(voters.client("writer", true));
         let put = vec![Op::Put { key: "k".into(), value: "v".into(), ephemeral: false }];
-        assert!(written(&writer.transact(vec![], put, REQUEST_TIMEOUT).await));
-        let next = tokio::time::timeout(PATIENCE, answers.recv()).await;
+        assert!(is_committed(&writer.transact(vec![], put, REQUEST_TIMEOUT).await));
+        let next = tokio::time::timeout(TEST_TIMEOUT, answers.recv()).await;
         assert!(matches!(next, Ok(Some(Answer::Events { .. }))), "{next:?}");
     });
     voters.machines[l].resume();
@@ -680,7 +682,7 @@
     let mut steps = Vec::new();
     while steps.len() < count {
         let (a, b) = (random.gen_range(0..3), random.gen_range(1..3));
-        let rules = [Rule::Cut, Rule::Hole, Rule::Late(Duration::from_millis(60)), Rule::Trickle(200)];
+        let rules = [Rule::Cut, Rule::Blackhole, Rule::Delay(Duration::from_millis(60)), Rule::Trickle(200)];
         let rule = rules[random.gen_range(0..rules.len())];
         steps.push(match random.gen_range(0..9) {
             0 | 1 => Step::Kill(a),
@@ -713,11 +715,11 @@
     workload.wait_for_operations(&voters, 30);
     let names = voters.names.clone();
     let heal = |voters: &mut Voters| {
-        voters.net.heal();
+        voters.network.heal();
         for machine in &mut voters.machines {
             machine.resume();
             machine.start();
-            disk::room(machine.process(0).pid()).expect("runs");
+            disk::remove_limit(machine.process(0).pid()).expect("runs");
         }
     };
     for step in steps {
@@ -726,14 +728,14 @@
             Step::Pause(k) => voters.machines[k].pause(),
             Step::Full(k) => {
                 // One that was killed has no disk to fill.
-                let _ = disk::full_at(voters.machines[k].process(0).pid(), 10);
+                let _ = disk::limit_file_size(voters.machines[k].process(0).pid(), 10);
             }
-            Step::OneWay(a, b, rule) => voters.net.set(&names[a], &names[b], rule),
+            Step::OneWay(a, b, rule) => voters.network.set(&names[a], &names[b], rule),
             Step::Alone(k, rule) => {
                 names
                     .iter()
                     .filter(|n| **n != names[k])
-                    .for_each(|n| voters.net.set_both(&names[k], n, rule));
+                    .for_each(|n| voters.network.set_both_ways(&names[k], n, rule));
             }
             Step::Heal => {
                 heal(&mut voters);
--- a/crates/herondock/tests/daemon.rs
+++ b/crates/herondock/tests/daemon.rs
@@ -40,7 +40,7 @@
         count.fetch_add(1, Ordering::SeqCst);
         let id = m.header("req-id").unwrap_or("");
         if id.starts_with("hung") {
-            return Then::Wait;
+            return Step::Silent;
         }
         if !id.starts_with("second") {
             behind.wait();
@@ -49,7 +49,7 @@
     });
     let mut node = with(&[upstream.addr]);
     let many = |n: usize, text: &dyn Fn(usize) -> String| -> Vec<Client> {
-        (0..n).map(|k| node.client_that_sent(&text(k))).collect()
+        (0..n).map(|k| node.client_with_request(&text(k))).collect()
     };
     // On connections that have been in use, so that what is half written there is on its way.
     let halves = |k: usize| {
@@ -65,7 +65,7 @@
     let arrived = |wanted: usize| {
         let started = std::time::Instant::now();
         while arrived.load(Ordering::SeqCst) < wanted {
-            assert!(started.elapsed() < PATIENCE, "{} of {wanted}", arrived.load(Ordering::SeqCst));
+            assert!(started.elapsed() < TEST_TIMEOUT, "{} of {wanted}", arrived.load(Ordering::SeqCst));
             thread::yield_now();
         }
     };
@@ -75,14 +75,14 @@
     let mut hung = many(40, &|k| pay(&format!("hung-{k}"), "20000m"));
     arrived(80 + 40 + 40 + 40);
     node.terminate();
-    node.logs("told to end");
+    node.wait_for_log("told to end");
     half.iter_mut().enumerate().for_each(|(k, client)| client.send(&halves(k).1));
     arrived(80 + 40 + 40 + 40 + 40);
     // Every one is at the upstream by now, and a second signal changes nothing.
     signal(node.pid(), "TERM");
     signal(node.pid(), "HUP");
-    node.logs("Stop comes too late");
-    node.logs("Reload comes too late");
+    node.wait_for_log("Stop comes too late");
+    node.wait_for_log("Reload comes too late");
     dam.open();
     let body =
         |client: &mut Client| String::from_utf8(client.answer().expect("an answer").body).expect("text");
@@ -130,7 +130,7 @@
     fn start() -> Manager {
         let path = path(".notify");
         let socket = UnixDatagram::bind(&path).expect("binds");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Manager(socket, path)
     }
 
@@ -156,7 +156,7 @@
     let upstream = Upstream::start(|_| ok("x"));
     let manager = Manager::start();
     let mut node = managed(&manager, None, "null");
-    node.discovery.called();
+    node.discovery.next_path();
     assert!(
         manager.0.set_nonblocking(true).is_ok() && manager.0.recv(&mut [0]).is_err(),
         "no upstream is known yet"
@@ -200,7 +200,7 @@
     };
     let started = std::time::Instant::now();
     while !filled() {
-        assert!(started.elapsed() < PATIENCE, "it never fills");
+        assert!(started.elapsed() < TEST_TIMEOUT, "it never fills");
     }
     for k in 0..50 {
         assert_eq!(client.call(&get(&format!("r{k}"), "5000m")).status(), 200);
@@ -245,7 +245,7 @@
     shell.env("NODE_CONFIG", program().file(".json", &config(discovery.addr, 1024, "null")));
     shell.stdout(Stdio::null()).stderr(Stdio::piped());
     let mut node = Node::run(shell, discovery);
-    node.logs("daemon.pid_file: ");
+    node.wait_for_log("daemon.pid_file: ");
     assert_eq!(std::fs::read_to_string(&pid_file).expect("held"), "", "no room for a number");
     let second =
         command(&config(refusing(), 1024, "null")).arg("run").arg("--pid-file").arg(&pid_file).output();
@@ -255,19 +255,19 @@
     // Each time with another beside, so that there is something new to save.
     let list = |node: &Node, version: usize| {
         let servers = [(0, upstream.addr, "active"), (version, refusing(), "leaving")];
-        node.discovery.answer(&listing(version as u64, true, &servers));
+        node.discovery.answer(&upstream_list(version as u64, true, &servers));
     };
     list(&node, 1);
-    node.logs("not saved: File too large");
+    node.wait_for_log("not saved: File too large");
     let mut client = node.client();
     assert_eq!(client.call(&get("full", "5000m")).status(), 200);
     assert!(!saved.exists(), "nothing, and no half of it");
 
-    disk::room(node.pid()).expect("runs");
+    disk::remove_limit(node.pid()).expect("runs");
     list(&node, 2);
-    node.logs("saved again");
+    node.wait_for_log("saved again");
     let whole = std::fs::read(&saved).expect("saved");
-    disk::full_at(node.pid(), 10).expect("runs");
+    disk::limit_file_size(node.pid(), 10).expect("runs");
     list(&node, 3);
     let again = || node.log().iter().filter(|l| l.contains("not saved: ")).count() == 2;
     until("the second fault is said as well", again);
--- a/crates/herondock/tests/demo.rs
+++ b/crates/herondock/tests/demo.rs
@@ -32,7 +32,7 @@
 fn gone(pids: &[u32]) {
     let started = Instant::now();
     while pids.iter().any(|&pid| stat(pid).is_some_and(|(state, _)| state != "Z")) {
-        assert!(started.elapsed() < PATIENCE, "still there: {pids:?}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "still there: {pids:?}");
         std::thread::yield_now();
     }
 }
--- a/crates/herondock/tests/discovery.rs
+++ b/crates/herondock/tests/discovery.rs
@@ -4,8 +4,8 @@
 use common::*;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use testkit::discovery::{DiscoveryFault, Listed, Registry};
-use testkit::faults::machine::Throttled;
+use testkit::discovery::{DiscoveryFault, ListedUpstream, Registry};
+use testkit::faults::machine::CpuThrottle;
 
 /// What a silent watch missed counts as told so long after it fell silent; sends then end within the grace of
 /// [`config`] and the slack on sockets.
@@ -38,13 +38,13 @@
     }
     told.unwrap_or_else(|| {
         // Its log is read by another thread, which may be behind.
-        node.logs(&news);
+        node.wait_for_log(&news);
         Instant::now()
     })
 }
 
-fn listed(upstream: &Upstream, state: &'static str) -> Listed {
-    Listed { addr: upstream.addr, group: 1, state, started_ms: 0 }
+fn listed(upstream: &Upstream, state: &'static str) -> ListedUpstream {
+    ListedUpstream { addr: upstream.addr, group: 1, state, started_ms: 0 }
 }
 
 /// Two upstreams, and a registry that lists them.
@@ -58,11 +58,11 @@
 
 /// A balancer that asks there, and logs what it is told.
 fn asking(registry: &Registry, known: &str, alter: impl Fn(String) -> String) -> Node {
-    let addr = registry.open("n1").expect("a port");
+    let addr = registry.open_endpoint("n1").expect("a port");
     let mut command = command(&alter(config(addr, 1024, known)));
     command.args(["run", "--log", "debug"]);
     // Callers that ask as fast as they are answered fill a log of every request before the news comes.
-    Node::run_keeping(command, Discovery::start(), |line| line.contains("list: "))
+    Node::run_filtered(command, Discovery::start(), |line| line.contains("list: "))
 }
 
 /// Waits until both upstreams are known and used.
@@ -87,7 +87,7 @@
         let (_stays, leaves, registry) = pair();
         let node = asking(&registry, "null", |c| c.replace("on_request", mode));
         both_used(&node);
-        let silent = registry.hush();
+        let silent = registry.silence_pending();
         registry.state("s-1", "leaving");
         let told = until_left(&node, leaves.addr, silent + LAST);
         println!("{mode}: told of {:?} after the silence", told - silent);
@@ -100,8 +100,8 @@
     let (_stays, leaves, registry) = pair();
     let node = asking(&registry, "null", |c| c);
     both_used(&node);
-    let slow = Throttled::begin(node.pid(), Duration::from_millis(10), Duration::from_millis(100));
-    let silent = registry.hush();
+    let slow = CpuThrottle::begin(node.pid(), Duration::from_millis(10), Duration::from_millis(100));
+    let silent = registry.silence_pending();
     registry.state("s-1", "leaving");
     let told = until_left(&node, leaves.addr, silent + LAST);
     println!("told of {:?} after the silence", told - silent);
@@ -122,8 +122,8 @@
             scope.spawn(move || {
                 let (stays, leaves, registry) = pair();
                 // The list that the platform kept has everything but the news.
-                let known = listing(2, true, &[(0, stays.addr, "active"), (1, leaves.addr, "active")]);
-                registry.ails(ill);
+                let known = upstream_list(2, true, &[(0, stays.addr, "active"), (1, leaves.addr, "active")]);
+                registry.inject_fault(ill);
                 registry.state("s-1", "leaving");
                 let begun = Instant::now();
                 let node = asking(&registry, &known, |c| c);
@@ -145,7 +145,7 @@
         c.replace("on_request", "pushed").replace("\"drain_grace\":1000", "\"drain_grace\":4000")
     });
     both_used(&node);
-    registry.deaf(true);
+    registry.set_unresponsive(true);
     let (calls, _) = registry.calls();
     registry.state("s-1", "leaving");
     // It has called in vain at least twice.
@@ -154,7 +154,7 @@
         assert!(started.elapsed() < LAST, "it does not call again");
         std::thread::yield_now();
     }
-    let back = registry.deaf(false);
+    let back = registry.set_unresponsive(false);
     let told = until_left(&node, leaves.addr, back + grace + Duration::from_millis(50));
     println!("told of {:?} after the return", told - back);
 }
@@ -165,13 +165,13 @@
     let (stays, leaves, registry) = pair();
     let node = asking(&registry, "null", |c| c);
     both_used(&node);
-    registry.deaf(true);
+    registry.set_unresponsive(true);
     let moved = Registry::new(None);
     moved.set("s-0", listed(&stays, "active"));
     moved.set("s-1", listed(&leaves, "leaving"));
     // Its first answer never comes.
-    moved.ails(DiscoveryFault::Silent);
-    let addr = moved.open("n1").expect("a port");
+    moved.inject_fault(DiscoveryFault::Silent);
+    let addr = moved.open_endpoint("n1").expect("a port");
     let begun = Instant::now();
     node.reload(&config(addr, 1024, "null"));
     // What the new place has counts as told 4 s later; a call for the whole list that is silent, 6 s.
@@ -183,14 +183,14 @@
 #[test]
 fn a_bad_entry_keeps_nobody_from_leaving() {
     let (stays, leaves) = (Upstream::start(|_| ok("stays")), Upstream::start(|_| ok("leaves")));
-    let node = start(1024, &listing(5, true, &[(0, stays.addr, "active"), (1, leaves.addr, "active")]));
-    assert!(node.discovery.called().contains("since=5&"));
+    let node = start(1024, &upstream_list(5, true, &[(0, stays.addr, "active"), (1, leaves.addr, "active")]));
+    assert!(node.discovery.next_path().contains("since=5&"));
     both_used(&node);
     node.discovery.answer(
         r#"{"version":6,"full":false,"servers":[{"id":"s-1","state":"leaving"},{"id":"s-0","addr":"nowhere","state":"active"}]}"#,
     );
     // Asked for again from where it was, which shows that the rest has been taken in.
-    assert!(node.discovery.called().contains("since=5&"));
+    assert!(node.discovery.next_path().contains("since=5&"));
     let mut client = node.client();
     for number in 0..MANY {
         assert_eq!(client.call(&get(&format!("b{number}"), "5000m")).body, b"stays");
@@ -209,9 +209,9 @@
         .collect();
     nodes.iter().for_each(both_used);
     // Discovery takes a call from each within 3 s.
-    registry.takes(Duration::from_secs(3) / MANY_NODES);
+    registry.set_processing_time(Duration::from_secs(3) / MANY_NODES);
     let before = registry.calls();
-    let silent = registry.hush();
+    let silent = registry.silence_pending();
     registry.state("s-1", "leaving");
     let told: Vec<Duration> = std::thread::scope(|scope| {
         let addr = leaves.addr;
--- a/crates/herondock/tests/fastcgi.rs
+++ b/crates/herondock/tests/fastcgi.rs
@@ -5,14 +5,14 @@
 use fastcgi::record::Protocol;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use testkit::fastcgi::{begin, end, pairs, record, WebServer};
+use testkit::fastcgi::{begin_record, end_record, pairs, record, WebServer};
 
 /// An instance with a FastCGI front, before upstreams that speak this.
 fn front(speaks: &str, upstreams: &[SocketAddr], more: &str) -> (Node, SocketAddr) {
     let text = format!("[registry]\nspeaks = \"{speaks}\"\n[fastcgi]\nlisten = [\"127.0.0.1:0\"]\n{more}\n");
     let operator = program().file(".toml", &text);
     let servers: Vec<_> = upstreams.iter().enumerate().map(|(n, &a)| (n, a, "active")).collect();
-    let node = started(&["--operator".as_ref(), operator.as_os_str()], &listing(1, true, &servers));
+    let node = started(&["--operator".as_ref(), operator.as_os_str()], &upstream_list(1, true, &servers));
     let addr = PAIRINGS[2].addr(&node);
     (node, addr)
 }
@@ -30,7 +30,7 @@
 
 /// The status of the next answer, and its body.
 fn status(web: &mut WebServer) -> (u16, String) {
-    match web.ended() {
+    match web.next_outcome() {
         Some((_, Outcome::Answered(head, body))) => {
             (head.status, String::from_utf8_lossy(&body).into_owned())
         }
@@ -103,27 +103,32 @@
 #[test]
 fn only_what_proves_that_nothing_ran_is_tried_again() {
     let out = |body: &[u8]| record(6, 1, body, 3);
-    let good = [out(b"Status: 200 OK\r\n\r\nserved"), record(6, 1, b"", 0), end(1, 0, 0)].concat();
-    let declined = [out(b"Status: 503 Busy\r\nSrv-Declined: 1\r\n\r\n"), end(1, 0, 0)].concat();
+    let good = [out(b"Status: 200 OK\r\n\r\nserved"), record(6, 1, b"", 0), end_record(1, 0, 0)].concat();
+    let declined = [out(b"Status: 503 Busy\r\nSrv-Declined: 1\r\n\r\n"), end_record(1, 0, 0)].concat();
     // What a first application does with a charge, whether the connection then closes, and whether it may have run.
     for (what, answer, closes, ran) in [
-        ("END with OVERLOADED", Some(end(1, 0, 2)), false, false),
-        ("END with CANT_MPX_CONN", Some(end(1, 0, 1)), false, false),
-        ("END with UNKNOWN_ROLE", Some(end(1, 0, 3)), false, false),
+        ("END with OVERLOADED", Some(end_record(1, 0, 2)), false, false),
+        ("END with CANT_MPX_CONN", Some(end_record(1, 0, 1)), false, false),
+        ("END with UNKNOWN_ROLE", Some(end_record(1, 0, 3)), false, false),
         ("declined", Some(declined), false, false),
-        ("OVERLOADED behind output", Some([out(b"x"), end(1, 0, 2)].concat()), false, true),
-        ("END without output", Some(end(1, 0, 0)), false, true),
-        ("END with a status of its own", Some(end(1, 7, 0)), false, true),
-        ("STDERR only", Some([record(7, 1, b"oops", 4), end(1, 0, 0)].concat()), false, true),
+        ("OVERLOADED behind output", Some([out(b"x"), end_record(1, 0, 2)].concat()), false, true),
+        ("END without output", Some(end_record(1, 0, 0)), false, true),
+        ("END with a status of its own", Some(end_record(1, 7, 0)), false, true),
+        ("STDERR only", Some([record(7, 1, b"oops", 4), end_record(1, 0, 0)].concat()), false, true),
         ("closed without a word", None, true, true),
         ("cut off in the middle", Some(out(b"Status: 200 OK\r\nContent-Length: 9\r\n\r\nhalf")), true, true),
         ("cut off in a record", Some(good[..20].to_vec()), true, true),
-        ("a head that is none", Some([out(b"served"), end(1, 0, 0)].concat()), false, true),
-        ("another id", Some([record(6, 9, b"Status: 200\r\n\r\n", 0), end(9, 0, 0)].concat()), false, true),
+        ("a head that is none", Some([out(b"served"), end_record(1, 0, 0)].concat()), false, true),
+        (
+            "another id",
+            Some([record(6, 9, b"Status: 200\r\n\r\n", 0), end_record(9, 0, 0)].concat()),
+            false,
+            true,
+        ),
         ("another version", Some(b"HTTP/1.1 200 OK\r\n\r\n".to_vec()), false, true),
         (
             "a lying length",
-            Some([out(b"Status: 200 OK\r\nContent-Length: 99\r\n\r\nx"), end(1, 0, 0)].concat()),
+            Some([out(b"Status: 200 OK\r\nContent-Length: 99\r\n\r\nx"), end_record(1, 0, 0)].concat()),
             false,
             true,
         ),
@@ -145,7 +150,7 @@
         }
         // The answer is whole, so that the web server can tell, and its connection goes on.
         web.send(&params("bad", "none", "GET"), b"");
-        assert_eq!(web.ended().map(|(id, _)| id), Some(1), "{what}");
+        assert_eq!(web.next_outcome().map(|(id, _)| id), Some(1), "{what}");
         drop(node);
     }
     let app = Application::start(vec![Some(good)], false);
@@ -169,29 +174,29 @@
 #[test]
 fn an_abort_calls_off_what_is_out_and_the_connection_goes_on() {
     let upstream = Upstream::start(|m: &Message| match m.header("req-id") {
-        Some("held") => Then::Wait,
+        Some("held") => Step::Silent,
         Some(id) => ok(id),
         None => common::status("400 None"),
     });
     let (_node, addr) = front("http", &[upstream.addr], "requests = 4");
     let mut web = WebServer::connect(addr).expect("connects");
     let held = web.send(&params("held", "read", "GET"), b"");
-    upstream.request();
+    upstream.next_request();
     // Another on the same connection is not held up by it.
     let quick = web.send(&params("quick", "read", "GET"), b"");
-    assert!(matches!(web.ended(), Some((id, Outcome::Answered(..))) if id == quick));
-    upstream.request();
+    assert!(matches!(web.next_outcome(), Some((id, Outcome::Answered(..))) if id == quick));
+    upstream.next_request();
     web.abort(held);
     // Called off: its connection is closed, and its END is the only thing that comes for it.
-    upstream.closed();
+    upstream.wait_for_close();
     web.send(&params("next", "read", "GET"), b"");
     assert_eq!(status(&mut web), (200, "next".into()));
-    upstream.request();
+    upstream.next_request();
     // A connection that ends calls off all that it had out.
     web.send(&params("held", "read", "GET"), b"");
-    upstream.request();
+    upstream.next_request();
     drop(web);
-    upstream.closed();
+    upstream.wait_for_close();
 }
 
 #[test]
@@ -228,7 +233,7 @@
     assert_eq!(status(&mut web).0, 413);
     // Another role is refused by the protocol's own word.
     let mut raw = TcpStream::connect(addr).expect("connects");
-    raw.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    raw.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     raw.write_all(&record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0], 0)).expect("writes");
     let mut got = [0; 16];
     raw.read_exact(&mut got).expect("an END");
@@ -238,17 +243,17 @@
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         record(6, 1, b"x", 0),
         record(1, 1, b"short", 0),
-        [begin(1, true), begin(1, true)].concat(),
-        [begin(1, true), record(4, 0, &pairs(&[("A", "b")]), 0)].concat(),
+        [begin_record(1, true), begin_record(1, true)].concat(),
+        [begin_record(1, true), record(4, 0, &pairs(&[("A", "b")]), 0)].concat(),
     ] {
         let mut raw = TcpStream::connect(addr).expect("connects");
-        raw.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        raw.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         raw.write_all(&bytes).expect("writes");
         assert!(matches!(raw.read(&mut [0; 64]), Ok(0) | Err(_)), "{bytes:?}");
     }
     good.send(&params("good", "read", "GET"), b"");
     assert_eq!(status(&mut good), (200, "/api/x?y=1".into()));
-    node.logs("fastcgi: byte 16: request 1 begins again while it is open");
+    node.wait_for_log("fastcgi: byte 16: request 1 begins again while it is open");
 }
 
 /// Guards against connections by the hundred that send half a record and hold what others need.
@@ -257,7 +262,7 @@
     let upstream = Upstream::start(|_: &Message| ok("x"));
     let (node, addr) = front("http", &[upstream.addr], "[limits]\nrequest_wait = \"300ms\"");
     let before = node.descriptors();
-    let half = &[begin(1, true), record(4, 1, &[0; 100], 0)].concat()[..40];
+    let half = &[begin_record(1, true), record(4, 1, &[0; 100], 0)].concat()[..40];
     let all: Vec<TcpStream> = (0..300)
         .map(|_| {
             let mut stream = TcpStream::connect(addr).expect("connects");
@@ -278,19 +283,19 @@
     let (word, hold) = std::sync::mpsc::channel();
     let hold = std::sync::Mutex::new(Some(hold));
     let upstream = Upstream::start(move |m: &Message| match hold.lock().expect("no panic").take() {
-        Some(word) => Then::Hold(word, testkit::message::ok_text("held")),
+        Some(word) => Step::Hold(word, testkit::message::ok_response("held")),
         None => ok(m.path()),
     });
     let (mut node, addr) = front("http", &[upstream.addr], "");
     let mut web = WebServer::connect(addr).expect("connects");
     web.send(&params("held", "read", "GET"), b"");
-    upstream.request();
+    upstream.next_request();
     node.terminate();
-    node.logs("told to end");
+    node.wait_for_log("told to end");
     word.send(()).expect("it waits");
     assert_eq!(status(&mut web), (200, "held".into()));
     assert!(node.wait().success());
-    assert!(web.ended().is_none(), "and it closes");
+    assert!(web.next_outcome().is_none(), "and it closes");
 }
 
 /// Guards against a successor that can't have the address, and against callers that are cut off when it can.
@@ -310,7 +315,7 @@
     assert_eq!(status(&mut kept).0, 200);
     let new = started(&args, "null");
     assert_eq!(PAIRINGS[2].addr(&new), addr);
-    old.logs("the sockets are another process's");
+    old.wait_for_log("the sockets are another process's");
     for web in [&mut kept, &mut newcomer] {
         web.send(&params("after", "read", "GET"), b"");
         assert_eq!(status(web).0, 200);
--- a/crates/herondock/tests/fleet.rs
+++ b/crates/herondock/tests/fleet.rs
@@ -5,29 +5,30 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use testkit::discovery::{Listed, Registry};
-use testkit::fleet::{Fleet, OPERATOR};
+use testkit::discovery::{ListedUpstream, Registry};
+use testkit::fleet::{Fleet, OPERATOR_CONFIG};
 use testkit::ledger::{Entry, Ledger};
-use testkit::message::ok_text;
+use testkit::message::ok_response;
 use testkit::node::signal;
-use testkit::upstream::Options;
+use testkit::upstream::UpstreamOptions;
 
 /// Instances n0, n1 and so on, which ask this registry.
 fn asking(size: usize, more: &str, registry: &Registry) -> Fleet {
     let names: Vec<String> = (0..size).map(|k| format!("n{k}")).collect();
-    let fleet = Fleet::start(&program(), &names, more, OPERATOR, "", |k| {
-        let asked = registry.open(&names[k]).expect("a port");
+    let fleet = Fleet::start(&program(), &names, more, OPERATOR_CONFIG, "", |k| {
+        let asked = registry.open_endpoint(&names[k]).expect("a port");
         let numbers = format!("\"balancers\":{size},\"index\":{k}");
         config(asked, 256, "null").replace("\"balancers\":1,\"index\":0", &numbers)
     });
-    fleet.all("ready");
+    fleet.wait_for_all("ready");
     fleet
 }
 
 fn upstream(name: &str, ledger: &Arc<Ledger>, registry: &Registry) -> Upstream {
-    let options = Options { ledger: Some(ledger.clone()), cores: 8, ..Options::named(name) };
-    let upstream = Upstream::with(options, |_: &Message| Then::Work(Duration::from_millis(3), ok_text("x")));
-    registry.set(name, Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+    let options = UpstreamOptions { ledger: Some(ledger.clone()), cores: 8, ..UpstreamOptions::named(name) };
+    let upstream =
+        Upstream::with(options, |_: &Message| Step::Work(Duration::from_millis(3), ok_response("x")));
+    registry.set(name, ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
     upstream
 }
 
@@ -113,17 +114,17 @@
     assert!(!fleet.command(&["restart"]).status.success());
     std::fs::write(&fleet.configs[1], good).expect("writes");
     succeeded(&fleet.command(&["start"]));
-    fleet.all("ready");
+    fleet.wait_for_all("ready");
     // A reload that an instance does not take halts as well, and all serve on.
     std::fs::write(fleet.folder.join("own.toml"), "[limits]\nhead = \"32KiB\"\n").expect("writes");
     let output = fleet.command(&["reload"]);
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(error.contains("halted at n0") && error.contains("limits.head"), "{error}");
-    fleet.all("ready");
-    std::fs::write(fleet.folder.join("own.toml"), OPERATOR).expect("writes");
+    fleet.wait_for_all("ready");
+    std::fs::write(fleet.folder.join("own.toml"), OPERATOR_CONFIG).expect("writes");
     succeeded(&fleet.command(&["reload"]));
     succeeded(&fleet.command(&["stop"]));
-    assert!(fleet.supervisor.ended().success());
+    assert!(fleet.supervisor.wait_for_exit().success());
     assert!(fleet.status().iter().all(|(state, _)| state == "down"), "without a supervisor, too");
 }
 
@@ -147,9 +148,9 @@
             let output = asked.join().expect("no panic");
             assert!(!output.status.success(), "whoever waited for the roll hears that it broke off");
         });
-        fleet.supervisor.ended();
-        fleet.again();
-        fleet.all("ready");
+        fleet.supervisor.wait_for_exit();
+        fleet.restart_supervisor();
+        fleet.wait_for_all("ready");
     });
     let after = fleet.status();
     assert_eq!((&after[3], &after[4]), (&before[3], &before[4]), "found, not started anew");
@@ -159,10 +160,10 @@
     fleet.until("restarted", |s| s[4].0 == "ready" && s[4].1 != after[4].1);
     // Told to end, a supervisor leaves them too.
     signal(fleet.supervisor.pid(), "TERM");
-    assert!(fleet.supervisor.ended().success());
+    assert!(fleet.supervisor.wait_for_exit().success());
     assert!(fleet.status().iter().all(|(state, _)| state == "running"));
-    fleet.again();
-    fleet.all("ready");
+    fleet.restart_supervisor();
+    fleet.wait_for_all("ready");
     succeeded(&fleet.command(&["stop"]));
     let killed = |r: &testkit::ledger::Record| matches!(r.entry, Entry::Killed { .. });
     assert!(!ledger.since(0).iter().any(killed), "the ledger excused nothing");
--- a/crates/herondock/tests/multiplex.rs
+++ b/crates/herondock/tests/multiplex.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
-use testkit::fastcgi::{end, pairs, record, WebServer};
+use testkit::fastcgi::{end_record, pairs, record, WebServer};
 use testkit::upstream::ObservedRequest;
 
 /// What an application saw, record by record.
@@ -83,7 +83,7 @@
     /// The next request.
     fn request(&self) -> (usize, u16, String) {
         loop {
-            match self.saw.recv_timeout(PATIENCE).expect("a request") {
+            match self.saw.recv_timeout(TEST_TIMEOUT).expect("a request") {
                 Saw::Request(k, id, name) => return (k, id, name),
                 Saw::Closed(_) => {}
                 Saw::Abort(..) => panic!("an abort"),
@@ -93,7 +93,7 @@
 
     /// The next abort.
     fn abort(&self) -> (usize, u16) {
-        match self.saw.recv_timeout(PATIENCE).expect("an abort") {
+        match self.saw.recv_timeout(TEST_TIMEOUT).expect("an abort") {
             Saw::Abort(k, id) => (k, id),
             other => panic!("{other:?}"),
         }
@@ -102,7 +102,7 @@
     /// Waits until this connection has ended.
     fn closed(&self, k: usize) {
         loop {
-            match self.saw.recv_timeout(PATIENCE).expect("an end") {
+            match self.saw.recv_timeout(TEST_TIMEOUT).expect("an end") {
                 Saw::Closed(n) if n == k => return,
                 Saw::Closed(_) => {}
                 other => panic!("{other:?}"),
@@ -114,7 +114,7 @@
     fn write(&self, k: usize, bytes: &[u8]) {
         let mut open = self.open.borrow_mut();
         while open.len() <= k {
-            open.push(self.streams.recv_timeout(PATIENCE).expect("a connection"));
+            open.push(self.streams.recv_timeout(TEST_TIMEOUT).expect("a connection"));
         }
         let _ = open[k].write_all(bytes);
     }
@@ -127,7 +127,7 @@
 
     fn answer(&self, (k, id, body): &(usize, u16, String)) {
         self.write(*k, &out(*id, &format!("Status: 200 OK\r\n\r\n{body}")));
-        self.write(*k, &[record(6, *id, b"", 0), end(*id, 0, 0)].concat());
+        self.write(*k, &[record(6, *id, b"", 0), end_record(*id, 0, 0)].concat());
     }
 }
 
@@ -143,7 +143,7 @@
     let operator = program().file(".toml", &text);
     let node = started(
         &["--operator".as_ref(), operator.as_os_str()],
-        &listing(1, true, &[(0, app.addr, "active")]),
+        &upstream_list(1, true, &[(0, app.addr, "active")]),
     );
     // Until the answer has come each has a connection of its own. Two at once on one connection show that it has.
     for k in 0.. {
@@ -186,10 +186,10 @@
     assert!(a.0 == k && b.0 == k && a.1 != b.1, "{a:?} {b:?}");
     // Interleaved, and the second one ends first.
     app.write(k, &[out(a.1, "Status: 200 OK\r\n\r\nha"), out(b.1, "Status: 200 OK\r\n\r\nwh")].concat());
-    app.write(k, &[out(b.1, "ole"), record(6, b.1, b"", 0), end(b.1, 0, 0)].concat());
+    app.write(k, &[out(b.1, "ole"), record(6, b.1, b"", 0), end_record(b.1, 0, 0)].concat());
     let (first, second) = if a.2 == "one" { (one, two) } else { (two, one) };
     assert_eq!(second.join().expect("no panic"), "200 whole");
-    app.write(k, &[out(a.1, "lf"), record(6, a.1, b"", 0), end(a.1, 0, 0)].concat());
+    app.write(k, &[out(a.1, "lf"), record(6, a.1, b"", 0), end_record(a.1, 0, 0)].concat());
     assert_eq!(first.join().expect("no panic"), "200 half");
     // A caller that goes away: ABORT, and the others go on. What comes for it late belongs to nobody.
     let (mut gone, kept) = (node.client(), call(&node, "kept"));
@@ -205,7 +205,7 @@
     app.write(k, &out(lost.1, "Status: 200 OK\r\n\r\nlate"));
     app.answer(&next);
     assert_eq!(third.join().expect("no panic"), "200 third");
-    app.write(k, &end(lost.1, 0, 0));
+    app.write(k, &end_record(lost.1, 0, 0));
     app.answer(&with);
     assert_eq!(kept.join().expect("no panic"), "200 kept");
     // No more at once than it takes: the fifth has another connection.
@@ -242,7 +242,7 @@
     let (node, k) = before(&app, "");
     let paid = charge(&node, "charge");
     let asked = app.request();
-    app.write(k, &end(asked.1 + 1, 0, 0));
+    app.write(k, &end_record(asked.1 + 1, 0, 0));
     app.closed(k);
     assert_eq!(paid.join().expect("no panic"), "502");
 }
@@ -274,7 +274,7 @@
     let (one, two) = (charge(&node, "chargea"), charge(&node, "chargeb"));
     let (a, b) = (app.request(), app.request());
     assert!(a.0 == k && b.0 == k);
-    app.write(k, &end(b.1, 0, 1));
+    app.write(k, &end_record(b.1, 0, 1));
     app.answer(&a);
     // Refused or tried again: it never ran. Here it is tried again, as soon as the module sees room.
     let (first, second) = if a.2 == "chargea" { (one, two) } else { (two, one) };
@@ -302,7 +302,7 @@
         let app = Application::start(says);
         let text = "[registry]\nspeaks = \"fastcgi\"\n[fastcgi]\nmultiplex = 8\n";
         let operator = program().file(".toml", text);
-        let known = listing(1, true, &[(0, app.addr, "active")]);
+        let known = upstream_list(1, true, &[(0, app.addr, "active")]);
         let node = started(&["--operator".as_ref(), operator.as_os_str()], &known);
         for k in 0..10 {
             let (one, two) = (call(&node, &format!("a{k}")), call(&node, &format!("b{k}")));
@@ -333,7 +333,7 @@
     let large = "x".repeat(8 << 20);
     let upstream = Upstream::start(move |m: &Message| match m.path() {
         "/api/large" => ok(&large),
-        "/api/held" => Then::Wait,
+        "/api/held" => Step::Silent,
         path => ok(path),
     });
     let text = "[fastcgi]\nlisten = [\"127.0.0.1:0\"]\nrequests = 4\n[limits]\nbody = \"16MiB\"\nflush_wait = \"400ms\"\n";
@@ -343,7 +343,7 @@
     let ask = |id: u16, path: &str| {
         let all = pairs(&params(&format!("r{id}{}", path.len()), path));
         [
-            testkit::fastcgi::begin(id, true),
+            testkit::fastcgi::begin_record(id, true),
             record(4, id, &all, 0),
             record(4, id, b"", 0),
             record(5, id, b"", 0),
@@ -352,7 +352,7 @@
     };
     // Takes something at least four times within the wait, and all of it in several times that.
     let mut slow = TcpStream::connect(addr).expect("connects");
-    slow.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    slow.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     slow.write_all(&[ask(1, "/api/large"), ask(2, "/api/small"), ask(3, "/api/held")].concat())
         .expect("writes");
     let (mut got, mut buffer) = (Vec::new(), vec![0; 512 << 10]);
@@ -368,7 +368,7 @@
             slow.write_all(&record(2, 3, b"", 0)).expect("writes");
             aborted = true;
             while !matches!(
-                upstream.seen.recv_timeout(PATIENCE).expect("its connection closes"),
+                upstream.seen.recv_timeout(TEST_TIMEOUT).expect("its connection closes"),
                 ObservedRequest::Closed
             ) {}
         }
@@ -379,9 +379,9 @@
     let before = node.descriptors();
     let mut silent = TcpStream::connect(addr).expect("connects");
     silent.write_all(&ask(1, "/api/large")).expect("writes");
-    upstream.request();
+    upstream.next_request();
     node.wait_for_descriptors(|held| held <= before, "it is kept");
     let mut web = WebServer::connect(addr).expect("connects");
     web.send(&params("next", "/api/next"), b"");
-    assert!(matches!(web.ended(), Some((_, Ended::Answered(..)))));
+    assert!(matches!(web.next_outcome(), Some((_, Ended::Answered(..)))));
 }
--- a/crates/herondock/tests/release.rs
+++ b/crates/herondock/tests/release.rs
@@ -7,10 +7,10 @@
 use std::process::{Command, Output};
 use std::time::Instant;
 use testkit::faults::link::Rule;
-use testkit::site::{out, Site, Size};
+use testkit::site::{units_out, Site, Size};
 use testkit::watcher::Watcher;
 
-const TWO: Size = Size { machines: 2, each: 4, upstreams: 2 };
+const TWO: Size = Size { machines: 2, balancers_per_machine: 4, upstreams: 2 };
 const QUICK: &str =
     "waves = [\"1\", \"50 %\"]\nbake = \"900ms\"\nlook = \"300ms\"\ncap = \"3s\"\n[gate]\nrequests = 5\n";
 const ONE_OUT: &str = "[[budget]]\nname = \"whole\"\nof = \"balancer\"\nper = \"fleet\"\nmost = 1\n";
@@ -38,7 +38,7 @@
         if wanted(&status) {
             return status;
         }
-        assert!(started.elapsed() < 3 * PATIENCE, "not {what}: {status:#} {:#?}", site.logs());
+        assert!(started.elapsed() < 3 * TEST_TIMEOUT, "not {what}: {status:#} {:#?}", site.logs());
         std::thread::yield_now();
     }
 }
@@ -64,14 +64,14 @@
 }
 
 fn whole(site: &Site) {
-    site.until("all in, and no leave left", |state| out(state).is_empty());
+    site.until("all in, and no leave left", |state| units_out(state).is_empty());
 }
 
 /// A site, a release of a build that is made so, and its file.
 fn site(size: Size, build: &str, more: &str) -> (Site, PathBuf) {
     let site = Site::start(&program(), size, ONE_OUT, true);
-    let new = site.build(build);
-    let file = site.release(&new, more);
+    let new = site.write_build(build);
+    let file = site.write_release_file(&new, more);
     (site, file)
 }
 
@@ -88,9 +88,13 @@
         assert!(String::from_utf8_lossy(&barred.stderr).contains("goes on"), "{barred:?}");
         until_release(&site, &file, "whole", says("whole"));
     });
-    let worst = watcher.worst();
+    let worst = watcher.max_unavailable();
     assert!(worst.len() <= 1, "{worst:?} {:#?}", site.logs());
-    assert!(watcher.spans() >= all(&site) / 2, "the watcher sees restarts: {}", watcher.spans());
+    assert!(
+        watcher.outage_count() >= all(&site) / 2,
+        "the watcher sees restarts: {}",
+        watcher.outage_count()
+    );
     let new = status(&file)["new"].clone();
     assert_eq!(of_build(&site, &new), all(&site), "{:#?}", site.logs());
     assert_eq!(site.ledger.check(&figures()), []);
@@ -99,7 +103,7 @@
     drop(watcher);
     // The next supervisor knows which build its instances are of, and so does a restart after a crash.
     site.machines[0].supervisor.kill();
-    site.machines[0].again();
+    site.machines[0].restart_supervisor();
     let pid = site.machines[0].pids()[0];
     testkit::node::signal(pid, "KILL");
     site.machines[0]
@@ -112,9 +116,14 @@
 fn a_build_that_does_not_come_up_is_taken_back_from_the_first_balancer() {
     for build in ["exit 7", "exec sleep 600"] {
         // One that is never ready is found out in seconds.
-        let site =
-            Site::start_with(&program(), Size { each: 2, ..TWO }, ONE_OUT, true, "ready_within = \"4s\"\n");
-        let file = site.release(&site.build(build), QUICK);
+        let site = Site::start_with(
+            &program(),
+            Size { balancers_per_machine: 2, ..TWO },
+            ONE_OUT,
+            true,
+            "ready_within = \"4s\"\n",
+        );
+        let file = site.write_release_file(&site.write_build(build), QUICK);
         let watcher = Watcher::begin(&site.addrs());
         let ((), served, _) = under_load(&site.ledger.clone(), &site.addrs(), || {
             good(&release(&file, "start", &[]));
@@ -122,7 +131,7 @@
         });
         let status = status(&file);
         assert_eq!(of_build(&site, &status["old"]), all(&site), "{build}: {status:#} {:#?}", site.logs());
-        assert!(watcher.worst().len() <= 1, "{build}: {:?}", watcher.worst());
+        assert!(watcher.max_unavailable().len() <= 1, "{build}: {:?}", watcher.max_unavailable());
         let touched = site.logs().iter().flatten().filter(|l| l.contains("goes over to build")).count();
         assert_eq!(touched, 2, "{build}: there and back: {:#?}", site.logs());
         assert_eq!(site.ledger.check(&figures()), [], "{build}");
@@ -165,7 +174,7 @@
         let new = status(&file)["new"].clone();
         until_release(&site, &file, "begun", |_| of_build(&site, &new) > 0);
         // A supervisor that is cut off begins nothing, and hears of no halt.
-        site.cut(1, false, Rule::Hole);
+        site.set_link_rule(1, false, Rule::Blackhole);
         good(&release(&file, "halt", &["--why", "looks odd"]));
         let halted = Instant::now();
         let count = of_build(&site, &new);
@@ -176,7 +185,7 @@
             std::thread::yield_now();
         }
         assert!(says("halted in wave 1: looks odd")(&status(&file)));
-        site.voters.net.heal();
+        site.voters.network.heal();
         // Builds are looked for anew when it goes on, and the file is gone by then.
         let path = std::fs::read_to_string(&file).expect("reads");
         let path = path
@@ -193,7 +202,7 @@
         until_release(&site, &file, "back", says("back"));
         assert_eq!(of_build(&site, &status(&file)["old"]), all(&site), "{:#?}", site.logs());
     });
-    assert!(watcher.worst().len() <= 1, "{:?} {:#?}", watcher.worst(), site.logs());
+    assert!(watcher.max_unavailable().len() <= 1, "{:?} {:#?}", watcher.max_unavailable(), site.logs());
     assert_eq!(site.ledger.check(&figures()), []);
     assert!(served > 100, "{served}");
     whole(&site);
@@ -215,21 +224,21 @@
             |site: &Site, m: usize| site.machines[m].log().iter().any(|l| l.contains("goes over to build"));
         until_release(&site, &file, "begun", |_| of(&site, 0) || of(&site, 1));
         let lost = usize::from(!of(&site, 0));
-        watcher.excuse(&site.machines[lost].addrs);
+        watcher.exclude(&site.machines[lost].addrs);
         site.kill(lost);
-        site.until("the lost ones count", |s| out(s).len() >= TWO.each);
+        site.until("the lost ones count", |s| units_out(s).len() >= TWO.balancers_per_machine);
         let moved = of_build(&site, &new);
         let seen = Instant::now();
         while seen.elapsed() < std::time::Duration::from_secs(2) {
             assert!(of_build(&site, &new) <= moved, "nothing more is taken out");
             std::thread::yield_now();
         }
-        site.machines[lost].again();
-        site.machines[lost].all("ready");
+        site.machines[lost].restart_supervisor();
+        site.machines[lost].wait_for_all("ready");
         until_release(&site, &file, "whole", says("whole"));
         assert_eq!(of_build(&site, &new), all(&site), "{:#?}", site.logs());
     });
-    assert!(watcher.worst().len() <= 1, "{:?} {:#?}", watcher.worst(), site.logs());
+    assert!(watcher.max_unavailable().len() <= 1, "{:?} {:#?}", watcher.max_unavailable(), site.logs());
     assert_eq!(site.ledger.check(&figures()), []);
     assert!(served > 100, "{served}");
     whole(&site);
@@ -239,9 +248,9 @@
 /// would start another. The release halts and goes back, also there.
 #[test]
 fn a_full_disk_at_a_supervisor_takes_the_release_back() {
-    let (site, file) = site(Size { each: 2, ..TWO }, "# a good one", QUICK);
+    let (site, file) = site(Size { balancers_per_machine: 2, ..TWO }, "# a good one", QUICK);
     let watcher = Watcher::begin(&site.addrs());
-    testkit::faults::disk::full_at(site.machines[0].supervisor.pid(), 0).expect("runs");
+    testkit::faults::disk::limit_file_size(site.machines[0].supervisor.pid(), 0).expect("runs");
     let ((), served, _) = under_load(&site.ledger.clone(), &site.addrs(), || {
         good(&release(&file, "start", &[]));
         let status = until_release(&site, &file, "back", says("back"));
@@ -251,7 +260,7 @@
         |m: usize| site.machines[m].log().iter().filter(|l| l.contains("goes over to build")).count();
     assert_eq!(touched(0), 0, "{:#?}", site.logs());
     assert_eq!(of_build(&site, &status(&file)["old"]), all(&site), "{:#?}", site.logs());
-    assert!(watcher.worst().len() <= 1, "{:?}", watcher.worst());
+    assert!(watcher.max_unavailable().len() <= 1, "{:?}", watcher.max_unavailable());
     assert_eq!(site.ledger.check(&figures()), []);
     assert!(served > 50, "{served}");
     whole(&site);
@@ -261,7 +270,7 @@
 /// goes on when the file is there again. Before, orders cross the moves of a wave again and again.
 #[test]
 fn the_way_back_waits_for_the_old_builds_file() {
-    let (site, first) = site(Size { each: 2, ..TWO }, "# the first", QUICK);
+    let (site, first) = site(Size { balancers_per_machine: 2, ..TWO }, "# the first", QUICK);
     let crossed = under_load(&site.ledger.clone(), &site.addrs(), || {
         for round in 1..4 {
             good(&release(&first, "start", &[]));
@@ -282,14 +291,14 @@
         }
         good(&release(&first, "start", &[]));
         until_release(&site, &first, "whole", says("whole"));
-        let new = site.build("# the second");
+        let new = site.write_build("# the second");
         let path = |text: &str, which: &str| {
             let line = text.lines().find_map(|l| l.strip_prefix(&format!("{which} = \""))).expect("a path");
             line.trim_end_matches('"').to_string()
         };
         let text = std::fs::read_to_string(&first).expect("reads");
         let before = path(&text, "new");
-        let second = site.release(&new, &QUICK.replace("\"1\"", "\"2\""));
+        let second = site.write_release_file(&new, &QUICK.replace("\"1\"", "\"2\""));
         let text = std::fs::read_to_string(&second).expect("reads");
         std::fs::write(&second, text.replace(&path(&text, "old"), &before)).expect("writes");
         good(&release(&second, "start", &[]));
--- a/crates/herondock/tests/routing.rs
+++ b/crates/herondock/tests/routing.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::Arc;
 use testkit::caller::Caller;
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 use testkit::ledger::Ledger;
 
 const POOLS: &str = "[[pool]]\nname = \"main\"\ncells = [1]\n[[pool]]\nname = \"own\"\ncells = [2]\n";
@@ -52,9 +52,12 @@
     let registry = Registry::new(None);
     for (k, upstream) in upstreams.iter().enumerate() {
         let group = u32::try_from(k + 1).expect("few");
-        registry.set(&format!("u{k}"), Listed { addr: upstream.addr, group, state: "active", started_ms: 0 });
+        registry.set(
+            &format!("u{k}"),
+            ListedUpstream { addr: upstream.addr, group, state: "active", started_ms: 0 },
+        );
     }
-    let mut command = command(&settings(registry.open("n").expect("a port")));
+    let mut command = command(&settings(registry.open_endpoint("n").expect("a port")));
     command.arg("run").arg("--operator").arg(&files.operator);
     let node = Node::run(command, Discovery::start());
     until("never ready", || node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200);
@@ -177,7 +180,7 @@
             ("HTTP_REQ_DEADLINE", "15000m"),
         ];
         web.send(&params, b"");
-        match web.ended() {
+        match web.next_outcome() {
             Some((_, fastcgi::client::Outcome::Answered(head, text))) => {
                 assert_eq!((head.status, String::from_utf8_lossy(&text).trim()), (status, body), "{path}");
             }
@@ -260,11 +263,17 @@
     let upstreams: Vec<Upstream> = (1..=2)
         .map(|group| {
             let name = format!("u{group}");
-            let options = Options { ledger: Some(ledger.clone()), group, cores: 8, ..Options::named(&name) };
+            let options = UpstreamOptions {
+                ledger: Some(ledger.clone()),
+                group,
+                cores: 8,
+                ..UpstreamOptions::named(&name)
+            };
             let upstream = Upstream::with(options, |_: &Message| {
-                Then::Work(std::time::Duration::from_millis(3), testkit::message::ok_text("x"))
+                Step::Work(std::time::Duration::from_millis(3), testkit::message::ok_response("x"))
             });
-            registry.set(&name, Listed { addr: upstream.addr, group, state: "active", started_ms: 0 });
+            registry
+                .set(&name, ListedUpstream { addr: upstream.addr, group, state: "active", started_ms: 0 });
             upstream
         })
         .collect();
@@ -274,7 +283,7 @@
     let split = format!("{POOLS}{halves}");
     let empty = one.replace("cells = [1]", "cells = [9]");
     let files = Files::new(&one, "", "");
-    let config = settings(registry.open("n").expect("a port"))
+    let config = settings(registry.open_endpoint("n").expect("a port"))
         .replace("\"repeat_window\":700", "\"repeat_window\":20000");
     let mut command = command(&config);
     command.arg("run").arg("--operator").arg(&files.operator);
@@ -288,7 +297,7 @@
             let (ledger, addr) = (&ledger, node.addr);
             scope.spawn(move || {
                 let mut caller = Caller::new(ledger.clone(), seed);
-                caller.know(&[("n".to_string(), addr)]);
+                caller.set_balancers(&[("n".to_string(), addr)]);
                 // No keyed ones: after a change they are refused for the window, which the next test is about.
                 let mut all = [CLASSES[0], CLASSES[2]].into_iter().cycle();
                 while !stop.load(SeqCst) {
@@ -349,9 +358,9 @@
     let main = Upstream::start(move |_: &Message| {
         asked.fetch_add(1, SeqCst);
         match mode.load(SeqCst) {
-            0 => Then::declined(),
+            0 => Step::declined(),
             1 => status("500 Broken"),
-            _ => Then::Wait,
+            _ => Step::Silent,
         }
     });
     let own = named("own");
@@ -380,7 +389,7 @@
     let from = std::time::Instant::now();
     assert_ne!(sent("slow").0, 200);
     assert!(from.elapsed() < std::time::Duration::from_secs(5), "its route's time, not its caller's");
-    assert!(own.further() <= 1);
+    assert!(own.count_new_requests() <= 1);
 }
 
 fn herondock(args: &[&std::ffi::OsStr], config: &Path) -> (bool, String) {
--- a/crates/herondock/tests/rules.rs
+++ b/crates/herondock/tests/rules.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 use testkit::ledger::{Entry, Ledger, RuleParameters, State};
 use testkit::script::Script;
-use testkit::upstream::Options;
+use testkit::upstream::UpstreamOptions;
 
 /// Where callers of this pairing connect.
 fn addrs(pairing: Pairing, nodes: &[Node]) -> Vec<std::net::SocketAddr> {
@@ -19,7 +19,7 @@
 fn fleet(pairing: Pairing, size: usize, registry: &Registry) -> Vec<Node> {
     let operator = pairing.operator();
     let start = |k: usize| {
-        let asked = registry.open(&format!("n{k}")).expect("a port");
+        let asked = registry.open_endpoint(&format!("n{k}")).expect("a port");
         let config = config(asked, 1024, "null")
             .replace("\"balancers\":1,\"index\":0", &format!("\"balancers\":{size},\"index\":{k}"));
         let mut command = command(&config);
@@ -28,7 +28,7 @@
         // It is ready once it has been told of the list.
         let started = std::time::Instant::now();
         while node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
-            assert!(started.elapsed() < PATIENCE, "never ready");
+            assert!(started.elapsed() < TEST_TIMEOUT, "never ready");
             thread::yield_now();
         }
         node
@@ -55,22 +55,23 @@
         for _ in 0..20 {
             script = script
                 .times(9, || ok("served"))
-                .times(1, || Then::Hang)
-                .times(2, Then::declined)
+                .times(1, || Step::Close)
+                .times(2, Step::declined)
                 .times(4, || ok("served"))
                 .times(1, || status("500 Broken"))
-                .times(3, || Then::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()))
-                .times(1, || Then::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".into()));
+                .times(3, || Step::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()))
+                .times(1, || Step::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".into()));
         }
-        script.for_ever(|| ok("served"))
+        script.forever(|| ok("served"))
     };
     let upstreams: Vec<Upstream> = (0..4)
         .map(|k| {
-            let options = Options { ledger: Some(ledger.clone()), ..pairing.options(&format!("u{k}")) };
-            let upstream = Upstream::with(options, trouble().play());
+            let options =
+                UpstreamOptions { ledger: Some(ledger.clone()), ..pairing.options(&format!("u{k}")) };
+            let upstream = Upstream::with(options, trouble().into_behaviour());
             registry.set(
                 &format!("u{k}"),
-                Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
+                ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
             );
             upstream
         })
@@ -93,10 +94,10 @@
     let registry = Registry::new(Some(ledger.clone()));
     let start = |name: &str| {
         let upstream = Upstream::with(
-            Options { ledger: Some(ledger.clone()), ..pairing.options(name) },
+            UpstreamOptions { ledger: Some(ledger.clone()), ..pairing.options(name) },
             |_: &Message| ok("x"),
         );
-        registry.set(name, Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+        registry.set(name, ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
         upstream
     };
     let upstreams = ["u0", "u1", "u2"].map(start);
@@ -107,13 +108,12 @@
     registry.state("u0", "leaving");
     registry.state("u1", "left");
     let told = |upstream: &str| {
-        let closed =
-            |e: &Entry| matches!(e, Entry::Told { upstream: u, state: State::Closed, .. } if u == upstream);
+        let closed = |e: &Entry| matches!(e, Entry::Notified { upstream: u, state: State::Closed, .. } if u == upstream);
         ledger.since(0).iter().filter(|r| closed(&r.entry)).count()
     };
     let started = std::time::Instant::now();
     while told("u0") < nodes.len() || told("u1") < nodes.len() {
-        assert!(started.elapsed() < PATIENCE, "the news does not arrive");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the news does not arrive");
         thread::yield_now();
     }
     let (before, served) =
@@ -139,11 +139,11 @@
 fn instances_told_to_end_under_load_break_no_rule_in(pairing: Pairing) {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
-    let options = Options { ledger: Some(ledger.clone()), cores: 8, ..pairing.options("u0") };
+    let options = UpstreamOptions { ledger: Some(ledger.clone()), cores: 8, ..pairing.options("u0") };
     let upstream = Upstream::with(options, |_: &Message| {
-        Then::Work(Duration::from_millis(2), testkit::message::ok_text("x"))
+        Step::Work(Duration::from_millis(2), testkit::message::ok_response("x"))
     });
-    registry.set("u0", Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+    registry.set("u0", ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
     let mut nodes = fleet(pairing, 3, &registry);
     let addrs: Vec<_> = nodes.iter().enumerate().map(|(k, n)| (format!("n{k}"), pairing.addr(n))).collect();
     let stop = std::sync::atomic::AtomicBool::new(false);
@@ -152,7 +152,7 @@
             let (ledger, stop, addrs) = (&ledger, &stop, &addrs);
             scope.spawn(move || {
                 let mut caller = pairing.caller(ledger, seed);
-                caller.know(addrs);
+                caller.set_balancers(addrs);
                 let mut all = CLASSES.iter().cycle();
                 while !stop.load(std::sync::atomic::Ordering::SeqCst) {
                     let Some((class, effect)) = all.next() else { return };
--- a/crates/herondock/tests/sockets.rs
+++ b/crates/herondock/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 /// The first request is met with `first`, all later ones with an answer, whichever upstream they reach.
-fn first_then_ok(first: fn() -> Then) -> impl Fn(&Message) -> Then + Clone + Send + Sync {
+fn first_then_ok(first: fn() -> Step) -> impl Fn(&Message) -> Step + Clone + Send + Sync {
     let seen = Arc::new(AtomicUsize::new(0));
     move |_| if seen.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok("served") }
 }
@@ -22,8 +22,8 @@
          Req-Owner: club\r\nReq-Deadline: 8000m\r\nIdempotency-Key: 5c0f\r\nContent-Length: 5\r\n\r\nhello",
     );
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"the answer"[..]));
-    let got = upstream.request();
-    assert_eq!(got.start, "POST /api/a%20b?q=1&r HTTP/1.1");
+    let got = upstream.next_request();
+    assert_eq!(got.start_line, "POST /api/a%20b?q=1&r HTTP/1.1");
     assert_eq!((got.header("req-id"), got.header("idempotency-key")), (Some("9b1f"), Some("5c0f")));
     assert_eq!(got.body, b"hello");
     let wait = got.header("req-deadline").and_then(|d| d.strip_suffix('u')).expect("microseconds");
@@ -75,8 +75,8 @@
     assert_eq!(large.answer().expect("an answer").status(), 413);
     node.client().send("\u{16}\u{3}\u{1} garbage \r\n\r\n\r\n");
     assert_eq!(client.call(&good).status(), 200);
-    assert_eq!(upstream.request().header("req-id"), Some("r1"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.next_request().header("req-id"), Some("r1"));
+    assert_eq!(upstream.count_new_requests(), 0);
 }
 
 #[test]
@@ -85,22 +85,22 @@
     let (a, b) = (Upstream::start(behave.clone()), Upstream::start(behave));
     let node = with(&[a.addr, b.addr]);
     assert_eq!(node.client().call(&pay("r1", "5000m")).status(), 200);
-    assert_eq!(a.further() + b.further(), 2);
+    assert_eq!(a.count_new_requests() + b.count_new_requests(), 2);
 
     for first in [
         || status("503 Service Unavailable"),
         || status("504 Gateway Timeout\r\nSrv-Declined: 0"),
         || status("500 Internal Server Error\r\nSrv-Declined: 1"),
-        || Then::Hang,
-        || Then::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".into()),
-        || Then::AnswerAndClose("garbage\r\n\r\n".into()),
+        || Step::Close,
+        || Step::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".into()),
+        || Step::AnswerAndClose("garbage\r\n\r\n".into()),
     ] {
         let behave = first_then_ok(first);
         let (a, b) = (Upstream::start(behave.clone()), Upstream::start(behave));
         let node = with(&[a.addr, b.addr]);
         // It may have run: neither another attempt nor a refusal, which would invite one.
         assert_eq!(node.client().call(&pay("r1", "5000m")).status(), 502);
-        assert_eq!(a.further() + b.further(), 1);
+        assert_eq!(a.count_new_requests() + b.count_new_requests(), 1);
     }
 }
 
@@ -112,50 +112,51 @@
     for i in 0..10 {
         assert_eq!(client.call(&pay(&format!("r{i}"), "5000m")).status(), 200);
     }
-    assert_eq!(upstream.further(), 10);
+    assert_eq!(upstream.count_new_requests(), 10);
 }
 
 #[test]
 fn a_connection_closed_while_it_rested_costs_no_request() {
     let upstream =
-        Upstream::start(|_| Then::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
+        Upstream::start(|_| Step::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
     let node = with(&[upstream.addr]);
     let mut client = node.client();
-    node.discovery.called();
+    node.discovery.next_path();
     assert_eq!(client.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     let without = node.descriptors();
     for i in 0..20 {
         assert_eq!(client.call(&pay(&format!("r{i}"), "5000m")).status(), 200);
-        assert_eq!(upstream.request().header("req-id"), Some(format!("r{i}").as_str()));
+        assert_eq!(upstream.next_request().header("req-id"), Some(format!("r{i}").as_str()));
         node.wait_for_descriptors(|n| n <= without, "the closed connection is still held");
     }
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.count_new_requests(), 0);
 }
 
 #[test]
 fn silence_until_the_deadline_gets_one_answer_and_closes_the_connection() {
     let silent =
-        || Upstream::start(|m| if m.header("req-id") == Some("late") { Then::Wait } else { ok("x") });
+        || Upstream::start(|m| if m.header("req-id") == Some("late") { Step::Silent } else { ok("x") });
     let upstream = silent();
     let node = with(&[upstream.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&pay("late", "300m")).status(), 502);
-    upstream.request();
-    upstream.closed();
+    upstream.next_request();
+    upstream.wait_for_close();
     // The next answer on the connection belongs to the next request: nothing more came for the first.
     assert_eq!(client.call(&pay("next", "5000m")).status(), 200);
-    assert_eq!(upstream.request().header("req-id"), Some("next"));
+    assert_eq!(upstream.next_request().header("req-id"), Some("next"));
 }
 
 #[test]
 fn an_attempt_is_called_off_when_its_client_has_gone() {
-    let upstream = Upstream::start(|m| if m.header("req-id") == Some("gone") { Then::Wait } else { ok("x") });
+    let upstream =
+        Upstream::start(|m| if m.header("req-id") == Some("gone") { Step::Silent } else { ok("x") });
     let node = with(&[upstream.addr]);
     let mut client = node.client();
     client.send(&pay("gone", "20000m"));
-    upstream.request();
+    upstream.next_request();
     drop(client);
-    upstream.closed();
+    upstream.wait_for_close();
     assert_eq!(node.client().call(&pay("next", "5000m")).status(), 200);
 }
 
@@ -168,7 +169,7 @@
     let started = std::time::Instant::now();
     let answer = client.call(&pay("r1", "86400000m"));
     assert_eq!(answer.status(), 503);
-    assert!(started.elapsed() < PATIENCE);
+    assert!(started.elapsed() < TEST_TIMEOUT);
     let after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
     assert!(after > 0.0 && after <= 2.0, "{after}");
 }
@@ -176,44 +177,48 @@
 #[test]
 fn the_watch_follows_versions_and_bad_answers_change_nothing() {
     let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
-    let node = start(1024, &listing(5, true, &[(0, old.addr, "active")]));
+    let node = start(1024, &upstream_list(5, true, &[(0, old.addr, "active")]));
     let discovery = &node.discovery;
     let mut client = node.client();
     let mut ask = |id: &str| String::from_utf8(client.call(&get(id, "5000m")).body).expect("text");
-    assert!(discovery.called().starts_with("/api/targets?since=5&timeout_ms="));
+    assert!(discovery.next_path().starts_with("/api/targets?since=5&timeout_ms="));
     assert_eq!(ask("r1"), "old");
     let changes = [(0, old.addr, "leaving"), (1, new.addr, "active")];
-    discovery.answer(&listing(7, false, &changes));
+    discovery.answer(&upstream_list(7, false, &changes));
     // The watch is armed again, which shows that the news has been taken in.
-    assert!(discovery.called().starts_with("/api/targets?since=7&"));
+    assert!(discovery.next_path().starts_with("/api/targets?since=7&"));
     for i in 0..10 {
         assert_eq!(ask(&format!("n{i}")), "new");
     }
     for bad in [
         "{\"version\":8,\"full\":true,\"servers\":[{\"id\":\"s-0\"}]}".to_string(),
-        listing(9, true, &[(0, old.addr, "odd")]),
+        upstream_list(9, true, &[(0, old.addr, "odd")]),
         "not even".to_string(),
     ] {
         discovery.answer(&bad);
-        assert!(discovery.called().starts_with("/api/targets?since=7&"), "asked again after {bad}");
+        assert!(discovery.next_path().starts_with("/api/targets?since=7&"), "asked again after {bad}");
         assert_eq!(ask("r"), "new");
     }
     discovery.fail();
-    assert!(discovery.called().starts_with("/api/targets?since=7&"));
+    assert!(discovery.next_path().starts_with("/api/targets?since=7&"));
     assert_eq!(ask("r"), "new");
-    discovery.answer(&listing(9, true, &[(0, old.addr, "active")]));
-    assert!(discovery.called().starts_with("/api/targets?since=9&"));
+    discovery.answer(&upstream_list(9, true, &[(0, old.addr, "active")]));
+    assert!(discovery.next_path().starts_with("/api/targets?since=9&"));
     assert_eq!(ask("r"), "old", "a whole list without an upstream ends it");
     // Guards against asking for ever for what follows a version that a discovery begun anew has never had.
-    discovery.answer(&listing(2, false, &[(1, new.addr, "active")]));
-    assert_eq!(discovery.called(), "/api/targets", "changes that do not follow: the whole list is asked for");
+    discovery.answer(&upstream_list(2, false, &[(1, new.addr, "active")]));
+    assert_eq!(
+        discovery.next_path(),
+        "/api/targets",
+        "changes that do not follow: the whole list is asked for"
+    );
     assert_eq!(ask("r"), "old");
-    discovery.answer(&listing(2, true, &[(1, new.addr, "active")]));
-    assert!(discovery.called().starts_with("/api/targets?since=2&"));
+    discovery.answer(&upstream_list(2, true, &[(1, new.addr, "active")]));
+    assert!(discovery.next_path().starts_with("/api/targets?since=2&"));
     assert_eq!(ask("r"), "new");
-    discovery.answer(&listing(1, true, &[(0, old.addr, "active")]));
+    discovery.answer(&upstream_list(1, true, &[(0, old.addr, "active")]));
     assert!(
-        discovery.called().starts_with("/api/targets?since=1&"),
+        discovery.next_path().starts_with("/api/targets?since=1&"),
         "a whole list holds, whatever its version"
     );
     assert_eq!(ask("r"), "old");
@@ -224,38 +229,38 @@
     let (go, held) = channel();
     let held = Mutex::new(Some(held));
     let old = Upstream::start(move |_| match held.lock().expect("no panic").take() {
-        Some(word) => Then::Hold(word, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into()),
+        Some(word) => Step::Hold(word, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into()),
         None => ok("old"),
     });
     let new = Upstream::start(|_| ok("new"));
-    let mut node = start(1024, &listing(41, true, &[(0, old.addr, "active")]));
-    assert!(node.discovery.called().starts_with("/api/targets?since=41&"));
+    let mut node = start(1024, &upstream_list(41, true, &[(0, old.addr, "active")]));
+    assert!(node.discovery.next_path().starts_with("/api/targets?since=41&"));
     let mut client = node.client();
     client.send(&get("r1", "15000m"));
-    old.request();
+    old.next_request();
     // Guards against SIGHUP ending the program, and against a bad file changing anything: one line, no call.
     node.reload("{");
-    node.logs("not reloaded");
+    node.wait_for_log("not reloaded");
     // An address that does not come up, and right after it one that does: nothing waits for the first.
     let (nowhere, moved) = (Unreachable::start(), Discovery::start());
     node.reload(&config(nowhere.addr, 1024, "null"));
-    node.logs(&format!("now at {}", nowhere.addr));
+    node.wait_for_log(&format!("now at {}", nowhere.addr));
     let mut other = node.client();
     assert_eq!(other.call(&get("r2", "5000m")).body, b"old", "the list holds until there is another");
     node.reload(&config(moved.addr, 1024, "null"));
     // The versions of the old address mean nothing here.
-    assert_eq!(moved.called(), "/api/targets");
-    moved.answer(&listing(3, true, &[(1, new.addr, "active")]));
-    assert!(moved.called().starts_with("/api/targets?since=3&"));
+    assert_eq!(moved.next_path(), "/api/targets");
+    moved.answer(&upstream_list(3, true, &[(1, new.addr, "active")]));
+    assert!(moved.next_path().starts_with("/api/targets?since=3&"));
     assert_eq!(other.call(&get("r3", "5000m")).body, b"new");
     go.send(()).expect("the upstream waits");
     assert_eq!(client.answer().expect("an answer").body, b"old", "what was under way goes on");
     // And again while the watch waits.
     let third = Discovery::start();
     node.reload(&config(third.addr, 1024, "null"));
-    assert_eq!(third.called(), "/api/targets");
-    third.answer(&listing(1, true, &[(0, old.addr, "active")]));
-    assert!(third.called().starts_with("/api/targets?since=1&"));
+    assert_eq!(third.next_path(), "/api/targets");
+    third.answer(&upstream_list(1, true, &[(0, old.addr, "active")]));
+    assert!(third.next_path().starts_with("/api/targets?since=1&"));
     assert_eq!(other.call(&get("r4", "5000m")).body, b"old");
     node.terminate();
     assert!(node.wait().success());
@@ -264,7 +269,7 @@
 #[test]
 fn idle_callers_make_way_for_new_ones() {
     let upstream = Upstream::start(|_| ok("x"));
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let node = start(64, &known);
     // Far more kept connections than descriptors: the one that rested longest is closed for the next.
     let mut clients: Vec<Client> = Vec::new();
@@ -279,7 +284,7 @@
 #[test]
 fn running_out_of_descriptors_ends_nothing() {
     let upstream = Upstream::start(|_| ok("x"));
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
+    let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let discovery = Discovery::start();
     // The configuration promises more than the system gives: accepting fails, and goes on.
     let limited = program().limited_command(&config(discovery.addr, 1024, &known), 32);
@@ -295,7 +300,7 @@
     drop(clients);
     let started = std::time::Instant::now();
     while node.client().call(&get("after", "10000m")).status() != 200 {
-        assert!(started.elapsed() < PATIENCE, "it does not recover");
+        assert!(started.elapsed() < TEST_TIMEOUT, "it does not recover");
     }
 }
 
@@ -311,10 +316,10 @@
 fn dialling(more: impl Fn(String) -> String) -> (Node, Unreachable) {
     let full = Unreachable::start();
     let discovery = Discovery::start();
-    let config = config(discovery.addr, 1024, &listing(1, true, &[(0, full.addr, "active")]))
+    let config = config(discovery.addr, 1024, &upstream_list(1, true, &[(0, full.addr, "active")]))
         .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let node = Node::run(command(&more(config)), discovery);
-    node.discovery.called();
+    node.discovery.next_path();
     (node, full)
 }
 
@@ -333,7 +338,7 @@
     node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
     drop(client);
     node.wait_for_descriptors(|n| n <= without + 1, "it does not see that the client left");
-    assert!(read(&mut full.reach()).is_none());
+    assert!(read(&mut full.accept_connection()).is_none());
 }
 
 #[test]
@@ -343,9 +348,9 @@
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
     node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
-    node.discovery.answer(&listing(2, false, &[(0, full.addr, "leaving")]));
-    assert!(node.discovery.called().contains("since=2&"));
-    assert!(read(&mut full.reach()).is_none());
+    node.discovery.answer(&upstream_list(2, false, &[(0, full.addr, "leaving")]));
+    assert!(node.discovery.next_path().contains("since=2&"));
+    assert!(read(&mut full.accept_connection()).is_none());
     // Nothing ran, and nobody else is there to serve it.
     assert_eq!(client.answer().expect("an answer").status(), 503);
 }
@@ -359,10 +364,10 @@
     client.send(&pay("r1", "20000m"));
     node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
     for (version, state) in [(2, "leaving"), (3, "active"), (4, "leaving")] {
-        node.discovery.answer(&listing(version, false, &[(0, full.addr, state)]));
-        assert!(node.discovery.called().contains(&format!("since={version}&")));
+        node.discovery.answer(&upstream_list(version, false, &[(0, full.addr, state)]));
+        assert!(node.discovery.next_path().contains(&format!("since={version}&")));
     }
-    assert!(read(&mut full.reach()).is_none());
+    assert!(read(&mut full.accept_connection()).is_none());
     assert_eq!(client.answer().expect("an answer").status(), 503);
 }
 
@@ -388,14 +393,15 @@
 #[test]
 fn a_watch_survives_connections_that_discovery_closes() {
     let node = start(1024, "null");
-    node.discovery.called();
+    node.discovery.next_path();
     let upstream = Upstream::start(|_| ok("x"));
-    node.discovery.answer_with("Connection: close\r\n", &listing(1, true, &[(0, upstream.addr, "active")]));
+    node.discovery
+        .answer_with("Connection: close\r\n", &upstream_list(1, true, &[(0, upstream.addr, "active")]));
     for version in 1..5 {
-        assert!(node.discovery.called().contains(&format!("since={version}&")));
-        node.discovery.answer_with("Connection: close\r\n", &listing(version + 1, false, &[]));
+        assert!(node.discovery.next_path().contains(&format!("since={version}&")));
+        node.discovery.answer_with("Connection: close\r\n", &upstream_list(version + 1, false, &[]));
     }
-    assert!(node.discovery.called().contains("since=5&"));
+    assert!(node.discovery.next_path().contains("since=5&"));
     let log = node.log();
     assert!(log.len() == 1 && log[0].contains("serving on"), "no call counted as failed: {log:?}");
 }
@@ -405,13 +411,13 @@
     let (word, hold) = channel();
     let hold = std::sync::Mutex::new(Some(hold));
     let upstream = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
-        Some(hold) => Then::Hold(hold, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into()),
+        Some(hold) => Step::Hold(hold, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into()),
         None => ok("x"),
     });
     let mut node = with(&[upstream.addr]);
     let (mut early, mut kept) = (node.client(), node.client());
     early.send(&pay("early", "20000m"));
-    upstream.request();
+    upstream.next_request();
     assert_eq!(kept.call(&get("kept", "5000m")).status(), 200);
     let told = std::time::Instant::now();
     node.terminate();
--- a/crates/herondock/tests/takeover.rs
+++ b/crates/herondock/tests/takeover.rs
@@ -11,8 +11,8 @@
 use testkit::caller::{Caller, Operation};
 use testkit::ledger::{Effect, Entry, Ledger};
 use testkit::node::signal;
-use testkit::plain::{calling, Plain};
-use testkit::upstream::Options;
+use testkit::plain::{call_during, PlainCaller};
+use testkit::upstream::UpstreamOptions;
 
 /// Ends the callers, also when what was done meanwhile has failed: nothing would end the test otherwise.
 struct Stop<'a>(&'a AtomicBool);
@@ -35,7 +35,7 @@
                 while !stop.load(Ordering::SeqCst) {
                     // Half of them come anew for every request.
                     let mut caller = Caller::new(ledger.clone(), seed);
-                    caller.reach("n1", addr);
+                    caller.set_balancer("n1", addr);
                     for _ in 0..if seed % 2 == 0 { 1 } else { 50 } {
                         let Some(&(class, effect)) = all.next() else { return };
                         let deadline = Duration::from_secs(20);
@@ -46,7 +46,7 @@
                             ..Operation::default()
                         });
                     }
-                    unconnected.fetch_add(caller.unconnected(), Ordering::SeqCst);
+                    unconnected.fetch_add(caller.connect_failures(), Ordering::SeqCst);
                 }
             });
         }
@@ -59,9 +59,9 @@
 }
 
 fn kept(ledger: &Arc<Ledger>) -> Upstream {
-    let options = Options { ledger: Some(ledger.clone()), cores: 8, ..Options::named("u0") };
+    let options = UpstreamOptions { ledger: Some(ledger.clone()), cores: 8, ..UpstreamOptions::named("u0") };
     Upstream::with(options, |_: &Message| {
-        Then::Work(Duration::from_millis(2), testkit::message::ok_text("x"))
+        Step::Work(Duration::from_millis(2), testkit::message::ok_response("x"))
     })
 }
 
@@ -78,8 +78,13 @@
     let mut old = started(&args, &known(&upstream));
     let addr = old.addr;
     // Besides callers that try again, some that hide nothing: half write a little after they have connected.
-    let rest = Duration::from_millis(20);
-    let plain = [true, false].map(|keeps| Plain { addr, balancer: "n1", keeps, rest });
+    let max_idle_time = Duration::from_millis(20);
+    let plain = [true, false].map(|keeps_connection| PlainCaller {
+        addr,
+        balancer: "n1",
+        keeps_connection,
+        max_idle_time,
+    });
     let take_over = || {
         for _ in 0..3 {
             // It knows no upstream but from its predecessor, and discovery says nothing.
@@ -93,7 +98,7 @@
         }
     };
     let callers = plain.map(|p| [p; 4]).concat();
-    let ((), met) = calling(&callers, &ledger, || under_load(&ledger, addr, take_over));
+    let ((), met) = call_during(&callers, &ledger, || under_load(&ledger, addr, take_over));
     assert!(met.failed() == 0 && met.served > 50, "{met:?}");
     assert_eq!(ledger.check(&figures()), []);
     let records = ledger.since(0);
@@ -118,14 +123,14 @@
                 config(discovery.addr, 1024, "null").replace("\"idle_close\":60000", "\"idle_close\":50000");
             let mut command = command(&other);
             let mut new = command.arg("run").args(args).spawn().expect("starts");
-            discovery.called();
+            discovery.next_path();
             signal(new.id(), how);
             let mut log = String::new();
             new.stderr.take().expect("its log").read_to_string(&mut log).expect("text");
             assert!(!log.contains("serving on"), "{log}");
             assert_eq!(new.wait().expect("it ends").success(), how == "TERM");
         }
-        old.logs("came to nothing");
+        old.wait_for_log("came to nothing");
     });
     assert_eq!(ledger.check(&figures()), []);
     assert_eq!(old.client().call(&get("after", "5000m")).status(), 200);
@@ -135,13 +140,13 @@
     let mut next = command(&other);
     next.arg("run").args(args);
     let new = thread::spawn(move || Node::run(next, Discovery::start()));
-    discovery.called();
+    discovery.next_path();
     old.terminate();
     assert!(old.wait().success());
     let new = new.join().expect("it serves once its predecessor has ended");
     assert_eq!(new.addr, addr);
     discovery.answer(&known(&upstream));
-    discovery.called();
+    discovery.next_path();
     assert_eq!(new.client().call(&get("last", "5000m")).status(), 200);
 }
 
@@ -160,7 +165,7 @@
     let discovery = Discovery::start();
     let other = config(discovery.addr, 1024, "null").replace("\"idle_close\":60000", "\"idle_close\":50000");
     let mut first = command(&other).arg("run").args(args).spawn().expect("starts");
-    discovery.called();
+    discovery.next_path();
     let output = command(&other).arg("run").args(args).output().expect("runs");
     let log = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.code() == Some(1) && log.contains("refused: another process"), "{log}");
@@ -217,7 +222,7 @@
 
 /// Waits until the old process has done all that the hand-over asked of it: its one thread has come round once more.
 fn handed_over(old: &Node, mut turn: Client) {
-    old.logs("the sockets are another process's");
+    old.wait_for_log("the sockets are another process's");
     let answer = turn.call(&get("round", "20000m"));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
 }
@@ -276,7 +281,7 @@
     let mut node = started(&args, &known(&upstream));
     let quiet = Quiet::open(&node, 10);
     node.terminate();
-    node.logs("told to end");
+    node.wait_for_log("told to end");
     quiet.all_are_served();
     assert!(node.wait().success(), "nobody is left");
     // And where nothing is announced, what is silent closes at once; a caller that has yet to ask is served all the same.
--- a/crates/herondock/tests/tiers.rs
+++ b/crates/herondock/tests/tiers.rs
@@ -4,7 +4,7 @@
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 
 /// An instance of a pool that asks this registry; `more` goes into its `[budget]`, `front` before it.
 fn instance(pool: &str, registry: &Registry, front: &str, more: &str) -> Node {
@@ -15,7 +15,7 @@
 /// An instance with this operator's file.
 fn plain(registry: &Registry, text: &str) -> Node {
     let operator = program().file(".toml", text);
-    let asked = registry.open("n").expect("a port");
+    let asked = registry.open_endpoint("n").expect("a port");
     let mut command = command(&config(asked, 1024, "null"));
     command.arg("run").arg("--operator").arg(operator);
     Node::run(command, Discovery::start())
@@ -23,7 +23,7 @@
 
 /// Lists it as the one upstream, and waits until the instance knows.
 fn leads(node: &Node, registry: &Registry, to: SocketAddr) {
-    registry.set("u", Listed { addr: to, group: 1, state: "active", started_ms: 0 });
+    registry.set("u", ListedUpstream { addr: to, group: 1, state: "active", started_ms: 0 });
     ready(node);
 }
 
@@ -35,7 +35,7 @@
 fn before(pool: &str, upstreams: &[SocketAddr], front: &str, more: &str) -> Node {
     let registry = Registry::new(None);
     for (k, &addr) in upstreams.iter().enumerate() {
-        registry.set(&format!("u{k}"), Listed { addr, group: 1, state: "active", started_ms: 0 });
+        registry.set(&format!("u{k}"), ListedUpstream { addr, group: 1, state: "active", started_ms: 0 });
     }
     let node = instance(pool, &registry, front, more);
     ready(&node);
@@ -70,7 +70,7 @@
     for k in 0..50 {
         looped(&client.call(&with(&get(&format!("r{k}"), "15000m"), "Req-Budget: retries=2")));
     }
-    node.logs("refused: the request has been here before: its route is a loop; it came from 1.1 hd-");
+    node.wait_for_log("refused: the request has been here before: its route is a loop; it came from 1.1 hd-");
     assert_eq!(said(&node), 1);
 
     // Over a second pool and back, a charge too; nobody tries it again anywhere.
@@ -81,7 +81,7 @@
     leads(&cuentas, &to_portal, portal.addr);
     looped(&portal.client().call(&with(&pay("charge", "15000m"), "Req-Budget: retries=2")));
     // The answer may be here before the line is.
-    portal.logs(LOOP);
+    portal.wait_for_log(LOOP);
     assert_eq!((said(&portal), said(&cuentas)), (1, 0));
 
     // The way there over FastCGI.
@@ -93,7 +93,7 @@
     leads(&cuentas, &to_portal, portal.addr);
     looped(&portal.client().call(&with(&get("r", "15000m"), "Req-Budget: retries=2")));
     // The answer may be here before the line is.
-    portal.logs(LOOP);
+    portal.wait_for_log(LOOP);
     assert_eq!((said(&portal), said(&cuentas)), (1, 0));
 
     // An instance without budgets between passes on what it does not know, and tries again by itself: each time round ends
@@ -104,7 +104,7 @@
     leads(&portal, &to_old, old.addr);
     leads(&old, &to_portal, portal.addr);
     let answer = portal.client().call(&with(&get("r", "15000m"), "Req-Budget: retries=2"));
-    portal.logs(LOOP);
+    portal.wait_for_log(LOOP);
     assert_eq!((answer.status(), said(&portal)), (503, 1), "{answer:?}");
     assert_eq!(portal.client().call(&pay("charge", "15000m")).status(), 502);
 
@@ -129,7 +129,7 @@
                     passed.fetch_add(1, SeqCst);
                     let known = ["req-id", "req-kind", "req-owner", "req-deadline", "content-length"];
                     let kept = m.headers.iter().filter(|(n, _)| known.contains(&&*n.to_ascii_lowercase()));
-                    let mut text = format!("{}\r\nHost: x\r\n", m.start);
+                    let mut text = format!("{}\r\nHost: x\r\n", m.start_line);
                     kept.for_each(|(n, v)| text.push_str(&format!("{n}: {v}\r\n")));
                     text.push_str(&format!(
                         "Via: {}, 1.1 proxy (Squid, 6)\r\n\r\n",
@@ -142,7 +142,7 @@
                     let body = String::from_utf8_lossy(&answer.body).into_owned();
                     let _ = stream
                         .get_mut()
-                        .write_all(format!("{}\r\n{head}\r\n{body}", answer.start).as_bytes());
+                        .write_all(format!("{}\r\n{head}\r\n{body}", answer.start_line).as_bytes());
                 }
             });
         }
@@ -182,7 +182,7 @@
     assert_eq!(ask(trusting.addr, "Via: 1.1 a, 1.1 b").0, 200);
     // One that is not believed is neither bounded by what it says nor turned away for it.
     let registry = Registry::new(None);
-    registry.set("u", Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+    registry.set("u", ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
     let stranger = plain(&registry, "[budget]\npool = \"portal\"\n");
     ready(&stranger);
     let (status, seen) = ask(stranger.addr, "Req-Budget: retries=0, worth=0, left=-1");
@@ -191,7 +191,7 @@
 
 /// A server of the first tier: calls the next one through its own balancer, and passes on what came, or nothing.
 fn portal(own: SocketAddr, passes_on: bool, calls: std::sync::Arc<AtomicUsize>) -> Upstream {
-    let options = Options { cores: 64, queue: 1000, ..Options::named("portal") };
+    let options = UpstreamOptions { cores: 64, queue: 1000, ..UpstreamOptions::named("portal") };
     Upstream::with(options, move |m: &Message| {
         let n = calls.fetch_add(1, SeqCst);
         let left = m.header("req-deadline").unwrap_or("400m");
@@ -203,12 +203,12 @@
         }
         let mut client = Client::connect(own).expect("its balancer is up");
         client.send(&text);
-        let Some(answer) = client.answer() else { return Then::Hang };
+        let Some(answer) = client.answer() else { return Step::Close };
         let used = answer.header("req-used").filter(|_| passes_on);
         let used = used.map(|used| format!("Req-Used: {used}\r\n")).unwrap_or_default();
         match answer.status() {
-            200 => Then::Answer(format!("HTTP/1.1 200 OK\r\n{used}Content-Length: 2\r\n\r\nok")),
-            _ => Then::Answer(format!("HTTP/1.1 500 Below\r\n{used}Content-Length: 0\r\n\r\n")),
+            200 => Step::Answer(format!("HTTP/1.1 200 OK\r\n{used}Content-Length: 2\r\n\r\nok")),
+            _ => Step::Answer(format!("HTTP/1.1 500 Below\r\n{used}Content-Length: 0\r\n\r\n")),
         }
     })
 }
@@ -258,11 +258,12 @@
         let servers: Vec<Upstream> = (0..2)
             .map(|k| {
                 let (below, slow) = (below.clone(), slow.clone());
-                let options = Options { cores: 4, queue: 8, ..Options::named(&format!("c{k}")) };
+                let options =
+                    UpstreamOptions { cores: 4, queue: 8, ..UpstreamOptions::named(&format!("c{k}")) };
                 Upstream::with(options, move |_: &Message| {
                     below.fetch_add(1, SeqCst);
                     let times = if slow.load(SeqCst) == 1 { 30 } else { 3 };
-                    Then::Work(std::time::Duration::from_millis(times), testkit::message::ok_text("x"))
+                    Step::Work(std::time::Duration::from_millis(times), testkit::message::ok_response("x"))
                 })
             })
             .collect();
@@ -312,16 +313,16 @@
             1,
         )
     };
-    let upstream = Upstream::start(|_: &Message| Then::Wait);
+    let upstream = Upstream::start(|_: &Message| Step::Silent);
     let lower = before("cuentas", &[upstream.addr], "", "");
     let upper = before("portal", &[lower.addr], "", "");
-    let client = upper.client_that_sent(&order("given-up"));
-    upstream.request();
+    let client = upper.client_with_request(&order("given-up"));
+    upstream.next_request();
     drop(client);
     // Both tiers let go, down to the server, and neither tries again.
-    upstream.closed();
+    upstream.wait_for_close();
     let answer = lower.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!((answer.status(), upstream.further()), (200, 0));
+    assert_eq!((answer.status(), upstream.count_new_requests()), (200, 0));
 
     // The second tier's attempt breaks once the first has given up: nobody waits, so nothing is repeated.
     let (word, hold) = std::sync::mpsc::channel();
@@ -331,15 +332,15 @@
     let upstream = Upstream::start(move |m: &Message| {
         count.fetch_add(1, SeqCst);
         match hold.lock().expect("no panic").take() {
-            Some(word) => Then::Hold(word, broken()),
-            None if m.header("req-id").is_some_and(|id| id.starts_with("crossed")) => Then::Answer(broken()),
+            Some(word) => Step::Hold(word, broken()),
+            None if m.header("req-id").is_some_and(|id| id.starts_with("crossed")) => Step::Answer(broken()),
             None => ok("x"),
         }
     });
     let mut lower = before("cuentas", &[upstream.addr], "", "retries = 1");
     let before_it = lower.descriptors();
-    let client = lower.client_that_sent(&order("late"));
-    upstream.request();
+    let client = lower.client_with_request(&order("late"));
+    upstream.next_request();
     drop(client);
     lower.wait_for_descriptors(|held| held < before_it + 1, "its attempt is called off");
     word.send(()).expect("it waits");
@@ -347,7 +348,7 @@
     assert_eq!(ran.load(SeqCst), 2, "the first attempt, and the next request");
     // And while the two cross: whichever comes first, every request has one end, and none is left open.
     for k in 0..50 {
-        drop(lower.client_that_sent(&order(&format!("crossed{k}"))));
+        drop(lower.client_with_request(&order(&format!("crossed{k}"))));
     }
     assert_eq!(lower.client().call(&get("last", "15000m")).status(), 200);
     assert!(ran.load(SeqCst) <= 3 + 2 * 50, "one repeat each at most");
@@ -363,18 +364,19 @@
 /// Guards against work for nobody: what is refused says that nothing ran.
 #[test]
 fn what_cannot_be_answered_in_time_is_refused_and_says_that_nothing_ran() {
-    let upstream = Upstream::with(Options { cores: 8, ..Options::named("u") }, |_: &Message| {
-        Then::Work(std::time::Duration::from_millis(60), testkit::message::ok_text("x"))
-    });
+    let upstream =
+        Upstream::with(UpstreamOptions { cores: 8, ..UpstreamOptions::named("u") }, |_: &Message| {
+            Step::Work(std::time::Duration::from_millis(60), testkit::message::ok_response("x"))
+        });
     let node = before("portal", &[upstream.addr], "", "refuse_hopeless = true");
     let mut client = node.client();
     for k in 0..25 {
         assert_eq!(client.call(&get(&format!("r{k}"), "15000m")).status(), 200);
     }
-    upstream.further();
+    upstream.count_new_requests();
     let answer = client.call(&get("late", "20m"));
     assert_eq!((answer.status(), answer.header("srv-declined")), (503, Some("1")));
-    assert_eq!(upstream.further(), 0, "nothing was sent for it");
+    assert_eq!(upstream.count_new_requests(), 0, "nothing was sent for it");
     // A refusal of what may have run does not say so.
     let broken = Upstream::start(|_: &Message| status("500 Broken"));
     let node = before("portal", &[broken.addr], "", "");
--- a/crates/herondock/tests/upstreams.rs
+++ b/crates/herondock/tests/upstreams.rs
@@ -6,14 +6,14 @@
 fn is_a_reset(answer: &str) {
     let text = answer.to_string();
     let upstream = Upstream::start(move |m| match m.header("req-id") {
-        Some("bad") => Then::Answer(text.clone()),
+        Some("bad") => Step::Answer(text.clone()),
         _ => ok("good"),
     });
     let node = with(&[upstream.addr]);
     let mut client = node.client();
     assert_eq!(client.call(&pay("bad", "15000m")).status(), 502, "{answer:.200}");
     assert_eq!(client.call(&pay("next", "15000m")).body, b"good", "{answer:.200}");
-    upstream.closed();
+    upstream.wait_for_close();
 }
 
 #[test]
@@ -41,7 +41,7 @@
 fn what_comes_behind_an_answer_is_no_answer_to_the_next_request() {
     let twice = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
     let upstream = Upstream::start(move |m| match m.header("req-id") {
-        Some("r1") => Then::Answer(twice.clone()),
+        Some("r1") => Step::Answer(twice.clone()),
         _ => ok("two"),
     });
     let node = with(&[upstream.addr]);
@@ -54,7 +54,7 @@
 fn news_ahead_of_an_answer_is_passed_over() {
     let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(3);
     let upstream = Upstream::start(move |_| {
-        Then::Answer(format!("{ahead}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"))
+        Step::Answer(format!("{ahead}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"))
     });
     let node = with(&[upstream.addr]);
     let mut client = node.client();
@@ -74,7 +74,7 @@
     // It is not sent again, though it may be repeated, and its caller is told.
     assert_eq!(client.call(&get("odd", "15000m")).status(), 404);
     assert_eq!(node.client().call(&get("next", "15000m")).body, b"good");
-    assert_eq!(upstream.request().header("req-id"), Some("odd"));
-    assert_eq!(upstream.request().header("req-id"), Some("next"));
-    assert_eq!(upstream.further(), 0);
+    assert_eq!(upstream.next_request().header("req-id"), Some("odd"));
+    assert_eq!(upstream.next_request().header("req-id"), Some("next"));
+    assert_eq!(upstream.count_new_requests(), 0);
 }
--- a/crates/verification/testkit/src/caller.rs
+++ b/crates/verification/testkit/src/caller.rs
@@ -2,8 +2,8 @@
 use crate::fastcgi::WebServer;
 use crate::ledger::{Effect, Entry, Ledger};
 use crate::message::{read, Message};
-use crate::PATIENCE;
-use fastcgi::client::Outcome as Ended;
+use crate::TEST_TIMEOUT;
+use fastcgi::client::Outcome as FastCgiOutcome;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,14 +19,14 @@
     /// `None`: nobody listens.
     pub fn connect(addr: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(addr).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         Some(Client(BufReader::new(stream)))
     }
 
     /// The same, with so long for each answer.
-    pub fn connect_within(addr: SocketAddr, within: Duration) -> Option<Client> {
-        let stream = TcpStream::connect_timeout(&addr, within).ok()?;
-        stream.set_read_timeout(Some(within)).ok()?;
+    pub fn connect_with_timeout(addr: SocketAddr, timeout: Duration) -> Option<Client> {
+        let stream = TcpStream::connect_timeout(&addr, timeout).ok()?;
+        stream.set_read_timeout(Some(timeout)).ok()?;
         Some(Client(BufReader::new(stream)))
     }
 
@@ -60,7 +60,7 @@
     /// How long it waits over all its tries.
     pub deadline: Duration,
     /// The part of that which one try may take.
-    pub try_part: f64,
+    pub attempt_fraction: f64,
     /// How often it tries again.
     pub retries: u32,
     /// How long it waits before that; more if the refusal asks for it.
@@ -75,7 +75,7 @@
             owner: "club".into(),
             effect: Effect::Safe,
             deadline: Duration::from_secs(6),
-            try_part: 0.55,
+            attempt_fraction: 0.55,
             retries: 3,
             pause: Duration::ZERO,
         }
@@ -102,11 +102,11 @@
 
 /// What came of an operation, and in how many tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Done {
+pub struct OperationResult {
     /// How it ended.
     pub outcome: Outcome,
     /// Requests that were sent.
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 /// A caller that retries as the platform's do: up to so many times, at once or after a pause; after a refusal always,
@@ -115,9 +115,9 @@
 pub struct Caller {
     ledger: Arc<Ledger>,
     balancers: Vec<(String, SocketAddr)>,
-    kept: HashMap<SocketAddr, Link>,
+    idle_connections: HashMap<SocketAddr, Connection>,
     random: u64,
-    asks: bool,
+    checks_readiness: bool,
     fastcgi: bool,
     unconnected: u64,
 }
@@ -130,9 +130,9 @@
 }
 
 /// How many new connections to an address are tried, one after the other, while each is told to close.
-const FRESH: usize = 3;
+const MAX_NEW_CONNECTIONS: usize = 3;
 
-enum Try {
+enum AttemptOutcome {
     Answer(Message),
     /// The connection could not be made or ended before anything was sent on it.
     Unreached,
@@ -146,16 +146,16 @@
         Caller {
             ledger,
             balancers: Vec::new(),
-            kept: HashMap::new(),
+            idle_connections: HashMap::new(),
             random: seed | 1,
-            asks: false,
+            checks_readiness: false,
             fastcgi: false,
             unconnected: 0,
         }
     }
 
     /// Adds a balancer, or changes where it is.
-    pub fn reach(&mut self, name: &str, addr: SocketAddr) {
+    pub fn set_balancer(&mut self, name: &str, addr: SocketAddr) {
         self.remove_balancer(name);
         self.balancers.push((name.into(), addr));
     }
@@ -168,69 +168,69 @@
     /// Asks on each new connection first whether the balancer is ready, as a front does that keeps away from what is
     /// leaving; and goes to another if it is not.
     pub fn with_readiness_check(mut self) -> Caller {
-        self.asks = true;
+        self.checks_readiness = true;
         self
     }
 
     /// Speaks FastCGI, as a web server's gateway does.
-    pub fn speaks_fastcgi(mut self) -> Caller {
+    pub fn with_fastcgi(mut self) -> Caller {
         self.fastcgi = true;
         self
     }
 
     /// How often a connection could not be made, each time another balancer or another try may have hidden it.
-    pub fn unconnected(&self) -> u64 {
+    pub fn connect_failures(&self) -> u64 {
         self.unconnected
     }
 
     /// Takes these for all balancers that there are, and drops the connections to others.
-    pub fn know(&mut self, balancers: &[(String, SocketAddr)]) {
+    pub fn set_balancers(&mut self, balancers: &[(String, SocketAddr)]) {
         if self.balancers != balancers {
             self.balancers = balancers.to_vec();
-            self.kept.retain(|addr, _| balancers.iter().any(|(_, a)| a == addr));
+            self.idle_connections.retain(|addr, _| balancers.iter().any(|(_, a)| a == addr));
         }
     }
 
     /// xorshift64: enough to spread connections.
-    fn draw(&mut self, n: usize) -> usize {
+    fn random_index(&mut self, len: usize) -> usize {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
-        (self.random % n.max(1) as u64) as usize
+        (self.random % len.max(1) as u64) as usize
     }
 
     /// Carries an operation out, with its retries.
-    pub fn call(&mut self, operation: &Operation) -> Done {
+    pub fn call(&mut self, operation: &Operation) -> OperationResult {
         let started = Instant::now();
         let key = fresh_id();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            let left = operation.deadline.saturating_sub(started.elapsed());
-            let patience = operation.deadline.mul_f64(operation.try_part).min(left);
-            let (outcome, pause) = match self.attempt(operation, &key, patience) {
-                Try::Unreached => (Outcome::Unreached, Duration::from_millis(20)),
-                Try::Unanswered => (Outcome::Unanswered, operation.pause),
-                Try::Answer(answer) => match answer.status() {
+            let remaining = operation.deadline.saturating_sub(started.elapsed());
+            let timeout = operation.deadline.mul_f64(operation.attempt_fraction).min(remaining);
+            let (outcome, pause) = match self.attempt(operation, &key, timeout) {
+                AttemptOutcome::Unreached => (Outcome::Unreached, Duration::from_millis(20)),
+                AttemptOutcome::Unanswered => (Outcome::Unanswered, operation.pause),
+                AttemptOutcome::Answer(answer) => match answer.status() {
                     200 => (Outcome::Served { took: started.elapsed() }, Duration::ZERO),
                     429 | 503 => {
-                        let asked = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
-                        let asked = asked.filter(|s| (0.0..=60.0).contains(s)).unwrap_or(0.0);
-                        (Outcome::Refused, operation.pause.max(Duration::from_secs_f64(asked)))
+                        let retry_after = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
+                        let retry_after = retry_after.filter(|s| (0.0..=60.0).contains(s)).unwrap_or(0.0);
+                        (Outcome::Refused, operation.pause.max(Duration::from_secs_f64(retry_after)))
                     }
                     _ => (Outcome::Failed, operation.pause),
                 },
             };
-            tries += u32::from(outcome != Outcome::Unreached);
-            let again = match outcome {
+            attempts += u32::from(outcome != Outcome::Unreached);
+            let should_retry = match outcome {
                 Outcome::Served { .. } => false,
-                Outcome::Refused => tries <= operation.retries,
+                Outcome::Refused => attempts <= operation.retries,
                 Outcome::Failed | Outcome::Unanswered => {
-                    tries <= operation.retries && operation.effect != Effect::Unsafe
+                    attempts <= operation.retries && operation.effect != Effect::Unsafe
                 }
                 Outcome::Unreached => true,
             };
-            if !again || started.elapsed() + pause >= operation.deadline {
-                return Done { outcome, tries };
+            if !should_retry || started.elapsed() + pause >= operation.deadline {
+                return OperationResult { outcome, attempts };
             }
             // What a client does: it waits before it tries again.
             thread::sleep(pause);
@@ -238,18 +238,18 @@
     }
 
     /// A connection to some balancer, and whether it was in use before. One that can't be reached is passed over.
-    fn connection(&mut self, patience: Duration) -> Option<(String, SocketAddr, Link, bool)> {
-        let first = self.draw(self.balancers.len());
-        for k in 0..self.balancers.len() {
-            let (name, addr) = self.balancers[(first + k) % self.balancers.len()].clone();
-            if let Some(stream) = self.kept.remove(&addr) {
+    fn connection(&mut self, timeout: Duration) -> Option<(String, SocketAddr, Connection, bool)> {
+        let start = self.random_index(self.balancers.len());
+        for offset in 0..self.balancers.len() {
+            let (name, addr) = self.balancers[(start + offset) % self.balancers.len()].clone();
+            if let Some(stream) = self.idle_connections.remove(&addr) {
                 return Some((name, addr, stream, true));
             }
-            if let Some(stream) = self.fresh(addr, patience) {
+            if let Some(stream) = self.new_connection(addr, timeout) {
                 let link = if self.fastcgi {
-                    Link::FastCgi(Box::new(WebServer::on(stream)))
+                    Connection::FastCgi(Box::new(WebServer::on(stream)))
                 } else {
-                    Link::Http(stream)
+                    Connection::Http(stream)
                 };
                 return Some((name, addr, link, false));
             }
@@ -259,78 +259,78 @@
 
     /// A new connection that requests may be written on. Guards against one whose other end has just said that it
     /// closes: an old process that answers the last callers of its listener. Whoever has the address now is next.
-    fn fresh(&mut self, addr: SocketAddr, patience: Duration) -> Option<BufReader<TcpStream>> {
-        for _ in 0..FRESH {
-            let Some(mut stream) = connect(addr, patience) else {
+    fn new_connection(&mut self, addr: SocketAddr, timeout: Duration) -> Option<BufReader<TcpStream>> {
+        for _ in 0..MAX_NEW_CONNECTIONS {
+            let Some(mut stream) = connect(addr, timeout) else {
                 self.unconnected += 1;
                 return None;
             };
-            if !self.asks {
+            if !self.checks_readiness {
                 return Some(stream);
             }
-            let answer = asked_ready(&mut stream, patience)?;
+            let answer = request_readiness(&mut stream, timeout)?;
             if answer.status() != 200 {
                 return None;
             }
-            if !closes(&answer) {
+            if !closes_connection(&answer) {
                 return Some(stream);
             }
         }
         None
     }
 
-    fn attempt(&mut self, operation: &Operation, key: &str, patience: Duration) -> Try {
-        if self.balancers.is_empty() || patience.is_zero() {
-            return Try::Unreached;
+    fn attempt(&mut self, operation: &Operation, key: &str, timeout: Duration) -> AttemptOutcome {
+        if self.balancers.is_empty() || timeout.is_zero() {
+            return AttemptOutcome::Unreached;
         }
-        let until = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let request = fresh_id();
-        let mut written = false;
+        let mut was_sent = false;
         loop {
-            let Some((balancer, addr, mut link, reused)) = self.connection(patience) else {
-                return if written { Try::Unanswered } else { Try::Unreached };
+            let Some((balancer, addr, mut link, reused)) = self.connection(timeout) else {
+                return if was_sent { AttemptOutcome::Unanswered } else { AttemptOutcome::Unreached };
             };
-            written = true;
+            was_sent = true;
             let (effect, sent) = (operation.effect, request.clone());
-            self.ledger.write(Entry::Sent { request: sent, balancer, effect, patience });
+            self.ledger.write(Entry::Sent { request: sent, balancer, effect, timeout });
             // A little longer than it promised to: whether an answer is late is the ledger's to judge.
-            let left = until.saturating_duration_since(Instant::now()) + Duration::from_millis(200);
-            let answer = match link.request(operation, key, &request, patience, left) {
+            let max_wait = deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(200);
+            let answer = match link.request(operation, key, &request, timeout, max_wait) {
                 ResponseOutcome::Answer(answer) => answer,
                 // A balancer may close a connection between requests, and this one crossed that: once more, on another,
                 // as the same request. Silence is something else.
                 ResponseOutcome::Closed if reused => continue,
-                ResponseOutcome::Closed | ResponseOutcome::Broken => return Try::Unanswered,
+                ResponseOutcome::Closed | ResponseOutcome::Broken => return AttemptOutcome::Unanswered,
             };
             self.ledger.write(Entry::Answered { request, status: answer.status() });
-            if !closes(&answer) {
-                self.kept.insert(addr, link);
+            if !closes_connection(&answer) {
+                self.idle_connections.insert(addr, link);
             }
-            return Try::Answer(answer);
+            return AttemptOutcome::Answer(answer);
         }
     }
 }
 
-fn connect(addr: SocketAddr, patience: Duration) -> Option<BufReader<TcpStream>> {
-    let stream = TcpStream::connect_timeout(&addr, patience).ok()?;
+fn connect(addr: SocketAddr, timeout: Duration) -> Option<BufReader<TcpStream>> {
+    let stream = TcpStream::connect_timeout(&addr, timeout).ok()?;
     stream.set_nodelay(true).ok()?;
     Some(BufReader::new(stream))
 }
 
 /// What whoever is at its other end says of being ready.
-fn asked_ready(stream: &mut BufReader<TcpStream>, patience: Duration) -> Option<Message> {
-    stream.get_mut().set_read_timeout(Some(patience)).ok()?;
+fn request_readiness(stream: &mut BufReader<TcpStream>, timeout: Duration) -> Option<Message> {
+    stream.get_mut().set_read_timeout(Some(timeout)).ok()?;
     stream.get_mut().write_all(b"GET /-/ready HTTP/1.1\r\nHost: front\r\n\r\n").ok()?;
     read(stream)
 }
 
 /// Whether its connection ends behind this answer (RFC 9112, section 9.6).
-fn closes(answer: &Message) -> bool {
+fn closes_connection(answer: &Message) -> bool {
     answer.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
 }
 
 /// One connection of a caller's.
-enum Link {
+enum Connection {
     Http(BufReader<TcpStream>),
     FastCgi(Box<WebServer>),
 }
@@ -344,19 +344,20 @@
     Broken,
 }
 
-impl Link {
+impl Connection {
     fn request(
         &mut self,
-        op: &Operation,
+        operation: &Operation,
         key: &str,
         request: &str,
-        patience: Duration,
-        left: Duration,
+        timeout: Duration,
+        max_wait: Duration,
     ) -> ResponseOutcome {
         match self {
-            Link::Http(stream) => {
-                let sent = stream.get_mut().write_all(text(op, key, request, patience).as_bytes());
-                let timed = stream.get_mut().set_read_timeout(Some(left));
+            Connection::Http(stream) => {
+                let sent =
+                    stream.get_mut().write_all(request_text(operation, key, request, timeout).as_bytes());
+                let timed = stream.get_mut().set_read_timeout(Some(max_wait));
                 match stream.fill_buf().map(|b| !b.is_empty()) {
                     Ok(true) if sent.is_ok() && timed.is_ok() => {}
                     Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
@@ -366,32 +367,33 @@
                 }
                 read(stream).map_or(ResponseOutcome::Broken, ResponseOutcome::Answer)
             }
-            Link::FastCgi(web) => {
-                let patience = format!("{}u", patience.as_micros());
-                let (method, body) = if op.effect == Effect::Safe { ("GET", "") } else { ("POST", "body") };
+            Connection::FastCgi(web) => {
+                let timeout = format!("{}u", timeout.as_micros());
+                let (method, body) =
+                    if operation.effect == Effect::Safe { ("GET", "") } else { ("POST", "body") };
                 let mut params = vec![
                     ("REQUEST_METHOD", method),
                     ("REQUEST_URI", "/api/x"),
                     ("CONTENT_LENGTH", if body.is_empty() { "" } else { "4" }),
                     ("HTTP_REQ_ID", request),
-                    ("HTTP_REQ_KIND", &op.class),
-                    ("HTTP_REQ_OWNER", &op.owner),
-                    ("HTTP_REQ_DEADLINE", &patience),
+                    ("HTTP_REQ_KIND", &operation.class),
+                    ("HTTP_REQ_OWNER", &operation.owner),
+                    ("HTTP_REQ_DEADLINE", &timeout),
                 ];
-                if op.effect == Effect::Keyed {
+                if operation.effect == Effect::Keyed {
                     params.push(("HTTP_IDEMPOTENCY_KEY", key));
                 }
-                web.patience(left);
+                web.set_timeout(max_wait);
                 web.send(&params, body.as_bytes());
-                match web.ended() {
-                    Some((_, Ended::Answered(head, body))) => {
+                match web.next_outcome() {
+                    Some((_, FastCgiOutcome::Answered(head, body))) => {
                         let text = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
                         let headers = head.fields.iter().map(|(n, v)| (text(n), text(v))).collect();
-                        let start = format!("HTTP/1.1 {} X", head.status);
-                        ResponseOutcome::Answer(Message { start, headers, body: body.to_vec() })
+                        let start_line = format!("HTTP/1.1 {} X", head.status);
+                        ResponseOutcome::Answer(Message { start_line, headers, body: body.to_vec() })
                     }
                     Some(_) => ResponseOutcome::Broken,
-                    None if web.silent() => ResponseOutcome::Closed,
+                    None if web.closed_before_answer() => ResponseOutcome::Closed,
                     None => ResponseOutcome::Broken,
                 }
             }
@@ -399,7 +401,7 @@
     }
 }
 
-fn text(operation: &Operation, key: &str, request: &str, patience: Duration) -> String {
+fn request_text(operation: &Operation, key: &str, request: &str, timeout: Duration) -> String {
     let (start, length, body) = match operation.effect {
         Effect::Safe => ("GET /api/x", String::new(), ""),
         Effect::Keyed => ("POST /api/x", format!("Idempotency-Key: {key}\r\nContent-Length: 4\r\n"), "body"),
@@ -410,6 +412,6 @@
          Req-Deadline: {}u\r\n{length}\r\n{body}",
         operation.class,
         operation.owner,
-        patience.as_micros()
+        timeout.as_micros()
     )
 }
