--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -51,12 +51,12 @@
 
     /// Whether a balancer that is told of it is told that it drains.
     fn drains(&self) -> bool {
-        let maintained =
+        let in_maintenance =
             self.checks.keys().any(|c| c == "_node_maintenance" || c.starts_with("_service_maintenance:"));
-        maintained || self.weight == 0
+        in_maintenance || self.weight == 0
     }
 
-    fn health(&self, service: &str, datacentre: &str, created: u64) -> String {
+    fn health_json(&self, service: &str, datacentre: &str, created: u64) -> String {
         let checks: Vec<String> = self
             .checks
             .iter()
@@ -77,7 +77,7 @@
         )
     }
 
-    fn catalogue(&self, service: &str, datacentre: &str, created: u64) -> String {
+    fn catalogue_json(&self, service: &str, datacentre: &str, created: u64) -> String {
         format!(
             r#"{{"ID":"","Node":"{}","Address":"{}","Datacenter":"{datacentre}","NodeMeta":{{}},"ServiceID":"{}","ServiceName":"{service}","ServiceAddress":"{}","ServicePort":{},"ServiceMeta":{},"ServiceWeights":{{"Passing":{},"Warning":1}},"ServiceTaggedAddresses":{{}},"CreateIndex":{created},"ModifyIndex":{created}}}"#,
             self.node,
@@ -120,16 +120,16 @@
     /// Answers without an index.
     NoIndex,
     /// Closes each connection at once, those that are open too.
-    Refuses,
+    ClosesConnections,
 }
 
-type Key = (String, String);
+type ServiceKey = (String, String);
 
 #[derive(Default)]
 struct Catalogue {
     index: u64,
     /// By datacentre and name of the service: its index, and its instances with their texts.
-    services: BTreeMap<Key, (u64, BTreeMap<String, Line>)>,
+    services: BTreeMap<ServiceKey, (u64, BTreeMap<String, Row>)>,
     datacentres: BTreeSet<String>,
     /// Services that instances registered through an agent: what they said last.
     registered: BTreeMap<String, Registered>,
@@ -138,7 +138,7 @@
     closed: bool,
 }
 
-struct Line {
+struct Row {
     service: Service,
     created: u64,
     health: String,
@@ -177,15 +177,15 @@
 struct AgentState {
     fault: Mutex<Fault>,
     /// How often all queries that waited fell silent.
-    hushed: AtomicUsize,
+    silenced: AtomicUsize,
     /// Queries that came.
     queries: AtomicUsize,
-    told: Mutex<BTreeMap<Key, ClientView>>,
+    sent_views: Mutex<BTreeMap<ServiceKey, ClientView>>,
     changed: Condvar,
     balancer: String,
     token: Mutex<Option<String>>,
     /// When the last answer that counts was written.
-    wrote: Mutex<Option<Instant>>,
+    last_answered_at: Mutex<Option<Instant>>,
 }
 
 /// One agent, for one balancer.
@@ -203,8 +203,8 @@
 impl Agent {
     /// Every query that waits now is never answered, and its connection stays open. Those that come from now on are
     /// answered as before. Returns when that was.
-    pub fn hush(&self) -> Instant {
-        self.state.hushed.fetch_add(1, Ordering::SeqCst);
+    pub fn silence_pending(&self) -> Instant {
+        self.state.silenced.fetch_add(1, Ordering::SeqCst);
         Instant::now()
     }
 
@@ -220,13 +220,13 @@
     }
 
     /// From now on only queries with this token are answered; others with 403.
-    pub fn wants_token(&self, token: &str) {
+    pub fn require_token(&self, token: &str) {
         *lock(&self.state.token) = Some(token.into());
     }
 
     /// When the last answer that counts was written whole.
-    pub fn wrote(&self) -> Option<Instant> {
-        *lock(&self.state.wrote)
+    pub fn last_answered_at(&self) -> Option<Instant> {
+        *lock(&self.state.last_answered_at)
     }
 }
 
@@ -237,12 +237,12 @@
         Consul(Arc::new(SharedState { catalogue, changed: Condvar::new(), ledger }))
     }
 
-    fn change(&self, datacentre: &str, service: &str, change: impl FnOnce(&mut BTreeMap<String, Line>, u64)) {
-        let mut c = lock(&self.0.catalogue);
-        c.index += 1;
-        let index = c.index;
-        c.datacentres.insert(datacentre.into());
-        let entry = c.services.entry((datacentre.into(), service.into())).or_default();
+    fn change(&self, datacentre: &str, service: &str, change: impl FnOnce(&mut BTreeMap<String, Row>, u64)) {
+        let mut catalogue = lock(&self.0.catalogue);
+        catalogue.index += 1;
+        let index = catalogue.index;
+        catalogue.datacentres.insert(datacentre.into());
+        let entry = catalogue.services.entry((datacentre.into(), service.into())).or_default();
         entry.0 = index;
         change(&mut entry.1, index);
         self.0.changed.notify_all();
@@ -252,14 +252,14 @@
     pub fn set(&self, datacentre: &str, service: &str, instance: Service) {
         self.change(datacentre, service, |lines, index| {
             let created = lines.get(&instance.id).map_or(index, |line| line.created);
-            let health = instance.health(service, datacentre, created);
-            let catalogue = instance.catalogue(service, datacentre, created);
-            lines.insert(instance.id.clone(), Line { service: instance, created, health, catalogue });
+            let health = instance.health_json(service, datacentre, created);
+            let catalogue = instance.catalogue_json(service, datacentre, created);
+            lines.insert(instance.id.clone(), Row { service: instance, created, health, catalogue });
         });
     }
 
     /// Changes an instance that is registered.
-    pub fn alter(&self, datacentre: &str, service: &str, id: &str, alter: impl FnOnce(&mut Service)) {
+    pub fn update(&self, datacentre: &str, service: &str, id: &str, alter: impl FnOnce(&mut Service)) {
         let found = {
             let c = lock(&self.0.catalogue);
             let lines = c.services.get(&(datacentre.into(), service.into()));
@@ -273,14 +273,14 @@
 
     /// Sets the state of the instance's own check.
     pub fn check(&self, service: &str, id: &str, state: &'static str) {
-        self.alter("dc1", service, id, |s| {
+        self.update("dc1", service, id, |s| {
             s.checks.insert(format!("service:{id}"), state);
         });
     }
 
     /// Puts an instance into maintenance, or takes it out.
     pub fn maintenance(&self, service: &str, id: &str, on: bool) {
-        self.alter("dc1", service, id, |s| {
+        self.update("dc1", service, id, |s| {
             let check = format!("_service_maintenance:{id}");
             if on {
                 s.checks.insert(check, "critical");
@@ -296,16 +296,16 @@
     }
 
     /// Loses all data, as a single server does that starts again with an empty disk.
-    pub fn lose(&self) {
-        let mut c = lock(&self.0.catalogue);
-        let datacentres = std::mem::take(&mut c.datacentres);
-        let history = c.history + 1;
-        *c = Catalogue { index: 3, history, datacentres, ..Catalogue::default() };
+    pub fn lose_data(&self) {
+        let mut catalogue = lock(&self.0.catalogue);
+        let datacentres = std::mem::take(&mut catalogue.datacentres);
+        let history = catalogue.history + 1;
+        *catalogue = Catalogue { index: 3, history, datacentres, ..Catalogue::default() };
         self.0.changed.notify_all();
     }
 
     /// Forgets what registered itself, as an agent does that starts again without its data.
-    pub fn forget(&self) {
+    pub fn forget_registrations(&self) {
         lock(&self.0.catalogue).registered.clear();
     }
 
@@ -327,40 +327,40 @@
         let state = Arc::new(AgentState {
             fault: Mutex::new(Fault::None),
             queries: AtomicUsize::new(0),
-            hushed: AtomicUsize::new(0),
-            told: Mutex::default(),
+            silenced: AtomicUsize::new(0),
+            sent_views: Mutex::default(),
             changed: Condvar::new(),
             balancer: balancer.into(),
             token: Mutex::new(None),
-            wrote: Mutex::new(None),
+            last_answered_at: Mutex::new(None),
         });
-        let (consul, at) = (self.clone(), state.clone());
+        let (consul, shared) = (self.clone(), state.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if *lock(&at.fault) == Fault::Refuses {
+                if *lock(&shared.fault) == Fault::ClosesConnections {
                     continue;
                 }
-                let (consul, at) = (consul.clone(), at.clone());
-                thread::spawn(move || consul.serve(stream, &at));
+                let (consul, shared) = (consul.clone(), shared.clone());
+                thread::spawn(move || consul.serve(stream, &shared));
             }
         });
         Agent { addr, state }
     }
 
-    fn serve(&self, stream: TcpStream, at: &AgentState) {
+    fn serve(&self, stream: TcpStream, agent: &AgentState) {
         let mut reader = BufReader::new(stream);
         while let Some(call) = read(&mut reader) {
-            if !call.start.starts_with("GET ") {
-                let (status, body) = self.put(&call);
+            if !call.start_line.starts_with("GET ") {
+                let (status, body) = self.serve_agent_call(&call);
                 if reader.get_mut().write_all(answer(status, "", &body).as_bytes()).is_err() {
                     return;
                 }
                 continue;
             }
             // Before it is counted: whoever has seen it may have it fall silent.
-            let hushed = at.hushed.load(Ordering::SeqCst);
-            at.queries.fetch_add(1, Ordering::SeqCst);
-            if !self.query(&call, at, hushed, reader.get_mut()) {
+            let silenced = agent.silenced.load(Ordering::SeqCst);
+            agent.queries.fetch_add(1, Ordering::SeqCst);
+            if !self.query(&call, agent, silenced, reader.get_mut()) {
                 let _ = reader.get_ref().shutdown(Shutdown::Both);
                 return;
             }
@@ -368,9 +368,9 @@
     }
 
     /// `/v1/agent/...`: status and body.
-    fn put(&self, call: &Message) -> (u16, String) {
+    fn serve_agent_call(&self, call: &Message) -> (u16, String) {
         let path = call.path().split('?').next().unwrap_or("");
-        let mut c = lock(&self.0.catalogue);
+        let mut catalogue = lock(&self.0.catalogue);
         let last = path.rsplit('/').next().unwrap_or("").replace("%3A", ":").replace("%20", " ");
         let id = last.strip_prefix("service:").unwrap_or(&last).to_string();
         if path == "/v1/agent/service/register" {
@@ -380,32 +380,32 @@
                 Some(rest.split('"').next().unwrap_or("").to_string())
             };
             let (id, state) = (value("ID").unwrap_or_default(), value("Status").unwrap_or("critical".into()));
-            c.registered.insert(id, Registered { body, state, passes: 0 });
+            catalogue.registered.insert(id, Registered { body, state, passes: 0 });
             return (200, String::new());
         }
-        let known = c.registered.contains_key(&id);
-        let status = if known { 200 } else { 404 };
+        let is_registered = catalogue.registered.contains_key(&id);
+        let status = if is_registered { 200 } else { 404 };
         if path.starts_with("/v1/agent/check/pass/") {
-            if let Some(r) = c.registered.get_mut(&id) {
+            if let Some(r) = catalogue.registered.get_mut(&id) {
                 (r.state, r.passes) = ("passing".into(), r.passes + 1);
             }
         } else if path.starts_with("/v1/agent/check/fail/") {
-            if let Some(r) = c.registered.get_mut(&id) {
+            if let Some(r) = catalogue.registered.get_mut(&id) {
                 r.state = "critical".into();
             }
         } else if path.starts_with("/v1/agent/service/deregister/") {
-            c.registered.remove(&id);
+            catalogue.registered.remove(&id);
         } else {
             return (404, "no such endpoint".into());
         }
-        (status, if known { String::new() } else { format!("Unknown check ID \"{last}\"") })
+        (status, if is_registered { String::new() } else { format!("Unknown check ID \"{last}\"") })
     }
 
     /// Answers a query; `false`: the connection ends.
-    fn query(&self, call: &Message, at: &AgentState, hushed: usize, stream: &mut TcpStream) -> bool {
+    fn query(&self, call: &Message, agent: &AgentState, silenced: usize, stream: &mut TcpStream) -> bool {
         let (path, query) = call.path().split_once('?').unwrap_or((call.path(), ""));
         let value = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
-        if lock(&at.token).as_deref().is_some_and(|token| call.header("x-consul-token") != Some(token)) {
+        if lock(&agent.token).as_deref().is_some_and(|token| call.header("x-consul-token") != Some(token)) {
             let text = answer(403, "", "Permission denied: token with AccessorID '' lacks permission");
             return stream.write_all(text.as_bytes()).is_ok();
         }
@@ -423,60 +423,65 @@
         let wait = value("wait")
             .and_then(|v| v.strip_suffix("ms")?.parse().ok())
             .map_or(MAX_WAIT, Duration::from_millis);
-        let until = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
-        let mut c = lock(&self.0.catalogue);
-        let history = c.history;
+        let deadline = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
+        let mut catalogue = lock(&self.0.catalogue);
+        let history = catalogue.history;
         // What is not newer than the index asked for is waited on, also where that is far ahead; data that is lost
         // meanwhile ends the wait.
-        while since > 0 && !c.closed && c.history == history && index(&c, &key) <= since {
-            let left = until.saturating_duration_since(Instant::now());
+        while since > 0
+            && !catalogue.closed
+            && catalogue.history == history
+            && index(&catalogue, &key) <= since
+        {
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 break;
             }
-            c = self.0.changed.wait_timeout(c, left).unwrap_or_else(PoisonError::into_inner).0;
+            catalogue =
+                self.0.changed.wait_timeout(catalogue, left).unwrap_or_else(PoisonError::into_inner).0;
         }
-        if at.hushed.load(Ordering::SeqCst) != hushed {
-            drop(c);
+        if agent.silenced.load(Ordering::SeqCst) != silenced {
+            drop(catalogue);
             hung_up(stream, MAX_WAIT);
             return false;
         }
-        let mut fault = *lock(&at.fault);
-        if let Fault::Slow(by) = fault {
-            drop(c);
-            let until = Instant::now() + by;
-            let mut now = lock(&at.fault);
+        let mut fault = *lock(&agent.fault);
+        if let Fault::Slow(delay) = fault {
+            drop(catalogue);
+            let deadline = Instant::now() + delay;
+            let mut now = lock(&agent.fault);
             // What a slow agent does: it takes its time, unless it has recovered.
-            while matches!(*now, Fault::Slow(_)) && Instant::now() < until {
-                let left = until.saturating_duration_since(Instant::now());
-                now = at.changed.wait_timeout(now, left).unwrap_or_else(PoisonError::into_inner).0;
+            while matches!(*now, Fault::Slow(_)) && Instant::now() < deadline {
+                let left = deadline.saturating_duration_since(Instant::now());
+                now = agent.changed.wait_timeout(now, left).unwrap_or_else(PoisonError::into_inner).0;
             }
             drop(now);
-            c = lock(&self.0.catalogue);
+            catalogue = lock(&self.0.catalogue);
             fault = Fault::None;
         }
-        if fault == Fault::Refuses {
+        if fault == Fault::ClosesConnections {
             return false;
         }
         if fault == Fault::Hung {
-            drop(c);
-            let mut now = lock(&at.fault);
+            drop(catalogue);
+            let mut now = lock(&agent.fault);
             while *now == Fault::Hung {
-                now = at.changed.wait(now).unwrap_or_else(PoisonError::into_inner);
+                now = agent.changed.wait(now).unwrap_or_else(PoisonError::into_inner);
             }
             // Whoever asked has long given up.
             return false;
         }
-        let (index, history) = (index(&c, &key), c.history);
+        let (index, history) = (index(&catalogue, &key), catalogue.history);
         let empty = BTreeMap::new();
-        let lines = c.services.get(&key).map_or(&empty, |(_, lines)| lines);
-        let text = |line: &Line| if kind == "health" { line.health.clone() } else { line.catalogue.clone() };
+        let lines = catalogue.services.get(&key).map_or(&empty, |(_, lines)| lines);
+        let text = |line: &Row| if kind == "health" { line.health.clone() } else { line.catalogue.clone() };
         let entries: Vec<String> = lines.values().map(text).collect();
         let mut body = format!("[{}]", entries.join(","));
-        let told: BTreeMap<String, State> = lines
+        let states: BTreeMap<String, State> = lines
             .values()
             .map(|l| (l.service.id.clone(), if l.service.drains() { State::Closed } else { State::Ready }))
             .collect();
-        drop(c);
+        drop(catalogue);
         let head = response_head(fault, index);
         match fault {
             Fault::Status(status, retry) => {
@@ -500,49 +505,53 @@
         }
         let text = answer(200, &head, &body);
         // Held over the writing: what is told of two changes is written in their order.
-        let mut all = lock(&at.told);
-        let before = Instant::now();
+        let mut views = lock(&agent.sent_views);
+        let answered_at = Instant::now();
         if stream.write_all(text.as_bytes()).is_err() {
             return false;
         }
-        *lock(&at.wrote) = Some(before);
-        self.note(at, all.entry(key).or_default(), told, index, history);
+        *lock(&agent.last_answered_at) = Some(answered_at);
+        self.record_notifications(agent, views.entry(key).or_default(), states, index, history);
         true
     }
 
     /// Writes into the ledger what an answer has told.
-    fn note(
+    fn record_notifications(
         &self,
-        at: &AgentState,
-        before: &mut ClientView,
-        told: BTreeMap<String, State>,
+        agent: &AgentState,
+        view: &mut ClientView,
+        states: BTreeMap<String, State>,
         index: u64,
         history: u64,
     ) {
         let Some(ledger) = &self.0.ledger else { return };
-        let say = |upstream: &str, state| {
-            ledger.write(Entry::Told { balancer: at.balancer.clone(), upstream: upstream.into(), state });
+        let notify = |upstream: &str, state| {
+            ledger.write(Entry::Notified {
+                balancer: agent.balancer.clone(),
+                upstream: upstream.into(),
+                state,
+            });
         };
-        for (name, &state) in &told {
-            if before.members.get(name) != Some(&state) {
-                say(name, state);
+        for (name, &state) in &states {
+            if view.members.get(name) != Some(&state) {
+                notify(name, state);
             }
         }
         // What a list of another history lacks is no statement.
-        if history == before.history || before.index == 0 {
-            for (name, _) in before.members.iter().filter(|(name, _)| !told.contains_key(*name)) {
-                say(name, State::Closed);
+        if history == view.history || view.index == 0 {
+            for (name, _) in view.members.iter().filter(|(name, _)| !states.contains_key(*name)) {
+                notify(name, State::Closed);
             }
-            before.members = told;
+            view.members = states;
         } else {
-            before.members.extend(told);
+            view.members.extend(states);
         }
-        (before.index, before.history) = (index, history);
+        (view.index, view.history) = (index, history);
     }
 }
 
-fn index(c: &Catalogue, key: &Key) -> u64 {
-    c.services.get(key).map_or(c.index.min(3), |(index, _)| *index)
+fn index(catalogue: &Catalogue, key: &ServiceKey) -> u64 {
+    catalogue.services.get(key).map_or(catalogue.index.min(3), |(index, _)| *index)
 }
 
 fn answer(status: u16, head: &str, body: &str) -> String {
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -1,10 +1,10 @@
 //! Real voters of the coordination service, each on a machine of its own, connected with one another and with their clients by
 //! links that can fail.
-use crate::faults::link::Net;
+use crate::faults::link::Network;
 use crate::faults::machine::Machine;
 use crate::node::Program;
-use crate::process::reserve;
-use crate::PATIENCE;
+use crate::process::reserve_address;
+use crate::TEST_TIMEOUT;
 use coordination::client::{ClientRequest, RequestOutcome, SessionConfig};
 use coordination::protocol::{Answer, Request, Select, Status};
 use coordination::state_machine::{Op, Outcome};
@@ -24,8 +24,8 @@
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Name of the side that connects to a voter, from its handshake, and the length of that frame in bytes.
-pub fn who(first: &[u8]) -> Option<(String, usize)> {
-    let (length, rest) = first.split_first_chunk::<4>()?;
+pub fn parse_handshake(bytes: &[u8]) -> Option<(String, usize)> {
+    let (length, rest) = bytes.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*length) as usize;
     let text = std::str::from_utf8(rest.get(..length)?).ok()?;
     let (_, name) = text.split_once("\"name\":\"")?;
@@ -43,7 +43,7 @@
     program: Program,
     tick: Duration,
     /// The links between voters, and between clients and voters.
-    pub net: Net,
+    pub network: Network,
     /// Folder of their configuration files and disks.
     pub folder: PathBuf,
     /// Names of the voters.
@@ -51,7 +51,7 @@
     /// Addresses at which other voters and clients reach them, through the links.
     pub addrs: Vec<SocketAddr>,
     /// Addresses on which they listen.
-    pub listens: Vec<SocketAddr>,
+    pub listen_addrs: Vec<SocketAddr>,
     /// Machines, one for each voter.
     pub machines: Vec<Machine>,
 }
@@ -74,31 +74,33 @@
         Voters::with(program, size, tick, false)
     }
 
-    fn with(program: &Program, size: usize, tick: Duration, linked: bool) -> Voters {
+    fn with(program: &Program, size: usize, tick: Duration, use_links: bool) -> Voters {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, Ordering::SeqCst);
         let folder = program.folder.join(format!("council-{}-{count}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let net = Net::new(who);
-        let names: Vec<String> = (1..=size).map(|k| format!("c{k}")).collect();
-        let listens: Vec<SocketAddr> = names.iter().map(|_| reserve()).collect();
-        let reached = |(name, &to): (&String, &SocketAddr)| if linked { net.relay(name, to) } else { to };
-        let addrs: Vec<SocketAddr> = names.iter().zip(&listens).map(reached).collect();
+        let network = Network::new(parse_handshake);
+        let names: Vec<String> = (1..=size).map(|index| format!("c{index}")).collect();
+        let listen_addrs: Vec<SocketAddr> = names.iter().map(|_| reserve_address()).collect();
+        let client_addr =
+            |(name, &to): (&String, &SocketAddr)| if use_links { network.relay(name, to) } else { to };
+        let addrs: Vec<SocketAddr> = names.iter().zip(&listen_addrs).map(client_addr).collect();
         let program = program.clone();
-        let mut voters = Voters { program, tick, net, folder, names, addrs, listens, machines: Vec::new() };
-        for k in 0..size {
-            let file = voters.write_file(k, "");
+        let mut voters =
+            Voters { program, tick, network, folder, names, addrs, listen_addrs, machines: Vec::new() };
+        for index in 0..size {
+            let file = voters.write_config(index, "");
             let program = voters.program.clone();
             let command = move || herondock(&program, &["run"], &file);
-            voters.machines.push(Machine::new(voters.folder.join(&voters.names[k])).with(command));
+            voters.machines.push(Machine::new(voters.folder.join(&voters.names[index])).with(command));
         }
         voters
     }
 
     /// Creates the cluster, starts all voters and waits until all of them vote.
     pub fn begin(&mut self) {
-        self.form();
+        self.form_cluster();
         self.machines.iter_mut().for_each(Machine::start);
         let size = self.names.len();
         self.until("all vote", |all| {
@@ -107,27 +109,27 @@
     }
 
     /// Configuration file of a voter.
-    pub fn file(&self, k: usize) -> PathBuf {
-        self.folder.join(format!("{}.toml", self.names[k]))
+    pub fn file(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("{}.toml", self.names[index]))
     }
 
     /// Writes the configuration file of a voter, with these further lines in its `[council]`.
-    pub fn write_file(&self, k: usize, more: &str) -> PathBuf {
-        let (name, tick) = (&self.names[k], self.tick.as_millis());
+    pub fn write_config(&self, index: usize, extra_lines: &str) -> PathBuf {
+        let (name, tick) = (&self.names[index], self.tick.as_millis());
         let mut text = format!(
-            "[council]\nname = \"{name}\"\nfolder = \"{name}\"\nlisten = \"{}\"\ntick = \"{tick}ms\"\n{more}\n",
-            self.listens[k]
+            "[council]\nname = \"{name}\"\nfolder = \"{name}\"\nlisten = \"{}\"\ntick = \"{tick}ms\"\n{extra_lines}\n",
+            self.listen_addrs[index]
         );
         for (name, addr) in self.names.iter().zip(&self.addrs) {
             text += &format!("[[voter]]\nname = \"{name}\"\naddr = \"{addr}\"\n");
         }
-        let file = self.file(k);
+        let file = self.file(index);
         std::fs::write(&file, text).expect("writes");
         file
     }
 
     /// Creates the cluster with the first voter as its only member.
-    pub fn form(&self) {
+    pub fn form_cluster(&self) {
         let output = herondock(&self.program, &["form"], &self.file(0)).output().expect("runs");
         assert!(output.status.success(), "{output:?}");
     }
@@ -139,19 +141,19 @@
     }
 
     /// The command that runs `herondock council` with the configuration of a voter.
-    pub fn process(&self, k: usize, args: &[&str]) -> Command {
-        herondock(&self.program, args, &self.file(k))
+    pub fn process(&self, index: usize, args: &[&str]) -> Command {
+        herondock(&self.program, args, &self.file(index))
     }
 
     /// Addresses at which clients reach the voters.
-    pub fn reached(&self) -> Vec<String> {
+    pub fn client_addrs(&self) -> Vec<String> {
         self.addrs.iter().map(ToString::to_string).collect()
     }
 
     /// Status of each voter that answers, requested without links.
     pub fn statuses(&self) -> Vec<Status> {
-        let mut all = Vec::new();
-        for addr in &self.listens {
+        let mut statuses = Vec::new();
+        for addr in &self.listen_addrs {
             let outcome = run(async {
                 let response_timeout = Duration::from_millis(300);
                 let (voters, name) = (vec![addr.to_string()], "judge".into());
@@ -161,21 +163,21 @@
                     .await
             });
             if let RequestOutcome::Answered(Answer::Status(status)) = outcome {
-                all.push(*status);
+                statuses.push(*status);
             }
         }
-        all
+        statuses
     }
 
     /// Waits until the statuses satisfy a condition.
-    pub fn until(&self, what: &str, wanted: impl Fn(&[Status]) -> bool) {
+    pub fn until(&self, expected: &str, condition: impl Fn(&[Status]) -> bool) {
         let started = Instant::now();
         loop {
-            let all = self.statuses();
-            if wanted(&all) {
+            let statuses = self.statuses();
+            if condition(&statuses) {
                 return;
             }
-            assert!(started.elapsed() < 2 * PATIENCE, "not {what}: {all:#?} {:#?}", self.logs());
+            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "not {expected}: {statuses:#?} {:#?}", self.logs());
             thread::yield_now();
         }
     }
@@ -190,8 +192,8 @@
         let found = std::cell::Cell::new(None);
         self.until("led", |all| {
             let leaders = all.iter().filter(|s| s.role == "leader" && s.leader.as_deref() == Some(&s.name));
-            let last = leaders.max_by_key(|s| s.term);
-            found.set(last.and_then(|s| self.names.iter().position(|n| *n == s.name)));
+            let newest = leaders.max_by_key(|s| s.term);
+            found.set(newest.and_then(|s| self.names.iter().position(|n| *n == s.name)));
             found.get().is_some()
         });
         found.get().expect("led")
@@ -200,23 +202,24 @@
     /// Waits until there is a leader and all voters have applied the same entries.
     pub fn wait_until_converged(&self) {
         self.until("whole", |all| {
-            let led = all.iter().any(|s| s.role == "leader");
-            let last = all.iter().map(|s| s.applied_index).max();
-            led && all.len() == self.names.len()
-                && all.iter().all(|s| s.storage_error.is_none() && Some(s.applied_index) == last)
+            let has_leader = all.iter().any(|s| s.role == "leader");
+            let max_index = all.iter().map(|s| s.applied_index).max();
+            has_leader
+                && all.len() == self.names.len()
+                && all.iter().all(|s| s.storage_error.is_none() && Some(s.applied_index) == max_index)
         });
     }
 
     /// Configuration of a client with this name, with a session if `held`.
-    pub fn client(&self, name: &str, held: bool) -> ClientConfig {
-        client(&self.reached(), name, held)
+    pub fn client(&self, name: &str, with_session: bool) -> ClientConfig {
+        client(&self.client_addrs(), name, with_session)
     }
 
     /// Writes a key with a client of its own.
     pub fn put(&self, key: &str, value: &str) -> RequestOutcome {
         let config = self.client("hand", true);
-        let then = vec![Op::Put { key: key.into(), value: value.into(), ephemeral: false }];
-        run(async move { ClientHandle::spawn(config).transact(vec![], then, REQUEST_TIMEOUT).await })
+        let operations = vec![Op::Put { key: key.into(), value: value.into(), ephemeral: false }];
+        run(async move { ClientHandle::spawn(config).transact(vec![], operations, REQUEST_TIMEOUT).await })
     }
 
     /// Reads a key with a client of its own.
@@ -241,7 +244,7 @@
     }
 
     /// Number of voting members.
-    pub fn members(&self) -> usize {
+    pub fn voter_count(&self) -> usize {
         self.statuses().iter().map(|s| s.members.iter().filter(|m| m.is_voter).count()).max().unwrap_or(0)
     }
 }
@@ -253,8 +256,8 @@
 }
 
 /// Configuration of a client of the voters at these addresses, with a session if `held`.
-pub fn client(voters: &[String], name: &str, held: bool) -> ClientConfig {
-    let session = held.then(|| SessionConfig { name: name.into(), ttl: TTL, take_over: true });
+pub fn client(voters: &[String], name: &str, with_session: bool) -> ClientConfig {
+    let session = with_session.then(|| SessionConfig { name: name.into(), ttl: TTL, take_over: true });
     ClientConfig {
         voters: voters.to_vec(),
         session,
@@ -264,6 +267,6 @@
 }
 
 /// Whether a transaction was committed.
-pub fn written(outcome: &RequestOutcome) -> bool {
+pub fn is_committed(outcome: &RequestOutcome) -> bool {
     matches!(outcome, RequestOutcome::Answered(Answer::Outcome(Outcome::Committed(_))))
 }
--- a/crates/verification/testkit/src/discovery.rs
+++ b/crates/verification/testkit/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery in the platform's form: one that answers as it is told, and a registry that keeps a list.
 use crate::ledger::{Entry, Ledger, State};
 use crate::message::{read, Message};
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -60,14 +60,14 @@
     }
 
     /// The next call's path.
-    pub fn called(&self) -> String {
-        self.calls.recv_timeout(PATIENCE).expect("a call").path().into()
+    pub fn next_path(&self) -> String {
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call").path().into()
     }
 }
 
 /// One upstream as a registry lists it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// Where it listens.
     pub addr: SocketAddr,
     /// Its group.
@@ -79,14 +79,14 @@
 }
 
 /// A watch goes on as long as its next call comes within this time of the last answer.
-const GAP: Duration = Duration::from_millis(200);
+const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
 /// Between two bytes of an answer that trickles.
-const TRICKLE: Duration = Duration::from_millis(100);
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until the other side hangs up, so long at most; whether it did.
-pub(crate) fn hung_up(stream: &TcpStream, most: Duration) -> bool {
+pub(crate) fn hung_up(stream: &TcpStream, max_wait: Duration) -> bool {
     let before = stream.read_timeout().ok().flatten();
-    let ended = stream.set_read_timeout(Some(most)).is_ok() && matches!(stream.peek(&mut [0]), Ok(0));
+    let ended = stream.set_read_timeout(Some(max_wait)).is_ok() && matches!(stream.peek(&mut [0]), Ok(0));
     let _ = stream.set_read_timeout(before);
     ended
 }
@@ -96,23 +96,28 @@
     while read(stream).is_some() {}
 }
 
-fn line(name: &str, l: &Listed) -> String {
+fn upstream_json(name: &str, listed: &ListedUpstream) -> String {
     format!(
         r#"{{"id":"{name}","addr":"{}","zone":"a","kind":"m","cell":{},"state":"{}","weight":1.0,"started_ms":{}}}"#,
-        l.addr, l.group, l.state, l.started_ms
+        listed.addr, listed.group, listed.state, listed.started_ms
     )
 }
 
 /// A list in discovery's form.
-pub fn list<'a>(version: u64, full: bool, lines: impl Iterator<Item = (&'a str, &'a Listed)>) -> String {
-    let lines: Vec<String> = lines.map(|(name, listed)| line(name, listed)).collect();
+pub fn list<'a>(
+    version: u64,
+    full: bool,
+    lines: impl Iterator<Item = (&'a str, &'a ListedUpstream)>,
+) -> String {
+    let lines: Vec<String> = lines.map(|(name, listed)| upstream_json(name, listed)).collect();
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, lines.join(","))
 }
 
 /// A list of upstreams that started long ago: number `n` has the id `s-n` and is in group 1.
-pub fn listing(version: u64, full: bool, servers: &[(usize, SocketAddr, &'static str)]) -> String {
-    let listed = |&(n, addr, state)| (format!("s-{n}"), Listed { addr, group: 1, state, started_ms: 0 });
-    let all: Vec<(String, Listed)> = servers.iter().map(listed).collect();
+pub fn upstream_list(version: u64, full: bool, servers: &[(usize, SocketAddr, &'static str)]) -> String {
+    let listed =
+        |&(n, addr, state)| (format!("s-{n}"), ListedUpstream { addr, group: 1, state, started_ms: 0 });
+    let all: Vec<(String, ListedUpstream)> = servers.iter().map(listed).collect();
     list(version, full, all.iter().map(|(name, listed)| (name.as_str(), listed)))
 }
 
@@ -135,15 +140,15 @@
 struct View {
     version: u64,
     /// Each upstream, and the version that it last changed with.
-    listed: BTreeMap<String, (Listed, u64)>,
+    listed: BTreeMap<String, (ListedUpstream, u64)>,
     /// How often all open watches have fallen silent.
-    hushed: u64,
+    silenced: u64,
     /// Whether it answers nobody: what is called meanwhile is never answered.
-    deaf: bool,
+    unresponsive: bool,
     /// What is wrong with the next answers.
-    ills: VecDeque<DiscoveryFault>,
+    pending_faults: VecDeque<DiscoveryFault>,
     /// How long a call that does not go on with a watch takes: these are worked through in turn.
-    turn: Duration,
+    processing_time: Duration,
     /// Calls that came, and those that did not go on with a watch.
     calls: (u64, u64),
 }
@@ -151,7 +156,7 @@
 struct SharedState {
     view: Mutex<View>,
     changed: Condvar,
-    turn: Mutex<()>,
+    processing_time: Mutex<()>,
     ledger: Option<Arc<Ledger>>,
 }
 
@@ -166,7 +171,7 @@
         Registry(Arc::new(SharedState {
             view: Mutex::default(),
             changed: Condvar::new(),
-            turn: Mutex::new(()),
+            processing_time: Mutex::new(()),
             ledger,
         }))
     }
@@ -176,7 +181,7 @@
     }
 
     /// Lists an upstream, or changes what is listed of it.
-    pub fn set(&self, name: &str, listed: Listed) {
+    pub fn set(&self, name: &str, listed: ListedUpstream) {
         let mut view = self.view();
         view.version += 1;
         let version = view.version;
@@ -188,33 +193,33 @@
     pub fn state(&self, name: &str, state: &'static str) {
         let listed = self.view().listed.get(name).map(|(l, _)| l.clone());
         if let Some(listed) = listed {
-            self.set(name, Listed { state, ..listed });
+            self.set(name, ListedUpstream { state, ..listed });
         }
     }
 
     /// Every watch that is open now falls silent: it is never answered, and its connection stays open. Calls that come
     /// from now on are answered as before. Returns when that was.
-    pub fn hush(&self) -> Instant {
-        self.view().hushed += 1;
+    pub fn silence_pending(&self) -> Instant {
+        self.view().silenced += 1;
         self.0.changed.notify_all();
         Instant::now()
     }
 
     /// Goes deaf as an agent does while discovery is down, or hears again. What was open or is called meanwhile is never
     /// answered. Returns when that was.
-    pub fn deaf(&self, deaf: bool) -> Instant {
-        self.view().deaf = deaf;
-        self.hush()
+    pub fn set_unresponsive(&self, unresponsive: bool) -> Instant {
+        self.view().unresponsive = unresponsive;
+        self.silence_pending()
     }
 
     /// The next answer, whoever gets it, is ill.
-    pub fn ails(&self, ill: DiscoveryFault) {
-        self.view().ills.push_back(ill);
+    pub fn inject_fault(&self, fault: DiscoveryFault) {
+        self.view().pending_faults.push_back(fault);
     }
 
     /// Calls that do not go on with a watch (within 200 ms of the last answer) are worked through in turn, each for so long.
-    pub fn takes(&self, turn: Duration) {
-        self.view().turn = turn;
+    pub fn set_processing_time(&self, processing_time: Duration) {
+        self.view().processing_time = processing_time;
     }
 
     /// Calls that came, and those of them that did not go on with a watch.
@@ -226,7 +231,7 @@
     ///
     /// # Errors
     /// No port or no thread could be had.
-    pub fn open(&self, balancer: &str) -> std::io::Result<SocketAddr> {
+    pub fn open_endpoint(&self, balancer: &str) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
         let (registry, balancer) = (self.clone(), balancer.to_string());
@@ -241,21 +246,25 @@
 
     fn serve(&self, stream: TcpStream, balancer: &str) {
         let mut stream = BufReader::new(stream);
-        let mut last: Option<Instant> = None;
+        let mut last_answer_at: Option<Instant> = None;
         while let Some(call) = read(&mut stream) {
-            let goes_on = last.is_some_and(|at| at.elapsed() <= GAP);
-            let (ill, turn) = {
+            let continues_watch = last_answer_at.is_some_and(|at| at.elapsed() <= MAX_WATCH_GAP);
+            let (fault, processing_time) = {
                 let mut view = self.view();
-                view.calls = (view.calls.0 + 1, view.calls.1 + u64::from(!goes_on));
-                let ill = if view.deaf { Some(DiscoveryFault::Silent) } else { view.ills.pop_front() };
-                (ill, view.turn)
+                view.calls = (view.calls.0 + 1, view.calls.1 + u64::from(!continues_watch));
+                let fault = if view.unresponsive {
+                    Some(DiscoveryFault::Silent)
+                } else {
+                    view.pending_faults.pop_front()
+                };
+                (fault, view.processing_time)
             };
-            if !goes_on && !turn.is_zero() {
-                let _mine = self.0.turn.lock().unwrap_or_else(PoisonError::into_inner);
+            if !continues_watch && !processing_time.is_zero() {
+                let _turn = self.0.processing_time.lock().unwrap_or_else(PoisonError::into_inner);
                 // The work itself, unless whoever asked hangs up.
-                hung_up(stream.get_ref(), turn);
+                hung_up(stream.get_ref(), processing_time);
             }
-            let (body, told) = match ill {
+            let (body, sent) = match fault {
                 Some(DiscoveryFault::Silent) => return silent(&mut stream),
                 Some(DiscoveryFault::HalfClosed) => {
                     let _ = stream.get_ref().shutdown(Shutdown::Write);
@@ -272,14 +281,15 @@
                 },
             };
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            match ill {
+            match fault {
                 Some(DiscoveryFault::Half) => {
                     let _ = stream.get_mut().write_all(&text.as_bytes()[..text.len() - body.len() / 2]);
                     return silent(&mut stream);
                 }
                 Some(DiscoveryFault::Trickle) => {
                     for byte in text.as_bytes() {
-                        if stream.get_mut().write_all(&[*byte]).is_err() || hung_up(stream.get_ref(), TRICKLE)
+                        if stream.get_mut().write_all(&[*byte]).is_err()
+                            || hung_up(stream.get_ref(), TRICKLE_INTERVAL)
                         {
                             break;
                         }
@@ -291,11 +301,11 @@
             if stream.get_mut().write_all(text.as_bytes()).is_err() {
                 return;
             }
-            last = Some(Instant::now());
-            for (upstream, state) in told {
+            last_answer_at = Some(Instant::now());
+            for (upstream, state) in sent {
                 let state = if state == "active" { State::Ready } else { State::Closed };
                 if let Some(ledger) = &self.0.ledger {
-                    ledger.write(Entry::Told { balancer: balancer.into(), upstream, state });
+                    ledger.write(Entry::Notified { balancer: balancer.into(), upstream, state });
                 }
             }
         }
@@ -308,25 +318,25 @@
             query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
         };
         let since = number("since");
-        let until = Instant::now() + Duration::from_millis(number("timeout_ms").unwrap_or(0).min(60_000));
+        let deadline = Instant::now() + Duration::from_millis(number("timeout_ms").unwrap_or(0).min(60_000));
         let mut view = self.view();
-        let hushed = view.hushed;
+        let silenced = view.silenced;
         while since.is_some_and(|since| view.version <= since) {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            view = self.0.changed.wait_timeout(view, left).unwrap_or_else(PoisonError::into_inner).0;
-            if view.hushed != hushed {
+            view = self.0.changed.wait_timeout(view, remaining).unwrap_or_else(PoisonError::into_inner).0;
+            if view.silenced != silenced {
                 return None;
             }
         }
-        let named = view.listed.iter().filter(|(_, (listed, version))| match since {
+        let selected = view.listed.iter().filter(|(_, (listed, version))| match since {
             Some(since) => *version > since,
             None => listed.state != "left",
         });
-        let named: Vec<_> = named.map(|(name, (listed, _))| (name.as_str(), listed)).collect();
-        let told = named.iter().map(|&(name, listed)| (name.to_string(), listed.state)).collect();
-        Some((list(view.version, since.is_none(), named.into_iter()), told))
+        let selected: Vec<_> = selected.map(|(name, (listed, _))| (name.as_str(), listed)).collect();
+        let states = selected.iter().map(|&(name, listed)| (name.to_string(), listed.state)).collect();
+        Some((list(view.version, since.is_none(), selected.into_iter()), states))
     }
 }
--- a/crates/verification/testkit/src/fastcgi.rs
+++ b/crates/verification/testkit/src/fastcgi.rs
@@ -3,9 +3,9 @@
 //!
 //! The records are read by the crate under test and written by hand here, so that a fault in its writer is found.
 use crate::message::Message;
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use bytes::Bytes;
-use fastcgi::client::{Client, Event as Came, Outcome};
+use fastcgi::client::{Client, Event as ClientEvent, Outcome};
 use fastcgi::server::{Event, Request, Server};
 use fastcgi::Limits;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-const READ: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// A record, padded with so many bytes.
 pub fn record(kind: u8, id: u16, body: &[u8], padding: u8) -> Vec<u8> {
@@ -26,20 +26,20 @@
 }
 
 /// The record that begins a request to a responder.
-pub fn begin(id: u16, keep: bool) -> Vec<u8> {
+pub fn begin_record(id: u16, keep: bool) -> Vec<u8> {
     record(1, id, &[0, 1, u8::from(keep), 0, 0, 0, 0, 0], 0)
 }
 
 /// The record that ends one.
-pub fn end(id: u16, application: u32, protocol: u8) -> Vec<u8> {
+pub fn end_record(id: u16, application: u32, protocol: u8) -> Vec<u8> {
     let [a, b, c, d] = application.to_be_bytes();
     record(3, id, &[a, b, c, d, protocol, 0, 0, 0], 0)
 }
 
 /// Pairs as the body of a PARAMS record.
-pub fn pairs(all: &[(&str, &str)]) -> Vec<u8> {
+pub fn pairs(params: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
-    for (name, value) in all {
+    for (name, value) in params {
         for n in [name.len(), value.len()] {
             match u8::try_from(n) {
                 Ok(short) if short < 128 => out.push(short),
@@ -63,7 +63,7 @@
 pub struct Responder {
     stream: Arc<TcpStream>,
     server: Arc<Mutex<Server>>,
-    waiting: VecDeque<(u16, Message)>,
+    queued: VecDeque<(u16, Message)>,
     /// The request that it answers.
     id: u16,
 }
@@ -75,7 +75,7 @@
         Responder {
             stream,
             server: Arc::new(Mutex::new(Server::new(limits))),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             id: 0,
         }
     }
@@ -86,8 +86,8 @@
 
     /// The next request as an HTTP message; `None`: the connection ended.
     pub fn request(&mut self) -> Option<Message> {
-        let (mut buffer, mut events) = (vec![0; READ], Vec::new());
-        while self.waiting.is_empty() {
+        let (mut buffer, mut events) = (vec![0; READ_BUFFER_BYTES], Vec::new());
+        while self.queued.is_empty() {
             let n = (&*self.stream).read(&mut buffer).ok().filter(|&n| n > 0)?;
             {
                 let mut server = self.server();
@@ -97,11 +97,11 @@
             }
             for event in events.drain(..) {
                 if let Event::Request(r) = event {
-                    self.waiting.push_back((r.id, message(&r)));
+                    self.queued.push_back((r.id, message(&r)));
                 }
             }
         }
-        let (id, message) = self.waiting.pop_front()?;
+        let (id, message) = self.queued.pop_front()?;
         self.id = id;
         Some(message)
     }
@@ -110,43 +110,43 @@
     ///
     /// # Errors
     /// The connection has ended.
-    pub fn answer(&mut self, http: &str, whole: bool) -> std::io::Result<()> {
+    pub fn answer(&mut self, http: &str, complete: bool) -> std::io::Result<()> {
         let mut out = Vec::new();
         for part in as_cgi(http).as_bytes().chunks(30_000) {
             out.extend(record(6, self.id, part, 5));
         }
-        if whole {
+        if complete {
             out.extend(record(6, self.id, b"", 0));
-            out.extend(end(self.id, 0, 0));
+            out.extend(end_record(self.id, 0, 0));
         }
         // Held while it writes, so that answers do not mix within a record.
         let mut server = self.server();
         let open = server.open();
-        if whole {
+        if complete {
             // Its books: the request is over for the reader too. What was written of it stands above.
             server.refuse(self.id, fastcgi::record::Protocol::Complete);
             let _ = server.drain();
         }
         // One that was called off has its end already.
-        if whole && server.open() == open {
+        if complete && server.open() == open {
             return Ok(());
         }
         (&*self.stream).write_all(&out)
     }
 }
 
-fn message(r: &Request) -> Message {
+fn message(request: &Request) -> Message {
     let text = |b: &Bytes| String::from_utf8_lossy(b).into_owned();
     let param =
-        |name: &str| r.params.iter().find(|(n, _)| n == name).map(|(_, v)| text(v)).unwrap_or_default();
+        |name: &str| request.params.iter().find(|(n, _)| n == name).map(|(_, v)| text(v)).unwrap_or_default();
     let header = |(n, v): &(Bytes, Bytes)| {
         let name = text(n).strip_prefix("HTTP_")?.replace('_', "-").to_ascii_lowercase();
         Some((name, text(v)))
     };
     Message {
-        start: format!("{} {} HTTP/1.1", param("REQUEST_METHOD"), param("REQUEST_URI")),
-        headers: r.params.iter().filter_map(header).collect(),
-        body: r.body.to_vec(),
+        start_line: format!("{} {} HTTP/1.1", param("REQUEST_METHOD"), param("REQUEST_URI")),
+        headers: request.params.iter().filter_map(header).collect(),
+        body: request.body.to_vec(),
     }
 }
 
@@ -165,7 +165,7 @@
     pub fn connect(addr: SocketAddr) -> Option<WebServer> {
         let stream = TcpStream::connect(addr).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         Some(WebServer::on(BufReader::new(stream)))
     }
 
@@ -177,12 +177,12 @@
     }
 
     /// How long it waits for the next bytes.
-    pub fn patience(&mut self, most: std::time::Duration) {
-        let _ = self.stream.set_read_timeout(Some(most));
+    pub fn set_timeout(&mut self, timeout: std::time::Duration) {
+        let _ = self.stream.set_read_timeout(Some(timeout));
     }
 
     /// Whether the connection ended before a byte of the answer that was waited for last.
-    pub fn silent(&self) -> bool {
+    pub fn closed_before_answer(&self) -> bool {
         self.silent && !self.timed_out
     }
 
@@ -209,8 +209,8 @@
     }
 
     /// The next request that ends; `None`: the connection did before, or what came can't be read.
-    pub fn ended(&mut self) -> Option<(u16, Outcome)> {
-        let (mut buffer, mut events) = (vec![0; READ], Vec::new());
+    pub fn next_outcome(&mut self) -> Option<(u16, Outcome)> {
+        let (mut buffer, mut events) = (vec![0; READ_BUFFER_BYTES], Vec::new());
         (self.silent, self.timed_out) = (true, false);
         loop {
             if let Some(ended) = self.ended.pop_front() {
@@ -229,7 +229,7 @@
             self.silent = false;
             self.client.receive(Bytes::copy_from_slice(&buffer[..n]), &mut events).ok()?;
             for event in events.drain(..) {
-                if let Came::Ended(id, outcome) = event {
+                if let ClientEvent::Ended(id, outcome) = event {
                     self.ended.push_back((id, outcome));
                 }
             }
--- a/crates/verification/testkit/src/faults/disk.rs
+++ b/crates/verification/testkit/src/faults/disk.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// It has ended, or is not ours.
-pub fn full_at(pid: u32, bytes: u64) -> io::Result<()> {
+pub fn limit_file_size(pid: u32, bytes: u64) -> io::Result<()> {
     limit(pid, Some(bytes))
 }
 
@@ -28,6 +28,6 @@
 ///
 /// # Errors
 /// It has ended, or is not ours.
-pub fn room(pid: u32) -> io::Result<()> {
+pub fn remove_limit(pid: u32) -> io::Result<()> {
     limit(pid, None)
 }
--- a/crates/verification/testkit/src/faults/link.rs
+++ b/crates/verification/testkit/src/faults/link.rs
@@ -10,7 +10,7 @@
 /// How often a direction that waits for bytes looks whether its rule has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a process that is reached may take to accept.
-const CONNECT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest first thing that is said.
 const MAX_FIRST_BYTES: usize = 64 << 10;
 
@@ -23,9 +23,9 @@
     /// Connections are reset, and new ones too.
     Cut,
     /// Nothing arrives and nobody is told; what was held arrives when the link is whole again, if both are still there.
-    Hole,
+    Blackhole,
     /// It arrives late.
-    Late(Duration),
+    Delay(Duration),
     /// So many bytes arrive every 10 ms.
     Trickle(usize),
 }
@@ -35,21 +35,21 @@
     by_way: HashMap<(String, String), Rule>,
 }
 
-struct Inside {
+struct Shared {
     rules: Mutex<Rules>,
     changed: Condvar,
-    who: fn(&[u8]) -> Option<(String, usize)>,
+    identify: fn(&[u8]) -> Option<(String, usize)>,
 }
 
 /// All links of a test.
 #[derive(Clone)]
-pub struct Net(Arc<Inside>);
+pub struct Network(Arc<Shared>);
 
-impl Net {
+impl Network {
     /// All links are whole. `who` reads who connects from the first bytes, and how many bytes that took; `None`: more of
     /// them are needed.
-    pub fn new(who: fn(&[u8]) -> Option<(String, usize)>) -> Net {
-        Net(Arc::new(Inside { rules: Mutex::default(), changed: Condvar::new(), who }))
+    pub fn new(identify: fn(&[u8]) -> Option<(String, usize)>) -> Network {
+        Network(Arc::new(Shared { rules: Mutex::default(), changed: Condvar::new(), identify }))
     }
 
     fn rules(&self) -> MutexGuard<'_, Rules> {
@@ -63,7 +63,7 @@
     }
 
     /// The same for both directions.
-    pub fn set_both(&self, a: &str, b: &str, rule: Rule) {
+    pub fn set_both_ways(&self, a: &str, b: &str, rule: Rule) {
         self.set(a, b, rule);
         self.set(b, a, rule);
     }
@@ -72,7 +72,7 @@
     pub fn split(&self, one: &[&str], other: &[&str], rule: Rule) {
         for a in one {
             for b in other {
-                self.set_both(a, b, rule);
+                self.set_both_ways(a, b, rule);
             }
         }
     }
@@ -95,37 +95,37 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (net, name) = (net.clone(), name.clone());
-                thread::spawn(move || net.carry(stream, &name, to));
+                thread::spawn(move || net.relay_connection(stream, &name, to));
             }
         });
         addr
     }
 
-    fn carry(&self, from: TcpStream, name: &str, to: SocketAddr) {
-        let Some((who, first)) = self.introduced(&from) else { return };
-        if self.rule(&who, name) == Rule::Cut || self.rule(name, &who) == Rule::Cut {
+    fn relay_connection(&self, from: TcpStream, name: &str, to: SocketAddr) {
+        let Some((peer, first)) = self.read_handshake(&from) else { return };
+        if self.rule(&peer, name) == Rule::Cut || self.rule(name, &peer) == Rule::Cut {
             return reset(&from);
         }
-        let Ok(other) = TcpStream::connect_timeout(&to, CONNECT) else { return reset(&from) };
+        let Ok(other) = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT) else { return reset(&from) };
         let _ = (from.set_nodelay(true), other.set_nodelay(true));
         let (Ok(from_back), Ok(other_back)) = (from.try_clone(), other.try_clone()) else { return };
-        let (net, a, b) = (self.clone(), name.to_string(), who.clone());
+        let (net, a, b) = (self.clone(), name.to_string(), peer.clone());
         let back = thread::spawn(move || net.pump(&other_back, &from_back, &a, &b, Vec::new()));
-        self.pump(&from, &other, &who, name, first);
+        self.pump(&from, &other, &peer, name, first);
         let _ = back.join();
     }
 
     /// Who connects, and the bytes that were read to know it.
-    fn introduced(&self, from: &TcpStream) -> Option<(String, Vec<u8>)> {
+    fn read_handshake(&self, from: &TcpStream) -> Option<(String, Vec<u8>)> {
         let mut first = Vec::new();
-        let mut byte = [0; 1024];
-        from.set_read_timeout(Some(CONNECT)).ok()?;
+        let mut buffer = [0; 1024];
+        from.set_read_timeout(Some(CONNECT_TIMEOUT)).ok()?;
         loop {
-            if let Some((who, _)) = (self.0.who)(&first) {
-                return Some((who, first));
+            if let Some((identify, _)) = (self.0.identify)(&first) {
+                return Some((identify, first));
             }
-            let n = (&*from).read(&mut byte).ok().filter(|&n| n > 0)?;
-            first.extend_from_slice(&byte[..n]);
+            let n = (&*from).read(&mut buffer).ok().filter(|&n| n > 0)?;
+            first.extend_from_slice(&buffer[..n]);
             if first.len() > MAX_FIRST_BYTES {
                 return None;
             }
@@ -133,17 +133,17 @@
     }
 
     /// Carries bytes one way until the connection ends.
-    fn pump(&self, from: &TcpStream, to: &TcpStream, a: &str, b: &str, mut held: Vec<u8>) {
+    fn pump(&self, from: &TcpStream, to: &TcpStream, sender: &str, receiver: &str, mut pending: Vec<u8>) {
         let _ = from.set_read_timeout(Some(POLL_INTERVAL));
         let mut bytes = vec![0; 16 << 10];
         loop {
-            match self.rule(a, b) {
+            match self.rule(sender, receiver) {
                 Rule::Cut => {
                     reset(from);
                     reset(to);
                     return;
                 }
-                Rule::Hole if !held.is_empty() => {
+                Rule::Blackhole if !pending.is_empty() => {
                     let rules = self.rules();
                     drop(self.0.changed.wait_timeout(rules, POLL_INTERVAL));
                     if ended(from) && ended(to) {
@@ -151,25 +151,25 @@
                     }
                     continue;
                 }
-                Rule::Hole => {}
-                Rule::Pass if !held.is_empty() => {
-                    if (&*to).write_all(&held).is_err() {
+                Rule::Blackhole => {}
+                Rule::Pass if !pending.is_empty() => {
+                    if (&*to).write_all(&pending).is_err() {
                         reset(from);
                         return;
                     }
-                    held.clear();
+                    pending.clear();
                 }
-                Rule::Late(span) if !held.is_empty() => {
-                    thread::sleep(span);
-                    if (&*to).write_all(&held).is_err() {
+                Rule::Delay(delay) if !pending.is_empty() => {
+                    thread::sleep(delay);
+                    if (&*to).write_all(&pending).is_err() {
                         reset(from);
                         return;
                     }
-                    held.clear();
+                    pending.clear();
                 }
-                Rule::Trickle(n) if !held.is_empty() => {
-                    let some: Vec<u8> = held.drain(..n.min(held.len())).collect();
-                    if (&*to).write_all(&some).is_err() {
+                Rule::Trickle(n) if !pending.is_empty() => {
+                    let chunk: Vec<u8> = pending.drain(..n.min(pending.len())).collect();
+                    if (&*to).write_all(&chunk).is_err() {
                         reset(from);
                         return;
                     }
@@ -183,7 +183,7 @@
                     let _ = to.shutdown(Shutdown::Write);
                     return;
                 }
-                Ok(n) => held.extend_from_slice(&bytes[..n]),
+                Ok(n) => pending.extend_from_slice(&bytes[..n]),
                 Err(e)
                     if matches!(
                         e.kind(),
--- a/crates/verification/testkit/src/faults/script.rs
+++ b/crates/verification/testkit/src/faults/script.rs
@@ -4,28 +4,28 @@
 
 /// The fewest of these steps, in their order, with which `still` holds: halves are left out, then quarters, and so on to
 /// single ones (Zeller and Hildebrandt, 2002). `still` has to hold for all of them.
-pub fn fewest<T: Clone + Debug>(all: &[T], mut still: impl FnMut(&[T]) -> bool) -> Vec<T> {
-    let mut least = all.to_vec();
-    let mut size = least.len().div_ceil(2).max(1);
-    while !least.is_empty() {
-        let mut at = 0;
-        let mut fewer = false;
-        while at < least.len() {
-            let mut some = least.clone();
-            some.drain(at..(at + size).min(least.len()));
-            if still(&some) {
-                least = some;
-                fewer = true;
+pub fn fewest<T: Clone + Debug>(steps: &[T], mut fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
+    let mut smallest = steps.to_vec();
+    let mut size = smallest.len().div_ceil(2).max(1);
+    while !smallest.is_empty() {
+        let mut start = 0;
+        let mut reduced = false;
+        while start < smallest.len() {
+            let mut candidate = smallest.clone();
+            candidate.drain(start..(start + size).min(smallest.len()));
+            if fails(&candidate) {
+                smallest = candidate;
+                reduced = true;
             } else {
-                at += size;
+                start += size;
             }
         }
-        if size == 1 && !fewer {
+        if size == 1 && !reduced {
             break;
         }
         size = (size / 2).max(1);
     }
-    least
+    smallest
 }
 
 /// Says which script failed if the test ends by a panic.
--- a/crates/verification/testkit/src/fleet.rs
+++ b/crates/verification/testkit/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A machine of a fleet: its files, its supervisor, and the instances that outlive this.
 use crate::node::Program;
-use crate::process::{reserve, Process};
-use crate::PATIENCE;
+use crate::process::{reserve_address, Process};
+use crate::TEST_TIMEOUT;
 use rustix::process::{kill_process, Pid, Signal};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,11 +10,11 @@
 use std::time::Instant;
 
 /// Short waits, so that a roll through many takes seconds.
-pub const OPERATOR: &str =
+pub const OPERATOR_CONFIG: &str =
     "[daemon]\naccepting = \"100ms\"\nserving = \"200ms\"\nlast_answer = \"2s\"\nend = \"3s\"\n";
 
 /// How an instance stands, by its state and process.
-pub type InstanceLine = (String, Option<u32>);
+pub type InstanceStatus = (String, Option<u32>);
 
 /// A machine with a supervisor. Dropped, it ends with all its processes.
 pub struct Fleet {
@@ -38,7 +38,7 @@
     pub fn start(
         program: &Program,
         names: &[String],
-        more: &str,
+        extra_lines: &str,
         operator: &str,
         tables: &str,
         config_of: impl Fn(usize) -> String,
@@ -48,11 +48,11 @@
         std::fs::create_dir(&folder).expect("creates");
         std::fs::write(folder.join("own.toml"), operator).expect("writes");
         let mut text =
-            format!("[fleet]\nfolder = \"run\"\noperator = \"own.toml\"\nspread = \"10ms\"\n{more}\n");
+            format!("[fleet]\nfolder = \"run\"\noperator = \"own.toml\"\nspread = \"10ms\"\n{extra_lines}\n");
         let (mut addrs, mut configs) = (Vec::new(), Vec::new());
-        for (k, name) in names.iter().enumerate() {
-            let addr = reserve();
-            let config = config_of(k).replace("127.0.0.1:0", &addr.to_string());
+        for (index, name) in names.iter().enumerate() {
+            let addr = reserve_address();
+            let config = config_of(index).replace("127.0.0.1:0", &addr.to_string());
             let file = folder.join(format!("{name}.json"));
             std::fs::write(&file, config).expect("writes");
             text += &format!("[[instance]]\nname = \"{name}\"\nconfig = \"{name}.json\"\n");
@@ -61,12 +61,12 @@
         }
         let file = folder.join("fleet.toml");
         std::fs::write(&file, text + tables).expect("writes");
-        let supervisor = supervise(program, &file);
+        let supervisor = start_supervisor(program, &file);
         Fleet { program: program.clone(), file, folder, addrs, configs, supervisor }
     }
 
     /// A command of `herondock fleet`, not yet run.
-    pub fn prepared(&self, args: &[&str]) -> Command {
+    pub fn prepare_command(&self, args: &[&str]) -> Command {
         let mut command = Command::new(&self.program.path);
         command.arg("fleet").args(args).arg(&self.file);
         command
@@ -74,11 +74,11 @@
 
     /// A command of `herondock fleet`.
     pub fn command(&self, args: &[&str]) -> Output {
-        self.prepared(args).output().expect("runs")
+        self.prepare_command(args).output().expect("runs")
     }
 
     /// What `fleet status --json` says of each instance: its state and process.
-    pub fn status(&self) -> Vec<InstanceLine> {
+    pub fn status(&self) -> Vec<InstanceStatus> {
         let output = self.command(&["status", "--json"]);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(output.status.success(), "{output:?}");
@@ -93,20 +93,20 @@
     }
 
     /// Waits until the states are as wanted.
-    pub fn until(&self, what: &str, wanted: impl Fn(&[InstanceLine]) -> bool) {
+    pub fn until(&self, expected: &str, condition: impl Fn(&[InstanceStatus]) -> bool) {
         let started = Instant::now();
         loop {
             let status = self.status();
-            if wanted(&status) {
+            if condition(&status) {
                 return;
             }
-            assert!(started.elapsed() < 2 * PATIENCE, "not {what}: {status:?} {:?}", self.log());
+            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "not {expected}: {status:?} {:?}", self.log());
             thread::yield_now();
         }
     }
 
     /// Waits until all are in this state.
-    pub fn all(&self, state: &str) {
+    pub fn wait_for_all(&self, state: &str) {
         self.until(state, |status| status.iter().all(|(s, _)| s == state));
     }
 
@@ -116,31 +116,31 @@
     }
 
     /// Another supervisor in place of one that has ended.
-    pub fn again(&mut self) {
-        self.supervisor = supervise(&self.program, &self.file);
-        self.supervisor.logs("supervisor of");
+    pub fn restart_supervisor(&mut self) {
+        self.supervisor = start_supervisor(&self.program, &self.file);
+        self.supervisor.wait_for_log("supervisor of");
     }
 
     /// The processes of its instances, by the pid files. A file that is left over may name anybody's process: only those of
     /// this program count.
     pub fn pids(&self) -> Vec<u32> {
         let own = std::fs::canonicalize(&self.program.path).ok();
-        let ours = |pid: &u32| std::fs::read_link(format!("/proc/{pid}/exe")).ok() == own;
+        let is_ours = |pid: &u32| std::fs::read_link(format!("/proc/{pid}/exe")).ok() == own;
         let files = std::fs::read_dir(self.folder.join("run")).into_iter().flatten().flatten();
         let pid = |path: PathBuf| {
             let of_pid = path.extension().is_some_and(|e| e == "pid");
             of_pid.then(|| std::fs::read_to_string(path).ok()?.trim().parse().ok()).flatten()
         };
-        files.filter_map(|f| pid(f.path())).filter(ours).collect()
+        files.filter_map(|f| pid(f.path())).filter(is_ours).collect()
     }
 
     /// Sends a signal to the supervisor and all instances, as when something happens to the machine.
-    pub fn signal(&self, name: Signal) {
+    pub fn signal(&self, signal: Signal) {
         // The supervisor first: it must not start again what ends.
-        self.supervisor.signal(name);
+        self.supervisor.signal(signal);
         for pid in self.pids() {
             if let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) {
-                let _ = kill_process(pid, name);
+                let _ = kill_process(pid, signal);
             }
         }
     }
@@ -152,7 +152,7 @@
     }
 }
 
-fn supervise(program: &Program, file: &std::path::Path) -> Process {
+fn start_supervisor(program: &Program, file: &std::path::Path) -> Process {
     let mut command = Command::new(&program.path);
     command.arg("fleet").arg(file).stdin(Stdio::null()).stdout(Stdio::null());
     Process::start(command)
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -44,7 +44,7 @@
         /// What a repeat may do.
         effect: Effect,
         /// How long the caller waits.
-        patience: Duration,
+        timeout: Duration,
     },
     /// A whole answer came.
     Answered {
@@ -54,7 +54,7 @@
         status: u16,
     },
     /// The caller went away of its own accord: nothing is owed any more.
-    Left {
+    CallerLeft {
         /// The request.
         request: String,
     },
@@ -77,7 +77,7 @@
         work: Duration,
     },
     /// A balancer was told of an upstream.
-    Told {
+    Notified {
         /// Who.
         balancer: String,
         /// Of which.
@@ -107,12 +107,12 @@
     /// When.
     pub at: Duration,
     /// The request or the upstream.
-    pub whose: String,
+    pub subject: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.fault, self.at.as_secs_f64(), self.whose)
+        write!(f, "{:?} at {:.3} s: {}", self.fault, self.at.as_secs_f64(), self.subject)
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[derive(Default)]
-struct Books {
+struct Log {
     records: Vec<Record>,
     /// Entries that found no room.
     dropped: u64,
@@ -135,8 +135,8 @@
 /// A ledger; shared by reference between the threads of all stand-ins.
 pub struct Ledger {
     opened: Instant,
-    most: usize,
-    books: Mutex<Books>,
+    max_entries: usize,
+    log: Mutex<Log>,
 }
 
 impl Default for Ledger {
@@ -148,17 +148,17 @@
 impl Ledger {
     /// An empty ledger for [`MAX_ENTRIES`] entries.
     pub fn new() -> Ledger {
-        Ledger::with_room(MAX_ENTRIES)
+        Ledger::with_capacity(MAX_ENTRIES)
     }
 
     /// An empty ledger for so many entries.
-    pub fn with_room(most: usize) -> Ledger {
-        Ledger { opened: Instant::now(), most, books: Mutex::default() }
+    pub fn with_capacity(max_entries: usize) -> Ledger {
+        Ledger { opened: Instant::now(), max_entries, log: Mutex::default() }
     }
 
     /// A stand-in that panicked has failed its test; what it wrote before still holds.
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    fn log(&self) -> MutexGuard<'_, Log> {
+        self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The time on its clock.
@@ -168,101 +168,104 @@
 
     /// Writes what happens now.
     pub fn write(&self, entry: Entry) {
-        let mut books = self.books();
+        let mut log = self.log();
         // Read under the lock, so that the order of entries is that of their times.
         let at = self.now();
-        self.push(&mut books, Record { at, entry });
+        self.push(&mut log, Record { at, entry });
     }
 
     /// Writes what happened then.
     pub fn write_at(&self, at: Duration, entry: Entry) {
-        self.push(&mut self.books(), Record { at, entry });
+        self.push(&mut self.log(), Record { at, entry });
     }
 
-    fn push(&self, books: &mut Books, record: Record) {
-        if books.records.len() < self.most {
-            books.records.push(record);
+    fn push(&self, log: &mut Log, record: Record) {
+        if log.records.len() < self.max_entries {
+            log.records.push(record);
         } else {
-            books.dropped += 1;
+            log.dropped += 1;
         }
     }
 
     /// All entries from the `from`th on, in the order in which they were written.
     pub fn since(&self, from: usize) -> Vec<Record> {
-        self.books().records.get(from..).map(<[Record]>::to_vec).unwrap_or_default()
+        self.log().records.get(from..).map(<[Record]>::to_vec).unwrap_or_default()
     }
 
     /// Checks the four rules over all entries. To be called once nothing is under way any more: a request without
     /// an answer counts as lost, however long its caller would still wait.
-    pub fn check(&self, figures: &RuleParameters) -> Vec<Violation> {
-        let books = self.books();
-        let mut records: Vec<&Record> = books.records.iter().collect();
-        records.sort_by_key(|r| r.at);
-        let mut found = Vec::new();
-        if books.dropped > 0 {
-            let whose = format!("{} entries found no room", books.dropped);
-            found.push(Violation { fault: Breach::LedgerFull, at: self.now(), whose });
+    pub fn check(&self, parameters: &RuleParameters) -> Vec<Violation> {
+        let log = self.log();
+        let mut records: Vec<&Record> = log.records.iter().collect();
+        records.sort_by_key(|record| record.at);
+        let mut violations = Vec::new();
+        if log.dropped > 0 {
+            let subject = format!("{} entries found no room", log.dropped);
+            violations.push(Violation { fault: Breach::LedgerFull, at: self.now(), subject });
         }
-        let mut news: HashMap<(&str, &str), NotificationDeadline> = HashMap::new();
+        let mut notifications: HashMap<(&str, &str), NotificationDeadline> = HashMap::new();
         // The story of each request, and who took it.
-        let mut stories: BTreeMap<&str, (RequestHistory, &str)> = BTreeMap::new();
+        let mut histories: BTreeMap<&str, (RequestHistory, &str)> = BTreeMap::new();
         let mut warming: HashMap<&str, Warming> = HashMap::new();
-        for r in &records {
-            match &r.entry {
-                Entry::Sent { request, balancer, effect, patience } => {
-                    let fresh = || (RequestHistory::new(r.at, *effect, *patience), balancer.as_str());
-                    let (story, took) = stories.entry(request).or_insert_with(fresh);
+        for record in &records {
+            match &record.entry {
+                Entry::Sent { request, balancer, effect, timeout } => {
+                    let fresh = || (RequestHistory::new(record.at, *effect, *timeout), balancer.as_str());
+                    let (history, taken_by) = histories.entry(request).or_insert_with(fresh);
                     // On another connection: whoever has it now owes the answer.
-                    (story.excused, *took) = (false, balancer);
+                    (history.excused, *taken_by) = (false, balancer);
                 }
                 Entry::Answered { request, status } => {
-                    if let Some((story, _)) = stories.get_mut(request.as_str()) {
-                        story.answers.push((r.at, *status));
+                    if let Some((history, _)) = histories.get_mut(request.as_str()) {
+                        history.answers.push((record.at, *status));
                     }
                 }
-                Entry::Left { request } => {
-                    if let Some((story, _)) = stories.get_mut(request.as_str()) {
-                        story.left = Some(r.at);
+                Entry::CallerLeft { request } => {
+                    if let Some((history, _)) = histories.get_mut(request.as_str()) {
+                        history.left = Some(record.at);
                     }
                 }
                 Entry::Begun { upstream, request } => {
-                    if let Some((story, balancer)) = stories.get_mut(request.as_str()) {
-                        let news = news.get(&(*balancer, upstream.as_str()));
-                        let closed = news.map_or(Duration::ZERO, |news| news.closed_for(r.at));
-                        story.begun.push((r.at, closed));
+                    if let Some((history, balancer)) = histories.get_mut(request.as_str()) {
+                        let notifications = notifications.get(&(*balancer, upstream.as_str()));
+                        let closed = notifications
+                            .map_or(Duration::ZERO, |notifications| notifications.closed_for(record.at));
+                        history.begun.push((record.at, closed));
                     }
                 }
                 Entry::Executed { upstream, group, request, work } => {
-                    if let Some((story, _)) = stories.get_mut(request.as_str()) {
-                        story.ran.push((r.at, *group));
+                    if let Some((history, _)) = histories.get_mut(request.as_str()) {
+                        history.ran.push((record.at, *group));
                     }
                     let warming = warming.get_mut(upstream.as_str());
-                    let pushed = warming.and_then(|warming| warming.executed(r.at, *work, figures));
-                    if let Some((at, sum)) = pushed {
-                        let whose =
-                            format!("upstream {upstream}, sent {sum:?} of work in {:?}", figures.cold_span);
-                        found.push(Violation { fault: Breach::ColdPushedOver, at, whose });
+                    let overload = warming.and_then(|warming| warming.executed(record.at, *work, parameters));
+                    if let Some((at, sum)) = overload {
+                        let subject = format!(
+                            "upstream {upstream}, sent {sum:?} of work in {:?}",
+                            parameters.cold_span
+                        );
+                        violations.push(Violation { fault: Breach::ColdPushedOver, at, subject });
                     }
                 }
-                Entry::Told { balancer, upstream, state } => {
-                    news.entry((balancer, upstream)).or_default().notify(r.at, *state);
+                Entry::Notified { balancer, upstream, state } => {
+                    notifications.entry((balancer, upstream)).or_default().notify(record.at, *state);
                 }
                 Entry::Started { upstream, cold } => {
-                    warming.insert(upstream, Warming::new(r.at, *cold));
+                    warming.insert(upstream, Warming::new(record.at, *cold));
                 }
                 Entry::Killed { balancer } => {
-                    for (story, of) in stories.values_mut() {
-                        story.excused |= of == balancer;
+                    for (history, taken_by) in histories.values_mut() {
+                        history.excused |= taken_by == balancer;
                     }
                 }
             }
         }
-        for (request, (story, _)) in &stories {
-            let whose = || format!("request {request}");
-            let mut fault = |fault, at| found.push(Violation { fault, at, whose: whose() });
-            story.judge(figures, &mut fault);
+        for (request, (history, _)) in &histories {
+            let subject = || format!("request {request}");
+            let mut fault = |fault, at| violations.push(Violation { fault, at, subject: subject() });
+            history.judge(parameters, &mut fault);
         }
-        found.sort_by_key(|v| v.at);
-        found
+        violations.sort_by_key(|v| v.at);
+        violations
     }
 }
--- a/crates/verification/testkit/src/lib.rs
+++ b/crates/verification/testkit/src/lib.rs
@@ -62,4 +62,4 @@
 use std::time::Duration;
 
 /// Ends a test that has failed; nothing that works comes near it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/verification/testkit/src/message.rs
+++ b/crates/verification/testkit/src/message.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its first line.
-    pub start: String,
+    pub start_line: String,
     /// Names and values, in order.
     pub headers: Vec<(String, String)>,
     /// The body that `Content-Length` states.
@@ -25,12 +25,12 @@
 
     /// An answer's status; 0 where its first line states none.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     /// A request's path and query; empty where its first line has none.
     pub fn path(&self) -> &str {
-        self.start.split(' ').nth(1).unwrap_or("")
+        self.start_line.split(' ').nth(1).unwrap_or("")
     }
 }
 
@@ -42,12 +42,12 @@
 
 /// Reads one message; `None` when the connection ended before its end, or it is none.
 pub fn read(stream: &mut impl BufRead) -> Option<Message> {
-    read_telling(stream, |_| {})
+    read_with_head(stream, |_| {})
 }
 
 /// The same; tells of the head as soon as it has come.
-pub fn read_telling(stream: &mut impl BufRead, head: impl FnOnce(&Message)) -> Option<Message> {
-    let mut message = Message { start: line(stream)?, headers: Vec::new(), body: Vec::new() };
+pub fn read_with_head(stream: &mut impl BufRead, head: impl FnOnce(&Message)) -> Option<Message> {
+    let mut message = Message { start_line: line(stream)?, headers: Vec::new(), body: Vec::new() };
     loop {
         let line = line(stream)?;
         match line.split_once(':') {
@@ -67,7 +67,7 @@
 }
 
 /// The text of an answer that served the request.
-pub fn ok_text(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
--- a/crates/verification/testkit/src/node.rs
+++ b/crates/verification/testkit/src/node.rs
@@ -1,8 +1,8 @@
 //! The program under test: configurations for it, and its process.
 use crate::caller::Client;
-use crate::discovery::{listing, Discovery};
+use crate::discovery::{upstream_list, Discovery};
 use crate::process::Process;
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitStatus, Stdio};
@@ -11,10 +11,10 @@
 use std::time::Instant;
 
 /// A platform configuration with a class of each effect (`read`, `order`, `pay`) and one tenant (`club`).
-pub fn config(discovery: SocketAddr, sockets: usize, known: &str) -> String {
+pub fn config(discovery: SocketAddr, sockets: usize, list: &str) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{list},
         "settings":{{"balancers":1,"index":0,"membership_mode":"on_request","dcs":["a"],"kinds":["m"],
           "classes":[
             {{"name":"read","objective":1000,"deadline":20000,"effect":"free","late_worth":0.5}},
@@ -37,7 +37,7 @@
     pub folder: PathBuf,
 }
 
-static NUMBER: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
 impl Program {
     /// An executable, and a folder that exists.
@@ -47,7 +47,7 @@
 
     /// A file with this content and a name that no other has.
     pub fn file(&self, ending: &str, content: &str) -> PathBuf {
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let path = self.folder.join(format!("node-{}-{number}{ending}", std::process::id()));
         std::fs::write(&path, content).expect("writes a file");
         path
@@ -72,21 +72,21 @@
     }
 
     /// A balancer that starts with this list, and whose discovery answers as it is told.
-    pub fn start(&self, sockets: usize, known: &str) -> Node {
+    pub fn start(&self, sockets: usize, list: &str) -> Node {
         let discovery = Discovery::start();
-        let command = self.command(&config(discovery.addr, sockets, known));
+        let command = self.command(&config(discovery.addr, sockets, list));
         Node::run(command, discovery)
     }
 
     /// A balancer that knows these upstreams, and whose discovery is silent.
     pub fn with(&self, upstreams: &[SocketAddr]) -> Node {
         let servers: Vec<_> = upstreams.iter().enumerate().map(|(n, &a)| (n, a, "active")).collect();
-        self.start(1024, &listing(1, true, &servers))
+        self.start(1024, &upstream_list(1, true, &servers))
     }
 }
 
 /// What a balancer logs before the address at which it serves.
-const SERVES: &str = "serving on ";
+const SERVING: &str = "serving on ";
 
 /// Sends a signal, by its short name, to a process that we started.
 pub fn signal(pid: u32, name: &str) {
@@ -108,21 +108,21 @@
 impl Node {
     /// Starts a prepared command and waits until it serves.
     pub fn run(command: Command, discovery: Discovery) -> Node {
-        Node::run_keeping(command, discovery, |_| true)
+        Node::run_filtered(command, discovery, |_| true)
     }
 
     /// The same; of its log only these lines are kept, and the one that says where it serves.
-    pub fn run_keeping(
+    pub fn run_filtered(
         command: Command,
         discovery: Discovery,
-        keeps: impl Fn(&str) -> bool + Send + 'static,
+        is_kept: impl Fn(&str) -> bool + Send + 'static,
     ) -> Node {
         let file = command.get_envs().find(|(name, _)| *name == "NODE_CONFIG").and_then(|(_, path)| path);
         let file = file.expect("a configuration").into();
-        let process = Process::start_keeping(command, move |line| keeps(line) || line.contains(SERVES));
+        let process = Process::start_filtered(command, move |line| is_kept(line) || line.contains(SERVING));
         // A process that never serves must not outlive the test that waits for it; dropped, it is killed.
-        let serves = |line: &str| line.split_once(SERVES).map(|(_, addr)| addr.parse());
-        match process.line(0, serves) {
+        let serves = |line: &str| line.split_once(SERVING).map(|(_, addr)| addr.parse());
+        match process.find_line(0, serves) {
             Some(addr) => Node { process, file, addr: addr.expect("an address"), discovery },
             None => panic!("it does not serve: {:?}", process.log()),
         }
@@ -145,10 +145,10 @@
     }
 
     /// Waits until the number of its descriptors is as wanted.
-    pub fn wait_for_descriptors(&self, wanted: impl Fn(usize) -> bool, otherwise: &str) {
+    pub fn wait_for_descriptors(&self, condition: impl Fn(usize) -> bool, failure: &str) {
         let started = Instant::now();
-        while !wanted(self.descriptors()) {
-            assert!(started.elapsed() < PATIENCE, "{otherwise}");
+        while !condition(self.descriptors()) {
+            assert!(started.elapsed() < TEST_TIMEOUT, "{failure}");
             thread::yield_now();
         }
     }
@@ -165,8 +165,8 @@
     }
 
     /// Waits for a line of the log with this in it.
-    pub fn logs(&self, wanted: &str) {
-        self.process.logs(wanted);
+    pub fn wait_for_log(&self, wanted: &str) {
+        self.process.wait_for_log(wanted);
     }
 
     /// Waits until it has ended and its log is read.
@@ -180,7 +180,7 @@
     }
 
     /// A client that has sent this and not yet read an answer.
-    pub fn client_that_sent(&self, text: &str) -> Client {
+    pub fn client_with_request(&self, text: &str) -> Client {
         let mut client = self.client();
         client.send(text);
         client
--- a/crates/verification/testkit/src/process.rs
+++ b/crates/verification/testkit/src/process.rs
@@ -1,5 +1,5 @@
 //! A process that a test started, and its log.
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -12,7 +12,7 @@
 /// Most lines of a log that are kept; later ones are read and dropped, which the last line says.
 const MAX_LOG_LINES: usize = 10_000;
 /// That line.
-const CUT: &str = "(the log goes on, and is not kept any further)";
+const TRUNCATION_NOTICE: &str = "(the log goes on, and is not kept any further)";
 
 #[derive(Default)]
 struct Log {
@@ -36,21 +36,21 @@
 impl Process {
     /// Starts a command, whose standard error is its log.
     pub fn start(command: Command) -> Process {
-        Process::start_keeping(command, |_| true)
+        Process::start_filtered(command, |_| true)
     }
 
     /// The same, and of its log only these lines are kept: for one that logs every request.
-    pub fn start_keeping(mut command: Command, keeps: impl Fn(&str) -> bool + Send + 'static) -> Process {
+    pub fn start_filtered(mut command: Command, is_kept: impl Fn(&str) -> bool + Send + 'static) -> Process {
         let mut child = command.stderr(Stdio::piped()).spawn().expect("starts");
         let lines = BufReader::new(child.stderr.take().expect("its log"));
         let log = Arc::new(Log::default());
         let kept = log.clone();
         let reader = thread::spawn(move || {
-            for line in lines.lines().map_while(Result::ok).filter(|line| keeps(line)) {
-                let mut held = kept.lines();
-                match held.0.len() {
-                    n if n < MAX_LOG_LINES => held.0.push(line),
-                    MAX_LOG_LINES => held.0.push(CUT.into()),
+            for line in lines.lines().map_while(Result::ok).filter(|line| is_kept(line)) {
+                let mut log_lines = kept.lines();
+                match log_lines.0.len() {
+                    n if n < MAX_LOG_LINES => log_lines.0.push(line),
+                    MAX_LOG_LINES => log_lines.0.push(TRUNCATION_NOTICE.into()),
                     _ => continue,
                 }
                 kept.more.notify_all();
@@ -73,38 +73,38 @@
 
     /// Waits for a line from the one with this number on of which something can be made. `None`: its log has ended, or a
     /// working process would have written it by now.
-    pub fn line<T>(&self, from: usize, made: impl Fn(&str) -> Option<T>) -> Option<T> {
+    pub fn find_line<T>(&self, from: usize, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
         let started = Instant::now();
-        let mut held = self.log.lines();
-        let mut at = from;
+        let mut log = self.log.lines();
+        let mut next = from;
         loop {
-            while at < held.0.len() {
-                if let Some(made) = made(&held.0[at]) {
-                    return Some(made);
+            while next < log.0.len() {
+                if let Some(parsed) = parse(&log.0[next]) {
+                    return Some(parsed);
                 }
-                at += 1;
+                next += 1;
             }
-            let left = PATIENCE.saturating_sub(started.elapsed());
-            if held.1 || left.is_zero() {
+            let remaining = TEST_TIMEOUT.saturating_sub(started.elapsed());
+            if log.1 || remaining.is_zero() {
                 return None;
             }
-            held = self.log.more.wait_timeout(held, left).unwrap_or_else(PoisonError::into_inner).0;
+            log = self.log.more.wait_timeout(log, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
     /// Waits for a line of the log with this in it.
-    pub fn logs(&self, wanted: &str) {
-        self.logs_from(0, wanted);
+    pub fn wait_for_log(&self, wanted: &str) {
+        self.wait_for_log_from(0, wanted);
     }
 
     /// The same from the line with this number on.
-    pub fn logs_from(&self, from: usize, wanted: &str) {
-        let found = self.line(from, |line| line.contains(wanted).then_some(()));
+    pub fn wait_for_log_from(&self, from: usize, wanted: &str) {
+        let found = self.find_line(from, |line| line.contains(wanted).then_some(()));
         assert!(found.is_some(), "no line with {wanted:?} in {:?}", self.log());
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Waits until it has ended. Its log may go on: what it has started may hold it open.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("it ends")
     }
 
@@ -145,7 +145,7 @@
 
 /// An address on a loopback network of its own, so that nobody takes its port while nobody listens there: callers come
 /// from 127.0.0.1.
-pub fn reserve() -> SocketAddr {
+pub fn reserve_address() -> SocketAddr {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
     let of_process = std::process::id() & 0xff;
--- a/crates/verification/testkit/src/script.rs
+++ b/crates/verification/testkit/src/script.rs
@@ -1,9 +1,9 @@
 //! Fault scripts: what an upstream does with the first request that reaches it, the next, and so on.
 use crate::message::Message;
-use crate::upstream::Then;
+use crate::upstream::Step;
 use std::sync::{Arc, Mutex, PoisonError};
 
-type Act = Box<dyn Fn() -> Then + Send>;
+type Act = Box<dyn Fn() -> Step + Send>;
 
 /// Steps in order, each for so many requests; counted over all connections. The last step goes on for ever; behind
 /// the end of a script that has no such step requests meet a 500.
@@ -22,12 +22,12 @@
     }
 
     /// So many requests meet this.
-    pub fn times(self, times: usize, then: impl Fn() -> Then + Send + 'static) -> Script {
+    pub fn times(self, times: usize, then: impl Fn() -> Step + Send + 'static) -> Script {
         self.push(Some(times), Box::new(then))
     }
 
     /// All further requests meet this.
-    pub fn for_ever(self, then: impl Fn() -> Then + Send + 'static) -> Script {
+    pub fn forever(self, then: impl Fn() -> Step + Send + 'static) -> Script {
         self.push(None, Box::new(then))
     }
 
@@ -37,13 +37,13 @@
     }
 
     /// What an upstream is given.
-    pub fn play(self) -> impl Fn(&Message) -> Then + Clone + Send + Sync + 'static {
+    pub fn into_behaviour(self) -> impl Fn(&Message) -> Step + Clone + Send + Sync + 'static {
         let script = Arc::new(self);
         move |_| script.next()
     }
 
     /// What the next request meets.
-    fn next(&self) -> Then {
+    fn next(&self) -> Step {
         let mut steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
         while let Some((left, act)) = steps.first_mut() {
             match left {
@@ -55,6 +55,6 @@
                 None => return act(),
             }
         }
-        Then::Answer("HTTP/1.1 500 Script Over\r\nContent-Length: 0\r\n\r\n".into())
+        Step::Answer("HTTP/1.1 500 Script Over\r\nContent-Length: 0\r\n\r\n".into())
     }
 }
--- a/crates/verification/testkit/src/site.rs
+++ b/crates/verification/testkit/src/site.rs
@@ -1,12 +1,12 @@
 //! Several machines of a fleet with a council and an operator, all of them real processes with links between them.
 use crate::coordination::Voters;
-use crate::discovery::{Listed, Registry};
-use crate::fleet::{Fleet, OPERATOR};
+use crate::discovery::{ListedUpstream, Registry};
+use crate::fleet::{Fleet, OPERATOR_CONFIG};
 use crate::ledger::Ledger;
-use crate::message::{ok_text, Message};
+use crate::message::{ok_response, Message};
 use crate::node::{config, Program};
-use crate::upstream::{Options, Then, Upstream};
-use crate::PATIENCE;
+use crate::upstream::{Step, Upstream, UpstreamOptions};
+use crate::TEST_TIMEOUT;
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
     /// The machines m1, m2 and so on, in zones a and b in turn; their balancers are m1b0, m1b1 and so on.
     pub machines: Vec<Fleet>,
     /// The operators' file of outages.
-    pub outages: PathBuf,
+    pub outage_file: PathBuf,
     /// The table of files by which the council is found.
     pub council: String,
 }
@@ -40,7 +40,7 @@
     /// Machines.
     pub machines: usize,
     /// Balancers on each.
-    pub each: usize,
+    pub balancers_per_machine: usize,
     /// Upstreams.
     pub upstreams: usize,
 }
@@ -48,57 +48,72 @@
 impl Site {
     /// Starts all, with three voters, and waits until every balancer is known to be in. `budgets` are the `[[budget]]`s of
     /// the outages' file; `asks`: whether supervisors belong to the council, and so ask for leave.
-    pub fn start(program: &Program, size: Size, budgets: &str, asks: bool) -> Site {
-        Site::start_with(program, size, budgets, asks, "")
+    pub fn start(program: &Program, size: Size, budgets: &str, uses_council: bool) -> Site {
+        Site::start_with(program, size, budgets, uses_council, "")
     }
 
     /// The same with further lines of `[fleet]` for every machine.
-    pub fn start_with(program: &Program, size: Size, budgets: &str, asks: bool, lines: &str) -> Site {
+    pub fn start_with(program: &Program, size: Size, budgets: &str, uses_council: bool, lines: &str) -> Site {
         let voters = Voters::start(program, 3);
-        let list: Vec<String> = voters.reached().iter().map(|v| format!("\"{v}\"")).collect();
+        let list: Vec<String> = voters.client_addrs().iter().map(|v| format!("\"{v}\"")).collect();
         let council =
             format!("[council]\nvoters = [{}]\nttl = \"1500ms\"\npatience = \"700ms\"\n", list.join(", "));
-        let ledger = Arc::new(Ledger::with_room(4 << 20));
+        let ledger = Arc::new(Ledger::with_capacity(4 << 20));
         let registry = Registry::new(Some(ledger.clone()));
         let upstreams: Vec<Upstream> = (0..size.upstreams)
-            .map(|k| {
-                let name = format!("u{k}");
-                let options = Options { ledger: Some(ledger.clone()), cores: 8, ..Options::named(&name) };
-                let work = |_: &Message| Then::Work(Duration::from_millis(3), ok_text("x"));
+            .map(|index| {
+                let name = format!("u{index}");
+                let options = UpstreamOptions {
+                    ledger: Some(ledger.clone()),
+                    cores: 8,
+                    ..UpstreamOptions::named(&name)
+                };
+                let work = |_: &Message| Step::Work(Duration::from_millis(3), ok_response("x"));
                 let upstream = Upstream::with(options, work);
-                registry.set(&name, Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+                registry.set(
+                    &name,
+                    ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
+                );
                 upstream
             })
             .collect();
-        let balancers = size.machines * size.each;
-        let operator = format!("{OPERATOR}{council}");
+        let balancers = size.machines * size.balancers_per_machine;
+        let operator = format!("{OPERATOR_CONFIG}{council}");
         let machines: Vec<Fleet> = (1..=size.machines)
-            .map(|m| {
-                let names: Vec<String> = (0..size.each).map(|k| format!("m{m}b{k}")).collect();
-                let zone = ["a", "b"][(m + 1) % 2];
+            .map(|number| {
+                let names: Vec<String> =
+                    (0..size.balancers_per_machine).map(|balancer| format!("m{number}b{balancer}")).collect();
+                let zone = ["a", "b"][(number + 1) % 2];
                 let more = format!(
-                    "machine = \"m{m}\"\nzone = \"{zone}\"\ntier = \"front\"\npause = \"50ms\"\n{lines}"
+                    "machine = \"m{number}\"\nzone = \"{zone}\"\ntier = \"front\"\npause = \"50ms\"\n{lines}"
                 );
-                Fleet::start(program, &names, &more, &operator, if asks { &council } else { "" }, |k| {
-                    let asked = registry.open(&names[k]).expect("a port");
-                    let index = (m - 1) * size.each + k;
-                    config(asked, 256, "null")
-                        .replace(
-                            "\"balancers\":1,\"index\":0",
-                            &format!("\"balancers\":{balancers},\"index\":{index}"),
-                        )
-                        .replace("\"name\":\"n1\"", &format!("\"name\":\"{}\"", names[k]))
-                })
+                Fleet::start(
+                    program,
+                    &names,
+                    &more,
+                    &operator,
+                    if uses_council { &council } else { "" },
+                    |balancer| {
+                        let discovery = registry.open_endpoint(&names[balancer]).expect("a port");
+                        let index = (number - 1) * size.balancers_per_machine + balancer;
+                        config(discovery, 256, "null")
+                            .replace(
+                                "\"balancers\":1,\"index\":0",
+                                &format!("\"balancers\":{balancers},\"index\":{index}"),
+                            )
+                            .replace("\"name\":\"n1\"", &format!("\"name\":\"{}\"", names[balancer]))
+                    },
+                )
             })
             .collect();
-        let outages = program.file(".outages.toml", &format!("{council}{budgets}"));
+        let outage_file = program.file(".outages.toml", &format!("{council}{budgets}"));
         let program = program.clone();
-        let site = Site { program, voters, ledger, registry, upstreams, machines, outages, council };
-        site.machines.iter().for_each(|m| m.all("ready"));
+        let site = Site { program, voters, ledger, registry, upstreams, machines, outage_file, council };
+        site.machines.iter().for_each(|machine| machine.wait_for_all("ready"));
         let output = site.command(&["outage", "apply"], &[]);
         assert!(output.status.success(), "{output:?}");
-        if asks {
-            site.until("all known and in", |state| out(state).is_empty() && units(state) == balancers);
+        if uses_council {
+            site.until("all known and in", |state| units_out(state).is_empty() && units(state) == balancers);
         }
         site
     }
@@ -109,19 +124,19 @@
     }
 
     /// A command with the outages' file behind its name, not yet run.
-    pub fn prepared(&self, name: &[&str], args: &[&str]) -> Command {
+    pub fn prepare_command(&self, name: &[&str], args: &[&str]) -> Command {
         let mut command = Command::new(&self.program.path);
-        command.args(name).arg(&self.outages).args(args).stdin(Stdio::null());
+        command.args(name).arg(&self.outage_file).args(args).stdin(Stdio::null());
         command
     }
 
     /// The same, run.
     pub fn command(&self, name: &[&str], args: &[&str]) -> Output {
-        self.prepared(name, args).output().expect("runs")
+        self.prepare_command(name, args).output().expect("runs")
     }
 
     /// A build that runs the program with this before it, as lines of a shell's script; its content tells it from all others.
-    pub fn build(&self, lines: &str) -> PathBuf {
+    pub fn write_build(&self, lines: &str) -> PathBuf {
         let program = std::path::absolute(&self.program.path).expect("a path");
         let path = self
             .program
@@ -131,10 +146,10 @@
     }
 
     /// The file of a release from the program to such a build; `more` are further lines of `[release]` and tables.
-    pub fn release(&self, new: &std::path::Path, more: &str) -> PathBuf {
+    pub fn write_release_file(&self, new: &std::path::Path, extra_lines: &str) -> PathBuf {
         let old = std::path::absolute(&self.program.path).expect("a path");
         let text = format!(
-            "{}[release]\nold = \"{}\"\nnew = \"{}\"\n{more}\n",
+            "{}[release]\nold = \"{}\"\nnew = \"{}\"\n{extra_lines}\n",
             self.council,
             old.display(),
             new.display()
@@ -149,14 +164,14 @@
     }
 
     /// Waits until `outage status --json` is as wanted.
-    pub fn until(&self, what: &str, wanted: impl Fn(&str) -> bool) {
+    pub fn until(&self, expected: &str, condition: impl Fn(&str) -> bool) {
         let started = Instant::now();
         loop {
             let state = self.state();
-            if wanted(&state) {
+            if condition(&state) {
                 return;
             }
-            assert!(started.elapsed() < 2 * PATIENCE, "not {what}: {state} {:#?}", self.logs());
+            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "not {expected}: {state} {:#?}", self.logs());
             thread::yield_now();
         }
     }
@@ -175,18 +190,18 @@
     }
 
     /// Cuts a machine's supervisor, and with `all` its balancers as well, off from the voters, or heals that.
-    pub fn cut(&self, machine: usize, all: bool, rule: crate::faults::link::Rule) {
+    pub fn set_link_rule(&self, machine: usize, include_balancers: bool, rule: crate::faults::link::Rule) {
         let balancers = self.machines[machine].addrs.iter().map(|(name, _)| format!("balancer/{name}"));
         let mut names = vec![format!("supervisor/m{}", machine + 1)];
-        names.extend(balancers.filter(|_| all));
+        names.extend(balancers.filter(|_| include_balancers));
         for name in &names {
-            self.voters.names.iter().for_each(|v| self.voters.net.set_both(name, v, rule));
+            self.voters.names.iter().for_each(|v| self.voters.network.set_both_ways(name, v, rule));
         }
     }
 }
 
 /// The units that are out, by the state that [`Site::state`] returns.
-pub fn out(state: &str) -> Vec<String> {
+pub fn units_out(state: &str) -> Vec<String> {
     let Some((_, rest)) = state.split_once("\"out\":[") else { return Vec::new() };
     let list = rest.split("],\"revision\"").next().unwrap_or_default();
     list.split("\"unit\":\"").skip(1).filter_map(|u| u.split('"').next()).map(Into::into).collect()
--- a/crates/verification/testkit/src/upstream.rs
+++ b/crates/verification/testkit/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Upstreams: what a test tells them to do, done on real sockets and written into the ledger.
 use crate::ledger::{Cold, Entry, Ledger};
-use crate::message::{ok_text, read_telling, Message};
-use crate::PATIENCE;
+use crate::message::{ok_response, read_with_head, Message};
+use crate::TEST_TIMEOUT;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -11,44 +11,44 @@
 use std::time::{Duration, Instant};
 
 /// What an upstream does with a request.
-pub enum Then {
+pub enum Step {
     /// Writes this and keeps the connection.
     Answer(String),
     /// Writes this and closes the connection.
     AnswerAndClose(String),
     /// Closes the connection without an answer.
-    Hang,
+    Close,
     /// Says nothing until the other side closes.
-    Wait,
+    Silent,
     /// Waits for a word on the channel, then answers.
     Hold(Receiver<()>, String),
     /// Works for so long on one of its cores, then answers; turned away if too many wait for one.
     Work(Duration, String),
 }
 
-impl Then {
+impl Step {
     /// Turned away: it never ran.
-    pub fn declined() -> Then {
-        Then::Answer(DECLINED.into())
+    pub fn declined() -> Step {
+        Step::Answer(DECLINED.into())
     }
 
     /// Whether the request is worked on. Only the mark that it was turned away says that it is not.
     fn executes(&self) -> bool {
         match self {
-            Then::Answer(text) | Then::AnswerAndClose(text) => !declines(text),
-            Then::Hang | Then::Wait | Then::Hold(..) | Then::Work(..) => true,
+            Step::Answer(text) | Step::AnswerAndClose(text) => !declines(text),
+            Step::Close | Step::Silent | Step::Hold(..) | Step::Work(..) => true,
         }
     }
 }
 
 /// An answer that served the request.
-pub fn ok(body: &str) -> Then {
-    Then::Answer(ok_text(body))
+pub fn ok(body: &str) -> Step {
+    Step::Answer(ok_response(body))
 }
 
 /// An answer with this status line's end and no body.
-pub fn status(line: &str) -> Then {
-    Then::Answer(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
+pub fn status(line: &str) -> Step {
+    Step::Answer(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
 
 const DECLINED: &str = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
@@ -68,7 +68,7 @@
 }
 
 /// How an upstream is set up.
-pub struct Options {
+pub struct UpstreamOptions {
     /// Its id, as discovery names it.
     pub name: String,
     /// The group whose members share the memory of keys.
@@ -84,13 +84,13 @@
     /// Whether it speaks FastCGI, and not HTTP. What it is told to answer stays written as HTTP.
     pub fastcgi: bool,
     /// Requests at once on a FastCGI connection; above 1 it says so when it is asked.
-    pub at_once: usize,
+    pub max_concurrent: usize,
 }
 
-impl Options {
+impl UpstreamOptions {
     /// One core, room for 64 that wait, group 0, warm, no ledger.
-    pub fn named(name: &str) -> Options {
-        Options {
+    pub fn named(name: &str) -> UpstreamOptions {
+        UpstreamOptions {
             name: name.into(),
             group: 0,
             ledger: None,
@@ -98,7 +98,7 @@
             queue: 64,
             cold: None,
             fastcgi: false,
-            at_once: 1,
+            max_concurrent: 1,
         }
     }
 }
@@ -108,16 +108,16 @@
 const MAX_OBSERVED: usize = 10_000;
 
 struct Shared {
-    options: Options,
-    behaviour: Box<dyn Fn(&Message) -> Then + Send + Sync>,
+    options: UpstreamOptions,
+    behaviour: Box<dyn Fn(&Message) -> Step + Send + Sync>,
     started: Instant,
-    tell: Sender<ObservedRequest>,
-    told: AtomicUsize,
+    report: Sender<ObservedRequest>,
+    observed: AtomicUsize,
     /// Requests that work or wait for a core, and those that work.
-    busy: Mutex<(usize, usize)>,
-    free: Condvar,
-    dead: AtomicBool,
-    open: Mutex<Vec<Weak<TcpStream>>>,
+    jobs: Mutex<(usize, usize)>,
+    core_freed: Condvar,
+    killed: AtomicBool,
+    streams: Mutex<Vec<Weak<TcpStream>>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -147,12 +147,15 @@
 
 impl Upstream {
     /// An upstream that nobody keeps books of.
-    pub fn start(behaviour: impl Fn(&Message) -> Then + Send + Sync + 'static) -> Upstream {
-        Upstream::with(Options::named("s"), behaviour)
+    pub fn start(behaviour: impl Fn(&Message) -> Step + Send + Sync + 'static) -> Upstream {
+        Upstream::with(UpstreamOptions::named("s"), behaviour)
     }
 
     /// An upstream on a port of its own.
-    pub fn with(options: Options, behaviour: impl Fn(&Message) -> Then + Send + Sync + 'static) -> Upstream {
+    pub fn with(
+        options: UpstreamOptions,
+        behaviour: impl Fn(&Message) -> Step + Send + Sync + 'static,
+    ) -> Upstream {
         Upstream::at(SocketAddr::from(([127, 0, 0, 1], 0)), options, behaviour).expect("a free port")
     }
 
@@ -162,12 +165,12 @@
     /// The address is taken.
     pub fn at(
         addr: SocketAddr,
-        options: Options,
-        behaviour: impl Fn(&Message) -> Then + Send + Sync + 'static,
+        options: UpstreamOptions,
+        behaviour: impl Fn(&Message) -> Step + Send + Sync + 'static,
     ) -> std::io::Result<Upstream> {
         let listener = TcpListener::bind(addr)?;
         let addr = listener.local_addr()?;
-        let (tell, seen) = channel();
+        let (report, seen) = channel();
         let connections = Arc::new(AtomicUsize::new(0));
         if let (Some(ledger), Some(cold)) = (&options.ledger, options.cold) {
             ledger.write(Entry::Started { upstream: options.name.clone(), cold });
@@ -176,19 +179,19 @@
             options,
             behaviour: Box::new(behaviour),
             started: Instant::now(),
-            tell,
-            told: AtomicUsize::new(0),
-            busy: Mutex::new((0, 0)),
-            free: Condvar::new(),
-            dead: AtomicBool::new(false),
-            open: Mutex::default(),
+            report,
+            observed: AtomicUsize::new(0),
+            jobs: Mutex::new((0, 0)),
+            core_freed: Condvar::new(),
+            killed: AtomicBool::new(false),
+            streams: Mutex::default(),
         });
         let listener = Arc::new(listener);
         let (count, at, accepting) = (connections.clone(), shared.clone(), listener.clone());
         thread::spawn(move || {
             loop {
                 let accepted = accepting.accept();
-                if at.dead.load(Ordering::SeqCst) {
+                if at.killed.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok((stream, _)) = accepted else {
@@ -199,9 +202,9 @@
                 count.fetch_add(1, Ordering::SeqCst);
                 let stream = Arc::new(stream);
                 {
-                    let mut open = lock(&at.open);
-                    open.retain(|s| s.strong_count() > 0);
-                    open.push(Arc::downgrade(&stream));
+                    let mut streams = lock(&at.streams);
+                    streams.retain(|s| s.strong_count() > 0);
+                    streams.push(Arc::downgrade(&stream));
                 }
                 let at = at.clone();
                 thread::spawn(move || serve(stream, &at));
@@ -211,9 +214,9 @@
     }
 
     /// The next request.
-    pub fn request(&self) -> Message {
+    pub fn next_request(&self) -> Message {
         loop {
-            match self.seen.recv_timeout(PATIENCE).expect("a request at the upstream") {
+            match self.seen.recv_timeout(TEST_TIMEOUT).expect("a request at the upstream") {
                 ObservedRequest::Request(m) => return m,
                 ObservedRequest::Closed => {}
             }
@@ -221,31 +224,31 @@
     }
 
     /// Waits until a connection has been closed.
-    pub fn closed(&self) {
+    pub fn wait_for_close(&self) {
         while !matches!(
-            self.seen.recv_timeout(PATIENCE).expect("a closed connection"),
+            self.seen.recv_timeout(TEST_TIMEOUT).expect("a closed connection"),
             ObservedRequest::Closed
         ) {}
     }
 
     /// How many further requests have come.
-    pub fn further(&self) -> usize {
+    pub fn count_new_requests(&self) -> usize {
         self.seen.try_iter().filter(|s| matches!(s, ObservedRequest::Request(_))).count()
     }
 
     /// How many requests [`Then::Work`] holds: those that it works on and those that wait for a core.
-    pub fn busy(&self) -> usize {
-        lock(&self.shared.busy).0
+    pub fn work_in_progress(&self) -> usize {
+        lock(&self.shared.jobs).0
     }
 
     /// Ends like a process that dies: connections are reset, and new ones are refused.
     pub fn kill(&self) {
-        if self.shared.dead.swap(true, Ordering::SeqCst) {
+        if self.shared.killed.swap(true, Ordering::SeqCst) {
             return;
         }
         // Ends the listening at once, and wakes the thread that accepts.
         let _ = socket2::SockRef::from(&*self.listener).shutdown(Shutdown::Both);
-        for stream in lock(&self.shared.open).drain(..).filter_map(|s| s.upgrade()) {
+        for stream in lock(&self.shared.streams).drain(..).filter_map(|s| s.upgrade()) {
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -259,9 +262,9 @@
 }
 
 impl Shared {
-    fn tell(&self, seen: ObservedRequest) {
-        if self.told.fetch_add(1, Ordering::SeqCst) < MAX_OBSERVED {
-            let _ = self.tell.send(seen);
+    fn report(&self, seen: ObservedRequest) {
+        if self.observed.fetch_add(1, Ordering::SeqCst) < MAX_OBSERVED {
+            let _ = self.report.send(seen);
         }
     }
 
@@ -272,33 +275,33 @@
     }
 
     /// Takes a core once one is free and works; `false`: too many wait.
-    fn work(&self, time: Duration, begin: impl FnOnce()) -> bool {
-        let mut busy = lock(&self.busy);
-        if busy.0 >= self.options.cores + self.options.queue {
+    fn work(&self, duration: Duration, begin: impl FnOnce()) -> bool {
+        let mut jobs = lock(&self.jobs);
+        if jobs.0 >= self.options.cores + self.options.queue {
             return false;
         }
-        busy.0 += 1;
+        jobs.0 += 1;
         begin();
-        while busy.1 >= self.options.cores {
-            busy = self.free.wait(busy).unwrap_or_else(PoisonError::into_inner);
+        while jobs.1 >= self.options.cores {
+            jobs = self.core_freed.wait(jobs).unwrap_or_else(PoisonError::into_inner);
         }
-        busy.1 += 1;
-        drop(busy);
+        jobs.1 += 1;
+        drop(jobs);
         let warmth = self.options.cold.map_or(1.0, |cold| {
             let done = self.started.elapsed().as_secs_f64() / cold.ramp.as_secs_f64().max(1e-9);
             (cold.from + (1.0 - cold.from) * done).clamp(0.01, 1.0)
         });
         // The work itself: what a server would compute, this one rests for.
-        thread::sleep(time.div_f64(warmth));
-        let mut busy = lock(&self.busy);
-        (busy.0, busy.1) = (busy.0 - 1, busy.1 - 1);
-        self.free.notify_one();
+        thread::sleep(duration.div_f64(warmth));
+        let mut jobs = lock(&self.jobs);
+        (jobs.0, jobs.1) = (jobs.0 - 1, jobs.1 - 1);
+        self.core_freed.notify_one();
         true
     }
 }
 
 /// A protocol on a connection of an upstream's.
-trait Speaks {
+trait ServerProtocol {
     /// The next request; tells of it as soon as its head has come.
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message>;
     /// Answers it; `whole`: and that is all of it.
@@ -307,13 +310,13 @@
 
 struct Http(BufReader<HeldConnection>);
 
-impl Speaks for Http {
+impl ServerProtocol for Http {
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message> {
         // Whether something has come shows before it is whole.
         if !self.0.fill_buf().is_ok_and(|b| !b.is_empty()) {
             return None;
         }
-        read_telling(&mut self.0, head)
+        read_with_head(&mut self.0, head)
     }
 
     fn write(&mut self, text: &str, _: bool) -> std::io::Result<()> {
@@ -321,18 +324,18 @@
     }
 }
 
-fn serve(stream: Arc<TcpStream>, at: &Arc<Shared>) {
-    let requests = at.options.at_once;
-    if at.options.fastcgi && requests > 1 {
-        converse_at_once(crate::fastcgi::Responder::new(stream.clone(), requests), &stream, at);
-    } else if at.options.fastcgi {
-        converse(crate::fastcgi::Responder::new(stream, 1), at);
+fn serve(stream: Arc<TcpStream>, shared: &Arc<Shared>) {
+    let requests = shared.options.max_concurrent;
+    if shared.options.fastcgi && requests > 1 {
+        serve_concurrently(crate::fastcgi::Responder::new(stream.clone(), requests), &stream, shared);
+    } else if shared.options.fastcgi {
+        serve_sequentially(crate::fastcgi::Responder::new(stream, 1), shared);
     } else {
-        converse(Http(BufReader::new(HeldConnection(stream))), at);
+        serve_sequentially(Http(BufReader::new(HeldConnection(stream))), shared);
     }
 }
 
-impl Speaks for crate::fastcgi::Responder {
+impl ServerProtocol for crate::fastcgi::Responder {
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message> {
         let message = self.request()?;
         head(&message);
@@ -345,68 +348,68 @@
 }
 
 /// Reads the next request and writes into the ledger that it begins.
-fn next(peer: &mut impl Speaks, at: &Shared) -> Option<Message> {
+fn next_request_of(peer: &mut impl ServerProtocol, shared: &Shared) -> Option<Message> {
     let begun = |head: &Message| {
         let request = head.header("req-id").unwrap_or("").to_string();
-        at.write(|upstream| Entry::Begun { upstream, request });
+        shared.write(|upstream| Entry::Begun { upstream, request });
     };
-    if at.dead.load(Ordering::SeqCst) {
+    if shared.killed.load(Ordering::SeqCst) {
         return None;
     }
     peer.read(begun)
 }
 
-fn converse(mut peer: impl Speaks, at: &Shared) {
-    while next(&mut peer, at).is_some_and(|message| serve_one(&mut peer, message, at)) {}
+fn serve_sequentially(mut peer: impl ServerProtocol, shared: &Shared) {
+    while next_request_of(&mut peer, shared).is_some_and(|message| serve_one(&mut peer, message, shared)) {}
     drop(peer);
-    at.tell(ObservedRequest::Closed);
+    shared.report(ObservedRequest::Closed);
 }
 
 /// Each request in a thread of its own; one whose connection is to end ends it for all.
-fn converse_at_once(mut peer: crate::fastcgi::Responder, stream: &Arc<TcpStream>, at: &Arc<Shared>) {
-    while let Some(message) = next(&mut peer, at) {
-        let (mut peer, stream, at) = (peer.clone(), stream.clone(), at.clone());
+fn serve_concurrently(mut peer: crate::fastcgi::Responder, stream: &Arc<TcpStream>, shared: &Arc<Shared>) {
+    while let Some(message) = next_request_of(&mut peer, shared) {
+        let (mut peer, stream, shared) = (peer.clone(), stream.clone(), shared.clone());
         thread::spawn(move || {
-            if !serve_one(&mut peer, message, &at) {
+            if !serve_one(&mut peer, message, &shared) {
                 let _ = stream.shutdown(Shutdown::Both);
             }
         });
     }
     drop(peer);
-    at.tell(ObservedRequest::Closed);
+    shared.report(ObservedRequest::Closed);
 }
 
 /// Does what it is told with one request; `false`: the connection ends.
-fn serve_one(peer: &mut impl Speaks, message: Message, at: &Shared) -> bool {
+fn serve_one(peer: &mut impl ServerProtocol, message: Message, shared: &Shared) -> bool {
     let request = message.header("req-id").unwrap_or("").to_string();
-    let then = (at.behaviour)(&message);
+    let action = (shared.behaviour)(&message);
     let executed = |work| {
-        let group = at.options.group;
-        at.write(|upstream| Entry::Executed { upstream, group, request, work });
+        let group = shared.options.group;
+        shared.write(|upstream| Entry::Executed { upstream, group, request, work });
     };
-    let tell = || at.tell(ObservedRequest::Request(message));
-    if let Then::Work(time, text) = then {
-        tell();
-        let done = at.work(time, || executed(time));
+    let report = || shared.report(ObservedRequest::Request(message));
+    if let Step::Work(time, text) = action {
+        report();
+        let was_run = shared.work(time, || executed(time));
         // A process that died meanwhile answers nothing.
-        let dead = at.dead.load(Ordering::SeqCst);
-        return !dead && peer.write(if done { &text } else { DECLINED }, true).is_ok();
+        let killed = shared.killed.load(Ordering::SeqCst);
+        return !killed && peer.write(if was_run { &text } else { DECLINED }, true).is_ok();
     }
     // Before the answer is written: whoever reads it finds the books in order.
-    if then.executes() {
+    if action.executes() {
         executed(Duration::ZERO);
     }
-    tell();
-    match then {
-        Then::Answer(text) => drop(peer.write(&text, true)),
-        Then::AnswerAndClose(text) => {
+    report();
+    match action {
+        Step::Answer(text) => drop(peer.write(&text, true)),
+        Step::AnswerAndClose(text) => {
             let _ = peer.write(&text, false);
             return false;
         }
-        Then::Hang => return false,
-        Then::Wait | Then::Work(..) => {}
-        Then::Hold(word, text) => {
-            let _ = word.recv_timeout(PATIENCE);
+        Step::Close => return false,
+        Step::Silent | Step::Work(..) => {}
+        Step::Hold(word, text) => {
+            let _ = word.recv_timeout(TEST_TIMEOUT);
             let _ = peer.write(&text, true);
         }
     }
@@ -438,9 +441,9 @@
         let mut waiting = Vec::new();
         // Connections come up until the queue is full; the first that does not shows that it is.
         loop {
-            let next = tcp();
-            let up = next.connect_timeout(&at, Duration::from_millis(300)).is_ok();
-            waiting.push(next);
+            let next_request_of = tcp();
+            let up = next_request_of.connect_timeout(&at, Duration::from_millis(300)).is_ok();
+            waiting.push(next_request_of);
             if !up {
                 break;
             }
@@ -451,14 +454,14 @@
     }
 
     /// Lets connections come up after all, and returns the first that another made.
-    pub fn reach(self) -> BufReader<TcpStream> {
+    pub fn accept_connection(self) -> BufReader<TcpStream> {
         let port = |a: socket2::SockAddr| a.as_socket().expect("an address").port();
         let own: Vec<u16> = self.waiting.iter().filter_map(|s| s.local_addr().ok()).map(port).collect();
         loop {
             let (stream, from) = self.listener.accept().expect("accepts");
             if !own.contains(&port(from)) {
                 let stream = TcpStream::from(stream);
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
                 return BufReader::new(stream);
             }
         }
--- a/crates/verification/testkit/src/watcher.rs
+++ b/crates/verification/testkit/src/watcher.rs
@@ -8,13 +8,13 @@
 use std::time::{Duration, Instant};
 
 /// How long a balancer may take to answer before it counts as out.
-const ANSWER: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Samples that are kept.
 const MAX_SAMPLES: usize = 1 << 20;
 
 /// A time in which a balancer was certainly out: between its first and its last sample that said so, with no other between.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Span {
+pub struct Outage {
     /// Which.
     pub name: String,
     /// From when, since the watcher began.
@@ -25,11 +25,11 @@
 
 #[derive(Default)]
 struct Observation {
-    spans: Vec<Span>,
+    ended: Vec<Outage>,
     /// The span that goes on.
-    open: BTreeMap<String, Span>,
+    open: BTreeMap<String, Outage>,
     /// Taken out by a fault of the test's own, from then on.
-    excused: BTreeSet<String>,
+    excluded: BTreeSet<String>,
     samples: usize,
 }
 
@@ -43,7 +43,7 @@
 /// Whether a balancer says that it serves.
 pub fn serves(addr: SocketAddr) -> bool {
     let ask = || {
-        let mut client = Client::connect_within(addr, ANSWER)?;
+        let mut client = Client::connect_with_timeout(addr, ANSWER_TIMEOUT)?;
         client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         Some(client.answer()?.status() == 200)
     };
@@ -62,7 +62,7 @@
                     let asked = began.elapsed();
                     let serves = serves(addr);
                     let mut seen = lock(&seen);
-                    seen.note(&name, asked, began.elapsed(), serves);
+                    seen.record_sample(&name, asked, began.elapsed(), serves);
                     drop(seen);
                     thread::park_timeout(Duration::from_millis(3));
                 }
@@ -73,31 +73,31 @@
     }
 
     /// These were taken out by the test, and do not count from now on until [`Watcher::counts`].
-    pub fn excuse(&self, names: &[(String, SocketAddr)]) {
+    pub fn exclude(&self, names: &[(String, SocketAddr)]) {
         let mut seen = lock(&self.seen);
         for (name, _) in names {
-            seen.excused.insert(name.clone());
+            seen.excluded.insert(name.clone());
             seen.open.remove(name);
         }
     }
 
     /// They count again.
-    pub fn counts(&self, names: &[(String, SocketAddr)]) {
+    pub fn include(&self, names: &[(String, SocketAddr)]) {
         let mut seen = lock(&self.seen);
-        seen.excused.retain(|excused| !names.iter().any(|(name, _)| name == excused));
+        seen.excluded.retain(|excluded| !names.iter().any(|(name, _)| name == excluded));
     }
 
     /// The most that were certainly out at one time, and which.
-    pub fn worst(&self) -> Vec<String> {
+    pub fn max_unavailable(&self) -> Vec<String> {
         let seen = lock(&self.seen);
-        let spans: Vec<&Span> = seen.spans.iter().chain(seen.open.values()).collect();
-        worst(&spans)
+        let ended: Vec<&Outage> = seen.ended.iter().chain(seen.open.values()).collect();
+        largest_overlap(&ended)
     }
 
     /// How many were ever out.
-    pub fn spans(&self) -> usize {
+    pub fn outage_count(&self) -> usize {
         let seen = lock(&self.seen);
-        seen.spans.len() + seen.open.len()
+        seen.ended.len() + seen.open.len()
     }
 }
 
@@ -106,27 +106,27 @@
 }
 
 /// Of all beginnings of a span, the one at which most others go on.
-fn worst(spans: &[&Span]) -> Vec<String> {
+fn largest_overlap(ended: &[&Outage]) -> Vec<String> {
     let at = |t: Duration| {
-        let out = spans.iter().filter(|s| s.from <= t && t <= s.until).map(|s| s.name.clone());
+        let out = ended.iter().filter(|s| s.from <= t && t <= s.until).map(|s| s.name.clone());
         out.collect::<BTreeSet<String>>().into_iter().collect::<Vec<String>>()
     };
-    spans.iter().map(|s| at(s.from)).max_by_key(Vec::len).unwrap_or_default()
+    ended.iter().map(|s| at(s.from)).max_by_key(Vec::len).unwrap_or_default()
 }
 
 impl Observation {
     /// It was asked at one time and has answered, or not, by the other.
-    fn note(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
+    fn record_sample(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
         self.samples += 1;
         if serves {
             if let Some(span) = self.open.remove(name) {
-                if self.spans.len() < MAX_SAMPLES {
-                    self.spans.push(span);
+                if self.ended.len() < MAX_SAMPLES {
+                    self.ended.push(span);
                 }
             }
-        } else if !self.excused.contains(name) {
+        } else if !self.excluded.contains(name) {
             // It did not serve at some time between; certain is only what lies between two such answers.
-            let span = || Span { name: name.into(), from: by, until: asked };
+            let span = || Outage { name: name.into(), from: by, until: asked };
             let span = self.open.entry(name.into()).or_insert_with(span);
             span.until = span.until.max(asked);
         }
--- a/crates/verification/testkit/tests/ledger.rs
+++ b/crates/verification/testkit/tests/ledger.rs
@@ -16,7 +16,7 @@
 
     fn sent(self, at: u64, request: &str, effect: Effect) -> Book {
         let (request, balancer) = (request.into(), "n1".into());
-        self.0.write_at(ms(at), Entry::Sent { request, balancer, effect, patience: ms(500) });
+        self.0.write_at(ms(at), Entry::Sent { request, balancer, effect, timeout: ms(500) });
         self
     }
 
@@ -47,7 +47,7 @@
     }
 
     fn told(self, at: u64, upstream: &str, state: State) -> Book {
-        self.write(at, Entry::Told { balancer: "n1".into(), upstream: upstream.into(), state })
+        self.write(at, Entry::Notified { balancer: "n1".into(), upstream: upstream.into(), state })
     }
 
     fn faults(&self) -> Vec<Breach> {
@@ -61,7 +61,7 @@
     assert_eq!(book.faults(), [Breach::AnswerLost]);
     assert_eq!(Breach::AnswerLost.rule(), Some(Rule::NoRequestLost));
     // Unless its caller left, or what held it was killed.
-    let left = Book::new().sent(0, "r", Effect::Safe).write(9, Entry::Left { request: "r".into() });
+    let left = Book::new().sent(0, "r", Effect::Safe).write(9, Entry::CallerLeft { request: "r".into() });
     assert_eq!(left.faults(), []);
     let kill = |at| Book::new().sent(5, "r", Effect::Safe).write(at, Entry::Killed { balancer: "n1".into() });
     assert_eq!(kill(9).faults(), []);
@@ -95,7 +95,7 @@
     };
     assert_eq!(answered(59).faults(), []);
     assert_eq!(answered(60).faults(), [Breach::SentAfterAnswer]);
-    let left = Book::new().sent(0, "r", Effect::Safe).write(5, Entry::Left { request: "r".into() });
+    let left = Book::new().sent(0, "r", Effect::Safe).write(5, Entry::CallerLeft { request: "r".into() });
     assert_eq!(left.begun(90, "s-1", "r").faults(), [Breach::SentAfterAnswer]);
 }
 
@@ -211,7 +211,7 @@
 /// Guards against a verdict over books that are not whole.
 #[test]
 fn a_ledger_that_is_full_says_so() {
-    let book = Book(Ledger::with_room(2));
+    let book = Book(Ledger::with_capacity(2));
     let book = book.sent(0, "r", Effect::Safe).answered(1, "r", 502).sent(2, "s", Effect::Safe);
     assert_eq!(book.faults(), [Breach::LedgerFull]);
     assert_eq!(Breach::LedgerFull.rule(), None);
--- a/crates/verification/testkit/tests/standins.rs
+++ b/crates/verification/testkit/tests/standins.rs
@@ -4,19 +4,22 @@
 use std::thread;
 use std::time::Duration;
 use testkit::caller::{Caller, Client, Operation, Outcome};
-use testkit::discovery::{Listed, Registry};
+use testkit::discovery::{ListedUpstream, Registry};
 use testkit::ledger::{Breach, Effect, Entry, Ledger, RuleParameters};
-use testkit::message::{get, ok_text, read};
+use testkit::message::{get, ok_response, read};
 use testkit::script::Script;
-use testkit::upstream::{ok, status, Options, Then, Upstream};
+use testkit::upstream::{ok, status, Step, Upstream, UpstreamOptions};
 
 fn kept(ledger: &Arc<Ledger>, script: Script) -> Upstream {
-    Upstream::with(Options { ledger: Some(ledger.clone()), ..Options::named("s-1") }, script.play())
+    Upstream::with(
+        UpstreamOptions { ledger: Some(ledger.clone()), ..UpstreamOptions::named("s-1") },
+        script.into_behaviour(),
+    )
 }
 
 fn caller(ledger: &Arc<Ledger>, upstream: &Upstream) -> Caller {
     let mut caller = Caller::new(ledger.clone(), 3);
-    caller.reach("n1", upstream.addr);
+    caller.set_balancer("n1", upstream.addr);
     caller
 }
 
@@ -26,7 +29,7 @@
 
 #[test]
 fn a_script_plays_in_order_over_all_who_share_it() {
-    let script = Script::new().times(2, || ok("a")).times(1, || status("500 Odd")).play();
+    let script = Script::new().times(2, || ok("a")).times(1, || status("500 Odd")).into_behaviour();
     let (one, two) = (Upstream::start(script.clone()), Upstream::start(script));
     let call = |upstream: &Upstream| {
         Client::connect(upstream.addr).expect("connects").call(&get("r", "1m")).status()
@@ -37,23 +40,23 @@
 #[test]
 fn callers_try_again_what_may_be_tried_again() {
     let ledger = Arc::new(Ledger::new());
-    let upstream = kept(&ledger, Script::new().times(1, || status("500 Odd")).for_ever(|| ok("x")));
+    let upstream = kept(&ledger, Script::new().times(1, || status("500 Odd")).forever(|| ok("x")));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Unsafe));
-    assert_eq!((done.outcome, done.tries), (Outcome::Failed, 1), "a failure promises nothing");
+    assert_eq!((done.outcome, done.attempts), (Outcome::Failed, 1), "a failure promises nothing");
 
-    let upstream = kept(&ledger, Script::new().times(2, || status("502 Odd")).for_ever(|| ok("x")));
+    let upstream = kept(&ledger, Script::new().times(2, || status("502 Odd")).forever(|| ok("x")));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Keyed));
     assert!(matches!(done.outcome, Outcome::Served { .. }));
-    let requests: Vec<_> = (0..3).map(|_| upstream.request()).collect();
+    let requests: Vec<_> = (0..3).map(|_| upstream.next_request()).collect();
     let field =
         |name: &str| requests.iter().map(|r| r.header(name).unwrap_or("").to_string()).collect::<Vec<_>>();
     let (ids, keys) = (field("req-id"), field("idempotency-key"));
     assert!(ids[0] != ids[1] && ids[1] != ids[2], "a new id with every try");
     assert!(keys[0] == keys[1] && keys[1] == keys[2] && !keys[0].is_empty(), "one key for all");
 
-    let upstream = kept(&ledger, Script::new().for_ever(Then::declined));
+    let upstream = kept(&ledger, Script::new().forever(Step::declined));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Unsafe));
-    assert_eq!((done.outcome, done.tries), (Outcome::Refused, 4), "a first try and three more");
+    assert_eq!((done.outcome, done.attempts), (Outcome::Refused, 4), "a first try and three more");
     assert_eq!(ledger.check(&RuleParameters::default()), []);
 }
 
@@ -78,9 +81,9 @@
         }
     });
     let mut caller = Caller::new(ledger.clone(), 3).with_readiness_check();
-    caller.reach("n1", addr);
+    caller.set_balancer("n1", addr);
     let done = caller.call(&operation(Effect::Unsafe));
-    assert!(matches!((done.outcome, done.tries), (Outcome::Served { .. }, 1)), "{done:?}");
+    assert!(matches!((done.outcome, done.attempts), (Outcome::Served { .. }, 1)), "{done:?}");
     old_and_new.join().expect("no panic");
     assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.fault != Breach::AnswerLost));
 }
@@ -89,12 +92,12 @@
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_sent_once_more() {
     let ledger = Arc::new(Ledger::new());
-    let close = || Then::AnswerAndClose(ok_text("x"));
-    let upstream = kept(&ledger, Script::new().times(1, close).for_ever(|| ok("x")));
+    let close = || Step::AnswerAndClose(ok_response("x"));
+    let upstream = kept(&ledger, Script::new().times(1, close).forever(|| ok("x")));
     let mut caller = caller(&ledger, &upstream);
     for _ in 0..2 {
         let done = caller.call(&operation(Effect::Unsafe));
-        assert!(matches!((done.outcome, done.tries), (Outcome::Served { .. }, 1)), "{done:?}");
+        assert!(matches!((done.outcome, done.attempts), (Outcome::Served { .. }, 1)), "{done:?}");
     }
     assert_eq!(ledger.check(&RuleParameters::default()), []);
 }
@@ -102,7 +105,7 @@
 #[test]
 fn silence_is_an_answer_lost() {
     let ledger = Arc::new(Ledger::new());
-    let upstream = kept(&ledger, Script::new().for_ever(|| Then::Wait));
+    let upstream = kept(&ledger, Script::new().forever(|| Step::Silent));
     let brief = Operation { deadline: Duration::from_millis(50), ..operation(Effect::Unsafe) };
     let done = caller(&ledger, &upstream).call(&brief);
     assert_eq!(done.outcome, Outcome::Unanswered);
@@ -111,10 +114,10 @@
 
 #[test]
 fn an_upstream_that_was_killed_resets_and_refuses() {
-    let upstream = Upstream::start(|_| Then::Wait);
+    let upstream = Upstream::start(|_| Step::Silent);
     let mut client = Client::connect(upstream.addr).expect("connects");
     client.send(&get("r", "1m"));
-    upstream.request();
+    upstream.next_request();
     upstream.kill();
     assert!(client.answer().is_none());
     assert!(Client::connect(upstream.addr).is_none(), "nobody listens");
@@ -123,13 +126,13 @@
 #[test]
 fn more_than_may_wait_for_a_core_is_turned_away_unseen() {
     let ledger = Arc::new(Ledger::new());
-    let options = Options { ledger: Some(ledger.clone()), queue: 0, ..Options::named("s-1") };
-    let upstream = Upstream::with(options, |_| Then::Work(Duration::from_millis(300), ok_text("x")));
+    let options = UpstreamOptions { ledger: Some(ledger.clone()), queue: 0, ..UpstreamOptions::named("s-1") };
+    let upstream = Upstream::with(options, |_| Step::Work(Duration::from_millis(300), ok_response("x")));
     let mut first = Client::connect(upstream.addr).expect("connects");
     first.send(&get("r1", "1m"));
     let started = std::time::Instant::now();
-    while upstream.busy() == 0 {
-        assert!(started.elapsed() < testkit::PATIENCE);
+    while upstream.work_in_progress() == 0 {
+        assert!(started.elapsed() < testkit::TEST_TIMEOUT);
         thread::yield_now();
     }
     let second = Client::connect(upstream.addr).expect("connects").call(&get("r2", "1m"));
@@ -144,10 +147,10 @@
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
     let addr = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    let listed = |state| Listed { addr, group: 2, state, started_ms: 5 };
+    let listed = |state| ListedUpstream { addr, group: 2, state, started_ms: 5 };
     registry.set("s-1", listed("active"));
     registry.set("s-2", listed("leaving"));
-    let asked = registry.open("n1").expect("a port");
+    let asked = registry.open_endpoint("n1").expect("a port");
     let call = |path: &str| {
         let text = format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
         String::from_utf8(Client::connect(asked).expect("connects").call(&text).body).expect("text")
@@ -163,12 +166,11 @@
     assert!(changes.contains(r#""version":3"#) && changes.contains(r#""state":"left""#), "{changes}");
     assert!(!changes.contains("s-2"), "only what changed");
     assert!(!call("/api/targets").contains("s-1"), "what has left is on no whole list");
-    let told =
-        |r: &testkit::ledger::Record| matches!(&r.entry, Entry::Told { balancer, .. } if balancer == "n1");
+    let told = |r: &testkit::ledger::Record| matches!(&r.entry, Entry::Notified { balancer, .. } if balancer == "n1");
     // What was told is noted once it has been written: a caller may have its answer before.
     let started = std::time::Instant::now();
     while ledger.since(0).iter().filter(|r| told(r)).count() < 4 {
-        assert!(started.elapsed() < testkit::PATIENCE, "{:?}", ledger.since(0));
+        assert!(started.elapsed() < testkit::TEST_TIMEOUT, "{:?}", ledger.since(0));
         thread::yield_now();
     }
 }
