--- a/crates/verification/testkit/src/caller.rs
+++ b/crates/verification/testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: a plain client for single messages, and one that retries as the platform's do.
+//! Callers: a plain client for single messages, and a caller that retries like the platform's callers.
 use crate::fastcgi::WebServer;
 use crate::ledger::{Effect, Entry, Ledger};
 use crate::message::{read, Message};
@@ -12,63 +12,64 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One connection of a client.
+/// A client connection.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// `None`: nobody listens.
+    /// Connects to an address; `None` if no process listens there.
     pub fn connect(addr: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(addr).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         Some(Client(BufReader::new(stream)))
     }
 
-    /// The same, with so long for each answer.
+    /// Connects with `timeout`, which also limits the wait for each answer.
     pub fn connect_with_timeout(addr: SocketAddr, timeout: Duration) -> Option<Client> {
         let stream = TcpStream::connect_timeout(&addr, timeout).ok()?;
         stream.set_read_timeout(Some(timeout)).ok()?;
         Some(Client(BufReader::new(stream)))
     }
 
-    /// Writes this.
+    /// Writes `text` as it is.
     pub fn send(&mut self, text: &str) {
-        // A connection that was closed shows in the answer.
+        // If the connection was closed, reading the answer fails.
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
-    /// The next answer; `None` when the connection ended.
+    /// Reads the next answer; `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<Message> {
         read(&mut self.0)
     }
 
-    /// Writes this and returns the answer.
+    /// Writes `text` and returns the answer. Panics if there is none.
     pub fn call(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer().expect("an answer")
     }
 }
 
-/// What a caller wants done: a first try and its retries.
+/// An operation that a caller carries out: a first attempt and its retries.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// The class.
+    /// Class of its requests.
     pub class: String,
-    /// The tenant.
+    /// Tenant that its requests belong to.
     pub owner: String,
-    /// What a repeat may do.
+    /// What a retry may do.
     pub effect: Effect,
-    /// How long it waits over all its tries.
+    /// Maximum time over all attempts.
     pub deadline: Duration,
-    /// The part of that which one try may take.
+    /// Fraction of `deadline` that one attempt may take.
     pub attempt_fraction: f64,
-    /// How often it tries again.
+    /// Maximum number of retries.
     pub retries: u32,
-    /// How long it waits before that; more if the refusal asks for it.
+    /// Pause before a retry; longer if the refusal asks for it.
     pub pause: Duration,
 }
 
 impl Default for Operation {
-    /// A safe read of `club` with 6 s for all, 0.55 of that for a try, three retries, each at once.
+    /// A safe read for `club`: 6 s in total, a fraction of 0.55 of that per attempt, and three retries
+    /// without a pause.
     fn default() -> Self {
         Operation {
             class: "read".into(),
@@ -82,36 +83,37 @@
     }
 }
 
-/// What came of it.
+/// Outcome of an operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Served, so long after the first try began.
+    /// An attempt was served.
     Served {
-        /// Time from the first try to the answer.
+        /// Time from the first attempt to the answer.
         took: Duration,
     },
-    /// The last try was refused.
+    /// The last attempt was refused.
     Refused,
-    /// The last try failed.
+    /// The last attempt failed.
     Failed,
-    /// The last try got no answer.
+    /// The last attempt got no answer.
     Unanswered,
-    /// Nobody could be reached.
+    /// No balancer could be reached.
     Unreached,
 }
 
-/// What came of an operation, and in how many tries.
+/// Outcome of an operation and its number of attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OperationResult {
-    /// How it ended.
+    /// Outcome of the operation.
     pub outcome: Outcome,
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub attempts: u32,
 }
 
-/// A caller that retries as the platform's do: up to so many times, at once or after a pause; after a refusal always,
-/// after a failure or silence only what may be repeated. Every try is a new request with a new id, a keyed one with
-/// the key of its operation. It keeps its connections, one request at a time on each, and writes into the ledger.
+/// A caller that retries like the platform's callers: up to a maximum number of times, at once or after a
+/// pause. It always retries after a refusal; after a failure or a missing answer it retries only what may run
+/// again. Every attempt is a new request with a new id; the attempts of a keyed operation share its key. The
+/// caller reuses its connections, with one request at a time on each, and writes into the ledger.
 pub struct Caller {
     ledger: Arc<Ledger>,
     balancers: Vec<(String, SocketAddr)>,
@@ -122,26 +124,28 @@
     unconnected: u64,
 }
 
-/// Ids are told apart over all callers of a process, and by its number between processes.
+/// Next number for a request id. Ids are unique across all callers of a process, and the process id in them
+/// makes them unique between processes.
 static NUMBER: AtomicU64 = AtomicU64::new(0);
 
 fn fresh_id() -> String {
     format!("{:x}-{:x}", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed))
 }
 
-/// How many new connections to an address are tried, one after the other, while each is told to close.
+/// Maximum number of new connections that are opened to an address in a row while each answer announces its
+/// close.
 const MAX_NEW_CONNECTIONS: usize = 3;
 
 enum AttemptOutcome {
     Answer(Message),
     /// The connection could not be made or ended before anything was sent on it.
     Unreached,
-    /// It ended, or the time was up, with no whole answer.
+    /// The connection ended, or the timeout passed, before a complete answer arrived.
     Unanswered,
 }
 
 impl Caller {
-    /// A caller that knows no balancer yet. `seed` feeds its random choices.
+    /// Creates a caller that knows no balancer. `seed` initialises its random choices.
     pub fn new(ledger: Arc<Ledger>, seed: u64) -> Caller {
         Caller {
             ledger,
@@ -154,36 +158,37 @@
         }
     }
 
-    /// Adds a balancer, or changes where it is.
+    /// Adds a balancer or changes its address.
     pub fn set_balancer(&mut self, name: &str, addr: SocketAddr) {
         self.remove_balancer(name);
         self.balancers.push((name.into(), addr));
     }
 
-    /// Takes a balancer out: nothing new goes there.
+    /// Removes a balancer; no new request goes to it.
     pub fn remove_balancer(&mut self, name: &str) {
         self.balancers.retain(|(n, _)| n != name);
     }
 
-    /// Asks on each new connection first whether the balancer is ready, as a front does that keeps away from what is
-    /// leaving; and goes to another if it is not.
+    /// Requests readiness first on each new connection, as a front does that avoids instances that are
+    /// leaving, and goes to another balancer if this one is not ready.
     pub fn with_readiness_check(mut self) -> Caller {
         self.checks_readiness = true;
         self
     }
 
-    /// Speaks FastCGI, as a web server's gateway does.
+    /// Uses FastCGI, like the gateway of a web server.
     pub fn with_fastcgi(mut self) -> Caller {
         self.fastcgi = true;
         self
     }
 
-    /// How often a connection could not be made, each time another balancer or another try may have hidden it.
+    /// Number of failed connection attempts, including those after which another balancer or a retry served
+    /// the operation.
     pub fn connect_failures(&self) -> u64 {
         self.unconnected
     }
 
-    /// Takes these for all balancers that there are, and drops the connections to others.
+    /// Replaces all known balancers and drops the connections to others.
     pub fn set_balancers(&mut self, balancers: &[(String, SocketAddr)]) {
         if self.balancers != balancers {
             self.balancers = balancers.to_vec();
@@ -191,7 +196,7 @@
         }
     }
 
-    /// xorshift64: enough to spread connections.
+    /// Returns a random index below `len` from xorshift64, which spreads connections well enough.
     fn random_index(&mut self, len: usize) -> usize {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -199,7 +204,7 @@
         (self.random % len.max(1) as u64) as usize
     }
 
-    /// Carries an operation out, with its retries.
+    /// Carries out an operation with its retries.
     pub fn call(&mut self, operation: &Operation) -> OperationResult {
         let started = Instant::now();
         let key = fresh_id();
@@ -232,12 +237,13 @@
             if !should_retry || started.elapsed() + pause >= operation.deadline {
                 return OperationResult { outcome, attempts };
             }
-            // What a client does: it waits before it tries again.
+            // A client waits before it retries.
             thread::sleep(pause);
         }
     }
 
-    /// A connection to some balancer, and whether it was in use before. One that can't be reached is passed over.
+    /// Returns a connection to a balancer and whether it was used before. Skips a balancer that can't be
+    /// reached.
     fn connection(&mut self, timeout: Duration) -> Option<(String, SocketAddr, Connection, bool)> {
         let start = self.random_index(self.balancers.len());
         for offset in 0..self.balancers.len() {
@@ -257,8 +263,9 @@
         None
     }
 
-    /// A new connection that requests may be written on. Guards against one whose other end has just said that it
-    /// closes: an old process that answers the last callers of its listener. Whoever has the address now is next.
+    /// Opens a connection on which requests may be sent. Skips a connection whose peer has just announced
+    /// that it closes: an old process that answers the last callers of its listener. The next connection
+    /// reaches the process that holds the address by then.
     fn new_connection(&mut self, addr: SocketAddr, timeout: Duration) -> Option<BufReader<TcpStream>> {
         for _ in 0..MAX_NEW_CONNECTIONS {
             let Some(mut stream) = connect(addr, timeout) else {
@@ -293,12 +300,13 @@
             was_sent = true;
             let (effect, sent) = (operation.effect, request.clone());
             self.ledger.write(Entry::Sent { request: sent, balancer, effect, timeout });
-            // A little longer than it promised to: whether an answer is late is the ledger's to judge.
+            // Waits 200 ms longer than stated in the request, because the ledger decides whether an answer is
+            // late.
             let max_wait = deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(200);
             let answer = match link.request(operation, key, &request, timeout, max_wait) {
                 ResponseOutcome::Answer(answer) => answer,
-                // A balancer may close a connection between requests, and this one crossed that: once more, on another,
-                // as the same request. Silence is something else.
+                // A balancer may close a connection between requests while this request is sent. The same
+                // request is then sent once more on another connection. A timeout is not treated this way.
                 ResponseOutcome::Closed if reused => continue,
                 ResponseOutcome::Closed | ResponseOutcome::Broken => return AttemptOutcome::Unanswered,
             };
@@ -317,30 +325,30 @@
     Some(BufReader::new(stream))
 }
 
-/// What whoever is at its other end says of being ready.
+/// Requests readiness from the peer.
 fn request_readiness(stream: &mut BufReader<TcpStream>, timeout: Duration) -> Option<Message> {
     stream.get_mut().set_read_timeout(Some(timeout)).ok()?;
     stream.get_mut().write_all(b"GET /-/ready HTTP/1.1\r\nHost: front\r\n\r\n").ok()?;
     read(stream)
 }
 
-/// Whether its connection ends behind this answer (RFC 9112, section 9.6).
+/// Whether the connection ends after this answer (RFC 9112, section 9.6).
 fn closes_connection(answer: &Message) -> bool {
     answer.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
 }
 
-/// One connection of a caller's.
+/// A connection of a caller.
 enum Connection {
     Http(BufReader<TcpStream>),
     FastCgi(Box<WebServer>),
 }
 
-/// What came of a request on a connection.
+/// Outcome of a request on a connection.
 enum ResponseOutcome {
     Answer(Message),
-    /// It ended before a byte of answer.
+    /// The connection ended before the first byte of the answer.
     Closed,
-    /// It fell silent, or ended in the middle of the answer.
+    /// The wait timed out, or the connection ended in the middle of the answer.
     Broken,
 }
 
--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -1,7 +1,8 @@
-//! A stand-in for Consul: its catalogue and health API with blocking queries, and agents that fail as they are told.
+//! A stand-in for Consul: its catalogue and health API with blocking queries, and agents that inject faults.
 //!
-//! Written from the published API (developer.hashicorp.com/consul/api-docs). All agents share one catalogue, as clients
-//! of one cluster do; each has an address, a fault and a count of its own, so that the ledger knows who was told.
+//! Written from the published API (developer.hashicorp.com/consul/api-docs). All agents share one catalogue,
+//! like clients of one cluster. Each has its own address, fault and query count, so that the ledger knows
+//! which balancer was notified.
 use crate::discovery::hung_up;
 use crate::ledger::{Entry, Ledger, State};
 use crate::message::{read, Message};
@@ -14,28 +15,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a query, as Consul has it.
+/// Maximum wait of a blocking query, as in Consul.
 const MAX_WAIT: Duration = Duration::from_secs(600);
 
 /// A service of the catalogue.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its node.
+    /// Name of its node.
     pub node: String,
-    /// Its id there; the ledger knows it by this.
+    /// Service id, which is also its name in the ledger.
     pub id: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Its metadata.
+    /// Service metadata.
     pub meta: BTreeMap<String, String>,
-    /// Its checks and their states.
+    /// Checks by id, with their states.
     pub checks: BTreeMap<String, &'static str>,
-    /// Weight while it passes.
+    /// Weight while its checks pass.
     pub weight: i64,
 }
 
 impl Service {
-    /// A service that passes, on a node of its own, started long ago.
+    /// A service with passing checks, on its own node, that started long ago.
     pub fn new(id: &str, addr: SocketAddr) -> Service {
         let meta = [("zone", "a"), ("kind", "m"), ("cell", "1"), ("started_ms", "0")];
         let checks = BTreeMap::from([("serfHealth".into(), "passing"), (format!("service:{id}"), "passing")]);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Whether a balancer that is told of it is told that it drains.
+    /// Whether balancers treat the service as draining: in maintenance, or with a weight of 0.
     fn drains(&self) -> bool {
         let in_maintenance =
             self.checks.keys().any(|c| c == "_node_maintenance" || c.starts_with("_service_maintenance:"));
@@ -96,30 +97,30 @@
     }
 }
 
-/// What an agent does with a query, once it has something to answer.
+/// Fault of an agent, applied to a query once its answer is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Answers as it should.
+    /// Answers correctly.
     None,
-    /// Answers so much later.
+    /// Answers with this delay.
     Slow(Duration),
     /// Never answers.
     Hung,
-    /// Answers with this status, and `Retry-After` if it is above 0.
+    /// Answers with this status, and with `Retry-After` in seconds if the second value is above 0.
     Status(u16, u64),
     /// Closes the connection half-way through the answer.
     CutOff,
-    /// Answers a body of the right length in which bytes are wrong.
+    /// Answers with a body of the right length that contains a corrupt byte.
     Garbled,
-    /// Answers an empty list, and that there is no leader.
+    /// Answers with an empty list and states that there is no leader.
     NoLeader,
-    /// Answers an empty list that is so many milliseconds behind the leader.
+    /// Answers with an empty list that lags this many milliseconds behind the leader.
     Behind(u64),
-    /// Answers an empty list, filtered for want of rights.
+    /// Answers with an empty list that was filtered for lack of permissions.
     Filtered,
     /// Answers without an index.
     NoIndex,
-    /// Closes each connection at once, those that are open too.
+    /// Closes each new connection at once, and each open one at its next query.
     ClosesConnections,
 }
 
@@ -128,12 +129,12 @@
 #[derive(Default)]
 struct Catalogue {
     index: u64,
-    /// By datacentre and name of the service: its index, and its instances with their texts.
+    /// Index and instances of each service, by datacentre and service name.
     services: BTreeMap<ServiceKey, (u64, BTreeMap<String, Row>)>,
     datacentres: BTreeSet<String>,
-    /// Services that instances registered through an agent: what they said last.
+    /// Services that registered themselves through an agent, with their latest state.
     registered: BTreeMap<String, Registered>,
-    /// Counts the histories: an agent whose data was lost begins another.
+    /// Number of times that the catalogue lost its data; an answer belongs to one such history.
     history: u64,
     closed: bool,
 }
@@ -148,11 +149,11 @@
 /// A service that registered itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registered {
-    /// What it sent.
+    /// Body of its registration request.
     pub body: String,
     /// `passing` or `critical`.
     pub state: String,
-    /// How often it passed.
+    /// Number of times that its check was reported as passing.
     pub passes: usize,
 }
 
@@ -166,7 +167,7 @@
 #[derive(Clone)]
 pub struct Consul(Arc<SharedState>);
 
-/// What one balancer was told, and by which index of which history.
+/// Instances that a balancer was notified of, with the index and history of the last answer.
 #[derive(Default)]
 struct ClientView {
     members: BTreeMap<String, State>,
@@ -176,22 +177,22 @@
 
 struct AgentState {
     fault: Mutex<Fault>,
-    /// How often all queries that waited fell silent.
+    /// Number of times that all pending queries were silenced.
     silenced: AtomicUsize,
-    /// Queries that came.
+    /// Number of queries received.
     queries: AtomicUsize,
     sent_views: Mutex<BTreeMap<ServiceKey, ClientView>>,
     changed: Condvar,
     balancer: String,
     token: Mutex<Option<String>>,
-    /// When the last answer that counts was written.
+    /// Time just before the last complete and valid answer was written.
     last_answered_at: Mutex<Option<Instant>>,
 }
 
-/// One agent, for one balancer.
+/// An agent for one balancer.
 #[derive(Clone)]
 pub struct Agent {
-    /// Where its HTTP API is.
+    /// Address of its HTTP API.
     pub addr: SocketAddr,
     state: Arc<AgentState>,
 }
@@ -201,37 +202,37 @@
 }
 
 impl Agent {
-    /// Every query that waits now is never answered, and its connection stays open. Those that come from now on are
-    /// answered as before. Returns when that was.
+    /// Leaves every pending query unanswered with its connection open. Later queries are answered as before.
+    /// Returns the time of the call.
     pub fn silence_pending(&self) -> Instant {
         self.state.silenced.fetch_add(1, Ordering::SeqCst);
         Instant::now()
     }
 
-    /// What it does from now on, also with queries that wait.
+    /// Sets the fault, which also applies to pending queries.
     pub fn fault(&self, fault: Fault) {
         *lock(&self.state.fault) = fault;
         self.state.changed.notify_all();
     }
 
-    /// Queries that came so far.
+    /// Number of queries received so far.
     pub fn queries(&self) -> usize {
         self.state.queries.load(Ordering::SeqCst)
     }
 
-    /// From now on only queries with this token are answered; others with 403.
+    /// Answers only queries with this token from now on, and others with 403.
     pub fn require_token(&self, token: &str) {
         *lock(&self.state.token) = Some(token.into());
     }
 
-    /// When the last answer that counts was written whole.
+    /// Time just before the last complete and valid answer was written.
     pub fn last_answered_at(&self) -> Option<Instant> {
         *lock(&self.state.last_answered_at)
     }
 }
 
 impl Consul {
-    /// An empty catalogue.
+    /// Creates an empty catalogue.
     pub fn new(ledger: Option<Arc<Ledger>>) -> Consul {
         let catalogue = Mutex::new(Catalogue { index: 10, ..Catalogue::default() });
         Consul(Arc::new(SharedState { catalogue, changed: Condvar::new(), ledger }))
@@ -248,7 +249,7 @@
         self.0.changed.notify_all();
     }
 
-    /// Registers an instance of a service, or changes it.
+    /// Registers an instance of a service or replaces it.
     pub fn set(&self, datacentre: &str, service: &str, instance: Service) {
         self.change(datacentre, service, |lines, index| {
             let created = lines.get(&instance.id).map_or(index, |line| line.created);
@@ -258,7 +259,7 @@
         });
     }
 
-    /// Changes an instance that is registered.
+    /// Changes a registered instance.
     pub fn update(&self, datacentre: &str, service: &str, id: &str, alter: impl FnOnce(&mut Service)) {
         let found = {
             let c = lock(&self.0.catalogue);
@@ -278,7 +279,7 @@
         });
     }
 
-    /// Puts an instance into maintenance, or takes it out.
+    /// Turns maintenance mode of an instance on or off.
     pub fn maintenance(&self, service: &str, id: &str, on: bool) {
         self.update("dc1", service, id, |s| {
             let check = format!("_service_maintenance:{id}");
@@ -295,7 +296,7 @@
         self.change(datacentre, service, |lines, _| drop(lines.remove(id)));
     }
 
-    /// Loses all data, as a single server does that starts again with an empty disk.
+    /// Loses all data, like a single server that restarts with an empty disk.
     pub fn lose_data(&self) {
         let mut catalogue = lock(&self.0.catalogue);
         let datacentres = std::mem::take(&mut catalogue.datacentres);
@@ -304,23 +305,23 @@
         self.0.changed.notify_all();
     }
 
-    /// Forgets what registered itself, as an agent does that starts again without its data.
+    /// Drops all registrations made through agents, like an agent that restarts without its data.
     pub fn forget_registrations(&self) {
         lock(&self.0.catalogue).registered.clear();
     }
 
-    /// What registered itself under this id.
+    /// Returns the registration that a service made under this id.
     pub fn registered(&self, id: &str) -> Option<Registered> {
         lock(&self.0.catalogue).registered.get(id).cloned()
     }
 
-    /// Ends all that waits.
+    /// Ends all waits of pending queries.
     pub fn close(&self) {
         lock(&self.0.catalogue).closed = true;
         self.0.changed.notify_all();
     }
 
-    /// Opens an agent for this balancer.
+    /// Starts an agent for this balancer.
     pub fn agent(&self, balancer: &str) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("an address");
@@ -357,7 +358,7 @@
                 }
                 continue;
             }
-            // Before it is counted: whoever has seen it may have it fall silent.
+            // Read before the query is counted: a test that has seen the count may silence the query.
             let silenced = agent.silenced.load(Ordering::SeqCst);
             agent.queries.fetch_add(1, Ordering::SeqCst);
             if !self.query(&call, agent, silenced, reader.get_mut()) {
@@ -367,7 +368,7 @@
         }
     }
 
-    /// `/v1/agent/...`: status and body.
+    /// Serves `/v1/agent/...` and returns the status and body.
     fn serve_agent_call(&self, call: &Message) -> (u16, String) {
         let path = call.path().split('?').next().unwrap_or("");
         let mut catalogue = lock(&self.0.catalogue);
@@ -401,7 +402,7 @@
         (status, if is_registered { String::new() } else { format!("Unknown check ID \"{last}\"") })
     }
 
-    /// Answers a query; `false`: the connection ends.
+    /// Answers a query; returns `false` if the connection ends.
     fn query(&self, call: &Message, agent: &AgentState, silenced: usize, stream: &mut TcpStream) -> bool {
         let (path, query) = call.path().split_once('?').unwrap_or((call.path(), ""));
         let value = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
@@ -426,8 +427,8 @@
         let deadline = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
         let mut catalogue = lock(&self.0.catalogue);
         let history = catalogue.history;
-        // What is not newer than the index asked for is waited on, also where that is far ahead; data that is lost
-        // meanwhile ends the wait.
+        // Waits until the index exceeds the one in the query, even if that one is far ahead. A loss of data
+        // ends the wait.
         while since > 0
             && !catalogue.closed
             && catalogue.history == history
@@ -450,7 +451,7 @@
             drop(catalogue);
             let deadline = Instant::now() + delay;
             let mut now = lock(&agent.fault);
-            // What a slow agent does: it takes its time, unless it has recovered.
+            // A slow agent delays its answer unless the fault is removed meanwhile.
             while matches!(*now, Fault::Slow(_)) && Instant::now() < deadline {
                 let left = deadline.saturating_duration_since(Instant::now());
                 now = agent.changed.wait_timeout(now, left).unwrap_or_else(PoisonError::into_inner).0;
@@ -468,7 +469,7 @@
             while *now == Fault::Hung {
                 now = agent.changed.wait(now).unwrap_or_else(PoisonError::into_inner);
             }
-            // Whoever asked has long given up.
+            // The client has timed out long before.
             return false;
         }
         let (index, history) = (index(&catalogue, &key), catalogue.history);
@@ -504,7 +505,7 @@
             _ => {}
         }
         let text = answer(200, &head, &body);
-        // Held over the writing: what is told of two changes is written in their order.
+        // Held during the write, so that notifications of two changes are written in their order.
         let mut views = lock(&agent.sent_views);
         let answered_at = Instant::now();
         if stream.write_all(text.as_bytes()).is_err() {
@@ -515,7 +516,7 @@
         true
     }
 
-    /// Writes into the ledger what an answer has told.
+    /// Records the state changes of an answer in the ledger.
     fn record_notifications(
         &self,
         agent: &AgentState,
@@ -537,7 +538,7 @@
                 notify(name, state);
             }
         }
-        // What a list of another history lacks is no statement.
+        // An instance that is missing after a loss of data is no notification that it has closed.
         if history == view.history || view.index == 0 {
             for (name, _) in view.members.iter().filter(|(name, _)| !states.contains_key(*name)) {
                 notify(name, State::Closed);
@@ -561,7 +562,7 @@
     )
 }
 
-/// The fields of a response that tell how current its data are.
+/// Header fields of an answer that state how current its data are.
 fn response_head(fault: Fault, index: u64) -> String {
     let mut head = String::new();
     let mut add = |name: &str, value: &dyn std::fmt::Display| {
--- a/crates/verification/testkit/src/coordination.rs
+++ b/crates/verification/testkit/src/coordination.rs
@@ -1,5 +1,5 @@
-//! Real voters of the coordination service, each on a machine of its own, connected with one another and with their clients by
-//! links that can fail.
+//! Real voters of the coordination service, each on its own machine. Links that can fail connect them with
+//! one another and with their clients.
 use crate::faults::link::Network;
 use crate::faults::machine::Machine;
 use crate::node::Program;
@@ -16,14 +16,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A short tick of 25 ms, so that elections take a third of a second.
+/// Tick of 25 ms, with which an election takes a third of a second.
 pub const TICK: Duration = Duration::from_millis(25);
 /// Time to live of sessions: long enough for a busy machine, and short enough to expire within a test.
 pub const TTL: Duration = Duration::from_millis(1500);
 /// Timeout of a request in a test.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Name of the side that connects to a voter, from its handshake, and the length of that frame in bytes.
+/// Parses the name of the connecting side from its handshake, and the length of that frame in bytes.
 pub fn parse_handshake(bytes: &[u8]) -> Option<(String, usize)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*length) as usize;
@@ -64,12 +64,12 @@
         voters
     }
 
-    /// Writes the configuration of this many voters, connected by links, without starting them.
+    /// Writes the configuration of `size` voters, connected by links, without starting them.
     pub fn prepare(program: &Program, size: usize, tick: Duration) -> Voters {
         Voters::with(program, size, tick, true)
     }
 
-    /// The same without links, for measurements.
+    /// Like [`Voters::prepare`], without links, for measurements.
     pub fn direct(program: &Program, size: usize, tick: Duration) -> Voters {
         Voters::with(program, size, tick, false)
     }
@@ -113,7 +113,7 @@
         self.folder.join(format!("{}.toml", self.names[index]))
     }
 
-    /// Writes the configuration file of a voter, with these further lines in its `[council]`.
+    /// Writes the configuration file of a voter, with `extra_lines` in its `[council]` table.
     pub fn write_config(&self, index: usize, extra_lines: &str) -> PathBuf {
         let (name, tick) = (&self.names[index], self.tick.as_millis());
         let mut text = format!(
@@ -187,7 +187,7 @@
         self.machines.iter().map(|m| m.process(0).log()).collect()
     }
 
-    /// Position of the leader, once there is one.
+    /// Waits for a leader and returns its index.
     pub fn leader(&self) -> usize {
         let found = std::cell::Cell::new(None);
         self.until("led", |all| {
@@ -210,7 +210,7 @@
         });
     }
 
-    /// Configuration of a client with this name, with a session if `held`.
+    /// Configuration of a client with this name, and with a session if `with_session` is set.
     pub fn client(&self, name: &str, with_session: bool) -> ClientConfig {
         client(&self.client_addrs(), name, with_session)
     }
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Number of voting members.
+    /// Highest number of voting members that a voter reports.
     pub fn voter_count(&self) -> usize {
         self.statuses().iter().map(|s| s.members.iter().filter(|m| m.is_voter).count()).max().unwrap_or(0)
     }
@@ -255,7 +255,7 @@
     command
 }
 
-/// Configuration of a client of the voters at these addresses, with a session if `held`.
+/// Configuration of a client of the voters at these addresses, with a session if `with_session` is set.
 pub fn client(voters: &[String], name: &str, with_session: bool) -> ClientConfig {
     let session = with_session.then(|| SessionConfig { name: name.into(), ttl: TTL, take_over: true });
     ClientConfig {
--- a/crates/verification/testkit/src/discovery.rs
+++ b/crates/verification/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery in the platform's form: one that answers as it is told, and a registry that keeps a list.
+//! Discovery in the platform's format: a server with prepared answers, and a registry that serves a list.
 use crate::ledger::{Entry, Ledger, State};
 use crate::message::{read, Message};
 use crate::TEST_TIMEOUT;
@@ -10,17 +10,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Discovery that gives one prepared answer for each call, in order, and is silent without one.
+/// Discovery server that gives one prepared answer to each call, in order, and does not answer without one.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// The calls, as they come.
+    /// Calls in the order of their arrival.
     pub calls: Receiver<Message>,
     answers: Sender<String>,
 }
 
 impl Discovery {
-    /// Discovery on a port of its own.
+    /// Starts discovery on a free port.
     pub fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
@@ -47,43 +47,43 @@
         self.answer_with("", body);
     }
 
-    /// The same with further headers, each with its line end.
+    /// Prepares an answer with further header lines, each with its line end.
     pub fn answer_with(&self, headers: &str, body: &str) {
         let text = format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         self.answers.send(text).expect("discovery runs");
     }
 
-    /// Prepares a call that fails.
+    /// Prepares a 503 answer.
     pub fn fail(&self) {
         let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
         self.answers.send(text.into()).expect("discovery runs");
     }
 
-    /// The next call's path.
+    /// Waits for the next call and returns its path.
     pub fn next_path(&self) -> String {
         self.calls.recv_timeout(TEST_TIMEOUT).expect("a call").path().into()
     }
 }
 
-/// One upstream as a registry lists it.
+/// An upstream in the registry's list.
 #[derive(Clone, Debug)]
 pub struct ListedUpstream {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Its group.
+    /// Group that it belongs to.
     pub group: u32,
     /// `active`, `leaving` or `left`.
     pub state: &'static str,
-    /// When it started, in Unix milliseconds; 0 for long ago.
+    /// Start time in Unix milliseconds; 0 means long ago.
     pub started_ms: u64,
 }
 
-/// A watch goes on as long as its next call comes within this time of the last answer.
+/// Maximum time between an answer and the next call for the call to continue the watch.
 const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
-/// Between two bytes of an answer that trickles.
+/// Pause between two bytes of an answer under [`DiscoveryFault::Trickle`].
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until the other side hangs up, so long at most; whether it did.
+/// Waits up to `max_wait` for the peer to close the connection; returns whether it did.
 pub(crate) fn hung_up(stream: &TcpStream, max_wait: Duration) -> bool {
     let before = stream.read_timeout().ok().flatten();
     let ended = stream.set_read_timeout(Some(max_wait)).is_ok() && matches!(stream.peek(&mut [0]), Ok(0));
@@ -91,7 +91,7 @@
     ended
 }
 
-/// Says nothing more, and reads until the other side has had enough.
+/// Sends nothing more and reads until the peer closes the connection.
 fn silent(stream: &mut BufReader<TcpStream>) {
     while read(stream).is_some() {}
 }
@@ -103,7 +103,7 @@
     )
 }
 
-/// A list in discovery's form.
+/// Formats a list in discovery's format.
 pub fn list<'a>(
     version: u64,
     full: bool,
@@ -113,7 +113,7 @@
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, lines.join(","))
 }
 
-/// A list of upstreams that started long ago: number `n` has the id `s-n` and is in group 1.
+/// Formats a list of upstreams that started long ago: number `n` has the id `s-n` and is in group 1.
 pub fn upstream_list(version: u64, full: bool, servers: &[(usize, SocketAddr, &'static str)]) -> String {
     let listed =
         |&(n, addr, state)| (format!("s-{n}"), ListedUpstream { addr, group: 1, state, started_ms: 0 });
@@ -121,35 +121,35 @@
     list(version, full, all.iter().map(|(name, listed)| (name.as_str(), listed)))
 }
 
-/// What can be wrong with an answer.
+/// Fault of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFault {
-    /// It never comes; the connection stays open.
+    /// No answer is sent; the connection stays open.
     Silent,
-    /// Half of it comes, and then nothing.
+    /// Half of the answer is sent, and then nothing.
     Half,
-    /// It comes a byte at a time, at a pace at which it is never whole.
+    /// The answer is sent one byte at a time, too slowly to complete.
     Trickle,
-    /// Its side of the connection is closed in its place.
+    /// The sending side of the connection is closed instead of an answer.
     HalfClosed,
-    /// The connection is reset in its place.
+    /// The connection is reset instead of an answer.
     Reset,
 }
 
 #[derive(Default)]
 struct View {
     version: u64,
-    /// Each upstream, and the version that it last changed with.
+    /// Upstreams, each with the version of its last change.
     listed: BTreeMap<String, (ListedUpstream, u64)>,
-    /// How often all open watches have fallen silent.
+    /// Number of times that all open watches were silenced.
     silenced: u64,
-    /// Whether it answers nobody: what is called meanwhile is never answered.
+    /// Whether calls that arrive are never answered.
     unresponsive: bool,
-    /// What is wrong with the next answers.
+    /// Faults of the next answers, in order.
     pending_faults: VecDeque<DiscoveryFault>,
-    /// How long a call that does not go on with a watch takes: these are worked through in turn.
+    /// Processing time of a call that does not continue a watch; such calls are processed one at a time.
     processing_time: Duration,
-    /// Calls that came, and those that did not go on with a watch.
+    /// Number of calls, and number of those that did not continue a watch.
     calls: (u64, u64),
 }
 
@@ -160,13 +160,13 @@
     ledger: Option<Arc<Ledger>>,
 }
 
-/// A registry that keeps a list and answers calls and watches on it, at an address of its own for each balancer, so
-/// that the ledger knows who was told of what.
+/// A registry that keeps a list and answers calls and watches on it. Each balancer has its own address, so
+/// that the ledger knows which balancer was notified.
 #[derive(Clone)]
 pub struct Registry(Arc<SharedState>);
 
 impl Registry {
-    /// An empty list.
+    /// Creates a registry with an empty list.
     pub fn new(ledger: Option<Arc<Ledger>>) -> Registry {
         Registry(Arc::new(SharedState {
             view: Mutex::default(),
@@ -180,7 +180,7 @@
         self.0.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lists an upstream, or changes what is listed of it.
+    /// Adds an upstream or replaces its entry.
     pub fn set(&self, name: &str, listed: ListedUpstream) {
         let mut view = self.view();
         view.version += 1;
@@ -189,7 +189,7 @@
         self.0.changed.notify_all();
     }
 
-    /// Changes the state of an upstream that is listed.
+    /// Changes the state of a listed upstream.
     pub fn state(&self, name: &str, state: &'static str) {
         let listed = self.view().listed.get(name).map(|(l, _)| l.clone());
         if let Some(listed) = listed {
@@ -197,40 +197,41 @@
         }
     }
 
-    /// Every watch that is open now falls silent: it is never answered, and its connection stays open. Calls that come
-    /// from now on are answered as before. Returns when that was.
+    /// Leaves every open watch unanswered with its connection open. Later calls are answered as before.
+    /// Returns the time of the call.
     pub fn silence_pending(&self) -> Instant {
         self.view().silenced += 1;
         self.0.changed.notify_all();
         Instant::now()
     }
 
-    /// Goes deaf as an agent does while discovery is down, or hears again. What was open or is called meanwhile is never
-    /// answered. Returns when that was.
+    /// Stops or resumes answering, like an agent while discovery is down. Open watches and calls that arrive
+    /// meanwhile are never answered. Returns the time of the call.
     pub fn set_unresponsive(&self, unresponsive: bool) -> Instant {
         self.view().unresponsive = unresponsive;
         self.silence_pending()
     }
 
-    /// The next answer, whoever gets it, is ill.
+    /// Applies this fault to the next answer, whichever balancer gets it.
     pub fn inject_fault(&self, fault: DiscoveryFault) {
         self.view().pending_faults.push_back(fault);
     }
 
-    /// Calls that do not go on with a watch (within 200 ms of the last answer) are worked through in turn, each for so long.
+    /// Sets the processing time of calls that do not continue a watch (those later than 200 ms after the last
+    /// answer). Such calls are processed one at a time.
     pub fn set_processing_time(&self, processing_time: Duration) {
         self.view().processing_time = processing_time;
     }
 
-    /// Calls that came, and those of them that did not go on with a watch.
+    /// Number of calls, and number of those that did not continue a watch.
     pub fn calls(&self) -> (u64, u64) {
         self.view().calls
     }
 
-    /// Opens the address at which this balancer asks.
+    /// Opens the address at which this balancer polls.
     ///
     /// # Errors
-    /// No port or no thread could be had.
+    /// No port or no thread is available.
     pub fn open_endpoint(&self, balancer: &str) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
@@ -261,7 +262,7 @@
             };
             if !continues_watch && !processing_time.is_zero() {
                 let _turn = self.0.processing_time.lock().unwrap_or_else(PoisonError::into_inner);
-                // The work itself, unless whoever asked hangs up.
+                // Simulates the processing time; ends early if the client closes the connection.
                 hung_up(stream.get_ref(), processing_time);
             }
             let (body, sent) = match fault {
@@ -311,7 +312,7 @@
         }
     }
 
-    /// The answer to a call, and what it tells; none if it fell silent.
+    /// Answers a call and returns the states that the answer contains; `None` if the call was silenced.
     fn answer(&self, path: &str) -> Option<(String, Vec<(String, &'static str)>)> {
         let number = |name: &str| {
             let query = path.split_once('?').map_or("", |(_, query)| query);
--- a/crates/verification/testkit/src/fastcgi.rs
+++ b/crates/verification/testkit/src/fastcgi.rs
@@ -1,7 +1,8 @@
-//! FastCGI peers: an application that answers what it is told, and a web server that asks; and records as they are, so
-//! that every malformed thing can be sent.
+//! FastCGI peers: an application that answers as a test sets, and a web server that sends requests. Raw
+//! records make it possible to send any malformed message.
 //!
-//! The records are read by the crate under test and written by hand here, so that a fault in its writer is found.
+//! The crate under test reads these records, but they are written here by hand, so that a fault in its writer
+//! is found.
 use crate::message::Message;
 use crate::TEST_TIMEOUT;
 use bytes::Bytes;
@@ -15,7 +16,7 @@
 
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// A record, padded with so many bytes.
+/// Encodes a record with this number of padding bytes.
 pub fn record(kind: u8, id: u16, body: &[u8], padding: u8) -> Vec<u8> {
     let length = u16::try_from(body.len()).expect("a body that fits").to_be_bytes();
     let id = id.to_be_bytes();
@@ -25,18 +26,18 @@
     out
 }
 
-/// The record that begins a request to a responder.
+/// Encodes the record that begins a request to a responder.
 pub fn begin_record(id: u16, keep: bool) -> Vec<u8> {
     record(1, id, &[0, 1, u8::from(keep), 0, 0, 0, 0, 0], 0)
 }
 
-/// The record that ends one.
+/// Encodes the record that ends a request.
 pub fn end_record(id: u16, application: u32, protocol: u8) -> Vec<u8> {
     let [a, b, c, d] = application.to_be_bytes();
     record(3, id, &[a, b, c, d, protocol, 0, 0, 0], 0)
 }
 
-/// Pairs as the body of a PARAMS record.
+/// Encodes name-value pairs as the body of a PARAMS record.
 pub fn pairs(params: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
     for (name, value) in params {
@@ -52,24 +53,24 @@
     out
 }
 
-/// An answer written as HTTP, as a responder writes it.
+/// Converts an HTTP answer into the CGI form that a responder writes.
 pub fn as_cgi(http: &str) -> String {
     let rest = http.split_once(' ').map_or("", |(_, rest)| rest);
     format!("Status: {rest}")
 }
 
-/// The application's side of a connection. Its clones answer the same connection.
+/// The application's side of a connection. Clones answer on the same connection.
 #[derive(Clone)]
 pub struct Responder {
     stream: Arc<TcpStream>,
     server: Arc<Mutex<Server>>,
     queued: VecDeque<(u16, Message)>,
-    /// The request that it answers.
+    /// Id of the request that is answered next.
     id: u16,
 }
 
 impl Responder {
-    /// On this connection, with so many requests at once.
+    /// Serves this connection with up to `requests` concurrent requests.
     pub fn new(stream: Arc<TcpStream>, requests: usize) -> Responder {
         let limits = Limits { params: 1 << 20, body: 64 << 20, pairs: 1000, requests, ..Limits::default() };
         Responder {
@@ -84,7 +85,7 @@
         self.server.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next request as an HTTP message; `None`: the connection ended.
+    /// Reads the next request as an HTTP message; `None` if the connection ends.
     pub fn request(&mut self) -> Option<Message> {
         let (mut buffer, mut events) = (vec![0; READ_BUFFER_BYTES], Vec::new());
         while self.queued.is_empty() {
@@ -106,7 +107,7 @@
         Some(message)
     }
 
-    /// Answers the last one; without `whole` its output goes on for ever.
+    /// Answers the last request; without `complete` its output never ends.
     ///
     /// # Errors
     /// The connection has ended.
@@ -119,15 +120,15 @@
             out.extend(record(6, self.id, b"", 0));
             out.extend(end_record(self.id, 0, 0));
         }
-        // Held while it writes, so that answers do not mix within a record.
+        // Held during the write, so that records of two answers are not interleaved.
         let mut server = self.server();
         let open = server.open();
         if complete {
-            // Its books: the request is over for the reader too. What was written of it stands above.
+            // Marks the request as finished for the reader too. Its output is already encoded above.
             server.refuse(self.id, fastcgi::record::Protocol::Complete);
             let _ = server.drain();
         }
-        // One that was called off has its end already.
+        // An aborted request has already been ended.
         if complete && server.open() == open {
             return Ok(());
         }
@@ -155,13 +156,13 @@
     stream: TcpStream,
     client: Client,
     ended: VecDeque<(u16, Outcome)>,
-    /// The connection ended, or fell silent, and that before a byte of the answer.
+    /// The connection ended or timed out before the first byte of the answer.
     silent: bool,
     timed_out: bool,
 }
 
 impl WebServer {
-    /// `None`: nobody listens.
+    /// Connects to an address; `None` if no process listens there.
     pub fn connect(addr: SocketAddr) -> Option<WebServer> {
         let stream = TcpStream::connect(addr).ok()?;
         stream.set_nodelay(true).ok()?;
@@ -169,24 +170,24 @@
         Some(WebServer::on(BufReader::new(stream)))
     }
 
-    /// On a connection that nothing has been read from.
+    /// Uses a connection that nothing has been read from.
     pub fn on(stream: BufReader<TcpStream>) -> WebServer {
         let limits = Limits { body: 64 << 20, requests: 100, ..Limits::default() };
         let (client, ended) = (Client::new(limits), VecDeque::new());
         WebServer { stream: stream.into_inner(), client, ended, silent: true, timed_out: false }
     }
 
-    /// How long it waits for the next bytes.
+    /// Sets the maximum wait for the next bytes.
     pub fn set_timeout(&mut self, timeout: std::time::Duration) {
         let _ = self.stream.set_read_timeout(Some(timeout));
     }
 
-    /// Whether the connection ended before a byte of the answer that was waited for last.
+    /// Whether the connection ended before the first byte of the last awaited answer.
     pub fn closed_before_answer(&self) -> bool {
         self.silent && !self.timed_out
     }
 
-    /// Begins a request with these params; its id.
+    /// Begins a request with these params and returns its id.
     pub fn send(&mut self, params: &[(&str, &str)], body: &[u8]) -> u16 {
         let all = params.iter().map(|(n, v)| (n.as_bytes(), v.as_bytes()));
         let id = self.client.begin(all, Bytes::copy_from_slice(body), true).expect("an id is free");
@@ -195,20 +196,21 @@
         id
     }
 
-    /// Writes bytes as they are.
+    /// Writes raw bytes.
     pub fn write(&mut self, bytes: &[u8]) {
-        // A connection that was closed shows in the answer.
+        // If the connection was closed, reading the answer fails.
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Calls a request off.
+    /// Aborts a request.
     pub fn abort(&mut self, id: u16) {
         self.client.abort(id);
         let bytes = self.client.drain();
         self.write(&bytes);
     }
 
-    /// The next request that ends; `None`: the connection did before, or what came can't be read.
+    /// Waits for the next request that ends; `None` if the connection ends first, the wait times out, or the
+    /// bytes received are malformed.
     pub fn next_outcome(&mut self) -> Option<(u16, Outcome)> {
         let (mut buffer, mut events) = (vec![0; READ_BUFFER_BYTES], Vec::new());
         (self.silent, self.timed_out) = (true, false);
--- a/crates/verification/testkit/src/faults/link.rs
+++ b/crates/verification/testkit/src/faults/link.rs
@@ -1,5 +1,5 @@
-//! Links between processes, each direction by itself. A process is reached through a relay that knows who connects by the
-//! first thing that is said, and does to what goes each way what the rules say at that moment.
+//! Links between processes, with a rule for each direction. A process is reached through a relay that
+//! identifies the connecting side by its first bytes and applies the current rules to all traffic.
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,26 +7,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a direction that waits for bytes looks whether its rule has changed.
+/// Interval at which an idle direction checks whether its rule has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a process that is reached may take to accept.
+/// Maximum time to connect to the target process, and to wait for the first bytes of the connecting side.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest first thing that is said.
+/// Maximum length of a handshake in bytes.
 const MAX_FIRST_BYTES: usize = 64 << 10;
 
-/// What becomes of what goes one way.
+/// Treatment of the traffic in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Rule {
-    /// It arrives.
+    /// Traffic is delivered.
     #[default]
     Pass,
-    /// Connections are reset, and new ones too.
+    /// Open and new connections are reset.
     Cut,
-    /// Nothing arrives and nobody is told; what was held arrives when the link is whole again, if both are still there.
+    /// Nothing is delivered, and neither side is notified. Once the rule ends, held traffic is delivered if
+    /// both sides are still connected.
     Blackhole,
-    /// It arrives late.
+    /// Each chunk is delivered after this delay.
     Delay(Duration),
-    /// So many bytes arrive every 10 ms.
+    /// This number of bytes is delivered every 10 ms.
     Trickle(usize),
 }
 
@@ -46,8 +47,8 @@
 pub struct Network(Arc<Shared>);
 
 impl Network {
-    /// All links are whole. `who` reads who connects from the first bytes, and how many bytes that took; `None`: more of
-    /// them are needed.
+    /// Creates a network in which all links work. `identify` parses the name of the connecting side from the
+    /// first bytes, and how many bytes it used; it returns `None` if it needs more bytes.
     pub fn new(identify: fn(&[u8]) -> Option<(String, usize)>) -> Network {
         Network(Arc::new(Shared { rules: Mutex::default(), changed: Condvar::new(), identify }))
     }
@@ -56,19 +57,19 @@
         self.0.rules.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What becomes of what goes from one to the other, from now on.
+    /// Sets the rule for traffic from one process to another.
     pub fn set(&self, from: &str, to: &str, rule: Rule) {
         self.rules().by_way.insert((from.into(), to.into()), rule);
         self.0.changed.notify_all();
     }
 
-    /// The same for both directions.
+    /// Sets the rule for both directions.
     pub fn set_both_ways(&self, a: &str, b: &str, rule: Rule) {
         self.set(a, b, rule);
         self.set(b, a, rule);
     }
 
-    /// All links between the two parts, in both directions.
+    /// Sets the rule for all links between two groups, in both directions.
     pub fn split(&self, one: &[&str], other: &[&str], rule: Rule) {
         for a in one {
             for b in other {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// All links are whole.
+    /// Restores all links.
     pub fn heal(&self) {
         self.rules().by_way.clear();
         self.0.changed.notify_all();
@@ -87,7 +88,7 @@
         self.rules().by_way.get(&(from.into(), to.into())).copied().unwrap_or_default()
     }
 
-    /// An address at which the process `name`, which listens at `to`, is reached through these links.
+    /// Opens a relay to the process `name`, which listens at `to`, and returns the relay's address.
     pub fn relay(&self, name: &str, to: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
@@ -115,7 +116,7 @@
         let _ = back.join();
     }
 
-    /// Who connects, and the bytes that were read to know it.
+    /// Reads the handshake; returns the name of the connecting side and all bytes read.
     fn read_handshake(&self, from: &TcpStream) -> Option<(String, Vec<u8>)> {
         let mut first = Vec::new();
         let mut buffer = [0; 1024];
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Carries bytes one way until the connection ends.
+    /// Relays bytes in one direction until the connection ends.
     fn pump(&self, from: &TcpStream, to: &TcpStream, sender: &str, receiver: &str, mut pending: Vec<u8>) {
         let _ = from.set_read_timeout(Some(POLL_INTERVAL));
         let mut bytes = vec![0; 16 << 10];
@@ -203,7 +204,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Whether the other side is known to have gone.
+/// Whether the connection is known to have ended.
 fn ended(stream: &TcpStream) -> bool {
     stream.take_error().ok().flatten().is_some() || stream.peer_addr().is_err()
 }
--- a/crates/verification/testkit/src/faults/machine.rs
+++ b/crates/verification/testkit/src/faults/machine.rs
@@ -1,4 +1,5 @@
-//! Machines: groups of processes that die, stop and come back together, with their disks as they were or empty.
+//! Machines: groups of processes that are killed, paused and restarted together, with their disks kept or
+//! wiped.
 use crate::process::Process;
 use rustix::process::{kill_process, Pid, Signal};
 use std::path::PathBuf;
@@ -8,33 +9,33 @@
 use std::thread;
 use std::time::Duration;
 
-/// One process of a machine: how it is started, and the one that runs.
+/// A process of a machine: the command that starts it, and the running instance.
 struct ProcessSlot {
     command: Box<dyn Fn() -> Command + Send>,
     process: Option<Process>,
 }
 
-/// A machine.
+/// A group of processes that share a disk folder.
 pub struct Machine {
     slots: Vec<ProcessSlot>,
-    /// Where its processes keep what outlives them.
+    /// Folder of the files that outlive its processes.
     disk: PathBuf,
     is_stopped: bool,
 }
 
 impl Machine {
-    /// One without processes, and with this folder for its disk.
+    /// Creates a machine without processes and with this folder as its disk.
     pub fn new(disk: PathBuf) -> Machine {
         Machine { slots: Vec::new(), disk, is_stopped: false }
     }
 
-    /// Adds a process, which is started as often as the machine is.
+    /// Adds a process that starts whenever the machine starts.
     pub fn with(mut self, command: impl Fn() -> Command + Send + 'static) -> Machine {
         self.slots.push(ProcessSlot { command: Box::new(command), process: None });
         self
     }
 
-    /// Starts all processes that do not run.
+    /// Starts all processes that are not running.
     pub fn start(&mut self) {
         for slot in &mut self.slots {
             if slot.process.as_mut().is_none_or(|p| !p.is_running()) {
@@ -43,66 +44,66 @@
         }
     }
 
-    /// Loses power: all processes are killed at once.
+    /// Simulates a loss of power: kills all processes at once.
     pub fn kill(&mut self) {
         self.slots.iter().flat_map(|p| &p.process).for_each(|p| p.signal(Signal::KILL));
         self.slots.iter_mut().flat_map(|p| &mut p.process).for_each(Process::kill);
         self.is_stopped = false;
     }
 
-    /// Stops all processes where they are.
+    /// Pauses all processes with SIGSTOP.
     pub fn pause(&mut self) {
         self.slots.iter().flat_map(|p| &p.process).for_each(|p| p.signal(Signal::STOP));
         self.is_stopped = true;
     }
 
-    /// Has them go on.
+    /// Resumes all processes.
     pub fn resume(&mut self) {
         self.slots.iter().flat_map(|p| &p.process).for_each(|p| p.signal(Signal::CONT));
         self.is_stopped = false;
     }
 
-    /// Whether it is stopped.
+    /// Whether the machine is paused.
     pub fn is_paused(&self) -> bool {
         self.is_stopped
     }
 
-    /// Empties its disk. The machine has to be down.
+    /// Empties the disk. No process of the machine may run.
     pub fn wipe(&self) {
         let _ = std::fs::remove_dir_all(&self.disk);
     }
 
-    /// Where its processes keep what outlives them.
+    /// Folder of the files that outlive its processes.
     pub fn disk(&self) -> &std::path::Path {
         &self.disk
     }
 
-    /// One of its processes.
+    /// Returns a process that was started.
     pub fn process(&self, index: usize) -> &Process {
         self.slots.get(index).and_then(|p| p.process.as_ref()).expect("it was started")
     }
 
-    /// The same, to wait for its end.
+    /// Returns a process mutably, for example to wait for its end.
     pub fn process_mut(&mut self, index: usize) -> &mut Process {
         self.slots.get_mut(index).and_then(|p| p.process.as_mut()).expect("it was started")
     }
 }
 
-/// A process that gets a part of the processor's time only: it is stopped, and goes on for a moment in each period, as under
-/// a quota of its machine. Dropped, it goes on as before.
+/// Limits a process to part of the processor time: it is stopped, and resumed for a short time in each
+/// period, as under a CPU quota of its machine. The process runs normally again once this value is dropped.
 pub struct CpuThrottle {
     finished: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl CpuThrottle {
-    /// It runs for `on` of each `period`.
+    /// Lets the process run for `run_time` in each `period`.
     pub fn begin(pid: u32, run_time: Duration, period: Duration) -> CpuThrottle {
         let finished = Arc::new(AtomicBool::new(false));
         let ends = finished.clone();
         let send = move |signal| {
             if let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) {
-                // One that has ended takes none.
+                // A process that has ended can't be signalled.
                 let _ = kill_process(pid, signal);
             }
         };
--- a/crates/verification/testkit/src/faults/mod.rs
+++ b/crates/verification/testkit/src/faults/mod.rs
@@ -1,11 +1,11 @@
-//! Faults of what processes stand on, and between them.
+//! Fault injection into the environment of processes and the links between them.
 //!
-//! | module | what it breaks |
+//! | module | contents |
 //! | --- | --- |
-//! | [`disk`] | the disk of a running process: full, and with room again; put back to an older state |
-//! | [`link`] | the links between processes, each direction by itself |
-//! | [`machine`] | machines: groups of processes that die, stop and come back together |
-//! | [`script`] | which of these when, from one seed; shrunk when it fails |
+//! | [`disk`] | the disk of a running process: full, and with free space again |
+//! | [`link`] | the links between processes, with a rule for each direction |
+//! | [`machine`] | machines: groups of processes that are killed, paused and restarted together |
+//! | [`script`] | shrinking of a failing fault schedule, and its report |
 pub mod disk;
 pub mod link;
 pub mod machine;
--- a/crates/verification/testkit/src/faults/script.rs
+++ b/crates/verification/testkit/src/faults/script.rs
@@ -1,9 +1,10 @@
-//! Which faults when, from one seed: a list that is played in order, printed when a test fails, and shrunk to the fewest
-//! steps with which it still fails.
+//! Fault schedules drawn from a seed: a list of steps that run in order, are printed when a test fails, and
+//! are shrunk to a minimal list that still fails.
 use std::fmt::Debug;
 
-/// The fewest of these steps, in their order, with which `still` holds: halves are left out, then quarters, and so on to
-/// single ones (Zeller and Hildebrandt, 2002). `still` has to hold for all of them.
+/// Returns a minimal subsequence of these steps for which `fails` still holds, by delta debugging (Zeller and
+/// Hildebrandt, 2002): it leaves out halves, then quarters, down to single steps. `fails` must hold for the
+/// full list.
 pub fn fewest<T: Clone + Debug>(steps: &[T], mut fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
     let mut smallest = steps.to_vec();
     let mut size = smallest.len().div_ceil(2).max(1);
@@ -28,11 +29,11 @@
     smallest
 }
 
-/// Says which script failed if the test ends by a panic.
+/// Prints the seed and the steps if the test panics.
 pub struct ReportOnPanic<'a, T: Debug> {
-    /// What it was drawn from.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// The steps.
+    /// Steps of the schedule.
     pub steps: &'a [T],
 }
 
--- a/crates/verification/testkit/src/faults/script/tests.rs
+++ b/crates/verification/testkit/src/faults/script/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_does_not_matter_is_left_out() {
+fn leaves_out_irrelevant_steps() {
     let all: Vec<u32> = (0..40).collect();
     let mut tried = 0;
     let least = fewest(&all, |some| {
--- a/crates/verification/testkit/src/fleet.rs
+++ b/crates/verification/testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A machine of a fleet: its files, its supervisor, and the instances that outlive this.
+//! A machine of a fleet: its files, its supervisor, and the instances, which outlive the supervisor.
 use crate::node::Program;
 use crate::process::{reserve_address, Process};
 use crate::TEST_TIMEOUT;
@@ -9,32 +9,33 @@
 use std::thread;
 use std::time::Instant;
 
-/// Short waits, so that a roll through many takes seconds.
+/// Operator's settings with short waits, so that a roll through many instances takes seconds.
 pub const OPERATOR_CONFIG: &str =
     "[daemon]\naccepting = \"100ms\"\nserving = \"200ms\"\nlast_answer = \"2s\"\nend = \"3s\"\n";
 
-/// How an instance stands, by its state and process.
+/// State of an instance and its process id.
 pub type InstanceStatus = (String, Option<u32>);
 
-/// A machine with a supervisor. Dropped, it ends with all its processes.
+/// A machine with a supervisor. Dropping it kills all its processes.
 pub struct Fleet {
     program: Program,
-    /// The fleet's file.
+    /// The fleet's configuration file.
     pub file: PathBuf,
-    /// The folder that it is in.
+    /// Folder that contains the file.
     pub folder: PathBuf,
     /// Names and addresses of its instances.
     pub addrs: Vec<(String, SocketAddr)>,
-    /// Their platform configurations.
+    /// Platform configuration files of its instances.
     pub configs: Vec<PathBuf>,
-    /// The supervisor.
+    /// The supervisor process.
     pub supervisor: Process,
 }
 
 impl Fleet {
-    /// A supervisor of instances with these names, each with the platform configuration that `config_of` makes for it
-    /// (`127.0.0.1:0` in it becomes its address). `more` are further lines of `[fleet]`, `operator` is the operator's file of
-    /// all, and `tables` are further tables of the fleet's file.
+    /// Starts a supervisor of instances with these names. `config_of` returns the platform configuration of
+    /// each, in which `127.0.0.1:0` is replaced by the instance's address. `extra_lines` are added to
+    /// `[fleet]`, `operator` is the operator's file of all instances, and `tables` are further tables of the
+    /// fleet's file.
     pub fn start(
         program: &Program,
         names: &[String],
@@ -65,19 +66,19 @@
         Fleet { program: program.clone(), file, folder, addrs, configs, supervisor }
     }
 
-    /// A command of `herondock fleet`, not yet run.
+    /// Prepares a `herondock fleet` command without running it.
     pub fn prepare_command(&self, args: &[&str]) -> Command {
         let mut command = Command::new(&self.program.path);
         command.arg("fleet").args(args).arg(&self.file);
         command
     }
 
-    /// A command of `herondock fleet`.
+    /// Runs a `herondock fleet` command.
     pub fn command(&self, args: &[&str]) -> Output {
         self.prepare_command(args).output().expect("runs")
     }
 
-    /// What `fleet status --json` says of each instance: its state and process.
+    /// Returns the state and process id of each instance from `fleet status --json`.
     pub fn status(&self) -> Vec<InstanceStatus> {
         let output = self.command(&["status", "--json"]);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -92,7 +93,7 @@
             .collect()
     }
 
-    /// Waits until the states are as wanted.
+    /// Waits until the states satisfy a condition.
     pub fn until(&self, expected: &str, condition: impl Fn(&[InstanceStatus]) -> bool) {
         let started = Instant::now();
         loop {
@@ -105,24 +106,24 @@
         }
     }
 
-    /// Waits until all are in this state.
+    /// Waits until all instances are in this state.
     pub fn wait_for_all(&self, state: &str) {
         self.until(state, |status| status.iter().all(|(s, _)| s == state));
     }
 
-    /// What the supervisor and its instances have logged.
+    /// Log lines of the supervisor and its instances.
     pub fn log(&self) -> Vec<String> {
         self.supervisor.log()
     }
 
-    /// Another supervisor in place of one that has ended.
+    /// Starts another supervisor in place of one that has ended.
     pub fn restart_supervisor(&mut self) {
         self.supervisor = start_supervisor(&self.program, &self.file);
         self.supervisor.wait_for_log("supervisor of");
     }
 
-    /// The processes of its instances, by the pid files. A file that is left over may name anybody's process: only those of
-    /// this program count.
+    /// Process ids of the instances, from their pid files. A stale file may name a process of another
+    /// program, so only processes of this program are returned.
     pub fn pids(&self) -> Vec<u32> {
         let own = std::fs::canonicalize(&self.program.path).ok();
         let is_ours = |pid: &u32| std::fs::read_link(format!("/proc/{pid}/exe")).ok() == own;
@@ -134,9 +135,9 @@
         files.filter_map(|f| pid(f.path())).filter(is_ours).collect()
     }
 
-    /// Sends a signal to the supervisor and all instances, as when something happens to the machine.
+    /// Sends a signal to the supervisor and all instances, as if the whole machine were affected.
     pub fn signal(&self, signal: Signal) {
-        // The supervisor first: it must not start again what ends.
+        // The supervisor first, because it must not restart instances that end.
         self.supervisor.signal(signal);
         for pid in self.pids() {
             if let Some(pid) = i32::try_from(pid).ok().and_then(Pid::from_raw) {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Loses power: everything on it is gone at once.
+    /// Simulates a loss of power: kills all processes at once.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.supervisor.kill();
@@ -160,7 +161,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Instances outlive their supervisor; not this test.
+        // Instances outlive their supervisor, but must not outlive the test.
         self.kill();
     }
 }
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -1,8 +1,9 @@
-//! The ledger: every request sent, every execution at an upstream and every answer, and whether the four rules hold
-//! over them.
+//! The ledger records every request sent, every execution at an upstream and every answer, and checks the
+//! four rules.
 //!
-//! Stand-ins write into it as things happen; [`Ledger::check`] reads the whole. Times are spans since the ledger was
-//! opened, on one clock. It holds what it was told and asks the balancer nothing.
+//! Stand-ins write entries as events happen; [`Ledger::check`] evaluates all of them. Times are durations
+//! since the ledger was opened, on one clock. The ledger uses only these entries and never queries the
+//! balancer.
 //!
 //! ```
 //! use std::time::Duration;
@@ -11,15 +12,16 @@
 //! let ledger = Ledger::new();
 //! let ms = Duration::from_millis;
 //! let (request, upstream) = ("r1".to_string(), "s-1".to_string());
-//! let patience = ms(500);
-//! let sent = Entry::Sent { request: request.clone(), balancer: "n1".into(), effect: Effect::Unsafe, patience };
+//! let timeout = ms(500);
+//! let sent = Entry::Sent { request: request.clone(), balancer: "n1".into(), effect: Effect::Unsafe, timeout
+//! };
 //! ledger.write_at(ms(0), sent);
 //! let ran = Entry::Executed { upstream, group: 0, request: request.clone(), work: ms(10) };
 //! ledger.write_at(ms(5), ran);
-//! // A refusal promises that another try is harmless, and this one has run.
+//! // A refusal promises that a retry is safe, but this request has run.
 //! ledger.write_at(ms(20), Entry::Answered { request, status: 503 });
-//! let found = ledger.check(&RuleParameters::default());
-//! assert_eq!(found[0].fault, Breach::RefusedAfterRunning);
+//! let violations = ledger.check(&RuleParameters::default());
+//! assert_eq!(violations[0].fault, Breach::RefusedAfterRunning);
 //! ```
 pub use invariants::{Breach, Cold, Effect, Rule, RuleParameters, Scope, State};
 use invariants::{NotificationDeadline, RequestHistory, Warming};
@@ -28,85 +30,86 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Most entries that a ledger holds; a check of one that was told more says so.
+/// Maximum number of entries in a ledger; a check reports when more were written.
 pub const MAX_ENTRIES: usize = 1 << 20;
 
-/// Something that happened.
+/// An event.
 #[derive(Clone, Debug)]
 pub enum Entry {
-    /// A caller has begun to send a request on a connection that was accepted. Written once more if that connection
-    /// closed between requests and the same request went out on another: the last one says who took it.
+    /// A caller has begun to send a request on an accepted connection. Written again if that connection
+    /// closed between requests and the same request was sent on another; the last entry names the balancer
+    /// that took it.
     Sent {
-        /// Its id, new with every request.
+        /// Request id, new with every request.
         request: String,
-        /// Who took it.
+        /// Balancer that accepted the connection.
         balancer: String,
-        /// What a repeat may do.
+        /// What a retry may do.
         effect: Effect,
-        /// How long the caller waits.
+        /// Time that the caller waits for the answer.
         timeout: Duration,
     },
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered {
-        /// The request.
+        /// Request id.
         request: String,
-        /// 200 is served, 429 and 503 are refusals, all else has failed.
+        /// 200 means served, 429 and 503 are refusals, and all other values are failures.
         status: u16,
     },
-    /// The caller went away of its own accord: nothing is owed any more.
+    /// The caller left on its own, so no answer is owed any more.
     CallerLeft {
-        /// The request.
+        /// Request id.
         request: String,
     },
-    /// A request's first bytes reached an upstream.
+    /// The first bytes of a request reached an upstream.
     Begun {
-        /// Where.
+        /// Upstream id.
         upstream: String,
-        /// The request.
+        /// Request id.
         request: String,
     },
     /// An upstream began to work on a request.
     Executed {
-        /// Where.
+        /// Upstream id.
         upstream: String,
-        /// The group that shares the memory of keys.
+        /// Group of upstreams that share a deduplication store.
         group: u32,
-        /// The request.
+        /// Request id.
         request: String,
-        /// How much work it is.
+        /// Amount of work.
         work: Duration,
     },
-    /// A balancer was told of an upstream.
+    /// A balancer was notified of the state of an upstream.
     Notified {
-        /// Who.
+        /// Balancer that was notified.
         balancer: String,
-        /// Of which.
+        /// Upstream id.
         upstream: String,
-        /// What.
+        /// Reported state.
         state: State,
     },
-    /// An upstream's process has started.
+    /// The process of an upstream has started.
     Started {
-        /// Which.
+        /// Upstream id.
         upstream: String,
-        /// How it warms up.
+        /// Warm-up behaviour.
         cold: Cold,
     },
-    /// A balancer was killed outright: what it held is its callers' to send again.
+    /// A balancer was killed; its callers have to send their requests again.
     Killed {
-        /// Which.
+        /// Name of the balancer.
         balancer: String,
     },
 }
 
-/// A rule that was broken once.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// How.
+    /// Kind of violation.
     pub fault: Breach,
-    /// When.
+    /// Time of the violation.
     pub at: Duration,
-    /// The request or the upstream.
+    /// Request or upstream concerned.
     pub subject: String,
 }
 
@@ -116,23 +119,23 @@
     }
 }
 
-/// One entry and when it was written.
+/// An entry with its time.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Since the ledger was opened.
+    /// Time since the ledger was opened.
     pub at: Duration,
-    /// What happened.
+    /// The event.
     pub entry: Entry,
 }
 
 #[derive(Default)]
 struct Log {
     records: Vec<Record>,
-    /// Entries that found no room.
+    /// Number of entries that exceeded the maximum.
     dropped: u64,
 }
 
-/// A ledger; shared by reference between the threads of all stand-ins.
+/// A ledger, shared by reference between the threads of all stand-ins.
 pub struct Ledger {
     opened: Instant,
     max_entries: usize,
@@ -146,35 +149,36 @@
 }
 
 impl Ledger {
-    /// An empty ledger for [`MAX_ENTRIES`] entries.
+    /// Creates an empty ledger for [`MAX_ENTRIES`] entries.
     pub fn new() -> Ledger {
         Ledger::with_capacity(MAX_ENTRIES)
     }
 
-    /// An empty ledger for so many entries.
+    /// Creates an empty ledger for this number of entries.
     pub fn with_capacity(max_entries: usize) -> Ledger {
         Ledger { opened: Instant::now(), max_entries, log: Mutex::default() }
     }
 
-    /// A stand-in that panicked has failed its test; what it wrote before still holds.
+    /// Ignores poisoning: a stand-in that panicked has failed its test, but its earlier entries are still
+    /// valid.
     fn log(&self) -> MutexGuard<'_, Log> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time on its clock.
+    /// Time since the ledger was opened.
     pub fn now(&self) -> Duration {
         self.opened.elapsed()
     }
 
-    /// Writes what happens now.
+    /// Writes an entry with the current time.
     pub fn write(&self, entry: Entry) {
         let mut log = self.log();
-        // Read under the lock, so that the order of entries is that of their times.
+        // Read under the lock, so that entries are ordered by their times.
         let at = self.now();
         self.push(&mut log, Record { at, entry });
     }
 
-    /// Writes what happened then.
+    /// Writes an entry with a given time.
     pub fn write_at(&self, at: Duration, entry: Entry) {
         self.push(&mut self.log(), Record { at, entry });
     }
@@ -187,13 +191,13 @@
         }
     }
 
-    /// All entries from the `from`th on, in the order in which they were written.
+    /// Returns all records from index `from` on, in the order in which they were written.
     pub fn since(&self, from: usize) -> Vec<Record> {
         self.log().records.get(from..).map(<[Record]>::to_vec).unwrap_or_default()
     }
 
-    /// Checks the four rules over all entries. To be called once nothing is under way any more: a request without
-    /// an answer counts as lost, however long its caller would still wait.
+    /// Checks the four rules over all entries. Must be called when no request is in flight any more: a
+    /// request without an answer counts as lost, however long its caller would still wait.
     pub fn check(&self, parameters: &RuleParameters) -> Vec<Violation> {
         let log = self.log();
         let mut records: Vec<&Record> = log.records.iter().collect();
@@ -204,7 +208,7 @@
             violations.push(Violation { fault: Breach::LedgerFull, at: self.now(), subject });
         }
         let mut notifications: HashMap<(&str, &str), NotificationDeadline> = HashMap::new();
-        // The story of each request, and who took it.
+        // History of each request, and the balancer that took it.
         let mut histories: BTreeMap<&str, (RequestHistory, &str)> = BTreeMap::new();
         let mut warming: HashMap<&str, Warming> = HashMap::new();
         for record in &records {
@@ -212,7 +216,8 @@
                 Entry::Sent { request, balancer, effect, timeout } => {
                     let fresh = || (RequestHistory::new(record.at, *effect, *timeout), balancer.as_str());
                     let (history, taken_by) = histories.entry(request).or_insert_with(fresh);
-                    // On another connection: whoever has it now owes the answer.
+                    // Sent again on another connection: the balancer that has the request now owes the
+                    // answer.
                     (history.excused, *taken_by) = (false, balancer);
                 }
                 Entry::Answered { request, status } => {
--- a/crates/verification/testkit/src/message.rs
+++ b/crates/verification/testkit/src/message.rs
@@ -1,7 +1,7 @@
-//! HTTP messages as they come over a socket, and ready-made requests and answers.
+//! HTTP messages as read from a socket, and ready-made requests and answers.
 use std::io::{BufRead, Read};
 
-/// Longest line, most lines and largest body that are read: a peer under test that goes beyond has failed.
+/// Maximum line length, number of header lines and body size. A peer under test that exceeds them has failed.
 const MAX_LINE_BYTES: u64 = 128 << 10;
 const MAX_LINES: usize = 1000;
 const MAX_BODY_BYTES: usize = 64 << 20;
@@ -9,26 +9,26 @@
 /// A request or an answer.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its first line.
+    /// Request line or status line.
     pub start_line: String,
     /// Names and values, in order.
     pub headers: Vec<(String, String)>,
-    /// The body that `Content-Length` states.
+    /// Body of the length that `Content-Length` states.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first header of this name.
+    /// Returns the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// An answer's status; 0 where its first line states none.
+    /// Status of an answer; 0 if its first line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// A request's path and query; empty where its first line has none.
+    /// Path and query of a request; empty if its first line has none.
     pub fn path(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or("")
     }
@@ -40,12 +40,12 @@
     line.ends_with(b"\n").then(|| String::from_utf8_lossy(&line).trim_end().to_string())
 }
 
-/// Reads one message; `None` when the connection ended before its end, or it is none.
+/// Reads a message; `None` if the connection ends first, or the message is malformed or exceeds a limit.
 pub fn read(stream: &mut impl BufRead) -> Option<Message> {
     read_with_head(stream, |_| {})
 }
 
-/// The same; tells of the head as soon as it has come.
+/// Like [`read`], and calls `head` as soon as the head has been read.
 pub fn read_with_head(stream: &mut impl BufRead, head: impl FnOnce(&Message)) -> Option<Message> {
     let mut message = Message { start_line: line(stream)?, headers: Vec::new(), body: Vec::new() };
     loop {
@@ -66,12 +66,12 @@
     Some(message)
 }
 
-/// The text of an answer that served the request.
+/// Formats an answer that served the request.
 pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A request that may be repeated, of class `read` and tenant `club`.
+/// Formats a request that may be retried, of class `read` and tenant `club`.
 pub fn get(id: &str, deadline: &str) -> String {
     format!(
         "GET /api/x?y=1 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: read\r\n\
@@ -79,7 +79,7 @@
     )
 }
 
-/// A request that must never run twice, of class `pay` and tenant `club`.
+/// Formats a request that must never run twice, of class `pay` and tenant `club`.
 pub fn pay(id: &str, deadline: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: pay\r\n\
--- a/crates/verification/testkit/src/node.rs
+++ b/crates/verification/testkit/src/node.rs
@@ -1,4 +1,4 @@
-//! The program under test: configurations for it, and its process.
+//! The program under test: its configurations and its process.
 use crate::caller::Client;
 use crate::discovery::{upstream_list, Discovery};
 use crate::process::Process;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Instant;
 
-/// A platform configuration with a class of each effect (`read`, `order`, `pay`) and one tenant (`club`).
+/// Platform configuration with a class of each effect (`read`, `order`, `pay`) and one tenant (`club`).
 pub fn config(discovery: SocketAddr, sockets: usize, list: &str) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -28,24 +28,24 @@
     )
 }
 
-/// Starts programs with files of their own in one folder.
+/// Starts the program with its files in one folder.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The executable.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Where its files go.
+    /// Folder of its files.
     pub folder: PathBuf,
 }
 
 static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
 impl Program {
-    /// An executable, and a folder that exists.
+    /// Uses an executable and an existing folder.
     pub fn new(path: impl AsRef<Path>, folder: impl AsRef<Path>) -> Program {
         Program { path: path.as_ref().into(), folder: folder.as_ref().into() }
     }
 
-    /// A file with this content and a name that no other has.
+    /// Writes a file with this content and a unique name.
     pub fn file(&self, ending: &str, content: &str) -> PathBuf {
         let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let path = self.folder.join(format!("node-{}-{number}{ending}", std::process::id()));
@@ -53,12 +53,12 @@
         path
     }
 
-    /// The program with this platform configuration.
+    /// Prepares the program with this platform configuration.
     pub fn command(&self, config: &str) -> Command {
         self.prepared(config, Command::new(&self.path))
     }
 
-    /// The same under a limit of descriptors that the configuration does not tell of.
+    /// Like [`Program::command`], with a limit of descriptors that the configuration does not state.
     pub fn limited_command(&self, config: &str, descriptors: usize) -> Command {
         let mut shell = Command::new("sh");
         let exec = format!("ulimit -n {descriptors}; exec \"$0\"");
@@ -71,47 +71,48 @@
         command
     }
 
-    /// A balancer that starts with this list, and whose discovery answers as it is told.
+    /// Starts a balancer with this list, whose discovery gives prepared answers.
     pub fn start(&self, sockets: usize, list: &str) -> Node {
         let discovery = Discovery::start();
         let command = self.command(&config(discovery.addr, sockets, list));
         Node::run(command, discovery)
     }
 
-    /// A balancer that knows these upstreams, and whose discovery is silent.
+    /// Starts a balancer that knows these upstreams and whose discovery never answers.
     pub fn with(&self, upstreams: &[SocketAddr]) -> Node {
         let servers: Vec<_> = upstreams.iter().enumerate().map(|(n, &a)| (n, a, "active")).collect();
         self.start(1024, &upstream_list(1, true, &servers))
     }
 }
 
-/// What a balancer logs before the address at which it serves.
+/// Text that a balancer logs before the address on which it serves.
 const SERVING: &str = "serving on ";
 
-/// Sends a signal, by its short name, to a process that we started.
+/// Sends a signal, by its short name, to a process that the test started.
 pub fn signal(pid: u32, name: &str) {
     let status = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
     assert!(status.expect("runs kill").success(), "{pid} takes no {name}");
 }
 
-/// A running balancer; killed when dropped.
+/// A running balancer, killed when dropped.
 pub struct Node {
     process: Process,
-    /// Its configuration's file.
+    /// Its configuration file.
     pub file: PathBuf,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Kept, so that it is silent and not gone.
+    /// Discovery of the balancer, kept so that calls get no answer instead of a refused connection.
     pub discovery: Discovery,
 }
 
 impl Node {
-    /// Starts a prepared command and waits until it serves.
+    /// Starts a prepared command and waits until the balancer serves.
     pub fn run(command: Command, discovery: Discovery) -> Node {
         Node::run_filtered(command, discovery, |_| true)
     }
 
-    /// The same; of its log only these lines are kept, and the one that says where it serves.
+    /// Like [`Node::run`], but keeps only the log lines for which `is_kept` holds, and the line with its
+    /// address.
     pub fn run_filtered(
         command: Command,
         discovery: Discovery,
@@ -120,7 +121,7 @@
         let file = command.get_envs().find(|(name, _)| *name == "NODE_CONFIG").and_then(|(_, path)| path);
         let file = file.expect("a configuration").into();
         let process = Process::start_filtered(command, move |line| is_kept(line) || line.contains(SERVING));
-        // A process that never serves must not outlive the test that waits for it; dropped, it is killed.
+        // Dropped on a panic here, which kills a process that never serves.
         let serves = |line: &str| line.split_once(SERVING).map(|(_, addr)| addr.parse());
         match process.find_line(0, serves) {
             Some(addr) => Node { process, file, addr: addr.expect("an address"), discovery },
@@ -128,23 +129,23 @@
         }
     }
 
-    /// What it has logged.
+    /// Log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.process.log()
     }
 
-    /// Its process.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.process.pid()
     }
 
-    /// How many descriptors it holds.
+    /// Number of open descriptors.
     pub fn descriptors(&self) -> usize {
         let path = format!("/proc/{}/fd", self.process.pid());
         std::fs::read_dir(path).expect("its descriptors").count()
     }
 
-    /// Waits until the number of its descriptors is as wanted.
+    /// Waits until the number of descriptors satisfies a condition; fails with the text `failure`.
     pub fn wait_for_descriptors(&self, condition: impl Fn(usize) -> bool, failure: &str) {
         let started = Instant::now();
         while !condition(self.descriptors()) {
@@ -153,40 +154,40 @@
         }
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         signal(self.process.pid(), "TERM");
     }
 
-    /// Replaces the configuration and has it read again.
+    /// Replaces the configuration and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.file, config).expect("writes the configuration");
         signal(self.process.pid(), "HUP");
     }
 
-    /// Waits for a line of the log with this in it.
+    /// Waits for a log line that contains `wanted`.
     pub fn wait_for_log(&self, wanted: &str) {
         self.process.wait_for_log(wanted);
     }
 
-    /// Waits until it has ended and its log is read.
+    /// Waits until the process has ended and its log is read.
     pub fn wait(&mut self) -> ExitStatus {
         self.process.wait()
     }
 
-    /// A connection to it.
+    /// Connects to the balancer.
     pub fn client(&self) -> Client {
         self.try_client().expect("connects")
     }
 
-    /// A client that has sent this and not yet read an answer.
+    /// Connects and sends `text` without reading an answer.
     pub fn client_with_request(&self, text: &str) -> Client {
         let mut client = self.client();
         client.send(text);
         client
     }
 
-    /// `None`: it does not listen any more.
+    /// Connects to the balancer; `None` if it does not listen any more.
     pub fn try_client(&self) -> Option<Client> {
         Client::connect(self.addr)
     }
--- a/crates/verification/testkit/src/plain.rs
+++ b/crates/verification/testkit/src/plain.rs
@@ -1,5 +1,6 @@
-//! Plain callers, who hide nothing: each calls one address, does not try again, and counts what it met. Half of their
-//! kind connect anew for each request and write a little after that; half keep their connection.
+//! Plain callers: each calls one address, never retries, and counts every outcome. In a mixed group, one half
+//! opens a connection for each request and writes shortly after connecting, and the other half keeps its
+//! connection.
 use crate::ledger::{Effect, Entry, Ledger};
 use crate::message::{pay, read};
 use crate::TEST_TIMEOUT;
@@ -11,7 +12,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What they met.
+/// Counts of outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Requests served.
@@ -20,14 +21,15 @@
     pub other: u64,
     /// Connections that could not be made.
     pub connect_failures: u64,
-    /// Requests on a new connection that ended without a byte of answer.
+    /// Requests on a new connection that ended before the first byte of an answer.
     pub closed_unanswered: u64,
-    /// Requests on a kept connection that ended so: its close crossed what the caller wrote.
+    /// Requests on a reused connection that ended before the first byte of an answer: the peer closed it
+    /// while the caller wrote.
     pub reset_on_reuse: u64,
 }
 
 impl Tally {
-    /// Everything that no caller should meet in a take-over.
+    /// Outcomes that no caller should have during a take-over.
     pub fn failed(&self) -> u64 {
         self.other + self.connect_failures + self.closed_unanswered + self.reset_on_reuse
     }
@@ -43,24 +45,25 @@
     }
 }
 
-/// How one of them calls.
+/// Settings of a plain caller.
 #[derive(Clone, Copy, Debug)]
 pub struct PlainCaller {
-    /// Whom.
+    /// Address that it calls.
     pub addr: SocketAddr,
-    /// Its name in the ledger.
+    /// Name of the balancer in the ledger.
     pub balancer: &'static str,
     /// Whether it keeps its connection.
     pub keeps_connection: bool,
-    /// How long it rests after connecting and before each request on a kept connection: 0 to so long, in even steps.
+    /// Maximum pause after connecting and before each request on a kept connection. Successive requests wait
+    /// from 0 to this time, in even steps.
     pub max_idle_time: Duration,
 }
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(0);
 
 impl PlainCaller {
-    /// Calls, one request after another, until told to stop. Requests are of class `pay` and tenant `club`, which must
-    /// not run twice.
+    /// Sends one request after another until `stop` is set. Requests are of class `pay` and tenant `club`,
+    /// and must not run twice.
     pub fn call(self, ledger: &Arc<Ledger>, stop: &AtomicBool) -> Tally {
         let (mut tally, mut connection) = (Tally::default(), None::<BufReader<TcpStream>>);
         for step in 0.. {
@@ -73,11 +76,11 @@
             };
             let Some(mut stream) = stream else {
                 tally.connect_failures += 1;
-                // It comes back after its rest, like after any request.
+                // The caller connects again after its pause, as after any request.
                 thread::sleep(self.max_idle_time);
                 continue;
             };
-            // What such a caller does: between two requests, or between connecting and asking, time passes.
+            // Such a caller pauses between two requests, or between connecting and its request.
             thread::sleep(self.max_idle_time.mul_f64(f64::from(step % 8) / 7.0));
             match self.request(&mut stream, ledger) {
                 None if is_reused => tally.reset_on_reuse += 1,
@@ -99,13 +102,14 @@
         Some(BufReader::new(stream))
     }
 
-    /// Status of the answer, and whether its connection closes with it; `None`: there was none.
+    /// Sends a request; returns the status of the answer and whether the connection closes with it, or `None`
+    /// if there was no answer.
     fn request(self, stream: &mut BufReader<TcpStream>, ledger: &Arc<Ledger>) -> Option<(u16, bool)> {
         let request =
             format!("plain-{:x}-{:x}", std::process::id(), NEXT_REQUEST.fetch_add(1, Ordering::Relaxed));
         let (effect, timeout, balancer) = (Effect::Unsafe, Duration::from_secs(10), self.balancer.into());
         ledger.write(Entry::Sent { request: request.clone(), balancer, effect, timeout });
-        // A connection that was closed shows in the answer.
+        // If the connection was closed, reading the answer fails.
         let _ = stream.get_mut().write_all(pay(&request, "10000m").as_bytes());
         stream.fill_buf().ok().filter(|bytes| !bytes.is_empty())?;
         let answer = read(stream)?;
@@ -115,13 +119,13 @@
     }
 }
 
-/// Has these call, each in a thread, while `act` goes on; what they met, summed up.
+/// Runs these callers, each in a thread, while `action` runs; returns its result and the sum of their counts.
 pub fn call_during<T>(
     callers: &[PlainCaller],
     ledger: &Arc<Ledger>,
     action: impl FnOnce() -> T,
 ) -> (T, Tally) {
-    /// Ends the callers, also when what was done meanwhile has failed: nothing would end them otherwise.
+    /// Stops the callers even if `action` panics; nothing else would end them.
     struct Stop<'a>(&'a AtomicBool);
     impl Drop for Stop<'_> {
         fn drop(&mut self) {
--- a/crates/verification/testkit/src/process.rs
+++ b/crates/verification/testkit/src/process.rs
@@ -9,9 +9,10 @@
 use std::thread;
 use std::time::Instant;
 
-/// Most lines of a log that are kept; later ones are read and dropped, which the last line says.
+/// Maximum number of log lines that are kept. Later lines are read and dropped, which [`TRUNCATION_NOTICE`]
+/// states.
 const MAX_LOG_LINES: usize = 10_000;
-/// That line.
+/// Last line of a truncated log.
 const TRUNCATION_NOTICE: &str = "(the log goes on, and is not kept any further)";
 
 #[derive(Default)]
@@ -26,7 +27,7 @@
     }
 }
 
-/// A process; killed when dropped.
+/// A process, killed when dropped.
 pub struct Process {
     child: Child,
     log: Arc<Log>,
@@ -34,12 +35,13 @@
 }
 
 impl Process {
-    /// Starts a command, whose standard error is its log.
+    /// Starts a command and reads its standard error as its log.
     pub fn start(command: Command) -> Process {
         Process::start_filtered(command, |_| true)
     }
 
-    /// The same, and of its log only these lines are kept: for one that logs every request.
+    /// Like [`Process::start`], but keeps only the log lines for which `is_kept` holds, for a process that
+    /// logs every request.
     pub fn start_filtered(mut command: Command, is_kept: impl Fn(&str) -> bool + Send + 'static) -> Process {
         let mut child = command.stderr(Stdio::piped()).spawn().expect("starts");
         let lines = BufReader::new(child.stderr.take().expect("its log"));
@@ -61,18 +63,18 @@
         Process { child, log, reader: Some(reader) }
     }
 
-    /// Its number with the system.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has logged.
+    /// Log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lines().0.clone()
     }
 
-    /// Waits for a line from the one with this number on of which something can be made. `None`: its log has ended, or a
-    /// working process would have written it by now.
+    /// Waits for a line, from index `from` on, for which `parse` returns a value. `None` if the log ends or
+    /// the wait exceeds [`TEST_TIMEOUT`].
     pub fn find_line<T>(&self, from: usize, parse: impl Fn(&str) -> Option<T>) -> Option<T> {
         let started = Instant::now();
         let mut log = self.log.lines();
@@ -92,41 +94,41 @@
         }
     }
 
-    /// Waits for a line of the log with this in it.
+    /// Waits for a log line that contains `wanted`.
     pub fn wait_for_log(&self, wanted: &str) {
         self.wait_for_log_from(0, wanted);
     }
 
-    /// The same from the line with this number on.
+    /// Like [`Process::wait_for_log`], from line index `from` on.
     pub fn wait_for_log_from(&self, from: usize, wanted: &str) {
         let found = self.find_line(from, |line| line.contains(wanted).then_some(()));
         assert!(found.is_some(), "no line with {wanted:?} in {:?}", self.log());
     }
 
-    /// Whether it still runs.
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Sends it a signal; one that has ended takes none.
+    /// Sends a signal; has no effect on a process that has ended.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills it, as when its machine loses power.
+    /// Kills the process, as when its machine loses power.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it has ended. Its log may go on: what it has started may hold it open.
+    /// Waits until the process has ended. Its log may continue, because its child processes may hold it open.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("it ends")
     }
 
-    /// Waits until it has ended and its log is read.
+    /// Waits until the process has ended and its log is read.
     pub fn wait(&mut self) -> ExitStatus {
         let status = self.child.wait().expect("it ends");
         if let Some(reader) = self.reader.take() {
@@ -138,13 +140,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that was stopped dies as well.
+        // SIGKILL also ends a process that is stopped.
         self.kill();
     }
 }
 
-/// An address on a loopback network of its own, so that nobody takes its port while nobody listens there: callers come
-/// from 127.0.0.1.
+/// Returns a free address in a part of 127.0.0.0/8 of this process's own. Callers connect from 127.0.0.1, so
+/// none of them takes the port while no process listens on it.
 pub fn reserve_address() -> SocketAddr {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
--- a/crates/verification/testkit/src/script.rs
+++ b/crates/verification/testkit/src/script.rs
@@ -1,32 +1,32 @@
-//! Fault scripts: what an upstream does with the first request that reaches it, the next, and so on.
+//! Fault scripts: the steps of an upstream for the first request that reaches it, the next, and so on.
 use crate::message::Message;
 use crate::upstream::Step;
 use std::sync::{Arc, Mutex, PoisonError};
 
 type Act = Box<dyn Fn() -> Step + Send>;
 
-/// Steps in order, each for so many requests; counted over all connections. The last step goes on for ever; behind
-/// the end of a script that has no such step requests meet a 500.
+/// Steps in order, each for a number of requests, counted over all connections. A final [`Script::forever`]
+/// step applies to all further requests; without one they get a 500.
 ///
-/// Clones of what [`Script::play`] returns share one count: given to several upstreams, the script plays over all of
-/// them in the order in which requests reach any.
+/// Clones of the function that [`Script::into_behaviour`] returns share one count: several upstreams with the
+/// same script consume its steps in the order in which requests reach any of them.
 #[derive(Default)]
 pub struct Script {
     steps: Mutex<Vec<(Option<usize>, Act)>>,
 }
 
 impl Script {
-    /// An empty script.
+    /// Creates an empty script.
     pub fn new() -> Script {
         Script::default()
     }
 
-    /// So many requests meet this.
+    /// Applies this step to the next `times` requests.
     pub fn times(self, times: usize, then: impl Fn() -> Step + Send + 'static) -> Script {
         self.push(Some(times), Box::new(then))
     }
 
-    /// All further requests meet this.
+    /// Applies this step to all further requests.
     pub fn forever(self, then: impl Fn() -> Step + Send + 'static) -> Script {
         self.push(None, Box::new(then))
     }
@@ -36,13 +36,13 @@
         self
     }
 
-    /// What an upstream is given.
+    /// Returns the behaviour function for an upstream.
     pub fn into_behaviour(self) -> impl Fn(&Message) -> Step + Clone + Send + Sync + 'static {
         let script = Arc::new(self);
         move |_| script.next()
     }
 
-    /// What the next request meets.
+    /// Returns the step of the next request.
     fn next(&self) -> Step {
         let mut steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
         while let Some((left, act)) = steps.first_mut() {
--- a/crates/verification/testkit/src/site.rs
+++ b/crates/verification/testkit/src/site.rs
@@ -1,4 +1,5 @@
-//! Several machines of a fleet with a council and an operator, all of them real processes with links between them.
+//! Several machines of a fleet with a council and an operator. All are real processes, with links between
+//! them.
 use crate::coordination::Voters;
 use crate::discovery::{ListedUpstream, Registry};
 use crate::fleet::{Fleet, OPERATOR_CONFIG};
@@ -15,44 +16,46 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A site.
+/// Machines of a fleet with voters, upstreams and discovery.
 pub struct Site {
     program: Program,
-    /// The voters, and the links to them: a supervisor is `supervisor/m1` there, a balancer `balancer/m1b0`.
+    /// The voters and the links to them, where a supervisor is named `supervisor/m1` and a balancer
+    /// `balancer/m1b0`.
     pub voters: Voters,
-    /// What was sent, run and answered.
+    /// Ledger of requests, executions and answers.
     pub ledger: Arc<Ledger>,
-    /// Tells balancers of upstreams.
+    /// Registry that notifies balancers of upstreams.
     pub registry: Registry,
     /// The upstreams u0, u1 and so on.
     pub upstreams: Vec<Upstream>,
-    /// The machines m1, m2 and so on, in zones a and b in turn; their balancers are m1b0, m1b1 and so on.
+    /// The machines m1, m2 and so on, alternately in zones a and b; their balancers are m1b0, m1b1 and so on.
     pub machines: Vec<Fleet>,
-    /// The operators' file of outages.
+    /// The operators' outage file.
     pub outage_file: PathBuf,
-    /// The table of files by which the council is found.
+    /// The `[council]` table with which files refer to the voters.
     pub council: String,
 }
 
-/// How many of what.
+/// Size of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Machines.
+    /// Number of machines.
     pub machines: usize,
-    /// Balancers on each.
+    /// Number of balancers on each machine.
     pub balancers_per_machine: usize,
-    /// Upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
 }
 
 impl Site {
-    /// Starts all, with three voters, and waits until every balancer is known to be in. `budgets` are the `[[budget]]`s of
-    /// the outages' file; `asks`: whether supervisors belong to the council, and so ask for leave.
+    /// Starts everything with three voters, and waits until every balancer is ready. `budgets` are the
+    /// `[[budget]]` tables of the outage file. With `uses_council`, supervisors use the council and therefore
+    /// request leases, and the start also waits until the council counts every balancer as available.
     pub fn start(program: &Program, size: Size, budgets: &str, uses_council: bool) -> Site {
         Site::start_with(program, size, budgets, uses_council, "")
     }
 
-    /// The same with further lines of `[fleet]` for every machine.
+    /// Like [`Site::start`], with further `lines` in `[fleet]` for every machine.
     pub fn start_with(program: &Program, size: Size, budgets: &str, uses_council: bool, lines: &str) -> Site {
         let voters = Voters::start(program, 3);
         let list: Vec<String> = voters.client_addrs().iter().map(|v| format!("\"{v}\"")).collect();
@@ -123,19 +126,20 @@
         self.machines.iter().flat_map(|m| m.addrs.clone()).collect()
     }
 
-    /// A command with the outages' file behind its name, not yet run.
+    /// Prepares a command with the outage file after its name, without running it.
     pub fn prepare_command(&self, name: &[&str], args: &[&str]) -> Command {
         let mut command = Command::new(&self.program.path);
         command.args(name).arg(&self.outage_file).args(args).stdin(Stdio::null());
         command
     }
 
-    /// The same, run.
+    /// Runs a command with the outage file after its name.
     pub fn command(&self, name: &[&str], args: &[&str]) -> Output {
         self.prepare_command(name, args).output().expect("runs")
     }
 
-    /// A build that runs the program with this before it, as lines of a shell's script; its content tells it from all others.
+    /// Writes a build: a shell script that runs these lines and then the program. Its content makes its build
+    /// id unique.
     pub fn write_build(&self, lines: &str) -> PathBuf {
         let program = std::path::absolute(&self.program.path).expect("a path");
         let path = self
@@ -145,7 +149,8 @@
         path
     }
 
-    /// The file of a release from the program to such a build; `more` are further lines of `[release]` and tables.
+    /// Writes the file of a release from the program to such a build. `extra_lines` are further lines of
+    /// `[release]` and further tables.
     pub fn write_release_file(&self, new: &std::path::Path, extra_lines: &str) -> PathBuf {
         let old = std::path::absolute(&self.program.path).expect("a path");
         let text = format!(
@@ -157,13 +162,13 @@
         self.program.file(".release.toml", &text)
     }
 
-    /// What `outage status --json` says.
+    /// Output of `outage status --json`.
     pub fn state(&self) -> String {
         let output = self.command(&["outage", "status"], &["--json"]);
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Waits until `outage status --json` is as wanted.
+    /// Waits until the output of `outage status --json` satisfies a condition.
     pub fn until(&self, expected: &str, condition: impl Fn(&str) -> bool) {
         let started = Instant::now();
         loop {
@@ -176,12 +181,13 @@
         }
     }
 
-    /// What all supervisors with their instances have logged.
+    /// Log lines of all supervisors and their instances.
     pub fn logs(&self) -> Vec<Vec<String>> {
         self.machines.iter().map(Fleet::log).collect()
     }
 
-    /// A machine loses power; what it had taken is nobody's to answer any more.
+    /// Simulates a loss of power on a machine, and records its balancers as killed, so that they owe no
+    /// answers.
     pub fn kill(&mut self, machine: usize) {
         self.machines[machine].kill();
         for (name, _) in &self.machines[machine].addrs {
@@ -189,7 +195,8 @@
         }
     }
 
-    /// Cuts a machine's supervisor, and with `all` its balancers as well, off from the voters, or heals that.
+    /// Sets the rule of the links between a machine's supervisor and the voters, and with `include_balancers`
+    /// also of those of its balancers.
     pub fn set_link_rule(&self, machine: usize, include_balancers: bool, rule: crate::faults::link::Rule) {
         let balancers = self.machines[machine].addrs.iter().map(|(name, _)| format!("balancer/{name}"));
         let mut names = vec![format!("supervisor/m{}", machine + 1)];
@@ -200,14 +207,14 @@
     }
 }
 
-/// The units that are out, by the state that [`Site::state`] returns.
+/// Units that are unavailable according to the output of [`Site::state`].
 pub fn units_out(state: &str) -> Vec<String> {
     let Some((_, rest)) = state.split_once("\"out\":[") else { return Vec::new() };
     let list = rest.split("],\"revision\"").next().unwrap_or_default();
     list.split("\"unit\":\"").skip(1).filter_map(|u| u.split('"').next()).map(Into::into).collect()
 }
 
-/// How many balancers the budget of the whole fleet counts.
+/// Number of balancers that the budget of the whole fleet counts.
 pub fn units(state: &str) -> usize {
     let groups = state.split("{\"budget\":").find(|g| g.contains("\"group\":\"\""));
     let count = groups.and_then(|g| g.split_once("\"units\":")?.1.split(['}', ',']).next()?.parse().ok());
--- a/crates/verification/testkit/src/upstream.rs
+++ b/crates/verification/testkit/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams: what a test tells them to do, done on real sockets and written into the ledger.
+//! Upstreams that answer over real sockets as a test sets, and write into the ledger.
 use crate::ledger::{Cold, Entry, Ledger};
 use crate::message::{ok_response, read_with_head, Message};
 use crate::TEST_TIMEOUT;
@@ -10,29 +10,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What an upstream does with a request.
+/// Reaction of an upstream to a request.
 pub enum Step {
-    /// Writes this and keeps the connection.
+    /// Writes this answer and keeps the connection.
     Answer(String),
-    /// Writes this and closes the connection.
+    /// Writes this answer and closes the connection.
     AnswerAndClose(String),
     /// Closes the connection without an answer.
     Close,
-    /// Says nothing until the other side closes.
+    /// Sends nothing until the other side closes.
     Silent,
-    /// Waits for a word on the channel, then answers.
+    /// Waits for a message on the channel, then answers.
     Hold(Receiver<()>, String),
-    /// Works for so long on one of its cores, then answers; turned away if too many wait for one.
+    /// Works for this time on one of the cores, then answers; declines the request if the queue is full.
     Work(Duration, String),
 }
 
 impl Step {
-    /// Turned away: it never ran.
+    /// Declines the request, which then has not run.
     pub fn declined() -> Step {
         Step::Answer(DECLINED.into())
     }
 
-    /// Whether the request is worked on. Only the mark that it was turned away says that it is not.
+    /// Whether the request counts as executed: always, unless the answer declines it.
     fn executes(&self) -> bool {
         match self {
             Step::Answer(text) | Step::AnswerAndClose(text) => !declines(text),
@@ -46,7 +46,7 @@
     Step::Answer(ok_response(body))
 }
 
-/// An answer with this status line's end and no body.
+/// An answer with this status code and reason, and no body.
 pub fn status(line: &str) -> Step {
     Step::Answer(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
@@ -58,37 +58,38 @@
     head.lines().any(|line| line.eq_ignore_ascii_case("srv-declined: 1"))
 }
 
-/// What an upstream saw.
+/// An observation of an upstream.
 #[derive(Debug)]
 pub enum ObservedRequest {
-    /// A whole request.
+    /// A complete request.
     Request(Message),
-    /// A connection has been closed, by either side.
+    /// A connection was closed by either side.
     Closed,
 }
 
-/// How an upstream is set up.
+/// Settings of an upstream.
 pub struct UpstreamOptions {
-    /// Its id, as discovery names it.
+    /// Upstream id in discovery.
     pub name: String,
-    /// The group whose members share the memory of keys.
+    /// Group of upstreams that share a deduplication store.
     pub group: u32,
-    /// Where it writes what it sees.
+    /// Ledger that it writes into.
     pub ledger: Option<Arc<Ledger>>,
-    /// Requests that [`Then::Work`] works on at once.
+    /// Number of requests that [`Step::Work`] processes at once.
     pub cores: usize,
-    /// And those that may wait for a core.
+    /// Number of requests that may wait for a core.
     pub queue: usize,
-    /// How it warms up after its start, for the ledger's check and for how long work takes.
+    /// Warm-up after its start, which affects the ledger's check and the time that work takes.
     pub cold: Option<Cold>,
-    /// Whether it speaks FastCGI, and not HTTP. What it is told to answer stays written as HTTP.
+    /// Whether it uses FastCGI instead of HTTP. Its answers are written as HTTP in both cases.
     pub fastcgi: bool,
-    /// Requests at once on a FastCGI connection; above 1 it says so when it is asked.
+    /// Maximum number of concurrent requests on a FastCGI connection; a value above 1 is advertised on
+    /// request.
     pub max_concurrent: usize,
 }
 
 impl UpstreamOptions {
-    /// One core, room for 64 that wait, group 0, warm, no ledger.
+    /// One core, a queue of 64, group 0, warm, without a ledger.
     pub fn named(name: &str) -> UpstreamOptions {
         UpstreamOptions {
             name: name.into(),
@@ -103,8 +104,8 @@
     }
 }
 
-/// Most entries that [`Upstream::seen`] holds before what is seen is only counted: a test that reads none of it can
-/// run for long.
+/// Maximum number of observations that are sent to [`Upstream::seen`]; later ones are only counted. This
+/// bounds the memory of a long test that reads none of them.
 const MAX_OBSERVED: usize = 10_000;
 
 struct Shared {
@@ -113,7 +114,7 @@
     started: Instant,
     report: Sender<ObservedRequest>,
     observed: AtomicUsize,
-    /// Requests that work or wait for a core, and those that work.
+    /// Number of requests that are processed or wait for a core, and number of those that are processed.
     jobs: Mutex<(usize, usize)>,
     core_freed: Condvar,
     killed: AtomicBool,
@@ -126,17 +127,17 @@
 
 /// A stand-in for an upstream. It listens until it is killed or dropped.
 pub struct Upstream {
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// What it saw, in order.
+    /// Observations in order.
     pub seen: Receiver<ObservedRequest>,
-    /// How many connections were made to it.
+    /// Number of connections accepted.
     pub connections: Arc<AtomicUsize>,
     listener: Arc<TcpListener>,
     shared: Arc<Shared>,
 }
 
-/// The stream of one connection, of which the upstream keeps a weak hold.
+/// Stream of a connection, to which the upstream keeps a weak reference.
 struct HeldConnection(Arc<TcpStream>);
 
 impl Read for HeldConnection {
@@ -146,12 +147,12 @@
 }
 
 impl Upstream {
-    /// An upstream that nobody keeps books of.
+    /// Starts an upstream without a ledger.
     pub fn start(behaviour: impl Fn(&Message) -> Step + Send + Sync + 'static) -> Upstream {
         Upstream::with(UpstreamOptions::named("s"), behaviour)
     }
 
-    /// An upstream on a port of its own.
+    /// Starts an upstream on a free port.
     pub fn with(
         options: UpstreamOptions,
         behaviour: impl Fn(&Message) -> Step + Send + Sync + 'static,
@@ -159,10 +160,10 @@
         Upstream::at(SocketAddr::from(([127, 0, 0, 1], 0)), options, behaviour).expect("a free port")
     }
 
-    /// An upstream at this address, as when a process starts again.
+    /// Starts an upstream at this address, like a process that restarts.
     ///
     /// # Errors
-    /// The address is taken.
+    /// The address is in use.
     pub fn at(
         addr: SocketAddr,
         options: UpstreamOptions,
@@ -195,7 +196,7 @@
                     return;
                 }
                 let Ok((stream, _)) = accepted else {
-                    // Out of descriptors: nothing to accept it with yet.
+                    // Out of descriptors; tries to accept again.
                     thread::yield_now();
                     continue;
                 };
@@ -213,7 +214,7 @@
         Ok(Upstream { addr, seen, connections, listener, shared })
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub fn next_request(&self) -> Message {
         loop {
             match self.seen.recv_timeout(TEST_TIMEOUT).expect("a request at the upstream") {
@@ -231,12 +232,12 @@
         ) {}
     }
 
-    /// How many further requests have come.
+    /// Number of requests that have arrived since the last read.
     pub fn count_new_requests(&self) -> usize {
         self.seen.try_iter().filter(|s| matches!(s, ObservedRequest::Request(_))).count()
     }
 
-    /// How many requests [`Then::Work`] holds: those that it works on and those that wait for a core.
+    /// Number of requests in [`Step::Work`], processed or waiting for a core.
     pub fn work_in_progress(&self) -> usize {
         lock(&self.shared.jobs).0
     }
@@ -246,7 +247,7 @@
         if self.shared.killed.swap(true, Ordering::SeqCst) {
             return;
         }
-        // Ends the listening at once, and wakes the thread that accepts.
+        // Stops listening at once and wakes the accepting thread.
         let _ = socket2::SockRef::from(&*self.listener).shutdown(Shutdown::Both);
         for stream in lock(&self.shared.streams).drain(..).filter_map(|s| s.upgrade()) {
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Takes a core once one is free and works; `false`: too many wait.
+    /// Waits for a free core and works; returns `false` if the queue is full.
     fn work(&self, duration: Duration, begin: impl FnOnce()) -> bool {
         let mut jobs = lock(&self.jobs);
         if jobs.0 >= self.options.cores + self.options.queue {
@@ -291,7 +292,7 @@
             let done = self.started.elapsed().as_secs_f64() / cold.ramp.as_secs_f64().max(1e-9);
             (cold.from + (1.0 - cold.from) * done).clamp(0.01, 1.0)
         });
-        // The work itself: what a server would compute, this one rests for.
+        // Sleeps instead of computing.
         thread::sleep(duration.div_f64(warmth));
         let mut jobs = lock(&self.jobs);
         (jobs.0, jobs.1) = (jobs.0 - 1, jobs.1 - 1);
@@ -300,11 +301,11 @@
     }
 }
 
-/// A protocol on a connection of an upstream's.
+/// Protocol on a connection of an upstream.
 trait ServerProtocol {
-    /// The next request; tells of it as soon as its head has come.
+    /// Reads the next request, and calls `head` as soon as its head has been read.
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message>;
-    /// Answers it; `whole`: and that is all of it.
+    /// Writes an answer; `complete` states that nothing more follows.
     fn write(&mut self, text: &str, whole: bool) -> std::io::Result<()>;
 }
 
@@ -312,7 +313,7 @@
 
 impl ServerProtocol for Http {
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message> {
-        // Whether something has come shows before it is whole.
+        // Waits for the first bytes of a request.
         if !self.0.fill_buf().is_ok_and(|b| !b.is_empty()) {
             return None;
         }
@@ -347,7 +348,7 @@
     }
 }
 
-/// Reads the next request and writes into the ledger that it begins.
+/// Reads the next request and records its begin in the ledger.
 fn next_request_of(peer: &mut impl ServerProtocol, shared: &Shared) -> Option<Message> {
     let begun = |head: &Message| {
         let request = head.header("req-id").unwrap_or("").to_string();
@@ -365,7 +366,7 @@
     shared.report(ObservedRequest::Closed);
 }
 
-/// Each request in a thread of its own; one whose connection is to end ends it for all.
+/// Serves each request in its own thread. A request that ends its connection ends it for all.
 fn serve_concurrently(mut peer: crate::fastcgi::Responder, stream: &Arc<TcpStream>, shared: &Arc<Shared>) {
     while let Some(message) = next_request_of(&mut peer, shared) {
         let (mut peer, stream, shared) = (peer.clone(), stream.clone(), shared.clone());
@@ -379,7 +380,7 @@
     shared.report(ObservedRequest::Closed);
 }
 
-/// Does what it is told with one request; `false`: the connection ends.
+/// Applies the step of a request; returns `false` if the connection ends.
 fn serve_one(peer: &mut impl ServerProtocol, message: Message, shared: &Shared) -> bool {
     let request = message.header("req-id").unwrap_or("").to_string();
     let action = (shared.behaviour)(&message);
@@ -391,11 +392,11 @@
     if let Step::Work(time, text) = action {
         report();
         let was_run = shared.work(time, || executed(time));
-        // A process that died meanwhile answers nothing.
+        // A process that was killed meanwhile answers nothing.
         let killed = shared.killed.load(Ordering::SeqCst);
         return !killed && peer.write(if was_run { &text } else { DECLINED }, true).is_ok();
     }
-    // Before the answer is written: whoever reads it finds the books in order.
+    // Written before the answer, so that the ledger is complete for a reader of the answer.
     if action.executes() {
         executed(Duration::ZERO);
     }
@@ -416,21 +417,21 @@
     true
 }
 
-/// An address that refuses connections.
+/// Returns an address that refuses connections.
 pub fn refusing() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
 }
 
-/// An address where connections never come up: its one place for a waiting connection is taken.
+/// An address where connections are never established, because the accept queue of length 1 is full.
 pub struct Unreachable {
-    /// Where it is.
+    /// Address of the listener.
     pub addr: SocketAddr,
     listener: socket2::Socket,
     waiting: Vec<socket2::Socket>,
 }
 
 impl Unreachable {
-    /// Takes an address and fills its queue.
+    /// Binds an address and fills its accept queue.
     pub fn start() -> Unreachable {
         let tcp =
             || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -439,7 +440,7 @@
         listener.listen(0).expect("listens");
         let at = listener.local_addr().expect("an address");
         let mut waiting = Vec::new();
-        // Connections come up until the queue is full; the first that does not shows that it is.
+        // Connects until an attempt times out, which shows that the queue is full.
         loop {
             let next_request_of = tcp();
             let up = next_request_of.connect_timeout(&at, Duration::from_millis(300)).is_ok();
@@ -453,7 +454,7 @@
         Unreachable { addr, listener, waiting }
     }
 
-    /// Lets connections come up after all, and returns the first that another made.
+    /// Accepts connections again, and returns the first one that another client made.
     pub fn accept_connection(self) -> BufReader<TcpStream> {
         let port = |a: socket2::SockAddr| a.as_socket().expect("an address").port();
         let own: Vec<u16> = self.waiting.iter().filter_map(|s| s.local_addr().ok()).map(port).collect();
--- a/crates/verification/testkit/src/watcher.rs
+++ b/crates/verification/testkit/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Who really serves: asked from outside, of each balancer, all the time. It reads no books of the program's.
+//! Polls the readiness of each balancer from outside throughout a test, independently of the program's own
+//! records.
 use crate::caller::Client;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,40 +8,41 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a balancer may take to answer before it counts as out.
+/// Timeout after which a balancer counts as unavailable.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Samples that are kept.
+/// Maximum number of completed outages that are kept.
 const MAX_SAMPLES: usize = 1 << 20;
 
-/// A time in which a balancer was certainly out: between its first and its last sample that said so, with no other between.
+/// A time in which a balancer was certainly unavailable: between its first and last failed sample, with no
+/// successful one between them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outage {
-    /// Which.
+    /// Name of the balancer.
     pub name: String,
-    /// From when, since the watcher began.
+    /// Start, since the watcher began.
     pub from: Duration,
-    /// Until when.
+    /// End, since the watcher began.
     pub until: Duration,
 }
 
 #[derive(Default)]
 struct Observation {
     ended: Vec<Outage>,
-    /// The span that goes on.
+    /// Outages that have not ended, by balancer.
     open: BTreeMap<String, Outage>,
-    /// Taken out by a fault of the test's own, from then on.
+    /// Balancers that the test itself has made unavailable, and that are not recorded.
     excluded: BTreeSet<String>,
     samples: usize,
 }
 
-/// Asks until it is dropped.
+/// Polls until it is dropped.
 pub struct Watcher {
     stop: Arc<AtomicBool>,
     seen: Arc<Mutex<Observation>>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-/// Whether a balancer says that it serves.
+/// Whether a balancer answers that it is ready.
 pub fn serves(addr: SocketAddr) -> bool {
     let ask = || {
         let mut client = Client::connect_with_timeout(addr, ANSWER_TIMEOUT)?;
@@ -51,7 +53,7 @@
 }
 
 impl Watcher {
-    /// Begins with these balancers, all of them in. Each has a thread of its own: one that hangs holds up no other.
+    /// Starts to poll these balancers. Each has its own thread, so that one that hangs delays no other.
     pub fn begin(balancers: &[(String, SocketAddr)]) -> Watcher {
         let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Observation::default())));
         let began = Instant::now();
@@ -72,7 +74,7 @@
         Watcher { stop, seen, threads }
     }
 
-    /// These were taken out by the test, and do not count from now on until [`Watcher::counts`].
+    /// Ignores these balancers until [`Watcher::include`], because the test itself makes them unavailable.
     pub fn exclude(&self, names: &[(String, SocketAddr)]) {
         let mut seen = lock(&self.seen);
         for (name, _) in names {
@@ -81,20 +83,20 @@
         }
     }
 
-    /// They count again.
+    /// Records these balancers again.
     pub fn include(&self, names: &[(String, SocketAddr)]) {
         let mut seen = lock(&self.seen);
         seen.excluded.retain(|excluded| !names.iter().any(|(name, _)| name == excluded));
     }
 
-    /// The most that were certainly out at one time, and which.
+    /// Names of the largest set of balancers that were certainly unavailable at the same time.
     pub fn max_unavailable(&self) -> Vec<String> {
         let seen = lock(&self.seen);
         let ended: Vec<&Outage> = seen.ended.iter().chain(seen.open.values()).collect();
         largest_overlap(&ended)
     }
 
-    /// How many were ever out.
+    /// Number of outages recorded.
     pub fn outage_count(&self) -> usize {
         let seen = lock(&self.seen);
         seen.ended.len() + seen.open.len()
@@ -105,7 +107,7 @@
     seen.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Of all beginnings of a span, the one at which most others go on.
+/// Largest set of overlapping outages, found at the start of one of them.
 fn largest_overlap(ended: &[&Outage]) -> Vec<String> {
     let at = |t: Duration| {
         let out = ended.iter().filter(|s| s.from <= t && t <= s.until).map(|s| s.name.clone());
@@ -115,7 +117,7 @@
 }
 
 impl Observation {
-    /// It was asked at one time and has answered, or not, by the other.
+    /// Records a sample that was sent at `asked` and answered, or timed out, by `by`.
     fn record_sample(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
         self.samples += 1;
         if serves {
@@ -125,7 +127,8 @@
                 }
             }
         } else if !self.excluded.contains(name) {
-            // It did not serve at some time between; certain is only what lies between two such answers.
+            // The balancer was unavailable at some time in between. Only the time between two such samples is
+            // certain.
             let span = || Outage { name: name.into(), from: by, until: asked };
             let span = self.open.entry(name.into()).or_insert_with(span);
             span.until = span.until.max(asked);
--- a/crates/verification/testkit/src/watcher/tests.rs
+++ b/crates/verification/testkit/src/watcher/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the watcher.
 use super::*;
 
-/// Guards against a judge that counts two as out at one time of which one came back before the other went, and one that
-/// does not see two that overlap.
+/// Guards against counting two outages as simultaneous when one ended before the other began, and against
+/// missing two that overlap.
 #[test]
-fn only_what_certainly_overlaps_counts() {
+fn counts_only_outages_that_certainly_overlap() {
     let ms = Duration::from_millis;
     let mut seen = Observation::default();
     seen.record_sample("a", ms(0), ms(1), false);
--- a/crates/verification/testkit/tests/ledger.rs
+++ b/crates/verification/testkit/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger on each rule broken once, and on a clean run that looks like trouble.
+//! Tests of the ledger: each rule violated once, and a correct run with retries, resets and late answers.
 use std::time::Duration;
 use testkit::ledger::{Breach, Cold, Effect, Entry, Ledger, Rule, RuleParameters, Scope, State};
 
@@ -6,7 +6,7 @@
     Duration::from_millis(n)
 }
 
-/// A ledger that is written by hand.
+/// A ledger that is written directly.
 struct Book(Ledger);
 
 impl Book {
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn an_answer_that_never_came_is_lost() {
+fn reports_a_missing_answer_as_lost() {
     let book = Book::new().sent(0, "r", Effect::Safe).ran(10, "s-1", 0, "r");
     assert_eq!(book.faults(), [Breach::AnswerLost]);
     assert_eq!(Breach::AnswerLost.rule(), Some(Rule::NoRequestLost));
-    // Unless its caller left, or what held it was killed.
+    // No answer is owed if the caller left or the balancer was killed.
     let left = Book::new().sent(0, "r", Effect::Safe).write(9, Entry::CallerLeft { request: "r".into() });
     assert_eq!(left.faults(), []);
     let kill = |at| Book::new().sent(5, "r", Effect::Safe).write(at, Entry::Killed { balancer: "n1".into() });
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn two_answers_and_late_ones_are_faults() {
+fn reports_two_answers_and_late_answers() {
     let once = || Book::new().sent(0, "r", Effect::Safe).ran(1, "s-1", 0, "r").answered(9, "r", 200);
     assert_eq!(once().faults(), []);
     assert_eq!(once().answered(12, "r", 200).faults(), [Breach::TwoAnswers]);
@@ -79,13 +79,13 @@
 }
 
 #[test]
-fn what_nobody_worked_on_was_not_served() {
+fn reports_a_served_answer_without_an_execution() {
     let book = Book::new().sent(0, "r", Effect::Safe).begun(1, "s-1", "r").answered(9, "r", 200);
     assert_eq!(book.faults(), [Breach::ServedByNobody]);
 }
 
 #[test]
-fn nothing_is_sent_for_what_was_answered_or_left() {
+fn reports_requests_sent_after_an_answer_or_a_leave() {
     let answered = |at| {
         Book::new()
             .sent(0, "r", Effect::Safe)
@@ -100,14 +100,14 @@
 }
 
 #[test]
-fn an_unsafe_request_runs_once() {
+fn reports_an_unsafe_request_that_runs_twice() {
     let book = Book::new().sent(0, "r", Effect::Unsafe).ran(1, "s-1", 0, "r").ran(5, "s-1", 0, "r");
     assert_eq!(book.answered(9, "r", 200).faults(), [Breach::UnsafeRepeated]);
     assert_eq!(Breach::UnsafeRepeated.rule(), Some(Rule::NoEffectTwice));
 }
 
 #[test]
-fn a_keyed_request_runs_again_only_inside_its_group_and_window() {
+fn reports_a_keyed_request_outside_its_group_or_window() {
     let again = |at, group| {
         let book = Book::new().sent(0, "r", Effect::Keyed).ran(1, "s-1", 3, "r").ran(at, "s-2", group, "r");
         book.answered(9, "r", 502)
@@ -115,45 +115,53 @@
     let long = RuleParameters { slack: ms(9000), ..RuleParameters::default() };
     assert_eq!(again(5, 3).faults(), []);
     assert_eq!(again(5, 4).faults(), [Breach::KeyedOutsideGroup]);
-    // So late that its answer has come long ago, too.
+    // At this time its answer is overdue too.
     assert_eq!(again(4052, 3).faults(), [Breach::SentAfterAnswer, Breach::KeyedOutsideWindow]);
     assert!(again(4052, 3).0.check(&long).is_empty());
     let all = RuleParameters { scope: Scope::All, ..RuleParameters::default() };
-    assert!(again(5, 4).0.check(&all).is_empty(), "where all drop repeats the group is no matter");
+    assert!(
+        again(5, 4).0.check(&all).is_empty(),
+        "the group is irrelevant if all share a deduplication store"
+    );
 }
 
 #[test]
-fn a_refusal_is_a_promise() {
+fn reports_a_refused_request_that_ran() {
     let refused = |effect| Book::new().sent(0, "r", effect).ran(1, "s-1", 0, "r").answered(9, "r", 503);
     assert_eq!(refused(Effect::Safe).faults(), []);
     assert_eq!(refused(Effect::Unsafe).faults(), [Breach::RefusedAfterRunning]);
     assert_eq!(refused(Effect::Keyed).faults(), [Breach::RefusedAfterRunning]);
     let all = RuleParameters { scope: Scope::All, ..RuleParameters::default() };
     assert!(refused(Effect::Keyed).0.check(&all).is_empty());
-    // It may yet run: an attempt that was under way when the refusal was given.
+    // An attempt in flight at the time of the refusal may still run.
     let later = Book::new().sent(0, "r", Effect::Unsafe).answered(9, "r", 503).ran(12, "s-1", 0, "r");
     assert_eq!(later.faults(), [Breach::RefusedAfterRunning]);
     let declined = Book::new().sent(0, "r", Effect::Unsafe).begun(1, "s-1", "r").answered(9, "r", 503);
-    assert_eq!(declined.faults(), [], "turned away unseen");
+    assert_eq!(declined.faults(), [], "declined before execution");
 }
 
 #[test]
-fn nothing_new_goes_to_what_drains_after_the_grace() {
+fn reports_requests_sent_to_a_draining_upstream_after_the_grace() {
     let send = |at: u64, book: Book| {
         book.sent(at, "r", Effect::Safe).ran(at, "s-1", 0, "r").answered(at + 9, "r", 200).faults()
     };
     let drains = || Book::new().told(100, "s-1", State::Closed);
     assert_eq!(send(1150, drains()), []);
     assert_eq!(send(1151, drains()), [Breach::SentAfterGrace]);
-    assert_eq!(send(1151, drains().told(900, "s-1", State::Closed)), [Breach::SentAfterGrace], "first news");
+    assert_eq!(
+        send(1151, drains().told(900, "s-1", State::Closed)),
+        [Breach::SentAfterGrace],
+        "the first notification counts"
+    );
     assert_eq!(send(1151, drains().told(900, "s-1", State::Ready)), []);
     assert_eq!(send(1151, Book::new().told(100, "s-2", State::Closed)), [], "another upstream");
 }
 
 #[test]
-fn a_cold_upstream_is_not_pushed_over() {
+fn reports_an_overloaded_cold_upstream() {
     let cold = Cold { cores: 2.0, from: 0.25, ramp: ms(10_000) };
-    // In its first second it does 0.575 s of work: four times that is 2.3 s, and one request more is chance.
+    // In its first second it does 0.575 s of work. Four times that is 2.3 s, and one further request is
+    // tolerated.
     let burst = |start: u64, requests: u64| {
         let mut book = Book::new().write(0, Entry::Started { upstream: "s-1".into(), cold });
         for k in 0..requests {
@@ -171,29 +179,29 @@
 }
 
 #[test]
-fn a_clean_run_with_retries_resets_and_late_answers_passes() {
+fn accepts_a_correct_run_with_retries_resets_and_late_answers() {
     let book = Book::new()
-        // Reset, then served by another: it may be repeated.
+        // Reset and then served by another upstream, because it may be retried.
         .sent(0, "a", Effect::Safe)
         .ran(1, "s-1", 0, "a")
         .ran(30, "s-2", 1, "a")
         .answered(60, "a", 200)
-        // Turned away twice, then served, and that once.
+        // Declined twice and then served once.
         .sent(10, "b", Effect::Unsafe)
         .begun(11, "s-1", "b")
         .begun(12, "s-2", "b")
         .ran(13, "s-3", 0, "b")
         .answered(60, "b", 200)
-        // Reset: it may have run, so its caller is told of a failure, though it had run to its end.
+        // Reset after it may have run, so its caller gets a failure, although it ran to its end.
         .sent(10, "c", Effect::Unsafe)
         .ran(11, "s-1", 0, "c")
         .answered(40, "c", 502)
-        // Silence, a repeat in its group, and both answer in the end.
+        // No answer and a retry in its group; in the end both answer.
         .sent(10, "d", Effect::Keyed)
         .ran(11, "s-1", 2, "d")
         .ran(300, "s-4", 2, "d")
         .answered(510, "d", 200)
-        // Refused, and tried again by its caller as another request.
+        // Refused, and retried by its caller as another request.
         .sent(10, "e", Effect::Unsafe)
         .answered(12, "e", 503)
         .sent(30, "e2", Effect::Unsafe)
@@ -208,9 +216,9 @@
     assert_eq!(book.0.check(&RuleParameters::default()), []);
 }
 
-/// Guards against a verdict over books that are not whole.
+/// Guards against a verdict over an incomplete ledger.
 #[test]
-fn a_ledger_that_is_full_says_so() {
+fn reports_a_full_ledger() {
     let book = Book(Ledger::with_capacity(2));
     let book = book.sent(0, "r", Effect::Safe).answered(1, "r", 502).sent(2, "s", Effect::Safe);
     assert_eq!(book.faults(), [Breach::LedgerFull]);
--- a/crates/verification/testkit/tests/standins.rs
+++ b/crates/verification/testkit/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins themselves: what a test relies on when it believes them.
+//! Tests of the stand-ins themselves: the properties that other tests rely on.
 use std::io::{BufReader, Write};
 use std::sync::Arc;
 use std::thread;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_script_plays_in_order_over_all_who_share_it() {
+fn upstreams_that_share_a_script_consume_its_steps_in_order() {
     let script = Script::new().times(2, || ok("a")).times(1, || status("500 Odd")).into_behaviour();
     let (one, two) = (Upstream::start(script.clone()), Upstream::start(script));
     let call = |upstream: &Upstream| {
@@ -38,11 +38,15 @@
 }
 
 #[test]
-fn callers_try_again_what_may_be_tried_again() {
+fn callers_retry_only_what_may_be_retried() {
     let ledger = Arc::new(Ledger::new());
     let upstream = kept(&ledger, Script::new().times(1, || status("500 Odd")).forever(|| ok("x")));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Unsafe));
-    assert_eq!((done.outcome, done.attempts), (Outcome::Failed, 1), "a failure promises nothing");
+    assert_eq!(
+        (done.outcome, done.attempts),
+        (Outcome::Failed, 1),
+        "an unsafe request is not retried after a failure"
+    );
 
     let upstream = kept(&ledger, Script::new().times(2, || status("502 Odd")).forever(|| ok("x")));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Keyed));
@@ -51,27 +55,27 @@
     let field =
         |name: &str| requests.iter().map(|r| r.header(name).unwrap_or("").to_string()).collect::<Vec<_>>();
     let (ids, keys) = (field("req-id"), field("idempotency-key"));
-    assert!(ids[0] != ids[1] && ids[1] != ids[2], "a new id with every try");
-    assert!(keys[0] == keys[1] && keys[1] == keys[2] && !keys[0].is_empty(), "one key for all");
+    assert!(ids[0] != ids[1] && ids[1] != ids[2], "a new id with every attempt");
+    assert!(keys[0] == keys[1] && keys[1] == keys[2] && !keys[0].is_empty(), "the same key for all attempts");
 
     let upstream = kept(&ledger, Script::new().forever(Step::declined));
     let done = caller(&ledger, &upstream).call(&operation(Effect::Unsafe));
-    assert_eq!((done.outcome, done.attempts), (Outcome::Refused, 4), "a first try and three more");
+    assert_eq!((done.outcome, done.attempts), (Outcome::Refused, 4), "a first attempt and three retries");
     assert_eq!(ledger.check(&RuleParameters::default()), []);
 }
 
-/// Guards against a caller that writes a request on a connection whose end has been announced with the answer before
-/// it, and counts as lost what could not be answered there.
+/// Guards against a caller that sends a request on a connection whose close was announced with the previous
+/// answer, and then counts the missing answer as lost.
 #[test]
-fn a_caller_that_asks_first_leaves_a_connection_that_closes() {
+fn a_caller_with_readiness_check_avoids_a_connection_that_closes() {
     let ledger = Arc::new(Ledger::new());
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("binds");
     let addr = listener.local_addr().expect("an address");
     let old_and_new = thread::spawn(move || {
-        // The old process says that it closes, and does; the new one serves.
+        // The old process announces the close and closes; the new one serves.
         for close in ["Connection: close\r\n", ""] {
             let mut stream = BufReader::new(listener.accept().expect("a caller").0);
-            read(&mut stream).expect("asks");
+            read(&mut stream).expect("a readiness request");
             let ready = format!("HTTP/1.1 200 OK\r\n{close}Content-Length: 0\r\n\r\n");
             stream.get_mut().write_all(ready.as_bytes()).expect("writes");
             if close.is_empty() {
@@ -88,9 +92,9 @@
     assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.fault != Breach::AnswerLost));
 }
 
-/// Guards against a caller that takes a connection closed between two requests for a lost answer.
+/// Guards against counting a connection that was closed between two requests as a lost answer.
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_is_sent_once_more() {
+fn a_request_on_a_connection_closed_meanwhile_is_sent_again() {
     let ledger = Arc::new(Ledger::new());
     let close = || Step::AnswerAndClose(ok_response("x"));
     let upstream = kept(&ledger, Script::new().times(1, close).forever(|| ok("x")));
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn silence_is_an_answer_lost() {
+fn a_missing_answer_counts_as_lost() {
     let ledger = Arc::new(Ledger::new());
     let upstream = kept(&ledger, Script::new().forever(|| Step::Silent));
     let brief = Operation { deadline: Duration::from_millis(50), ..operation(Effect::Unsafe) };
@@ -113,18 +117,18 @@
 }
 
 #[test]
-fn an_upstream_that_was_killed_resets_and_refuses() {
+fn a_killed_upstream_resets_and_refuses_connections() {
     let upstream = Upstream::start(|_| Step::Silent);
     let mut client = Client::connect(upstream.addr).expect("connects");
     client.send(&get("r", "1m"));
     upstream.next_request();
     upstream.kill();
     assert!(client.answer().is_none());
-    assert!(Client::connect(upstream.addr).is_none(), "nobody listens");
+    assert!(Client::connect(upstream.addr).is_none(), "no process listens");
 }
 
 #[test]
-fn more_than_may_wait_for_a_core_is_turned_away_unseen() {
+fn requests_beyond_the_queue_are_declined_without_execution() {
     let ledger = Arc::new(Ledger::new());
     let options = UpstreamOptions { ledger: Some(ledger.clone()), queue: 0, ..UpstreamOptions::named("s-1") };
     let upstream = Upstream::with(options, |_| Step::Work(Duration::from_millis(300), ok_response("x")));
@@ -143,7 +147,7 @@
 }
 
 #[test]
-fn a_registry_answers_whole_lists_and_watches() {
+fn a_registry_answers_full_lists_and_watches() {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
     let addr = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
@@ -165,9 +169,10 @@
     });
     assert!(changes.contains(r#""version":3"#) && changes.contains(r#""state":"left""#), "{changes}");
     assert!(!changes.contains("s-2"), "only what changed");
-    assert!(!call("/api/targets").contains("s-1"), "what has left is on no whole list");
+    assert!(!call("/api/targets").contains("s-1"), "an upstream that has left is on no full list");
     let told = |r: &testkit::ledger::Record| matches!(&r.entry, Entry::Notified { balancer, .. } if balancer == "n1");
-    // What was told is noted once it has been written: a caller may have its answer before.
+    // Notifications are recorded after the answer has been written, so a caller may receive its answer
+    // earlier.
     let started = std::time::Instant::now();
     while ledger.since(0).iter().filter(|r| told(r)).count() < 4 {
         assert!(started.elapsed() < testkit::TEST_TIMEOUT, "{:?}", ledger.since(0));
