--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -425,30 +425,25 @@
             .and_then(|v| v.strip_suffix("ms")?.parse().ok())
             .map_or(MAX_WAIT, Duration::from_millis);
         let deadline = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
-        let mut catalogue = lock(&self.0.catalogue);
-        let history = catalogue.history;
+        let mut data = lock(&self.0.catalogue);
+        let history = data.history;
         // Waits until the index exceeds the one in the query, even if that one is far ahead. A loss of data
         // ends the wait.
-        while since > 0
-            && !catalogue.closed
-            && catalogue.history == history
-            && index(&catalogue, &key) <= since
-        {
+        while since > 0 && !data.closed && data.history == history && index(&data, &key) <= since {
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 break;
             }
-            catalogue =
-                self.0.changed.wait_timeout(catalogue, left).unwrap_or_else(PoisonError::into_inner).0;
+            data = self.0.changed.wait_timeout(data, left).unwrap_or_else(PoisonError::into_inner).0;
         }
         if agent.silenced.load(Ordering::SeqCst) != silenced {
-            drop(catalogue);
+            drop(data);
             hung_up(stream, MAX_WAIT);
             return false;
         }
         let mut fault = *lock(&agent.fault);
         if let Fault::Slow(delay) = fault {
-            drop(catalogue);
+            drop(data);
             let deadline = Instant::now() + delay;
             let mut now = lock(&agent.fault);
             // A slow agent delays its answer unless the fault is removed meanwhile.
@@ -457,14 +452,14 @@
                 now = agent.changed.wait_timeout(now, left).unwrap_or_else(PoisonError::into_inner).0;
             }
             drop(now);
-            catalogue = lock(&self.0.catalogue);
+            data = lock(&self.0.catalogue);
             fault = Fault::None;
         }
         if fault == Fault::ClosesConnections {
             return false;
         }
         if fault == Fault::Hung {
-            drop(catalogue);
+            drop(data);
             let mut now = lock(&agent.fault);
             while *now == Fault::Hung {
                 now = agent.changed.wait(now).unwrap_or_else(PoisonError::into_inner);
@@ -472,9 +467,9 @@
             // The client has timed out long before.
             return false;
         }
-        let (index, history) = (index(&catalogue, &key), catalogue.history);
+        let (index, history) = (index(&data, &key), data.history);
         let empty = BTreeMap::new();
-        let lines = catalogue.services.get(&key).map_or(&empty, |(_, lines)| lines);
+        let lines = data.services.get(&key).map_or(&empty, |(_, lines)| lines);
         let text = |line: &Row| if kind == "health" { line.health.clone() } else { line.catalogue.clone() };
         let entries: Vec<String> = lines.values().map(text).collect();
         let mut body = format!("[{}]", entries.join(","));
@@ -482,7 +477,7 @@
             .values()
             .map(|l| (l.service.id.clone(), if l.service.drains() { State::Closed } else { State::Ready }))
             .collect();
-        drop(catalogue);
+        drop(data);
         let head = response_head(fault, index);
         match fault {
             Fault::Status(status, retry) => {
--- a/crates/verification/testkit/src/node.rs
+++ b/crates/verification/testkit/src/node.rs
@@ -91,7 +91,7 @@
 /// Sends a signal, by its short name, to a process that the test started.
 pub fn signal(pid: u32, name: &str) {
     let status = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status();
-    assert!(status.expect("runs kill").success(), "{pid} takes no {name}");
+    assert!(status.expect("runs kill").success(), "process {pid} did not accept signal {name}");
 }
 
 /// A running balancer, killed when dropped.
@@ -125,7 +125,7 @@
         let serves = |line: &str| line.split_once(SERVING).map(|(_, addr)| addr.parse());
         match process.find_line(0, serves) {
             Some(addr) => Node { process, file, addr: addr.expect("an address"), discovery },
-            None => panic!("it does not serve: {:?}", process.log()),
+            None => panic!("the balancer does not serve: {:?}", process.log()),
         }
     }
 
--- a/crates/verification/testkit/src/upstream.rs
+++ b/crates/verification/testkit/src/upstream.rs
@@ -448,7 +448,7 @@
             if !up {
                 break;
             }
-            assert!(waiting.len() < 64, "the queue has no end");
+            assert!(waiting.len() < 64, "the accept queue never fills");
         }
         let addr = at.as_socket().expect("an address");
         Unreachable { addr, listener, waiting }
