--- a/crates/herondock/benches/consul.rs
+++ b/crates/herondock/benches/consul.rs
@@ -82,7 +82,7 @@
     loop {
         let told = |e: &Entry| matches!(e, Entry::Notified { upstream, state, .. } if upstream == "u0" && *state == wanted);
         if let Some(r) = ledger.since(from).iter().find(|r| told(&r.entry)) {
-            return r.at;
+            return r.time;
         }
         assert!(started.elapsed() < Duration::from_secs(20), "it is never told");
         std::thread::sleep(Duration::from_millis(2));
@@ -143,7 +143,7 @@
                 let told = told_of(&ledger, from, State::Closed);
                 std::thread::sleep(AFTER);
                 let begun = |e: &Entry| matches!(e, Entry::Begun { upstream, .. } if upstream == "u0");
-                let last = ledger.since(from).iter().filter(|r| begun(&r.entry)).map(|r| r.at).max();
+                let last = ledger.since(from).iter().filter(|r| begun(&r.entry)).map(|r| r.time).max();
                 to_answer.push((told - changed).as_secs_f64() * 1000.0);
                 let last = last.map_or(0.0, |last| last.as_secs_f64() - told.as_secs_f64());
                 to_last.push((last * 1000.0).max(0.0));
--- a/crates/herondock/src/demo/report.rs
+++ b/crates/herondock/src/demo/report.rs
@@ -48,7 +48,7 @@
     }
 
     fn of(&self, faults: &[Breach]) -> usize {
-        self.violations.iter().filter(|v| faults.contains(&v.fault)).count()
+        self.violations.iter().filter(|v| faults.contains(&v.breach)).count()
     }
 
     fn lost(&self) -> usize {
@@ -60,7 +60,7 @@
     }
 
     fn against(&self, rule: Rule) -> usize {
-        self.violations.iter().filter(|v| v.fault.rule() == Some(rule)).count()
+        self.violations.iter().filter(|v| v.breach.rule() == Some(rule)).count()
     }
 
     fn requests(&self) -> Count {
--- a/crates/verification/testkit/src/caller.rs
+++ b/crates/verification/testkit/src/caller.rs
@@ -252,12 +252,12 @@
                 return Some((name, addr, stream, true));
             }
             if let Some(stream) = self.new_connection(addr, timeout) {
-                let link = if self.fastcgi {
+                let connection = if self.fastcgi {
                     Connection::FastCgi(Box::new(WebServer::on(stream)))
                 } else {
                     Connection::Http(stream)
                 };
-                return Some((name, addr, link, false));
+                return Some((name, addr, connection, false));
             }
         }
         None
@@ -294,7 +294,7 @@
         let request = fresh_id();
         let mut was_sent = false;
         loop {
-            let Some((balancer, addr, mut link, reused)) = self.connection(timeout) else {
+            let Some((balancer, addr, mut connection, reused)) = self.connection(timeout) else {
                 return if was_sent { AttemptOutcome::Unanswered } else { AttemptOutcome::Unreached };
             };
             was_sent = true;
@@ -303,7 +303,7 @@
             // Waits 200 ms longer than stated in the request, because the ledger decides whether an answer is
             // late.
             let max_wait = deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(200);
-            let answer = match link.request(operation, key, &request, timeout, max_wait) {
+            let answer = match connection.request(operation, key, &request, timeout, max_wait) {
                 ResponseOutcome::Answer(answer) => answer,
                 // A balancer may close a connection between requests while this request is sent. The same
                 // request is then sent once more on another connection. A timeout is not treated this way.
@@ -312,7 +312,7 @@
             };
             self.ledger.write(Entry::Answered { request, status: answer.status() });
             if !closes_connection(&answer) {
-                self.idle_connections.insert(addr, link);
+                self.idle_connections.insert(addr, connection);
             }
             return AttemptOutcome::Answer(answer);
         }
--- a/crates/verification/testkit/src/faults/link.rs
+++ b/crates/verification/testkit/src/faults/link.rs
@@ -33,7 +33,7 @@
 
 #[derive(Default)]
 struct Rules {
-    by_way: HashMap<(String, String), Rule>,
+    by_direction: HashMap<(String, String), Rule>,
 }
 
 struct Shared {
@@ -59,7 +59,7 @@
 
     /// Sets the rule for traffic from one process to another.
     pub fn set(&self, from: &str, to: &str, rule: Rule) {
-        self.rules().by_way.insert((from.into(), to.into()), rule);
+        self.rules().by_direction.insert((from.into(), to.into()), rule);
         self.0.changed.notify_all();
     }
 
@@ -80,12 +80,12 @@
 
     /// Restores all links.
     pub fn heal(&self) {
-        self.rules().by_way.clear();
+        self.rules().by_direction.clear();
         self.0.changed.notify_all();
     }
 
     fn rule(&self, from: &str, to: &str) -> Rule {
-        self.rules().by_way.get(&(from.into(), to.into())).copied().unwrap_or_default()
+        self.rules().by_direction.get(&(from.into(), to.into())).copied().unwrap_or_default()
     }
 
     /// Opens a relay to the process `name`, which listens at `to`, and returns the relay's address.
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -21,7 +21,7 @@
 //! // A refusal promises that a retry is safe, but this request has run.
 //! ledger.write_at(ms(20), Entry::Answered { request, status: 503 });
 //! let violations = ledger.check(&RuleParameters::default());
-//! assert_eq!(violations[0].fault, Breach::RefusedAfterRunning);
+//! assert_eq!(violations[0].breach, Breach::RefusedAfterRunning);
 //! ```
 pub use invariants::{Breach, Cold, Effect, Rule, RuleParameters, Scope, State};
 use invariants::{NotificationDeadline, RequestHistory, Warming};
@@ -106,16 +106,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Kind of violation.
-    pub fault: Breach,
+    pub breach: Breach,
     /// Time of the violation.
-    pub at: Duration,
+    pub time: Duration,
     /// Request or upstream concerned.
     pub subject: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.fault, self.at.as_secs_f64(), self.subject)
+        write!(f, "{:?} at {:.3} s: {}", self.breach, self.time.as_secs_f64(), self.subject)
     }
 }
 
@@ -123,7 +123,7 @@
 #[derive(Clone, Debug)]
 pub struct Record {
     /// Time since the ledger was opened.
-    pub at: Duration,
+    pub time: Duration,
     /// The event.
     pub entry: Entry,
 }
@@ -174,13 +174,13 @@
     pub fn write(&self, entry: Entry) {
         let mut log = self.log();
         // Read under the lock, so that entries are ordered by their times.
-        let at = self.now();
-        self.push(&mut log, Record { at, entry });
+        let time = self.now();
+        self.push(&mut log, Record { time, entry });
     }
 
     /// Writes an entry with a given time.
-    pub fn write_at(&self, at: Duration, entry: Entry) {
-        self.push(&mut self.log(), Record { at, entry });
+    pub fn write_at(&self, time: Duration, entry: Entry) {
+        self.push(&mut self.log(), Record { time, entry });
     }
 
     fn push(&self, log: &mut Log, record: Record) {
@@ -201,11 +201,11 @@
     pub fn check(&self, parameters: &RuleParameters) -> Vec<Violation> {
         let log = self.log();
         let mut records: Vec<&Record> = log.records.iter().collect();
-        records.sort_by_key(|record| record.at);
+        records.sort_by_key(|record| record.time);
         let mut violations = Vec::new();
         if log.dropped > 0 {
             let subject = format!("{} entries found no room", log.dropped);
-            violations.push(Violation { fault: Breach::LedgerFull, at: self.now(), subject });
+            violations.push(Violation { breach: Breach::LedgerFull, time: self.now(), subject });
         }
         let mut notifications: HashMap<(&str, &str), NotificationDeadline> = HashMap::new();
         // History of each request, and the balancer that took it.
@@ -214,7 +214,7 @@
         for record in &records {
             match &record.entry {
                 Entry::Sent { request, balancer, effect, timeout } => {
-                    let fresh = || (RequestHistory::new(record.at, *effect, *timeout), balancer.as_str());
+                    let fresh = || (RequestHistory::new(record.time, *effect, *timeout), balancer.as_str());
                     let (history, taken_by) = histories.entry(request).or_insert_with(fresh);
                     // Sent again on another connection: the balancer that has the request now owes the
                     // answer.
@@ -222,41 +222,42 @@
                 }
                 Entry::Answered { request, status } => {
                     if let Some((history, _)) = histories.get_mut(request.as_str()) {
-                        history.answers.push((record.at, *status));
+                        history.answers.push((record.time, *status));
                     }
                 }
                 Entry::CallerLeft { request } => {
                     if let Some((history, _)) = histories.get_mut(request.as_str()) {
-                        history.left = Some(record.at);
+                        history.left = Some(record.time);
                     }
                 }
                 Entry::Begun { upstream, request } => {
                     if let Some((history, balancer)) = histories.get_mut(request.as_str()) {
                         let notifications = notifications.get(&(*balancer, upstream.as_str()));
                         let closed = notifications
-                            .map_or(Duration::ZERO, |notifications| notifications.closed_for(record.at));
-                        history.begun.push((record.at, closed));
+                            .map_or(Duration::ZERO, |notifications| notifications.closed_for(record.time));
+                        history.begun.push((record.time, closed));
                     }
                 }
                 Entry::Executed { upstream, group, request, work } => {
                     if let Some((history, _)) = histories.get_mut(request.as_str()) {
-                        history.ran.push((record.at, *group));
+                        history.ran.push((record.time, *group));
                     }
                     let warming = warming.get_mut(upstream.as_str());
-                    let overload = warming.and_then(|warming| warming.executed(record.at, *work, parameters));
-                    if let Some((at, sum)) = overload {
+                    let overload =
+                        warming.and_then(|warming| warming.executed(record.time, *work, parameters));
+                    if let Some((time, sum)) = overload {
                         let subject = format!(
                             "upstream {upstream}, sent {sum:?} of work in {:?}",
                             parameters.cold_span
                         );
-                        violations.push(Violation { fault: Breach::ColdPushedOver, at, subject });
+                        violations.push(Violation { breach: Breach::ColdPushedOver, time, subject });
                     }
                 }
                 Entry::Notified { balancer, upstream, state } => {
-                    notifications.entry((balancer, upstream)).or_default().notify(record.at, *state);
+                    notifications.entry((balancer, upstream)).or_default().notify(record.time, *state);
                 }
                 Entry::Started { upstream, cold } => {
-                    warming.insert(upstream, Warming::new(record.at, *cold));
+                    warming.insert(upstream, Warming::new(record.time, *cold));
                 }
                 Entry::Killed { balancer } => {
                     for (history, taken_by) in histories.values_mut() {
@@ -267,10 +268,10 @@
         }
         for (request, (history, _)) in &histories {
             let subject = || format!("request {request}");
-            let mut fault = |fault, at| violations.push(Violation { fault, at, subject: subject() });
-            history.judge(parameters, &mut fault);
+            let mut breach = |breach, time| violations.push(Violation { breach, time, subject: subject() });
+            history.judge(parameters, &mut breach);
         }
-        violations.sort_by_key(|v| v.at);
+        violations.sort_by_key(|v| v.time);
         violations
     }
 }
--- a/crates/verification/testkit/src/upstream.rs
+++ b/crates/verification/testkit/src/upstream.rs
@@ -306,7 +306,7 @@
     /// Reads the next request, and calls `head` as soon as its head has been read.
     fn read(&mut self, head: impl FnOnce(&Message)) -> Option<Message>;
     /// Writes an answer; `complete` states that nothing more follows.
-    fn write(&mut self, text: &str, whole: bool) -> std::io::Result<()>;
+    fn write(&mut self, text: &str, complete: bool) -> std::io::Result<()>;
 }
 
 struct Http(BufReader<HeldConnection>);
@@ -343,8 +343,8 @@
         Some(message)
     }
 
-    fn write(&mut self, text: &str, whole: bool) -> std::io::Result<()> {
-        self.answer(text, whole)
+    fn write(&mut self, text: &str, complete: bool) -> std::io::Result<()> {
+        self.answer(text, complete)
     }
 }
 
--- a/crates/verification/testkit/src/watcher.rs
+++ b/crates/verification/testkit/src/watcher.rs
@@ -29,7 +29,7 @@
 struct Observation {
     ended: Vec<Outage>,
     /// Outages that have not ended, by balancer.
-    open: BTreeMap<String, Outage>,
+    ongoing: BTreeMap<String, Outage>,
     /// Balancers that the test itself has made unavailable, and that are not recorded.
     excluded: BTreeSet<String>,
     samples: usize,
@@ -38,7 +38,7 @@
 /// Polls until it is dropped.
 pub struct Watcher {
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Observation>>,
+    observation: Arc<Mutex<Observation>>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
@@ -55,56 +55,57 @@
 impl Watcher {
     /// Starts to poll these balancers. Each has its own thread, so that one that hangs delays no other.
     pub fn begin(balancers: &[(String, SocketAddr)]) -> Watcher {
-        let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Observation::default())));
+        let (stop, observation) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Observation::default())));
         let began = Instant::now();
         let watch = |(name, addr): &(String, SocketAddr)| {
-            let (stop, seen, name, addr) = (stop.clone(), seen.clone(), name.clone(), *addr);
+            let (stop, observation, name, addr) = (stop.clone(), observation.clone(), name.clone(), *addr);
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let asked = began.elapsed();
                     let serves = serves(addr);
-                    let mut seen = lock(&seen);
-                    seen.record_sample(&name, asked, began.elapsed(), serves);
-                    drop(seen);
+                    let mut observation = lock(&observation);
+                    observation.record_sample(&name, asked, began.elapsed(), serves);
+                    drop(observation);
                     thread::park_timeout(Duration::from_millis(3));
                 }
             })
         };
         let threads = balancers.iter().map(watch).collect();
-        Watcher { stop, seen, threads }
+        Watcher { stop, observation, threads }
     }
 
     /// Ignores these balancers until [`Watcher::include`], because the test itself makes them unavailable.
     pub fn exclude(&self, names: &[(String, SocketAddr)]) {
-        let mut seen = lock(&self.seen);
+        let mut observation = lock(&self.observation);
         for (name, _) in names {
-            seen.excluded.insert(name.clone());
-            seen.open.remove(name);
+            observation.excluded.insert(name.clone());
+            observation.ongoing.remove(name);
         }
     }
 
     /// Records these balancers again.
     pub fn include(&self, names: &[(String, SocketAddr)]) {
-        let mut seen = lock(&self.seen);
-        seen.excluded.retain(|excluded| !names.iter().any(|(name, _)| name == excluded));
+        let mut observation = lock(&self.observation);
+        observation.excluded.retain(|excluded| !names.iter().any(|(name, _)| name == excluded));
     }
 
     /// Names of the largest set of balancers that were certainly unavailable at the same time.
     pub fn max_unavailable(&self) -> Vec<String> {
-        let seen = lock(&self.seen);
-        let ended: Vec<&Outage> = seen.ended.iter().chain(seen.open.values()).collect();
+        let observation = lock(&self.observation);
+        let ended: Vec<&Outage> = observation.ended.iter().chain(observation.ongoing.values()).collect();
         largest_overlap(&ended)
     }
 
     /// Number of outages recorded.
     pub fn outage_count(&self) -> usize {
-        let seen = lock(&self.seen);
-        seen.ended.len() + seen.open.len()
+        let observation = lock(&self.observation);
+        observation.ended.len() + observation.ongoing.len()
     }
 }
 
-fn lock(seen: &Mutex<Observation>) -> MutexGuard<'_, Observation> {
-    seen.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(observation: &Mutex<Observation>) -> MutexGuard<'_, Observation> {
+    observation.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Largest set of overlapping outages, found at the start of one of them.
@@ -121,7 +122,7 @@
     fn record_sample(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
         self.samples += 1;
         if serves {
-            if let Some(span) = self.open.remove(name) {
+            if let Some(span) = self.ongoing.remove(name) {
                 if self.ended.len() < MAX_SAMPLES {
                     self.ended.push(span);
                 }
@@ -130,7 +131,7 @@
             // The balancer was unavailable at some time in between. Only the time between two such samples is
             // certain.
             let span = || Outage { name: name.into(), from: by, until: asked };
-            let span = self.open.entry(name.into()).or_insert_with(span);
+            let span = self.ongoing.entry(name.into()).or_insert_with(span);
             span.until = span.until.max(asked);
         }
     }
--- a/crates/verification/testkit/src/watcher/tests.rs
+++ b/crates/verification/testkit/src/watcher/tests.rs
@@ -6,19 +6,19 @@
 #[test]
 fn counts_only_outages_that_certainly_overlap() {
     let ms = Duration::from_millis;
-    let mut seen = Observation::default();
-    seen.record_sample("a", ms(0), ms(1), false);
-    seen.record_sample("a", ms(10), ms(11), false);
-    seen.record_sample("b", ms(11), ms(12), false);
-    seen.record_sample("a", ms(12), ms(13), true);
-    seen.record_sample("b", ms(20), ms(21), false);
-    let ended: Vec<&Outage> = seen.ended.iter().chain(seen.open.values()).collect();
+    let mut observation = Observation::default();
+    observation.record_sample("a", ms(0), ms(1), false);
+    observation.record_sample("a", ms(10), ms(11), false);
+    observation.record_sample("b", ms(11), ms(12), false);
+    observation.record_sample("a", ms(12), ms(13), true);
+    observation.record_sample("b", ms(20), ms(21), false);
+    let ended: Vec<&Outage> = observation.ended.iter().chain(observation.ongoing.values()).collect();
     assert_eq!(largest_overlap(&ended).len(), 1);
-    seen.record_sample("c", ms(14), ms(15), false);
-    seen.record_sample("c", ms(18), ms(19), false);
-    let ended: Vec<&Outage> = seen.ended.iter().chain(seen.open.values()).collect();
+    observation.record_sample("c", ms(14), ms(15), false);
+    observation.record_sample("c", ms(18), ms(19), false);
+    let ended: Vec<&Outage> = observation.ended.iter().chain(observation.ongoing.values()).collect();
     assert_eq!(largest_overlap(&ended), ["b", "c"]);
-    seen.excluded.insert("d".into());
-    seen.record_sample("d", ms(14), ms(15), false);
-    assert!(!seen.open.contains_key("d"));
+    observation.excluded.insert("d".into());
+    observation.record_sample("d", ms(14), ms(15), false);
+    assert!(!observation.ongoing.contains_key("d"));
 }
--- a/crates/verification/testkit/tests/ledger.rs
+++ b/crates/verification/testkit/tests/ledger.rs
@@ -51,7 +51,7 @@
     }
 
     fn faults(&self) -> Vec<Breach> {
-        self.0.check(&RuleParameters::default()).into_iter().map(|v| v.fault).collect()
+        self.0.check(&RuleParameters::default()).into_iter().map(|v| v.breach).collect()
     }
 }
 
--- a/crates/verification/testkit/tests/standins.rs
+++ b/crates/verification/testkit/tests/standins.rs
@@ -89,7 +89,7 @@
     let done = caller.call(&operation(Effect::Unsafe));
     assert!(matches!((done.outcome, done.attempts), (Outcome::Served { .. }, 1)), "{done:?}");
     old_and_new.join().expect("no panic");
-    assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.fault != Breach::AnswerLost));
+    assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.breach != Breach::AnswerLost));
 }
 
 /// Guards against counting a connection that was closed between two requests as a lost answer.
@@ -113,7 +113,7 @@
     let brief = Operation { deadline: Duration::from_millis(50), ..operation(Effect::Unsafe) };
     let done = caller(&ledger, &upstream).call(&brief);
     assert_eq!(done.outcome, Outcome::Unanswered);
-    assert_eq!(ledger.check(&RuleParameters::default())[0].fault, Breach::AnswerLost);
+    assert_eq!(ledger.check(&RuleParameters::default())[0].breach, Breach::AnswerLost);
 }
 
 #[test]
