--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -1,7 +1,8 @@
-//! A stand-in for Consul: its catalogue and health API with blocking queries, and agents that fail as they are told.
+//! A stand-in for Consul: its catalogue and health API with blocking queries, and agents that inject faults.
 //!
-//! Written from the published API (developer.hashicorp.com/consul/api-docs). All agents share one catalogue, as clients
-//! of one cluster do; each has an address, a fault and a count of its own, so that the ledger knows who was told.
+//! Written from the published API (developer.hashicorp.com/consul/api-docs). All agents share one catalogue,
+//! like clients of one cluster. Each has its own address, fault and query count, so that the ledger knows
+//! which balancer was notified.
 use crate::discovery::hung_up;
 use crate::ledger::{Entry, Ledger, State};
 use crate::message::{read, Message};
@@ -14,28 +15,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a query, as Consul has it.
+/// Maximum wait of a blocking query, as in Consul.
 const MAX_WAIT: Duration = Duration::from_secs(600);
 
 /// A service of the catalogue.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its node.
+    /// Name of its node.
     pub node: String,
-    /// Its id there; the ledger knows it by this.
+    /// Service id, which is also its name in the ledger.
     pub id: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Its metadata.
+    /// Service metadata.
     pub meta: BTreeMap<String, String>,
-    /// Its checks and their states.
+    /// Checks by id, with their states.
     pub checks: BTreeMap<String, &'static str>,
-    /// Weight while it passes.
+    /// Weight while its checks pass.
     pub weight: i64,
 }
 
 impl Service {
-    /// A service that passes, on a node of its own, started long ago.
+    /// A service with passing checks, on its own node, that started long ago.
     pub fn new(id: &str, addr: SocketAddr) -> Service {
         let meta = [("zone", "a"), ("kind", "m"), ("cell", "1"), ("started_ms", "0")];
         let checks = BTreeMap::from([("serfHealth".into(), "passing"), (format!("service:{id}"), "passing")]);
@@ -49,14 +50,14 @@
         }
     }
 
-    /// Whether a balancer that is told of it is told that it drains.
+    /// Whether balancers treat the service as draining: in maintenance, or with a weight of 0.
     fn drains(&self) -> bool {
-        let maintained =
+        let in_maintenance =
             self.checks.keys().any(|c| c == "_node_maintenance" || c.starts_with("_service_maintenance:"));
-        maintained || self.weight == 0
+        in_maintenance || self.weight == 0
     }
 
-    fn health(&self, service: &str, datacentre: &str, created: u64) -> String {
+    fn health_json(&self, service: &str, datacentre: &str, created: u64) -> String {
         let checks: Vec<String> = self
             .checks
             .iter()
@@ -77,7 +78,7 @@
         )
     }
 
-    fn catalogue(&self, service: &str, datacentre: &str, created: u64) -> String {
+    fn catalogue_json(&self, service: &str, datacentre: &str, created: u64) -> String {
         format!(
             r#"{{"ID":"","Node":"{}","Address":"{}","Datacenter":"{datacentre}","NodeMeta":{{}},"ServiceID":"{}","ServiceName":"{service}","ServiceAddress":"{}","ServicePort":{},"ServiceMeta":{},"ServiceWeights":{{"Passing":{},"Warning":1}},"ServiceTaggedAddresses":{{}},"CreateIndex":{created},"ModifyIndex":{created}}}"#,
             self.node,
@@ -96,49 +97,49 @@
     }
 }
 
-/// What an agent does with a query, once it has something to answer.
+/// Fault of an agent, applied to a query once its answer is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Answers as it should.
+    /// Answers correctly.
     None,
-    /// Answers so much later.
+    /// Answers with this delay.
     Slow(Duration),
     /// Never answers.
     Hung,
-    /// Answers with this status, and `Retry-After` if it is above 0.
+    /// Answers with this status, and with `Retry-After` in seconds if the second value is above 0.
     Status(u16, u64),
     /// Closes the connection half-way through the answer.
     CutOff,
-    /// Answers a body of the right length in which bytes are wrong.
+    /// Answers with a body of the right length that contains a corrupt byte.
     Garbled,
-    /// Answers an empty list, and that there is no leader.
+    /// Answers with an empty list and states that there is no leader.
     NoLeader,
-    /// Answers an empty list that is so many milliseconds behind the leader.
+    /// Answers with an empty list that lags this many milliseconds behind the leader.
     Behind(u64),
-    /// Answers an empty list, filtered for want of rights.
+    /// Answers with an empty list that was filtered for lack of permissions.
     Filtered,
     /// Answers without an index.
     NoIndex,
-    /// Closes each connection at once, those that are open too.
-    Refuses,
+    /// Closes each new connection at once, and each open one at its next query.
+    ClosesConnections,
 }
 
-type Key = (String, String);
+type ServiceKey = (String, String);
 
 #[derive(Default)]
 struct Catalogue {
     index: u64,
-    /// By datacentre and name of the service: its index, and its instances with their texts.
-    services: BTreeMap<Key, (u64, BTreeMap<String, Line>)>,
+    /// Index and instances of each service, by datacentre and service name.
+    services: BTreeMap<ServiceKey, (u64, BTreeMap<String, Row>)>,
     datacentres: BTreeSet<String>,
-    /// Services that instances registered through an agent: what they said last.
+    /// Services that registered themselves through an agent, with their latest state.
     registered: BTreeMap<String, Registered>,
-    /// Counts the histories: an agent whose data was lost begins another.
+    /// Number of times that the catalogue lost its data; an answer belongs to one such history.
     history: u64,
     closed: bool,
 }
 
-struct Line {
+struct Row {
     service: Service,
     created: u64,
     health: String,
@@ -148,11 +149,11 @@
 /// A service that registered itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registered {
-    /// What it sent.
+    /// Body of its registration request.
     pub body: String,
     /// `passing` or `critical`.
     pub state: String,
-    /// How often it passed.
+    /// Number of times that its check was reported as passing.
     pub passes: usize,
 }
 
@@ -166,7 +167,7 @@
 #[derive(Clone)]
 pub struct Consul(Arc<SharedState>);
 
-/// What one balancer was told, and by which index of which history.
+/// Instances that a balancer was notified of, with the index and history of the last answer.
 #[derive(Default)]
 struct ClientView {
     members: BTreeMap<String, State>,
@@ -176,22 +177,22 @@
 
 struct AgentState {
     fault: Mutex<Fault>,
-    /// How often all queries that waited fell silent.
-    hushed: AtomicUsize,
-    /// Queries that came.
+    /// Number of times that all pending queries were silenced.
+    silenced: AtomicUsize,
+    /// Number of queries received.
     queries: AtomicUsize,
-    told: Mutex<BTreeMap<Key, ClientView>>,
+    sent_views: Mutex<BTreeMap<ServiceKey, ClientView>>,
     changed: Condvar,
     balancer: String,
     token: Mutex<Option<String>>,
-    /// When the last answer that counts was written.
-    wrote: Mutex<Option<Instant>>,
+    /// Time just before the last complete and valid answer was written.
+    last_answered_at: Mutex<Option<Instant>>,
 }
 
-/// One agent, for one balancer.
+/// An agent for one balancer.
 #[derive(Clone)]
 pub struct Agent {
-    /// Where its HTTP API is.
+    /// Address of its HTTP API.
     pub addr: SocketAddr,
     state: Arc<AgentState>,
 }
@@ -201,65 +202,65 @@
 }
 
 impl Agent {
-    /// Every query that waits now is never answered, and its connection stays open. Those that come from now on are
-    /// answered as before. Returns when that was.
-    pub fn hush(&self) -> Instant {
-        self.state.hushed.fetch_add(1, Ordering::SeqCst);
+    /// Leaves every pending query unanswered with its connection open. Later queries are answered as before.
+    /// Returns the time of the call.
+    pub fn silence_pending(&self) -> Instant {
+        self.state.silenced.fetch_add(1, Ordering::SeqCst);
         Instant::now()
     }
 
-    /// What it does from now on, also with queries that wait.
+    /// Sets the fault, which also applies to pending queries.
     pub fn fault(&self, fault: Fault) {
         *lock(&self.state.fault) = fault;
         self.state.changed.notify_all();
     }
 
-    /// Queries that came so far.
+    /// Number of queries received so far.
     pub fn queries(&self) -> usize {
         self.state.queries.load(Ordering::SeqCst)
     }
 
-    /// From now on only queries with this token are answered; others with 403.
-    pub fn wants_token(&self, token: &str) {
+    /// Answers only queries with this token from now on, and others with 403.
+    pub fn require_token(&self, token: &str) {
         *lock(&self.state.token) = Some(token.into());
     }
 
-    /// When the last answer that counts was written whole.
-    pub fn wrote(&self) -> Option<Instant> {
-        *lock(&self.state.wrote)
+    /// Time just before the last complete and valid answer was written.
+    pub fn last_answered_at(&self) -> Option<Instant> {
+        *lock(&self.state.last_answered_at)
     }
 }
 
 impl Consul {
-    /// An empty catalogue.
+    /// Creates an empty catalogue.
     pub fn new(ledger: Option<Arc<Ledger>>) -> Consul {
         let catalogue = Mutex::new(Catalogue { index: 10, ..Catalogue::default() });
         Consul(Arc::new(SharedState { catalogue, changed: Condvar::new(), ledger }))
     }
 
-    fn change(&self, datacentre: &str, service: &str, change: impl FnOnce(&mut BTreeMap<String, Line>, u64)) {
-        let mut c = lock(&self.0.catalogue);
-        c.index += 1;
-        let index = c.index;
-        c.datacentres.insert(datacentre.into());
-        let entry = c.services.entry((datacentre.into(), service.into())).or_default();
+    fn change(&self, datacentre: &str, service: &str, change: impl FnOnce(&mut BTreeMap<String, Row>, u64)) {
+        let mut catalogue = lock(&self.0.catalogue);
+        catalogue.index += 1;
+        let index = catalogue.index;
+        catalogue.datacentres.insert(datacentre.into());
+        let entry = catalogue.services.entry((datacentre.into(), service.into())).or_default();
         entry.0 = index;
         change(&mut entry.1, index);
         self.0.changed.notify_all();
     }
 
-    /// Registers an instance of a service, or changes it.
+    /// Registers an instance of a service or replaces it.
     pub fn set(&self, datacentre: &str, service: &str, instance: Service) {
         self.change(datacentre, service, |lines, index| {
             let created = lines.get(&instance.id).map_or(index, |line| line.created);
-            let health = instance.health(service, datacentre, created);
-            let catalogue = instance.catalogue(service, datacentre, created);
-            lines.insert(instance.id.clone(), Line { service: instance, created, health, catalogue });
+            let health = instance.health_json(service, datacentre, created);
+            let catalogue = instance.catalogue_json(service, datacentre, created);
+            lines.insert(instance.id.clone(), Row { service: instance, created, health, catalogue });
         });
     }
 
-    /// Changes an instance that is registered.
-    pub fn alter(&self, datacentre: &str, service: &str, id: &str, alter: impl FnOnce(&mut Service)) {
+    /// Changes a registered instance.
+    pub fn update(&self, datacentre: &str, service: &str, id: &str, alter: impl FnOnce(&mut Service)) {
         let found = {
             let c = lock(&self.0.catalogue);
             let lines = c.services.get(&(datacentre.into(), service.into()));
@@ -273,14 +274,14 @@
 
     /// Sets the state of the instance's own check.
     pub fn check(&self, service: &str, id: &str, state: &'static str) {
-        self.alter("dc1", service, id, |s| {
+        self.update("dc1", service, id, |s| {
             s.checks.insert(format!("service:{id}"), state);
         });
     }
 
-    /// Puts an instance into maintenance, or takes it out.
+    /// Turns maintenance mode of an instance on or off.
     pub fn maintenance(&self, service: &str, id: &str, on: bool) {
-        self.alter("dc1", service, id, |s| {
+        self.update("dc1", service, id, |s| {
             let check = format!("_service_maintenance:{id}");
             if on {
                 s.checks.insert(check, "critical");
@@ -295,82 +296,82 @@
         self.change(datacentre, service, |lines, _| drop(lines.remove(id)));
     }
 
-    /// Loses all data, as a single server does that starts again with an empty disk.
-    pub fn lose(&self) {
-        let mut c = lock(&self.0.catalogue);
-        let datacentres = std::mem::take(&mut c.datacentres);
-        let history = c.history + 1;
-        *c = Catalogue { index: 3, history, datacentres, ..Catalogue::default() };
+    /// Loses all data, like a single server that restarts with an empty disk.
+    pub fn lose_data(&self) {
+        let mut catalogue = lock(&self.0.catalogue);
+        let datacentres = std::mem::take(&mut catalogue.datacentres);
+        let history = catalogue.history + 1;
+        *catalogue = Catalogue { index: 3, history, datacentres, ..Catalogue::default() };
         self.0.changed.notify_all();
     }
 
-    /// Forgets what registered itself, as an agent does that starts again without its data.
-    pub fn forget(&self) {
+    /// Drops all registrations made through agents, like an agent that restarts without its data.
+    pub fn forget_registrations(&self) {
         lock(&self.0.catalogue).registered.clear();
     }
 
-    /// What registered itself under this id.
+    /// Returns the registration that a service made under this id.
     pub fn registered(&self, id: &str) -> Option<Registered> {
         lock(&self.0.catalogue).registered.get(id).cloned()
     }
 
-    /// Ends all that waits.
+    /// Ends all waits of pending queries.
     pub fn close(&self) {
         lock(&self.0.catalogue).closed = true;
         self.0.changed.notify_all();
     }
 
-    /// Opens an agent for this balancer.
+    /// Starts an agent for this balancer.
     pub fn agent(&self, balancer: &str) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("an address");
         let state = Arc::new(AgentState {
             fault: Mutex::new(Fault::None),
             queries: AtomicUsize::new(0),
-            hushed: AtomicUsize::new(0),
-            told: Mutex::default(),
+            silenced: AtomicUsize::new(0),
+            sent_views: Mutex::default(),
             changed: Condvar::new(),
             balancer: balancer.into(),
             token: Mutex::new(None),
-            wrote: Mutex::new(None),
+            last_answered_at: Mutex::new(None),
         });
-        let (consul, at) = (self.clone(), state.clone());
+        let (consul, shared) = (self.clone(), state.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if *lock(&at.fault) == Fault::Refuses {
+                if *lock(&shared.fault) == Fault::ClosesConnections {
                     continue;
                 }
-                let (consul, at) = (consul.clone(), at.clone());
-                thread::spawn(move || consul.serve(stream, &at));
+                let (consul, shared) = (consul.clone(), shared.clone());
+                thread::spawn(move || consul.serve(stream, &shared));
             }
         });
         Agent { addr, state }
     }
 
-    fn serve(&self, stream: TcpStream, at: &AgentState) {
+    fn serve(&self, stream: TcpStream, agent: &AgentState) {
         let mut reader = BufReader::new(stream);
         while let Some(call) = read(&mut reader) {
-            if !call.start.starts_with("GET ") {
-                let (status, body) = self.put(&call);
+            if !call.start_line.starts_with("GET ") {
+                let (status, body) = self.serve_agent_call(&call);
                 if reader.get_mut().write_all(answer(status, "", &body).as_bytes()).is_err() {
                     return;
                 }
                 continue;
             }
-            // Before it is counted: whoever has seen it may have it fall silent.
-            let hushed = at.hushed.load(Ordering::SeqCst);
-            at.queries.fetch_add(1, Ordering::SeqCst);
-            if !self.query(&call, at, hushed, reader.get_mut()) {
+            // Read before the query is counted: a test that has seen the count may silence the query.
+            let silenced = agent.silenced.load(Ordering::SeqCst);
+            agent.queries.fetch_add(1, Ordering::SeqCst);
+            if !self.query(&call, agent, silenced, reader.get_mut()) {
                 let _ = reader.get_ref().shutdown(Shutdown::Both);
                 return;
             }
         }
     }
 
-    /// `/v1/agent/...`: status and body.
-    fn put(&self, call: &Message) -> (u16, String) {
+    /// Serves `/v1/agent/...` and returns the status and body.
+    fn serve_agent_call(&self, call: &Message) -> (u16, String) {
         let path = call.path().split('?').next().unwrap_or("");
-        let mut c = lock(&self.0.catalogue);
+        let mut catalogue = lock(&self.0.catalogue);
         let last = path.rsplit('/').next().unwrap_or("").replace("%3A", ":").replace("%20", " ");
         let id = last.strip_prefix("service:").unwrap_or(&last).to_string();
         if path == "/v1/agent/service/register" {
@@ -380,32 +381,32 @@
                 Some(rest.split('"').next().unwrap_or("").to_string())
             };
             let (id, state) = (value("ID").unwrap_or_default(), value("Status").unwrap_or("critical".into()));
-            c.registered.insert(id, Registered { body, state, passes: 0 });
+            catalogue.registered.insert(id, Registered { body, state, passes: 0 });
             return (200, String::new());
         }
-        let known = c.registered.contains_key(&id);
-        let status = if known { 200 } else { 404 };
+        let is_registered = catalogue.registered.contains_key(&id);
+        let status = if is_registered { 200 } else { 404 };
         if path.starts_with("/v1/agent/check/pass/") {
-            if let Some(r) = c.registered.get_mut(&id) {
+            if let Some(r) = catalogue.registered.get_mut(&id) {
                 (r.state, r.passes) = ("passing".into(), r.passes + 1);
             }
         } else if path.starts_with("/v1/agent/check/fail/") {
-            if let Some(r) = c.registered.get_mut(&id) {
+            if let Some(r) = catalogue.registered.get_mut(&id) {
                 r.state = "critical".into();
             }
         } else if path.starts_with("/v1/agent/service/deregister/") {
-            c.registered.remove(&id);
+            catalogue.registered.remove(&id);
         } else {
             return (404, "no such endpoint".into());
         }
-        (status, if known { String::new() } else { format!("Unknown check ID \"{last}\"") })
+        (status, if is_registered { String::new() } else { format!("Unknown check ID \"{last}\"") })
     }
 
-    /// Answers a query; `false`: the connection ends.
-    fn query(&self, call: &Message, at: &AgentState, hushed: usize, stream: &mut TcpStream) -> bool {
+    /// Answers a query; returns `false` if the connection ends.
+    fn query(&self, call: &Message, agent: &AgentState, silenced: usize, stream: &mut TcpStream) -> bool {
         let (path, query) = call.path().split_once('?').unwrap_or((call.path(), ""));
         let value = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
-        if lock(&at.token).as_deref().is_some_and(|token| call.header("x-consul-token") != Some(token)) {
+        if lock(&agent.token).as_deref().is_some_and(|token| call.header("x-consul-token") != Some(token)) {
             let text = answer(403, "", "Permission denied: token with AccessorID '' lacks permission");
             return stream.write_all(text.as_bytes()).is_ok();
         }
@@ -423,60 +424,60 @@
         let wait = value("wait")
             .and_then(|v| v.strip_suffix("ms")?.parse().ok())
             .map_or(MAX_WAIT, Duration::from_millis);
-        let until = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
-        let mut c = lock(&self.0.catalogue);
-        let history = c.history;
-        // What is not newer than the index asked for is waited on, also where that is far ahead; data that is lost
-        // meanwhile ends the wait.
-        while since > 0 && !c.closed && c.history == history && index(&c, &key) <= since {
-            let left = until.saturating_duration_since(Instant::now());
+        let deadline = Instant::now() + (wait + wait / 16).min(MAX_WAIT);
+        let mut data = lock(&self.0.catalogue);
+        let history = data.history;
+        // Waits until the index exceeds the one in the query, even if that one is far ahead. A loss of data
+        // ends the wait.
+        while since > 0 && !data.closed && data.history == history && index(&data, &key) <= since {
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 break;
             }
-            c = self.0.changed.wait_timeout(c, left).unwrap_or_else(PoisonError::into_inner).0;
+            data = self.0.changed.wait_timeout(data, left).unwrap_or_else(PoisonError::into_inner).0;
         }
-        if at.hushed.load(Ordering::SeqCst) != hushed {
-            drop(c);
+        if agent.silenced.load(Ordering::SeqCst) != silenced {
+            drop(data);
             hung_up(stream, MAX_WAIT);
             return false;
         }
-        let mut fault = *lock(&at.fault);
-        if let Fault::Slow(by) = fault {
-            drop(c);
-            let until = Instant::now() + by;
-            let mut now = lock(&at.fault);
-            // What a slow agent does: it takes its time, unless it has recovered.
-            while matches!(*now, Fault::Slow(_)) && Instant::now() < until {
-                let left = until.saturating_duration_since(Instant::now());
-                now = at.changed.wait_timeout(now, left).unwrap_or_else(PoisonError::into_inner).0;
+        let mut fault = *lock(&agent.fault);
+        if let Fault::Slow(delay) = fault {
+            drop(data);
+            let deadline = Instant::now() + delay;
+            let mut now = lock(&agent.fault);
+            // A slow agent delays its answer unless the fault is removed meanwhile.
+            while matches!(*now, Fault::Slow(_)) && Instant::now() < deadline {
+                let left = deadline.saturating_duration_since(Instant::now());
+                now = agent.changed.wait_timeout(now, left).unwrap_or_else(PoisonError::into_inner).0;
             }
             drop(now);
-            c = lock(&self.0.catalogue);
+            data = lock(&self.0.catalogue);
             fault = Fault::None;
         }
-        if fault == Fault::Refuses {
+        if fault == Fault::ClosesConnections {
             return false;
         }
         if fault == Fault::Hung {
-            drop(c);
-            let mut now = lock(&at.fault);
+            drop(data);
+            let mut now = lock(&agent.fault);
             while *now == Fault::Hung {
-                now = at.changed.wait(now).unwrap_or_else(PoisonError::into_inner);
+                now = agent.changed.wait(now).unwrap_or_else(PoisonError::into_inner);
             }
-            // Whoever asked has long given up.
+            // The client has timed out long before.
             return false;
         }
-        let (index, history) = (index(&c, &key), c.history);
+        let (index, history) = (index(&data, &key), data.history);
         let empty = BTreeMap::new();
-        let lines = c.services.get(&key).map_or(&empty, |(_, lines)| lines);
-        let text = |line: &Line| if kind == "health" { line.health.clone() } else { line.catalogue.clone() };
+        let lines = data.services.get(&key).map_or(&empty, |(_, lines)| lines);
+        let text = |line: &Row| if kind == "health" { line.health.clone() } else { line.catalogue.clone() };
         let entries: Vec<String> = lines.values().map(text).collect();
         let mut body = format!("[{}]", entries.join(","));
-        let told: BTreeMap<String, State> = lines
+        let states: BTreeMap<String, State> = lines
             .values()
             .map(|l| (l.service.id.clone(), if l.service.drains() { State::Closed } else { State::Ready }))
             .collect();
-        drop(c);
+        drop(data);
         let head = response_head(fault, index);
         match fault {
             Fault::Status(status, retry) => {
@@ -499,50 +500,54 @@
             _ => {}
         }
         let text = answer(200, &head, &body);
-        // Held over the writing: what is told of two changes is written in their order.
-        let mut all = lock(&at.told);
-        let before = Instant::now();
+        // Held during the write, so that notifications of two changes are written in their order.
+        let mut views = lock(&agent.sent_views);
+        let answered_at = Instant::now();
         if stream.write_all(text.as_bytes()).is_err() {
             return false;
         }
-        *lock(&at.wrote) = Some(before);
-        self.note(at, all.entry(key).or_default(), told, index, history);
+        *lock(&agent.last_answered_at) = Some(answered_at);
+        self.record_notifications(agent, views.entry(key).or_default(), states, index, history);
         true
     }
 
-    /// Writes into the ledger what an answer has told.
-    fn note(
+    /// Records the state changes of an answer in the ledger.
+    fn record_notifications(
         &self,
-        at: &AgentState,
-        before: &mut ClientView,
-        told: BTreeMap<String, State>,
+        agent: &AgentState,
+        view: &mut ClientView,
+        states: BTreeMap<String, State>,
         index: u64,
         history: u64,
     ) {
         let Some(ledger) = &self.0.ledger else { return };
-        let say = |upstream: &str, state| {
-            ledger.write(Entry::Told { balancer: at.balancer.clone(), upstream: upstream.into(), state });
+        let notify = |upstream: &str, state| {
+            ledger.write(Entry::Notified {
+                balancer: agent.balancer.clone(),
+                upstream: upstream.into(),
+                state,
+            });
         };
-        for (name, &state) in &told {
-            if before.members.get(name) != Some(&state) {
-                say(name, state);
+        for (name, &state) in &states {
+            if view.members.get(name) != Some(&state) {
+                notify(name, state);
             }
         }
-        // What a list of another history lacks is no statement.
-        if history == before.history || before.index == 0 {
-            for (name, _) in before.members.iter().filter(|(name, _)| !told.contains_key(*name)) {
-                say(name, State::Closed);
+        // An instance that is missing after a loss of data is no notification that it has closed.
+        if history == view.history || view.index == 0 {
+            for (name, _) in view.members.iter().filter(|(name, _)| !states.contains_key(*name)) {
+                notify(name, State::Closed);
             }
-            before.members = told;
+            view.members = states;
         } else {
-            before.members.extend(told);
+            view.members.extend(states);
         }
-        (before.index, before.history) = (index, history);
+        (view.index, view.history) = (index, history);
     }
 }
 
-fn index(c: &Catalogue, key: &Key) -> u64 {
-    c.services.get(key).map_or(c.index.min(3), |(index, _)| *index)
+fn index(catalogue: &Catalogue, key: &ServiceKey) -> u64 {
+    catalogue.services.get(key).map_or(catalogue.index.min(3), |(index, _)| *index)
 }
 
 fn answer(status: u16, head: &str, body: &str) -> String {
@@ -552,7 +557,7 @@
     )
 }
 
-/// The fields of a response that tell how current its data are.
+/// Header fields of an answer that state how current its data are.
 fn response_head(fault: Fault, index: u64) -> String {
     let mut head = String::new();
     let mut add = |name: &str, value: &dyn std::fmt::Display| {
--- a/crates/verification/testkit/src/site.rs
+++ b/crates/verification/testkit/src/site.rs
@@ -1,12 +1,13 @@
-//! Several machines of a fleet with a council and an operator, all of them real processes with links between them.
+//! Several machines of a fleet with a council and an operator. All are real processes, with links between
+//! them.
 use crate::coordination::Voters;
-use crate::discovery::{Listed, Registry};
-use crate::fleet::{Fleet, OPERATOR};
+use crate::discovery::{ListedUpstream, Registry};
+use crate::fleet::{Fleet, OPERATOR_CONFIG};
 use crate::ledger::Ledger;
-use crate::message::{ok_text, Message};
+use crate::message::{ok_response, Message};
 use crate::node::{config, Program};
-use crate::upstream::{Options, Then, Upstream};
-use crate::PATIENCE;
+use crate::upstream::{Step, Upstream, UpstreamOptions};
+use crate::TEST_TIMEOUT;
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -15,90 +16,107 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A site.
+/// Machines of a fleet with voters, upstreams and discovery.
 pub struct Site {
     program: Program,
-    /// The voters, and the links to them: a supervisor is `supervisor/m1` there, a balancer `balancer/m1b0`.
+    /// The voters and the links to them, where a supervisor is named `supervisor/m1` and a balancer
+    /// `balancer/m1b0`.
     pub voters: Voters,
-    /// What was sent, run and answered.
+    /// Ledger of requests, executions and answers.
     pub ledger: Arc<Ledger>,
-    /// Tells balancers of upstreams.
+    /// Registry that notifies balancers of upstreams.
     pub registry: Registry,
     /// The upstreams u0, u1 and so on.
     pub upstreams: Vec<Upstream>,
-    /// The machines m1, m2 and so on, in zones a and b in turn; their balancers are m1b0, m1b1 and so on.
+    /// The machines m1, m2 and so on, alternately in zones a and b; their balancers are m1b0, m1b1 and so on.
     pub machines: Vec<Fleet>,
-    /// The operators' file of outages.
-    pub outages: PathBuf,
-    /// The table of files by which the council is found.
+    /// The operators' outage file.
+    pub outage_file: PathBuf,
+    /// The `[council]` table with which files refer to the voters.
     pub council: String,
 }
 
-/// How many of what.
+/// Size of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Machines.
+    /// Number of machines.
     pub machines: usize,
-    /// Balancers on each.
-    pub each: usize,
-    /// Upstreams.
+    /// Number of balancers on each machine.
+    pub balancers_per_machine: usize,
+    /// Number of upstreams.
     pub upstreams: usize,
 }
 
 impl Site {
-    /// Starts all, with three voters, and waits until every balancer is known to be in. `budgets` are the `[[budget]]`s of
-    /// the outages' file; `asks`: whether supervisors belong to the council, and so ask for leave.
-    pub fn start(program: &Program, size: Size, budgets: &str, asks: bool) -> Site {
-        Site::start_with(program, size, budgets, asks, "")
+    /// Starts everything with three voters, and waits until every balancer is ready. `budgets` are the
+    /// `[[budget]]` tables of the outage file. With `uses_council`, supervisors use the council and therefore
+    /// request leases, and the start also waits until the council counts every balancer as available.
+    pub fn start(program: &Program, size: Size, budgets: &str, uses_council: bool) -> Site {
+        Site::start_with(program, size, budgets, uses_council, "")
     }
 
-    /// The same with further lines of `[fleet]` for every machine.
-    pub fn start_with(program: &Program, size: Size, budgets: &str, asks: bool, lines: &str) -> Site {
+    /// Like [`Site::start`], with further `lines` in `[fleet]` for every machine.
+    pub fn start_with(program: &Program, size: Size, budgets: &str, uses_council: bool, lines: &str) -> Site {
         let voters = Voters::start(program, 3);
-        let list: Vec<String> = voters.reached().iter().map(|v| format!("\"{v}\"")).collect();
+        let list: Vec<String> = voters.client_addrs().iter().map(|v| format!("\"{v}\"")).collect();
         let council =
             format!("[council]\nvoters = [{}]\nttl = \"1500ms\"\npatience = \"700ms\"\n", list.join(", "));
-        let ledger = Arc::new(Ledger::with_room(4 << 20));
+        let ledger = Arc::new(Ledger::with_capacity(4 << 20));
         let registry = Registry::new(Some(ledger.clone()));
         let upstreams: Vec<Upstream> = (0..size.upstreams)
-            .map(|k| {
-                let name = format!("u{k}");
-                let options = Options { ledger: Some(ledger.clone()), cores: 8, ..Options::named(&name) };
-                let work = |_: &Message| Then::Work(Duration::from_millis(3), ok_text("x"));
+            .map(|index| {
+                let name = format!("u{index}");
+                let options = UpstreamOptions {
+                    ledger: Some(ledger.clone()),
+                    cores: 8,
+                    ..UpstreamOptions::named(&name)
+                };
+                let work = |_: &Message| Step::Work(Duration::from_millis(3), ok_response("x"));
                 let upstream = Upstream::with(options, work);
-                registry.set(&name, Listed { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
+                registry.set(
+                    &name,
+                    ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
+                );
                 upstream
             })
             .collect();
-        let balancers = size.machines * size.each;
-        let operator = format!("{OPERATOR}{council}");
+        let balancers = size.machines * size.balancers_per_machine;
+        let operator = format!("{OPERATOR_CONFIG}{council}");
         let machines: Vec<Fleet> = (1..=size.machines)
-            .map(|m| {
-                let names: Vec<String> = (0..size.each).map(|k| format!("m{m}b{k}")).collect();
-                let zone = ["a", "b"][(m + 1) % 2];
+            .map(|number| {
+                let names: Vec<String> =
+                    (0..size.balancers_per_machine).map(|balancer| format!("m{number}b{balancer}")).collect();
+                let zone = ["a", "b"][(number + 1) % 2];
                 let more = format!(
-                    "machine = \"m{m}\"\nzone = \"{zone}\"\ntier = \"front\"\npause = \"50ms\"\n{lines}"
+                    "machine = \"m{number}\"\nzone = \"{zone}\"\ntier = \"front\"\npause = \"50ms\"\n{lines}"
                 );
-                Fleet::start(program, &names, &more, &operator, if asks { &council } else { "" }, |k| {
-                    let asked = registry.open(&names[k]).expect("a port");
-                    let index = (m - 1) * size.each + k;
-                    config(asked, 256, "null")
-                        .replace(
-                            "\"balancers\":1,\"index\":0",
-                            &format!("\"balancers\":{balancers},\"index\":{index}"),
-                        )
-                        .replace("\"name\":\"n1\"", &format!("\"name\":\"{}\"", names[k]))
-                })
+                Fleet::start(
+                    program,
+                    &names,
+                    &more,
+                    &operator,
+                    if uses_council { &council } else { "" },
+                    |balancer| {
+                        let discovery = registry.open_endpoint(&names[balancer]).expect("a port");
+                        let index = (number - 1) * size.balancers_per_machine + balancer;
+                        config(discovery, 256, "null")
+                            .replace(
+                                "\"balancers\":1,\"index\":0",
+                                &format!("\"balancers\":{balancers},\"index\":{index}"),
+                            )
+                            .replace("\"name\":\"n1\"", &format!("\"name\":\"{}\"", names[balancer]))
+                    },
+                )
             })
             .collect();
-        let outages = program.file(".outages.toml", &format!("{council}{budgets}"));
+        let outage_file = program.file(".outages.toml", &format!("{council}{budgets}"));
         let program = program.clone();
-        let site = Site { program, voters, ledger, registry, upstreams, machines, outages, council };
-        site.machines.iter().for_each(|m| m.all("ready"));
+        let site = Site { program, voters, ledger, registry, upstreams, machines, outage_file, council };
+        site.machines.iter().for_each(|machine| machine.wait_for_all("ready"));
         let output = site.command(&["outage", "apply"], &[]);
         assert!(output.status.success(), "{output:?}");
-        if asks {
-            site.until("all known and in", |state| out(state).is_empty() && units(state) == balancers);
+        if uses_council {
+            site.until("all known and in", |state| units_out(state).is_empty() && units(state) == balancers);
         }
         site
     }
@@ -108,20 +126,21 @@
         self.machines.iter().flat_map(|m| m.addrs.clone()).collect()
     }
 
-    /// A command with the outages' file behind its name, not yet run.
-    pub fn prepared(&self, name: &[&str], args: &[&str]) -> Command {
+    /// Prepares a command with the outage file after its name, without running it.
+    pub fn prepare_command(&self, name: &[&str], args: &[&str]) -> Command {
         let mut command = Command::new(&self.program.path);
-        command.args(name).arg(&self.outages).args(args).stdin(Stdio::null());
+        command.args(name).arg(&self.outage_file).args(args).stdin(Stdio::null());
         command
     }
 
-    /// The same, run.
+    /// Runs a command with the outage file after its name.
     pub fn command(&self, name: &[&str], args: &[&str]) -> Output {
-        self.prepared(name, args).output().expect("runs")
+        self.prepare_command(name, args).output().expect("runs")
     }
 
-    /// A build that runs the program with this before it, as lines of a shell's script; its content tells it from all others.
-    pub fn build(&self, lines: &str) -> PathBuf {
+    /// Writes a build: a shell script that runs these lines and then the program. Its content makes its build
+    /// id unique.
+    pub fn write_build(&self, lines: &str) -> PathBuf {
         let program = std::path::absolute(&self.program.path).expect("a path");
         let path = self
             .program
@@ -130,11 +149,12 @@
         path
     }
 
-    /// The file of a release from the program to such a build; `more` are further lines of `[release]` and tables.
-    pub fn release(&self, new: &std::path::Path, more: &str) -> PathBuf {
+    /// Writes the file of a release from the program to such a build. `extra_lines` are further lines of
+    /// `[release]` and further tables.
+    pub fn write_release_file(&self, new: &std::path::Path, extra_lines: &str) -> PathBuf {
         let old = std::path::absolute(&self.program.path).expect("a path");
         let text = format!(
-            "{}[release]\nold = \"{}\"\nnew = \"{}\"\n{more}\n",
+            "{}[release]\nold = \"{}\"\nnew = \"{}\"\n{extra_lines}\n",
             self.council,
             old.display(),
             new.display()
@@ -142,31 +162,32 @@
         self.program.file(".release.toml", &text)
     }
 
-    /// What `outage status --json` says.
+    /// Output of `outage status --json`.
     pub fn state(&self) -> String {
         let output = self.command(&["outage", "status"], &["--json"]);
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Waits until `outage status --json` is as wanted.
-    pub fn until(&self, what: &str, wanted: impl Fn(&str) -> bool) {
+    /// Waits until the output of `outage status --json` satisfies a condition.
+    pub fn until(&self, expected: &str, condition: impl Fn(&str) -> bool) {
         let started = Instant::now();
         loop {
             let state = self.state();
-            if wanted(&state) {
+            if condition(&state) {
                 return;
             }
-            assert!(started.elapsed() < 2 * PATIENCE, "not {what}: {state} {:#?}", self.logs());
+            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "not {expected}: {state} {:#?}", self.logs());
             thread::yield_now();
         }
     }
 
-    /// What all supervisors with their instances have logged.
+    /// Log lines of all supervisors and their instances.
     pub fn logs(&self) -> Vec<Vec<String>> {
         self.machines.iter().map(Fleet::log).collect()
     }
 
-    /// A machine loses power; what it had taken is nobody's to answer any more.
+    /// Simulates a loss of power on a machine, and records its balancers as killed, so that they owe no
+    /// answers.
     pub fn kill(&mut self, machine: usize) {
         self.machines[machine].kill();
         for (name, _) in &self.machines[machine].addrs {
@@ -174,25 +195,26 @@
         }
     }
 
-    /// Cuts a machine's supervisor, and with `all` its balancers as well, off from the voters, or heals that.
-    pub fn cut(&self, machine: usize, all: bool, rule: crate::faults::link::Rule) {
+    /// Sets the rule of the links between a machine's supervisor and the voters, and with `include_balancers`
+    /// also of those of its balancers.
+    pub fn set_link_rule(&self, machine: usize, include_balancers: bool, rule: crate::faults::link::Rule) {
         let balancers = self.machines[machine].addrs.iter().map(|(name, _)| format!("balancer/{name}"));
         let mut names = vec![format!("supervisor/m{}", machine + 1)];
-        names.extend(balancers.filter(|_| all));
+        names.extend(balancers.filter(|_| include_balancers));
         for name in &names {
-            self.voters.names.iter().for_each(|v| self.voters.net.set_both(name, v, rule));
+            self.voters.names.iter().for_each(|v| self.voters.network.set_both_ways(name, v, rule));
         }
     }
 }
 
-/// The units that are out, by the state that [`Site::state`] returns.
-pub fn out(state: &str) -> Vec<String> {
+/// Units that are unavailable according to the output of [`Site::state`].
+pub fn units_out(state: &str) -> Vec<String> {
     let Some((_, rest)) = state.split_once("\"out\":[") else { return Vec::new() };
     let list = rest.split("],\"revision\"").next().unwrap_or_default();
     list.split("\"unit\":\"").skip(1).filter_map(|u| u.split('"').next()).map(Into::into).collect()
 }
 
-/// How many balancers the budget of the whole fleet counts.
+/// Number of balancers that the budget of the whole fleet counts.
 pub fn units(state: &str) -> usize {
     let groups = state.split("{\"budget\":").find(|g| g.contains("\"group\":\"\""));
     let count = groups.and_then(|g| g.split_once("\"units\":")?.1.split(['}', ',']).next()?.parse().ok());
--- a/crates/verification/testkit/src/watcher.rs
+++ b/crates/verification/testkit/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Who really serves: asked from outside, of each balancer, all the time. It reads no books of the program's.
+//! Polls the readiness of each balancer from outside throughout a test, independently of the program's own
+//! records.
 use crate::caller::Client;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,43 +8,44 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a balancer may take to answer before it counts as out.
-const ANSWER: Duration = Duration::from_millis(400);
-/// Samples that are kept.
+/// Timeout after which a balancer counts as unavailable.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum number of completed outages that are kept.
 const MAX_SAMPLES: usize = 1 << 20;
 
-/// A time in which a balancer was certainly out: between its first and its last sample that said so, with no other between.
+/// A time in which a balancer was certainly unavailable: between its first and last failed sample, with no
+/// successful one between them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Span {
-    /// Which.
+pub struct Outage {
+    /// Name of the balancer.
     pub name: String,
-    /// From when, since the watcher began.
+    /// Start, since the watcher began.
     pub from: Duration,
-    /// Until when.
+    /// End, since the watcher began.
     pub until: Duration,
 }
 
 #[derive(Default)]
 struct Observation {
-    spans: Vec<Span>,
-    /// The span that goes on.
-    open: BTreeMap<String, Span>,
-    /// Taken out by a fault of the test's own, from then on.
-    excused: BTreeSet<String>,
+    ended: Vec<Outage>,
+    /// Outages that have not ended, by balancer.
+    ongoing: BTreeMap<String, Outage>,
+    /// Balancers that the test itself has made unavailable, and that are not recorded.
+    excluded: BTreeSet<String>,
     samples: usize,
 }
 
-/// Asks until it is dropped.
+/// Polls until it is dropped.
 pub struct Watcher {
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Observation>>,
+    observation: Arc<Mutex<Observation>>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-/// Whether a balancer says that it serves.
+/// Whether a balancer answers that it is ready.
 pub fn serves(addr: SocketAddr) -> bool {
     let ask = || {
-        let mut client = Client::connect_within(addr, ANSWER)?;
+        let mut client = Client::connect_with_timeout(addr, ANSWER_TIMEOUT)?;
         client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         Some(client.answer()?.status() == 200)
     };
@@ -51,83 +53,85 @@
 }
 
 impl Watcher {
-    /// Begins with these balancers, all of them in. Each has a thread of its own: one that hangs holds up no other.
+    /// Starts to poll these balancers. Each has its own thread, so that one that hangs delays no other.
     pub fn begin(balancers: &[(String, SocketAddr)]) -> Watcher {
-        let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Observation::default())));
+        let (stop, observation) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Observation::default())));
         let began = Instant::now();
         let watch = |(name, addr): &(String, SocketAddr)| {
-            let (stop, seen, name, addr) = (stop.clone(), seen.clone(), name.clone(), *addr);
+            let (stop, observation, name, addr) = (stop.clone(), observation.clone(), name.clone(), *addr);
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let asked = began.elapsed();
                     let serves = serves(addr);
-                    let mut seen = lock(&seen);
-                    seen.note(&name, asked, began.elapsed(), serves);
-                    drop(seen);
+                    let mut observation = lock(&observation);
+                    observation.record_sample(&name, asked, began.elapsed(), serves);
+                    drop(observation);
                     thread::park_timeout(Duration::from_millis(3));
                 }
             })
         };
         let threads = balancers.iter().map(watch).collect();
-        Watcher { stop, seen, threads }
+        Watcher { stop, observation, threads }
     }
 
-    /// These were taken out by the test, and do not count from now on until [`Watcher::counts`].
-    pub fn excuse(&self, names: &[(String, SocketAddr)]) {
-        let mut seen = lock(&self.seen);
+    /// Ignores these balancers until [`Watcher::include`], because the test itself makes them unavailable.
+    pub fn exclude(&self, names: &[(String, SocketAddr)]) {
+        let mut observation = lock(&self.observation);
         for (name, _) in names {
-            seen.excused.insert(name.clone());
-            seen.open.remove(name);
+            observation.excluded.insert(name.clone());
+            observation.ongoing.remove(name);
         }
     }
 
-    /// They count again.
-    pub fn counts(&self, names: &[(String, SocketAddr)]) {
-        let mut seen = lock(&self.seen);
-        seen.excused.retain(|excused| !names.iter().any(|(name, _)| name == excused));
+    /// Records these balancers again.
+    pub fn include(&self, names: &[(String, SocketAddr)]) {
+        let mut observation = lock(&self.observation);
+        observation.excluded.retain(|excluded| !names.iter().any(|(name, _)| name == excluded));
     }
 
-    /// The most that were certainly out at one time, and which.
-    pub fn worst(&self) -> Vec<String> {
-        let seen = lock(&self.seen);
-        let spans: Vec<&Span> = seen.spans.iter().chain(seen.open.values()).collect();
-        worst(&spans)
+    /// Names of the largest set of balancers that were certainly unavailable at the same time.
+    pub fn max_unavailable(&self) -> Vec<String> {
+        let observation = lock(&self.observation);
+        let ended: Vec<&Outage> = observation.ended.iter().chain(observation.ongoing.values()).collect();
+        largest_overlap(&ended)
     }
 
-    /// How many were ever out.
-    pub fn spans(&self) -> usize {
-        let seen = lock(&self.seen);
-        seen.spans.len() + seen.open.len()
+    /// Number of outages recorded.
+    pub fn outage_count(&self) -> usize {
+        let observation = lock(&self.observation);
+        observation.ended.len() + observation.ongoing.len()
     }
 }
 
-fn lock(seen: &Mutex<Observation>) -> MutexGuard<'_, Observation> {
-    seen.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(observation: &Mutex<Observation>) -> MutexGuard<'_, Observation> {
+    observation.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Of all beginnings of a span, the one at which most others go on.
-fn worst(spans: &[&Span]) -> Vec<String> {
+/// Largest set of overlapping outages, found at the start of one of them.
+fn largest_overlap(ended: &[&Outage]) -> Vec<String> {
     let at = |t: Duration| {
-        let out = spans.iter().filter(|s| s.from <= t && t <= s.until).map(|s| s.name.clone());
+        let out = ended.iter().filter(|s| s.from <= t && t <= s.until).map(|s| s.name.clone());
         out.collect::<BTreeSet<String>>().into_iter().collect::<Vec<String>>()
     };
-    spans.iter().map(|s| at(s.from)).max_by_key(Vec::len).unwrap_or_default()
+    ended.iter().map(|s| at(s.from)).max_by_key(Vec::len).unwrap_or_default()
 }
 
 impl Observation {
-    /// It was asked at one time and has answered, or not, by the other.
-    fn note(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
+    /// Records a sample that was sent at `asked` and answered, or timed out, by `by`.
+    fn record_sample(&mut self, name: &str, asked: Duration, by: Duration, serves: bool) {
         self.samples += 1;
         if serves {
-            if let Some(span) = self.open.remove(name) {
-                if self.spans.len() < MAX_SAMPLES {
-                    self.spans.push(span);
+            if let Some(span) = self.ongoing.remove(name) {
+                if self.ended.len() < MAX_SAMPLES {
+                    self.ended.push(span);
                 }
             }
-        } else if !self.excused.contains(name) {
-            // It did not serve at some time between; certain is only what lies between two such answers.
-            let span = || Span { name: name.into(), from: by, until: asked };
-            let span = self.open.entry(name.into()).or_insert_with(span);
+        } else if !self.excluded.contains(name) {
+            // The balancer was unavailable at some time in between. Only the time between two such samples is
+            // certain.
+            let span = || Outage { name: name.into(), from: by, until: asked };
+            let span = self.ongoing.entry(name.into()).or_insert_with(span);
             span.until = span.until.max(asked);
         }
     }
--- a/crates/verification/testkit/src/watcher/tests.rs
+++ b/crates/verification/testkit/src/watcher/tests.rs
@@ -1,24 +1,24 @@
 //! Tests of the watcher.
 use super::*;
 
-/// Guards against a judge that counts two as out at one time of which one came back before the other went, and one that
-/// does not see two that overlap.
+/// Guards against counting two outages as simultaneous when one ended before the other began, and against
+/// missing two that overlap.
 #[test]
-fn only_what_certainly_overlaps_counts() {
+fn counts_only_outages_that_certainly_overlap() {
     let ms = Duration::from_millis;
-    let mut seen = Observation::default();
-    seen.note("a", ms(0), ms(1), false);
-    seen.note("a", ms(10), ms(11), false);
-    seen.note("b", ms(11), ms(12), false);
-    seen.note("a", ms(12), ms(13), true);
-    seen.note("b", ms(20), ms(21), false);
-    let spans: Vec<&Span> = seen.spans.iter().chain(seen.open.values()).collect();
-    assert_eq!(worst(&spans).len(), 1);
-    seen.note("c", ms(14), ms(15), false);
-    seen.note("c", ms(18), ms(19), false);
-    let spans: Vec<&Span> = seen.spans.iter().chain(seen.open.values()).collect();
-    assert_eq!(worst(&spans), ["b", "c"]);
-    seen.excused.insert("d".into());
-    seen.note("d", ms(14), ms(15), false);
-    assert!(!seen.open.contains_key("d"));
+    let mut observation = Observation::default();
+    observation.record_sample("a", ms(0), ms(1), false);
+    observation.record_sample("a", ms(10), ms(11), false);
+    observation.record_sample("b", ms(11), ms(12), false);
+    observation.record_sample("a", ms(12), ms(13), true);
+    observation.record_sample("b", ms(20), ms(21), false);
+    let ended: Vec<&Outage> = observation.ended.iter().chain(observation.ongoing.values()).collect();
+    assert_eq!(largest_overlap(&ended).len(), 1);
+    observation.record_sample("c", ms(14), ms(15), false);
+    observation.record_sample("c", ms(18), ms(19), false);
+    let ended: Vec<&Outage> = observation.ended.iter().chain(observation.ongoing.values()).collect();
+    assert_eq!(largest_overlap(&ended), ["b", "c"]);
+    observation.excluded.insert("d".into());
+    observation.record_sample("d", ms(14), ms(15), false);
+    assert!(!observation.ongoing.contains_key("d"));
 }
