--- a/crates/herondock/benches/sizes.rs
+++ b/crates/herondock/benches/sizes.rs
@@ -83,8 +83,9 @@
     command.args(["run", "--log", "debug"]);
     let started = Instant::now();
     let node = Node::run(command, Discovery::start());
-    let told =
-        |wanted: &str| node.log().iter().filter(|l| l.starts_with("list: ") && l.ends_with(wanted)).count();
+    let told = |wanted: &str| {
+        node.log().iter().filter(|l| l.starts_with("endpoint list: ") && l.ends_with(wanted)).count()
+    };
     until("the whole list", || told("Ready") >= size);
     let start = started.elapsed();
     // Before the load, whose lines would fill the log.
--- a/crates/herondock/tests/discovery.rs
+++ b/crates/herondock/tests/discovery.rs
@@ -18,7 +18,7 @@
 /// Asks until this upstream has been told of as draining, as the log has it, and then more; `late` is when nothing may reach
 /// it any more. Returns when it was told of.
 fn until_left(node: &Node, leaves: SocketAddr, late: Instant) -> Instant {
-    let (mut client, news) = (node.client(), format!("list: {leaves} is Draining"));
+    let (mut client, news) = (node.client(), format!("endpoint list: {leaves} is Draining"));
     let mut told = None;
     let mut left = MANY;
     while left > 0 {
