--- a/crates/data-plane/discovery/src/consul/watch.rs
+++ b/crates/data-plane/discovery/src/consul/watch.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchIntervals {
     /// Maximum time that a query waits for changes: Consul's `wait`.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Minimum time between a response and the next query; more frequent changes are reported together.
     pub min_poll_interval: Duration,
     /// Delay after the first failure; it doubles with each consecutive one.
@@ -53,7 +53,7 @@
     fn default() -> Self {
         let ms = Duration::from_millis;
         WatchIntervals {
-            wait: ms(10_000),
+            max_wait: ms(10_000),
             min_poll_interval: ms(100),
             initial_backoff: ms(250),
             max_backoff: ms(10_000),
@@ -64,15 +64,15 @@
 }
 
 impl WatchIntervals {
-    /// Timing of the watches. What a silent watch missed is read within `wait` and a sixteenth of it, 2 s for the response, a
-    /// delay, and 2 s for the next query.
+    /// Timing of the watches. What a silent watch missed is read within `max_wait` and a sixteenth of it, 2 s for the response,
+    /// a delay, and 2 s for the next query.
     fn watch_timing(&self) -> WatchTiming {
         WatchTiming {
-            max_wait: self.wait,
+            max_wait: self.max_wait,
             response_timeout: RESPONSE_TIMEOUT,
             wait_extension_divisor: Some(WAIT_EXTENSION_DIVISOR),
             // Agents have no queue, and no watch has to be opened: queries are independent of one another.
-            open_wait: self.wait,
+            open_wait: self.max_wait,
             open_timeout: RESPONSE_TIMEOUT,
             full_list_timeout: RESPONSE_TIMEOUT,
             max_timeout: RESPONSE_TIMEOUT,
@@ -100,7 +100,7 @@
 
 /// The service that is watched.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Target {
+pub struct WatchedService {
     /// Name of the service.
     pub service: String,
     /// Datacentre; `None`: the agent's own.
@@ -197,7 +197,7 @@
 
 /// A watch on one service. Times are durations since any fixed moment and must not decrease.
 pub struct Watch {
-    target: Target,
+    target: WatchedService,
     intervals: WatchIntervals,
     agent_count: usize,
     /// Position of the agent that is queried.
@@ -219,7 +219,7 @@
 impl Watch {
     /// A watch whose first query is due at once. `index` is that of an earlier process's last update, if there was one.
     pub fn new(
-        target: Target,
+        target: WatchedService,
         mapping: EntryMapping,
         intervals: WatchIntervals,
         agent_count: usize,
--- a/crates/data-plane/discovery/tests/consul.rs
+++ b/crates/data-plane/discovery/tests/consul.rs
@@ -1,6 +1,8 @@
 //! Responses of Consul: parsing of service lists, and the watch.
 use discovery::consul::service_list::{EntryMapping, ListKind, ServiceList};
-use discovery::consul::watch::{Consistency, NextStep, Request, ResponseHead, Target, Watch, WatchIntervals};
+use discovery::consul::watch::{
+    Consistency, NextStep, Request, ResponseHead, Watch, WatchIntervals, WatchedService,
+};
 use discovery::endpoint::{EndpointReport, EndpointState, SourceUpdate};
 use std::time::Duration;
 
@@ -164,8 +166,12 @@
 }
 
 fn new_watch(consistency: Consistency, index: Option<u64>) -> Watch {
-    let target =
-        Target { service: "re dis".into(), datacentre: Some("dc1".into()), consistency, ..Target::default() };
+    let target = WatchedService {
+        service: "re dis".into(),
+        datacentre: Some("dc1".into()),
+        consistency,
+        ..WatchedService::default()
+    };
     Watch::new(target, mapping(), WatchIntervals::default(), 2, index)
 }
 
--- a/crates/data-plane/request-budget/src/grammar.rs
+++ b/crates/data-plane/request-budget/src/grammar.rs
@@ -82,7 +82,7 @@
 
 /// Usage of a grant, as reported in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Used {
+pub struct RetryUsage {
     /// Number of retries.
     pub retries: u32,
     /// Reason why the request must not be retried; `None`: it may be.
@@ -168,7 +168,7 @@
 
 /// Formats the budget field: remaining time in milliseconds, retries, and worth from 0 to 1, which is omitted if it is 1.
 /// Time and worth are limited to their bounds.
-pub fn write_budget(left_ms: f64, retries: u32, worth: f64) -> String {
+pub fn format_budget(left_ms: f64, retries: u32, worth: f64) -> String {
     let left_ms = left_ms.clamp(0.0, MAX_LEFT_MS);
     // Rounded down, so that no tier below waits longer than the time that is left.
     let left_ms = (left_ms * 1000.0).floor() / 1000.0;
@@ -182,7 +182,7 @@
 
 /// Parses the used field of a response; `None` if it is malformed or has no `retries`: then the complete grant counts as
 /// used.
-pub fn read_used(value: &[u8]) -> Option<Used> {
+pub fn parse_usage(value: &[u8]) -> Option<RetryUsage> {
     if value.len() > MAX_VALUE_BYTES {
         return None;
     }
@@ -195,11 +195,11 @@
             _ => {}
         }
     }
-    retries.map(|n| Used { retries: u32::try_from(n).unwrap_or(u32::MAX), stop })
+    retries.map(|n| RetryUsage { retries: u32::try_from(n).unwrap_or(u32::MAX), stop })
 }
 
 /// Formats the used field.
-pub fn write_used(used: Used) -> String {
+pub fn format_usage(used: RetryUsage) -> String {
     match used.stop {
         Some(stop) => format!("retries={}, stop={}", used.retries, stop.as_token()),
         None => format!("retries={}", used.retries),
--- a/crates/data-plane/request-budget/src/lib.rs
+++ b/crates/data-plane/request-budget/src/lib.rs
@@ -22,13 +22,13 @@
 
 /// Upper bounds of a budget, whatever the caller requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct BudgetLimits {
     /// Maximum number of retries of a request, and the number of a request that comes without one.
-    pub retries: u32,
+    pub max_retries: u32,
     /// Maximum number of hops that a request may have passed.
-    pub hops: usize,
+    pub max_hops: usize,
     /// Worth, from 0 to 1, of a request that its caller marks as a retry and that states no worth.
-    pub repeat_worth: f64,
+    pub retry_worth: f64,
 }
 
 /// Header fields of an incoming request, as received by the front.
@@ -39,18 +39,18 @@
     /// All values of the path field.
     pub path: &'a [&'a [u8]],
     /// Time that the caller waits for the response, in milliseconds, from the deadline field that every request has.
-    pub patience: f64,
+    pub timeout_ms: f64,
     /// Whether the caller marks the request as a retry.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// Whether budgets of callers at this front are accepted; otherwise they are ignored.
-    pub trusted: bool,
+    pub is_trusted: bool,
 }
 
 /// Budget of a request at this hop and below it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
     /// Time until the caller's deadline, in milliseconds.
-    pub left: f64,
+    pub left_ms: f64,
     /// Number of retries that are left.
     pub retries: u32,
     /// Value of serving the request, 0 to 1.
@@ -58,14 +58,14 @@
     /// Pools that the request has passed, this one included.
     pub path: Path,
     /// Whether the request came with a budget field, so that its response reports the usage.
-    pub told: bool,
+    pub reports_usage: bool,
 }
 
 /// Reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetRejection {
     /// The budget field is malformed, or contradicts the deadline: a client error.
-    Bad(MalformedBudget),
+    Malformed(MalformedBudget),
     /// The request has passed this pool before, or too many hops: refused without an effect.
     Refused(PathRejection),
 }
@@ -79,24 +79,28 @@
     ///
     /// # Errors
     /// See [`BudgetRejection`].
-    pub fn of(fields: &IncomingFields, bounds: &Bounds, own: &HopMarker) -> Result<Budget, BudgetRejection> {
+    pub fn from_fields(
+        fields: &IncomingFields,
+        limits: &BudgetLimits,
+        own: &HopMarker,
+    ) -> Result<Budget, BudgetRejection> {
         let path = Path::read(fields.path.iter().copied()).map_err(BudgetRejection::Refused)?;
-        let path = path.with_hop(own, bounds.hops).map_err(BudgetRejection::Refused)?;
-        let requested = match fields.trusted {
-            true => grammar::read_budget(fields.budget).map_err(BudgetRejection::Bad)?,
+        let path = path.with_hop(own, limits.max_hops).map_err(BudgetRejection::Refused)?;
+        let requested = match fields.is_trusted {
+            true => grammar::read_budget(fields.budget).map_err(BudgetRejection::Malformed)?,
             false => None,
         };
         let RequestedBudget { left_ms, retries, worth } = requested.unwrap_or_default();
-        if left_ms.is_some_and(|left_ms| fields.patience > left_ms + grammar::ROUNDING_TOLERANCE_MS) {
-            return Err(BudgetRejection::Bad(MalformedBudget::LateDeadline));
+        if left_ms.is_some_and(|left_ms| fields.timeout_ms > left_ms + grammar::ROUNDING_TOLERANCE_MS) {
+            return Err(BudgetRejection::Malformed(MalformedBudget::LateDeadline));
         }
-        let default_worth = if fields.repeated { bounds.repeat_worth } else { 1.0 };
+        let default_worth = if fields.is_retry { limits.retry_worth } else { 1.0 };
         Ok(Budget {
-            left: fields.patience,
-            retries: retries.map_or(bounds.retries, |n| n.min(bounds.retries)),
+            left_ms: fields.timeout_ms,
+            retries: retries.map_or(limits.max_retries, |n| n.min(limits.max_retries)),
             worth: worth.unwrap_or(default_worth).clamp(0.0, 1.0),
             path,
-            told: requested.is_some(),
+            reports_usage: requested.is_some(),
         })
     }
 }
--- a/crates/data-plane/request-budget/src/path.rs
+++ b/crates/data-plane/request-budget/src/path.rs
@@ -35,7 +35,7 @@
 
 impl PathRejection {
     /// Stop reason that is reported to the caller.
-    pub fn stop(self) -> StopReason {
+    pub fn stop_reason(self) -> StopReason {
         match self {
             PathRejection::Loop => StopReason::Loop,
             PathRejection::TooManyHops => StopReason::TooManyHops,
@@ -124,7 +124,7 @@
     }
 
     /// The previous hop, for log lines about loops: the last entry without control characters, at most 64 characters.
-    pub fn last(values: &[&[u8]]) -> String {
+    pub fn previous_hop(values: &[&[u8]]) -> String {
         let last_value = values.last().and_then(|v| std::str::from_utf8(v).ok()).unwrap_or("");
         let entry = via_entries(last_value).last().unwrap_or("nowhere");
         entry.chars().filter(|c| !c.is_control()).take(64).collect()
--- a/crates/data-plane/request-budget/src/retry_budget.rs
+++ b/crates/data-plane/request-budget/src/retry_budget.rs
@@ -1,13 +1,13 @@
 //! The retry budget of one request at one hop. Retries that are granted to an attempt are unavailable until its response
 //! reports how many were used; a lost attempt counts as having used its complete grant. So no chain of hops spends more
 //! retries than it was given, whatever is lost.
-use crate::grammar::{StopReason, Used};
+use crate::grammar::{RetryUsage, StopReason};
 
 /// Usage that is known at the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptUsage {
     /// The response reports this usage.
-    Used(Used),
+    Used(RetryUsage),
     /// The attempt never ran: nothing of its grant was used.
     NeverRan,
     /// The usage is not known: the complete grant may have been used.
@@ -36,14 +36,14 @@
     }
 
     /// Number of retries that can be sent now.
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         self.remaining
     }
 
     /// Records that an attempt is sent, and returns the number of retries that are granted to it: none if its upstream does
     /// not report usage, since the grant would be lost with each response; otherwise half of the remaining ones. Retries
     /// cost least close to the fault, but only this hop can try another upstream.
-    pub fn send(&mut self, number: u32, reports_usage: bool) -> u32 {
+    pub fn start_attempt(&mut self, number: u32, reports_usage: bool) -> u32 {
         if self.attempts > 0 {
             self.remaining = self.remaining.saturating_sub(1);
             self.spent = self.spent.saturating_add(1);
@@ -56,7 +56,7 @@
     }
 
     /// Records the end of an attempt. Later calls for the same attempt have no effect.
-    pub fn ended(&mut self, number: u32, usage: AttemptUsage) {
+    pub fn end_attempt(&mut self, number: u32, usage: AttemptUsage) {
         let Some(index) = self.in_flight.iter().position(|&(other, _)| other == number) else { return };
         let (_, grant) = self.in_flight.swap_remove(index);
         let used = match usage {
@@ -76,8 +76,8 @@
     }
 
     /// Usage to report to the caller: attempts in flight count as having used their complete grants.
-    pub fn used(&self) -> Used {
+    pub fn usage(&self) -> RetryUsage {
         let granted: u32 = self.in_flight.iter().map(|&(_, grant)| grant).sum();
-        Used { retries: self.spent.saturating_add(granted), stop: self.stop }
+        RetryUsage { retries: self.spent.saturating_add(granted), stop: self.stop }
     }
 }
--- a/crates/data-plane/request-budget/src/usage_feedback.rs
+++ b/crates/data-plane/request-budget/src/usage_feedback.rs
@@ -10,12 +10,12 @@
 
 impl UsageFeedback {
     /// Records a response, with or without a usage report.
-    pub fn answered(&mut self, reported: bool) {
+    pub fn record_response(&mut self, reported: bool) {
         self.0 = if reported { MAX_SILENT_RESPONSES } else { self.0.saturating_sub(1) };
     }
 
     /// Whether the upstream is considered to report usage.
-    pub fn tells(self) -> bool {
+    pub fn reports_usage(self) -> bool {
         self.0 > 0
     }
 }
--- a/crates/data-plane/request-budget/tests/budget.rs
+++ b/crates/data-plane/request-budget/tests/budget.rs
@@ -1,24 +1,24 @@
 //! Request budgets with invalid fields, lost responses and upstreams that report wrong usage.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use request_budget::grammar::Used;
+use request_budget::grammar::RetryUsage;
 use request_budget::grammar::{
-    read_budget, read_used, write_budget, write_used, MalformedBudget, RequestedBudget, StopReason,
+    format_budget, format_usage, parse_usage, read_budget, MalformedBudget, RequestedBudget, StopReason,
 };
 use request_budget::log_throttle::LogThrottle;
 use request_budget::path::{HopMarker, Path, PathRejection};
 use request_budget::retry_budget::{AttemptUsage, RetryBudget};
 use request_budget::usage_feedback::UsageFeedback;
-use request_budget::{Bounds, Budget, BudgetRejection, IncomingFields};
+use request_budget::{Budget, BudgetLimits, BudgetRejection, IncomingFields};
 
-const BOUNDS: Bounds = Bounds { retries: 2, hops: 4, repeat_worth: 0.25 };
+const LIMITS: BudgetLimits = BudgetLimits { max_retries: 2, max_hops: 4, retry_worth: 0.25 };
 
 fn marker(pool: &str) -> HopMarker {
     HopMarker::new(b"secret", pool)
 }
 
 fn fields<'a>(budget: &'a [&'a [u8]], path: &'a [&'a [u8]]) -> IncomingFields<'a> {
-    IncomingFields { budget, path, patience: 500.0, repeated: false, trusted: true }
+    IncomingFields { budget, path, timeout_ms: 500.0, is_retry: false, is_trusted: true }
 }
 
 #[test]
@@ -58,13 +58,15 @@
         read("retries=999999999999999").map(|requested| requested.and_then(|requested| requested.retries)),
         Ok(Some(u32::MAX))
     );
-    assert_eq!(write_budget(480.1259, 2, 0.25), "left=480.125, retries=2, worth=0.250");
-    assert_eq!(write_budget(-1.0, 0, 7.0), "left=0.000, retries=0");
-    for used in [Used { retries: 3, stop: None }, Used { retries: 0, stop: Some(StopReason::Loop) }] {
-        assert_eq!(read_used(write_used(used).as_bytes()), Some(used));
+    assert_eq!(format_budget(480.1259, 2, 0.25), "left=480.125, retries=2, worth=0.250");
+    assert_eq!(format_budget(-1.0, 0, 7.0), "left=0.000, retries=0");
+    for used in
+        [RetryUsage { retries: 3, stop: None }, RetryUsage { retries: 0, stop: Some(StopReason::Loop) }]
+    {
+        assert_eq!(parse_usage(format_usage(used).as_bytes()), Some(used));
     }
     for malformed in ["", "stop=loop", "retries=-1", "retries=1, retries=2", "=", "retries=x"] {
-        assert_eq!(read_used(malformed.as_bytes()), None, "{malformed:?}");
+        assert_eq!(parse_usage(malformed.as_bytes()), None, "{malformed:?}");
     }
 }
 
@@ -72,25 +74,28 @@
 #[test]
 fn requested_budgets_are_limited_to_the_bounds() {
     let own = marker("portal");
-    let budget_of = |fields: IncomingFields| Budget::of(&fields, &BOUNDS, &own);
+    let budget_of = |fields: IncomingFields| Budget::from_fields(&fields, &LIMITS, &own);
     let excessive = budget_of(fields(&[b"retries=1000000, worth=99"], &[])).expect("limited to the bounds");
-    assert_eq!((excessive.retries, excessive.worth, excessive.left, excessive.told), (2, 1.0, 500.0, true));
+    assert_eq!(
+        (excessive.retries, excessive.worth, excessive.left_ms, excessive.reports_usage),
+        (2, 1.0, 500.0, true)
+    );
     let without_budget = budget_of(fields(&[], &[])).expect("a request without a budget");
-    assert_eq!((without_budget.retries, without_budget.worth, without_budget.told), (2, 1.0, false));
+    assert_eq!((without_budget.retries, without_budget.worth, without_budget.reports_usage), (2, 1.0, false));
     // The budget of an untrusted caller is ignored, even if it is malformed.
     let untrusted =
-        IncomingFields { trusted: false, ..fields(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
+        IncomingFields { is_trusted: false, ..fields(&[b"retries=0, worth=0, left=-9", b"twice"], &[]) };
     let untrusted = budget_of(untrusted).expect("the budget is ignored");
-    assert_eq!((untrusted.retries, untrusted.worth, untrusted.told), (2, 1.0, false));
+    assert_eq!((untrusted.retries, untrusted.worth, untrusted.reports_usage), (2, 1.0, false));
     assert_eq!(
         budget_of(fields(&[b"left=499"], &[])),
-        Err(BudgetRejection::Bad(MalformedBudget::LateDeadline))
+        Err(BudgetRejection::Malformed(MalformedBudget::LateDeadline))
     );
     assert!(budget_of(fields(&[b"left=500"], &[])).is_ok() && budget_of(fields(&[b"left=501"], &[])).is_ok());
-    let retry = budget_of(IncomingFields { repeated: true, ..fields(&[], &[]) }).expect("valid");
+    let retry = budget_of(IncomingFields { is_retry: true, ..fields(&[], &[]) }).expect("valid");
     assert_eq!(retry.worth, 0.25);
     let stated_worth =
-        budget_of(IncomingFields { repeated: true, ..fields(&[b"worth=0.75"], &[]) }).expect("valid");
+        budget_of(IncomingFields { is_retry: true, ..fields(&[b"worth=0.75"], &[]) }).expect("valid");
     assert_eq!(stated_worth.worth, 0.75);
 }
 
@@ -119,7 +124,7 @@
     let comment = format!("1.1 x ({})", portal.text());
     let in_comment = Path::read([comment.as_bytes()].into_iter()).expect("short enough");
     assert!(in_comment.with_hop(&portal, 4).is_ok(), "a marker in a comment is not a hop");
-    assert_eq!(Path::last(&[b"1.1 a, 1.1 hd-x\t(c)"]), "1.1 hd-x(c)");
+    assert_eq!(Path::previous_hop(&[b"1.1 a, 1.1 hd-x\t(c)"]), "1.1 hd-x(c)");
     assert!(
         Path::read([&b"\xff"[..], b"1.1 a"].into_iter())
             .expect("values that are not UTF-8 are ignored")
@@ -131,32 +136,33 @@
 #[test]
 fn retries_are_granted_only_to_upstreams_that_report_usage() {
     let mut feedback = UsageFeedback::default();
-    assert!(!feedback.tells());
-    feedback.answered(true);
-    (0..15).for_each(|_| feedback.answered(false));
-    assert!(feedback.tells());
-    feedback.answered(false);
-    assert!(!feedback.tells());
+    assert!(!feedback.reports_usage());
+    feedback.record_response(true);
+    (0..15).for_each(|_| feedback.record_response(false));
+    assert!(feedback.reports_usage());
+    feedback.record_response(false);
+    assert!(!feedback.reports_usage());
     let mut retry_budget = RetryBudget::new(3);
-    assert_eq!((retry_budget.send(0, false), retry_budget.left()), (0, 3));
-    retry_budget.ended(0, AttemptUsage::Unknown);
-    assert_eq!((retry_budget.send(1, true), retry_budget.left()), (1, 1));
-    retry_budget.ended(1, AttemptUsage::Used(Used { retries: 9, stop: None }));
-    assert_eq!(retry_budget.used().retries, 2, "one retry here, and at most the granted one below");
-    assert_eq!((retry_budget.send(2, true), retry_budget.left()), (0, 0));
-    retry_budget.ended(2, AttemptUsage::Used(Used { retries: 0, stop: Some(StopReason::Loop) }));
-    retry_budget.ended(2, AttemptUsage::Used(Used { retries: 5, stop: None }));
-    assert_eq!(retry_budget.used(), Used { retries: 3, stop: Some(StopReason::Loop) });
+    assert_eq!((retry_budget.start_attempt(0, false), retry_budget.remaining()), (0, 3));
+    retry_budget.end_attempt(0, AttemptUsage::Unknown);
+    assert_eq!((retry_budget.start_attempt(1, true), retry_budget.remaining()), (1, 1));
+    retry_budget.end_attempt(1, AttemptUsage::Used(RetryUsage { retries: 9, stop: None }));
+    assert_eq!(retry_budget.usage().retries, 2, "one retry here, and at most the granted one below");
+    assert_eq!((retry_budget.start_attempt(2, true), retry_budget.remaining()), (0, 0));
+    retry_budget.end_attempt(2, AttemptUsage::Used(RetryUsage { retries: 0, stop: Some(StopReason::Loop) }));
+    retry_budget.end_attempt(2, AttemptUsage::Used(RetryUsage { retries: 5, stop: None }));
+    assert_eq!(retry_budget.usage(), RetryUsage { retries: 3, stop: Some(StopReason::Loop) });
     // A stop reason from below ends the retries here too, whatever is left.
     let mut retry_budget = RetryBudget::new(5);
-    retry_budget.send(0, true);
-    retry_budget.ended(0, AttemptUsage::Used(Used { retries: 0, stop: Some(StopReason::TooManyHops) }));
-    assert_eq!(retry_budget.left(), 0);
+    retry_budget.start_attempt(0, true);
+    retry_budget
+        .end_attempt(0, AttemptUsage::Used(RetryUsage { retries: 0, stop: Some(StopReason::TooManyHops) }));
+    assert_eq!(retry_budget.remaining(), 0);
     // An attempt that never ran has used nothing of its grant.
     let mut retry_budget = RetryBudget::new(4);
-    assert_eq!(retry_budget.send(0, true), 2);
-    retry_budget.ended(0, AttemptUsage::NeverRan);
-    assert_eq!((retry_budget.left(), retry_budget.used().retries), (4, 0));
+    assert_eq!(retry_budget.start_attempt(0, true), 2);
+    retry_budget.end_attempt(0, AttemptUsage::NeverRan);
+    assert_eq!((retry_budget.remaining(), retry_budget.usage().retries), (4, 0));
 }
 
 #[test]
@@ -179,12 +185,12 @@
     depth: u32,
     script: &mut impl Iterator<Item = u8>,
     retries_sent: &mut u32,
-) -> (Used, bool) {
+) -> (RetryUsage, bool) {
     let mut retry_budget = RetryBudget::new(given);
     let (mut number, mut served) = (0, false);
-    while number == 0 || (retry_budget.left() > 0 && !served) {
+    while number == 0 || (retry_budget.remaining() > 0 && !served) {
         let action = script.next().unwrap_or(0);
-        let grant = retry_budget.send(number, action & 1 == 0);
+        let grant = retry_budget.start_attempt(number, action & 1 == 0);
         *retries_sent += u32::from(number > 0);
         let usage = match action % 7 {
             0 | 1 if depth > 0 => {
@@ -199,19 +205,19 @@
             3 if depth > 0 => {
                 // A faulty upstream that reports more than its grant.
                 let (used, _) = hop(grant, depth - 1, script, retries_sent);
-                AttemptUsage::Used(Used { retries: used.retries.saturating_add(1 << 20), stop: None })
+                AttemptUsage::Used(RetryUsage { retries: used.retries.saturating_add(1 << 20), stop: None })
             }
             4 => AttemptUsage::NeverRan,
             5 => AttemptUsage::Unknown,
             _ => {
                 served = true;
-                AttemptUsage::Used(Used::default())
+                AttemptUsage::Used(RetryUsage::default())
             }
         };
-        retry_budget.ended(number, usage);
+        retry_budget.end_attempt(number, usage);
         number += 1;
     }
-    (retry_budget.used(), served)
+    (retry_budget.usage(), served)
 }
 
 proptest! {
@@ -252,10 +258,10 @@
             prop_assert!(requested.left_ms.is_none_or(|ms| (0.0..=86_400_000.0).contains(&ms)));
             prop_assert!(requested.worth.is_none_or(|worth| worth.is_finite() && worth >= 0.0));
         }
-        let _ = read_used(noise.as_bytes());
+        let _ = parse_usage(noise.as_bytes());
         let _ = Path::read([noise.as_bytes()].into_iter())
             .map(|path| path.with_hop(&marker("x"), 8).map(|path| path.hop_count()));
-        let text = write_budget(left_ms, retries, worth);
+        let text = format_budget(left_ms, retries, worth);
         let requested = read_budget(&[text.as_bytes()]).expect("valid").expect("a budget");
         prop_assert!(requested.left_ms.is_some_and(
             |ms| ms <= left_ms.min(86_400_000.0) && ms > left_ms.min(86_400_000.0) - 0.01
--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -17,7 +17,7 @@
 use balancer::{Action, Balancer, Ending, Event, Learned, Membership, Millis, RequestId, UpstreamId};
 use bytes::Bytes;
 use open_request::{InFlightAttempt, OpenRequest};
-use request_budget::grammar::Used;
+use request_budget::grammar::RetryUsage;
 use state::{Driver, TimerKind};
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -108,7 +108,7 @@
     /// Waits for the final answer.
     pub async fn answer(mut self) -> FinalAnswer {
         let driver_gone =
-            |_| FinalAnswer { answer: Answer::Failed, may_have_run: true, used: Used::default() };
+            |_| FinalAnswer { answer: Answer::Failed, may_have_run: true, used: RetryUsage::default() };
         let answer = (&mut self.answer).await.unwrap_or_else(driver_gone);
         self.answered = true;
         answer
@@ -318,9 +318,9 @@
         let deadline = now + Duration::from_secs_f64(wait_ms / 1000.0);
         let dedup_deadline = open.dedup_deadline(now);
         open.attempts_in_flight += 1;
-        let reports_usage = target.usage_feedback.tells();
+        let reports_usage = target.usage_feedback.reports_usage();
         let budget_grant = open.retry_budget.as_mut().map(|budget| {
-            let retries = budget.send(number, reports_usage);
+            let retries = budget.start_attempt(number, reports_usage);
             Rc::new(BudgetGrant { retries, ..BudgetGrant::default() })
         });
         let attempt = Attempt {
--- a/crates/herondock/src/driver/open_request.rs
+++ b/crates/herondock/src/driver/open_request.rs
@@ -2,7 +2,7 @@
 use crate::exchange::{Answer, BudgetGrant, FinalAnswer, Request};
 use crate::request_counters::{self, RequestCounters};
 use balancer::{Millis, UpstreamId};
-use request_budget::grammar::Used;
+use request_budget::grammar::RetryUsage;
 use request_budget::retry_budget::RetryBudget;
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
         if matches!(answer, Answer::Served { .. }) {
             self.count_served();
         }
-        let used = self.retry_budget.as_ref().map_or(Used::default(), RetryBudget::used);
+        let used = self.retry_budget.as_ref().map_or(RetryUsage::default(), RetryBudget::usage);
         let may_have_run = self.may_have_run || self.attempts_in_flight > 0;
         // Sending fails if the client has just left; it is then no longer owed an answer.
         let _ = reply.send(FinalAnswer { answer, may_have_run, used });
--- a/crates/herondock/src/driver/state.rs
+++ b/crates/herondock/src/driver/state.rs
@@ -6,7 +6,7 @@
 use crate::exchange::{Answer, DrainGate, FinalAnswer, Request, Upstream};
 use crate::request_counters::{self, RequestCounters};
 use balancer::{Availability, Balancer, Ending, Event, Millis, RequestId, UpstreamId};
-use request_budget::grammar::Used;
+use request_budget::grammar::RetryUsage;
 use request_budget::retry_budget::{AttemptUsage, RetryBudget};
 use request_budget::usage_feedback::UsageFeedback;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -196,7 +196,7 @@
         let reported = attempt.budget_grant.as_ref().and_then(|grant| grant.reported_usage.get());
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Full) {
             if let Some(entry) = self.upstreams.get_mut(&attempt.upstream) {
-                entry.usage_feedback.answered(reported.is_some());
+                entry.usage_feedback.record_response(reported.is_some());
             }
         }
         let closed = self.record_ending(id, number, ending, reported, answer);
@@ -211,7 +211,7 @@
         id: RequestId,
         number: u32,
         ending: Ending,
-        reported: Option<Used>,
+        reported: Option<RetryUsage>,
         answer: Option<Answer>,
     ) -> bool {
         let never_ran = ending.never_ran() && !(ending == Ending::Full && self.late_shedding);
@@ -224,9 +224,9 @@
                 None if never_ran => AttemptUsage::NeverRan,
                 None => AttemptUsage::Unknown,
             };
-            retry_budget.ended(number, usage);
+            retry_budget.end_attempt(number, usage);
             // Precedes the outcome event, on which the decision module decides whether to retry.
-            self.events.push_back(Event::Left { request: id, retries: retry_budget.left() });
+            self.events.push_back(Event::Left { request: id, retries: retry_budget.remaining() });
         }
         if let Some(answer) = answer {
             open.answer(answer);
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -6,7 +6,7 @@
 use config::discovery::{Consistency, ConsulConfig, Datacentres};
 use config::operator::Limits;
 use discovery::consul::service_list::{EntryMapping, ListKind};
-use discovery::consul::watch::{self, NextStep, ResponseHead, Target, Watch, WatchIntervals};
+use discovery::consul::watch::{self, NextStep, ResponseHead, Watch, WatchIntervals, WatchedService};
 use discovery::endpoint::{EndpointProtocol, SourceUpdate};
 use hyper::StatusCode;
 use std::collections::BTreeMap;
@@ -216,7 +216,7 @@
             tagged_address: s.tagged_address.clone(),
             protocol: if s.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
         };
-        let target = Target {
+        let target = WatchedService {
             service: s.service.clone(),
             datacentre,
             namespace: s.namespace.clone(),
@@ -229,7 +229,7 @@
             },
         };
         let intervals = WatchIntervals {
-            wait: s.wait,
+            max_wait: s.wait,
             min_poll_interval: s.min_poll_interval,
             initial_backoff: s.initial_backoff,
             max_backoff: s.max_backoff,
--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -8,7 +8,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use config::request_budget::FieldNames;
 use request_budget::grammar;
-use request_budget::grammar::Used;
+use request_budget::grammar::RetryUsage;
 use request_budget::Budget;
 use std::borrow::Cow;
 use std::cell::Cell;
@@ -130,7 +130,7 @@
     /// Whether an attempt may have run.
     pub may_have_run: bool,
     /// Retries used of the request's budget.
-    pub used: Used,
+    pub used: RetryUsage,
 }
 
 /// The outcome of a request for its client.
@@ -185,7 +185,7 @@
     /// Retries that the tiers below may use.
     pub retries: u32,
     /// Usage that the answer reported; `None`: it reported none.
-    pub reported_usage: Cell<Option<Used>>,
+    pub reported_usage: Cell<Option<RetryUsage>>,
 }
 
 /// One attempt: a request to one upstream, written at most once.
@@ -210,7 +210,7 @@
     pub fn budget_fields(&self, now: Instant) -> Option<[(&str, String); 2]> {
         let CarriedBudget { budget, names } = self.request.budget.as_deref()?;
         let remaining_ms = self.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
-        let value = grammar::write_budget(
+        let value = grammar::format_budget(
             remaining_ms,
             self.budget_grant.as_ref().map_or(0, |grant| grant.retries),
             budget.worth,
@@ -221,7 +221,7 @@
     /// Records the usage that an answer reports. `field` returns the value of a field of the answer.
     pub fn record_usage<'a>(&self, field: impl FnOnce(&str) -> Option<&'a [u8]>) {
         if let (Some(carried), Some(grant)) = (&self.request.budget, &self.budget_grant) {
-            grant.reported_usage.set(field(&carried.names.used).and_then(grammar::read_used));
+            grant.reported_usage.set(field(&carried.names.used).and_then(grammar::parse_usage));
         }
     }
 
--- a/crates/herondock/src/front/fastcgi/admission.rs
+++ b/crates/herondock/src/front/fastcgi/admission.rs
@@ -10,7 +10,7 @@
 use crate::routing::AdmittedRequest;
 use bytes::Bytes;
 use fastcgi::server;
-use request_budget::grammar::{write_used, Used};
+use request_budget::grammar::{format_usage, RetryUsage};
 use request_budget::BudgetRejection;
 use std::cell::Cell;
 use std::time::Duration;
@@ -59,7 +59,7 @@
         check_body(request, method)?;
         let target = target(&param).ok_or_else(|| Rejection::bad_request("REQUEST_URI is bad"))?;
         let budget = self.carried_budget(request, timeout_ms)?;
-        let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.told);
+        let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.reports_usage);
         let upstream_request = self.upstream_request(request, method, &target, budget);
         let headers = |name: &str| -> Vec<&[u8]> {
             let name = if name == "content-type" { "CONTENT_TYPE".into() } else { header_param(name) };
@@ -108,9 +108,9 @@
         let is_retry = single_param(&request.params, &header_param(RETRY.as_str())) == Some("1");
         match budgets.carried_budget(FrontKind::FastCgi, (&budget, &path), timeout_ms, is_retry) {
             Ok(carried) => Ok(Some(Box::new(carried))),
-            Err(BudgetRejection::Bad(malformed)) => Err(Rejection::bad_request(malformed)),
+            Err(BudgetRejection::Malformed(malformed)) => Err(Rejection::bad_request(malformed)),
             Err(BudgetRejection::Refused(rejection)) => {
-                let used = Used { retries: 0, stop: Some(rejection.stop()) };
+                let used = RetryUsage { retries: 0, stop: Some(rejection.stop_reason()) };
                 let fields = self.budget_fields(Some(used), true);
                 Err(Rejection { fields, ..Rejection::input(503, rejection) })
             }
@@ -144,10 +144,10 @@
     }
 
     /// Returns fields that report the usage of a budget and, where it is certain, that nothing ran.
-    pub(super) fn budget_fields(&self, used: Option<Used>, nothing_ran: bool) -> Vec<(String, String)> {
+    pub(super) fn budget_fields(&self, used: Option<RetryUsage>, nothing_ran: bool) -> Vec<(String, String)> {
         let Some(budgets) = &self.budgets else { return Vec::new() };
         let declined = nothing_ran.then(|| (DECLINED.as_str().to_string(), "1".to_string()));
-        let used = used.map(|used| (budgets.names.used.clone(), write_used(used)));
+        let used = used.map(|used| (budgets.names.used.clone(), format_usage(used)));
         declined.into_iter().chain(used).collect()
     }
 
--- a/crates/herondock/src/front/http/admission.rs
+++ b/crates/herondock/src/front/http/admission.rs
@@ -16,7 +16,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::StatusCode;
-use request_budget::grammar::{write_used, Used};
+use request_budget::grammar::{format_usage, RetryUsage};
 use request_budget::BudgetRejection;
 use std::cell::Cell;
 use std::time::Duration;
@@ -67,9 +67,9 @@
         let waited = if budget.is_some() { waited.max(head_started.elapsed()) } else { waited };
         let timeout_ms = (classification.deadline_ms - waited.as_secs_f64() * 1000.0).max(0.0);
         if let Some(carried) = &mut budget {
-            carried.budget.left = timeout_ms;
+            carried.budget.left_ms = timeout_ms;
         }
-        let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.told);
+        let reports_usage = budget.as_ref().is_some_and(|carried| carried.budget.reports_usage);
         let request = upstream_request(&head, classification.method, body, budget);
         let Classification { class, tenant, method, .. } = classification;
         let host = || request_host(&head);
@@ -116,10 +116,10 @@
         let is_retry = headers.get(RETRY).is_some_and(|v| v == "1");
         match budgets.carried_budget(FrontKind::Http, (&budget, &path), timeout_ms, is_retry) {
             Ok(carried) => Ok(Some(Box::new(carried))),
-            Err(BudgetRejection::Bad(malformed)) => Err(bad_request(&malformed.to_string())),
+            Err(BudgetRejection::Malformed(malformed)) => Err(bad_request(&malformed.to_string())),
             Err(BudgetRejection::Refused(rejection)) => {
                 let mut response = reject_input(StatusCode::SERVICE_UNAVAILABLE, &rejection.to_string());
-                let used = Used { retries: 0, stop: Some(rejection.stop()) };
+                let used = RetryUsage { retries: 0, stop: Some(rejection.stop_reason()) };
                 self.add_budget_fields(&mut response, Some(used), true);
                 Err(Box::new(response))
             }
@@ -128,14 +128,19 @@
 
     /// Adds fields that report the usage of a budget and, where it is certain, that nothing ran: the tier above may
     /// then retry elsewhere.
-    pub(super) fn add_budget_fields(&self, response: &mut Response, used: Option<Used>, nothing_ran: bool) {
+    pub(super) fn add_budget_fields(
+        &self,
+        response: &mut Response,
+        used: Option<RetryUsage>,
+        nothing_ran: bool,
+    ) {
         let Some(budgets) = &self.budgets else { return };
         if nothing_ran {
             response.headers_mut().insert(DECLINED, HeaderValue::from_static("1"));
         }
         let name = HeaderName::try_from(&budgets.names.used);
         if let (Some(used), Ok(name)) = (used, name) {
-            if let Ok(value) = HeaderValue::try_from(write_used(used)) {
+            if let Ok(value) = HeaderValue::try_from(format_usage(used)) {
                 response.headers_mut().insert(name, value);
             }
         }
--- a/crates/herondock/src/request_budgets.rs
+++ b/crates/herondock/src/request_budgets.rs
@@ -4,7 +4,7 @@
 use config::request_budget::{BudgetTable, FieldNames};
 use request_budget::log_throttle::LogThrottle;
 use request_budget::path::{HopMarker, Path};
-use request_budget::{Bounds, Budget, BudgetRejection, IncomingFields};
+use request_budget::{Budget, BudgetLimits, BudgetRejection, IncomingFields};
 use std::cell::RefCell;
 use std::fs::File;
 use std::io::Read;
@@ -35,7 +35,7 @@
 
 /// Policy for request budgets, where the operator's file enables them.
 pub struct BudgetPolicy {
-    bounds: Bounds,
+    limits: BudgetLimits,
     hop_marker: HopMarker,
     /// Names of the fields that carry budgets.
     pub names: Rc<FieldNames>,
@@ -62,7 +62,11 @@
                 .map_err(read_error)?;
         }
         Ok(Some(Rc::new(BudgetPolicy {
-            bounds: Bounds { retries: table.retries, hops: table.hops, repeat_worth: table.repeat_worth },
+            limits: BudgetLimits {
+                max_retries: table.retries,
+                max_hops: table.hops,
+                retry_worth: table.repeat_worth,
+            },
             hop_marker: HopMarker::new(secret.trim_ascii(), &pool),
             names: Rc::new(table.names.clone()),
             trust_http: table.trust_http,
@@ -72,8 +76,8 @@
         })))
     }
 
-    /// Returns the budget of a request, given every value of the budget field and of the path field. `patience`: how
-    /// long the client waits, in milliseconds; `repeated`: whether the request is a retry by its client.
+    /// Returns the budget of a request, given every value of the budget field and of the path field. `timeout_ms`: how
+    /// long the client waits, in milliseconds; `is_retry`: whether the request is a retry by its client.
     ///
     /// # Errors
     /// The reason why the request is rejected. Loops are logged with the last hop that they came from, at a limited
@@ -82,18 +86,18 @@
         &self,
         front: FrontKind,
         (budget, path): (&[&[u8]], &[&[u8]]),
-        patience: f64,
-        repeated: bool,
+        timeout_ms: f64,
+        is_retry: bool,
     ) -> Result<CarriedBudget, BudgetRejection> {
-        let trusted = match front {
+        let is_trusted = match front {
             FrontKind::Http => self.trust_http,
             FrontKind::FastCgi => self.trust_fastcgi,
         };
-        let incoming = IncomingFields { budget, path, patience, repeated, trusted };
-        match Budget::of(&incoming, &self.bounds, &self.hop_marker) {
+        let incoming = IncomingFields { budget, path, timeout_ms, is_retry, is_trusted };
+        match Budget::from_fields(&incoming, &self.limits, &self.hop_marker) {
             Ok(budget) => Ok(CarriedBudget { budget, names: self.names.clone() }),
             Err(BudgetRejection::Refused(reason)) => {
-                let cause = format!("{reason}; it came from {}", Path::last(path));
+                let cause = format!("{reason}; it came from {}", Path::previous_hop(path));
                 let now = self.start.elapsed().as_secs_f64() * 1000.0;
                 if let Some(count) = self.log_throttle.borrow_mut().record(&cause, now) {
                     info!("refused: {cause} ({count} times)");
