--- a/crates/data-plane/balancer/src/interface.rs
+++ b/crates/data-plane/balancer/src/interface.rs
@@ -100,8 +100,8 @@
     pub ramp_time: Millis,
     /// Multiple of its current capacity above which a cold upstream falls over.
     pub tip_multiple: f64,
-    /// Whether upstreams also shed work that they had begun, so that [`Ending::Full`] does not prove that an attempt
-    /// never ran.
+    /// Whether upstreams also shed work that they had begun, so that [`AttemptOutcome::Declined`] does not prove
+    /// that an attempt never ran.
     pub late_shedding: bool,
     /// Price of one zone crossing per first attempt, as a fraction of a request's worth.
     pub cross_zone_price: f64,
@@ -150,12 +150,12 @@
     /// Name of the invalid field.
     pub field: &'static str,
     /// Requirement that the field must meet.
-    pub must: &'static str,
+    pub requirement: &'static str,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "setting {} must be {}", self.field, self.must)
+        write!(f, "setting {} must be {}", self.field, self.requirement)
     }
 }
 
@@ -167,7 +167,13 @@
     /// # Errors
     /// Returns the first field that is out of bounds.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let require = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
+        let require = |ok: bool, field, requirement| {
+            if ok {
+                Ok(())
+            } else {
+                Err(SettingsError { field, requirement })
+            }
+        };
         // Far beyond any practical value, and small enough that the product of two stays finite.
         let in_bounds = |v: f64| (0.0..=1e15).contains(&v);
         require(self.balancers >= 1, "balancers", "at least 1")?;
@@ -233,7 +239,7 @@
     /// Whether the upstream takes new work.
     pub availability: Availability,
     /// Time at which its process last started; zero: long ago.
-    pub since: Millis,
+    pub started_at: Millis,
 }
 
 /// Update of the list of upstreams.
@@ -251,14 +257,14 @@
 
 /// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Answered successfully.
     Ok,
     /// Answered with an error; the attempt may have run.
     Error,
     /// Declined because the upstream is full or draining; the attempt never ran unless [`Settings::late_shedding`] is
     /// set.
-    Full,
+    Declined,
     /// No answer before the timeout; the attempt may have run or may still run.
     Timeout,
     /// No connection could be established; the attempt never ran.
@@ -268,15 +274,15 @@
     /// Cancelled; the attempt may have run.
     Cancelled,
     /// Not sent at all; the attempt never ran.
-    Moot,
+    NotSent,
     /// Unknown outcome; treated as an attempt that may have run.
     Unknown,
 }
 
-impl Ending {
-    /// Whether this outcome proves that the attempt never ran; for `Full`, see [`Settings::late_shedding`].
+impl AttemptOutcome {
+    /// Whether this outcome proves that the attempt never ran; for `Declined`, see [`Settings::late_shedding`].
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
+        matches!(self, AttemptOutcome::Declined | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
@@ -299,7 +305,7 @@
 
 impl Request {
     /// Creates a request of full worth whose retries only the settings limit.
-    pub fn plain(id: RequestId, class: usize, tenant: usize, deadline: Millis) -> Request {
+    pub fn with_full_worth(id: RequestId, class: usize, tenant: usize, deadline: Millis) -> Request {
         Request { id, class, tenant, deadline, retries: u32::MAX, worth: 1.0 }
     }
 }
@@ -307,13 +313,13 @@
 /// State that an instance has learned about its next tier and its tenants, for a successor. It contains nothing about
 /// single upstreams: their health is learned anew.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// Learned capacity, in requests per cycle.
     pub capacity: f64,
     /// Recent peak of admitted requests per cycle.
-    pub peak: f64,
+    pub peak_admitted: f64,
     /// Mean time of an unqueued answer.
-    pub unloaded: Millis,
+    pub unloaded_latency: Millis,
     /// Demand of each tenant in requests per cycle, with the entry for unlisted tenants last.
     pub demands: Vec<f64>,
 }
@@ -333,24 +339,24 @@
         attempt: u32,
     },
     /// The number of retries that a request may still use has changed. This replaces any earlier number.
-    Left {
+    RetriesLeft {
         /// Id of the request.
         request: RequestId,
         /// Number of retries left.
         retries: u32,
     },
     /// An attempt ended. There is exactly one such event for each [`Action::Send`].
-    Outcome {
+    AttemptEnded {
         /// Id of the request.
         request: RequestId,
         /// Number of the attempt, counted from zero in the order of sending.
         attempt: u32,
         /// Outcome of the attempt.
-        ending: Ending,
+        ending: AttemptOutcome,
         /// Time since the attempt was sent; finite.
         duration: Millis,
         /// Whether the request has its final answer, by this outcome or an earlier one.
-        closed: bool,
+        request_finished: bool,
     },
     /// The client disconnected or its deadline passed; no answer is needed any more.
     ClientGone(RequestId),
--- a/crates/data-plane/balancer/src/policy/admission.rs
+++ b/crates/data-plane/balancer/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: the learned capacity of the next tier, and the tenants' limits within it.
-use super::limits::limits;
+use super::limits::tenant_limits;
 use super::{mean_objective, CYCLE};
-use crate::interface::{Learned, Millis, Settings, Tenant};
+use crate::interface::{LearnedState, Millis, Settings, Tenant};
 
 /// Fraction of a tenant's default limit that is never lent (as published).
 const RESERVED_FRACTION: f64 = 0.1;
@@ -149,21 +149,30 @@
         }
     }
 
-    pub(super) fn learned(&self) -> Learned {
+    pub(super) fn learned(&self) -> LearnedState {
         let demands = self.tenants.iter().map(|t| t.demand).collect();
-        Learned { capacity: self.capacity, peak: self.peak, unloaded: self.unloaded_latency, demands }
+        LearnedState {
+            capacity: self.capacity,
+            peak_admitted: self.peak,
+            unloaded_latency: self.unloaded_latency,
+            demands,
+        }
     }
 
     /// Restores the state that another instance learned. Ignores it if any value is implausible.
-    pub(super) fn recall(&mut self, learned: &Learned, now: Millis) {
-        let Learned { capacity, peak, unloaded, demands } = learned;
+    pub(super) fn recall(&mut self, learned: &LearnedState, now: Millis) {
+        let LearnedState { capacity, peak_admitted, unloaded_latency, demands } = learned;
         let is_plausible = |v: &f64| (0.0..=1e9).contains(v);
-        let values = [capacity, peak, unloaded].into_iter().chain(demands);
-        if !values.into_iter().all(is_plausible) || demands.len() != self.tenants.len() || *unloaded <= 0.0 {
+        let values = [capacity, peak_admitted, unloaded_latency].into_iter().chain(demands);
+        if !values.into_iter().all(is_plausible)
+            || demands.len() != self.tenants.len()
+            || *unloaded_latency <= 0.0
+        {
             return;
         }
-        (self.peak, self.mean_admitted, self.unloaded_latency) = (*peak, demands.iter().sum(), *unloaded);
-        self.capacity = capacity.min(peak * MAX_CAPACITY_TO_PEAK + 1.0).max(self.min_capacity());
+        (self.peak, self.mean_admitted, self.unloaded_latency) =
+            (*peak_admitted, demands.iter().sum(), *unloaded_latency);
+        self.capacity = capacity.min(peak_admitted * MAX_CAPACITY_TO_PEAK + 1.0).max(self.min_capacity());
         for (tenant, &demand) in self.tenants.iter_mut().zip(demands) {
             (tenant.demand, tenant.is_active) = (demand, demand > 0.0);
         }
@@ -252,7 +261,7 @@
         let demands: Vec<f64> =
             active.iter().map(|&i| self.tenants[i].demand).map(|d| d + d.sqrt()).collect();
         let weights: Vec<f64> = active.iter().map(|&i| self.tenants[i].weight).collect();
-        let new_limits = limits(self.capacity, &demands, &weights, RESERVED_FRACTION);
+        let new_limits = tenant_limits(self.capacity, &demands, &weights, RESERVED_FRACTION);
         for (&i, limit) in active.iter().zip(new_limits) {
             let state = &mut self.tenants[i];
             state.admitted = (state.admitted - state.limit * elapsed).clamp(-BURST_CYCLES * limit, limit);
--- a/crates/data-plane/balancer/src/policy/endpoints.rs
+++ b/crates/data-plane/balancer/src/policy/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoint membership and health: which upstreams are listed, warm, silent or ejected, and the subset in use.
 use super::random::uniform;
 use super::{mean_objective, CYCLE};
-use crate::interface::{Availability, Ending, Member, Membership, Millis, Settings, UpstreamId};
+use crate::interface::{AttemptOutcome, Availability, Member, Membership, Millis, Settings, UpstreamId};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -169,7 +169,7 @@
                 Upstream { member, relative_latency: 1.0, ..defaults }
             };
             if let Some(&slot) = self.by_id.get(&member.id) {
-                if self.slots[slot].member.since != member.since {
+                if self.slots[slot].member.started_at != member.started_at {
                     // The upstream restarted under its old id: it is cold, and its former failures no longer count.
                     let inflight = self.slots[slot].inflight;
                     self.slots[slot] =
@@ -249,8 +249,8 @@
 
     /// Returns the fraction of its full capacity that an upstream is certain to have now.
     pub(super) fn warmth(&self, slot: usize, settings: &Settings, now: Millis) -> f64 {
-        let age = now - self.slots[slot].member.since;
-        if self.slots[slot].member.since <= 0.0 || age >= settings.ramp_time {
+        let age = now - self.slots[slot].member.started_at;
+        if self.slots[slot].member.started_at <= 0.0 || age >= settings.ramp_time {
             return 1.0;
         }
         (settings.cold_from + (1.0 - settings.cold_from) * age.max(0.0) / settings.ramp_time).min(1.0)
@@ -311,18 +311,18 @@
     pub(super) fn record_end(
         &mut self,
         (slot, idle_bucket): (usize, usize),
-        ending: Ending,
+        ending: AttemptOutcome,
         duration: Millis,
         now: Millis,
         rng: &mut Pcg64Mcg,
     ) -> bool {
-        let is_hung = ending == Ending::Timeout && self.is_silent(slot, now);
+        let is_hung = ending == AttemptOutcome::Timeout && self.is_silent(slot, now);
         // An attempt that was reset as late as answers usually come had been received: its connection had not been
         // dropped while idle.
-        let lost =
-            ending == Ending::Timeout || (ending == Ending::Reset && duration < self.mean_latency / 2.0);
-        let aborted = matches!(ending, Ending::Cancelled | Ending::ConnectFailed);
-        if !aborted && ending != Ending::Moot {
+        let lost = ending == AttemptOutcome::Timeout
+            || (ending == AttemptOutcome::Reset && duration < self.mean_latency / 2.0);
+        let aborted = matches!(ending, AttemptOutcome::Cancelled | AttemptOutcome::ConnectFailed);
+        if !aborted && ending != AttemptOutcome::NotSent {
             self.record_loss(idle_bucket, lost);
         }
         let upstream = &mut self.slots[slot];
@@ -330,18 +330,18 @@
             if upstream.inflight >= upstream.connections { now } else { upstream.idle_since };
         // A connection whose attempt got no answer is not reused.
         upstream.connections -=
-            upstream.connections.min(u32::from(lost || aborted || ending == Ending::Reset));
+            upstream.connections.min(u32::from(lost || aborted || ending == AttemptOutcome::Reset));
         upstream.inflight = upstream.inflight.saturating_sub(1);
         upstream.last_used = now;
-        if matches!(ending, Ending::Cancelled | Ending::Moot) {
+        if matches!(ending, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
             return false;
         }
-        let failed = ending != Ending::Ok;
-        upstream.silent_since = if ending == Ending::Timeout { upstream.silent_since } else { now };
+        let failed = ending != AttemptOutcome::Ok;
+        upstream.silent_since = if ending == AttemptOutcome::Timeout { upstream.silent_since } else { now };
         let effective_duration = if failed { duration.max(2.0 * self.mean_latency) } else { duration };
         upstream.relative_latency += RELATIVE_LATENCY_GAIN
             * (effective_duration / self.mean_latency.max(1.0) - upstream.relative_latency);
-        if ending == Ending::Ok {
+        if ending == AttemptOutcome::Ok {
             self.latency_deviation += 0.05 * ((duration - self.mean_latency).abs() - self.latency_deviation);
             self.mean_latency += 0.05 * (duration - self.mean_latency);
         }
--- a/crates/data-plane/balancer/src/policy/limits.rs
+++ b/crates/data-plane/balancer/src/policy/limits.rs
@@ -5,7 +5,7 @@
 ///
 /// `weights` are the relative shares of the tenants in the capacity (equal in the published rule). The limits are never
 /// negative, and their sum does not exceed `capacity` except for rounding.
-pub fn limits(capacity: f64, demands: &[f64], weights: &[f64], reservation: f64) -> Vec<f64> {
+pub fn tenant_limits(capacity: f64, demands: &[f64], weights: &[f64], reservation: f64) -> Vec<f64> {
     let total: f64 = weights.iter().sum();
     let weight_share = |w: f64| if total > 0.0 { w / total } else { 1.0 / weights.len() as f64 };
     let proportion = |of: f64, total: f64| if total > 0.0 { of / total } else { 0.0 };
--- a/crates/data-plane/balancer/src/policy/mod.rs
+++ b/crates/data-plane/balancer/src/policy/mod.rs
@@ -13,7 +13,7 @@
 mod retries;
 
 use crate::interface::{
-    Action, Event, Learned, Membership, Millis, RequestId, Settings, SettingsError, UpstreamId,
+    Action, Event, LearnedState, Membership, Millis, RequestId, Settings, SettingsError, UpstreamId,
 };
 use admission::{Admission, MAX_SAVED_RETRIES, MIN_SUCCESS};
 use deadline_admission::FastestAnswers;
@@ -24,7 +24,7 @@
 use retries::PendingRequest;
 use std::collections::BTreeMap;
 
-pub use limits::limits;
+pub use limits::tenant_limits;
 
 /// Length of an admission cycle, in milliseconds. The published 10 s is too slow for a capacity that is learned
 /// instead of benchmarked.
@@ -81,23 +81,23 @@
     }
 
     /// Returns the number of requests that still have state: unanswered, or with an attempt in flight.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.pending.len()
     }
 
     /// Returns the upstreams that are ejected at time `now` because their attempts fail.
-    pub fn ejected(&self, now: Millis) -> impl Iterator<Item = UpstreamId> + '_ {
+    pub fn ejected_upstreams(&self, now: Millis) -> impl Iterator<Item = UpstreamId> + '_ {
         self.endpoints.ejected(now)
     }
 
     /// Returns the learned capacity, answer time and tenant demands.
-    pub fn learned(&self) -> Learned {
+    pub fn learned_state(&self) -> LearnedState {
         self.admission.learned()
     }
 
     /// Starts from the state that another instance learned. Call it before the first event. Learned state with
     /// implausible values is ignored.
-    pub fn recall(&mut self, learned: &Learned, now: Millis) {
+    pub fn restore_learned_state(&mut self, learned: &LearnedState, now: Millis) {
         self.admission.recall(learned, now);
         self.endpoints.resize_subset(&self.settings, self.admission.mean_admitted);
     }
@@ -132,10 +132,10 @@
                 self.endpoints.apply(update, &self.settings, now, &mut self.rng);
             }
             Event::Request(request) => self.handle_request(now, request, actions),
-            Event::Outcome { request, attempt, ending, duration, closed } => {
-                self.handle_outcome(now, request, attempt, (ending, duration, closed), actions);
+            Event::AttemptEnded { request, attempt, ending, duration, request_finished } => {
+                self.handle_outcome(now, request, attempt, (ending, duration, request_finished), actions);
             }
-            Event::Left { request, retries } => {
+            Event::RetriesLeft { request, retries } => {
                 if let Some(pending) = self.pending.get_mut(&request) {
                     pending.max_attempts = pending.sent_attempts.saturating_add(retries);
                 }
--- a/crates/data-plane/balancer/src/policy/retries.rs
+++ b/crates/data-plane/balancer/src/policy/retries.rs
@@ -3,7 +3,7 @@
 use super::endpoint_selection::SelectionRequest;
 use super::random::uniform;
 use super::{Balancer, CYCLE};
-use crate::interface::{Action, DedupScope, Effect, Ending, Millis, Request, RequestId};
+use crate::interface::{Action, AttemptOutcome, DedupScope, Effect, Millis, Request, RequestId};
 
 /// Number of mean deviations that are added to the usual answer time for the timeout of an attempt that may be retried.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
@@ -227,14 +227,15 @@
         now: Millis,
         id: RequestId,
         attempt: u32,
-        (ending, duration, closed): (Ending, Millis, bool),
+        (ending, duration, request_finished): (AttemptOutcome, Millis, bool),
         actions: &mut Vec<Action>,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let Some(position) = pending.in_flight.iter().position(|&(n, ..)| n == attempt) else { return };
         let (_, slot, _, idle_bucket) = pending.in_flight.swap_remove(position);
-        // Where upstreams also shed work that they had begun, `Full` does not prove that the attempt never ran.
-        let never_ran = ending.never_ran() && !(ending == Ending::Full && self.settings.late_shedding);
+        // Where upstreams also shed work that they had begun, `Declined` does not prove that the attempt never ran.
+        let never_ran =
+            ending.never_ran() && !(ending == AttemptOutcome::Declined && self.settings.late_shedding);
         if never_ran
             && pending.in_flight.is_empty()
             && pending.may_have_run.is_some_and(|(n, ..)| n == attempt)
@@ -242,18 +243,18 @@
             pending.may_have_run = None;
         }
         let (class, tenant) = (pending.class, pending.tenant);
-        pending.finished |= closed;
+        pending.finished |= request_finished;
         let (finished, has_in_flight) = (pending.finished, !pending.in_flight.is_empty());
         self.admission.inflight -= 1.0;
         let own_failure =
             self.endpoints.record_end((slot, idle_bucket), ending, duration, now, &mut self.rng);
         self.endpoints.free_if_gone(slot);
-        if ending == Ending::Ok {
+        if ending == AttemptOutcome::Ok {
             self.fastest_answers.record_answer(class, duration);
         }
         let lateness = match ending {
-            Ending::Ok => Some(lateness(duration / self.settings.classes[class].objective)),
-            Ending::Cancelled | Ending::Moot => None,
+            AttemptOutcome::Ok => Some(lateness(duration / self.settings.classes[class].objective)),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => None,
             // Failures that are the upstream's or the connection's own do not count against capacity.
             _ if own_failure || self.endpoints.is_dropped(idle_bucket) => None,
             _ => Some(MAX_LATENESS),
@@ -265,7 +266,7 @@
             self.pending.remove(&id);
         } else if !finished && !has_in_flight {
             let has_budget = self.retry_budget >= 1.0 && self.admission.may_retry(tenant);
-            if ending != Ending::Ok && has_budget && self.send_attempt(now, id, actions) {
+            if ending != AttemptOutcome::Ok && has_budget && self.send_attempt(now, id, actions) {
                 self.retry_budget -= 1.0;
                 self.admission.take_retry(tenant);
             } else {
--- a/crates/data-plane/balancer/tests/budgets.rs
+++ b/crates/data-plane/balancer/tests/budgets.rs
@@ -20,7 +20,7 @@
     let request = RequestId(id);
     let deadline = harness.now + 2000.0;
     let mut actions = Vec::new();
-    let new_request = Request { retries, ..Request::plain(request, 0, 0, deadline) };
+    let new_request = Request { retries, ..Request::with_full_worth(request, 0, 0, deadline) };
     harness.balancer.handle(harness.now, Event::Request(new_request), &mut actions);
     let mut sent = sends(&actions);
     for attempt in 0.. {
@@ -28,12 +28,13 @@
             return sent;
         }
         if let Some(retries) = left {
-            harness.balancer.handle(harness.now, Event::Left { request, retries }, &mut actions);
+            harness.balancer.handle(harness.now, Event::RetriesLeft { request, retries }, &mut actions);
         }
         actions.clear();
         let number = u32::try_from(attempt).expect("a small number");
-        let (ending, duration) = (Ending::Error, 1.0);
-        let event = Event::Outcome { request, attempt: number, ending, duration, closed: false };
+        let (ending, duration) = (AttemptOutcome::Error, 1.0);
+        let event =
+            Event::AttemptEnded { request, attempt: number, ending, duration, request_finished: false };
         harness.balancer.handle(harness.now, event, &mut actions);
         sent += sends(&actions);
     }
@@ -80,7 +81,8 @@
     // The load is far above capacity, with requests of both worths in turn, and no attempt ends.
     for id in 0..400 {
         let worth = if id % 2 == 0 { 1.0 } else { 0.25 };
-        let request = Request { worth, ..Request::plain(RequestId(id), 0, 0, harness.now + 2000.0) };
+        let request =
+            Request { worth, ..Request::with_full_worth(RequestId(id), 0, 0, harness.now + 2000.0) };
         let mut actions = Vec::new();
         harness.balancer.handle(harness.now, Event::Request(request), &mut actions);
         let passed = u32::from(!refused(&actions));
@@ -107,12 +109,13 @@
     let mut send_request = |harness: &mut Harness, id: u32, time_left: f64, elapsed: f64| {
         actions.clear();
         let request = RequestId(id);
-        let event = Event::Request(Request::plain(request, 0, 0, harness.now + time_left));
+        let event = Event::Request(Request::with_full_worth(request, 0, 0, harness.now + time_left));
         harness.balancer.handle(harness.now, event, &mut actions);
         let sent = sends(&actions) > 0;
         if sent {
-            let (attempt, ending) = (0, Ending::Ok);
-            let event = Event::Outcome { request, attempt, ending, duration: elapsed, closed: true };
+            let (attempt, ending) = (0, AttemptOutcome::Ok);
+            let event =
+                Event::AttemptEnded { request, attempt, ending, duration: elapsed, request_finished: true };
             harness.balancer.handle(harness.now, event, &mut actions);
         }
         harness.now += 20.0;
--- a/crates/data-plane/balancer/tests/common/mod.rs
+++ b/crates/data-plane/balancer/tests/common/mod.rs
@@ -10,7 +10,7 @@
         kind: 0,
         group: (id % 3) as u16,
         availability: Availability::Ready,
-        since: 0.0,
+        started_at: 0.0,
     }
 }
 
@@ -30,7 +30,7 @@
     /// Time at which each attempt times out.
     pub times_out_at: Vec<f64>,
     /// Outcome of each attempt (`None`: in flight).
-    pub outcomes: Vec<Option<Ending>>,
+    pub outcomes: Vec<Option<AttemptOutcome>>,
     pub answered: bool,
 }
 
@@ -44,15 +44,15 @@
     pub timers: Vec<(f64, u32)>,
     pub log: Vec<Action>,
     /// Scheduled outcomes: time, request, attempt, outcome.
-    pub scheduled: Vec<(f64, u32, usize, Ending)>,
+    pub scheduled: Vec<(f64, u32, usize, AttemptOutcome)>,
 }
 
 impl Harness {
     /// Whether this outcome of an attempt proves that it never ran.
-    fn proves_never_ran(&self, ending: Option<Ending>) -> bool {
+    fn proves_never_ran(&self, ending: Option<AttemptOutcome>) -> bool {
         match ending {
-            Some(Ending::Full) => !self.settings.late_shedding,
-            Some(Ending::ConnectFailed | Ending::Moot) => true,
+            Some(AttemptOutcome::Declined) => !self.settings.late_shedding,
+            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent) => true,
             _ => false,
         }
     }
@@ -94,18 +94,24 @@
         let (sends, times_out_at, outcomes) = (Vec::new(), Vec::new(), Vec::new());
         let record = RequestRecord { class, deadline, sends, times_out_at, outcomes, answered: false };
         self.requests.insert(id, record);
-        self.event(Event::Request(Request::plain(id, class, tenant, deadline)))
+        self.event(Event::Request(Request::with_full_worth(id, class, tenant, deadline)))
     }
 
     /// Reports the outcome of an attempt and returns the balancer's actions.
-    pub fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
+    pub fn outcome(&mut self, id: u32, attempt: usize, ending: AttemptOutcome) -> Vec<Action> {
         let request = RequestId(id);
         let record = self.requests.get_mut(&request).expect("a known request");
         record.outcomes[attempt] = Some(ending);
-        record.answered |= ending == Ending::Ok;
+        record.answered |= ending == AttemptOutcome::Ok;
         let duration = self.now - record.sends[attempt].1;
-        let closed = record.answered;
-        self.event(Event::Outcome { request, attempt: attempt as u32, ending, duration, closed })
+        let request_finished = record.answered;
+        self.event(Event::AttemptEnded {
+            request,
+            attempt: attempt as u32,
+            ending,
+            duration,
+            request_finished,
+        })
     }
 
     /// Reports that the client of a request is gone and returns the balancer's actions.
@@ -121,7 +127,7 @@
         span: f64,
         per_s: f64,
         tenants: &[usize],
-        server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>,
+        server: &dyn Fn(UpstreamId) -> Option<(AttemptOutcome, f64)>,
     ) {
         let until = self.now + span;
         while self.now < until {
@@ -145,7 +151,7 @@
     }
 
     /// Schedules the outcome of the latest attempt of a request.
-    fn schedule_outcome(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
+    fn schedule_outcome(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(AttemptOutcome, f64)>) {
         let record = &self.requests[&RequestId(id)];
         let Some(&(upstream, _)) = record.sends.last() else { return };
         let attempt = record.sends.len() - 1;
@@ -186,7 +192,7 @@
             self.now = time;
             match request {
                 Some(id) => {
-                    self.outcome(id.0, token as usize, Ending::Timeout);
+                    self.outcome(id.0, token as usize, AttemptOutcome::Timeout);
                     let record = &self.requests[&id];
                     assert!(
                         time < record.deadline || record.answered || record.outcomes.contains(&None),
--- a/crates/data-plane/balancer/tests/failures.rs
+++ b/crates/data-plane/balancer/tests/failures.rs
@@ -5,12 +5,12 @@
 use common::*;
 use std::collections::BTreeMap;
 
-fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
-    Some((Ending::Ok, 50.0))
+fn fast(_: UpstreamId) -> Option<(AttemptOutcome, f64)> {
+    Some((AttemptOutcome::Ok, 50.0))
 }
 
-fn slow(_: UpstreamId) -> Option<(Ending, f64)> {
-    Some((Ending::Ok, 900.0))
+fn slow(_: UpstreamId) -> Option<(AttemptOutcome, f64)> {
+    Some((AttemptOutcome::Ok, 900.0))
 }
 
 fn harness_with(settings: Settings, upstreams: u64) -> Harness {
@@ -26,7 +26,7 @@
 fn tenant_over_its_limit_is_refused_and_tenant_within_its_share_is_not() {
     let mut harness = harness_with(shared(&[0.6, 0.4]), 4);
     // Tenant 0 sends nine times as many requests as tenant 1. Answers come late, so that capacity is short.
-    harness.traffic(20_000.0, 150.0, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1], &|_| Some((Ending::Ok, 232.0)));
+    harness.traffic(20_000.0, 150.0, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1], &|_| Some((AttemptOutcome::Ok, 232.0)));
     let share = |tenant: usize| {
         let of_tenant = |id: &RequestId| usize::from(id.0 % 10 == 9) == tenant;
         let tenant_requests =
@@ -67,7 +67,9 @@
 #[test]
 fn fast_failing_upstream_does_not_win_every_comparison() {
     let mut harness = harness_with(shared(&[1.0]), 6);
-    let server = |id| Some(if id == UpstreamId(2) { (Ending::Error, 2.0) } else { (Ending::Ok, 120.0) });
+    let server = |id| {
+        Some(if id == UpstreamId(2) { (AttemptOutcome::Error, 2.0) } else { (AttemptOutcome::Ok, 120.0) })
+    };
     harness.traffic(10_000.0, 60.0, &[0], &server);
     let (sent, to) = harness.attempts_since(3000.0);
     let failing = to.get(&UpstreamId(2)).copied().unwrap_or(0);
@@ -78,7 +80,7 @@
 #[test]
 fn hung_upstream_is_avoided_and_does_not_lower_capacity() {
     let mut harness = harness_with(shared(&[1.0]), 6);
-    let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
+    let server = |id| (id != UpstreamId(2)).then_some((AttemptOutcome::Ok, 40.0));
     harness.traffic(20_000.0, 60.0, &[0], &server);
     let (sent, to) = harness.attempts_since(4000.0);
     let hung = to.get(&UpstreamId(2)).copied().unwrap_or(0);
@@ -92,7 +94,7 @@
     let members = (1..=12).map(|id| Member { zone: (id % 3) as u16, ..member(id) }).collect();
     let mut harness = Harness::new(shared(&[1.0]), 4, members);
     let server = |id: UpstreamId| {
-        Some(if id.0 % 3 == 2 { (Ending::ConnectFailed, 100.0) } else { (Ending::Ok, 50.0) })
+        Some(if id.0 % 3 == 2 { (AttemptOutcome::ConnectFailed, 100.0) } else { (AttemptOutcome::Ok, 50.0) })
     };
     harness.traffic(12_000.0, 60.0, &[0], &server);
     let (sent, to) = harness.attempts_since(4000.0);
@@ -147,7 +149,7 @@
                     // No answer arrives, and the connection is lost as well.
                     open.remove(&upstream);
                 } else {
-                    harness.outcome(id, 0, Ending::Ok);
+                    harness.outcome(id, 0, AttemptOutcome::Ok);
                 }
             }
             _ => {}
@@ -190,7 +192,7 @@
 #[test]
 fn lost_attempts_are_retried_in_time() {
     let mut harness = harness_with(shared(&[1.0]), 6);
-    let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
+    let server = |id| (id != UpstreamId(2)).then_some((AttemptOutcome::Ok, 40.0));
     harness.traffic(20_000.0, 30.0, &[0], &server);
     let mut retried = harness.requests.values().filter(|s| s.sends.len() > 1);
     // At the end of the objective, after 490 ms, the retry would come too late.
@@ -202,9 +204,9 @@
 fn upstream_without_an_answer_for_long_is_avoided_before_a_timeout() {
     let class = Class { late_worth: 0.5, ..class(Effect::SingleShot) };
     let mut harness = harness_with(Settings { classes: vec![class], ..shared(&[1.0]) }, 3);
-    harness.traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    harness.traffic(3000.0, 60.0, &[0], &|_| Some((AttemptOutcome::Ok, 50.0)));
     let from = harness.now;
-    let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 150.0));
+    let server = |id| (id != UpstreamId(2)).then_some((AttemptOutcome::Ok, 150.0));
     harness.traffic(1800.0, 40.0, &[0], &server);
     let late = harness
         .requests
@@ -229,11 +231,11 @@
     let mut elsewhere = 0;
     for id in 0..40 {
         harness.request(id, 0, 0);
-        harness.outcome(id, 0, if id % 2 == 0 { Ending::Reset } else { Ending::Ok });
+        harness.outcome(id, 0, if id % 2 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
         let sends = harness.requests[&RequestId(id)].sends.clone();
         if let [first, again] = sends[..] {
             elsewhere += u32::from(first.0 != again.0);
-            harness.outcome(id, 1, Ending::Ok);
+            harness.outcome(id, 1, AttemptOutcome::Ok);
         }
         harness.advance(500.0);
     }
@@ -245,7 +247,8 @@
 #[test]
 fn faster_upstream_is_selected_at_equal_attempts_in_flight() {
     let mut harness = harness_with(shared(&[1.0]), 6);
-    let server = |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
+    let server =
+        |id: UpstreamId| Some((AttemptOutcome::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
     harness.traffic(20_000.0, 20.0, &[0], &server);
     let (sent, to) = harness.attempts_since(5000.0);
     let slow: usize = to.iter().filter(|(id, _)| id.0 % 2 == 0).map(|(_, n)| n).sum();
@@ -259,9 +262,9 @@
 fn failures_of_most_upstreams_cut_capacity_below_the_quotas_instead_of_ejecting() {
     let mut harness = harness_with(shared(&[1.0]), 6);
     harness.traffic(5000.0, 60.0, &[0], &fast);
-    harness.traffic(10_000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    harness.traffic(10_000.0, 60.0, &[0], &|_| Some((AttemptOutcome::Error, 5.0)));
     let from = harness.now;
-    harness.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    harness.traffic(5000.0, 60.0, &[0], &|_| Some((AttemptOutcome::Error, 5.0)));
     let (sent, _) = harness.attempts_since(from);
     assert!(sent < 150, "{sent} of 300 requests were sent although nearly all fail");
     assert!(sent > 0, "some requests are still sent, to learn from");
@@ -274,7 +277,7 @@
 #[test]
 fn capacity_accounts_for_slow_answers() {
     let mut harness = harness_with(shared(&[1.0]), 8);
-    let server = |id: UpstreamId| Some((Ending::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
+    let server = |id: UpstreamId| Some((AttemptOutcome::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
     let class = Class { objective: 1000.0, deadline: 3000.0, late_worth: 0.5, ..class(Effect::Free) };
     harness =
         Harness::new(Settings { classes: vec![class], ..harness.settings }, 4, (1..=8).map(member).collect());
@@ -289,7 +292,7 @@
     let admitted = |ready: u64| {
         let mut harness = harness_with(shared(&[1.0]), 8);
         harness.update_list(Membership::Full((1..=ready).map(member).collect()));
-        harness.traffic(10_000.0, 120.0, &[0], &|_| Some((Ending::Ok, 420.0)));
+        harness.traffic(10_000.0, 120.0, &[0], &|_| Some((AttemptOutcome::Ok, 420.0)));
         harness.attempts_since(5000.0).0
     };
     let (all, half) = (admitted(8), admitted(4));
@@ -304,7 +307,7 @@
     let tenants = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2];
     harness.traffic(4000.0, 60.0, &tenants, &fast);
     let from = harness.now;
-    harness.traffic(10_000.0, 200.0, &tenants, &|_| Some((Ending::Ok, 190.0)));
+    harness.traffic(10_000.0, 200.0, &tenants, &|_| Some((AttemptOutcome::Ok, 190.0)));
     let passed = |of: &dyn Fn(u32) -> bool| {
         let requests: Vec<_> =
             harness.requests.iter().filter(|(id, s)| of(id.0 % 10) && s.deadline > from + 5000.0).collect();
@@ -335,7 +338,7 @@
         let mut harness = harness_with(Settings { stage, ..shared(&[1.0]) }, 4);
         for id in 0..60 {
             harness.request(id, 0, 0);
-            harness.outcome(id, 0, Ending::Ok);
+            harness.outcome(id, 0, AttemptOutcome::Ok);
         }
         let (sent, _) = harness.attempts_since(0.0);
         assert!(sent >= min_sent, "{sent} requests sent in tier {stage}");
@@ -369,7 +372,7 @@
 fn instance_with_little_traffic_keeps_few_connections_from_the_start() {
     let settings = Settings { balancers: 20, idle_close: 30_000.0, ..shared(&[1.0]) };
     let mut harness = Harness::new(settings, 4, (1..=100).map(member).collect());
-    harness.traffic(20_000.0, 3.0, &[0], &|_| Some((Ending::Ok, 200.0)));
+    harness.traffic(20_000.0, 3.0, &[0], &|_| Some((AttemptOutcome::Ok, 200.0)));
     let (sent, to) = harness.attempts_since(0.0);
     assert!(sent > 40 && to.len() <= 10, "{sent} requests used {} upstreams", to.len());
 }
@@ -381,7 +384,7 @@
     for id in 0..300 {
         harness.request(id, 0, 0);
         if !harness.requests[&RequestId(id)].sends.is_empty() {
-            harness.outcome(id, 0, Ending::Ok);
+            harness.outcome(id, 0, AttemptOutcome::Ok);
         }
     }
     assert!(harness.requests[&RequestId(299)].sends.is_empty(), "tenant 0 has used up the cycle's capacity");
@@ -394,7 +397,7 @@
 #[test]
 fn retries_stay_within_their_budget() {
     let mut harness = harness_with(shared(&[1.0]), 8);
-    harness.traffic(20_000.0, 40.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    harness.traffic(20_000.0, 40.0, &[0], &|_| Some((AttemptOutcome::Error, 5.0)));
     let (requests, to) = harness.attempts_since(0.0);
     let attempts: usize = to.values().sum();
     // A fifth of all requests, including refused ones, and the 10 retries saved at the start.
@@ -409,10 +412,10 @@
         harness.request(id, 0, 0);
         let record = &harness.requests[&RequestId(id)];
         assert!(!record.sends.is_empty(), "request {id} is sent");
-        harness.outcome(id, 0, Ending::Reset);
+        harness.outcome(id, 0, AttemptOutcome::Reset);
         if harness.requests[&RequestId(id)].outcomes.last() == Some(&None) {
             let last = harness.requests[&RequestId(id)].outcomes.len() - 1;
-            harness.outcome(id, last, Ending::Ok);
+            harness.outcome(id, last, AttemptOutcome::Ok);
         }
     }
 }
@@ -421,7 +424,7 @@
 #[test]
 fn stated_shares_set_the_defaults() {
     let mut harness = harness_with(shared(&[0.8, 0.2]), 4);
-    harness.traffic(12_000.0, 150.0, &[0, 1], &|_| Some((Ending::Ok, 232.0)));
+    harness.traffic(12_000.0, 150.0, &[0, 1], &|_| Some((AttemptOutcome::Ok, 232.0)));
     let sent = |odd: u32| {
         let of = |(id, s): &(&RequestId, &RequestRecord)| id.0 % 2 == odd && !s.sends.is_empty();
         harness.requests.iter().filter(of).count()
@@ -442,9 +445,9 @@
     for id in 0..400 {
         harness.request(id, 0, 0);
         harness.advance(100.0);
-        harness.outcome(id, 0, if id % 3 == 0 { Ending::Reset } else { Ending::Ok });
+        harness.outcome(id, 0, if id % 3 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
         if harness.requests[&RequestId(id)].sends.len() > 1 {
-            harness.outcome(id, 1, Ending::Ok);
+            harness.outcome(id, 1, AttemptOutcome::Ok);
         }
         harness.advance(100.0);
     }
@@ -457,7 +460,9 @@
 fn chance_failures_leave_most_upstreams_in_use() {
     let mut harness = harness_with(shared(&[1.0]), 4);
     harness.traffic(5000.0, 60.0, &[0], &fast);
-    harness.traffic(300.0, 60.0, &[0], &|id| Some((if id.0 < 4 { Ending::Reset } else { Ending::Ok }, 50.0)));
+    harness.traffic(300.0, 60.0, &[0], &|id| {
+        Some((if id.0 < 4 { AttemptOutcome::Reset } else { AttemptOutcome::Ok }, 50.0))
+    });
     harness.advance(100.0);
     let from = harness.now;
     harness.traffic(1000.0, 60.0, &[0], &fast);
@@ -471,8 +476,10 @@
 fn overload_does_not_raise_the_limit_on_attempts_in_flight() {
     let class = Class { late_worth: 0.5, ..class(Effect::Free) };
     let mut harness = harness_with(Settings { classes: vec![class], ..shared(&[1.0]) }, 4);
-    harness.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Ok, 150.0)));
-    harness.traffic(30_000.0, 60.0, &[0], &|id| Some((Ending::Ok, if id.0 == 4 { 600.0 } else { 400.0 })));
+    harness.traffic(5000.0, 60.0, &[0], &|_| Some((AttemptOutcome::Ok, 150.0)));
+    harness.traffic(30_000.0, 60.0, &[0], &|id| {
+        Some((AttemptOutcome::Ok, if id.0 == 4 { 600.0 } else { 400.0 }))
+    });
     harness.advance(2000.0);
     let from = harness.now;
     harness.traffic(900.0, 100.0, &[0], &|_| None);
--- a/crates/data-plane/balancer/tests/limits.rs
+++ b/crates/data-plane/balancer/tests/limits.rs
@@ -1,5 +1,5 @@
 //! The published rate limiting rule as a pure function: the published example, edge cases and invariants.
-use balancer::limits;
+use balancer::tenant_limits;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -14,7 +14,7 @@
 #[test]
 fn published_example() {
     let equal = [1.0; 4];
-    let next = |demands: &[f64]| limits(40.0, demands, &equal, 0.1);
+    let next = |demands: &[f64]| tenant_limits(40.0, demands, &equal, 0.1);
     // The first cycle has no demand yet, so that all capacity is split equally.
     assert_near(&next(&[0.0; 4]), &[10.0; 4]);
     assert_near(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
@@ -24,21 +24,25 @@
 
 #[test]
 fn edge_cases() {
-    assert_eq!(limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
+    assert_eq!(tenant_limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
     assert_eq!(
-        limits(12.0, &[50.0], &[1.0], 0.1),
+        tenant_limits(12.0, &[50.0], &[1.0], 0.1),
         [12.0],
         "a single tenant gets all capacity and can borrow from no other"
     );
-    assert_eq!(limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
+    assert_eq!(tenant_limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
     assert_eq!(
-        limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
+        tenant_limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
         [10.0; 3],
         "all tenants over their defaults get the defaults"
     );
-    assert_eq!(limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1), [5.0, 5.0], "zero shares are treated as equal");
-    assert!(limits(10.0, &[], &[], 0.1).is_empty());
-    let unequal = limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
+    assert_eq!(
+        tenant_limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1),
+        [5.0, 5.0],
+        "zero shares are treated as equal"
+    );
+    assert!(tenant_limits(10.0, &[], &[], 0.1).is_empty());
+    let unequal = tenant_limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
     assert_eq!(unequal, [95.0, 5.0], "stated shares set the defaults, and unused capacity is lent");
 }
 
@@ -51,7 +55,7 @@
         let capacity = draw(1000.0);
         let demands: Vec<f64> = (0..n).map(|_| draw(2.0).floor() * draw(900.0)).collect();
         let weights: Vec<f64> = (0..n).map(|_| draw(3.0).floor() * draw(1.0)).collect();
-        let got = limits(capacity, &demands, &weights, draw(1.0));
+        let got = tenant_limits(capacity, &demands, &weights, draw(1.0));
         assert!(
             got.iter().all(|&l| l >= 0.0 && l.is_finite()),
             "{capacity} {demands:?} {weights:?}: {got:?}"
--- a/crates/data-plane/balancer/tests/rules.rs
+++ b/crates/data-plane/balancer/tests/rules.rs
@@ -40,18 +40,22 @@
     };
     let zoned = |id: u64| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
     let mut harness = Harness::new(settings, seed, (1..9).map(zoned).collect());
-    let mut since = 0.0;
+    let mut started_at = 0.0;
     for id in 0..1500u32 {
         harness.advance(f64::from(rng.next_u32() % 40));
         match rng.next_u32() % 20 {
             0 => {
-                since += 1000.0;
+                started_at += 1000.0;
                 let id = 1 + u64::from(rng.next_u32() % 12);
                 let ready = Availability::Ready;
                 let availability =
                     pick(&mut rng, &[ready, ready, Availability::Draining, Availability::Gone]);
                 if availability != Availability::Gone || harness.listed.contains_key(&UpstreamId(id)) {
-                    harness.update_list(Membership::Delta(vec![Member { availability, since, ..zoned(id) }]));
+                    harness.update_list(Membership::Delta(vec![Member {
+                        availability,
+                        started_at,
+                        ..zoned(id)
+                    }]));
                 }
             }
             1 if id.is_multiple_of(7) => harness.update_list(Membership::Full((1..7).map(zoned).collect())),
@@ -60,16 +64,16 @@
         }
         harness.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
         let endings = [
-            Ending::Ok,
-            Ending::Ok,
-            Ending::Ok,
-            Ending::Error,
-            Ending::Full,
-            Ending::ConnectFailed,
-            Ending::Reset,
-            Ending::Cancelled,
-            Ending::Moot,
-            Ending::Unknown,
+            AttemptOutcome::Ok,
+            AttemptOutcome::Ok,
+            AttemptOutcome::Ok,
+            AttemptOutcome::Error,
+            AttemptOutcome::Declined,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::Reset,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::NotSent,
+            AttemptOutcome::Unknown,
         ];
         for _ in 0..rng.next_u32() % 4 {
             let open = |s: &RequestRecord| s.outcomes.iter().position(Option::is_none);
@@ -115,14 +119,20 @@
 fn single_shot_is_retried_only_after_proof_that_it_never_ran() {
     let mut harness = Harness::new(one_class(Effect::SingleShot), 1, (1..5).map(member).collect());
     harness.request(1, 0, 0);
-    assert!(matches!(harness.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]), "never ran: retried");
-    assert!(matches!(harness.outcome(1, 1, Ending::Full)[..], [Action::Send { .. }]));
     assert!(
-        matches!(harness.outcome(1, 2, Ending::Full)[..], [Action::Refuse { .. }]),
+        matches!(harness.outcome(1, 0, AttemptOutcome::Declined)[..], [Action::Send { .. }]),
+        "never ran: retried"
+    );
+    assert!(matches!(harness.outcome(1, 1, AttemptOutcome::Declined)[..], [Action::Send { .. }]));
+    assert!(
+        matches!(harness.outcome(1, 2, AttemptOutcome::Declined)[..], [Action::Refuse { .. }]),
         "no attempts are left"
     );
     harness.request(2, 0, 0);
-    assert!(matches!(harness.outcome(2, 0, Ending::Reset)[..], [Action::Fail { .. }]), "it may have run");
+    assert!(
+        matches!(harness.outcome(2, 0, AttemptOutcome::Reset)[..], [Action::Fail { .. }]),
+        "it may have run"
+    );
 }
 
 #[test]
@@ -130,10 +140,13 @@
     let settings = Settings { late_shedding: true, ..one_class(Effect::SingleShot) };
     let mut harness = Harness::new(settings, 1, (1..5).map(member).collect());
     harness.request(1, 0, 0);
-    assert!(matches!(harness.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]), "it may have run");
+    assert!(
+        matches!(harness.outcome(1, 0, AttemptOutcome::Declined)[..], [Action::Fail { .. }]),
+        "it may have run"
+    );
     harness.request(2, 0, 0);
     assert!(
-        matches!(harness.outcome(2, 0, Ending::ConnectFailed)[..], [Action::Send { .. }]),
+        matches!(harness.outcome(2, 0, AttemptOutcome::ConnectFailed)[..], [Action::Send { .. }]),
         "it never ran"
     );
 
@@ -144,10 +157,10 @@
     for id in 0..40 {
         harness.request(id, 0, 0);
         harness.advance(50.0);
-        // The harness checks that retries stay in the group and window of the attempt that ended with `Full`.
-        harness.outcome(id, 0, Ending::Full);
+        // The harness checks that retries stay in the group and window of the attempt that ended with `Declined`.
+        harness.outcome(id, 0, AttemptOutcome::Declined);
         if harness.requests[&RequestId(id)].outcomes.len() == 2 {
-            harness.outcome(id, 1, Ending::Ok);
+            harness.outcome(id, 1, AttemptOutcome::Ok);
         }
     }
 }
@@ -161,9 +174,9 @@
     let mut harness = Harness::new(settings, 1, (1..=60).map(placed_member).collect());
     for id in 0..200 {
         assert!(matches!(harness.request(id, 0, 0)[..], [.., Action::Send { .. }]), "request {id} is sent");
-        harness.outcome(id, 0, if id % 9 == 0 { Ending::ConnectFailed } else { Ending::Ok });
+        harness.outcome(id, 0, if id % 9 == 0 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Ok });
         if harness.requests[&RequestId(id)].outcomes.last() == Some(&None) {
-            harness.outcome(id, 1, Ending::Ok);
+            harness.outcome(id, 1, AttemptOutcome::Ok);
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
@@ -201,19 +214,19 @@
     harness.request(1, 0, 0);
     harness.advance(600.0);
     assert!(
-        matches!(harness.outcome(1, 0, Ending::Error)[..], [Action::Send { .. }]),
+        matches!(harness.outcome(1, 0, AttemptOutcome::Error)[..], [Action::Send { .. }]),
         "upstreams still remember the key"
     );
     harness.request(2, 0, 0);
     harness.advance(701.0);
     assert!(
-        matches!(harness.outcome(2, 0, Ending::Error)[..], [Action::Fail { .. }]),
+        matches!(harness.outcome(2, 0, AttemptOutcome::Error)[..], [Action::Fail { .. }]),
         "upstreams have forgotten the key"
     );
     let other_groups = (1..5).map(|id| Member { group: id as u16, ..member(id) }).collect();
     let mut harness = Harness::new(one_class(guarded), 1, other_groups);
     harness.request(1, 0, 0);
-    let actions = harness.outcome(1, 0, Ending::Error);
+    let actions = harness.outcome(1, 0, AttemptOutcome::Error);
     let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == harness.requests[&RequestId(1)].sends[0].0);
     assert!(
         actions.iter().all(|a| matches!(a, Action::Fail { .. }) || to(a)),
@@ -229,7 +242,7 @@
         .update_list(Membership::Delta(vec![gone(1, Availability::Draining), gone(2, Availability::Gone)]));
     for id in 0..50 {
         harness.request(id, 0, 0);
-        harness.outcome(id, 0, Ending::Ok);
+        harness.outcome(id, 0, AttemptOutcome::Ok);
     }
     assert!(harness.requests.values().all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
     harness.update_list(Membership::Full(Vec::new()));
@@ -254,8 +267,13 @@
     harness.request(1, 0, 0);
     let mut restarted = Harness::new(settings, 6, vec![member(1)]);
     assert!(restarted.log.contains(&Action::Subscribe), "the list is requested at once");
-    let late =
-        Event::Outcome { request: RequestId(1), attempt: 0, ending: Ending::Ok, duration: 5.0, closed: true };
+    let late = Event::AttemptEnded {
+        request: RequestId(1),
+        attempt: 0,
+        ending: AttemptOutcome::Ok,
+        duration: 5.0,
+        request_finished: true,
+    };
     assert!(restarted.event(late).is_empty(), "outcomes for an earlier instance are ignored");
     assert!(matches!(restarted.request(2, 0, 0)[..], [Action::Send { .. }]));
 }
@@ -263,7 +281,7 @@
 #[test]
 fn unknown_classes_tenants_requests_and_timers_are_handled() {
     let mut harness = Harness::new(Settings::default(), 1, vec![member(1)]);
-    let unknown = Request::plain(RequestId(9), 7, 7, 900.0);
+    let unknown = Request::with_full_worth(RequestId(9), 7, 7, 900.0);
     let mut actions = Vec::new();
     harness.balancer.handle(0.0, Event::Request(unknown), &mut actions);
     assert!(matches!(actions[..], [Action::Refuse { .. }]), "an unknown class is refused: nothing has run");
@@ -281,14 +299,19 @@
     let mut actions = Vec::new();
     for (n, &now) in odd.iter().cycle().take(500).enumerate() {
         let (id, value) = (RequestId(n as u32), odd[n / 7 % 7]);
-        let list = (1..5).map(|id| Member { since: value, ..member(id) }).collect();
+        let list = (1..5).map(|id| Member { started_at: value, ..member(id) }).collect();
         balancer.handle(now, Event::Membership(Membership::Full(list)), &mut actions);
-        let request = Request::plain(id, 0, n % 3, value);
+        let request = Request::with_full_worth(id, 0, n % 3, value);
         balancer.handle(now, Event::Request(request), &mut actions);
         let (attempt, ending) =
-            (n as u32 % 2, if n.is_multiple_of(3) { Ending::Timeout } else { Ending::Ok });
-        let outcome =
-            Event::Outcome { request: id, attempt, ending, duration: value, closed: n.is_multiple_of(2) };
+            (n as u32 % 2, if n.is_multiple_of(3) { AttemptOutcome::Timeout } else { AttemptOutcome::Ok });
+        let outcome = Event::AttemptEnded {
+            request: id,
+            attempt,
+            ending,
+            duration: value,
+            request_finished: n.is_multiple_of(2),
+        };
         balancer.handle(now, outcome.clone(), &mut actions);
         balancer.handle(now, outcome, &mut actions);
         balancer.handle(now, Event::Timer(0), &mut actions);
@@ -348,7 +371,7 @@
         // Each instance sends 2 requests per second, answered after 50 ms. The upstream restarts after 10 seconds.
         for (i, harness) in harnesses.iter_mut().enumerate() {
             if step == 100 {
-                harness.update_list(Membership::Delta(vec![Member { since: harness.now, ..member(1) }]));
+                harness.update_list(Membership::Delta(vec![Member { started_at: harness.now, ..member(1) }]));
             }
             if (step + i).is_multiple_of(5) {
                 id += 1;
@@ -359,7 +382,7 @@
                         cold_sends.push(at);
                     }
                     harness.advance(50.0);
-                    harness.outcome(id, 0, Ending::Ok);
+                    harness.outcome(id, 0, AttemptOutcome::Ok);
                     harness.advance(50.0);
                     continue;
                 }
--- a/crates/herondock/benches/decision.rs
+++ b/crates/herondock/benches/decision.rs
@@ -3,8 +3,8 @@
 //! `cargo bench -p herondock --bench decision`. Requests come at 1,600 a second of the module's clock and are answered
 //! 100 ms later, so that the books hold as many open calls as in service; timers fire as they are asked for.
 use balancer::{
-    Action, Availability, Balancer, Class, Effect, Ending, Event, Member, Membership, Request, RequestId,
-    Settings, Tenant, UpstreamId,
+    Action, AttemptOutcome, Availability, Balancer, Class, Effect, Event, Member, Membership, Request,
+    RequestId, Settings, Tenant, UpstreamId,
 };
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -37,7 +37,7 @@
         kind: 0,
         group: (id % 20) as u16,
         availability: Availability::Ready,
-        since: 0.0,
+        started_at: 0.0,
     };
     balancer.handle(
         0.0,
@@ -49,11 +49,21 @@
     for n in 0..REQUESTS {
         let now = f64::from(n) * GAP;
         let (id, class, tenant) = (RequestId(n), (n % 2) as usize, (n % 5) as usize);
-        balancer.handle(now, Event::Request(Request::plain(id, class, tenant, now + 2500.0)), &mut actions);
+        balancer.handle(
+            now,
+            Event::Request(Request::with_full_worth(id, class, tenant, now + 2500.0)),
+            &mut actions,
+        );
         while out.front().is_some_and(|&(at, _)| at <= now) {
             let Some((at, request)) = out.pop_front() else { break };
             let duration = now - at + ANSWER;
-            let event = Event::Outcome { request, attempt: 0, ending: Ending::Ok, duration, closed: true };
+            let event = Event::AttemptEnded {
+                request,
+                attempt: 0,
+                ending: AttemptOutcome::Ok,
+                duration,
+                request_finished: true,
+            };
             balancer.handle(now, event, &mut actions);
         }
         while timers.front().is_some_and(|&(at, _)| at <= now) {
--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -14,7 +14,9 @@
 use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, Attempt, BudgetGrant, FinalAnswer, Request, Upstream};
 use crate::request_counters::RequestCounters;
-use balancer::{Action, Balancer, Ending, Event, Learned, Membership, Millis, RequestId, UpstreamId};
+use balancer::{
+    Action, AttemptOutcome, Balancer, Event, LearnedState, Membership, Millis, RequestId, UpstreamId,
+};
 use bytes::Bytes;
 use open_request::{InFlightAttempt, OpenRequest};
 use request_budget::grammar::RetryUsage;
@@ -150,7 +152,9 @@
         let Some((_, kind)) = self.0.driver.borrow_mut().timers.pop_first() else { return };
         match kind {
             TimerKind::Balancer(token) => self.handle_event(Event::Timer(token)),
-            TimerKind::AttemptTimeout(id, number) => self.attempt_ended(id, number, Ending::Timeout, None),
+            TimerKind::AttemptTimeout(id, number) => {
+                self.attempt_ended(id, number, AttemptOutcome::Timeout, None)
+            }
             TimerKind::IdleSweep => {
                 let mut driver = self.0.driver.borrow_mut();
                 let now = Instant::now();
@@ -170,7 +174,7 @@
     /// Upstreams that the decision module has ejected as outliers.
     pub fn ejected(&self) -> Vec<UpstreamId> {
         let driver = self.0.driver.borrow();
-        driver.balancer.ejected(driver.now()).collect()
+        driver.balancer.ejected_upstreams(driver.now()).collect()
     }
 
     /// Number of requests without a final answer.
@@ -209,8 +213,8 @@
     }
 
     /// Capacity and demand that the decision module has learned, for a successor process.
-    pub fn learned(&self) -> Learned {
-        self.0.driver.borrow().balancer.learned()
+    pub fn learned(&self) -> LearnedState {
+        self.0.driver.borrow().balancer.learned_state()
     }
 
     /// Applies a cached endpoint list, before any update from an endpoint source.
@@ -248,7 +252,7 @@
     }
 
     /// Reports the end of an attempt to the decision module, unless it has already ended.
-    fn attempt_ended(&self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) {
+    fn attempt_ended(&self, id: RequestId, number: u32, ending: AttemptOutcome, answer: Option<Answer>) {
         let event = self.0.driver.borrow_mut().finish_attempt(id, number, ending, answer);
         if let Some(event) = event {
             self.handle_event(event);
@@ -274,7 +278,8 @@
         match action {
             Action::Send { request, upstream, timeout } => self.send(driver, request, upstream, timeout),
             Action::Cancel { request, attempt } => {
-                if let Some(event) = driver.finish_attempt(request, attempt, Ending::Cancelled, None) {
+                if let Some(event) = driver.finish_attempt(request, attempt, AttemptOutcome::Cancelled, None)
+                {
                     driver.events.push_back(event);
                 }
             }
@@ -306,9 +311,10 @@
         open.attempts_sent += 1;
         let target = driver.upstreams.get(&upstream).filter(|_| open.reply.is_some());
         let Some(target) = target else {
-            let closed = open.reply.is_none();
-            let ending = Ending::Moot;
-            let outcome = Event::Outcome { request: id, attempt: number, ending, duration: 0.0, closed };
+            let request_finished = open.reply.is_none();
+            let ending = AttemptOutcome::NotSent;
+            let outcome =
+                Event::AttemptEnded { request: id, attempt: number, ending, duration: 0.0, request_finished };
             driver.events.push_back(outcome);
             return;
         };
--- a/crates/herondock/src/driver/state.rs
+++ b/crates/herondock/src/driver/state.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_sources::{EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, DrainGate, FinalAnswer, Request, Upstream};
 use crate::request_counters::{self, RequestCounters};
-use balancer::{Availability, Balancer, Ending, Event, Millis, RequestId, UpstreamId};
+use balancer::{AttemptOutcome, Availability, Balancer, Event, Millis, RequestId, UpstreamId};
 use request_budget::grammar::RetryUsage;
 use request_budget::retry_budget::{AttemptUsage, RetryBudget};
 use request_budget::usage_feedback::UsageFeedback;
@@ -185,7 +185,7 @@
         &mut self,
         id: RequestId,
         number: u32,
-        ending: Ending,
+        ending: AttemptOutcome,
         answer: Option<Answer>,
     ) -> Option<Event> {
         let attempt = self.attempts.remove(&(id, number))?;
@@ -194,14 +194,14 @@
         self.remove_if_gone(attempt.upstream);
         let duration = attempt.sent.elapsed().as_secs_f64() * 1000.0;
         let reported = attempt.budget_grant.as_ref().and_then(|grant| grant.reported_usage.get());
-        if matches!(ending, Ending::Ok | Ending::Error | Ending::Full) {
+        if matches!(ending, AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Declined) {
             if let Some(entry) = self.upstreams.get_mut(&attempt.upstream) {
                 entry.usage_feedback.record_response(reported.is_some());
             }
         }
-        let closed = self.record_ending(id, number, ending, reported, answer);
+        let request_finished = self.record_ending(id, number, ending, reported, answer);
         self.remove_if_done(id);
-        Some(Event::Outcome { request: id, attempt: number, ending, duration, closed })
+        Some(Event::AttemptEnded { request: id, attempt: number, ending, duration, request_finished })
     }
 
     /// Records the end of an attempt in its request, and answers the request if the attempt brought an answer.
@@ -210,11 +210,11 @@
         &mut self,
         id: RequestId,
         number: u32,
-        ending: Ending,
+        ending: AttemptOutcome,
         reported: Option<RetryUsage>,
         answer: Option<Answer>,
     ) -> bool {
-        let never_ran = ending.never_ran() && !(ending == Ending::Full && self.late_shedding);
+        let never_ran = ending.never_ran() && !(ending == AttemptOutcome::Declined && self.late_shedding);
         let Some(open) = self.open.get_mut(&id) else { return true };
         open.attempts_in_flight -= 1;
         open.may_have_run |= !never_ran;
@@ -226,7 +226,7 @@
             };
             retry_budget.end_attempt(number, usage);
             // Precedes the outcome event, on which the decision module decides whether to retry.
-            self.events.push_back(Event::Left { request: id, retries: retry_budget.remaining() });
+            self.events.push_back(Event::RetriesLeft { request: id, retries: retry_budget.remaining() });
         }
         if let Some(answer) = answer {
             open.answer(answer);
@@ -286,7 +286,7 @@
                 usage_feedback: UsageFeedback::default(),
             });
             // A new address or start time means a new process: connections to the former process are unusable.
-            if current.entry.addr != entry.addr || current.entry.member.since != member.since {
+            if current.entry.addr != entry.addr || current.entry.member.started_at != member.started_at {
                 current.upstream.process_replaced(entry.addr);
             }
             if current.entry.protocol != entry.protocol {
--- a/crates/herondock/src/endpoint_sources/aggregator.rs
+++ b/crates/herondock/src/endpoint_sources/aggregator.rs
@@ -50,7 +50,7 @@
             kind: kind.and_then(|k| u8::try_from(k).ok()).unwrap_or(u8::MAX),
             group: m.cell,
             availability,
-            since: m.started_ms,
+            started_at: m.started_ms,
         };
         let speaks = match m.protocol {
             EndpointProtocol::Http => Protocol::Http,
--- a/crates/herondock/src/exchange.rs
+++ b/crates/herondock/src/exchange.rs
@@ -4,7 +4,7 @@
 //! The types are independent of protocols: a front converts messages of its protocol into a [`Request`] and an
 //! [`Answer`] back into messages, the driver numbers attempts and sets their deadlines, and a transport executes one
 //! [`Attempt`] in the protocol of its upstream.
-use balancer::{Ending, Millis};
+use balancer::{AttemptOutcome, Millis};
 use bytes::{BufMut, Bytes, BytesMut};
 use config::request_budget::FieldNames;
 use request_budget::grammar;
@@ -154,8 +154,8 @@
     Failed,
 }
 
-/// Ending of an attempt, and its answer if there is one.
-pub type AttemptResult = (Ending, Option<Answer>);
+/// Outcome of an attempt, and its answer if there is one.
+pub type AttemptResult = (AttemptOutcome, Option<Answer>);
 
 /// Whether attempts may still be written to an upstream. Shared by the driver, which closes it when the upstream drains, and
 /// the attempts in flight.
--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -1,7 +1,7 @@
 //! State that a predecessor transfers to its successor with the sockets: the endpoints with their ages, and what the decision
 //! module has learned of capacity and demand. Only a process with the same settings uses it; `docs/design/supervisor.md` says what
 //! is not transferred, and why.
-use balancer::Learned;
+use balancer::LearnedState;
 use discovery::endpoint_cache::EndpointCache;
 use serde::{Deserialize, Serialize};
 
@@ -29,12 +29,12 @@
 
 impl TransferredState {
     /// State of a process with settings of this hash.
-    pub fn new(settings: u64, view: EndpointCache, learned: Learned) -> TransferredState {
-        let Learned { capacity, peak, unloaded, demands } = learned;
+    pub fn new(settings: u64, view: EndpointCache, learned: LearnedState) -> TransferredState {
+        let LearnedState { capacity, peak_admitted, unloaded_latency, demands } = learned;
         TransferredState {
             settings_fingerprint: settings,
             endpoints: view,
-            learned: LearnedCapacity { capacity, peak, unloaded, demands },
+            learned: LearnedCapacity { capacity, peak: peak_admitted, unloaded: unloaded_latency, demands },
         }
     }
 
@@ -59,9 +59,9 @@
     }
 
     /// What the decision module has learned; it validates the values.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         let LearnedCapacity { capacity, peak, unloaded, ref demands } = self.learned;
-        Learned { capacity, peak, unloaded, demands: demands.clone() }
+        LearnedState { capacity, peak_admitted: peak, unloaded_latency: unloaded, demands: demands.clone() }
     }
 }
 
--- a/crates/herondock/src/listener_handoff/transferred_state/tests.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state/tests.rs
@@ -14,7 +14,8 @@
 
 #[test]
 fn what_goes_along_arrives_as_it_was() {
-    let learned = Learned { capacity: 12.5, peak: 9.0, unloaded: 80.0, demands: vec![1.0, 0.0] };
+    let learned =
+        LearnedState { capacity: 12.5, peak_admitted: 9.0, unloaded_latency: 80.0, demands: vec![1.0, 0.0] };
     let bytes = TransferredState::new(5, view(), learned.clone()).encode();
     let along = TransferredState::decode(&bytes, 5).expect("for these settings");
     assert_eq!(along.learned(), learned);
@@ -24,7 +25,7 @@
 /// Guards against going by positions that mean something else, by an old list, and against garbage.
 #[test]
 fn what_is_not_fitting_is_left() {
-    let bytes = TransferredState::new(5, view(), Learned::default()).encode();
+    let bytes = TransferredState::new(5, view(), LearnedState::default()).encode();
     assert!(TransferredState::decode(&bytes, 6).is_none(), "other settings");
     assert!(TransferredState::decode(&bytes[1..], 5).is_none() && TransferredState::decode(b"", 5).is_none());
     assert_eq!(
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -14,7 +14,7 @@
 use crate::driver::{AdmissionError, DriverHandle, PendingAnswer};
 use crate::endpoint_sources::{EndpointSubscriber, EndpointUpdate, ListedEndpoint};
 use crate::exchange::{Answer, FinalAnswer, Request};
-use balancer::{Availability, Effect, Learned, Millis, UpstreamId};
+use balancer::{Availability, Effect, LearnedState, Millis, UpstreamId};
 use config::Deployment;
 use pool::Pool;
 use request_attributes::{RequestAttributes, RoutingError};
@@ -195,7 +195,7 @@
 
     /// Capacity and demand that the decision module of the default pool has learned; empty if there is a routing
     /// table.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         self.0.default_pool.borrow().as_ref().map(|pool| pool.driver.learned()).unwrap_or_default()
     }
 
--- a/crates/herondock/src/run/wiring.rs
+++ b/crates/herondock/src/run/wiring.rs
@@ -12,7 +12,7 @@
 use crate::routing::{DriverFactory, Pools};
 use crate::transport;
 use crate::transport::connection_pool::ConnectionSettings;
-use balancer::{Balancer, Class, Effect, Learned, Settings, SettingsError};
+use balancer::{Balancer, Class, Effect, LearnedState, Settings, SettingsError};
 use config::operator::{Daemon, Limits, OperatorConfig};
 use config::request_budget::BudgetTable;
 use config::Deployment;
@@ -83,13 +83,17 @@
     ///
     /// # Errors
     /// The settings are not valid for the decision module.
-    pub fn pools(&self, operator: &OperatorConfig, learned: Option<Learned>) -> Result<Pools, SettingsError> {
+    pub fn pools(
+        &self,
+        operator: &OperatorConfig,
+        learned: Option<LearnedState>,
+    ) -> Result<Pools, SettingsError> {
         Balancer::new(self.deployment.policy.clone(), self.seed, self.clock.start_ms)?;
         Ok(Pools::new(self.driver_factory(operator, learned), self.deployment.clone()))
     }
 
     /// Creates the driver of each pool. The settings have been found valid.
-    fn driver_factory(&self, operator: &OperatorConfig, learned: Option<Learned>) -> DriverFactory {
+    fn driver_factory(&self, operator: &OperatorConfig, learned: Option<LearnedState>) -> DriverFactory {
         let connections = self.connection_settings();
         let fastcgi = Rc::new(transport::fastcgi::FastCgiSettings {
             params: transport::fastcgi::Params(operator.fastcgi.params.clone()),
@@ -106,7 +110,7 @@
             let balancer = Balancer::new(policy.clone(), seed, now);
             let mut balancer = balancer.expect("the settings were found good at the start");
             if let (true, Some(learned)) = (pool.is_empty(), &learned) {
-                balancer.recall(learned, now);
+                balancer.restore_learned_state(learned, now);
             }
             DriverHandle::new(DriverConfig {
                 balancer,
--- a/crates/herondock/src/transport/connection_pool.rs
+++ b/crates/herondock/src/transport/connection_pool.rs
@@ -3,7 +3,7 @@
 use crate::exchange::{Attempt, AttemptFuture, AttemptResult, DrainGate, Upstream};
 use crate::live_config::LiveConfig;
 use crate::stream::SharedStream;
-use balancer::Ending;
+use balancer::AttemptOutcome;
 use config::operator::Limits;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -160,17 +160,21 @@
     ///
     /// # Errors
     /// The ending of the attempt that needs the connection.
-    pub async fn dial(&self, deadline: Instant) -> Result<DialedConnection, Ending> {
+    pub async fn dial(&self, deadline: Instant) -> Result<DialedConnection, AttemptOutcome> {
         // A shortage of descriptors in this process is no failure of the upstream.
-        let permit = self.settings.descriptors.try_upstream().ok_or(Ending::Moot)?;
+        let permit = self.settings.descriptors.try_upstream().ok_or(AttemptOutcome::NotSent)?;
         let deadline = deadline.min(Instant::now() + self.settings.dial_timeout);
         let generation = self.generation.get();
         let connected = timeout_at(deadline, TcpStream::connect(self.addr.get())).await;
-        let connected = connected.map_err(|_| Ending::ConnectFailed)?;
-        let stream =
-            connected
-                .map_err(|e| if is_local_shortage(&e) { Ending::Moot } else { Ending::ConnectFailed })?;
-        stream.set_nodelay(true).map_err(|_| Ending::ConnectFailed)?;
+        let connected = connected.map_err(|_| AttemptOutcome::ConnectFailed)?;
+        let stream = connected.map_err(|e| {
+            if is_local_shortage(&e) {
+                AttemptOutcome::NotSent
+            } else {
+                AttemptOutcome::ConnectFailed
+            }
+        })?;
+        stream.set_nodelay(true).map_err(|_| AttemptOutcome::ConnectFailed)?;
         Ok(DialedConnection { socket: SharedStream::new(stream), generation, permit })
     }
 }
--- a/crates/herondock/src/transport/fastcgi/exclusive.rs
+++ b/crates/herondock/src/transport/fastcgi/exclusive.rs
@@ -3,7 +3,7 @@
 use super::{begin_request, new_client, Conn, FastCgi};
 use crate::exchange::Attempt;
 use crate::transport::connection_pool::{DialedConnection, Peer};
-use balancer::Ending;
+use balancer::AttemptOutcome;
 use fastcgi::client::{Event, Outcome};
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -20,7 +20,10 @@
 
 impl ExclusiveConnection {
     /// Establishes a connection; see [`Peer::dial`].
-    pub(super) async fn dial(peer: &Peer<FastCgi>, deadline: Instant) -> Result<ExclusiveConnection, Ending> {
+    pub(super) async fn dial(
+        peer: &Peer<FastCgi>,
+        deadline: Instant,
+    ) -> Result<ExclusiveConnection, AttemptOutcome> {
         let DialedConnection { socket, generation, permit } = peer.dial(deadline).await?;
         Ok(ExclusiveConnection {
             connection: FastCgiConnection::new(socket, new_client(peer)),
@@ -34,7 +37,7 @@
 ///
 /// # Errors
 /// The ending of an attempt without an answer.
-pub(super) async fn execute(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> Result<Outcome, Ending> {
+pub(super) async fn execute(peer: &Rc<Peer<FastCgi>>, attempt: Attempt) -> Result<Outcome, AttemptOutcome> {
     loop {
         let (mut exclusive, reused) = match peer.take_idle() {
             Some(Conn::Exclusive(exclusive)) => (exclusive, true),
@@ -43,11 +46,13 @@
             None => (Box::new(ExclusiveConnection::dial(peer, attempt.deadline).await?), false),
         };
         if !attempt.may_write(Instant::now()) {
-            return Err(Ending::Moot);
+            return Err(AttemptOutcome::NotSent);
         }
         let conn = &mut exclusive.connection;
         // An idle connection always accepts a request.
-        let Some(id) = begin_request(peer, &mut conn.client, &attempt) else { return Err(Ending::Moot) };
+        let Some(id) = begin_request(peer, &mut conn.client, &attempt) else {
+            return Err(AttemptOutcome::NotSent);
+        };
         match wait_for_end(conn, id).await {
             Ok(outcome) => {
                 if conn.client.open() == 0 && !conn.client.is_mid_record() {
@@ -56,11 +61,11 @@
                 }
                 return Ok(outcome);
             }
-            Err(ConnectionClosed) if conn.client.is_fully_written(id) => return Err(Ending::Reset),
+            Err(ConnectionClosed) if conn.client.is_fully_written(id) => return Err(AttemptOutcome::Reset),
             // The last byte of the request was not written, so nothing ran. That an idle connection has been closed
             // in the meantime is no failure of the upstream, so the next connection is tried; each is tried once.
             Err(ConnectionClosed) if reused => {}
-            Err(ConnectionClosed) => return Err(Ending::ConnectFailed),
+            Err(ConnectionClosed) => return Err(AttemptOutcome::ConnectFailed),
         }
     }
 }
--- a/crates/herondock/src/transport/fastcgi/mod.rs
+++ b/crates/herondock/src/transport/fastcgi/mod.rs
@@ -32,7 +32,7 @@
 use super::connection_pool::{ConnectionSettings, Peer, PooledConnection, UpstreamProtocol};
 use crate::exchange::{Answer, Attempt, AttemptResult, Fields, Method, Request, Upstream};
 use crate::http::{is_hop_by_hop, DEADLINE};
-use balancer::Ending;
+use balancer::AttemptOutcome;
 use bytes::Bytes;
 use capabilities::CapabilityCache;
 use exclusive::ExclusiveConnection;
@@ -120,8 +120,8 @@
                     .record_usage(|name| head.fields.iter().find(|(n, _)| is(name, n)).map(|(_, v)| &v[..]));
                 interpret_answer(&head, body, attempt.used_field())
             }
-            Ok(Outcome::Refused(_)) => (Ending::Full, None),
-            Ok(Outcome::Useless(..)) => (Ending::Error, None),
+            Ok(Outcome::Refused(_)) => (AttemptOutcome::Declined, None),
+            Ok(Outcome::Useless(..)) => (AttemptOutcome::Error, None),
             Err(ending) => (ending, None),
         }
     }
@@ -158,12 +158,12 @@
             let named: Vec<(String, Bytes)> =
                 forwarded.map(|(name, value)| (text(name), value.clone())).collect();
             let fields = Fields::new(named.iter().map(|(name, value)| (name.as_str(), &value[..])));
-            (Ending::Ok, Some(Answer::Served { fields, body }))
+            (AttemptOutcome::Ok, Some(Answer::Served { fields, body }))
         }
-        503 | 504 if declined => (Ending::Full, None),
+        503 | 504 if declined => (AttemptOutcome::Declined, None),
         // Guards against counting the invalid input of a client as a failure of the upstream.
-        status @ 400..=499 => (Ending::Cancelled, Some(Answer::ClientError(status))),
-        _ => (Ending::Error, None),
+        status @ 400..=499 => (AttemptOutcome::Cancelled, Some(Answer::ClientError(status))),
+        _ => (AttemptOutcome::Error, None),
     }
 }
 
--- a/crates/herondock/src/transport/fastcgi/multiplexed.rs
+++ b/crates/herondock/src/transport/fastcgi/multiplexed.rs
@@ -6,7 +6,7 @@
 use super::{begin_request, Conn, FastCgi};
 use crate::exchange::{Attempt, DrainGate};
 use crate::transport::connection_pool::Peer;
-use balancer::Ending;
+use balancer::AttemptOutcome;
 use fastcgi::client::{Event, Outcome};
 use fastcgi::record::Protocol;
 use std::cell::{Cell, RefCell};
@@ -112,7 +112,7 @@
     peer: &Rc<Peer<FastCgi>>,
     attempt: Attempt,
     max_requests: usize,
-) -> Result<Outcome, Ending> {
+) -> Result<Outcome, AttemptOutcome> {
     loop {
         let link = match link_with_capacity(peer, max_requests) {
             Some(link) => link,
@@ -135,7 +135,7 @@
         };
         let Some(id) = begun else {
             link.work_available.notify_one();
-            return Err(Ending::Moot);
+            return Err(AttemptOutcome::NotSent);
         };
         link.gate.replace(attempt.gate.clone());
         let (sender, receiver) = oneshot::channel();
@@ -151,12 +151,12 @@
                 }
                 return Ok(outcome);
             }
-            Ok(AttemptEnd::NotWritten) => return Err(Ending::Moot),
+            Ok(AttemptEnd::NotWritten) => return Err(AttemptOutcome::NotSent),
             // As for exclusive connections, the loss of a reused connection is no failure of the upstream.
             Ok(AttemptEnd::ConnectionLost(false)) if reused => {}
-            Ok(AttemptEnd::ConnectionLost(false)) => return Err(Ending::ConnectFailed),
+            Ok(AttemptEnd::ConnectionLost(false)) => return Err(AttemptOutcome::ConnectFailed),
             // `Err`: the result sender was dropped with its connection. In both cases the request may have run.
-            Ok(AttemptEnd::ConnectionLost(true)) | Err(_) => return Err(Ending::Reset),
+            Ok(AttemptEnd::ConnectionLost(true)) | Err(_) => return Err(AttemptOutcome::Reset),
         }
     }
 }
--- a/crates/herondock/src/transport/http.rs
+++ b/crates/herondock/src/transport/http.rs
@@ -3,7 +3,7 @@
 use crate::exchange::{Answer, Attempt, AttemptResult};
 use crate::http::{end_to_end_fields, to_headers, to_method, DEADLINE, DECLINED};
 use crate::stream::SharedStream;
-use balancer::Ending;
+use balancer::AttemptOutcome;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Body;
@@ -51,11 +51,11 @@
 /// HTTP/1.1 (RFC 9112).
 pub struct Http;
 
-async fn dial(peer: &Peer<Http>, deadline: Instant) -> Result<Conn, Ending> {
+async fn dial(peer: &Peer<Http>, deadline: Instant) -> Result<Conn, AttemptOutcome> {
     let DialedConnection { socket, generation, permit } = peer.dial(deadline).await?;
     let io = TokioIo::new(socket.clone());
     let handshake = http1::Builder::new().max_buf_size(peer.settings.limits.get().head).handshake(io).await;
-    let (sender, conn) = handshake.map_err(|_| Ending::ConnectFailed)?;
+    let (sender, conn) = handshake.map_err(|_| AttemptOutcome::ConnectFailed)?;
     let task = tokio::task::spawn_local(async move {
         // Errors reach the attempt on the connection, which reports them.
         let _ = conn.await;
@@ -67,7 +67,7 @@
     type Conn = Conn;
 
     async fn execute(peer: &Rc<Peer<Http>>, attempt: Attempt) -> AttemptResult {
-        let Ok(mut request) = to_message(&attempt.request) else { return (Ending::Moot, None) };
+        let Ok(mut request) = to_message(&attempt.request) else { return (AttemptOutcome::NotSent, None) };
         let max_body = peer.settings.limits.get().body;
         let (mut conn, answer) = loop {
             let (mut conn, reused) = match peer.take_idle() {
@@ -79,7 +79,7 @@
             };
             let now = Instant::now();
             if !attempt.may_write(now) {
-                return (Ending::Moot, None);
+                return (AttemptOutcome::NotSent, None);
             }
             let remaining_us = (attempt.deadline - now).as_micros();
             if let Ok(value) = HeaderValue::try_from(format!("{remaining_us}u")) {
@@ -96,18 +96,20 @@
                 // the meantime is no failure of the upstream, so the next connection is tried; each is tried once.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if reused => request = unsent,
-                    Some(_) => return (Ending::ConnectFailed, None),
-                    None => return (Ending::Reset, None),
+                    Some(_) => return (AttemptOutcome::ConnectFailed, None),
+                    None => return (AttemptOutcome::Reset, None),
                 },
             }
         };
         attempt.record_usage(|name| answer.headers().get(name).map(HeaderValue::as_bytes));
         if !has_unambiguous_length(&answer) || answer.body().size_hint().lower() > max_body as u64 {
-            return (Ending::Reset, None);
+            return (AttemptOutcome::Reset, None);
         }
         let ending = ending_of(&answer);
         let (head, body) = answer.into_parts();
-        let Ok(body) = Limited::new(body, max_body).collect().await else { return (Ending::Reset, None) };
+        let Ok(body) = Limited::new(body, max_body).collect().await else {
+            return (AttemptOutcome::Reset, None);
+        };
         // Returned before the outcome is reported, so that the next attempt can use this connection.
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, conn.sender.ready()).await {
             // Unread bytes on the connection are checked for when it is taken again.
@@ -115,13 +117,13 @@
             peer.return_idle(conn, generation, &attempt.gate);
         }
         let answer = match ending {
-            Ending::Ok => {
+            AttemptOutcome::Ok => {
                 let used_header = attempt.used_field().and_then(|name| HeaderName::try_from(name).ok());
                 let fields = end_to_end_fields(&head.headers, |name| used_header.as_ref() == Some(name));
                 Some(Answer::Served { fields, body: body.to_bytes() })
             }
             // Invalid input of a client is no failure of the upstream, and another upstream would reject it as well.
-            Ending::Cancelled => Some(Answer::ClientError(head.status.as_u16())),
+            AttemptOutcome::Cancelled => Some(Answer::ClientError(head.status.as_u16())),
             _ => None,
         };
         (ending, answer)
@@ -141,13 +143,13 @@
 
 /// Returns the ending of an attempt by its answer. Only the header that marks a rejection proves that the request
 /// never ran.
-fn ending_of<B>(answer: &Response<B>) -> Ending {
+fn ending_of<B>(answer: &Response<B>) -> AttemptOutcome {
     let declined = answer.headers().get(DECLINED).is_some_and(|v| v == "1");
     match answer.status() {
-        StatusCode::OK => Ending::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Ending::Full,
-        status if status.is_client_error() => Ending::Cancelled,
-        _ => Ending::Error,
+        StatusCode::OK => AttemptOutcome::Ok,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => AttemptOutcome::Declined,
+        status if status.is_client_error() => AttemptOutcome::Cancelled,
+        _ => AttemptOutcome::Error,
     }
 }
 
--- a/crates/herondock/src/transport/http/tests.rs
+++ b/crates/herondock/src/transport/http/tests.rs
@@ -52,7 +52,7 @@
         let upstream = upstream(DescriptorBudget::new(64), listener.local_addr().expect("an address"));
         let late = Attempt { dedup_deadline: Some(Instant::now()), ..attempt() };
         let (ending, answer) = upstream.attempt(late).await;
-        assert!(ending == balancer::Ending::Moot && answer.is_none(), "{ending:?}");
+        assert!(ending == balancer::AttemptOutcome::NotSent && answer.is_none(), "{ending:?}");
         let (stream, _) = listener.accept().expect("a connection");
         stream.set_nonblocking(true).expect("sets");
         assert!(!matches!(stream.peek(&mut [0]), Ok(1)), "written");
@@ -101,7 +101,7 @@
         let upstream = upstream(sockets, listener.local_addr().expect("an address"));
         let attempt = attempt();
         let (ending, _) = upstream.attempt(attempt).await;
-        assert_eq!(ending, Ending::Moot);
+        assert_eq!(ending, AttemptOutcome::NotSent);
         drop(all_permits);
         listener.set_nonblocking(true).expect("a listener");
         let accepted = listener.accept().map(|(mut s, _)| s.read(&mut [0]));
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -4,7 +4,7 @@
 use crate::agenda::{ms, Nanos};
 use crate::mutant::Mutant;
 use balancer::{
-    Action, Availability, Balancer, Ending, Event, Member, Membership, Millis, RequestId, Settings,
+    Action, AttemptOutcome, Availability, Balancer, Event, Member, Membership, Millis, RequestId, Settings,
     UpstreamId,
 };
 use discovery::endpoint::{EndpointReport, EndpointState, SourceUpdate};
@@ -240,7 +240,7 @@
 
     /// Returns the number of entries that its tables hold for requests.
     pub fn retained_entries(&self) -> usize {
-        self.open_requests.len() + self.balancer.open() + self.events.len()
+        self.open_requests.len() + self.balancer.open_requests() + self.events.len()
     }
 
     /// Sets the time by which requests accepted from now on must be answered, as the lifecycle demands.
@@ -288,8 +288,10 @@
                 in_flight: Vec::new(),
             },
         );
-        let request =
-            balancer::Request { worth, ..balancer::Request::plain(RequestId(id), class, tenant, deadline) };
+        let request = balancer::Request {
+            worth,
+            ..balancer::Request::with_full_worth(RequestId(id), class, tenant, deadline)
+        };
         self.handle_event(now, Event::Request(request), outputs);
     }
 
@@ -350,7 +352,7 @@
             ));
             self.has_endpoints |= ready;
             self.servers_by_id.insert(member.id, server);
-            if self.mutant == Mutant::ColdPreferred && member.since > 0.0 {
+            if self.mutant == Mutant::ColdPreferred && member.started_at > 0.0 {
                 self.newest_server = ready.then_some(server);
             }
             if ready {
@@ -380,7 +382,7 @@
             kind: 0,
             group: endpoint.cell,
             availability,
-            since: endpoint.started_ms,
+            started_at: endpoint.started_ms,
         }
     }
 
@@ -437,7 +439,7 @@
         &mut self,
         now: Nanos,
         (id, number): (u32, u32),
-        ending: Ending,
+        ending: AttemptOutcome,
         kept_epoch: Option<u32>,
         outputs: &mut Vec<Output>,
     ) {
@@ -446,17 +448,17 @@
             return;
         };
         let ended_attempt = open.in_flight.swap_remove(position);
-        if ending == Ending::Ok && !open.answered {
+        if ending == AttemptOutcome::Ok && !open.answered {
             open.answered = true;
             outputs.push(Output::Answer(open.request, 200, 0.0));
         }
-        let closed = open.answered;
+        let request_finished = open.answered;
         // This mutant reports an attempt that may have been executed as never sent, so the module retries it.
         let reported_ending = match ending {
-            Ending::Reset | Ending::Timeout | Ending::Error
+            AttemptOutcome::Reset | AttemptOutcome::Timeout | AttemptOutcome::Error
                 if self.mutant == Mutant::EffectsForgotten && open.single_shot =>
             {
-                Ending::ConnectFailed
+                AttemptOutcome::ConnectFailed
             }
             ending => ending,
         };
@@ -471,7 +473,7 @@
         let (request, attempt) = (RequestId(id), number);
         self.handle_event(
             now,
-            Event::Outcome { request, attempt, ending: reported_ending, duration, closed },
+            Event::AttemptEnded { request, attempt, ending: reported_ending, duration, request_finished },
             outputs,
         );
     }
@@ -511,7 +513,7 @@
                 self.send_attempt(now, request.0, upstream, timeout, outputs)
             }
             Action::Cancel { request, attempt } => {
-                self.attempt_ended(now, (request.0, attempt), Ending::Cancelled, None, outputs);
+                self.attempt_ended(now, (request.0, attempt), AttemptOutcome::Cancelled, None, outputs);
             }
             Action::Refuse { request, retry_after } => self.answer(request.0, 503, retry_after, outputs),
             Action::Fail { request } => self.answer(request.0, 502, 0.0, outputs),
@@ -543,9 +545,15 @@
         let number = open.attempts_sent;
         open.attempts_sent += 1;
         let (Some(server), false) = (server, open.answered) else {
-            let (request, attempt, closed) = (RequestId(id), number, open.answered);
-            let moot = Event::Outcome { request, attempt, ending: Ending::Moot, duration: 0.0, closed };
-            return self.events.push_back(moot);
+            let (request, attempt, request_finished) = (RequestId(id), number, open.answered);
+            let not_sent = Event::AttemptEnded {
+                request,
+                attempt,
+                ending: AttemptOutcome::NotSent,
+                duration: 0.0,
+                request_finished,
+            };
+            return self.events.push_back(not_sent);
         };
         let remaining = (open.deadline - clock).max(0.0);
         let deadline = now + ms(if timeout > 0.0 { timeout.min(remaining) } else { remaining });
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{Fault, FaultKind, Scenario, TIER_WORK};
 use crate::score::{OperationInfo, Outcome, Score};
 use crate::server::{Admission, Server};
-use balancer::{Class, DedupScope, Effect, Ending, Settings, Tenant};
+use balancer::{AttemptOutcome, Class, DedupScope, Effect, Settings, Tenant};
 use discovery::endpoint::{EndpointState, SourceUpdate};
 use fnv::FnvHashMap;
 use hashing::Digest;
@@ -126,7 +126,7 @@
     WaitFinished(u64),
     Response {
         attempt: Attempt,
-        ending: Ending,
+        ending: AttemptOutcome,
         kept_epoch: Option<u32>,
     },
     Answer(u64, u16, f64),
@@ -401,7 +401,7 @@
                 self.instances[process.instance].timer_fired(now, token, &mut self.outputs);
                 self.apply_outputs(process.instance);
             }
-            Event::AttemptTimeout(attempt) => self.end_attempt(attempt, Ending::Timeout, None),
+            Event::AttemptTimeout(attempt) => self.end_attempt(attempt, AttemptOutcome::Timeout, None),
             Event::ConnectDone { attempt, server, success } => self.connect_done(attempt, server, success),
             Event::AttemptArrived { attempt, request, server, epoch, new_connection, lost } => {
                 self.attempt_arrived(attempt, request, (server, epoch), new_connection, lost);
@@ -758,7 +758,7 @@
         }
         let upstream = &mut self.servers[server];
         if !success || !upstream.up || upstream.connections >= upstream.spec.max_connections {
-            return self.end_attempt(attempt, Ending::ConnectFailed, None);
+            return self.end_attempt(attempt, AttemptOutcome::ConnectFailed, None);
         }
         let Some((in_flight, _)) =
             self.instances[attempt.process.instance].in_flight_attempt(attempt.id, attempt.number)
@@ -781,7 +781,7 @@
         };
         let deadline = in_flight.deadline;
         if !self.instances[instance].may_write(now, attempt.id, server, deadline) {
-            return self.end_attempt(attempt, Ending::Moot, None);
+            return self.end_attempt(attempt, AttemptOutcome::NotSent, None);
         }
         self.checker.attempt_written(now, request, instance, server);
         let (epoch, delay) = (self.servers[server].epoch, self.network_delay());
@@ -789,7 +789,7 @@
             .after(delay, Event::AttemptArrived { attempt, request, server, epoch, new_connection, lost });
     }
 
-    fn end_attempt(&mut self, attempt: Attempt, ending: Ending, kept_epoch: Option<u32>) {
+    fn end_attempt(&mut self, attempt: Attempt, ending: AttemptOutcome, kept_epoch: Option<u32>) {
         if !self.is_running(attempt.process) {
             return;
         }
@@ -994,7 +994,7 @@
         if !upstream.up || upstream.epoch != epoch {
             return self
                 .agenda
-                .after(delay, Event::Response { attempt, ending: Ending::Reset, kept_epoch: None });
+                .after(delay, Event::Response { attempt, ending: AttemptOutcome::Reset, kept_epoch: None });
         }
         let (kept_epoch, group, error_rate, reset_rate) =
             (Some(epoch), upstream.group, upstream.error_rate, upstream.reset_rate);
@@ -1003,7 +1003,7 @@
         let (class, work) = (pending.class, pending.work);
         if self.work_draws.chance(error_rate) {
             self.checker.execution_started(now, request, server, group, Duration::ZERO);
-            return self.agenda.after(delay + ms(1.0), respond(Ending::Error));
+            return self.agenda.after(delay + ms(1.0), respond(AttemptOutcome::Error));
         }
         let tier = usize::from(server >= self.portals());
         let scenario = self.scenario;
@@ -1039,7 +1039,7 @@
             Admission::Queued => {}
             Admission::Rejected => {
                 self.jobs.remove(&job);
-                self.agenda.after(delay, respond(Ending::Full));
+                self.agenda.after(delay, respond(AttemptOutcome::Declined));
             }
         }
     }
@@ -1052,10 +1052,10 @@
         let upstream = &self.servers[server];
         let Some(pending) = self.requests.get(&request) else {
             // The request was checked and removed long ago: no client waits for it.
-            return self.finish_job(job, Ending::Full);
+            return self.finish_job(job, AttemptOutcome::Declined);
         };
         if upstream.spec.drops_expired && now >= pending.deadline {
-            return self.finish_job(job, Ending::Full);
+            return self.finish_job(job, AttemptOutcome::Declined);
         }
         let keyed = self.scenario.classes[pending.class].keyed;
         if keyed {
@@ -1113,7 +1113,7 @@
             }
             None => {
                 let answer_cut = job_state.answer_cut;
-                self.finish_job(job, if answer_cut { Ending::Reset } else { Ending::Ok });
+                self.finish_job(job, if answer_cut { AttemptOutcome::Reset } else { AttemptOutcome::Ok });
             }
         }
     }
@@ -1144,17 +1144,17 @@
     /// Fails a job whose call failed: it answers with an error.
     fn fail_job(&mut self, job: u64) {
         if self.jobs.get(&job).is_some_and(|j| self.servers[j.server].epoch == j.epoch) {
-            self.finish_job(job, Ending::Error);
+            self.finish_job(job, AttemptOutcome::Error);
         }
     }
 
     /// Completes a job and starts the next one in the queue.
-    fn finish_job(&mut self, job: u64, ending: Ending) {
+    fn finish_job(&mut self, job: u64, ending: AttemptOutcome) {
         let now = self.agenda.now();
         let Some(job_state) = self.jobs.remove(&job) else { return };
         let delay = self.network_delay();
         let hung = self.servers[job_state.server].hung;
-        let kept_epoch = (ending != Ending::Reset).then_some(job_state.epoch);
+        let kept_epoch = (ending != AttemptOutcome::Reset).then_some(job_state.epoch);
         if !hung {
             self.agenda.after(delay, Event::Response { attempt: job_state.attempt, ending, kept_epoch });
         }
@@ -1199,7 +1199,8 @@
         for (job, attempt) in lost_attempts {
             self.jobs.remove(&job);
             let delay = self.network_delay();
-            self.agenda.after(delay, Event::Response { attempt, ending: Ending::Reset, kept_epoch: None });
+            self.agenda
+                .after(delay, Event::Response { attempt, ending: AttemptOutcome::Reset, kept_epoch: None });
         }
         if server < self.portals() {
             self.end_process(self.balancers() + server, true);
--- a/crates/verification/simulator-adapter/src/wire.rs
+++ b/crates/verification/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! Codec of the simulator's wire protocol: decodes batches and encodes replies. Every read is bounds-checked, and
 //! errors state the reason and the place.
 use balancer::{
-    Action, Availability, Ending, Event, Member, Membership, Millis, Request, RequestId, UpstreamId,
+    Action, AttemptOutcome, Availability, Event, Member, Membership, Millis, Request, RequestId, UpstreamId,
 };
 use std::fmt;
 use std::io::{self, Read};
@@ -200,7 +200,7 @@
                 tail_range(tail, u32_at(record, 9), u64::from(u32_at(record, 13)), "settings")?;
             Record::Configure { seed: u64_at(record, 1), settings_range }
         }
-        5 => Record::Event(Event::Request(Request::plain(
+        5 => Record::Event(Event::Request(Request::with_full_worth(
             RequestId(u32_at(record, 1)),
             usize::from(record[5]),
             u32_at(record, 6) as usize,
@@ -212,12 +212,12 @@
             let members = tail[range].chunks_exact(ENTRY_SIZE).map(decode_entry).collect::<Result<_, _>>()?;
             Record::Table { number: u32_at(record, 1), members }
         }
-        8 => Record::Event(Event::Outcome {
+        8 => Record::Event(Event::AttemptEnded {
             request: RequestId(u32_at(record, 1)),
             attempt: u32::from(u16_at(record, 5)),
             ending: decode_ending(u16_at(record, 13)),
             duration: finite(f64_at(record, 15), "duration")?,
-            closed: record[23] != 0,
+            request_finished: record[23] != 0,
         }),
         9 => Record::Event(Event::ClientGone(RequestId(u32_at(record, 1)))),
         10 => Record::Target(u16_at(record, 1)),
@@ -236,22 +236,22 @@
         2 => Availability::Gone,
         other => return Err(format!("unknown availability {other}")),
     };
-    let since = finite(f64_at(entry, 16), "start time of an upstream")?;
+    let started_at = finite(f64_at(entry, 16), "start time of an upstream")?;
     let (zone, kind, group) = (u16_at(entry, 6), entry[8], u16_at(entry, 9));
-    Ok(Member { id: upstream_at(entry, 0), zone, kind, group, availability, since })
+    Ok(Member { id: upstream_at(entry, 0), zone, kind, group, availability, started_at })
 }
 
-fn decode_ending(code: u16) -> Ending {
+fn decode_ending(code: u16) -> AttemptOutcome {
     match code {
-        200 => Ending::Ok,
-        502 => Ending::Error,
-        429 => Ending::Full,
-        408 => Ending::Timeout,
-        521 => Ending::ConnectFailed,
-        520 => Ending::Reset,
-        444 => Ending::Cancelled,
-        409 => Ending::Moot,
-        _ => Ending::Unknown,
+        200 => AttemptOutcome::Ok,
+        502 => AttemptOutcome::Error,
+        429 => AttemptOutcome::Declined,
+        408 => AttemptOutcome::Timeout,
+        521 => AttemptOutcome::ConnectFailed,
+        520 => AttemptOutcome::Reset,
+        444 => AttemptOutcome::Cancelled,
+        409 => AttemptOutcome::NotSent,
+        _ => AttemptOutcome::Unknown,
     }
 }
 
--- a/crates/verification/simulator-adapter/src/wire/tests.rs
+++ b/crates/verification/simulator-adapter/src/wire/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(batch.records.len(), 5);
     assert_eq!(batch.records[0], Record::Target(3));
     let id = RequestId(0x5d3a_91c4);
-    let request = Request::plain(id, 0, 0, 8652.25);
+    let request = Request::with_full_worth(id, 0, 0, 8652.25);
     assert_eq!(batch.records[1], Record::Event(Event::Request(request)));
     assert_eq!(batch.records[2], Record::Event(Event::Timer(0x4d)));
     assert_eq!(batch.records[4], Record::Event(Event::ClientGone(RequestId(0x0e6f_2b19))));
@@ -62,7 +62,7 @@
     let batch = decode(&frame, 0).unwrap();
     let Record::Table { number: 0, members } = &batch.records[0] else { panic!("{batch:?}") };
     assert_eq!(members[1].id, UpstreamId(0x0a90_11f2_2bec));
-    assert_eq!(members[1].since, 6100.0);
+    assert_eq!(members[1].started_at, 6100.0);
     assert!(matches!(resolve_membership(2, Some(members)), Ok(Membership::Delta(m)) if m.len() == 2));
 }
 
@@ -89,6 +89,6 @@
 
 #[test]
 fn unknown_ending_may_have_run() {
-    assert_eq!(decode_ending(777), Ending::Unknown);
+    assert_eq!(decode_ending(777), AttemptOutcome::Unknown);
     assert!(!decode_ending(777).never_ran());
 }
