--- a/crates/herondock/benches/consul.rs
+++ b/crates/herondock/benches/consul.rs
@@ -10,7 +10,7 @@
 use testkit::caller::{Caller, Operation};
 use testkit::consul::{Agent, Consul, Fault, Service};
 use testkit::discovery::Discovery;
-use testkit::ledger::{Effect, Entry, Ledger, RuleParameters, Scope, State};
+use testkit::ledger::{DedupScope, Effect, Entry, Ledger, RuleParameters, UpstreamState};
 use testkit::message::ok_response;
 use testkit::node::{config, Node, Program};
 use testkit::upstream::{Step, Upstream, UpstreamOptions};
@@ -77,7 +77,7 @@
 }
 
 /// Waits until the instance is told this of the first upstream; when it was.
-fn told_of(ledger: &Ledger, from: usize, wanted: State) -> Duration {
+fn told_of(ledger: &Ledger, from: usize, wanted: UpstreamState) -> Duration {
     let started = Instant::now();
     loop {
         let told = |e: &Entry| matches!(e, Entry::Notified { upstream, state, .. } if upstream == "u0" && *state == wanted);
@@ -140,7 +140,7 @@
                 if !matches!(fault, Fault::None | Fault::Slow(_) | Fault::NoIndex) {
                     agent.fault(Fault::None);
                 }
-                let told = told_of(&ledger, from, State::Closed);
+                let told = told_of(&ledger, from, UpstreamState::Closed);
                 std::thread::sleep(AFTER);
                 let begun = |e: &Entry| matches!(e, Entry::Begun { upstream, .. } if upstream == "u0");
                 let last = ledger.since(from).iter().filter(|r| begun(&r.entry)).map(|r| r.time).max();
@@ -151,12 +151,12 @@
                 // Told that it is back, so that the next drain is news again.
                 let from = ledger.since(0).len();
                 consul.maintenance("portal", "u0", false);
-                told_of(&ledger, from, State::Ready);
+                told_of(&ledger, from, UpstreamState::Ready);
             }
         });
         let figures = RuleParameters {
-            scope: Scope::All,
-            window: Duration::from_secs(20),
+            scope: DedupScope::All,
+            dedup_window: Duration::from_secs(20),
             ..RuleParameters::default()
         };
         broken += ledger.check(&figures).len();
--- a/crates/herondock/benches/fleet.rs
+++ b/crates/herondock/benches/fleet.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use testkit::caller::{Caller, Operation, Outcome};
 use testkit::discovery::{ListedUpstream, Registry};
-use testkit::ledger::{Effect, Ledger, RuleParameters, Scope};
+use testkit::ledger::{DedupScope, Effect, Ledger, RuleParameters};
 use testkit::message::ok_response;
 use testkit::node::{config, Program};
 use testkit::plain::{call_during, PlainCaller, Tally as Plainly};
@@ -196,8 +196,11 @@
         all.sort_by(f64::total_cmp);
         println!("\n{key}: {:.1} to {:.1}, median {:.1}", all[0], all[all.len() - 1], all[all.len() / 2]);
     }
-    let figures =
-        RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() };
+    let figures = RuleParameters {
+        scope: DedupScope::All,
+        dedup_window: Duration::from_secs(20),
+        ..RuleParameters::default()
+    };
     println!("\nrules broken: {:?}", ledger.check(&figures));
     roll("stop");
     supervisor.wait().expect("it ends");
--- a/crates/herondock/benches/takeover.rs
+++ b/crates/herondock/benches/takeover.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use testkit::caller::Client;
 use testkit::discovery::{upstream_list, Discovery};
-use testkit::ledger::{Ledger, RuleParameters, Scope};
+use testkit::ledger::{DedupScope, Ledger, RuleParameters};
 use testkit::message::{get, ok_response};
 use testkit::node::{config, Node, Program};
 use testkit::plain::{call_during, PlainCaller, Tally};
@@ -75,8 +75,11 @@
     for mut node in old {
         assert!(node.wait().success(), "an old process failed: {:?}", node.log());
     }
-    let figures =
-        RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() };
+    let figures = RuleParameters {
+        scope: DedupScope::All,
+        dedup_window: Duration::from_secs(20),
+        ..RuleParameters::default()
+    };
     way.broken += ledger.check(&figures).len();
     way.plays.push(met.failed());
     way.met += met;
--- a/crates/herondock/src/demo/report.rs
+++ b/crates/herondock/src/demo/report.rs
@@ -3,7 +3,7 @@
 use super::tally::Count;
 use std::fmt::Write;
 use std::time::Duration;
-use testkit::ledger::{Breach, Rule, Violation};
+use testkit::ledger::{Rule, Violation, ViolationKind};
 
 /// The memory of an instance, in bytes.
 pub struct Memory {
@@ -47,20 +47,24 @@
         !self.violations.is_empty()
     }
 
-    fn of(&self, faults: &[Breach]) -> usize {
-        self.violations.iter().filter(|v| faults.contains(&v.breach)).count()
+    fn of(&self, faults: &[ViolationKind]) -> usize {
+        self.violations.iter().filter(|v| faults.contains(&v.kind)).count()
     }
 
     fn lost(&self) -> usize {
-        self.of(&[Breach::AnswerLost])
+        self.of(&[ViolationKind::AnswerLost])
     }
 
     fn twice(&self) -> usize {
-        self.of(&[Breach::UnsafeRepeated, Breach::KeyedOutsideGroup, Breach::KeyedOutsideWindow])
+        self.of(&[
+            ViolationKind::UnsafeRepeated,
+            ViolationKind::KeyedOutsideGroup,
+            ViolationKind::KeyedOutsideWindow,
+        ])
     }
 
     fn against(&self, rule: Rule) -> usize {
-        self.violations.iter().filter(|v| v.breach.rule() == Some(rule)).count()
+        self.violations.iter().filter(|v| v.kind.rule() == Some(rule)).count()
     }
 
     fn requests(&self) -> Count {
--- a/crates/herondock/src/demo/report/tests.rs
+++ b/crates/herondock/src/demo/report/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_broken_rule_shows_in_every_form() {
     let fault =
-        Violation { breach: Breach::UnsafeRepeated, time: Duration::ZERO, subject: "request r".into() };
+        Violation { kind: ViolationKind::UnsafeRepeated, time: Duration::ZERO, subject: "request r".into() };
     let bad = report(vec![fault]);
     assert!(bad.broken() && bad.text().contains("no effect twice: BROKEN 1 times"));
     let json: serde_json::Value = serde_json::from_str(&bad.json()).expect("JSON");
--- a/crates/herondock/src/demo/world.rs
+++ b/crates/herondock/src/demo/world.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use testkit::caller::{Caller, Operation, Outcome};
 use testkit::discovery::{ListedUpstream, Registry};
-use testkit::ledger::{Cold, Effect, Ledger, RuleParameters};
+use testkit::ledger::{ColdStart, Effect, Ledger, RuleParameters};
 use testkit::message::{ok_response, Message};
 use testkit::upstream::{Step, Upstream, UpstreamOptions};
 
@@ -37,7 +37,8 @@
 /// The mean pause of a caller between two operations.
 const THINK: Duration = Duration::from_millis(200);
 /// How an upstream that has just started warms up.
-const COLD: Cold = Cold { cores: CORES as f64, from: 0.32, ramp: Duration::from_secs(4) };
+const COLD: ColdStart =
+    ColdStart { parallelism: CORES as f64, initial_fraction: 0.32, ramp: Duration::from_secs(4) };
 /// The platform's limit; half of what a shell with few descriptors gives.
 const SOCKETS: usize = 192;
 /// How long a caller learns of an instance that leaves only by its connections, as the front notices late.
@@ -389,7 +390,7 @@
     took.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-fn options(name: &str, group: u32, ledger: &Arc<Ledger>, cold: Option<Cold>) -> UpstreamOptions {
+fn options(name: &str, group: u32, ledger: &Arc<Ledger>, cold: Option<ColdStart>) -> UpstreamOptions {
     let ledger = Some(ledger.clone());
     UpstreamOptions { group, ledger, cores: CORES, queue: 32, cold, ..UpstreamOptions::named(name) }
 }
@@ -464,7 +465,7 @@
         let effect = if c.effect == Effect::Unsafe { "single_shot" } else { "guarded" };
         let deadline = c.deadline.as_millis() as u64;
         serde_json::json!({"name": c.name, "objective": deadline * 2 / 5, "deadline": deadline, "effect": effect,
-            "dedup_scope": "cell", "repeat_window": figures().window.as_millis() as u64, "late_worth": 0.4})
+            "dedup_scope": "cell", "repeat_window": figures().dedup_window.as_millis() as u64, "late_worth": 0.4})
     });
     let seed = format!("{:016x}", u64::from(std::process::id()) << 8 | index as u64);
     let figures = figures();
@@ -476,8 +477,8 @@
             "classes": classes, "tenants": tenants,
             "permissions": {"attempts_cap": 5, "cancel": true, "retry_after": true, "max_retry_after": 2000,
                 "idle_close": 15000},
-            "invariants": {"cold_from": COLD.from, "ramp_time": COLD.ramp.as_millis() as u64,
-                "tip_multiple": figures.cold_multiple, "drain_grace": figures.grace.as_millis() as u64}
+            "invariants": {"cold_from": COLD.initial_fraction, "ramp_time": COLD.ramp.as_millis() as u64,
+                "tip_multiple": figures.cold_multiple, "drain_grace": figures.drain_grace.as_millis() as u64}
         }
     })
     .to_string()
--- a/crates/herondock/tests/common/mod.rs
+++ b/crates/herondock/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use testkit::caller::{Caller, Operation, Outcome};
-use testkit::ledger::{Effect, Ledger, RuleParameters, Scope};
+use testkit::ledger::{DedupScope, Effect, Ledger, RuleParameters};
 
 pub use testkit::caller::Client;
 pub use testkit::discovery::{upstream_list, Discovery};
@@ -60,7 +60,11 @@
 
 /// The rules in the figures of [`config`]: all upstreams drop repeats, for 20 s.
 pub fn figures() -> RuleParameters {
-    RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() }
+    RuleParameters {
+        scope: DedupScope::All,
+        dedup_window: Duration::from_secs(20),
+        ..RuleParameters::default()
+    }
 }
 
 /// An operation of this class with time enough.
--- a/crates/herondock/tests/consul.rs
+++ b/crates/herondock/tests/consul.rs
@@ -112,7 +112,11 @@
 
     /// Nothing at all may begin at whom the instance was told to leave alone, but for what crossed the news.
     fn kept(&self) {
-        let strict = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(300), ..figures() };
+        let strict = RuleParameters {
+            drain_grace: Duration::ZERO,
+            tolerance: Duration::from_millis(300),
+            ..figures()
+        };
         assert_eq!(self.ledger.check(&strict), [], "{:?}", self.node.log());
     }
 }
--- a/crates/herondock/tests/rules.rs
+++ b/crates/herondock/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 use testkit::discovery::{ListedUpstream, Registry};
-use testkit::ledger::{Entry, Ledger, RuleParameters, State};
+use testkit::ledger::{Entry, Ledger, RuleParameters, UpstreamState};
 use testkit::script::Script;
 use testkit::upstream::UpstreamOptions;
 
@@ -103,12 +103,13 @@
     let upstreams = ["u0", "u1", "u2"].map(start);
     let nodes = fleet(pairing, 2, &registry);
     // No grace at all here: what begins after a balancer was told is a fault, but for what crossed the news.
-    let strict = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(500), ..figures() };
+    let strict =
+        RuleParameters { drain_grace: Duration::ZERO, tolerance: Duration::from_millis(500), ..figures() };
     load_by(pairing, &ledger, &addrs(pairing, &nodes), 4, 10);
     registry.state("u0", "leaving");
     registry.state("u1", "left");
     let told = |upstream: &str| {
-        let closed = |e: &Entry| matches!(e, Entry::Notified { upstream: u, state: State::Closed, .. } if u == upstream);
+        let closed = |e: &Entry| matches!(e, Entry::Notified { upstream: u, state: UpstreamState::Closed, .. } if u == upstream);
         ledger.since(0).iter().filter(|r| closed(&r.entry)).count()
     };
     let started = std::time::Instant::now();
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -325,7 +325,7 @@
         now: Nanos,
         update: SourceUpdate,
         outputs: &mut Vec<Output>,
-    ) -> Vec<(usize, invariants::State)> {
+    ) -> Vec<(usize, invariants::UpstreamState)> {
         let failed = matches!(update, SourceUpdate::Unavailable(_));
         let changes = self.endpoints.apply_update(self.wall_clock(now), &self.source, update);
         if failed {
@@ -345,9 +345,9 @@
             new_states.push((
                 server,
                 if endpoint.accepts_requests && !gone {
-                    invariants::State::Ready
+                    invariants::UpstreamState::Ready
                 } else {
-                    invariants::State::Closed
+                    invariants::UpstreamState::Closed
                 },
             ));
             self.has_endpoints |= ready;
--- a/crates/verification/fleet-simulation/src/invariant_checks.rs
+++ b/crates/verification/fleet-simulation/src/invariant_checks.rs
@@ -2,7 +2,8 @@
 use crate::agenda::Nanos;
 use fnv::FnvHashMap;
 use invariants::{
-    Breach, Cold, Effect, NotificationDeadline, RequestHistory, RuleParameters, State, Warming,
+    ClosedSince, ColdStart, ColdStartMonitor, Effect, RequestHistory, RuleParameters, UpstreamState,
+    ViolationKind,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Kind of violation.
-    pub breach: Breach,
+    pub kind: ViolationKind,
     /// Time of the violation.
     pub at: Duration,
     /// The request, upstream or instance concerned.
@@ -26,8 +27,8 @@
 pub struct InvariantChecker {
     parameters: RuleParameters,
     histories: FnvHashMap<u64, RequestHistory>,
-    notifications: FnvHashMap<(usize, usize), NotificationDeadline>,
-    warming: BTreeMap<usize, Warming>,
+    notifications: FnvHashMap<(usize, usize), ClosedSince>,
+    warming: BTreeMap<usize, ColdStartMonitor>,
     /// The first violations.
     pub violations: Vec<Violation>,
     /// Total number of violations.
@@ -39,10 +40,10 @@
 }
 
 impl InvariantChecker {
-    fn record(&mut self, breach: Breach, at: Duration, subject: String) {
+    fn record(&mut self, kind: ViolationKind, at: Duration, subject: String) {
         self.violation_count += 1;
         if self.violations.len() < MAX_VIOLATIONS {
-            self.violations.push(Violation { breach, at, subject });
+            self.violations.push(Violation { kind, at, subject });
         }
     }
 
@@ -66,7 +67,7 @@
     /// Excuses a request whose process was killed.
     pub fn excuse(&mut self, request: u64) {
         if let Some(history) = self.histories.get_mut(&request) {
-            history.excused = true;
+            history.balancer_killed = true;
         }
     }
 
@@ -74,26 +75,32 @@
     pub fn attempt_written(&mut self, now: Nanos, request: u64, instance: usize, server: usize) {
         let notification = self.notifications.get(&(instance, server)).copied().unwrap_or_default();
         match self.histories.get_mut(&request) {
-            Some(history) => history.begun.push((duration(now), notification.closed_for(duration(now)))),
+            Some(history) => {
+                history.attempt_starts.push((duration(now), notification.closed_for(duration(now))))
+            }
             // The request was checked and removed long ago, so it is finished.
-            None => self.record(Breach::SentAfterAnswer, duration(now), format!("request {request}")),
+            None => self.record(ViolationKind::SentAfterAnswer, duration(now), format!("request {request}")),
         }
     }
 
     /// Records that an upstream starts to execute a request.
     pub fn execution_started(&mut self, now: Nanos, request: u64, server: usize, group: u16, work: Duration) {
         if let Some(history) = self.histories.get_mut(&request) {
-            history.ran.push((duration(now), u32::from(group)));
+            history.executions.push((duration(now), u32::from(group)));
         }
         let overloaded =
-            self.warming.get_mut(&server).and_then(|w| w.executed(duration(now), work, &self.parameters));
+            self.warming.get_mut(&server).and_then(|w| w.record_work(duration(now), work, &self.parameters));
         if let Some((at, work_sent)) = overloaded {
-            self.record(Breach::ColdPushedOver, at, format!("upstream {server}, sent {work_sent:?} of work"));
+            self.record(
+                ViolationKind::ColdPushedOver,
+                at,
+                format!("upstream {server}, sent {work_sent:?} of work"),
+            );
         }
     }
 
     /// Records that an instance was notified of the state of an upstream.
-    pub fn notify(&mut self, now: Nanos, instance: usize, server: usize, state: State) {
+    pub fn notify(&mut self, now: Nanos, instance: usize, server: usize, state: UpstreamState) {
         self.notifications.entry((instance, server)).or_default().notify(duration(now), state);
     }
 
@@ -105,17 +112,17 @@
     }
 
     /// Records that an upstream's process has started.
-    pub fn upstream_started(&mut self, now: Nanos, server: usize, cold: Cold) {
-        self.warming.insert(server, Warming::new(duration(now), cold));
+    pub fn upstream_started(&mut self, now: Nanos, server: usize, cold: ColdStart) {
+        self.warming.insert(server, ColdStartMonitor::new(duration(now), cold));
     }
 
     /// Checks a request that nothing more can happen to.
     pub fn check_request(&mut self, request: u64) {
         let Some(history) = self.histories.remove(&request) else { return };
-        let mut breaches = Vec::new();
-        history.judge(&self.parameters, &mut |breach, at| breaches.push((breach, at)));
-        for (breach, at) in breaches {
-            self.record(breach, at, format!("request {request}"));
+        let mut violations = Vec::new();
+        history.check(&self.parameters, &mut |kind, at| violations.push((kind, at)));
+        for (kind, at) in violations {
+            self.record(kind, at, format!("request {request}"));
         }
     }
 
--- a/crates/verification/fleet-simulation/src/main.rs
+++ b/crates/verification/fleet-simulation/src/main.rs
@@ -110,7 +110,7 @@
 
 fn print_violations(report: &Report) {
     for violation in report.violations.iter().take(5) {
-        println!("  {:?} at {:.3} s: {}", violation.breach, violation.at.as_secs_f64(), violation.subject);
+        println!("  {:?} at {:.3} s: {}", violation.kind, violation.at.as_secs_f64(), violation.subject);
     }
     for (table, count) in report.retained.iter().take(5) {
         println!("  {table} retains {count} entries");
@@ -152,9 +152,9 @@
             for (seed, report) in found.violating.iter().take(3) {
                 println!("{}", summary(&seed.to_string(), &Scenario::draw(*seed, fleet.size), report));
                 print_violations(report);
-                let breach = report.violations.first().map(|v| v.breach);
-                let reproduces = |r: &Report| match breach {
-                    Some(breach) => r.violations.iter().any(|v| v.breach == breach),
+                let kind = report.violations.first().map(|v| v.kind);
+                let reproduces = |r: &Report| match kind {
+                    Some(kind) => r.violations.iter().any(|v| v.kind == kind),
                     None => !r.retained.is_empty(),
                 };
                 let smallest = shrink(&Case::full_run(*seed, fleet.size), mutant, &reproduces);
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -1216,7 +1216,11 @@
         self.servers[server].start_process(now);
         let spec = &self.servers[server].spec;
         let ramp = Duration::from_nanos(spec.warmup);
-        let cold = invariants::Cold { cores: spec.capacity(), from: spec.cold_fraction, ramp };
+        let cold = invariants::ColdStart {
+            parallelism: spec.capacity(),
+            initial_fraction: spec.cold_fraction,
+            ramp,
+        };
         self.checker.upstream_started(now, server, cold);
         self.registry[server].state = Some(EndpointState::Ready);
         self.registry[server].started_ms = START_UNIX_MS + now as f64 / 1e6;
--- a/crates/verification/fleet-simulation/tests/rules.rs
+++ b/crates/verification/fleet-simulation/tests/rules.rs
@@ -3,7 +3,7 @@
 use fleet_simulation::scenario::{Scenario, Size};
 use fleet_simulation::search::{search, shrink, Case};
 use fleet_simulation::world::run_scenario;
-use invariants::Breach;
+use invariants::ViolationKind;
 use std::time::Duration;
 
 const THREADS: usize = 4;
@@ -22,17 +22,16 @@
 /// that the unmodified instances pass.
 #[test]
 fn every_mutant_violates_its_invariant_and_is_caught() {
-    for (mutant, breaches) in [
-        (Mutant::AnswersForgotten, &[Breach::AnswerLost][..]),
-        (Mutant::EffectsForgotten, &[Breach::UnsafeRepeated, Breach::RefusedAfterRunning]),
-        (Mutant::DrainsIgnored, &[Breach::SentAfterGrace]),
-        (Mutant::ColdPreferred, &[Breach::ColdPushedOver]),
+    for (mutant, kinds) in [
+        (Mutant::AnswersForgotten, &[ViolationKind::AnswerLost][..]),
+        (Mutant::EffectsForgotten, &[ViolationKind::UnsafeRepeated, ViolationKind::RefusedAfterRunning]),
+        (Mutant::DrainsIgnored, &[ViolationKind::SentAfterGrace]),
+        (Mutant::ColdPreferred, &[ViolationKind::ColdPushedOver]),
     ] {
         let found = search(Size::SMALL, mutant, 1, 60, Duration::MAX, THREADS);
-        for breach in breaches {
-            let caught =
-                found.violating.iter().any(|(_, r)| r.violations.iter().any(|v| v.breach == *breach));
-            assert!(caught, "{mutant:?} was not caught by {breach:?}");
+        for kind in kinds {
+            let caught = found.violating.iter().any(|(_, r)| r.violations.iter().any(|v| v.kind == *kind));
+            assert!(caught, "{mutant:?} was not caught by {kind:?}");
         }
     }
     let found = search(Size::SMALL, Mutant::NothingForgotten, 1, 2, Duration::MAX, THREADS);
@@ -55,8 +54,9 @@
 /// A violating run is shrunk to fewer faults and less load, and still violates the invariant.
 #[test]
 fn a_violating_run_is_shrunk_and_still_violates() {
-    let loses_answer =
-        |r: &fleet_simulation::world::Report| r.violations.iter().any(|v| v.breach == Breach::AnswerLost);
+    let loses_answer = |r: &fleet_simulation::world::Report| {
+        r.violations.iter().any(|v| v.kind == ViolationKind::AnswerLost)
+    };
     let mutant = Mutant::AnswersForgotten;
     let found = search(Size::SMALL, mutant, 1, 40, Duration::MAX, THREADS);
     let has_several_faults = |seed: u64| Scenario::draw(seed, Size::SMALL).faults.len() > 1;
--- a/crates/verification/invariants/src/lib.rs
+++ b/crates/verification/invariants/src/lib.rs
@@ -5,8 +5,8 @@
 //! | type | checks |
 //! | --- | --- |
 //! | [`RequestHistory`] | one request: rules 1 and 2, and rule 3 by how long its upstreams had been closed |
-//! | [`NotificationDeadline`] | how long an upstream has been closed, by the updates that a balancer got |
-//! | [`Warming`] | the work sent to a cold upstream: rule 4 |
+//! | [`ClosedSince`] | how long an upstream has been closed, by the updates that a balancer got |
+//! | [`ColdStartMonitor`] | the work sent to a cold upstream: rule 4 |
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -23,34 +23,34 @@
 
 /// Whether an upstream takes new work, as a balancer was notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum UpstreamState {
     /// Takes new work.
     Ready,
     /// Draining or gone: takes no new work.
     Closed,
 }
 
-/// Cold start of an upstream: its capacity grows linearly over `ramp`, starting at the fraction `from`.
+/// Cold start of an upstream: its capacity grows linearly over `ramp`, starting at the fraction `initial_fraction`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// Number of units of work that it processes in parallel when warm.
-    pub cores: f64,
+    pub parallelism: f64,
     /// Fraction of its capacity that it starts with.
-    pub from: f64,
+    pub initial_fraction: f64,
     /// Time from its start until it is warm.
     pub ramp: Duration,
 }
 
-impl Cold {
+impl ColdStart {
     /// Returns the work that the upstream can do from `start` to `end` after its start.
-    pub fn work(&self, start: Duration, end: Duration) -> Duration {
+    pub fn work_between(&self, start: Duration, end: Duration) -> Duration {
         // The mean of the capacity over the span by Simpson's rule, which is exact where the capacity grows linearly.
         let fraction = |time: Duration| {
             let progress = (time.as_secs_f64() / self.ramp.as_secs_f64().max(1e-9)).min(1.0);
-            self.from + (1.0 - self.from) * progress
+            self.initial_fraction + (1.0 - self.initial_fraction) * progress
         };
         let mean = (fraction(start) + 4.0 * fraction((start + end) / 2) + fraction(end)) / 6.0;
-        (end - start).mul_f64(self.cores * mean)
+        (end - start).mul_f64(self.parallelism * mean)
     }
 }
 
@@ -70,7 +70,7 @@
 
 /// Violations of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Breach {
+pub enum ViolationKind {
     /// No answer came.
     AnswerLost,
     /// More than one answer came.
@@ -97,10 +97,10 @@
     LedgerFull,
 }
 
-impl Breach {
+impl ViolationKind {
     /// Returns the rule that it violates; `None` for a fault of the ledger itself.
     pub fn rule(self) -> Option<Rule> {
-        use Breach::*;
+        use ViolationKind::*;
         match self {
             AnswerLost | TwoAnswers | AnswerLate | ServedByNobody | SentAfterAnswer => {
                 Some(Rule::NoRequestLost)
@@ -117,7 +117,7 @@
 
 /// Upstreams that discard duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All upstreams.
     All,
     /// Upstreams of the group in which the request first ran.
@@ -128,13 +128,13 @@
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
     /// Tolerance that is added to all time limits, for transmission delays.
-    pub slack: Duration,
+    pub tolerance: Duration,
     /// Time after a notification during which attempts to a closed upstream may still begin.
-    pub grace: Duration,
+    pub drain_grace: Duration,
     /// Upstreams that discard duplicates.
-    pub scope: Scope,
+    pub scope: DedupScope,
     /// Time for which duplicates are discarded.
-    pub window: Duration,
+    pub dedup_window: Duration,
     /// Maximum work sent to a cold upstream, as a multiple of what it can do.
     pub cold_multiple: f64,
     /// Length of the spans over which that work is summed.
@@ -144,10 +144,10 @@
 impl Default for RuleParameters {
     fn default() -> Self {
         RuleParameters {
-            slack: Duration::from_millis(50),
-            grace: Duration::from_secs(1),
-            scope: Scope::Group,
-            window: Duration::from_secs(4),
+            tolerance: Duration::from_millis(50),
+            drain_grace: Duration::from_secs(1),
+            scope: DedupScope::Group,
+            dedup_window: Duration::from_secs(4),
             cold_multiple: 4.0,
             cold_span: Duration::from_secs(1),
         }
@@ -156,14 +156,14 @@
 
 /// Time since when an upstream has been closed, as a balancer was notified; `None` while it is ready.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NotificationDeadline(Option<Duration>);
+pub struct ClosedSince(Option<Duration>);
 
-impl NotificationDeadline {
+impl ClosedSince {
     /// Records a notification.
-    pub fn notify(&mut self, time: Duration, state: State) {
+    pub fn notify(&mut self, time: Duration, state: UpstreamState) {
         self.0 = match state {
-            State::Ready => None,
-            State::Closed => self.0.or(Some(time)),
+            UpstreamState::Ready => None,
+            UpstreamState::Closed => self.0.or(Some(time)),
         };
     }
 
@@ -177,87 +177,103 @@
 #[derive(Clone, Debug)]
 pub struct RequestHistory {
     /// Time at which the caller began to send it.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// Time that the caller waits for an answer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Effect of running it more than once.
     pub effect: Effect,
     /// Complete answers: time and status. 200 means served, 429 and 503 refused, and all others failed.
     pub answers: Vec<(Duration, u16)>,
     /// Time at which the caller disconnected of its own accord, after which no answer is needed.
-    pub left: Option<Duration>,
+    pub disconnected_at: Option<Duration>,
     /// Times at which its first bytes reached upstreams, and how long these had been closed as its balancer knew.
-    pub begun: Vec<(Duration, Duration)>,
+    pub attempt_starts: Vec<(Duration, Duration)>,
     /// Times at which upstreams began to work on it, and their groups.
-    pub ran: Vec<(Duration, u32)>,
+    pub executions: Vec<(Duration, u32)>,
     /// Whether its balancer was killed while it held the request, which the caller then has to send again.
-    pub excused: bool,
+    pub balancer_killed: bool,
 }
 
 impl RequestHistory {
     /// Creates the history of a request that was just sent.
-    pub fn new(sent: Duration, effect: Effect, patience: Duration) -> RequestHistory {
-        let (answers, begun, ran) = Default::default();
-        RequestHistory { sent, patience, effect, answers, left: None, begun, ran, excused: false }
+    pub fn new(sent_at: Duration, effect: Effect, timeout: Duration) -> RequestHistory {
+        let (answers, attempt_starts, executions) = Default::default();
+        RequestHistory {
+            sent_at,
+            timeout,
+            effect,
+            answers,
+            disconnected_at: None,
+            attempt_starts,
+            executions,
+            balancer_killed: false,
+        }
     }
 
     /// Checks the history once it is complete: a request without an answer counts as lost.
-    pub fn judge(&self, rules: &RuleParameters, report: &mut impl FnMut(Breach, Duration)) {
+    pub fn check(&self, rules: &RuleParameters, report: &mut impl FnMut(ViolationKind, Duration)) {
         self.check_answers(rules, report);
         self.check_effects(rules, report);
-        for &(time, closed) in &self.begun {
-            if closed > rules.grace + rules.slack {
-                report(Breach::SentAfterGrace, time);
+        for &(time, closed) in &self.attempt_starts {
+            if closed > rules.drain_grace + rules.tolerance {
+                report(ViolationKind::SentAfterGrace, time);
             }
         }
     }
 
-    fn check_answers(&self, rules: &RuleParameters, report: &mut impl FnMut(Breach, Duration)) {
-        let (request, sent, patience, excused) = (self, self.sent, self.patience, self.excused);
-        match (request.answers.first(), request.left) {
-            (None, None) if !excused => report(Breach::AnswerLost, sent),
-            (Some(&(time, _)), _) if time > sent + patience + rules.slack => report(Breach::AnswerLate, time),
+    fn check_answers(&self, rules: &RuleParameters, report: &mut impl FnMut(ViolationKind, Duration)) {
+        let (request, sent_at, timeout, balancer_killed) =
+            (self, self.sent_at, self.timeout, self.balancer_killed);
+        match (request.answers.first(), request.disconnected_at) {
+            (None, None) if !balancer_killed => report(ViolationKind::AnswerLost, sent_at),
+            (Some(&(time, _)), _) if time > sent_at + timeout + rules.tolerance => {
+                report(ViolationKind::AnswerLate, time)
+            }
             _ => {}
         }
         if let Some(&(time, _)) = request.answers.get(1) {
-            report(Breach::TwoAnswers, time);
+            report(ViolationKind::TwoAnswers, time);
         }
         if let Some(&(time, 200)) = request.answers.first() {
-            if request.ran.iter().all(|&(ran, _)| ran > time) {
-                report(Breach::ServedByNobody, time);
+            if request.executions.iter().all(|&(ran, _)| ran > time) {
+                report(ViolationKind::ServedByNobody, time);
             }
         }
         // The answer or the disconnection, whichever came first, ended the request.
         let finished_at =
-            request.answers.first().map(|&(time, _)| time).into_iter().chain(request.left).min();
-        if let Some(&(time, _)) =
-            request.begun.iter().find(|&&(time, _)| finished_at.is_some_and(|end| time > end + rules.slack))
+            request.answers.first().map(|&(time, _)| time).into_iter().chain(request.disconnected_at).min();
+        if let Some(&(time, _)) = request
+            .attempt_starts
+            .iter()
+            .find(|&&(time, _)| finished_at.is_some_and(|end| time > end + rules.tolerance))
         {
-            report(Breach::SentAfterAnswer, time);
+            report(ViolationKind::SentAfterAnswer, time);
         }
     }
 
-    fn check_effects(&self, rules: &RuleParameters, report: &mut impl FnMut(Breach, Duration)) {
+    fn check_effects(&self, rules: &RuleParameters, report: &mut impl FnMut(ViolationKind, Duration)) {
         let (request, effect) = (self, self.effect);
-        let Some((&(first, group), reruns)) = request.ran.split_first() else { return };
+        let Some((&(first, group), reruns)) = request.executions.split_first() else { return };
         match effect {
             Effect::Safe => {}
-            Effect::Unsafe => reruns.iter().for_each(|&(time, _)| report(Breach::UnsafeRepeated, time)),
+            Effect::Unsafe => {
+                reruns.iter().for_each(|&(time, _)| report(ViolationKind::UnsafeRepeated, time))
+            }
             Effect::Keyed => {
                 for &(time, other_group) in reruns {
-                    if rules.scope == Scope::Group && other_group != group {
-                        report(Breach::KeyedOutsideGroup, time);
+                    if rules.scope == DedupScope::Group && other_group != group {
+                        report(ViolationKind::KeyedOutsideGroup, time);
                     }
-                    if time > first + rules.window + rules.slack {
-                        report(Breach::KeyedOutsideWindow, time);
+                    if time > first + rules.dedup_window + rules.tolerance {
+                        report(ViolationKind::KeyedOutsideWindow, time);
                     }
                 }
             }
         }
-        let harmless = effect == Effect::Safe || (effect == Effect::Keyed && rules.scope == Scope::All);
+        let harmless = effect == Effect::Safe || (effect == Effect::Keyed && rules.scope == DedupScope::All);
         for &(time, status) in &request.answers {
             if matches!(status, 429 | 503) && !harmless {
-                report(Breach::RefusedAfterRunning, time);
+                report(ViolationKind::RefusedAfterRunning, time);
             }
         }
     }
@@ -265,35 +281,35 @@
 
 /// Work that was sent to an upstream since it started.
 #[derive(Clone, Debug)]
-pub struct Warming {
+pub struct ColdStartMonitor {
     started: Duration,
-    cold: Cold,
+    cold: ColdStart,
     /// Recently started work, within the last span: time and amount.
     recent: VecDeque<(Duration, Duration)>,
     violated: bool,
 }
 
-impl Warming {
+impl ColdStartMonitor {
     /// Creates the record of an upstream that has just started.
-    pub fn new(started: Duration, cold: Cold) -> Warming {
-        Warming { started, cold, recent: VecDeque::new(), violated: false }
+    pub fn new(started: Duration, cold: ColdStart) -> ColdStartMonitor {
+        ColdStartMonitor { started, cold, recent: VecDeque::new(), violated: false }
     }
 
     /// Whether the upstream is warm, after which no more checks apply.
-    pub fn warm(&self, time: Duration) -> bool {
+    pub fn is_warm(&self, time: Duration) -> bool {
         time >= self.started + self.cold.ramp
     }
 
     /// Records work that the upstream began at `time`. Checks each span that begins with a piece of work: its sum
     /// may exceed the budget by the largest single piece, since one request more is chance. For the first span above
     /// that, returns the start of the span and the work sent in it.
-    pub fn executed(
+    pub fn record_work(
         &mut self,
         time: Duration,
         work: Duration,
         rules: &RuleParameters,
     ) -> Option<(Duration, Duration)> {
-        if self.violated || self.warm(time) {
+        if self.violated || self.is_warm(time) {
             return None;
         }
         while self.recent.front().is_some_and(|&(from, _)| time >= from + rules.cold_span) {
@@ -308,7 +324,7 @@
         }
         for (&(from, first_work), &largest) in self.recent.iter().zip(largest.iter().rev()) {
             let since = from - self.started;
-            let budget = self.cold.work(since, since + rules.cold_span).mul_f64(rules.cold_multiple);
+            let budget = self.cold.work_between(since, since + rules.cold_span).mul_f64(rules.cold_multiple);
             if sum > budget + largest {
                 self.violated = true;
                 return Some((from, sum));
--- a/crates/verification/testkit/src/consul.rs
+++ b/crates/verification/testkit/src/consul.rs
@@ -4,7 +4,7 @@
 //! like clients of one cluster. Each has its own address, fault and query count, so that the ledger knows
 //! which balancer was notified.
 use crate::discovery::hung_up;
-use crate::ledger::{Entry, Ledger, State};
+use crate::ledger::{Entry, Ledger, UpstreamState as State};
 use crate::message::{read, Message};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
--- a/crates/verification/testkit/src/discovery.rs
+++ b/crates/verification/testkit/src/discovery.rs
@@ -1,5 +1,5 @@
 //! Discovery in the platform's format: a server with prepared answers, and a registry that serves a list.
-use crate::ledger::{Entry, Ledger, State};
+use crate::ledger::{Entry, Ledger, UpstreamState};
 use crate::message::{read, Message};
 use crate::TEST_TIMEOUT;
 use std::collections::{BTreeMap, VecDeque};
@@ -304,7 +304,7 @@
             }
             last_answer_at = Some(Instant::now());
             for (upstream, state) in sent {
-                let state = if state == "active" { State::Ready } else { State::Closed };
+                let state = if state == "active" { UpstreamState::Ready } else { UpstreamState::Closed };
                 if let Some(ledger) = &self.0.ledger {
                     ledger.write(Entry::Notified { balancer: balancer.into(), upstream, state });
                 }
--- a/crates/verification/testkit/src/ledger.rs
+++ b/crates/verification/testkit/src/ledger.rs
@@ -7,7 +7,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use testkit::ledger::{Breach, Effect, Entry, Ledger, RuleParameters};
+//! use testkit::ledger::{Effect, Entry, Ledger, RuleParameters, ViolationKind};
 //!
 //! let ledger = Ledger::new();
 //! let ms = Duration::from_millis;
@@ -21,10 +21,10 @@
 //! // A refusal promises that a retry is safe, but this request has run.
 //! ledger.write_at(ms(20), Entry::Answered { request, status: 503 });
 //! let violations = ledger.check(&RuleParameters::default());
-//! assert_eq!(violations[0].breach, Breach::RefusedAfterRunning);
+//! assert_eq!(violations[0].kind, ViolationKind::RefusedAfterRunning);
 //! ```
-pub use invariants::{Breach, Cold, Effect, Rule, RuleParameters, Scope, State};
-use invariants::{NotificationDeadline, RequestHistory, Warming};
+use invariants::{ClosedSince, ColdStartMonitor, RequestHistory};
+pub use invariants::{ColdStart, DedupScope, Effect, Rule, RuleParameters, UpstreamState, ViolationKind};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -86,14 +86,14 @@
         /// Upstream id.
         upstream: String,
         /// Reported state.
-        state: State,
+        state: UpstreamState,
     },
     /// The process of an upstream has started.
     Started {
         /// Upstream id.
         upstream: String,
         /// Warm-up behaviour.
-        cold: Cold,
+        cold: ColdStart,
     },
     /// A balancer was killed; its callers have to send their requests again.
     Killed {
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Kind of violation.
-    pub breach: Breach,
+    pub kind: ViolationKind,
     /// Time of the violation.
     pub time: Duration,
     /// Request or upstream concerned.
@@ -115,7 +115,7 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.breach, self.time.as_secs_f64(), self.subject)
+        write!(f, "{:?} at {:.3} s: {}", self.kind, self.time.as_secs_f64(), self.subject)
     }
 }
 
@@ -205,12 +205,12 @@
         let mut violations = Vec::new();
         if log.dropped > 0 {
             let subject = format!("{} entries found no room", log.dropped);
-            violations.push(Violation { breach: Breach::LedgerFull, time: self.now(), subject });
+            violations.push(Violation { kind: ViolationKind::LedgerFull, time: self.now(), subject });
         }
-        let mut notifications: HashMap<(&str, &str), NotificationDeadline> = HashMap::new();
+        let mut notifications: HashMap<(&str, &str), ClosedSince> = HashMap::new();
         // History of each request, and the balancer that took it.
         let mut histories: BTreeMap<&str, (RequestHistory, &str)> = BTreeMap::new();
-        let mut warming: HashMap<&str, Warming> = HashMap::new();
+        let mut warming: HashMap<&str, ColdStartMonitor> = HashMap::new();
         for record in &records {
             match &record.entry {
                 Entry::Sent { request, balancer, effect, timeout } => {
@@ -218,7 +218,7 @@
                     let (history, taken_by) = histories.entry(request).or_insert_with(fresh);
                     // Sent again on another connection: the balancer that has the request now owes the
                     // answer.
-                    (history.excused, *taken_by) = (false, balancer);
+                    (history.balancer_killed, *taken_by) = (false, balancer);
                 }
                 Entry::Answered { request, status } => {
                     if let Some((history, _)) = histories.get_mut(request.as_str()) {
@@ -227,7 +227,7 @@
                 }
                 Entry::CallerLeft { request } => {
                     if let Some((history, _)) = histories.get_mut(request.as_str()) {
-                        history.left = Some(record.time);
+                        history.disconnected_at = Some(record.time);
                     }
                 }
                 Entry::Begun { upstream, request } => {
@@ -235,41 +235,41 @@
                         let notifications = notifications.get(&(*balancer, upstream.as_str()));
                         let closed = notifications
                             .map_or(Duration::ZERO, |notifications| notifications.closed_for(record.time));
-                        history.begun.push((record.time, closed));
+                        history.attempt_starts.push((record.time, closed));
                     }
                 }
                 Entry::Executed { upstream, group, request, work } => {
                     if let Some((history, _)) = histories.get_mut(request.as_str()) {
-                        history.ran.push((record.time, *group));
+                        history.executions.push((record.time, *group));
                     }
                     let warming = warming.get_mut(upstream.as_str());
                     let overload =
-                        warming.and_then(|warming| warming.executed(record.time, *work, parameters));
+                        warming.and_then(|warming| warming.record_work(record.time, *work, parameters));
                     if let Some((time, sum)) = overload {
                         let subject = format!(
                             "upstream {upstream}, sent {sum:?} of work in {:?}",
                             parameters.cold_span
                         );
-                        violations.push(Violation { breach: Breach::ColdPushedOver, time, subject });
+                        violations.push(Violation { kind: ViolationKind::ColdPushedOver, time, subject });
                     }
                 }
                 Entry::Notified { balancer, upstream, state } => {
                     notifications.entry((balancer, upstream)).or_default().notify(record.time, *state);
                 }
                 Entry::Started { upstream, cold } => {
-                    warming.insert(upstream, Warming::new(record.time, *cold));
+                    warming.insert(upstream, ColdStartMonitor::new(record.time, *cold));
                 }
                 Entry::Killed { balancer } => {
                     for (history, taken_by) in histories.values_mut() {
-                        history.excused |= taken_by == balancer;
+                        history.balancer_killed |= taken_by == balancer;
                     }
                 }
             }
         }
         for (request, (history, _)) in &histories {
             let subject = || format!("request {request}");
-            let mut breach = |breach, time| violations.push(Violation { breach, time, subject: subject() });
-            history.judge(parameters, &mut breach);
+            let mut report = |kind, time| violations.push(Violation { kind, time, subject: subject() });
+            history.check(parameters, &mut report);
         }
         violations.sort_by_key(|v| v.time);
         violations
--- a/crates/verification/testkit/src/upstream.rs
+++ b/crates/verification/testkit/src/upstream.rs
@@ -1,5 +1,5 @@
 //! Upstreams that answer over real sockets as a test sets, and write into the ledger.
-use crate::ledger::{Cold, Entry, Ledger};
+use crate::ledger::{ColdStart, Entry, Ledger};
 use crate::message::{ok_response, read_with_head, Message};
 use crate::TEST_TIMEOUT;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -80,7 +80,7 @@
     /// Number of requests that may wait for a core.
     pub queue: usize,
     /// Warm-up after its start, which affects the ledger's check and the time that work takes.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
     /// Whether it uses FastCGI instead of HTTP. Its answers are written as HTTP in both cases.
     pub fastcgi: bool,
     /// Maximum number of concurrent requests on a FastCGI connection; a value above 1 is advertised on
@@ -290,7 +290,7 @@
         drop(jobs);
         let warmth = self.options.cold.map_or(1.0, |cold| {
             let done = self.started.elapsed().as_secs_f64() / cold.ramp.as_secs_f64().max(1e-9);
-            (cold.from + (1.0 - cold.from) * done).clamp(0.01, 1.0)
+            (cold.initial_fraction + (1.0 - cold.initial_fraction) * done).clamp(0.01, 1.0)
         });
         // Sleeps instead of computing.
         thread::sleep(duration.div_f64(warmth));
--- a/crates/verification/testkit/tests/standins.rs
+++ b/crates/verification/testkit/tests/standins.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use testkit::caller::{Caller, Client, Operation, Outcome};
 use testkit::discovery::{ListedUpstream, Registry};
-use testkit::ledger::{Breach, Effect, Entry, Ledger, RuleParameters};
+use testkit::ledger::{Effect, Entry, Ledger, RuleParameters, ViolationKind};
 use testkit::message::{get, ok_response, read};
 use testkit::script::Script;
 use testkit::upstream::{ok, status, Step, Upstream, UpstreamOptions};
@@ -89,7 +89,7 @@
     let done = caller.call(&operation(Effect::Unsafe));
     assert!(matches!((done.outcome, done.attempts), (Outcome::Served { .. }, 1)), "{done:?}");
     old_and_new.join().expect("no panic");
-    assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.breach != Breach::AnswerLost));
+    assert!(ledger.check(&RuleParameters::default()).iter().all(|v| v.kind != ViolationKind::AnswerLost));
 }
 
 /// Guards against counting a connection that was closed between two requests as a lost answer.
@@ -113,7 +113,7 @@
     let brief = Operation { deadline: Duration::from_millis(50), ..operation(Effect::Unsafe) };
     let done = caller(&ledger, &upstream).call(&brief);
     assert_eq!(done.outcome, Outcome::Unanswered);
-    assert_eq!(ledger.check(&RuleParameters::default())[0].breach, Breach::AnswerLost);
+    assert_eq!(ledger.check(&RuleParameters::default())[0].kind, ViolationKind::AnswerLost);
 }
 
 #[test]
