--- a/crates/verification/coordination-simulation/src/plan.rs
+++ b/crates/verification/coordination-simulation/src/plan.rs
@@ -1,5 +1,5 @@
 //! The plan of a run: everything that its seed decides in advance.
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -196,8 +196,8 @@
     };
     let from = match fault {
         // Not before the other voters have joined.
-        Fault::Replace(_) => ms(random.gen_range(6000.0..20_000.0)),
-        _ => ms(random.gen_range(1500.0..20_000.0)),
+        Fault::Replace(_) => nanos_from_ms(random.gen_range(6000.0..20_000.0)),
+        _ => nanos_from_ms(random.gen_range(1500.0..20_000.0)),
     };
     let length_ms = match fault {
         Fault::PowerLoss(_) => random.gen_range(50.0..800.0),
@@ -205,5 +205,5 @@
         Fault::StaleLeader(_) => random.gen_range(3500.0..6000.0),
         _ => random.gen_range(200.0..5000.0),
     };
-    ScheduledFault { fault, from, until: (from + ms(length_ms)).min(HEALED) }
+    ScheduledFault { fault, from, until: (from + nanos_from_ms(length_ms)).min(HEALED) }
 }
--- a/crates/verification/coordination-simulation/src/search.rs
+++ b/crates/verification/coordination-simulation/src/search.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
-use testkit::faults::script::fewest;
+use testkit::faults::script::minimal_failing_steps;
 
 /// Plays a plan; a panic is reported as a violation.
 pub fn play_catching(plan: &Plan, variant: Variant) -> Report {
@@ -100,6 +100,8 @@
 /// The plan with the fewest faults that still fails.
 pub fn shrink(plan: &Plan, variant: Variant) -> Plan {
     let with = |faults: &[ScheduledFault]| Plan { faults: faults.to_vec(), ..plan.clone() };
-    let faults = fewest(&plan.faults, |some| !play_catching(&with(some), variant).violations.is_empty());
+    let faults = minimal_failing_steps(&plan.faults, |some| {
+        !play_catching(&with(some), variant).violations.is_empty()
+    });
     with(&faults)
 }
--- a/crates/verification/coordination-simulation/src/world/clients.rs
+++ b/crates/verification/coordination-simulation/src/world/clients.rs
@@ -6,7 +6,7 @@
 use coordination::client::{
     Action, Client, ClientConfig, Event, RequestOutcome, SessionConfig, SessionEvent,
 };
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use rand::Rng;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -47,9 +47,10 @@
             session_expiry: None,
         });
         let start = ScheduledEvent::ClientTimeout { client, at: Duration::ZERO };
-        self.agenda.at(ms(CLIENT_START_MS), start);
+        self.event_queue.schedule_at(nanos_from_ms(CLIENT_START_MS), start);
         if number.is_some() {
-            self.agenda.at(ms(WORKLOAD_START_MS), ScheduledEvent::NextRequest(client));
+            self.event_queue
+                .schedule_at(nanos_from_ms(WORKLOAD_START_MS), ScheduledEvent::NextRequest(client));
         }
     }
 
@@ -70,7 +71,7 @@
         }
         if let Some(at) = next_timeout {
             let true_time = self.true_time(endpoint, at) + TIMEOUT_MARGIN;
-            self.agenda.at(true_time, ScheduledEvent::ClientTimeout { client: index, at });
+            self.event_queue.schedule_at(true_time, ScheduledEvent::ClientTimeout { client: index, at });
         }
     }
 
@@ -82,7 +83,7 @@
                 let connection = self.last_connection;
                 self.clients[index].connection = Some(connection);
                 let event = ScheduledEvent::Connect { client: index, connection, address };
-                self.agenda.after(ms(CONNECT_LATENCY_MS), event);
+                self.event_queue.schedule_after(nanos_from_ms(CONNECT_LATENCY_MS), event);
             }
             Action::Disconnect => self.disconnect(index),
             Action::Send(call) => {
@@ -103,7 +104,7 @@
 
     /// A client no longer holds its session, unless it was just established.
     fn session_changed(&mut self, index: usize, event: &SessionEvent) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let node = &mut self.clients[index];
         let held_until = node.session_expiry.take().unwrap_or(now).min(now);
         if matches!(event, SessionEvent::Established(_)) {
@@ -115,7 +116,7 @@
     }
 
     fn request_completed(&mut self, index: usize, request_id: u64, outcome: RequestOutcome) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if index == OPERATOR {
             return self.operator_request_completed(request_id, outcome);
         }
@@ -128,13 +129,13 @@
         if let Some(worker) = &mut node.worker {
             worker.complete(now, outcome, session, &mut self.histories);
         }
-        let delay = ms(self.random.gen_range(5.0..120.0));
-        self.agenda.after(delay, ScheduledEvent::NextRequest(index));
+        let delay = nanos_from_ms(self.random.gen_range(5.0..120.0));
+        self.event_queue.schedule_after(delay, ScheduledEvent::NextRequest(index));
     }
 
     /// Starts the next request of a client's workload.
     pub(super) fn start_request(&mut self, index: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if now > LAST_REQUEST || self.clients[index].pending_request.is_some() {
             return;
         }
@@ -146,7 +147,9 @@
             worker.release_lock(now, &mut self.histories);
         }
         let Some((request, timeout)) = next else {
-            return self.agenda.after(ms(IDLE_DELAY_MS), ScheduledEvent::NextRequest(index));
+            return self
+                .event_queue
+                .schedule_after(nanos_from_ms(IDLE_DELAY_MS), ScheduledEvent::NextRequest(index));
         };
         node.last_request_id += 1;
         let request_id = node.last_request_id;
@@ -168,7 +171,7 @@
         node.suspensions -= 1;
         if node.suspensions == 0 {
             for event in std::mem::take(&mut node.deferred) {
-                self.agenda.after(0, event);
+                self.event_queue.schedule_after(0, event);
             }
         }
     }
--- a/crates/verification/coordination-simulation/src/world/faults.rs
+++ b/crates/verification/coordination-simulation/src/world/faults.rs
@@ -2,7 +2,7 @@
 use super::nodes::Endpoint;
 use super::{ScheduledEvent, World};
 use crate::plan::Fault;
-use fleet_simulation::agenda::ms;
+use fleet_simulation::agenda::nanos_from_ms;
 use rand::Rng;
 
 /// How many times each voter is killed after voting, in [`Fault::Duels`].
@@ -40,8 +40,8 @@
             Fault::StaleLeader(_) => {
                 if let Some(leader) = self.leader() {
                     self.voters[leader].suspensions += 1;
-                    let delay = ms(self.random.gen_range(700.0..2200.0));
-                    self.agenda.after(delay, ScheduledEvent::ResumeVoter(leader));
+                    let delay = nanos_from_ms(self.random.gen_range(700.0..2200.0));
+                    self.event_queue.schedule_after(delay, ScheduledEvent::ResumeVoter(leader));
                 }
             }
             Fault::Flaky => self.flaky_links += 1,
@@ -120,7 +120,8 @@
         for voter in 0..self.voters.len() {
             self.crash(voter, 0.0);
             self.voters[voter].kills_after_vote = DUEL_KILLS;
-            self.agenda.after(ms(DUEL_RESTART_DELAY_MS), ScheduledEvent::StartVoter(voter));
+            self.event_queue
+                .schedule_after(nanos_from_ms(DUEL_RESTART_DELAY_MS), ScheduledEvent::StartVoter(voter));
         }
     }
 
@@ -143,8 +144,8 @@
             Fault::Crash(voter, _) => self.start_voter(voter),
             Fault::PowerLoss(_) => {
                 for voter in 0..self.voters.len() {
-                    let delay = ms(self.random.gen_range(0.0..600.0));
-                    self.agenda.after(delay, ScheduledEvent::StartVoter(voter));
+                    let delay = nanos_from_ms(self.random.gen_range(0.0..600.0));
+                    self.event_queue.schedule_after(delay, ScheduledEvent::StartVoter(voter));
                 }
             }
             Fault::BlinkOnVote(voter) => self.voters[voter].kills_after_vote = 0,
--- a/crates/verification/coordination-simulation/src/world/links.rs
+++ b/crates/verification/coordination-simulation/src/world/links.rs
@@ -4,7 +4,7 @@
 use coordination::client;
 use coordination::protocol::{Call, Reply};
 use coordination::voter::Event;
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use rand::Rng;
 
 /// Timeout of establishing a connection.
@@ -20,23 +20,23 @@
     }
 
     fn draw_latency(&mut self) -> Nanos {
-        ms(self.random.gen_range(0.1..2.0))
+        nanos_from_ms(self.random.gen_range(0.1..2.0))
     }
 
     /// Sends a reply to a client; `None` resets the connection.
     pub(super) fn send_reply(&mut self, connection: u64, reply: Option<Reply>) {
-        let arrival = self.draw_latency() + self.agenda.now();
+        let arrival = self.draw_latency() + self.event_queue.now();
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.last_reply_at = state.last_reply_at.max(arrival);
-        self.agenda.at(state.last_reply_at, ScheduledEvent::ReplyArrives { connection, reply });
+        self.event_queue.schedule_at(state.last_reply_at, ScheduledEvent::ReplyArrives { connection, reply });
     }
 
     /// Sends a call to a voter; `None` closes the connection.
     pub(super) fn send_call(&mut self, connection: u64, call: Option<Call>) {
-        let arrival = self.draw_latency() + self.agenda.now();
+        let arrival = self.draw_latency() + self.event_queue.now();
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.last_call_at = state.last_call_at.max(arrival);
-        self.agenda.at(state.last_call_at, ScheduledEvent::CallArrives { connection, call });
+        self.event_queue.schedule_at(state.last_call_at, ScheduledEvent::CallArrives { connection, call });
     }
 
     pub(super) fn connect(&mut self, client: usize, connection: u64, address: &str) {
@@ -46,15 +46,15 @@
         let failed = ScheduledEvent::ConnectFailed { client, connection };
         let voter = self.voters.iter().rposition(|node| node.name == address);
         let Some(voter) = voter.filter(|&voter| self.voters[voter].voter.is_some()) else {
-            return self.agenda.after(ms(REFUSAL_DELAY_MS), failed);
+            return self.event_queue.schedule_after(nanos_from_ms(REFUSAL_DELAY_MS), failed);
         };
         let (from, to) = (Endpoint::Client(client), Endpoint::Voter(voter));
         // A suspended voter does not answer the handshake.
         if self.is_cut(from, to) || self.is_cut(to, from) || self.voters[voter].suspensions > 0 {
-            return self.agenda.after(CONNECT_TIMEOUT, failed);
+            return self.event_queue.schedule_after(CONNECT_TIMEOUT, failed);
         }
         let incarnation = self.voters[voter].incarnation;
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let state = Connection { client, voter, incarnation, last_call_at: now, last_reply_at: now };
         self.connections.insert(connection, state);
         self.handle_client_event(client, client::Event::Connected);
@@ -77,7 +77,7 @@
         }
         if self.is_cut(Endpoint::Client(client), Endpoint::Voter(voter)) {
             let event = ScheduledEvent::CallArrives { connection, call };
-            return self.agenda.after(ms(RETRANSMISSION_MS), event);
+            return self.event_queue.schedule_after(nanos_from_ms(RETRANSMISSION_MS), event);
         }
         match call {
             Some(call) => self.handle_voter_event(voter, Event::Call { client: connection, call }),
@@ -95,7 +95,7 @@
         }
         if self.is_cut(Endpoint::Voter(voter), Endpoint::Client(client)) {
             let event = ScheduledEvent::ReplyArrives { connection, reply };
-            return self.agenda.after(ms(RETRANSMISSION_MS), event);
+            return self.event_queue.schedule_after(nanos_from_ms(RETRANSMISSION_MS), event);
         }
         match reply {
             Some(reply) => self.handle_client_event(client, client::Event::Reply(reply)),
--- a/crates/verification/coordination-simulation/src/world/mod.rs
+++ b/crates/verification/coordination-simulation/src/world/mod.rs
@@ -26,7 +26,7 @@
 use coordination::limits::Limits;
 use coordination::protocol::{Call, Member, Reply};
 use coordination::voter;
-use fleet_simulation::agenda::{ms, Agenda, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, EventQueue, Nanos};
 use hashing::Digest;
 use nodes::{ClientNode, Connection, Endpoint, VoterNode};
 use rand::SeedableRng;
@@ -102,8 +102,8 @@
 /// Plays a plan.
 pub fn play(plan: &Plan, variant: Variant) -> Report {
     let mut world = World::new(plan.clone(), variant);
-    while let Some(event) = world.agenda.turn() {
-        if world.agenda.now() >= END {
+    while let Some(event) = world.event_queue.pop_next() {
+        if world.event_queue.now() >= END {
             break;
         }
         world.dispatch(event);
@@ -115,7 +115,7 @@
     plan: Plan,
     variant: Variant,
     random: Pcg64Mcg,
-    agenda: Agenda<ScheduledEvent>,
+    event_queue: EventQueue<ScheduledEvent>,
     voters: Vec<VoterNode>,
     /// The operator at position 0, then the clients of the plan.
     clients: Vec<ClientNode>,
@@ -142,7 +142,7 @@
         let mut world = World {
             variant,
             random: Pcg64Mcg::seed_from_u64(plan.seed),
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             voters: Vec::new(),
             clients: Vec::new(),
             connections: BTreeMap::new(),
@@ -168,12 +168,12 @@
             world.add_client(Some(number));
         }
         for voter in 1..world.plan.voters {
-            world.agenda.at(ms(JOIN_DELAY_MS), ScheduledEvent::RequestJoin(voter));
+            world.event_queue.schedule_at(nanos_from_ms(JOIN_DELAY_MS), ScheduledEvent::RequestJoin(voter));
         }
         for index in 0..world.plan.faults.len() {
             let ScheduledFault { from, until, .. } = world.plan.faults[index];
-            world.agenda.at(from, ScheduledEvent::StartFault(index));
-            world.agenda.at(until, ScheduledEvent::EndFault(index));
+            world.event_queue.schedule_at(from, ScheduledEvent::StartFault(index));
+            world.event_queue.schedule_at(until, ScheduledEvent::EndFault(index));
         }
         world
     }
@@ -202,7 +202,7 @@
 
     /// The current time by the clock of an endpoint.
     fn local_now(&self, endpoint: Endpoint) -> Duration {
-        Duration::from_nanos((self.agenda.now() as f64 * self.clock_rate(endpoint)) as u64)
+        Duration::from_nanos((self.event_queue.now() as f64 * self.clock_rate(endpoint)) as u64)
     }
 
     /// The true time of a time by the clock of an endpoint.
@@ -236,7 +236,7 @@
     }
 
     fn dispatch(&mut self, event: ScheduledEvent) {
-        self.digest.write_u64(self.agenda.now());
+        self.digest.write_u64(self.event_queue.now());
         match self.suspended_receiver(&event) {
             Some(Endpoint::Voter(voter)) => return self.voters[voter].deferred.push_back(event),
             Some(Endpoint::Client(client)) => return self.clients[client].deferred.push_back(event),
--- a/crates/verification/coordination-simulation/src/world/operator.rs
+++ b/crates/verification/coordination-simulation/src/world/operator.rs
@@ -6,7 +6,7 @@
 use coordination::client::{ClientRequest, Event, RequestOutcome};
 use coordination::protocol::{Answer, Request};
 use coordination::voter::{encode_identity, Identity};
-use fleet_simulation::agenda::ms;
+use fleet_simulation::agenda::nanos_from_ms;
 use std::time::Duration;
 
 /// Request ids from this on are of joins, for the voter at the remaining position; lower ones are of removals, for the fault
@@ -38,7 +38,7 @@
 
     /// Has a voter removed that the fault at this position replaces.
     pub(super) fn request_removal(&mut self, fault: usize, voter: usize) {
-        if self.agenda.now() > LAST_REQUEST {
+        if self.event_queue.now() > LAST_REQUEST {
             return;
         }
         let name = self.voters[voter].name.clone();
@@ -55,7 +55,7 @@
     fn join_completed(&mut self, voter: usize, outcome: RequestOutcome) {
         let RequestOutcome::Answered(Answer::Joined { cluster }) = outcome else {
             let retry = ScheduledEvent::RequestJoin(voter);
-            return self.agenda.after(ms(JOIN_RETRY_DELAY_MS), retry);
+            return self.event_queue.schedule_after(nanos_from_ms(JOIN_RETRY_DELAY_MS), retry);
         };
         let node = &mut self.voters[voter];
         let identity = Identity { cluster: Some(cluster), voter: node.id, name: node.name.clone() };
@@ -70,6 +70,7 @@
         }
         self.voters[former].removed = true;
         let replacement = self.add_voter(former);
-        self.agenda.after(ms(REPLACEMENT_DELAY_MS), ScheduledEvent::RequestJoin(replacement));
+        self.event_queue
+            .schedule_after(nanos_from_ms(REPLACEMENT_DELAY_MS), ScheduledEvent::RequestJoin(replacement));
     }
 }
--- a/crates/verification/coordination-simulation/src/world/report.rs
+++ b/crates/verification/coordination-simulation/src/world/report.rs
@@ -34,7 +34,7 @@
 impl World {
     /// Ends the run and checks it.
     pub(super) fn finish(mut self) -> Report {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         for node in &mut self.clients {
             if let Some(worker) = &mut node.worker {
                 worker.finish(now, &mut self.histories);
--- a/crates/verification/coordination-simulation/src/world/voters.rs
+++ b/crates/verification/coordination-simulation/src/world/voters.rs
@@ -5,7 +5,7 @@
 use coordination::voter::{
     Action, Event, InjectedDefects, PersistRequest, PersistedState, Voter, VoterConfig, VoterEvent,
 };
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 use rand::Rng;
@@ -70,9 +70,9 @@
                 return self.report.violations.push(format!("voter {index} does not start: {error}"));
             }
         }
-        self.agenda.after(TICK, ScheduledEvent::Tick { voter: index, incarnation });
+        self.event_queue.schedule_after(TICK, ScheduledEvent::Tick { voter: index, incarnation });
         let check = ScheduledEvent::CheckDisk { voter: index, incarnation };
-        self.agenda.after(ms(DISK_CHECK_INTERVAL_MS), check);
+        self.event_queue.schedule_after(nanos_from_ms(DISK_CHECK_INTERVAL_MS), check);
     }
 
     /// Crashes a voter's machine; this share of its pending writes survives.
@@ -92,7 +92,7 @@
             self.connections.iter().filter(|(_, c)| c.voter == index).map(|(&id, _)| id).collect();
         for connection in reset {
             let event = ScheduledEvent::ReplyArrives { connection, reply: None };
-            self.agenda.after(ms(RESET_DELAY_MS), event);
+            self.event_queue.schedule_after(nanos_from_ms(RESET_DELAY_MS), event);
         }
     }
 
@@ -103,7 +103,7 @@
         if node.suspensions == 0 {
             // In order of arrival: requests come before the news of a new leader.
             for event in std::mem::take(&mut node.deferred) {
-                self.agenda.after(0, event);
+                self.event_queue.schedule_after(0, event);
             }
         }
     }
@@ -114,7 +114,7 @@
             return;
         }
         let delay = (TICK as f64 / self.clock_rate(Endpoint::Voter(index))) as Nanos;
-        self.agenda.after(delay, ScheduledEvent::Tick { voter: index, incarnation });
+        self.event_queue.schedule_after(delay, ScheduledEvent::Tick { voter: index, incarnation });
         self.handle_voter_event(index, Event::Tick);
     }
 
@@ -151,12 +151,14 @@
         if self.flaky_links > 0 && self.random.gen_bool(FLAKY_LOSS) {
             return;
         }
-        self.agenda.after(ms(delay), ScheduledEvent::PeerMessage { from, to_id, message });
+        self.event_queue
+            .schedule_after(nanos_from_ms(delay), ScheduledEvent::PeerMessage { from, to_id, message });
         if is_killed {
             let remaining = self.voters[from].kills_after_vote - 1;
             self.crash(from, 0.0);
             self.voters[from].kills_after_vote = remaining;
-            self.agenda.after(ms(RESTART_DELAY_MS), ScheduledEvent::StartVoter(from));
+            self.event_queue
+                .schedule_after(nanos_from_ms(RESTART_DELAY_MS), ScheduledEvent::StartVoter(from));
         }
     }
 
@@ -172,13 +174,13 @@
     }
 
     fn persist(&mut self, index: usize, request: PersistRequest) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let node = &mut self.voters[index];
         if request.replace {
             self.report.snapshots += 1;
         }
         let (min_ms, max_ms) = if node.disk.slow { (50.0, 400.0) } else { (0.1, 4.0) };
-        let duration = ms(self.random.gen_range(min_ms..max_ms));
+        let duration = nanos_from_ms(self.random.gen_range(min_ms..max_ms));
         let ends_at = node.write_schedule.add(now, duration);
         let (number, incarnation) = (request.number, node.incarnation);
         let fails = node.disk.full;
@@ -186,9 +188,9 @@
             node.disk.start(request);
         }
         let ended = |abnormal| ScheduledEvent::Persisted { voter: index, incarnation, number, abnormal };
-        self.agenda.at(ends_at, ended(fails));
+        self.event_queue.schedule_at(ends_at, ended(fails));
         if self.variant == Variant::AcknowledgedBeforeSync && !fails {
-            self.agenda.after(0, ended(true));
+            self.event_queue.schedule_after(0, ended(true));
         }
     }
 
@@ -216,7 +218,7 @@
             return;
         }
         let check = ScheduledEvent::CheckDisk { voter: index, incarnation };
-        self.agenda.after(ms(DISK_CHECK_INTERVAL_MS), check);
+        self.event_queue.schedule_after(nanos_from_ms(DISK_CHECK_INTERVAL_MS), check);
         let node = &self.voters[index];
         if node.voter.as_ref().is_some_and(Voter::awaits_storage_recovery) && !node.disk.full {
             if let Ok(state) = PersistedState::read(node.disk.records()) {
@@ -237,7 +239,7 @@
 
     /// Records the periods without a leader.
     fn track_leadership(&mut self) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let leads = |node: &VoterNode| {
             node.suspensions == 0 && node.voter.as_ref().is_some_and(Voter::is_serving_leader)
         };
--- a/crates/verification/disruption-simulation/src/plan.rs
+++ b/crates/verification/disruption-simulation/src/plan.rs
@@ -1,7 +1,7 @@
 //! Plan of a run, drawn from one seed.
 use disruption::{DisruptionBudget, DisruptionBudgets, GroupBy, ResourceKind};
-use fleet_simulation::agenda::{ms, Nanos};
-use fleet_simulation::draw::Draws;
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
+use fleet_simulation::draw::RandomStream;
 use rollout::OperatorCommand;
 use supervisor::RollingAction;
 
@@ -142,23 +142,23 @@
 
 impl PlannedRollout {
     fn draw(seed: u64) -> Option<PlannedRollout> {
-        let mut d = Draws::new(seed, "release", 0);
+        let mut d = RandomStream::new(seed, "release", 0);
         if d.chance(0.5) {
             return None;
         }
-        let quality =
-            [Quality::Good, Quality::Good, Quality::Worse, Quality::Crashes, Quality::Never][d.below(5)];
+        let quality = [Quality::Good, Quality::Good, Quality::Worse, Quality::Crashes, Quality::Never]
+            [d.uniform_below(5)];
         let mut commands = Vec::new();
-        for _ in 0..d.below(4) {
+        for _ in 0..d.uniform_below(4) {
             let said = || "drawn".to_string();
-            let command = match d.below(4) {
+            let command = match d.uniform_below(4) {
                 0 => OperatorCommand::RollBack(said()),
                 1 => OperatorCommand::Resume,
                 _ => OperatorCommand::Pause(said()),
             };
-            commands.push((ms(d.between((6_000.0, FAULTS_END_MS))), command));
+            commands.push((nanos_from_ms(d.uniform((6_000.0, FAULTS_END_MS))), command));
         }
-        let at = ms(d.between((5_000.0, 20_000.0)));
+        let at = nanos_from_ms(d.uniform((5_000.0, 20_000.0)));
         Some(PlannedRollout { at, quality, auto_rollback: d.chance(0.8), commands })
     }
 }
@@ -181,7 +181,7 @@
         self.rolls.clear();
         self.faults.clear();
         self.rollout = Some(PlannedRollout {
-            at: ms(5_000.0),
+            at: nanos_from_ms(5_000.0),
             quality: Quality::Good,
             auto_rollback: true,
             commands: Vec::new(),
@@ -191,11 +191,11 @@
 
     /// Draws a small plan, or one with 300 balancers on 20 machines.
     pub fn draw(seed: u64, full: bool) -> Plan {
-        let mut d = Draws::new(seed, "plan", 0);
-        let (machines, each) = if full { (20, 15) } else { (2 + d.below(5), 2 + d.below(3)) };
+        let mut d = RandomStream::new(seed, "plan", 0);
+        let (machines, each) = if full { (20, 15) } else { (2 + d.uniform_below(5), 2 + d.uniform_below(3)) };
         let whole = (machines * each) as u32;
-        let all = match d.below(3) {
-            0 => vec![budget("whole", GroupBy::Fleet, Some(1 + d.below(3) as u32), None)],
+        let all = match d.uniform_below(3) {
+            0 => vec![budget("whole", GroupBy::Fleet, Some(1 + d.uniform_below(3) as u32), None)],
             1 => vec![
                 budget("whole", GroupBy::Fleet, Some((whole / 10).max(1)), None),
                 budget("machine", GroupBy::Machine, Some(1), None),
@@ -210,14 +210,15 @@
         // At full size a run with a rollout takes minutes; only `calm` plans have one.
         let rollout = if full { None } else { PlannedRollout::draw(seed) };
         for machine in 0..machines {
-            let at = if together { 5_000.0 } else { d.between((5_000.0, 20_000.0)) };
-            let roll = [RollingAction::Restart, RollingAction::Handoff, RollingAction::Reload][d.below(3)];
-            rolls.push((ms(at), machine, roll));
+            let at = if together { 5_000.0 } else { d.uniform((5_000.0, 20_000.0)) };
+            let roll =
+                [RollingAction::Restart, RollingAction::Handoff, RollingAction::Reload][d.uniform_below(3)];
+            rolls.push((nanos_from_ms(at), machine, roll));
         }
-        let count = 1 + d.below(if full { 24 } else { 8 });
+        let count = 1 + d.uniform_below(if full { 24 } else { 8 });
         let mut faults = Vec::new();
         for _ in 0..count {
-            let kind = match d.below(10) {
+            let kind = match d.uniform_below(10) {
                 0 => FaultKind::PowerLoss,
                 1 | 2 => FaultKind::SupervisorCrash,
                 3 => FaultKind::SupervisorPause,
@@ -225,22 +226,22 @@
                 5 => FaultKind::SupervisorPartition,
                 6 => FaultKind::MachinePartition,
                 7 => FaultKind::CoordinationOutage,
-                _ => FaultKind::BalancerCrash(d.below(each)),
+                _ => FaultKind::BalancerCrash(d.uniform_below(each)),
             };
-            let at = ms(d.between((4_000.0, FAULTS_END_MS)));
+            let at = nanos_from_ms(d.uniform((4_000.0, FAULTS_END_MS)));
             // Shorter and longer than the time to live of sessions.
-            let duration = ms(if d.chance(0.5) {
-                d.between((50.0, 3_000.0))
+            let duration = nanos_from_ms(if d.chance(0.5) {
+                d.uniform((50.0, 3_000.0))
             } else {
-                d.between((3_000.0, MAX_FAULT_MS))
+                d.uniform((3_000.0, MAX_FAULT_MS))
             });
-            faults.push(Fault { kind, machine: d.below(machines), at, duration });
+            faults.push(Fault { kind, machine: d.uniform_below(machines), at, duration });
         }
         faults.sort_by_key(|t| t.at);
         if rollout.is_some() {
             rolls.clear();
         }
-        let (at_once, budgets) = (1 + d.below(2), DisruptionBudgets { budgets: all });
+        let (at_once, budgets) = (1 + d.uniform_below(2), DisruptionBudgets { budgets: all });
         Plan { seed, machines, balancers_per_machine: each, at_once, budgets, rolls, faults, rollout }
     }
 }
--- a/crates/verification/disruption-simulation/src/search.rs
+++ b/crates/verification/disruption-simulation/src/search.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
-use testkit::faults::script::fewest;
+use testkit::faults::script::minimal_failing_steps;
 
 /// Next seed that ends all threads of a search.
 const STOP: u64 = u64::MAX / 2;
@@ -69,6 +69,8 @@
 /// The plan with the fewest of its faults with which a violation remains.
 pub fn shrink(plan: &Plan, variant: Variant) -> Plan {
     let with_faults = |faults: &[_]| Plan { faults: faults.to_vec(), ..plan.clone() };
-    let faults = fewest(&plan.faults, |faults| !play(&with_faults(faults), variant).violations.is_empty());
+    let faults = minimal_failing_steps(&plan.faults, |faults| {
+        !play(&with_faults(faults), variant).violations.is_empty()
+    });
     with_faults(&faults)
 }
--- a/crates/verification/disruption-simulation/src/world/coordination.rs
+++ b/crates/verification/disruption-simulation/src/world/coordination.rs
@@ -7,7 +7,7 @@
 use coordination::CLOCK_DRIFT_FRACTION;
 use disruption::keys::{lease_key, KEY_PREFIX};
 use disruption::{BalancerEntry, ConditionalWrite, FleetSnapshot, Projection, ResourceId};
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Drift of clocks that sessions allow for.
@@ -66,11 +66,11 @@
     pub(super) fn notify_watchers(&mut self) {
         for m in 0..self.machines.len() {
             let delay = self.draw_delay();
-            let now = self.agenda.now();
+            let now = self.event_queue.now();
             let Some(supervisor) = &mut self.machines[m].supervisor else { continue };
             if !std::mem::replace(&mut supervisor.is_notified, true) {
                 let incarnation = supervisor.incarnation;
-                self.agenda.at(now + delay, SimEvent::SnapshotChanged(m, incarnation));
+                self.event_queue.schedule_at(now + delay, SimEvent::SnapshotChanged(m, incarnation));
             }
         }
     }
@@ -84,13 +84,13 @@
         if !is_alive {
             return;
         }
-        let sent_at = self.agenda.now();
+        let sent_at = self.event_queue.now();
         if self.is_reachable(holder) {
             let delay = self.draw_delay();
-            self.agenda.after(delay, SimEvent::SessionRenewed(holder, sent_at));
+            self.event_queue.schedule_after(delay, SimEvent::SessionRenewed(holder, sent_at));
         }
-        let interval = if self.is_reachable(holder) { TTL / 3 } else { ms(RENEW_RETRY_MS) };
-        self.agenda.after(interval, SimEvent::RenewSession(holder));
+        let interval = if self.is_reachable(holder) { TTL / 3 } else { nanos_from_ms(RENEW_RETRY_MS) };
+        self.event_queue.schedule_after(interval, SimEvent::RenewSession(holder));
     }
 
     /// A renewal reaches the store, and its response the holder at the same time, so that the response is never early.
@@ -98,7 +98,7 @@
         if !self.is_reachable(holder) {
             return;
         }
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let (current, holder_name) = match holder {
             SessionHolder::Supervisor(m, incarnation) => {
                 let Some(supervisor) = self.supervisor(m, incarnation) else { return };
@@ -121,7 +121,7 @@
             }
         };
         self.renewed_at.insert(session, now);
-        self.agenda.at(now + TTL + CLOCK_DRIFT, SimEvent::SessionExpires(session, now));
+        self.event_queue.schedule_at(now + TTL + CLOCK_DRIFT, SimEvent::SessionExpires(session, now));
         match holder {
             SessionHolder::Supervisor(m, incarnation) => {
                 let Some(supervisor) = self.supervisor(m, incarnation) else { return };
@@ -202,8 +202,8 @@
             }
         }
         // The session of a process that is gone expires by then, and snapshots from before that are no longer used.
-        let detection_time = TTL + CLOCK_DRIFT + ms(MAX_READ_AGE_MS);
-        let now = self.agenda.now();
+        let detection_time = TTL + CLOCK_DRIFT + nanos_from_ms(MAX_READ_AGE_MS);
+        let now = self.event_queue.now();
         let grant = Grant { now, detection_time, leased, new };
         let violations = judge::judge_grant(&self.plan.budgets, &balancers, &grant);
         let text = |violation: String| format!("at {} ms: {violation}", millis(now));
--- a/crates/verification/disruption-simulation/src/world/faults.rs
+++ b/crates/verification/disruption-simulation/src/world/faults.rs
@@ -2,7 +2,7 @@
 use super::event::{ProcessEvent, SimEvent};
 use super::World;
 use crate::plan::FaultKind;
-use fleet_simulation::agenda::ms;
+use fleet_simulation::agenda::nanos_from_ms;
 use supervisor::ProcessId;
 
 impl World {
@@ -25,7 +25,7 @@
                 self.machines[m].down += 1;
             }
             FaultKind::SupervisorPause => {
-                let until = self.agenda.now() + fault.duration;
+                let until = self.event_queue.now() + fault.duration;
                 let paused_until = &mut self.machines[m].paused_until;
                 *paused_until = until.max(*paused_until);
             }
@@ -40,7 +40,7 @@
                 }
             }
         }
-        self.agenda.after(fault.duration, SimEvent::FaultEnds(k));
+        self.event_queue.schedule_after(fault.duration, SimEvent::FaultEnds(k));
     }
 
     fn kill_supervisor(&mut self, m: usize) {
@@ -58,7 +58,8 @@
             FaultKind::PowerLoss | FaultKind::SupervisorCrash => {
                 machine.down -= 1;
                 if machine.down == 0 {
-                    self.agenda.after(ms(50.0), SimEvent::StartSupervisor(fault.machine));
+                    self.event_queue
+                        .schedule_after(nanos_from_ms(50.0), SimEvent::StartSupervisor(fault.machine));
                 }
             }
             FaultKind::SupervisorPartition => machine.supervisor_partitions -= 1,
--- a/crates/verification/disruption-simulation/src/world/leases.rs
+++ b/crates/verification/disruption-simulation/src/world/leases.rs
@@ -6,7 +6,7 @@
 use disruption::keys::lease_key;
 use disruption::lease_agent::{GrantedLease, Step};
 use disruption::{ConditionalWrite, FleetSnapshot, ResourceId};
-use fleet_simulation::agenda::ms;
+use fleet_simulation::agenda::nanos_from_ms;
 use std::collections::BTreeSet;
 use supervisor::Event;
 
@@ -21,7 +21,9 @@
     /// A change of the store reaches a supervisor.
     pub(super) fn snapshot_changed(&mut self, m: usize, incarnation: u64) {
         if !self.is_reachable(SessionHolder::Supervisor(m, incarnation)) {
-            return self.agenda.after(ms(RECONNECT_MS), SimEvent::SnapshotChanged(m, incarnation));
+            return self
+                .event_queue
+                .schedule_after(nanos_from_ms(RECONNECT_MS), SimEvent::SnapshotChanged(m, incarnation));
         }
         let Some(supervisor) = self.supervisor(m, incarnation) else { return };
         let mut fleet = std::mem::take(&mut supervisor.fleet);
@@ -35,7 +37,7 @@
 
     /// Takes the next step of a lease agent, unless a request is in flight.
     pub(super) fn step_lease_agent(&mut self, m: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let mut leases = Vec::new();
         let Some(supervisor) = &mut self.machines[m].supervisor else { return };
         if supervisor.is_busy {
@@ -55,12 +57,13 @@
         }
         if !leases.is_empty() {
             if let Some(pause) = self.machines[m].pause_on_grant.take() {
-                self.machines[m].paused_until = self.agenda.now() + pause;
+                self.machines[m].paused_until = self.event_queue.now() + pause;
             }
         }
         for lease in leases {
-            let delay = self.draws.between((0.01, 3.0));
-            self.agenda.after(ms(delay), SimEvent::LeaseGranted(m, incarnation, lease));
+            let delay = self.draws.uniform((0.01, 3.0));
+            self.event_queue
+                .schedule_after(nanos_from_ms(delay), SimEvent::LeaseGranted(m, incarnation, lease));
         }
     }
 
@@ -70,19 +73,19 @@
             supervisor.is_busy = true;
         }
         let delay = self.draw_delay();
-        self.agenda.after(delay, SimEvent::RequestArrives(m, incarnation, write));
+        self.event_queue.schedule_after(delay, SimEvent::RequestArrives(m, incarnation, write));
     }
 
     /// A request of a lease agent reaches the store.
     pub(super) fn request_arrives(&mut self, m: usize, incarnation: u64, write: Option<ConditionalWrite>) {
         let is_read = write.is_none();
-        let timeout = ms(REQUEST_TIMEOUT_MS);
+        let timeout = nanos_from_ms(REQUEST_TIMEOUT_MS);
         if self.supervisor(m, incarnation).is_none() {
             return;
         }
         if !self.is_reachable(SessionHolder::Supervisor(m, incarnation)) {
             let failed = SimEvent::ResponseArrives(m, incarnation, false, is_read);
-            return self.agenda.after(timeout, failed);
+            return self.event_queue.schedule_after(timeout, failed);
         }
         if let Some(write) = write {
             self.execute_write(m, incarnation, write);
@@ -90,12 +93,12 @@
         let delay = self.draw_delay();
         let is_lost = self.draws.chance(RESPONSE_LOSS);
         let response = SimEvent::ResponseArrives(m, incarnation, !is_lost, is_read);
-        self.agenda.after(if is_lost { timeout } else { delay }, response);
+        self.event_queue.schedule_after(if is_lost { timeout } else { delay }, response);
     }
 
     /// The response to a request reaches the lease agent.
     pub(super) fn response_arrives(&mut self, m: usize, incarnation: u64, succeeded: bool, is_read: bool) {
-        let now = duration(self.agenda.now());
+        let now = duration(self.event_queue.now());
         let is_current = succeeded && self.is_reachable(SessionHolder::Supervisor(m, incarnation));
         let Some(supervisor) = self.supervisor(m, incarnation) else { return };
         let mut fleet = std::mem::take(&mut supervisor.fleet);
@@ -137,7 +140,7 @@
 
     /// A lease agent notifies its supervisor of a lease.
     pub(super) fn lease_granted(&mut self, m: usize, lease: &GrantedLease) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(supervisor) = &mut self.machines[m].supervisor else { return };
         let is_active = supervisor.session.is_some_and(|(id, until)| now < until && id == lease.session);
         if !is_active && self.variant != Variant::LateLeaveUsed {
--- a/crates/verification/disruption-simulation/src/world/mod.rs
+++ b/crates/verification/disruption-simulation/src/world/mod.rs
@@ -19,8 +19,8 @@
 use disruption::keys::BUDGETS;
 use disruption::{ConditionalWrite, DisruptionLease, ResourceId, Versioned};
 use event::SimEvent;
-use fleet_simulation::agenda::{ms, Agenda, Nanos};
-use fleet_simulation::draw::Draws;
+use fleet_simulation::agenda::{nanos_from_ms, EventQueue, Nanos};
+use fleet_simulation::draw::RandomStream;
 use rollout::BuildId;
 use state::{Balancer, Machine, SupervisorProcess};
 use std::collections::BTreeMap;
@@ -48,10 +48,10 @@
 }
 
 struct World {
-    agenda: Agenda<SimEvent>,
+    event_queue: EventQueue<SimEvent>,
     plan: Plan,
     variant: Variant,
-    draws: Draws,
+    draws: RandomStream,
     store: StateMachine,
     /// When each session was last renewed, by the store's clock.
     renewed_at: BTreeMap<SessionId, Nanos>,
@@ -77,10 +77,10 @@
         ..Machine::default()
     };
     let mut world = World {
-        agenda: Agenda::default(),
+        event_queue: EventQueue::default(),
         plan: plan.clone(),
         variant,
-        draws: Draws::new(plan.seed, "world", 0),
+        draws: RandomStream::new(plan.seed, "world", 0),
         store: StateMachine::new(Limits::default()),
         renewed_at: BTreeMap::new(),
         coordination_outages: 0,
@@ -112,11 +112,11 @@
         let write = ConditionalWrite::unconditional(vec![put(BUDGETS.into(), &self.plan.budgets)]);
         self.transact(self.operator_session, write);
         self.schedule_plan();
-        let end = ms(FAULTS_END_MS + MAX_FAULT_MS + RECOVERY_MS);
+        let end = nanos_from_ms(FAULTS_END_MS + MAX_FAULT_MS + RECOVERY_MS);
         let mut steps = 0;
-        while let Some(event) = self.agenda.turn() {
+        while let Some(event) = self.event_queue.pop_next() {
             steps += 1;
-            if self.agenda.now() > end || self.is_done() {
+            if self.event_queue.now() > end || self.is_done() {
                 break;
             }
             if steps > MAX_STEPS {
@@ -134,24 +134,24 @@
     /// Schedules the events of the plan.
     fn schedule_plan(&mut self) {
         for m in 0..self.plan.machines {
-            let at = self.draws.between((0.0, MAX_START_MS));
-            self.agenda.at(ms(at), SimEvent::StartSupervisor(m));
+            let at = self.draws.uniform((0.0, MAX_START_MS));
+            self.event_queue.schedule_at(nanos_from_ms(at), SimEvent::StartSupervisor(m));
         }
         for (at, machine, action) in self.plan.rolls.clone() {
-            self.agenda.at(at, SimEvent::StartRoll(machine, action));
+            self.event_queue.schedule_at(at, SimEvent::StartRoll(machine, action));
         }
         for k in 0..self.plan.faults.len() {
-            self.agenda.at(self.plan.faults[k].at, SimEvent::FaultBegins(k));
+            self.event_queue.schedule_at(self.plan.faults[k].at, SimEvent::FaultBegins(k));
         }
         self.schedule_rollout();
     }
 
     /// Whether all planned events are over and nothing is unfinished.
     fn is_done(&self) -> bool {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let last = self.plan.faults.iter().map(|fault| fault.at + fault.duration).max().unwrap_or(0);
         let rolls = self.plan.rolls.iter().map(|r| r.0).max().unwrap_or(0);
-        now > last.max(rolls) + ms(MIN_RECOVERY_MS) && self.unfinished().is_empty()
+        now > last.max(rolls) + nanos_from_ms(MIN_RECOVERY_MS) && self.unfinished().is_empty()
     }
 
     /// What must have ended after the last fault and has not.
@@ -191,21 +191,25 @@
 
     /// Adds a step to the trace.
     fn trace(&mut self, step: impl FnOnce() -> String) {
-        let step = format!("{} ms {}", millis(self.agenda.now()), step());
+        let step = format!("{} ms {}", millis(self.event_queue.now()), step());
         self.report.add_step(step);
     }
 
     /// Draws the delay of a message.
     fn draw_delay(&mut self) -> Nanos {
         let is_slow = self.draws.chance(0.02);
-        ms(if is_slow { self.draws.between((50.0, 900.0)) } else { self.draws.between((0.5, 12.0)) })
+        nanos_from_ms(if is_slow {
+            self.draws.uniform((50.0, 900.0))
+        } else {
+            self.draws.uniform((0.5, 12.0))
+        })
     }
 
     /// Handles an event, or delays it while the supervisor that handles it is stopped.
     fn dispatch(&mut self, event: SimEvent) {
         let paused_until = event.handling_supervisor().and_then(|m| self.paused_until(m));
         if let Some(until) = paused_until {
-            return self.agenda.at(until, event);
+            return self.event_queue.schedule_at(until, event);
         }
         match event {
             SimEvent::StartSupervisor(m) => self.start_supervisor(m),
@@ -253,7 +257,7 @@
     /// Until when a supervisor is stopped; its events are delayed until then.
     fn paused_until(&self, m: usize) -> Option<Nanos> {
         let until = self.machines[m].paused_until;
-        (self.agenda.now() < until).then_some(until)
+        (self.event_queue.now() < until).then_some(until)
     }
 
     /// The supervisor process of a machine, if it is still this incarnation.
--- a/crates/verification/disruption-simulation/src/world/processes.rs
+++ b/crates/verification/disruption-simulation/src/world/processes.rs
@@ -7,7 +7,7 @@
 use disruption::conditional_write::put_ephemeral;
 use disruption::keys::status_key;
 use disruption::{InstanceState, InstanceStatus};
-use fleet_simulation::agenda::ms;
+use fleet_simulation::agenda::nanos_from_ms;
 use supervisor::{Event, ProcessId, Signal};
 
 impl World {
@@ -28,7 +28,7 @@
         if let Some(supervisor) = &mut self.machines[m].supervisor {
             supervisor.processes.insert(process, (k, id));
         }
-        let start_ms = self.draws.between((80.0, 900.0));
+        let start_ms = self.draws.uniform((80.0, 900.0));
         let event = if self.draws.chance(0.01) { ProcessEvent::Crash } else { ProcessEvent::Ready };
         let event = match quality {
             Some(Quality::Never) => None,
@@ -36,7 +36,8 @@
             _ => Some(event),
         };
         if let Some(event) = event {
-            self.agenda.after(ms(start_ms), SimEvent::Process(m, k, ProcessId(id), event));
+            self.event_queue
+                .schedule_after(nanos_from_ms(start_ms), SimEvent::Process(m, k, ProcessId(id), event));
         }
         self.check_bad_instances();
         self.update_availability(m, k, false);
@@ -57,25 +58,34 @@
                     self.check_lease(m, k);
                 }
                 self.update_availability(m, k, by_lease);
-                let report_ms = self.draws.between((0.5, 10.0));
-                self.agenda
-                    .after(ms(report_ms), SimEvent::Process(m, k, ProcessId(id), ProcessEvent::ReportStatus));
-                let exit_ms = self.draws.between((150.0, 700.0));
-                self.agenda.after(ms(exit_ms), SimEvent::Process(m, k, ProcessId(id), ProcessEvent::Exit));
+                let report_ms = self.draws.uniform((0.5, 10.0));
+                self.event_queue.schedule_after(
+                    nanos_from_ms(report_ms),
+                    SimEvent::Process(m, k, ProcessId(id), ProcessEvent::ReportStatus),
+                );
+                let exit_ms = self.draws.uniform((150.0, 700.0));
+                self.event_queue.schedule_after(
+                    nanos_from_ms(exit_ms),
+                    SimEvent::Process(m, k, ProcessId(id), ProcessEvent::Exit),
+                );
             }
-            Signal::Kill => self.agenda.after(0, SimEvent::Process(m, k, ProcessId(id), ProcessEvent::Crash)),
+            Signal::Kill => self
+                .event_queue
+                .schedule_after(0, SimEvent::Process(m, k, ProcessId(id), ProcessEvent::Crash)),
             Signal::Reload => {
                 let incarnation = self.machines[m].supervisor.as_ref().map_or(0, |s| s.incarnation);
-                let reload_ms = self.draws.between((5.0, 100.0));
-                self.agenda
-                    .after(ms(reload_ms), SimEvent::SupervisorEvent(m, incarnation, Event::Ready(process)));
+                let reload_ms = self.draws.uniform((5.0, 100.0));
+                self.event_queue.schedule_after(
+                    nanos_from_ms(reload_ms),
+                    SimEvent::SupervisorEvent(m, incarnation, Event::Ready(process)),
+                );
             }
         }
     }
 
     /// Updates whether a balancer is available, after a change of its processes. `by_lease` tells whether a lease caused it.
     pub(super) fn update_availability(&mut self, m: usize, k: usize, by_lease: bool) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let balancer = &mut self.machines[m].balancers[k];
         let is_available = balancer.processes.values().any(|p| p.phase == ProcessPhase::Ready);
         if let (true, Some(since), true) = (is_available, balancer.unavailable_since, balancer.by_lease) {
@@ -126,7 +136,8 @@
         self.update_availability(m, k, false);
         if let Some(incarnation) = self.machines[m].supervisor.as_ref().map(|s| s.incarnation) {
             let event = Event::Exited { process: exited.known_as, clean, status: "it ended".to_string() };
-            self.agenda.after(ms(1.0), SimEvent::SupervisorEvent(m, incarnation, event));
+            self.event_queue
+                .schedule_after(nanos_from_ms(1.0), SimEvent::SupervisorEvent(m, incarnation, event));
         }
     }
 
@@ -150,25 +161,32 @@
             if let Some(process) = balancer.processes.get_mut(&predecessor) {
                 process.phase = ProcessPhase::HandedOver;
             }
-            let exit_ms = self.draws.between((500.0, 3_000.0));
-            self.agenda
-                .after(ms(exit_ms), SimEvent::Process(m, k, ProcessId(predecessor), ProcessEvent::Exit));
+            let exit_ms = self.draws.uniform((500.0, 3_000.0));
+            self.event_queue.schedule_after(
+                nanos_from_ms(exit_ms),
+                SimEvent::Process(m, k, ProcessId(predecessor), ProcessEvent::Exit),
+            );
         }
         self.trace(|| text);
         self.update_availability(m, k, false);
         if let Some(incarnation) = self.machines[m].supervisor.as_ref().map(|s| s.incarnation) {
-            self.agenda.after(ms(1.0), SimEvent::SupervisorEvent(m, incarnation, Event::Ready(known_as)));
+            self.event_queue.schedule_after(
+                nanos_from_ms(1.0),
+                SimEvent::SupervisorEvent(m, incarnation, Event::Ready(known_as)),
+            );
         }
         let delay = self.draw_delay();
-        self.agenda.after(delay, SimEvent::RenewSession(SessionHolder::Balancer(m, k, ProcessId(id))));
+        self.event_queue
+            .schedule_after(delay, SimEvent::RenewSession(SessionHolder::Balancer(m, k, ProcessId(id))));
     }
 
     /// A process reports its status, if it has a session and reaches the voters.
     pub(super) fn report_status(&mut self, m: usize, k: usize, id: u64) {
         if !self.is_reachable(SessionHolder::Balancer(m, k, ProcessId(id))) {
-            return self
-                .agenda
-                .after(ms(300.0), SimEvent::Process(m, k, ProcessId(id), ProcessEvent::ReportStatus));
+            return self.event_queue.schedule_after(
+                nanos_from_ms(300.0),
+                SimEvent::Process(m, k, ProcessId(id), ProcessEvent::ReportStatus),
+            );
         }
         let Some(process) = self.machines[m].balancers[k].processes.get_mut(&id) else { return };
         let state = match process.phase {
--- a/crates/verification/disruption-simulation/src/world/rollout_operator.rs
+++ b/crates/verification/disruption-simulation/src/world/rollout_operator.rs
@@ -6,7 +6,7 @@
 use coordination::state_machine::Revision;
 use disruption::conditional_write::put_ephemeral;
 use disruption::{ConditionalWrite, GroupBy};
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use rollout::keys::{metrics_key, STATE_KEY};
 use rollout::{
     BuildId, BuildPaths, CanaryAnalysis, MetricsSample, MetricsWindow, OperatorCommand, RolloutPlan,
@@ -49,18 +49,19 @@
     /// Schedules the events of the planned rollout.
     pub(super) fn schedule_rollout(&mut self) {
         let Some(rollout) = self.plan.rollout.clone() else { return };
-        self.agenda.at(rollout.at, SimEvent::StartRollout);
+        self.event_queue.schedule_at(rollout.at, SimEvent::StartRollout);
         for (k, (at, _)) in rollout.commands.iter().enumerate() {
-            self.agenda.at(*at, SimEvent::OperatorCommand(k));
+            self.event_queue.schedule_at(*at, SimEvent::OperatorCommand(k));
         }
         for m in 0..self.plan.machines {
-            let at = self.draws.between((0.0, REPORT_INTERVAL_MS * self.slowdown() as f64));
-            self.agenda.at(ms(at), SimEvent::ReportMetrics(m));
+            let at = self.draws.uniform((0.0, REPORT_INTERVAL_MS * self.slowdown() as f64));
+            self.event_queue.schedule_at(nanos_from_ms(at), SimEvent::ReportMetrics(m));
         }
         let last_fault = self.plan.faults.iter().map(|fault| fault.at + fault.duration).max().unwrap_or(0);
         let last_command = rollout.commands.iter().map(|command| command.0).max().unwrap_or(0);
         let last = last_fault.max(rollout.at).max(last_command);
-        self.agenda.at(last + ms(OPERATOR_DELAY_MS), SimEvent::OperatorCommand(usize::MAX));
+        self.event_queue
+            .schedule_at(last + nanos_from_ms(OPERATOR_DELAY_MS), SimEvent::OperatorCommand(usize::MAX));
     }
 
     /// What is missing to the end of the rollout.
@@ -124,16 +125,16 @@
     pub(super) fn start_rollout(&mut self) {
         let Some(rollout) = self.plan.rollout.clone() else { return };
         if self.coordination_outages > 0 {
-            return self.agenda.after(ms(RETRY_MS), SimEvent::StartRollout);
+            return self.event_queue.schedule_after(nanos_from_ms(RETRY_MS), SimEvent::StartRollout);
         }
         let spec = self.rollout_spec(rollout.auto_rollback);
         let plan = RolloutPlan { spec, paths: BuildPaths::default(), machine_paths: BTreeMap::new() };
         match self.rollout_snapshot().start_rollout(&plan) {
             Ok(write) => {
                 self.trace(|| "the release begins".into());
-                self.rollout.started_at = Some(self.agenda.now());
+                self.rollout.started_at = Some(self.event_queue.now());
                 self.rollout.leased_time = 0;
-                self.rollout.changed_at = Some(self.agenda.now());
+                self.rollout.changed_at = Some(self.event_queue.now());
                 self.write_as_operator(write);
             }
             Err(error) => self.report.violations.push(error.to_string()),
@@ -143,7 +144,7 @@
     /// The operator gives a command: the one at this position of the plan, or what a paused rollout needs.
     pub(super) fn operator_command(&mut self, k: usize) {
         if self.coordination_outages > 0 {
-            return self.agenda.after(ms(RETRY_MS), SimEvent::OperatorCommand(k));
+            return self.event_queue.schedule_after(nanos_from_ms(RETRY_MS), SimEvent::OperatorCommand(k));
         }
         let Some(rollout) = self.plan.rollout.clone() else { return };
         let snapshot = self.rollout_snapshot();
@@ -152,7 +153,8 @@
             Some((_, command)) => Some(command.clone()),
             None => {
                 // Repeated until the rollout has ended.
-                self.agenda.after(ms(OPERATOR_INTERVAL_MS), SimEvent::OperatorCommand(k));
+                self.event_queue
+                    .schedule_after(nanos_from_ms(OPERATOR_INTERVAL_MS), SimEvent::OperatorCommand(k));
                 repair(&state.value, rollout.quality)
             }
         };
@@ -161,14 +163,17 @@
         self.trace(|| format!("the operator: {}", next.summary()));
         if let Some(write) = snapshot.write_state(&next) {
             self.rollout.is_commanded = true;
-            self.rollout.changed_at = Some(self.agenda.now());
+            self.rollout.changed_at = Some(self.event_queue.now());
             self.write_as_operator(write);
         }
     }
 
     /// The balancers of a machine report their metrics since the state last changed.
     pub(super) fn report_metrics(&mut self, m: usize) {
-        self.agenda.after(ms(REPORT_INTERVAL_MS * self.slowdown() as f64), SimEvent::ReportMetrics(m));
+        self.event_queue.schedule_after(
+            nanos_from_ms(REPORT_INTERVAL_MS * self.slowdown() as f64),
+            SimEvent::ReportMetrics(m),
+        );
         let Some((_, item)) = self.store.with_prefix(STATE_KEY).next() else { return };
         let state_version = item.version;
         if !matches!(serde_json::from_str(&item.value), Ok(RolloutState::InStage { .. })) {
@@ -197,15 +202,15 @@
 
     /// Draws the metrics of a balancer since the state last changed. Some fail more than others for a while.
     fn draw_metrics(&mut self, build: &BuildId) -> MetricsSample {
-        let window: Nanos = self.agenda.now() - self.rollout.changed_at.unwrap_or(0);
+        let window: Nanos = self.event_queue.now() - self.rollout.changed_at.unwrap_or(0);
         let base_rate = if self.draws.chance(0.05) { 0.05 } else { 0.01 };
         let is_measured = self.variant != Variant::NoGate;
         let is_worse = is_measured && self.quality_of(build) == Some(Quality::Worse);
         let failure_rate = base_rate + if is_worse { 0.3 } else { 0.0 };
-        let requests = (REQUEST_RATE * window as f64 / 1e9) as u64 + self.draws.below(4) as u64;
+        let requests = (REQUEST_RATE * window as f64 / 1e9) as u64 + self.draws.uniform_below(4) as u64;
         let served = (0..requests).filter(|_| !self.draws.chance(failure_rate)).count() as u64;
-        let late = (self.draws.below(2) as u64).min(served);
-        let memory_mb = 5.0 + self.draws.between((0.0, 0.5));
+        let late = (self.draws.uniform_below(2) as u64).min(served);
+        let memory_mb = 5.0 + self.draws.uniform((0.0, 0.5));
         MetricsSample { requests, served, late, memory_mb }
     }
 
@@ -219,7 +224,7 @@
                 let max_unavailable = self.max_unavailable();
                 let bake_ms = STAGE_COUNT * BAKE_MS * self.slowdown();
                 self.report.rollouts_completed += 1;
-                self.report.rollout_time += self.agenda.now() - self.rollout.started_at.unwrap_or(0);
+                self.report.rollout_time += self.event_queue.now() - self.rollout.started_at.unwrap_or(0);
                 self.report.min_rollout_time +=
                     self.rollout.leased_time / max_unavailable + bake_ms * 1_000_000;
             }
--- a/crates/verification/disruption-simulation/src/world/rollouts.rs
+++ b/crates/verification/disruption-simulation/src/world/rollouts.rs
@@ -6,7 +6,7 @@
 use disruption::conditional_write::put_ephemeral;
 use disruption::lease_agent::GrantedLease;
 use disruption::{ConditionalWrite, DisruptionKind, Projection};
-use fleet_simulation::agenda::{ms, Nanos};
+use fleet_simulation::agenda::{nanos_from_ms, Nanos};
 use rollout::executor::{ExecutorAction, LocalInstance, RolloutContext, RolloutExecutor, SupervisorState};
 use rollout::keys::{report_key, KEY_PREFIX};
 use rollout::{BuildId, InstanceReport, RolloutSnapshot, RolloutState};
@@ -93,7 +93,7 @@
     fn local_instances(&self, m: usize) -> Vec<LocalInstance> {
         let machine = &self.machines[m];
         let Some(supervisor) = &machine.supervisor else { return Vec::new() };
-        let now = duration(self.agenda.now());
+        let now = duration(self.event_queue.now());
         let local_instance = |(k, instance): (usize, &Instance)| LocalInstance {
             name: name(m, k),
             build: machine.assigned_builds[k].clone(),
@@ -112,15 +112,15 @@
             return;
         }
         let interval = POLL_INTERVAL_MS * self.slowdown() as f64;
-        let delay = self.draws.between((interval, 2.0 * interval));
-        self.agenda.after(ms(delay), SimEvent::PollRollout(m, incarnation));
+        let delay = self.draws.uniform((interval, 2.0 * interval));
+        self.event_queue.schedule_after(nanos_from_ms(delay), SimEvent::PollRollout(m, incarnation));
         if !self.is_reachable(SessionHolder::Supervisor(m, incarnation)) {
             return;
         }
         let Some(supervisor) = self.supervisor(m, incarnation) else { return };
         let mut snapshot = std::mem::take(&mut supervisor.rollouts.snapshot);
         self.update_rollout_snapshot(&mut snapshot);
-        let (now, instances) = (self.agenda.now(), self.local_instances(m));
+        let (now, instances) = (self.event_queue.now(), self.local_instances(m));
         let Some(supervisor) = self.supervisor(m, incarnation) else { return };
         supervisor.rollouts.snapshot = snapshot;
         let Some((session, _)) = supervisor.session.filter(|&(_, until)| now < until) else { return };
@@ -128,7 +128,8 @@
         let actions = self.next_rollout_actions(m, session, &instances);
         if let Some((write, purpose)) = write {
             let delay = self.draw_delay();
-            self.agenda.after(delay, SimEvent::RolloutWriteArrives(m, incarnation, write, purpose));
+            self.event_queue
+                .schedule_after(delay, SimEvent::RolloutWriteArrives(m, incarnation, write, purpose));
         }
         if actions.is_empty() {
             return;
@@ -146,7 +147,7 @@
         session: SessionId,
         instances: &[LocalInstance],
     ) -> Option<(ConditionalWrite, RolloutWrite)> {
-        let now_ms = millis(self.agenda.now());
+        let now_ms = millis(self.event_queue.now());
         let supervisor = self.machines[m].supervisor.as_mut()?;
         let rollouts = &mut supervisor.rollouts;
         let reports = rollouts.next_reports(session, instances);
@@ -176,7 +177,7 @@
         session: SessionId,
         instances: &[LocalInstance],
     ) -> Vec<ExecutorAction> {
-        let now_ms = millis(self.agenda.now());
+        let now_ms = millis(self.event_queue.now());
         let (machine, build_faults) = (format!("m{m}"), BTreeMap::new());
         let Some(supervisor) = &mut self.machines[m].supervisor else { return Vec::new() };
         let rollouts = &mut supervisor.rollouts;
@@ -228,7 +229,8 @@
             _ => None,
         };
         let changed_at = self.rollout.changed_at;
-        let has_propagated = changed_at.is_some_and(|at| self.agenda.now() > at + ms(PROPAGATION_MS));
+        let has_propagated =
+            changed_at.is_some_and(|at| self.event_queue.now() > at + nanos_from_ms(PROPAGATION_MS));
         if has_propagated && expected != Some(build) {
             let summary = state.value.summary();
             self.report.violations.push(format!("goes over to {} while it is {summary}", build.0));
@@ -245,8 +247,9 @@
         let round_trip = self.draw_delay() + self.draw_delay();
         let is_reachable = self.is_reachable(SessionHolder::Supervisor(m, incarnation));
         let snapshot = is_reachable.then(|| Box::new(self.rollout_snapshot()));
-        let delay = if is_reachable { round_trip } else { ms(READ_TIMEOUT_MS) };
-        self.agenda.after(delay, SimEvent::LeaseConfirmed(m, incarnation, lease.clone(), snapshot));
+        let delay = if is_reachable { round_trip } else { nanos_from_ms(READ_TIMEOUT_MS) };
+        self.event_queue
+            .schedule_after(delay, SimEvent::LeaseConfirmed(m, incarnation, lease.clone(), snapshot));
         true
     }
 
@@ -258,7 +261,7 @@
         lease: &GrantedLease,
         snapshot: Option<Box<RolloutSnapshot>>,
     ) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let ignores_state = self.variant == Variant::StateNotLookedAt;
         let Some(supervisor) = self.supervisor(m, incarnation) else { return };
         let is_active = supervisor.session.is_some_and(|(id, until)| now < until && id == lease.session);
@@ -315,7 +318,7 @@
                 }
             }
             RolloutWrite::State => {
-                self.rollout.changed_at = Some(self.agenda.now());
+                self.rollout.changed_at = Some(self.event_queue.now());
                 self.count_end();
             }
         }
--- a/crates/verification/disruption-simulation/src/world/supervisors.rs
+++ b/crates/verification/disruption-simulation/src/world/supervisors.rs
@@ -5,7 +5,7 @@
 use super::{duration, name, zone, World};
 use disruption::lease_agent::LeaseAgent;
 use disruption::{BalancerEntry, DisruptionKind, FleetSnapshot};
-use fleet_simulation::agenda::ms;
+use fleet_simulation::agenda::nanos_from_ms;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use supervisor::{
@@ -46,17 +46,18 @@
         self.machines[m].supervisor = Some(supervisor);
         self.declare_balancers(m);
         let delay = self.draw_delay();
-        self.agenda.after(delay, SimEvent::SnapshotChanged(m, incarnation));
-        self.agenda.after(delay, SimEvent::RenewSession(SessionHolder::Supervisor(m, incarnation)));
+        self.event_queue.schedule_after(delay, SimEvent::SnapshotChanged(m, incarnation));
+        self.event_queue
+            .schedule_after(delay, SimEvent::RenewSession(SessionHolder::Supervisor(m, incarnation)));
         if self.plan.rollout.is_some() {
-            self.agenda.after(delay, SimEvent::PollRollout(m, incarnation));
+            self.event_queue.schedule_after(delay, SimEvent::PollRollout(m, incarnation));
         }
         self.handle_supervisor_event(m, Event::Timeout);
     }
 
     /// Has a new supervisor adopt the process of each balancer that it finds: the one that has the sockets.
     fn adopt_processes(&mut self, m: usize, supervisor: &mut SupervisorProcess) {
-        let now = duration(self.agenda.now());
+        let now = duration(self.event_queue.now());
         for (k, balancer) in self.machines[m].balancers.iter_mut().enumerate() {
             let has_sockets =
                 |p: &BalancerProcess| matches!(p.phase, ProcessPhase::Ready | ProcessPhase::ShuttingDown);
@@ -74,7 +75,7 @@
 
     /// A timeout of a supervisor's state machine expires.
     pub(super) fn supervisor_timeout(&mut self, m: usize, incarnation: u64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(supervisor) = self.supervisor(m, incarnation) else { return };
         if supervisor.wake_at.is_none_or(|at| now >= at) {
             supervisor.wake_at = None;
@@ -98,7 +99,7 @@
 
     /// Passes an event to a supervisor's state machine and executes its actions.
     pub(super) fn handle_supervisor_event(&mut self, m: usize, event: Event) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let by_lease =
             matches!(event, Event::LeaseGranted(_) | Event::Command(supervisor::Command::Replace(_)));
         let mut actions = Vec::new();
@@ -118,7 +119,7 @@
 
     /// Schedules the next timeout of a supervisor's state machine, or `other` if that is earlier.
     pub(super) fn schedule_timeout(&mut self, m: usize, other: Option<Duration>) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(supervisor) = &mut self.machines[m].supervisor else { return };
         let at = supervisor.state_machine.next_timeout().into_iter().chain(other).min();
         let Some(at) = at.map(|at| u64::try_from(at.as_nanos()).unwrap_or(u64::MAX).max(now + 1)) else {
@@ -127,7 +128,7 @@
         if supervisor.wake_at.is_none_or(|scheduled| at < scheduled || scheduled <= now) {
             supervisor.wake_at = Some(at);
             let incarnation = supervisor.incarnation;
-            self.agenda.at(at, SimEvent::Timeout(m, incarnation));
+            self.event_queue.schedule_at(at, SimEvent::Timeout(m, incarnation));
         }
     }
 
@@ -154,7 +155,7 @@
             }
             Action::RollFinished(_) => {
                 self.report.rolls_completed += 1;
-                self.report.last_roll_at = self.agenda.now();
+                self.report.last_roll_at = self.event_queue.now();
             }
             Action::RollAborted { .. } => self.report.rolls_aborted += 1,
             Action::Rejected(_) | Action::CrashLoop { .. } | Action::Stopped => {}
@@ -164,12 +165,12 @@
     /// An operator starts a rolling operation, or tries again later if that is not possible now.
     pub(super) fn start_roll(&mut self, m: usize, action: RollingAction) {
         let Some(supervisor) = &self.machines[m].supervisor else {
-            return self.agenda.after(ms(5_000.0), SimEvent::StartRoll(m, action));
+            return self.event_queue.schedule_after(nanos_from_ms(5_000.0), SimEvent::StartRoll(m, action));
         };
         if supervisor.state_machine.rolling().is_some()
             || supervisor.state_machine.instances().iter().any(|i| i.state != InstancePhase::Ready)
         {
-            return self.agenda.after(ms(2_000.0), SimEvent::StartRoll(m, action));
+            return self.event_queue.schedule_after(nanos_from_ms(2_000.0), SimEvent::StartRoll(m, action));
         }
         self.handle_supervisor_event(m, Event::Command(supervisor::Command::Roll(action)));
     }
--- a/crates/verification/fleet-simulation/src/agenda.rs
+++ b/crates/verification/fleet-simulation/src/agenda.rs
@@ -6,7 +6,7 @@
 pub type Nanos = u64;
 
 /// Converts milliseconds to nanoseconds.
-pub fn ms(ms: f64) -> Nanos {
+pub fn nanos_from_ms(ms: f64) -> Nanos {
     // The cast saturates: an out-of-range value becomes the nearest value in range.
     (ms * 1e6) as Nanos
 }
@@ -39,38 +39,38 @@
 }
 
 /// Event queue with a virtual clock.
-pub struct Agenda<E> {
+pub struct EventQueue<E> {
     now: Nanos,
     sequence: u64,
     events: BinaryHeap<ScheduledEvent<E>>,
 }
 
-impl<E> Default for Agenda<E> {
+impl<E> Default for EventQueue<E> {
     /// Returns an empty queue at time 0.
-    fn default() -> Agenda<E> {
-        Agenda { now: 0, sequence: 0, events: BinaryHeap::new() }
+    fn default() -> EventQueue<E> {
+        EventQueue { now: 0, sequence: 0, events: BinaryHeap::new() }
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     /// Returns the current time.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
     /// Schedules an event at a time, or now if that time has passed.
-    pub fn at(&mut self, at: Nanos, event: E) {
+    pub fn schedule_at(&mut self, at: Nanos, event: E) {
         self.sequence += 1;
         self.events.push(ScheduledEvent { at: at.max(self.now), sequence: self.sequence, event });
     }
 
     /// Schedules an event after a duration.
-    pub fn after(&mut self, delay: Nanos, event: E) {
-        self.at(self.now.saturating_add(delay), event);
+    pub fn schedule_after(&mut self, delay: Nanos, event: E) {
+        self.schedule_at(self.now.saturating_add(delay), event);
     }
 
     /// Removes the next event and advances the clock to it.
-    pub fn turn(&mut self) -> Option<E> {
+    pub fn pop_next(&mut self) -> Option<E> {
         let ScheduledEvent { at, event, .. } = self.events.pop()?;
         self.now = at;
         Some(event)
--- a/crates/verification/fleet-simulation/src/draw.rs
+++ b/crates/verification/fleet-simulation/src/draw.rs
@@ -4,13 +4,13 @@
 use rand_pcg::Pcg64Mcg;
 
 /// A stream of random draws.
-pub struct Draws(Pcg64Mcg);
+pub struct RandomStream(Pcg64Mcg);
 
-impl Draws {
+impl RandomStream {
     /// Returns the stream with this name and number in the run of this seed.
-    pub fn new(seed: u64, name: &str, number: usize) -> Draws {
+    pub fn new(seed: u64, name: &str, number: usize) -> RandomStream {
         let stream = hashing::stable(format!("{name}/{number}").as_bytes());
-        Draws(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream))
+        RandomStream(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream))
     }
 
     /// Returns 64 random bits.
@@ -24,12 +24,12 @@
     }
 
     /// Returns a uniform draw from 0 (inclusive) to `limit` (exclusive), which must be above 0.
-    pub fn below(&mut self, limit: usize) -> usize {
+    pub fn uniform_below(&mut self, limit: usize) -> usize {
         ((u128::from(self.bits()) * limit as u128) >> 64) as usize
     }
 
     /// Returns a uniform draw from `a` to `b`.
-    pub fn between(&mut self, (a, b): (f64, f64)) -> f64 {
+    pub fn uniform(&mut self, (a, b): (f64, f64)) -> f64 {
         a + (b - a) * self.unit()
     }
 
--- a/crates/verification/fleet-simulation/src/instance.rs
+++ b/crates/verification/fleet-simulation/src/instance.rs
@@ -1,7 +1,7 @@
 //! One balancer instance: the production decision module, lifecycle and endpoint view, with the state that a driver
 //! keeps around them: ids, open requests, attempts, closed upstreams and idle connections. It performs no I/O; the
 //! actions that it wants performed are returned as [`Output`] values.
-use crate::agenda::{ms, Nanos};
+use crate::agenda::{nanos_from_ms, Nanos};
 use crate::mutant::Mutant;
 use balancer::{
     Action, AttemptOutcome, Availability, Balancer, Event, Member, Membership, Millis, RequestId, Settings,
@@ -396,7 +396,7 @@
         outputs: &mut Vec<Output>,
     ) -> Option<Nanos> {
         let idle_connections = self.idle_connections.get_mut(&server)?;
-        let max_idle = ms(self.settings.idle_close) - ms(250.0);
+        let max_idle = nanos_from_ms(self.settings.idle_close) - nanos_from_ms(250.0);
         while let Some((since, connection_epoch)) = idle_connections.pop() {
             if connection_epoch == epoch && now - since < max_idle {
                 return Some(now - since);
@@ -408,7 +408,7 @@
 
     /// Closes connections that have been idle for too long.
     pub fn close_idle_connections(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
-        let max_idle = ms(self.settings.idle_close) - ms(250.0);
+        let max_idle = nanos_from_ms(self.settings.idle_close) - nanos_from_ms(250.0);
         for (&server, connections) in &mut self.idle_connections {
             let before = connections.len();
             connections.retain(|&(since, _)| now - since < max_idle);
@@ -526,7 +526,9 @@
                 }
             }
             Action::Subscribe => outputs.push(Output::RequestEndpoints),
-            Action::SetTimer { after, token } => outputs.push(Output::SetTimer(ms(after.max(0.0)), token)),
+            Action::SetTimer { after, token } => {
+                outputs.push(Output::SetTimer(nanos_from_ms(after.max(0.0)), token))
+            }
             Action::Log(_) => {}
         }
     }
@@ -556,7 +558,7 @@
             return self.events.push_back(not_sent);
         };
         let remaining = (open.deadline - clock).max(0.0);
-        let deadline = now + ms(if timeout > 0.0 { timeout.min(remaining) } else { remaining });
+        let deadline = now + nanos_from_ms(if timeout > 0.0 { timeout.min(remaining) } else { remaining });
         open.in_flight.push(InFlightAttempt { number, server, sent_at: now, deadline, connected: false });
         outputs.push(Output::Send(id, number, server));
     }
--- a/crates/verification/fleet-simulation/src/scenario.rs
+++ b/crates/verification/fleet-simulation/src/scenario.rs
@@ -3,8 +3,8 @@
 //! The figures are those that the users state for their fleet (nodes, classes, tenants, clients, registry, faults).
 //! Arrivals follow a Markov-modulated Poisson process (Fischer and Meier-Hellstern, 1993), because load varies over
 //! time.
-use crate::agenda::{ms, Nanos};
-use crate::draw::Draws;
+use crate::agenda::{nanos_from_ms, Nanos};
+use crate::draw::RandomStream;
 use crate::server::ServerSpec;
 use serde::{Deserialize, Serialize};
 
@@ -154,35 +154,35 @@
 impl Scenario {
     /// Draws the scenario of a seed for a fleet of this size.
     pub fn draw(seed: u64, size: Size) -> Scenario {
-        let mut rng = Draws::new(seed, "scenario", 0);
+        let mut rng = RandomStream::new(seed, "scenario", 0);
         let congests = rng.chance(0.6);
         let mut specs: [Vec<ServerSpec>; 2] = Default::default();
         for (tier, n) in [size.portals, size.accounts].into_iter().enumerate() {
-            let mut rng = Draws::new(seed, "upstreams", tier);
+            let mut rng = RandomStream::new(seed, "upstreams", tier);
             specs[tier] = (0..n).map(|_| ServerSpec::draw(&mut rng, tier, congests)).collect();
         }
-        let class = |rng: &mut Draws, keyed: bool| ClassModel {
+        let class = |rng: &mut RandomStream, keyed: bool| ClassModel {
             fraction: if keyed { 0.55 } else { 0.45 },
-            work: if keyed { rng.between((0.066, 0.120)) } else { rng.between((0.150, 0.280)) },
-            cv: if keyed { rng.between((0.22, 0.62)) } else { rng.between((0.35, 0.77)) },
-            wait_s: if keyed { rng.between((0.047, 0.087)) } else { rng.between((0.210, 0.400)) },
+            work: if keyed { rng.uniform((0.066, 0.120)) } else { rng.uniform((0.150, 0.280)) },
+            cv: if keyed { rng.uniform((0.22, 0.62)) } else { rng.uniform((0.35, 0.77)) },
+            wait_s: if keyed { rng.uniform((0.047, 0.087)) } else { rng.uniform((0.210, 0.400)) },
             objective_ms: if keyed { 1000.0 } else { 2500.0 },
             deadline_ms: if keyed { 2500.0 } else { 6000.0 },
             late_worth: if keyed { 0.5 } else { 0.25 },
             keyed,
         };
         let classes = vec![class(&mut rng, true), class(&mut rng, false)];
-        let mut tenants = vec![(0.43, rng.between((2.6, 3.4)))];
-        tenants.extend((0..4).map(|_| (0.1425, rng.between((0.56, 0.94)))));
-        let calls = rng.between((1.5, 2.5));
+        let mut tenants = vec![(0.43, rng.uniform((2.6, 3.4)))];
+        tenants.extend((0..4).map(|_| (0.1425, rng.uniform((0.56, 0.94)))));
+        let calls = rng.uniform((1.5, 2.5));
         let calls = (calls as usize, calls.fract());
         let mean_work: f64 = classes.iter().map(|c| c.fraction * c.work).sum();
         let capacity_of = |tier: usize| specs[tier].iter().map(ServerSpec::capacity).sum::<f64>();
         let second_tier_work = mean_work * TIER_WORK[1] * (calls.0 as f64 + calls.1);
         let capacity = (capacity_of(0) / (mean_work * TIER_WORK[0])).min(capacity_of(1) / second_tier_work);
-        let load = draw_load(&mut Draws::new(seed, "load", 0), size);
-        let handshake = (rng.between((0.0013, 0.004)), rng.between((2.0, 3.0)));
-        let network_delay_ms = (rng.between((0.1, 0.29)), rng.between((0.21, 1.0)));
+        let load = draw_load(&mut RandomStream::new(seed, "load", 0), size);
+        let handshake = (rng.uniform((0.0013, 0.004)), rng.uniform((2.0, 3.0)));
+        let network_delay_ms = (rng.uniform((0.1, 0.29)), rng.uniform((0.21, 1.0)));
         let mut scenario = Scenario {
             seed,
             size,
@@ -191,22 +191,22 @@
             calls,
             handshake,
             network_delay_ms,
-            retries: 2 + rng.below(2),
-            attempt_fraction: rng.between((0.5, 0.6)),
-            retry_pause: if rng.chance(0.5) { 0 } else { ms(rng.between((50.0, 400.0))) },
-            retry_after_compliance: rng.between((0.0, 0.4)),
-            registry_delay_ms: (rng.between((100.0, 980.0)), rng.between((1000.0, 4500.0))),
-            skew: if rng.chance(0.5) { 0.0 } else { rng.between((10.0, 3000.0)) },
+            retries: 2 + rng.uniform_below(2),
+            attempt_fraction: rng.uniform((0.5, 0.6)),
+            retry_pause: if rng.chance(0.5) { 0 } else { nanos_from_ms(rng.uniform((50.0, 400.0))) },
+            retry_after_compliance: rng.uniform((0.0, 0.4)),
+            registry_delay_ms: (rng.uniform((100.0, 980.0)), rng.uniform((1000.0, 4500.0))),
+            skew: if rng.chance(0.5) { 0.0 } else { rng.uniform((10.0, 3000.0)) },
             passes_deadline: rng.chance(0.67),
             capacity,
             load,
             budgets: false,
-            load_end: ms(f64::from(size.length_ms)),
+            load_end: nanos_from_ms(f64::from(size.length_ms)),
             specs,
             reserve: 0,
             faults: Vec::new(),
         };
-        scenario.faults = scenario.draw_faults(&mut Draws::new(seed, "troubles", 0));
+        scenario.faults = scenario.draw_faults(&mut RandomStream::new(seed, "troubles", 0));
         if let Some(FaultKind::Cold(n)) =
             scenario.faults.iter().map(|fault| fault.kind).find(|kind| matches!(kind, FaultKind::Cold(_)))
         {
@@ -215,47 +215,54 @@
         scenario
     }
 
-    fn draw_faults(&self, rng: &mut Draws) -> Vec<Fault> {
+    fn draw_faults(&self, rng: &mut RandomStream) -> Vec<Fault> {
         let server_count = self.specs[0].len() + self.specs[1].len();
         let length = f64::from(self.size.length_ms);
-        let fault_count = 1 + rng.below(4);
+        let fault_count = 1 + rng.uniform_below(4);
         let mut faults: Vec<Fault> = Vec::new();
         for _ in 0..fault_count {
-            let server = rng.below(server_count);
-            let (kind, duration) = match rng.below(13) {
-                0 => (FaultKind::Crash(server, ms(rng.between((300.0, 5000.0)))), 0.0),
-                1 => (FaultKind::Hang(server), rng.between((1000.0, 10_000.0))),
-                2 => (FaultKind::Slow(server, rng.between((1.5, 4.0))), rng.between((4000.0, 15_000.0))),
+            let server = rng.uniform_below(server_count);
+            let (kind, duration) = match rng.uniform_below(13) {
+                0 => (FaultKind::Crash(server, nanos_from_ms(rng.uniform((300.0, 5000.0)))), 0.0),
+                1 => (FaultKind::Hang(server), rng.uniform((1000.0, 10_000.0))),
+                2 => (FaultKind::Slow(server, rng.uniform((1.5, 4.0))), rng.uniform((4000.0, 15_000.0))),
                 3 => {
-                    let count = 1 + rng.below(server_count.div_ceil(10));
+                    let count = 1 + rng.uniform_below(server_count.div_ceil(10));
                     (
-                        FaultKind::Errors(server, count, rng.between((0.41, 0.89))),
-                        rng.between((6000.0, 28_000.0)),
+                        FaultKind::Errors(server, count, rng.uniform((0.41, 0.89))),
+                        rng.uniform((6000.0, 28_000.0)),
                     )
                 }
-                4 => (FaultKind::Resets(server, rng.between((0.2, 1.0))), rng.between((4000.0, 15_000.0))),
-                5 => (FaultKind::Stale(ms(rng.between((300.0, 3000.0)))), rng.between((5000.0, 20_000.0))),
-                6 => (FaultKind::Drain(server), rng.between((2000.0, 6000.0))),
-                7 => (FaultKind::Cold(1 + rng.below(self.specs[0].len() / 3 + 1)), 0.0),
+                4 => (FaultKind::Resets(server, rng.uniform((0.2, 1.0))), rng.uniform((4000.0, 15_000.0))),
+                5 => (
+                    FaultKind::Stale(nanos_from_ms(rng.uniform((300.0, 3000.0)))),
+                    rng.uniform((5000.0, 20_000.0)),
+                ),
+                6 => (FaultKind::Drain(server), rng.uniform((2000.0, 6000.0))),
+                7 => (FaultKind::Cold(1 + rng.uniform_below(self.specs[0].len() / 3 + 1)), 0.0),
                 8 => (
-                    FaultKind::Flood(rng.below(self.tenants.len()), rng.between((2.1, 5.5))),
-                    rng.between((7600.0, 18_000.0)),
+                    FaultKind::Flood(rng.uniform_below(self.tenants.len()), rng.uniform((2.1, 5.5))),
+                    rng.uniform((7600.0, 18_000.0)),
                 ),
-                9 => (FaultKind::SharedSlow(rng.between((1.5, 3.0))), rng.between((6800.0, 15_000.0))),
-                10 => (FaultKind::Roll(ms(rng.between((50.0, 400.0)))), 0.0),
+                9 => (FaultKind::SharedSlow(rng.uniform((1.5, 3.0))), rng.uniform((6800.0, 15_000.0))),
+                10 => (FaultKind::Roll(nanos_from_ms(rng.uniform((50.0, 400.0)))), 0.0),
                 11 => (
-                    FaultKind::Kill(rng.below(usize::from(self.size.balancers))),
-                    rng.between((300.0, 3000.0)),
+                    FaultKind::Kill(rng.uniform_below(usize::from(self.size.balancers))),
+                    rng.uniform((300.0, 3000.0)),
                 ),
-                _ => (FaultKind::Silence, rng.between((2000.0, 10_000.0))),
+                _ => (FaultKind::Silence, rng.uniform((2000.0, 10_000.0))),
             };
             // A run has at most one growth of the fleet or rolling restart.
             let at_most_once = |kind: &FaultKind| matches!(kind, FaultKind::Cold(_) | FaultKind::Roll(_));
             if at_most_once(&kind) && faults.iter().any(|t| at_most_once(&t.kind)) {
                 continue;
             }
-            let starts_at = rng.between((0.1, 0.7)) * length;
-            faults.push(Fault { starts_at: ms(starts_at), duration: ms(duration), kind });
+            let starts_at = rng.uniform((0.1, 0.7)) * length;
+            faults.push(Fault {
+                starts_at: nanos_from_ms(starts_at),
+                duration: nanos_from_ms(duration),
+                kind,
+            });
         }
         faults.sort_by_key(|t| t.starts_at);
         faults
@@ -270,14 +277,14 @@
 }
 
 /// Draws the load phases. Half of the runs have a quiet phase that is followed by a burst.
-fn draw_load(rng: &mut Draws, size: Size) -> Vec<(Nanos, f64)> {
-    let base = if rng.chance(0.3) { rng.between((0.27, 0.45)) } else { rng.between((0.6, 1.1)) };
-    let swing = rng.between((0.1, 0.39));
-    let quiet_from = rng.chance(0.5).then(|| rng.between((0.2, 0.6)) * f64::from(size.length_ms));
+fn draw_load(rng: &mut RandomStream, size: Size) -> Vec<(Nanos, f64)> {
+    let base = if rng.chance(0.3) { rng.uniform((0.27, 0.45)) } else { rng.uniform((0.6, 1.1)) };
+    let swing = rng.uniform((0.1, 0.39));
+    let quiet_from = rng.chance(0.5).then(|| rng.uniform((0.2, 0.6)) * f64::from(size.length_ms));
     let (mut load, mut starts_at) = (Vec::new(), 0.0);
     while starts_at < f64::from(size.length_ms) {
         let duration = rng.exponential(3000.0).clamp(500.0, 9000.0);
-        let mut fraction = base * (1.0 + rng.between((-swing, swing)));
+        let mut fraction = base * (1.0 + rng.uniform((-swing, swing)));
         if let Some(from) = quiet_from {
             if (from..from + 6000.0).contains(&starts_at) {
                 fraction = 0.15;
@@ -286,7 +293,7 @@
             }
         }
         starts_at += duration;
-        load.push((ms(starts_at.min(f64::from(size.length_ms))), fraction));
+        load.push((nanos_from_ms(starts_at.min(f64::from(size.length_ms))), fraction));
     }
     load
 }
--- a/crates/verification/fleet-simulation/src/search.rs
+++ b/crates/verification/fleet-simulation/src/search.rs
@@ -1,7 +1,7 @@
 //! Searches for seeds that violate invariants or have the lowest service score, within a time budget, and shrinks what
 //! it finds to the smallest run that still shows it. A run worth keeping is saved as a [`Case`]: a few lines that
 //! determine it completely.
-use crate::agenda::ms;
+use crate::agenda::nanos_from_ms;
 use crate::mutant::Mutant;
 use crate::scenario::{Scenario, Size};
 use crate::world::{run_scenario, Report};
@@ -56,7 +56,7 @@
             scenario.faults = kept.iter().filter_map(|&k| all_faults.get(k).copied()).collect();
         }
         if let Some(ends_ms) = self.ends_ms {
-            scenario.load_end = scenario.load_end.min(ms(f64::from(ends_ms)));
+            scenario.load_end = scenario.load_end.min(nanos_from_ms(f64::from(ends_ms)));
         }
         scenario
     }
--- a/crates/verification/fleet-simulation/src/server.rs
+++ b/crates/verification/fleet-simulation/src/server.rs
@@ -8,8 +8,8 @@
 //! | many requests held | contention term of the universal scalability law (Gunther, 2007, 4.2) above a threshold |
 //! | long congestion | slower until recovery: metastable failure (Bronson et al., HotOS 2021), the users' figures |
 //! | cold start | a fraction of its capacity that rises linearly with time, with the users' figures |
-use crate::agenda::{ms, Nanos};
-use crate::draw::Draws;
+use crate::agenda::{nanos_from_ms, Nanos};
+use crate::draw::RandomStream;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Capacity parameters of an upstream, drawn for each run from the users' figures.
@@ -59,32 +59,32 @@
 
 impl ServerSpec {
     /// Draws an upstream of a tier. About half of them are of type `std` and half `lento`, as in the users' fleet.
-    pub fn draw(rng: &mut Draws, tier: usize, congests: bool) -> ServerSpec {
+    pub fn draw(rng: &mut RandomStream, tier: usize, congests: bool) -> ServerSpec {
         let standard = rng.chance(0.49);
         let (cores, speed) =
-            if standard { (2.0, rng.between((0.85, 1.1))) } else { (3.0, rng.between((0.51, 0.69))) };
+            if standard { (2.0, rng.uniform((0.85, 1.1))) } else { (3.0, rng.uniform((0.51, 0.69))) };
         let slots_per_core = if tier == 0 { (7.0, 17.0) } else { (9.0, 23.0) };
-        let slots = (cores * rng.between(slots_per_core)) as usize;
-        let queue_limit = (cores * rng.between((9.0, 33.0))) as usize;
+        let slots = (cores * rng.uniform(slots_per_core)) as usize;
+        let queue_limit = (cores * rng.uniform((9.0, 33.0))) as usize;
         let congestion = Congestion {
             // Far more than the cores, yet no more than the upstream can hold.
             threshold: (cores * 5.0).min(0.7 * (slots + queue_limit) as f64),
-            onset: ms(rng.between((1500.0, 2500.0))),
-            slowdown: rng.between((2.1, 3.4)),
-            recovery: ms(rng.between((3300.0, 4900.0))),
+            onset: nanos_from_ms(rng.uniform((1500.0, 2500.0))),
+            slowdown: rng.uniform((2.1, 3.4)),
+            recovery: nanos_from_ms(rng.uniform((3300.0, 4900.0))),
             idle_below: 0.4,
-            max_duration: ms(rng.between((15_000.0, 32_000.0))),
+            max_duration: nanos_from_ms(rng.uniform((15_000.0, 32_000.0))),
         };
         ServerSpec {
             cores,
             speed,
             slots,
             queue_limit,
-            contention: rng.between((0.04, 0.14)),
+            contention: rng.uniform((0.04, 0.14)),
             contention_threshold: slots as f64,
-            cold_fraction: rng.between((0.32, 0.57)),
-            warmup: ms(rng.between((3100.0, 9000.0))),
-            max_connections: rng.between((110.0, 250.0)) as u32,
+            cold_fraction: rng.uniform((0.32, 0.57)),
+            warmup: nanos_from_ms(rng.uniform((3100.0, 9000.0))),
+            max_connections: rng.uniform((110.0, 250.0)) as u32,
             congestion: congests.then_some(congestion),
             drops_expired: rng.chance(0.5),
         }
@@ -301,7 +301,7 @@
         let end = now.saturating_add((remaining * 1e9) as Nanos + 1);
         // A cold upstream speeds up in the meantime, so it is checked at least every 50 ms.
         let cold = self.started_at.is_some_and(|at| now < at + self.spec.warmup);
-        Some(if cold { end.min(now + ms(50.0)) } else { end })
+        Some(if cold { end.min(now + nanos_from_ms(50.0)) } else { end })
     }
 
     /// Returns the number of requests in service and in the queue.
--- a/crates/verification/fleet-simulation/src/server/tests.rs
+++ b/crates/verification/fleet-simulation/src/server/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn warm_server(cores: f64) -> Server {
-    let mut spec = ServerSpec::draw(&mut Draws::new(1, "test", 0), 0, false);
+    let mut spec = ServerSpec::draw(&mut RandomStream::new(1, "test", 0), 0, false);
     (spec.cores, spec.speed, spec.slots, spec.queue_limit) = (cores, 1.0, 4, 1);
     Server::new(0, spec)
 }
@@ -30,9 +30,10 @@
         "the next queued request takes the slot"
     );
     server.stop_process(0);
-    server.start_process(ms(10.0));
-    server.run_on_cpu(ms(10.0), 9, 1e-6);
-    let completion = server.next_completion(ms(10.0)).expect("work is pending") - ms(10.0);
+    server.start_process(nanos_from_ms(10.0));
+    server.run_on_cpu(nanos_from_ms(10.0), 9, 1e-6);
+    let completion =
+        server.next_completion(nanos_from_ms(10.0)).expect("work is pending") - nanos_from_ms(10.0);
     assert!(completion as f64 / 1e3 > 1.0 / 0.58, "a cold server is slower than a warm one: {completion}");
 }
 
@@ -40,7 +41,7 @@
 #[test]
 fn congestion_slows_a_server_until_it_has_recovered() {
     let mut server = warm_server(1.0);
-    let second = ms(1000.0);
+    let second = nanos_from_ms(1000.0);
     server.spec.congestion = Some(Congestion {
         threshold: 1.5,
         onset: second,
--- a/crates/verification/fleet-simulation/src/world.rs
+++ b/crates/verification/fleet-simulation/src/world.rs
@@ -1,7 +1,7 @@
 //! The simulation run: clients, balancers, upstreams, the network and the registry share one virtual clock. Each kind
 //! of event is a variant of `Event` and has a handler method.
-use crate::agenda::{ms, Agenda, Nanos};
-use crate::draw::Draws;
+use crate::agenda::{nanos_from_ms, EventQueue, Nanos};
+use crate::draw::RandomStream;
 use crate::instance::{Instance, Output, Process, RegistryEntry, START_UNIX_MS};
 use crate::invariant_checks::{InvariantChecker, Violation};
 use crate::mutant::Mutant;
@@ -180,7 +180,7 @@
 /// State of a run.
 pub struct World<'s> {
     scenario: &'s Scenario,
-    agenda: Agenda<Event>,
+    event_queue: EventQueue<Event>,
     instances: Vec<Instance>,
     servers: Vec<Server>,
     /// Balancers that the front sends client requests to.
@@ -213,17 +213,17 @@
     requests_received: u64,
     attempts: u64,
     ever_slowed: Vec<bool>,
-    client_draws: Draws,
-    network_draws: Draws,
-    work_draws: Draws,
-    registry_draws: Draws,
+    client_draws: RandomStream,
+    network_draws: RandomStream,
+    work_draws: RandomStream,
+    registry_draws: RandomStream,
     outputs: Vec<Output>,
 }
 
 /// Runs a scenario to completion.
 pub fn run_scenario(scenario: &Scenario, mutant: Mutant) -> Report {
     let mut world = World::new(scenario, mutant);
-    while let Some(event) = world.agenda.turn() {
+    while let Some(event) = world.event_queue.pop_next() {
         world.events += 1;
         if world.events > MAX_EVENTS {
             break;
@@ -277,22 +277,22 @@
     fn new(scenario: &'s Scenario, mutant: Mutant) -> World<'s> {
         let seed = scenario.seed;
         let mut servers = Vec::new();
-        let mut draws = Draws::new(seed, "groups", 0);
+        let mut draws = RandomStream::new(seed, "groups", 0);
         let portals = scenario.specs[0].len();
         for (tier, specs) in scenario.specs.iter().enumerate() {
-            let cell = 4 + draws.below(5);
+            let cell = 4 + draws.uniform_below(5);
             for (k, spec) in specs.iter().enumerate() {
                 servers.push(Server::new((1000 * tier + k / cell) as u16, spec.clone()));
             }
         }
         let balancers = usize::from(scenario.size.balancers);
-        let mut draws = Draws::new(seed, "clocks", 0);
+        let mut draws = RandomStream::new(seed, "clocks", 0);
         let mut skew =
-            || if scenario.skew > 0.0 { draws.between((-scenario.skew, scenario.skew)) } else { 0.0 };
+            || if scenario.skew > 0.0 { draws.uniform((-scenario.skew, scenario.skew)) } else { 0.0 };
         let mut instances = Vec::new();
         for k in 0..balancers + portals {
             let (tier, index) = if k < balancers { (0, k) } else { (1, k - balancers) };
-            let seed = Draws::new(seed, "instance", k).bits();
+            let seed = RandomStream::new(seed, "instance", k).bits();
             instances.extend(Instance::new(settings(scenario, tier, index), seed, skew(), mutant));
         }
         let registry = servers.iter().enumerate().map(|(server, s)| RegistryEntry {
@@ -305,7 +305,7 @@
         let last_notified = vec![0; instances.len()];
         let mut world = World {
             scenario,
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             ever_slowed: vec![false; servers.len()],
             instances,
             servers,
@@ -328,10 +328,10 @@
             events: 0,
             requests_received: 0,
             attempts: 0,
-            client_draws: Draws::new(seed, "clients", 0),
-            network_draws: Draws::new(seed, "network", 0),
-            work_draws: Draws::new(seed, "work", 0),
-            registry_draws: Draws::new(seed, "news", 0),
+            client_draws: RandomStream::new(seed, "clients", 0),
+            network_draws: RandomStream::new(seed, "network", 0),
+            work_draws: RandomStream::new(seed, "work", 0),
+            registry_draws: RandomStream::new(seed, "news", 0),
             outputs: Vec::new(),
         };
         // The upstreams that a fault starts later are not running yet, and neither are their instances.
@@ -340,19 +340,21 @@
             world.registry[k].state = None;
             world.instances[balancers + k].up = false;
         }
-        let start = Draws::new(seed, "start", 0).between((110.0, 880.0));
-        let mut draws = Draws::new(seed, "starts", 0);
+        let start = RandomStream::new(seed, "start", 0).uniform((110.0, 880.0));
+        let mut draws = RandomStream::new(seed, "starts", 0);
         for k in 0..world.instances.len() {
             if world.instances[k].up {
                 world.instances[k].up = false;
-                world.agenda.at(ms(draws.between((0.0, start))), Event::StartInstance(k));
+                world
+                    .event_queue
+                    .schedule_at(nanos_from_ms(draws.uniform((0.0, start))), Event::StartInstance(k));
             }
         }
         for (k, fault) in scenario.faults.iter().enumerate() {
-            world.agenda.at(fault.starts_at, Event::FaultBegins(k));
+            world.event_queue.schedule_at(fault.starts_at, Event::FaultBegins(k));
         }
-        world.agenda.at(ms(1500.0), Event::Arrival);
-        world.agenda.at(DEDUP_WINDOW, Event::ExpireKeys);
+        world.event_queue.schedule_at(nanos_from_ms(1500.0), Event::Arrival);
+        world.event_queue.schedule_at(DEDUP_WINDOW, Event::ExpireKeys);
         world
     }
 
@@ -372,7 +374,7 @@
     /// Draws the one-way network delay between two processes.
     fn network_delay(&mut self) -> Nanos {
         let delay = self.scenario.network_delay_ms.0;
-        ms(delay * (1.0 + self.network_draws.exponential(0.2)))
+        nanos_from_ms(delay * (1.0 + self.network_draws.exponential(0.2)))
     }
 
     fn current_process(&self, instance: usize) -> Process {
@@ -386,7 +388,7 @@
 
     /// Adds an event with its time to the digest.
     fn record(&mut self, tag: u64, a: u64, b: u64) {
-        for n in [self.agenda.now(), tag, a, b] {
+        for n in [self.event_queue.now(), tag, a, b] {
             self.digest.write_u64(n);
         }
     }
@@ -397,7 +399,7 @@
             Event::Submit(op) => self.submit(op),
             Event::RequestReached(request) => self.request_reached(request),
             Event::BalancerTimer(process, token) if self.is_running(process) => {
-                let now = self.agenda.now();
+                let now = self.event_queue.now();
                 self.instances[process.instance].timer_fired(now, token, &mut self.outputs);
                 self.apply_outputs(process.instance);
             }
@@ -412,7 +414,7 @@
             Event::Answer(request, status, pause) => self.answer_received(request, status, pause),
             Event::CallerTimeout(request) => self.caller_timed_out(request),
             Event::CallerLeft(process, request) if self.is_running(process) => {
-                let now = self.agenda.now();
+                let now = self.event_queue.now();
                 self.instances[process.instance].caller_left(now, request, &mut self.outputs);
                 self.apply_outputs(process.instance);
             }
@@ -432,21 +434,21 @@
             }
             Event::FrontUpdate(instance, accepting) => self.update_front(instance, accepting),
             Event::IdleSweep(process) if self.is_running(process) => {
-                let now = self.agenda.now();
+                let now = self.event_queue.now();
                 self.instances[process.instance].close_idle_connections(now, &mut self.outputs);
                 self.apply_outputs(process.instance);
                 if self.busy() {
-                    self.agenda.after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
+                    self.event_queue.schedule_after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
                 }
             }
             Event::FaultBegins(k) => self.begin_fault(self.scenario.faults[k], k),
             Event::FaultEnds(k) => self.end_fault(self.scenario.faults[k]),
             Event::RestartServer(server) => self.restart_server(server),
             Event::ExpireKeys => {
-                let now = self.agenda.now();
+                let now = self.event_queue.now();
                 self.seen_keys.retain(|_, at| now - *at < DEDUP_WINDOW);
                 if self.busy() {
-                    self.agenda.after(DEDUP_WINDOW, Event::ExpireKeys);
+                    self.event_queue.schedule_after(DEDUP_WINDOW, Event::ExpireKeys);
                 }
             }
             Event::BalancerTimer(..)
@@ -462,23 +464,23 @@
 
     /// Returns whether load is still arriving, or requests or jobs are open.
     fn busy(&self) -> bool {
-        self.agenda.now() < self.load_end() || !self.requests.is_empty() || !self.jobs.is_empty()
+        self.event_queue.now() < self.load_end() || !self.requests.is_empty() || !self.jobs.is_empty()
     }
 
     /// Returns the end of the load, which starts 1.5 s into the run.
     fn load_end(&self) -> Nanos {
-        self.scenario.load_end + ms(1500.0)
+        self.scenario.load_end + nanos_from_ms(1500.0)
     }
 
     // --- clients ---
 
     fn client_arrival(&mut self) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let scenario = self.scenario;
         if now >= self.load_end() {
             return;
         }
-        let rate = scenario.rate(now - ms(1500.0)) * self.load_factor;
+        let rate = scenario.rate(now - nanos_from_ms(1500.0)) * self.load_factor;
         let sent_by_tenant: Vec<f64> = (0..scenario.tenants.len())
             .map(|k| {
                 let (share, usage) = scenario.tenants[k];
@@ -489,7 +491,7 @@
         let usual_total: f64 = scenario.tenants.iter().map(|&(share, usage)| share * usage).sum();
         let total: f64 = sent_by_tenant.iter().sum();
         let gap = self.client_draws.exponential(1.0 / (rate * total / usual_total).max(0.01));
-        self.agenda.after(ms(gap * 1000.0).max(1), Event::Arrival);
+        self.event_queue.schedule_after(nanos_from_ms(gap * 1000.0).max(1), Event::Arrival);
         let mut remaining = self.client_draws.unit() * total;
         let tenant = sent_by_tenant.iter().position(|&fraction| {
             remaining -= fraction;
@@ -516,38 +518,39 @@
             first_sent_at: now,
             worth: if within_share { 1.0 } else { OVER_SHARE_WORTH },
             late_worth: class_model.late_worth,
-            objective: ms(class_model.objective_ms),
+            objective: nanos_from_ms(class_model.objective_ms),
             within_share,
         };
         let work = self.work_draws.lognormal(class_model.work, class_model.cv);
-        let (op, key, deadline) = (self.next_id(), self.next_id(), now + ms(class_model.deadline_ms));
+        let (op, key, deadline) =
+            (self.next_id(), self.next_id(), now + nanos_from_ms(class_model.deadline_ms));
         self.operations
             .insert(op, Operation { info, key, work, deadline, attempts_made: 0, pending_request: 0 });
         self.submit(op);
     }
 
     fn submit(&mut self, op: u64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let scenario = self.scenario;
         let Some(operation) = self.operations.get(&op) else { return };
         let class = operation.info.class;
-        let timeout = ms(scenario.classes[class].deadline_ms * scenario.attempt_fraction)
+        let timeout = nanos_from_ms(scenario.classes[class].deadline_ms * scenario.attempt_fraction)
             .min(operation.deadline.saturating_sub(now));
-        if timeout < ms(1.0) {
+        if timeout < nanos_from_ms(1.0) {
             return self.conclude(op, Outcome::Failed);
         }
         if self.front_targets.is_empty() {
-            return self.agenda.after(RESUBMIT_DELAY, Event::Submit(op));
+            return self.event_queue.schedule_after(RESUBMIT_DELAY, Event::Submit(op));
         }
-        let instance = self.front_targets[self.client_draws.below(self.front_targets.len())];
+        let instance = self.front_targets[self.client_draws.uniform_below(self.front_targets.len())];
         let (tenant, key, work) = (operation.info.tenant, operation.key, operation.work);
         let request =
             self.send_request(Caller::Operation(op), instance, (class, tenant), (key, work), timeout);
         if let Some(operation) = self.operations.get_mut(&op) {
             operation.pending_request = request;
         }
-        let delay = ms(scenario.network_delay_ms.1);
-        self.agenda.after(delay, Event::RequestReached(request));
+        let delay = nanos_from_ms(scenario.network_delay_ms.1);
+        self.event_queue.schedule_after(delay, Event::RequestReached(request));
     }
 
     fn send_request(
@@ -558,7 +561,7 @@
         (key, work): (u64, f64),
         timeout: Nanos,
     ) -> u64 {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let request = self.next_id();
         let deadline = now + timeout;
         let pending = Request { caller, class, tenant, key, work, instance, deadline, finished: false };
@@ -566,14 +569,14 @@
         let keyed = self.scenario.classes[class].keyed;
         let effect = if keyed { invariants::Effect::Keyed } else { invariants::Effect::Unsafe };
         self.checker.request_sent(now, request, effect, timeout);
-        self.agenda.at(deadline, Event::CallerTimeout(request));
-        self.agenda.at(deadline + CHECK_DELAY, Event::CheckRequest(request));
+        self.event_queue.schedule_at(deadline, Event::CallerTimeout(request));
+        self.event_queue.schedule_at(deadline + CHECK_DELAY, Event::CheckRequest(request));
         request
     }
 
     /// Handles the arrival of a complete request at its balancer.
     fn request_reached(&mut self, request: u64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(pending) = self.requests.get(&request) else { return };
         let (instance, class, tenant) = (pending.instance, pending.class, pending.tenant);
         let balancer = &self.instances[instance];
@@ -588,7 +591,7 @@
             let Some(pending) = self.requests.get_mut(&request) else { return };
             pending.finished = true;
             return match pending.caller {
-                Caller::Operation(op) => self.agenda.after(RESUBMIT_DELAY, Event::Submit(op)),
+                Caller::Operation(op) => self.event_queue.schedule_after(RESUBMIT_DELAY, Event::Submit(op)),
                 Caller::Job(job) => self.fail_job(job),
             };
         }
@@ -613,7 +616,7 @@
     }
 
     fn answer_received(&mut self, request: u64, status: u16, pause: f64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         self.record(2, request, u64::from(status));
         self.checker.answer_received(now, request, status);
         let Some(pending) = self.requests.get_mut(&request) else { return };
@@ -636,7 +639,7 @@
 
     /// Handles the end of a client's attempt with this status; 0 means no answer.
     fn client_attempt_ended(&mut self, op: u64, status: u16, pause: f64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let scenario = self.scenario;
         let Some(operation) = self.operations.get_mut(&op) else { return };
         operation.attempts_made += 1;
@@ -647,12 +650,17 @@
             200 => self.conclude(op, Outcome::Served(now - first_sent_at)),
             429 | 503 if may_retry => {
                 let accepts_advice = self.client_draws.chance(scenario.retry_after_compliance);
-                let pause =
-                    if accepts_advice { scenario.retry_pause.max(ms(pause)) } else { scenario.retry_pause };
-                self.agenda.after(pause, Event::Submit(op));
+                let pause = if accepts_advice {
+                    scenario.retry_pause.max(nanos_from_ms(pause))
+                } else {
+                    scenario.retry_pause
+                };
+                self.event_queue.schedule_after(pause, Event::Submit(op));
             }
             429 | 503 => self.conclude(op, Outcome::Refused),
-            _ if may_retry && keyed => self.agenda.after(scenario.retry_pause, Event::Submit(op)),
+            _ if may_retry && keyed => {
+                self.event_queue.schedule_after(scenario.retry_pause, Event::Submit(op))
+            }
             _ => self.conclude(op, Outcome::Failed),
         }
     }
@@ -671,7 +679,7 @@
         }
         let (caller, instance) = (pending.caller, pending.instance);
         let (delay, process) = (self.network_delay(), self.current_process(instance));
-        self.agenda.after(delay, Event::CallerLeft(process, request));
+        self.event_queue.schedule_after(delay, Event::CallerLeft(process, request));
         match caller {
             Caller::Operation(op) => self.client_attempt_ended(op, 0, 0.0),
             Caller::Job(job) => self.fail_job(job),
@@ -689,22 +697,22 @@
             match output {
                 Output::Answer(request, status, pause) => {
                     let delay = if tier == 0 {
-                        ms(self.scenario.network_delay_ms.1)
+                        nanos_from_ms(self.scenario.network_delay_ms.1)
                     } else {
                         self.network_delay() / 4
                     };
-                    self.agenda.after(delay, Event::Answer(request, status, pause));
+                    self.event_queue.schedule_after(delay, Event::Answer(request, status, pause));
                 }
                 Output::Send(id, number, server) => self.dispatch(Attempt { process, id, number }, server),
                 Output::SetTimer(delay, token) => {
                     // Periodic timers repeat for ever, so they are set only while the run is busy.
                     if self.busy() {
-                        self.agenda.after(delay, Event::BalancerTimer(process, token));
+                        self.event_queue.schedule_after(delay, Event::BalancerTimer(process, token));
                     }
                 }
                 Output::RequestEndpoints => {
-                    let delay = ms(self.registry_draws.between((50.0, 430.0)));
-                    self.agenda.after(delay, Event::EndpointList(process));
+                    let delay = nanos_from_ms(self.registry_draws.uniform((50.0, 430.0)));
+                    self.event_queue.schedule_after(delay, Event::EndpointList(process));
                 }
                 Output::ConnectionsClosed(server, count) => {
                     let upstream = &mut self.servers[server];
@@ -716,13 +724,13 @@
 
     /// Starts an attempt on an idle connection, or opens a new one.
     fn dispatch(&mut self, attempt: Attempt, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         self.attempts += 1;
         self.record(3, u64::from(attempt.id), server as u64);
         let instance = attempt.process.instance;
         if let Some((in_flight, _)) = self.instances[instance].in_flight_attempt(attempt.id, attempt.number) {
             let deadline = in_flight.deadline;
-            self.agenda.at(deadline, Event::AttemptTimeout(attempt));
+            self.event_queue.schedule_at(deadline, Event::AttemptTimeout(attempt));
         }
         let epoch = self.servers[server].epoch;
         let idle_time = self.instances[instance].take_idle_connection(now, server, epoch, &mut self.outputs);
@@ -741,12 +749,12 @@
                 let (up, hung) = (self.servers[server].up, self.servers[server].hung);
                 let round_trips = self.scenario.handshake.1;
                 let duration = match (up, hung) {
-                    (true, false) => ms(2.0 * round_trips * self.scenario.network_delay_ms.0),
+                    (true, false) => nanos_from_ms(2.0 * round_trips * self.scenario.network_delay_ms.0),
                     (true, true) => CONNECT_TIMEOUT,
                     (false, _) => 2 * self.network_delay(),
                 };
                 let success = up && !hung;
-                self.agenda.after(duration, Event::ConnectDone { attempt, server, success });
+                self.event_queue.schedule_after(duration, Event::ConnectDone { attempt, server, success });
             }
         }
     }
@@ -772,7 +780,7 @@
 
     /// Writes the attempt to its connection, unless it may no longer be written.
     fn write_attempt(&mut self, attempt: Attempt, server: usize, new_connection: bool, lost: bool) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let instance = attempt.process.instance;
         let Some((in_flight, request)) =
             self.instances[instance].in_flight_attempt(attempt.id, attempt.number)
@@ -785,15 +793,17 @@
         }
         self.checker.attempt_written(now, request, instance, server);
         let (epoch, delay) = (self.servers[server].epoch, self.network_delay());
-        self.agenda
-            .after(delay, Event::AttemptArrived { attempt, request, server, epoch, new_connection, lost });
+        self.event_queue.schedule_after(
+            delay,
+            Event::AttemptArrived { attempt, request, server, epoch, new_connection, lost },
+        );
     }
 
     fn end_attempt(&mut self, attempt: Attempt, ending: AttemptOutcome, kept_epoch: Option<u32>) {
         if !self.is_running(attempt.process) {
             return;
         }
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let instance = attempt.process.instance;
         self.record(4, u64::from(attempt.id), ending as u64);
         self.instances[instance].attempt_ended(
@@ -807,19 +817,19 @@
     }
 
     fn handle_lifecycle(&mut self, instance: usize, event: LifecycleEvent) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let process = self.current_process(instance);
         for action in self.instances[instance].handle_lifecycle(now, event) {
             match action {
                 LifecycleAction::Accept => self.instances[instance].accepting = true,
                 LifecycleAction::NotifyReady => {
-                    self.agenda.after(ms(50.0), Event::FrontUpdate(instance, true));
+                    self.event_queue.schedule_after(nanos_from_ms(50.0), Event::FrontUpdate(instance, true));
                 }
                 // Readiness checks fail from here on; the front polls them at intervals.
                 LifecycleAction::NotifyStopping => {
-                    let delay = ms(self.registry_draws.between(FRONT_NOTICE_MS)) / 8;
-                    self.agenda.after(delay, Event::FrontUpdate(instance, false));
-                    self.agenda.after(COUNT_INTERVAL, Event::OpenCounts(process));
+                    let delay = nanos_from_ms(self.registry_draws.uniform(FRONT_NOTICE_MS)) / 8;
+                    self.event_queue.schedule_after(delay, Event::FrontUpdate(instance, false));
+                    self.event_queue.schedule_after(COUNT_INTERVAL, Event::OpenCounts(process));
                 }
                 LifecycleAction::StopAccepting => self.instances[instance].accepting = false,
                 LifecycleAction::AnswerBy(deadline) => self.instances[instance].set_answer_deadline(deadline),
@@ -829,15 +839,17 @@
                 }
                 LifecycleAction::Exit(_) => {
                     self.end_process(instance, false);
-                    return self.agenda.after(RESTART_DELAY, Event::StartInstance(instance));
+                    return self.event_queue.schedule_after(RESTART_DELAY, Event::StartInstance(instance));
                 }
                 _ => {}
             }
         }
         if let Some(timeout) = self.instances[instance].lifecycle.next_timeout() {
             let started_at = self.instances[instance].started_at;
-            self.agenda
-                .at(started_at.saturating_add(timeout.as_nanos() as Nanos), Event::LifecycleTimeout(process));
+            self.event_queue.schedule_at(
+                started_at.saturating_add(timeout.as_nanos() as Nanos),
+                Event::LifecycleTimeout(process),
+            );
         }
     }
 
@@ -848,7 +860,7 @@
             LifecycleEvent::OpenCounts { requests, connections: requests },
         );
         if self.is_running(process) {
-            self.agenda.after(COUNT_INTERVAL, Event::OpenCounts(process));
+            self.event_queue.schedule_after(COUNT_INTERVAL, Event::OpenCounts(process));
         }
     }
 
@@ -878,12 +890,12 @@
                 Caller::Job(job) => self.fail_job(job),
             }
         }
-        let delay = ms(self.registry_draws.between(FRONT_NOTICE_MS));
-        self.agenda.after(delay, Event::FrontUpdate(instance, false));
+        let delay = nanos_from_ms(self.registry_draws.uniform(FRONT_NOTICE_MS));
+        self.event_queue.schedule_after(delay, Event::FrontUpdate(instance, false));
     }
 
     fn start_instance(&mut self, instance: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let own_server = instance.checked_sub(self.balancers());
         // An instance of the second tier runs only while its upstream does.
         if self.instances[instance].up || own_server.is_some_and(|k| !self.servers[k].up) {
@@ -892,8 +904,11 @@
         self.instances[instance].start_process(now);
         self.handle_lifecycle(instance, LifecycleEvent::Listening);
         let process = self.current_process(instance);
-        self.agenda.after(ms(self.registry_draws.between((50.0, 430.0))), Event::EndpointList(process));
-        self.agenda.after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
+        self.event_queue.schedule_after(
+            nanos_from_ms(self.registry_draws.uniform((50.0, 430.0))),
+            Event::EndpointList(process),
+        );
+        self.event_queue.schedule_after(IDLE_SWEEP_INTERVAL, Event::IdleSweep(process));
     }
 
     /// Adds or removes a balancer of the front's targets, after the front has checked its readiness.
@@ -921,21 +936,21 @@
 
     /// Schedules the notification of a changed registry entry to every instance of the upstream's tier.
     fn publish_entry(&mut self, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let entry = self.registry[server].clone();
         let tier = usize::from(server >= self.portals());
         let (from, to) = self.scenario.registry_delay_ms;
-        let registry_delay = ms(self.registry_draws.between((from, to)));
+        let registry_delay = nanos_from_ms(self.registry_draws.uniform((from, to)));
         let earliest = (now + registry_delay).max(self.registry_silent_until);
         for instance in 0..self.instances.len() {
             if self.instances[instance].tier != tier {
                 continue;
             }
-            let notify_at =
-                (earliest + ms(self.registry_draws.between((0.0, 430.0)))).max(self.last_notified[instance]);
+            let notify_at = (earliest + nanos_from_ms(self.registry_draws.uniform((0.0, 430.0))))
+                .max(self.last_notified[instance]);
             self.last_notified[instance] = notify_at;
             let process = self.current_process(instance);
-            self.agenda.at(notify_at, Event::Notify(process, entry.clone()));
+            self.event_queue.schedule_at(notify_at, Event::Notify(process, entry.clone()));
         }
     }
 
@@ -948,7 +963,7 @@
     }
 
     fn endpoint_list(&mut self, instance: usize) {
-        if self.agenda.now() < self.registry_silent_until {
+        if self.event_queue.now() < self.registry_silent_until {
             return self.apply_update(instance, SourceUpdate::Unavailable("no answer".into()));
         }
         let tier = self.instances[instance].tier;
@@ -959,7 +974,7 @@
     }
 
     fn apply_update(&mut self, instance: usize, update: SourceUpdate) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let failed = matches!(update, SourceUpdate::Unavailable(_));
         let had_endpoints = self.instances[instance].has_endpoints;
         for (server, state) in self.instances[instance].update_endpoints(now, update, &mut self.outputs) {
@@ -971,7 +986,7 @@
             self.handle_lifecycle(instance, LifecycleEvent::EndpointsKnown);
         } else if !had_endpoints && failed && self.busy() {
             let process = self.current_process(instance);
-            self.agenda.after(ms(400.0), Event::EndpointList(process));
+            self.event_queue.schedule_after(nanos_from_ms(400.0), Event::EndpointList(process));
         }
     }
 
@@ -985,16 +1000,17 @@
         new_connection: bool,
         lost: bool,
     ) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let delay = self.network_delay();
         let upstream = &self.servers[server];
         if lost {
             return;
         }
         if !upstream.up || upstream.epoch != epoch {
-            return self
-                .agenda
-                .after(delay, Event::Response { attempt, ending: AttemptOutcome::Reset, kept_epoch: None });
+            return self.event_queue.schedule_after(
+                delay,
+                Event::Response { attempt, ending: AttemptOutcome::Reset, kept_epoch: None },
+            );
         }
         let (kept_epoch, group, error_rate, reset_rate) =
             (Some(epoch), upstream.group, upstream.error_rate, upstream.reset_rate);
@@ -1003,7 +1019,9 @@
         let (class, work) = (pending.class, pending.work);
         if self.work_draws.chance(error_rate) {
             self.checker.execution_started(now, request, server, group, Duration::ZERO);
-            return self.agenda.after(delay + ms(1.0), respond(AttemptOutcome::Error));
+            return self
+                .event_queue
+                .schedule_after(delay + nanos_from_ms(1.0), respond(AttemptOutcome::Error));
         }
         let tier = usize::from(server >= self.portals());
         let scenario = self.scenario;
@@ -1039,14 +1057,14 @@
             Admission::Queued => {}
             Admission::Rejected => {
                 self.jobs.remove(&job);
-                self.agenda.after(delay, respond(AttemptOutcome::Declined));
+                self.event_queue.schedule_after(delay, respond(AttemptOutcome::Declined));
             }
         }
     }
 
     /// Starts a request that an upstream has admitted or taken from its queue.
     fn begin_work(&mut self, job: u64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(job_state) = self.jobs.get_mut(&job) else { return };
         let (server, request) = (job_state.server, job_state.request);
         let upstream = &self.servers[server];
@@ -1082,7 +1100,7 @@
 
     /// Performs the next step of a job at an upstream.
     fn next_step(&mut self, job: u64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let portals = self.portals();
         let Some(job_state) = self.jobs.get_mut(&job) else { return };
         let (step, server) = (job_state.step, job_state.server);
@@ -1097,8 +1115,8 @@
             ),
             _ if job_state.duplicate => None,
             1 => {
-                let wait = ms(job_state.wait_s * 1000.0);
-                return self.agenda.after(wait, Event::WaitFinished(job));
+                let wait = nanos_from_ms(job_state.wait_s * 1000.0);
+                return self.event_queue.schedule_after(wait, Event::WaitFinished(job));
             }
             _ if first_tier && step - 2 >= 2 * job_state.calls => None,
             _ if first_tier && step % 2 == 0 => return self.call_second_tier(job),
@@ -1120,15 +1138,15 @@
 
     /// Sends a call from a job of the first tier to the second, through the balancer of its upstream.
     fn call_second_tier(&mut self, job: u64) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(job_state) = self.jobs.get(&job) else { return };
         let (server, step) = (job_state.server, job_state.step);
         let Some(pending) = self.requests.get(&job_state.request) else { return self.fail_job(job) };
         let (class, tenant, key, work) = (pending.class, pending.tenant, pending.key, pending.work);
-        let full_deadline = ms(self.scenario.classes[class].deadline_ms);
+        let full_deadline = nanos_from_ms(self.scenario.classes[class].deadline_ms);
         let timeout =
             if self.scenario.passes_deadline { pending.deadline.saturating_sub(now) } else { full_deadline };
-        if timeout < ms(1.0) {
+        if timeout < nanos_from_ms(1.0) {
             return self.fail_job(job);
         }
         let instance = self.balancers() + server;
@@ -1138,7 +1156,7 @@
         if let Some(job_state) = self.jobs.get_mut(&job) {
             job_state.pending_request = Some(request);
         }
-        self.agenda.after(ms(0.05), Event::RequestReached(request));
+        self.event_queue.schedule_after(nanos_from_ms(0.05), Event::RequestReached(request));
     }
 
     /// Fails a job whose call failed: it answers with an error.
@@ -1150,13 +1168,14 @@
 
     /// Completes a job and starts the next one in the queue.
     fn finish_job(&mut self, job: u64, ending: AttemptOutcome) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let Some(job_state) = self.jobs.remove(&job) else { return };
         let delay = self.network_delay();
         let hung = self.servers[job_state.server].hung;
         let kept_epoch = (ending != AttemptOutcome::Reset).then_some(job_state.epoch);
         if !hung {
-            self.agenda.after(delay, Event::Response { attempt: job_state.attempt, ending, kept_epoch });
+            self.event_queue
+                .schedule_after(delay, Event::Response { attempt: job_state.attempt, ending, kept_epoch });
         }
         if let Some(next) = self.servers[job_state.server].complete_request(now) {
             self.begin_work(next);
@@ -1166,11 +1185,11 @@
 
     /// Schedules the next completion of CPU work at an upstream.
     fn schedule_server(&mut self, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let upstream = &self.servers[server];
         self.ever_slowed[server] |= upstream.is_slowed();
         if let Some(wake_at) = upstream.next_completion(now) {
-            self.agenda.at(wake_at, Event::CpuDone(server, upstream.speed_version));
+            self.event_queue.schedule_at(wake_at, Event::CpuDone(server, upstream.speed_version));
         }
     }
 
@@ -1178,7 +1197,7 @@
         if self.servers[server].speed_version != speed_version {
             return;
         }
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         while let Some(job) = self.servers[server].pop_completed(now) {
             self.next_step(job);
         }
@@ -1187,7 +1206,7 @@
 
     /// Kills the process of an upstream. Its open requests are reset.
     fn kill_server(&mut self, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if !self.servers[server].up {
             return;
         }
@@ -1199,8 +1218,10 @@
         for (job, attempt) in lost_attempts {
             self.jobs.remove(&job);
             let delay = self.network_delay();
-            self.agenda
-                .after(delay, Event::Response { attempt, ending: AttemptOutcome::Reset, kept_epoch: None });
+            self.event_queue.schedule_after(
+                delay,
+                Event::Response { attempt, ending: AttemptOutcome::Reset, kept_epoch: None },
+            );
         }
         if server < self.portals() {
             self.end_process(self.balancers() + server, true);
@@ -1209,7 +1230,7 @@
 
     /// Starts a new, cold process of an upstream.
     fn restart_server(&mut self, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if self.servers[server].up {
             return;
         }
@@ -1233,9 +1254,9 @@
     // --- faults ---
 
     fn begin_fault(&mut self, fault: Fault, index: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         if fault.duration > 0 {
-            self.agenda.after(fault.duration, Event::FaultEnds(index));
+            self.event_queue.schedule_after(fault.duration, Event::FaultEnds(index));
         }
         let all = 0..self.servers.len();
         match fault.kind {
@@ -1244,7 +1265,7 @@
                 // The registry detects the crash by itself.
                 self.registry[server].state = None;
                 self.publish_entry(server);
-                self.agenda.after(downtime, Event::RestartServer(server));
+                self.event_queue.schedule_after(downtime, Event::RestartServer(server));
             }
             FaultKind::Hang(server) => self.alter_speed(server, |s| s.hung = true),
             FaultKind::Slow(server, factor) => self.alter_speed(server, |s| s.slowdown *= factor),
@@ -1261,7 +1282,8 @@
             FaultKind::Cold(count) => {
                 let portals = self.portals();
                 for k in portals - count.min(portals)..portals {
-                    self.agenda.after(ms(50.0 * (k % 16) as f64), Event::RestartServer(k));
+                    self.event_queue
+                        .schedule_after(nanos_from_ms(50.0 * (k % 16) as f64), Event::RestartServer(k));
                 }
                 self.load_factor = portals as f64 / (portals - count.min(portals - 1)) as f64;
             }
@@ -1270,12 +1292,12 @@
             FaultKind::Roll(gap) => {
                 for k in 0..self.balancers() {
                     // Balancers stop one after the other, as under a supervisor, and each waits for its own shutdown.
-                    self.agenda.after(gap * k as Nanos, Event::StopInstance(k));
+                    self.event_queue.schedule_after(gap * k as Nanos, Event::StopInstance(k));
                 }
             }
             FaultKind::Kill(instance) => {
                 self.end_process(instance, true);
-                self.agenda.after(fault.duration, Event::StartInstance(instance));
+                self.event_queue.schedule_after(fault.duration, Event::StartInstance(instance));
             }
             FaultKind::Silence => self.registry_silent_until = now + fault.duration,
         }
@@ -1294,7 +1316,7 @@
             FaultKind::Stale(_) => self.stale_after = None,
             FaultKind::Drain(server) => {
                 self.kill_server(server);
-                self.agenda.after(ms(1000.0), Event::RestartServer(server));
+                self.event_queue.schedule_after(nanos_from_ms(1000.0), Event::RestartServer(server));
             }
             FaultKind::Flood(..) => self.flood = None,
             FaultKind::SharedSlow(factor) => all.for_each(|k| self.alter_speed(k, |s| s.slowdown /= factor)),
@@ -1304,7 +1326,7 @@
 
     /// Changes the processing speed of an upstream.
     fn alter_speed(&mut self, server: usize, change: impl Fn(&mut Server)) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let upstream = &mut self.servers[server];
         upstream.advance(now);
         change(upstream);
--- a/crates/verification/testkit/src/faults/script.rs
+++ b/crates/verification/testkit/src/faults/script.rs
@@ -5,7 +5,7 @@
 /// Returns a minimal subsequence of these steps for which `fails` still holds, by delta debugging (Zeller and
 /// Hildebrandt, 2002): it leaves out halves, then quarters, down to single steps. `fails` must hold for the
 /// full list.
-pub fn fewest<T: Clone + Debug>(steps: &[T], mut fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
+pub fn minimal_failing_steps<T: Clone + Debug>(steps: &[T], mut fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
     let mut smallest = steps.to_vec();
     let mut size = smallest.len().div_ceil(2).max(1);
     while !smallest.is_empty() {
