--- a/crates/herondock/src/cli/routes.rs
+++ b/crates/herondock/src/cli/routes.rs
@@ -54,7 +54,8 @@
         let text = match self {
             RoutesArgs::Explain { operator, club, class, path, host, method, front, key, header } => {
                 let headers = header;
-                let request = RequestDescription { club, class, path, host, method, front, key, headers };
+                let request =
+                    RequestDescription { tenant: club, class, path, host, method, front, key, headers };
                 explain(&operator, &request)
             }
             RoutesArgs::Diff { old, new } => diff_tables(&old, &new),
--- a/crates/herondock/src/driver/mod.rs
+++ b/crates/herondock/src/driver/mod.rs
@@ -57,13 +57,13 @@
 pub struct DriverConfig {
     /// The decision module.
     pub balancer: Balancer,
-    /// Instant at which the decision module's clock reads `start_ms`.
-    pub start: Instant,
+    /// Instant at which the decision module's clock reads `clock_start_ms`.
+    pub clock_start: Instant,
     /// Initial reading of the decision module's clock, in Unix milliseconds. The clock advances by elapsed time only,
     /// regardless of adjustments to the system clock.
-    pub start_ms: Millis,
+    pub clock_start_ms: Millis,
     /// Creates the transports of upstreams.
-    pub transports: TransportFactory,
+    pub transport_factory: TransportFactory,
     /// Budget of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// Maximum number of open requests.
--- a/crates/herondock/src/driver/state.rs
+++ b/crates/herondock/src/driver/state.rs
@@ -47,7 +47,7 @@
     pub(super) balancer: Balancer,
     start: Instant,
     start_ms: Millis,
-    transports: TransportFactory,
+    transport_factory: TransportFactory,
     /// Budget of the process's file descriptors.
     pub(super) descriptors: DescriptorBudget,
     max_open: usize,
@@ -88,9 +88,9 @@
     pub(super) fn new(config: DriverConfig) -> Driver {
         Driver {
             balancer: config.balancer,
-            start: config.start,
-            start_ms: config.start_ms,
-            transports: config.transports,
+            start: config.clock_start,
+            start_ms: config.clock_start_ms,
+            transport_factory: config.transport_factory,
             descriptors: config.descriptors,
             max_open: config.max_open,
             late_shedding: config.late_shedding,
@@ -280,7 +280,7 @@
             let member = &entry.member;
             debug!("endpoint list: {} is {:?}", entry.addr, member.availability);
             let current = self.upstreams.entry(member.id).or_insert_with(|| UpstreamEntry {
-                upstream: (self.transports)(entry),
+                upstream: (self.transport_factory)(entry),
                 gate: Rc::default(),
                 entry: entry.clone(),
                 usage_feedback: UsageFeedback::default(),
@@ -290,7 +290,7 @@
                 current.upstream.process_replaced(entry.addr);
             }
             if current.entry.protocol != entry.protocol {
-                current.upstream = (self.transports)(entry);
+                current.upstream = (self.transport_factory)(entry);
             }
             current.entry = entry.clone();
             match member.availability {
--- a/crates/herondock/src/front/mod.rs
+++ b/crates/herondock/src/front/mod.rs
@@ -30,5 +30,6 @@
 
 impl ShutdownProgress {
     /// No shutdown is in progress.
-    pub const UP: ShutdownProgress = ShutdownProgress { phase: ShutdownPhase::Serving, handed_over: false };
+    pub const SERVING: ShutdownProgress =
+        ShutdownProgress { phase: ShutdownPhase::Serving, handed_over: false };
 }
--- a/crates/herondock/src/routing/inspect.rs
+++ b/crates/herondock/src/routing/inspect.rs
@@ -16,7 +16,7 @@
 /// Description of a request, from the command line.
 pub struct RequestDescription {
     /// Name of its tenant; `None`: the first one of the settings.
-    pub club: Option<String>,
+    pub tenant: Option<String>,
     /// Name of its class; `None`: the first one of the settings.
     pub class: Option<String>,
     /// Path and query.
@@ -54,7 +54,7 @@
     let known_names = routing::world(&node_config::load().map_err(|e| e.to_string())?.deployment);
     let (table, _) = load_table(file, &known_names)?;
     let class = position("class", &known_names.classes, description.class.as_deref())?;
-    let tenant = position("club", &known_names.clubs, description.club.as_deref())?;
+    let tenant = position("club", &known_names.clubs, description.tenant.as_deref())?;
     let fronts = route_table::cube::FRONTS.map(String::from);
     let methods = route_table::cube::METHODS.map(String::from);
     let headers = |name: &str| -> Vec<&[u8]> {
--- a/crates/herondock/src/routing/mod.rs
+++ b/crates/herondock/src/routing/mod.rs
@@ -167,7 +167,7 @@
 
     /// Limits the time of requests that are admitted from now on: each has its final answer within `timeout` from
     /// now.
-    pub fn answer_within(&self, timeout: Duration) {
+    pub fn set_answer_timeout(&self, timeout: Duration) {
         self.0.shutdown_deadline.set(Some(Instant::now() + timeout));
         self.all_pools().iter().for_each(|pool| pool.driver.set_answer_timeout(timeout));
     }
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -232,7 +232,7 @@
             Action::StopAccepting => self.stop_accepting(),
             Action::ReleaseSuccessor => self.release_successor(),
             Action::AnswerBy(at) => {
-                self.config.pools.answer_within(at.saturating_sub(self.config.start.elapsed()));
+                self.config.pools.set_answer_timeout(at.saturating_sub(self.config.start.elapsed()));
             }
             Action::CloseConnections => self.advance_to(ShutdownPhase::ClosingConnections),
             Action::CloseIdleConnections => self.advance_to(ShutdownPhase::ClosingIdle),
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -96,7 +96,7 @@
     if budgets.is_some() {
         wiring::apply_budget(&mut deployment.policy, &operator.budget);
     }
-    let (progress, shutdown) = watch::channel(ShutdownProgress::UP);
+    let (progress, shutdown) = watch::channel(ShutdownProgress::SERVING);
     let shared = Shared {
         clock,
         seed,
--- a/crates/herondock/src/run/wiring.rs
+++ b/crates/herondock/src/run/wiring.rs
@@ -114,9 +114,12 @@
             }
             DriverHandle::new(DriverConfig {
                 balancer,
-                start: clock.start,
-                start_ms: clock.start_ms,
-                transports: Box::new(transport::transport_factory(connections.clone(), fastcgi.clone())),
+                clock_start: clock.start,
+                clock_start_ms: clock.start_ms,
+                transport_factory: Box::new(transport::transport_factory(
+                    connections.clone(),
+                    fastcgi.clone(),
+                )),
                 descriptors: descriptors.clone(),
                 max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
                 late_shedding: policy.late_shedding,
@@ -131,7 +134,7 @@
     fn connection_settings(&self) -> ConnectionSettings {
         ConnectionSettings {
             dial_timeout: span(self.deployment.dial_timeout),
-            idle_close: span(self.deployment.policy.idle_close.min(MAX_SPAN_MS)),
+            upstream_idle_timeout: span(self.deployment.policy.idle_close.min(MAX_SPAN_MS)),
             descriptors: self.descriptors.clone(),
             limits: self.limits.clone(),
         }
--- a/crates/herondock/src/transport/connection_pool.rs
+++ b/crates/herondock/src/transport/connection_pool.rs
@@ -38,7 +38,7 @@
     /// Time after which a connection that is not established counts as failed.
     pub dial_timeout: Duration,
     /// Time for which upstreams keep idle connections open.
-    pub idle_close: Duration,
+    pub upstream_idle_timeout: Duration,
     /// Budget of the process's file descriptors.
     pub descriptors: DescriptorBudget,
     /// Limits on sizes and waits.
@@ -50,7 +50,9 @@
     /// connection that the upstream is about to close ends in a reset, and the upstream's timeout starts when it
     /// sends its last byte, not when that byte is read here.
     fn max_idle(&self) -> Duration {
-        self.idle_close.saturating_sub(self.limits.get().upstream_idle_margin).max(self.idle_close / 2)
+        self.upstream_idle_timeout
+            .saturating_sub(self.limits.get().upstream_idle_margin)
+            .max(self.upstream_idle_timeout / 2)
     }
 }
 
--- a/crates/herondock/src/transport/http/tests.rs
+++ b/crates/herondock/src/transport/http/tests.rs
@@ -12,8 +12,12 @@
 
 fn upstream(sockets: DescriptorBudget, addr: SocketAddr) -> Rc<Peer<Http>> {
     let limits = LiveConfig::new(Limits::default());
-    let (dial_timeout, idle_close) = (Duration::from_secs(5), Duration::from_secs(60));
-    Peer::new(ConnectionSettings { dial_timeout, idle_close, descriptors: sockets, limits }, Http, addr)
+    let (dial_timeout, upstream_idle_timeout) = (Duration::from_secs(5), Duration::from_secs(60));
+    Peer::new(
+        ConnectionSettings { dial_timeout, upstream_idle_timeout, descriptors: sockets, limits },
+        Http,
+        addr,
+    )
 }
 
 fn attempt() -> Attempt {
