--- a/crates/verification/testkit/src/process.rs
+++ b/crates/verification/testkit/src/process.rs
@@ -145,8 +145,9 @@
     }
 }
 
-/// Returns a free address in a part of 127.0.0.0/8 of this process's own. Callers connect from 127.0.0.1, so
-/// none of them takes the port while no process listens on it.
+/// Returns a free address in 127.0.0.0/8 that depends on the process id and a counter (processes whose ids
+/// agree in the low 8 bits share the range). Callers connect from 127.0.0.1, so none of them takes the port
+/// while no process listens on it.
 pub fn reserve_address() -> SocketAddr {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
--- a/crates/verification/testkit/src/watcher.rs
+++ b/crates/verification/testkit/src/watcher.rs
@@ -11,7 +11,7 @@
 /// Timeout after which a balancer counts as unavailable.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of completed outages that are kept.
-const MAX_SAMPLES: usize = 1 << 20;
+const MAX_OUTAGES: usize = 1 << 20;
 
 /// A time in which a balancer was certainly unavailable: between its first and last failed sample, with no
 /// successful one between them.
@@ -123,7 +123,7 @@
         self.samples += 1;
         if serves {
             if let Some(span) = self.ongoing.remove(name) {
-                if self.ended.len() < MAX_SAMPLES {
+                if self.ended.len() < MAX_OUTAGES {
                     self.ended.push(span);
                 }
             }
