--- a/crates/data-plane/fastcgi/src/cgi.rs
+++ b/crates/data-plane/fastcgi/src/cgi.rs
@@ -1,127 +1,129 @@
-//! What a responder writes before its body (RFC 3875, section 6.2): header lines, an empty line, and the body. Read
-//! strictly: what is not certain is an error, and an error is no answer.
+//! Output of a CGI responder (RFC 3875, section 6.2): header lines, an empty line, and the body. Parsing is strict: an
+//! ambiguous head is an error, and the output is then not used as a response.
 use bytes::Bytes;
 use std::fmt;
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// `Status`; 200 without one, 302 with a `Location` alone.
+    /// Value of `Status`; without it 302 if there is a `Location`, else 200.
     pub status: u16,
-    /// The other headers, in order.
+    /// Headers in their order, without `Status` and `Content-Length`.
     pub fields: Vec<(Bytes, Bytes)>,
-    /// How many bytes it took, with its empty line.
+    /// Length of the head in bytes, including the empty line.
     pub length: usize,
 }
 
-/// Why a head can't be read.
+/// Reason why a head is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MalformedHead {
-    /// There is no empty line within the bound.
-    Endless,
-    /// There are no headers at all.
-    None,
-    /// A line without a colon, or with a name that is none.
-    Line,
-    /// A `Status` that is no number of three digits, or two of them.
-    Status,
-    /// A local redirect (`Location` without a scheme and nothing else), which a web server would follow by itself.
+    /// There is no empty line within the size limit.
+    Unterminated,
+    /// There are no headers.
+    NoHeaders,
+    /// A line without a colon, with an invalid header name, or with control characters in its value.
+    InvalidLine,
+    /// `Status` does not start with a number from 100 to 599, or occurs twice.
+    InvalidStatus,
+    /// A local redirect (`Location` with a path instead of a URL), which the web server would have to follow itself.
     LocalRedirect,
-    /// A body of another length than `Content-Length` states, or a framing of its own.
-    Length,
+    /// `Content-Length` is invalid, repeated or differs from the length of the body, or there is a `Transfer-Encoding`.
+    InvalidLength,
 }
 
 impl fmt::Display for MalformedHead {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            MalformedHead::Endless => "the head has no end",
-            MalformedHead::None => "there are no headers",
-            MalformedHead::Line => "a header line is none",
-            MalformedHead::Status => "its Status is none",
-            MalformedHead::LocalRedirect => "it redirects within the server",
-            MalformedHead::Length => "its body has another length than it states",
+            MalformedHead::Unterminated => "the head has no terminating empty line",
+            MalformedHead::NoHeaders => "the head has no headers",
+            MalformedHead::InvalidLine => "a header line is malformed",
+            MalformedHead::InvalidStatus => "the Status header is invalid",
+            MalformedHead::LocalRedirect => "local redirects are not supported",
+            MalformedHead::InvalidLength => "the length of the body does not match the headers",
         })
     }
 }
 
-fn token(name: &[u8]) -> bool {
-    let plain = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
-    !name.is_empty() && name.iter().all(plain)
+/// Whether a name is a token of RFC 9110, section 5.6.2.
+fn is_token(name: &[u8]) -> bool {
+    let is_token_char = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
+    !name.is_empty() && name.iter().all(is_token_char)
 }
 
-/// Where the empty line ends that ends the head, if it is there.
-fn end(output: &[u8], most: usize) -> Option<usize> {
-    let seen = &output[..output.len().min(most)];
-    let mut line = 0;
-    for (k, &b) in seen.iter().enumerate() {
-        if b == b'\n' {
-            if matches!(&seen[line..k], b"" | b"\r") {
-                return Some(k + 1);
+/// Length of the head including its empty line; `None` if there is no empty line in the first `max_bytes`.
+fn head_length(output: &[u8], max_bytes: usize) -> Option<usize> {
+    let searched = &output[..output.len().min(max_bytes)];
+    let mut line_start = 0;
+    for (index, &byte) in searched.iter().enumerate() {
+        if byte == b'\n' {
+            if matches!(&searched[line_start..index], b"" | b"\r") {
+                return Some(index + 1);
             }
-            line = k + 1;
+            line_start = index + 1;
         }
     }
     None
 }
 
-/// Reads the head of a responder's whole output, of `most` bytes at the most.
+/// Parses the head of a responder's complete output. The head must not be longer than `max_bytes`.
 ///
 /// # Errors
-/// What is wrong with it.
-pub fn read(output: &Bytes, most: usize) -> Result<Head, MalformedHead> {
-    let length = end(output, most).ok_or(MalformedHead::Endless)?;
-    let (mut status, mut location, mut stated) = (None, false, None);
+/// The head is invalid, or does not match the body.
+pub fn read(output: &Bytes, max_bytes: usize) -> Result<Head, MalformedHead> {
+    let length = head_length(output, max_bytes).ok_or(MalformedHead::Unterminated)?;
+    let (mut status, mut has_location, mut stated_length) = (None, false, None);
     let mut fields = Vec::new();
-    let mut rest = &output[..length];
+    let mut remaining = &output[..length];
     loop {
-        let n = rest.iter().position(|&b| b == b'\n').ok_or(MalformedHead::Endless)?;
-        let line = rest[..n].strip_suffix(b"\r").unwrap_or(&rest[..n]);
-        rest = &rest[n + 1..];
+        let line_length = remaining.iter().position(|&b| b == b'\n').ok_or(MalformedHead::Unterminated)?;
+        let line = remaining[..line_length].strip_suffix(b"\r").unwrap_or(&remaining[..line_length]);
+        remaining = &remaining[line_length + 1..];
         if line.is_empty() {
             break;
         }
-        let colon = line.iter().position(|&b| b == b':').ok_or(MalformedHead::Line)?;
+        let colon = line.iter().position(|&b| b == b':').ok_or(MalformedHead::InvalidLine)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
-        // Control characters would split a header in two where it is written again.
-        if !token(name) || value.iter().any(|&b| (b < 0x20 && b != b'\t') || b == 0x7f) {
-            return Err(MalformedHead::Line);
+        // A control character could split the header in two when it is serialized again.
+        if !is_token(name) || value.iter().any(|&b| (b < 0x20 && b != b'\t') || b == 0x7f) {
+            return Err(MalformedHead::InvalidLine);
         }
-        let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
-        if is("status") {
+        let is_named = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
+        if is_named("status") {
             let code = value.get(..3).filter(|c| c.iter().all(u8::is_ascii_digit));
-            let ends = value.get(3).is_none_or(|&b| b == b' ');
-            let code = code.filter(|_| ends).and_then(|c| std::str::from_utf8(c).ok()?.parse().ok());
-            let code = code.filter(|c| (100..600).contains(c)).ok_or(MalformedHead::Status)?;
+            let is_terminated = value.get(3).is_none_or(|&b| b == b' ');
+            let code = code.filter(|_| is_terminated).and_then(|c| std::str::from_utf8(c).ok()?.parse().ok());
+            let code = code.filter(|c| (100..600).contains(c)).ok_or(MalformedHead::InvalidStatus)?;
             if status.replace(code).is_some() {
-                return Err(MalformedHead::Status);
+                return Err(MalformedHead::InvalidStatus);
             }
             continue;
         }
-        if is("transfer-encoding") {
-            return Err(MalformedHead::Length);
+        if is_named("transfer-encoding") {
+            return Err(MalformedHead::InvalidLength);
         }
-        if is("content-length") {
+        if is_named("content-length") {
             let text = std::str::from_utf8(value).ok().filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
-            let n: usize = text.and_then(|v| v.parse().ok()).ok_or(MalformedHead::Length)?;
-            if stated.replace(n).is_some() {
-                return Err(MalformedHead::Length);
+            let content_length: usize =
+                text.and_then(|v| v.parse().ok()).ok_or(MalformedHead::InvalidLength)?;
+            if stated_length.replace(content_length).is_some() {
+                return Err(MalformedHead::InvalidLength);
             }
             continue;
         }
-        if is("location") {
+        if is_named("location") {
             if value.starts_with(b"/") {
                 return Err(MalformedHead::LocalRedirect);
             }
-            location = true;
+            has_location = true;
         }
         fields.push((output.slice_ref(name), output.slice_ref(value)));
     }
-    if status.is_none() && fields.is_empty() && stated.is_none() {
-        return Err(MalformedHead::None);
+    if status.is_none() && fields.is_empty() && stated_length.is_none() {
+        return Err(MalformedHead::NoHeaders);
     }
-    if stated.is_some_and(|n| n != output.len() - length) {
-        return Err(MalformedHead::Length);
+    if stated_length.is_some_and(|n| n != output.len() - length) {
+        return Err(MalformedHead::InvalidLength);
     }
-    let status = status.unwrap_or(if location { 302 } else { 200 });
+    let status = status.unwrap_or(if has_location { 302 } else { 200 });
     Ok(Head { status, fields, length })
 }
--- a/crates/data-plane/fastcgi/src/client.rs
+++ b/crates/data-plane/fastcgi/src/client.rs
@@ -1,8 +1,8 @@
-//! The side that makes requests: one connection to an application.
+//! Client side: one connection to an application.
 //!
-//! An id is used again only once the application has ended what it stood for: until then, something of the old request
-//! may still come. Whatever comes for an id that nothing stands for makes the connection useless, for it can't be told
-//! what else of it is wrong.
+//! A request id is reused only after the application has ended the previous request with it: until then, records of that
+//! request may still arrive. A record for an id that is not in use is an error of the whole connection, because it is
+//! unknown which other records are wrong too.
 use crate::cgi::{self, Head};
 use crate::outgoing::{Cancelled, Outgoing, Tail};
 use crate::pairs::{self, Pair};
@@ -12,161 +12,172 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered whole: the head, and the body behind it.
+    /// A complete response: its head and its body.
     Answered(Head, Bytes),
-    /// The application says that it did not begin: overloaded, unable to multiplex, without the role.
+    /// The application refused the request before it began: overloaded, unable to multiplex, or unknown role.
     Refused(Protocol),
-    /// It ended without an answer that can be used; it may have run. Its status for the application, and why.
+    /// The request ended without a usable response and may have run: the application status, and the reason.
     Useless(u32, &'static str),
 }
 
-/// What has come.
+/// A received event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request has ended.
+    /// A request has ended: its id and result.
     Ended(u16, Outcome),
-    /// The application tells of itself.
+    /// The application's capabilities, as name-value pairs.
     Values(Vec<Pair>),
-    /// The application does not know a type of record that was written for the connection itself.
+    /// The application does not know the type of a management record that was sent to it.
     Unknown,
 }
 
 struct InFlightRequest {
-    parts: Vec<Bytes>,
-    size: usize,
+    stdout_parts: Vec<Bytes>,
+    stdout_size: usize,
+    /// Size of the error stream, in bytes.
     errors: usize,
-    /// Its output has ended.
-    closed: bool,
-    /// Why its answer can't be used.
-    bad: Option<&'static str>,
-    /// Nobody waits for it any more; only its end is waited for.
+    /// The output stream has ended.
+    stdout_ended: bool,
+    /// Reason why the response is unusable.
+    unusable_reason: Option<&'static str>,
+    /// The request was aborted; its id stays in use until the application ends it.
     aborted: bool,
 }
 
-/// See the module's page.
+/// Client side of a connection to an application.
 pub struct Client {
     limits: Limits,
     decoder: Decoder,
-    open: BTreeMap<u16, InFlightRequest>,
-    current: Option<Header>,
-    small: BytesMut,
+    requests: BTreeMap<u16, InFlightRequest>,
+    /// Header of the record that is being received.
+    current_record: Option<Header>,
+    /// Body of the record that is being received, for end and management records.
+    record_body: BytesMut,
     outgoing: Outgoing,
 }
 
 impl Client {
-    /// A connection that nothing has been written to.
+    /// Creates the state of a new connection.
     pub fn new(limits: Limits) -> Client {
-        let (decoder, small) = (Decoder::default(), BytesMut::new());
-        Client { limits, decoder, open: BTreeMap::new(), current: None, small, outgoing: Outgoing::default() }
+        let (decoder, record_body) = (Decoder::default(), BytesMut::new());
+        Client {
+            limits,
+            decoder,
+            requests: BTreeMap::new(),
+            current_record: None,
+            record_body,
+            outgoing: Outgoing::default(),
+        }
     }
 
-    /// Requests that have not ended, those that were called off included.
+    /// Number of requests that have not ended, including aborted ones.
     pub fn open(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
-    /// Whether another request may begin.
+    /// Whether the limit of concurrent requests allows another request.
     pub fn has_capacity(&self) -> bool {
-        self.open.len() < self.limits.requests.min(usize::from(u16::MAX))
+        self.requests.len() < self.limits.requests.min(usize::from(u16::MAX))
     }
 
-    /// Whether part of a record has come.
+    /// Whether a record has been received in part.
     pub fn is_mid_record(&self) -> bool {
-        self.decoder.midway()
+        self.decoder.is_mid_record()
     }
 
-    /// Asks the application whether it takes several requests at once (`FCGI_MPXS_CONNS`), and how many.
+    /// Queries whether the application multiplexes requests on a connection (`FCGI_MPXS_CONNS`), and its maximum number of
+    /// concurrent requests (`FCGI_MAX_REQS`).
     pub fn query_capabilities(&mut self) {
         let (mut body, mut out) = (BytesMut::new(), BytesMut::new());
         for name in ["FCGI_MPXS_CONNS", "FCGI_MAX_REQS"] {
             pairs::write(&mut body, name.as_bytes(), b"");
         }
         record::write(&mut out, kind::GET_VALUES, 0, &body);
-        self.outgoing.own(out.freeze());
+        self.outgoing.push_connection_record(out.freeze());
     }
 
-    /// Begins a request, to be written by turns: its id. `None`: as many are open as may be.
+    /// Queues a new request and returns its id, or `None` if the limit of concurrent requests is reached.
     pub fn begin<'a>(
         &mut self,
         params: impl Iterator<Item = (&'a [u8], &'a [u8])>,
         body: Bytes,
-        keep: bool,
+        keep_connection: bool,
     ) -> Option<u16> {
         if !self.has_capacity() {
             return None;
         }
-        let id = (1..=u16::MAX).find(|id| !self.open.contains_key(id))?;
+        let id = (1..=u16::MAX).find(|id| !self.requests.contains_key(id))?;
         let mut head = BytesMut::with_capacity(1024);
-        record::write(&mut head, kind::BEGIN, id, &record::begin_body(RESPONDER, keep));
-        let mut all = BytesMut::with_capacity(1024);
-        params.for_each(|(name, value)| pairs::write(&mut all, name, value));
-        record::write(&mut head, kind::PARAMS, id, &all);
+        record::write(&mut head, kind::BEGIN, id, &record::begin_body(RESPONDER, keep_connection));
+        let mut encoded_params = BytesMut::with_capacity(1024);
+        params.for_each(|(name, value)| pairs::write(&mut encoded_params, name, value));
+        record::write(&mut head, kind::PARAMS, id, &encoded_params);
         record::end(&mut head, kind::PARAMS, id);
-        self.outgoing.stream(id, head, kind::STDIN, body, Tail::Close);
-        let out = InFlightRequest {
-            parts: Vec::new(),
-            size: 0,
+        self.outgoing.push_stream(id, head, kind::STDIN, body, Tail::Close);
+        let request = InFlightRequest {
+            stdout_parts: Vec::new(),
+            stdout_size: 0,
             errors: 0,
-            closed: false,
-            bad: None,
+            stdout_ended: false,
+            unusable_reason: None,
             aborted: false,
         };
-        self.open.insert(id, out);
+        self.requests.insert(id, request);
         Some(id)
     }
 
-    /// Calls a request off. One of which nothing was written is over; the id of another stays taken until the
-    /// application has ended it, and `true` says so.
+    /// Aborts a request. If nothing of it was written, it is removed. Otherwise its id stays in use until the application
+    /// has ended it, and `true` is returned.
     pub fn abort(&mut self, id: u16) -> bool {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.aborted) else { return false };
-        if self.outgoing.cancel(id) == Cancelled::Unbegun {
-            self.open.remove(&id);
+        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.aborted) else { return false };
+        if self.outgoing.cancel(id) == Cancelled::NotStarted {
+            self.requests.remove(&id);
             return false;
         }
-        (open.aborted, open.parts) = (true, Vec::new());
+        (request.aborted, request.stdout_parts) = (true, Vec::new());
         let mut out = BytesMut::new();
         record::end(&mut out, kind::ABORT, id);
-        self.outgoing.own(out.freeze());
+        self.outgoing.push_connection_record(out.freeze());
         true
     }
 
-    /// Requests that were called off and have not ended.
+    /// Number of aborted requests that have not ended.
     pub fn aborted_requests(&self) -> usize {
-        self.open.values().filter(|o| o.aborted).count()
+        self.requests.values().filter(|request| request.aborted).count()
     }
 
-    /// Whether the last byte of an open request was taken to be written: until then its application can't have begun,
-    /// if it reads its input whole.
+    /// Whether the last byte of a request was consumed by the writer. Until then an application that reads its whole
+    /// input first can't have begun the request.
     pub fn is_fully_written(&self, id: u16) -> bool {
         !self.outgoing.has_unsent(id)
     }
 
-    /// Whether there is a request of which nothing was made ready yet.
+    /// Whether there is a request of which no part was made ready for writing yet.
     pub fn has_unstarted_request(&self) -> bool {
-        self.outgoing.unbegun()
+        self.outgoing.has_unstarted_stream()
     }
 
-    /// Makes more ready to be written, once all that was ready has been taken. A request begins only where `may_begin`
-    /// allows it, asked right before its first byte; one that may not is over, and is `unsent`.
+    /// Makes more bytes ready for writing once all ready bytes have been consumed. `may_begin` is called right before the
+    /// first byte of a request; if it returns `false`, the request is removed and its id is added to `unsent`.
     pub fn fill(&mut self, may_begin: impl FnMut(u16) -> bool, unsent: &mut Vec<u16>) {
-        // What was written whole is known by what is not held any more.
-        self.outgoing.done();
+        // The completed streams are not needed: `is_fully_written` looks for the unsent rest.
+        self.outgoing.take_completed();
         let before = unsent.len();
         self.outgoing.fill(may_begin, unsent);
         for id in &unsent[before..] {
-            self.open.remove(id);
+            self.requests.remove(id);
         }
     }
 
-    /// What is ready to be written.
+    /// Bytes that are ready for writing.
     pub fn outgoing(&mut self) -> &mut Outgoing {
         &mut self.outgoing
     }
 
-    /// All that is to be written, at once.
+    /// Removes and returns all bytes that are to be written.
     pub fn drain(&mut self) -> Bytes {
         let mut out = BytesMut::new();
         loop {
@@ -178,81 +189,83 @@
         }
     }
 
-    /// Takes bytes that have come.
+    /// Processes received bytes and appends the events that they cause.
     ///
     /// # Errors
-    /// What can't be read any further: no request that is open can be answered on this connection.
+    /// A protocol violation, after which no open request can be answered on this connection.
     pub fn receive(&mut self, mut input: Bytes, events: &mut Vec<Event>) -> Result<(), Error> {
         while let Some(piece) = self.decoder.next(&mut input)? {
             match piece {
-                Piece::Begin(header) => self.begins(header)?,
-                Piece::Body(bytes) => self.body(bytes),
-                Piece::End(header) => self.ends(header, events),
+                Piece::Begin(header) => self.start_record(header)?,
+                Piece::Body(bytes) => self.receive_body(bytes),
+                Piece::End(header) => self.end_record(header, events),
             }
         }
         Ok(())
     }
 
-    fn begins(&mut self, header: Header) -> Result<(), Error> {
+    fn start_record(&mut self, header: Header) -> Result<(), Error> {
         let Header { kind, id, length, .. } = header;
-        self.small.clear();
-        self.current = Some(header);
-        let at = self.decoder.began();
-        let fault = |what| Err(Error { at, what });
+        self.record_body.clear();
+        self.current_record = Some(header);
+        let offset = self.decoder.record_offset();
+        let error = |fault| Err(Error { offset, fault });
         match kind {
             kind::GET_VALUES_RESULT | kind::UNKNOWN_TYPE if id == 0 => Ok(()),
-            kind::END | kind::STDOUT | kind::STDERR => match self.open.get(&id) {
-                // Also of a stream that has ended: what it belongs to can't be told.
-                Some(open) if !(kind == kind::STDOUT && open.closed) => match (kind, length) {
-                    (kind::END, n) if n != 8 => fault(Fault::Length { kind, length }),
+            kind::END | kind::STDOUT | kind::STDERR => match self.requests.get(&id) {
+                // A record after the end of its stream is an error too, because its request is unknown.
+                Some(request) if !(kind == kind::STDOUT && request.stdout_ended) => match (kind, length) {
+                    (kind::END, length) if length != 8 => error(Fault::Length { kind, length }),
                     _ => Ok(()),
                 },
-                _ => fault(Fault::Id { kind, id }),
+                _ => error(Fault::Id { kind, id }),
             },
-            _ => fault(Fault::Unexpected(kind)),
+            _ => error(Fault::Unexpected(kind)),
         }
     }
 
-    fn body(&mut self, bytes: Bytes) {
-        let Some(Header { kind, id, .. }) = self.current else { return };
+    fn receive_body(&mut self, bytes: Bytes) {
+        let Some(Header { kind, id, .. }) = self.current_record else { return };
         let limits = self.limits;
-        match (kind, self.open.get_mut(&id)) {
-            (kind::STDOUT, Some(open)) => {
-                if open.aborted || open.bad.is_some() {
-                } else if open.size + bytes.len() > limits.head + limits.body {
-                    (open.bad, open.parts) = (Some("its answer is too large"), Vec::new());
+        match (kind, self.requests.get_mut(&id)) {
+            (kind::STDOUT, Some(request)) => {
+                if request.aborted || request.unusable_reason.is_some() {
+                } else if request.stdout_size + bytes.len() > limits.head + limits.body {
+                    (request.unusable_reason, request.stdout_parts) =
+                        (Some("the response is too large"), Vec::new());
                 } else {
-                    open.size += bytes.len();
-                    open.parts.push(bytes);
+                    request.stdout_size += bytes.len();
+                    request.stdout_parts.push(bytes);
                 }
             }
-            (kind::STDERR, Some(open)) => open.errors = open.errors.saturating_add(bytes.len()),
+            (kind::STDERR, Some(request)) => request.errors = request.errors.saturating_add(bytes.len()),
             _ => {
-                // A begin or an end is kept whole, however little the host allows.
-                let room = limits.params.max(8).saturating_sub(self.small.len());
-                self.small.extend_from_slice(&bytes[..bytes.len().min(room)]);
+                // The 8 bytes of an end record are always kept, even if the limit is lower.
+                let available = limits.params.max(8).saturating_sub(self.record_body.len());
+                self.record_body.extend_from_slice(&bytes[..bytes.len().min(available)]);
             }
         }
     }
 
-    fn ends(&mut self, header: Header, events: &mut Vec<Event>) {
+    fn end_record(&mut self, header: Header, events: &mut Vec<Event>) {
         let Header { kind, id, length, .. } = header;
         match kind {
             kind::STDOUT if length == 0 => {
-                if let Some(open) = self.open.get_mut(&id) {
-                    open.closed = true;
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.stdout_ended = true;
                 }
             }
             kind::END => {
-                // What is still to be written of it is of no use to anybody.
+                // The unsent rest of an ended request is not needed any more.
                 self.outgoing.cancel(id);
-                let Some(open) = self.open.remove(&id).filter(|o| !o.aborted) else { return };
-                let small = &self.small;
-                let application = u32::from_be_bytes([small[0], small[1], small[2], small[3]]);
-                events.push(Event::Ended(id, self.outcome(open, application, Protocol::of(small[4]))));
+                let Some(request) = self.requests.remove(&id).filter(|r| !r.aborted) else { return };
+                let body = &self.record_body;
+                let application = u32::from_be_bytes([body[0], body[1], body[2], body[3]]);
+                events.push(Event::Ended(id, self.outcome(request, application, Protocol::of(body[4]))));
             }
             kind::GET_VALUES_RESULT => {
-                let values = pairs::read(self.small.split().freeze(), self.limits.pairs).unwrap_or_default();
+                let values =
+                    pairs::read(self.record_body.split().freeze(), self.limits.pairs).unwrap_or_default();
                 events.push(Event::Values(values));
             }
             kind::UNKNOWN_TYPE => events.push(Event::Unknown),
@@ -260,30 +273,32 @@
         }
     }
 
-    fn outcome(&self, open: InFlightRequest, application: u32, protocol: Protocol) -> Outcome {
+    fn outcome(&self, request: InFlightRequest, application: u32, protocol: Protocol) -> Outcome {
         match protocol {
             Protocol::Complete => {}
-            // One that has written something has begun, whatever it says.
-            Protocol::Other(_) => return Outcome::Useless(application, "its end has no known status"),
-            refused if open.size == 0 && open.errors == 0 && open.bad.is_none() => {
+            // A request with output has begun, even if its status says that it was refused.
+            Protocol::Other(_) => return Outcome::Useless(application, "unknown protocol status"),
+            refused
+                if request.stdout_size == 0 && request.errors == 0 && request.unusable_reason.is_none() =>
+            {
                 return Outcome::Refused(refused)
             }
-            _ => return Outcome::Useless(application, "it refused what it had begun"),
+            _ => return Outcome::Useless(application, "refused after output had begun"),
         }
-        if let Some(why) = open.bad {
-            return Outcome::Useless(application, why);
+        if let Some(reason) = request.unusable_reason {
+            return Outcome::Useless(application, reason);
         }
-        if open.size == 0 {
-            return Outcome::Useless(application, "it wrote nothing");
+        if request.stdout_size == 0 {
+            return Outcome::Useless(application, "the application wrote no output");
         }
-        let output = joined(open.parts, open.size);
+        let output = joined(request.stdout_parts, request.stdout_size);
         match cgi::read(&output, self.limits.head) {
             Ok(head) if output.len() - head.length <= self.limits.body => {
                 let body = output.slice(head.length..);
                 Outcome::Answered(head, body)
             }
-            Ok(_) => Outcome::Useless(application, "its answer is too large"),
-            Err(_) => Outcome::Useless(application, "its head can't be read"),
+            Ok(_) => Outcome::Useless(application, "the response is too large"),
+            Err(_) => Outcome::Useless(application, "the head of the response is malformed"),
         }
     }
 }
--- a/crates/data-plane/fastcgi/src/lib.rs
+++ b/crates/data-plane/fastcgi/src/lib.rs
@@ -1,16 +1,17 @@
-//! FastCGI 1.0 (Open Market, FastCGI Specification, 29 April 1996) on both sides, without I/O.
+//! FastCGI 1.0 (Open Market, FastCGI Specification, 29 April 1996) for servers and clients, without I/O.
 //!
-//! | module | what it has |
+//! | module | content |
 //! | --- | --- |
-//! | [`record`] | records: their header and bodies, decoded from any split of bytes without copying, and written |
-//! | [`pairs`] | name-value pairs, with both forms of a length |
-//! | [`server`] | the side that gets requests: a connection of a web server's |
-//! | [`client`] | the side that makes them: a connection to an application |
-//! | [`outgoing`] | what is to be written, by turns |
-//! | [`cgi`] | what a responder writes before its body (RFC 3875, section 6) |
+//! | [`record`] | records: decoding from arbitrarily split input without copying, and encoding |
+//! | [`pairs`] | name-value pairs, with one-byte and four-byte lengths |
+//! | [`server`] | server side: a connection from a web server |
+//! | [`client`] | client side: a connection to an application |
+//! | [`outgoing`] | output queue that interleaves streams |
+//! | [`cgi`] | head of a CGI response (RFC 3875, section 6) |
 //!
-//! Bytes come in, events and bytes to be written come out. Every bound is in [`Limits`]; an [`Error`] says what was wrong
-//! and at which byte of the connection. Nothing that comes in panics, or is held beyond its bound.
+//! Each side takes received bytes and returns events and bytes to write. All limits are in [`Limits`]; an [`Error`]
+//! contains the protocol violation and its byte offset on the connection. No input causes a panic, and no input is
+//! buffered beyond its limit.
 pub mod cgi;
 pub mod client;
 pub mod outgoing;
@@ -20,72 +21,72 @@
 
 use std::fmt;
 
-/// Bounds of a connection.
+/// Limits of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Params of one request, with their lengths, in bytes.
+    /// Maximum size of one request's params, including their encoded lengths, in bytes.
     pub params: usize,
-    /// Pairs in them.
+    /// Maximum number of params of one request.
     pub pairs: usize,
-    /// A request's or an answer's body, in bytes.
+    /// Maximum size of the body of a request or a response, in bytes.
     pub body: usize,
-    /// An answer's head, in bytes.
+    /// Maximum size of the head of a response, in bytes.
     pub head: usize,
-    /// What an application writes to its error stream, in bytes; the rest is dropped and counted.
+    /// Maximum size of an application's error stream, in bytes; the rest is dropped and counted.
     pub errors: usize,
-    /// Requests at once on a connection.
+    /// Maximum number of concurrent requests on a connection.
     pub requests: usize,
 }
 
 impl Default for Limits {
-    /// 16 KiB and 128 pairs of params, 64 KiB of body, 16 KiB of head, 4 KiB of errors, 1 request at once.
+    /// 16 KiB and 128 pairs of params, 64 KiB of body, 16 KiB of head, 4 KiB of error stream, 1 concurrent request.
     fn default() -> Self {
         Limits { params: 16 << 10, pairs: 128, body: 64 << 10, head: 16 << 10, errors: 4 << 10, requests: 1 }
     }
 }
 
-/// What was wrong with what came, and where.
+/// A protocol violation and its position. The connection can't be used any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// The byte of the connection, counted from zero, at which the record at fault begins.
-    pub at: u64,
-    /// What was wrong.
-    pub what: Fault,
+    /// Offset of the first byte of the invalid record on the connection, counted from zero.
+    pub offset: u64,
+    /// The violation.
+    pub fault: Fault,
 }
 
-/// What can be wrong with a connection's bytes. It can't be used any further.
+/// Kinds of protocol violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A record of another version than 1.
+    /// A record with a version other than 1.
     Version(u8),
-    /// A record of this type that this side does not get.
+    /// A record of a type that this side must not receive.
     Unexpected(u8),
-    /// A body of a length that its type does not have.
+    /// A body length that is invalid for the record's type.
     Length {
-        /// The record's type.
+        /// Type of the record.
         kind: u8,
-        /// The length it states.
+        /// Length in the record's header.
         length: u16,
     },
-    /// A management record with a request's id, or a request's record without one.
+    /// A management record with a request id, or a record of a request without one.
     Id {
-        /// The record's type.
+        /// Type of the record.
         kind: u8,
-        /// The id.
+        /// Request id in the record's header.
         id: u16,
     },
-    /// A second begin for an id that is open.
+    /// A begin record for a request that is already open.
     BegunTwice(u16),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "byte {}: ", self.at)?;
-        match self.what {
-            Fault::Version(v) => write!(f, "a record of version {v}"),
-            Fault::Unexpected(kind) => write!(f, "a record of type {kind} that this side does not get"),
-            Fault::Length { kind, length } => write!(f, "a record of type {kind} with {length} bytes"),
-            Fault::Id { kind, id } => write!(f, "a record of type {kind} with request id {id}"),
+        write!(f, "byte {}: ", self.offset)?;
+        match self.fault {
+            Fault::Version(version) => write!(f, "a record of version {version}"),
+            Fault::Unexpected(kind) => write!(f, "unexpected record type {kind}"),
+            Fault::Length { kind, length } => write!(f, "a record of type {kind} has length {length}"),
+            Fault::Id { kind, id } => write!(f, "a record of type {kind} has the invalid request id {id}"),
             Fault::BegunTwice(id) => write!(f, "request {id} begins again while it is open"),
         }
     }
--- a/crates/data-plane/fastcgi/src/pairs.rs
+++ b/crates/data-plane/fastcgi/src/pairs.rs
@@ -1,21 +1,21 @@
-//! Name-value pairs (section 3.4): lengths below 128 in one byte, others in four with the highest bit set.
+//! Name-value pairs (section 3.4): lengths below 128 in one byte, others in bytes with the highest bit set.
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt;
 
-/// Why pairs can't be read.
+/// Reason why name-value pairs are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MalformedPairs {
-    /// They end in the middle of one.
-    Short,
-    /// There are more than may be.
-    Many,
+    /// The input ends in the middle of a pair.
+    Truncated,
+    /// There are more pairs than allowed.
+    TooMany,
 }
 
 impl fmt::Display for MalformedPairs {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            MalformedPairs::Short => "the params end in the middle of a pair",
-            MalformedPairs::Many => "there are too many params",
+            MalformedPairs::Truncated => "the params end in the middle of a pair",
+            MalformedPairs::TooMany => "there are too many params",
         })
     }
 }
@@ -23,52 +23,53 @@
 /// A name and its value.
 pub type Pair = (Bytes, Bytes);
 
-fn length(from: &mut Bytes) -> Option<usize> {
-    let first = *from.first()?;
+/// Reads the length of a name or value; `None` if the input ends before.
+fn read_length(input: &mut Bytes) -> Option<usize> {
+    let first = *input.first()?;
     if first < 0x80 {
-        drop(from.split_to(1));
+        drop(input.split_to(1));
         return Some(usize::from(first));
     }
-    let four: [u8; 4] = from.get(..4)?.try_into().ok()?;
-    drop(from.split_to(4));
-    usize::try_from(u32::from_be_bytes(four) & 0x7fff_ffff).ok()
+    let bytes: [u8; 4] = input.get(..4)?.try_into().ok()?;
+    drop(input.split_to(4));
+    usize::try_from(u32::from_be_bytes(bytes) & 0x7fff_ffff).ok()
 }
 
-/// Reads pairs that have come whole; names and values share their bytes.
+/// Decodes complete name-value pairs; the names and values share the memory of the input.
 ///
 /// # Errors
-/// They are cut short, whatever length one of them states, or there are more than `most`.
-pub fn read(mut from: Bytes, most: usize) -> Result<Vec<Pair>, MalformedPairs> {
+/// The input ends before the stated length of a pair, or there are more than `max_pairs`.
+pub fn read(mut input: Bytes, max_pairs: usize) -> Result<Vec<Pair>, MalformedPairs> {
     let mut pairs = Vec::new();
-    while !from.is_empty() {
-        if pairs.len() >= most {
-            return Err(MalformedPairs::Many);
+    while !input.is_empty() {
+        if pairs.len() >= max_pairs {
+            return Err(MalformedPairs::TooMany);
         }
         let (name, value) = (
-            length(&mut from).ok_or(MalformedPairs::Short)?,
-            length(&mut from).ok_or(MalformedPairs::Short)?,
+            read_length(&mut input).ok_or(MalformedPairs::Truncated)?,
+            read_length(&mut input).ok_or(MalformedPairs::Truncated)?,
         );
-        // A length that lies is found here, before anything of its size is touched.
-        if name.checked_add(value).is_none_or(|both| both > from.len()) {
-            return Err(MalformedPairs::Short);
+        // Rejects a false length before any memory of that size is used.
+        if name.checked_add(value).is_none_or(|total| total > input.len()) {
+            return Err(MalformedPairs::Truncated);
         }
-        let name = from.split_to(name);
-        pairs.push((name, from.split_to(value)));
+        let name = input.split_to(name);
+        pairs.push((name, input.split_to(value)));
     }
     Ok(pairs)
 }
 
-/// Writes one pair. Names and values of 2 GiB and more can't be written and are left out.
+/// Encodes one pair. A pair with a name or value of 2 GiB or more can't be encoded and is left out.
 pub fn write(out: &mut BytesMut, name: &[u8], value: &[u8]) {
     let fits = |n: usize| n < 1 << 31;
     if !fits(name.len()) || !fits(value.len()) {
         return;
     }
-    for n in [name.len(), value.len()] {
-        match u8::try_from(n) {
+    for length in [name.len(), value.len()] {
+        match u8::try_from(length) {
             Ok(short) if short < 0x80 => out.put_u8(short),
-            // Below 2^31, by the look before.
-            _ => out.put_u32(u32::try_from(n).unwrap_or(0) | 0x8000_0000),
+            // Below 2^31: larger lengths were rejected above.
+            _ => out.put_u32(u32::try_from(length).unwrap_or(0) | 0x8000_0000),
         }
     }
     out.put_slice(name);
--- a/crates/data-plane/fastcgi/src/record.rs
+++ b/crates/data-plane/fastcgi/src/record.rs
@@ -1,10 +1,10 @@
-//! Records (section 3.3): their header and bodies, decoded from any split of bytes without copying, and written.
+//! Records (section 3.3): decoding from arbitrarily split input without copying, and encoding.
 use crate::{Error, Fault};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Length of a record's header (`FCGI_HEADER_LEN`).
+/// Length of a record's header (`FCGI_HEADER_LEN`), in bytes.
 pub const HEADER: usize = 8;
-/// Largest body of a record.
+/// Maximum length of a record's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 0xffff;
 
 /// The types of records (section 8).
@@ -35,26 +35,26 @@
 
 /// The role of an application that answers requests (`FCGI_RESPONDER`).
 pub const RESPONDER: u16 = 1;
-/// The flag that the connection stays open after a request (`FCGI_KEEP_CONN`).
+/// The flag that keeps the connection open after a request (`FCGI_KEEP_CONN`).
 pub const KEEP_CONNECTION: u8 = 1;
 
-/// How a request ended for the protocol (section 5.5).
+/// Protocol status of an end record (section 5.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// `FCGI_REQUEST_COMPLETE`
     Complete,
-    /// `FCGI_CANT_MPX_CONN`: refused, one request at a time on this connection.
+    /// `FCGI_CANT_MPX_CONN`: refused, the application handles one request at a time on a connection.
     CantMultiplex,
-    /// `FCGI_OVERLOADED`: refused, out of some resource.
+    /// `FCGI_OVERLOADED`: refused, a resource is exhausted.
     Overloaded,
-    /// `FCGI_UNKNOWN_ROLE`: refused, the application has no such role.
+    /// `FCGI_UNKNOWN_ROLE`: refused, the application does not support the role.
     UnknownRole,
-    /// No value of the specification.
+    /// A value that the specification does not define.
     Other(u8),
 }
 
 impl Protocol {
-    /// As in the record.
+    /// The status as encoded in an end record.
     pub fn byte(self) -> u8 {
         match self {
             Protocol::Complete => 0,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// From the record.
+    /// The status encoded in an end record.
     pub fn of(byte: u8) -> Protocol {
         match byte {
             0 => Protocol::Complete,
@@ -80,13 +80,13 @@
 /// A record's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its type; see [`kind`].
+    /// Type of the record; see [`kind`].
     pub kind: u8,
-    /// The request; 0: the connection itself.
+    /// Id of the request; 0 for management records, which concern the connection.
     pub id: u16,
-    /// Bytes of body.
+    /// Length of the body, in bytes.
     pub length: u16,
-    /// Bytes behind the body that are thrown away.
+    /// Length of the padding after the body, in bytes.
     pub padding: u8,
 }
 
@@ -97,123 +97,125 @@
     }
 }
 
-/// A piece of a record.
+/// A decoded part of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// It begins. Its body follows in any number of pieces.
+    /// The header. The body follows in any number of pieces.
     Begin(Header),
-    /// Some of its body; shares the bytes that came.
+    /// Part of the body; shares the memory of the input.
     Body(Bytes),
-    /// It has come whole, its padding too.
+    /// The record is complete, including its padding.
     End(Header),
 }
 
-enum At {
-    /// So many bytes of a header are there.
+enum State {
+    /// The received part of a header, and its length in bytes.
     Header([u8; HEADER], usize),
-    /// So much of the body and of the padding is to come.
+    /// The header, and the remaining lengths of body and padding in bytes.
     Body(Header, usize, usize),
 }
 
-/// Decodes a connection's bytes. It holds 8 bytes at most.
+/// Decoder of the records of a connection. It buffers at most the 8 bytes of a header.
 pub struct Decoder {
-    at: At,
-    /// Bytes taken, and where the record began.
-    taken: u64,
-    began: u64,
+    state: State,
+    /// Number of bytes consumed.
+    consumed: u64,
+    /// Offset of the current record on the connection.
+    record_offset: u64,
 }
 
 impl Default for Decoder {
     fn default() -> Self {
-        Decoder { at: At::Header([0; HEADER], 0), taken: 0, began: 0 }
+        Decoder { state: State::Header([0; HEADER], 0), consumed: 0, record_offset: 0 }
     }
 }
 
 impl Decoder {
-    /// Where the record that is being decoded began.
-    pub fn began(&self) -> u64 {
-        self.began
+    /// Offset of the current record on the connection, in bytes.
+    pub fn record_offset(&self) -> u64 {
+        self.record_offset
     }
 
-    /// Whether part of a record has come.
-    pub fn midway(&self) -> bool {
-        !matches!(self.at, At::Header(_, 0))
+    /// Whether a record has been received in part.
+    pub fn is_mid_record(&self) -> bool {
+        !matches!(self.state, State::Header(_, 0))
     }
 
-    /// Takes from `input` what makes the next piece; `None`: more has to come.
+    /// Decodes the next piece and removes it from `input`; `None` if more input is needed.
     ///
     /// # Errors
-    /// A header of another version. Nothing behind it can be read.
+    /// A header has an unsupported version. The input after it can't be decoded.
     pub fn next(&mut self, input: &mut Bytes) -> Result<Option<Piece>, Error> {
-        match &mut self.at {
-            At::Header(bytes, have) => {
-                if *have == 0 {
-                    self.began = self.taken;
+        match &mut self.state {
+            State::Header(bytes, received) => {
+                if *received == 0 {
+                    self.record_offset = self.consumed;
                 }
-                let n = input.len().min(HEADER - *have);
-                bytes[*have..*have + n].copy_from_slice(&input[..n]);
-                input.advance(n);
-                *have += n;
-                self.taken += n as u64;
-                // Before the rest has come: a peer that speaks something else need not be waited for.
-                if *have > 0 && bytes[0] != 1 {
-                    return Err(Error { at: self.began, what: Fault::Version(bytes[0]) });
+                let count = input.len().min(HEADER - *received);
+                bytes[*received..*received + count].copy_from_slice(&input[..count]);
+                input.advance(count);
+                *received += count;
+                self.consumed += count as u64;
+                // Checked before the header is complete: a peer that uses another protocol may never send the rest.
+                if *received > 0 && bytes[0] != 1 {
+                    return Err(Error { offset: self.record_offset, fault: Fault::Version(bytes[0]) });
                 }
-                if *have < HEADER {
+                if *received < HEADER {
                     return Ok(None);
                 }
                 let [_, kind, id1, id0, l1, l0, padding, _] = *bytes;
                 let (id, length) = (u16::from_be_bytes([id1, id0]), u16::from_be_bytes([l1, l0]));
                 let header = Header { kind, id, length, padding };
-                self.at = At::Body(header, usize::from(length), usize::from(padding));
+                self.state = State::Body(header, usize::from(length), usize::from(padding));
                 Ok(Some(Piece::Begin(header)))
             }
-            At::Body(header, body, padding) => {
+            State::Body(header, body, padding) => {
                 if *body > 0 {
                     if input.is_empty() {
                         return Ok(None);
                     }
                     let piece = input.split_to(input.len().min(*body));
                     *body -= piece.len();
-                    self.taken += piece.len() as u64;
+                    self.consumed += piece.len() as u64;
                     return Ok(Some(Piece::Body(piece)));
                 }
-                let n = input.len().min(*padding);
-                input.advance(n);
-                *padding -= n;
-                self.taken += n as u64;
+                let count = input.len().min(*padding);
+                input.advance(count);
+                *padding -= count;
+                self.consumed += count as u64;
                 if *padding > 0 {
                     return Ok(None);
                 }
                 let header = *header;
-                self.at = At::Header([0; HEADER], 0);
+                self.state = State::Header([0; HEADER], 0);
                 Ok(Some(Piece::End(header)))
             }
         }
     }
 }
 
-/// Writes a record with a short body, padded to a multiple of 8 bytes as the specification recommends.
+/// Encodes a body as records, each padded to a multiple of 8 bytes as the specification recommends.
 pub fn write(out: &mut BytesMut, kind: u8, id: u16, body: &[u8]) {
     for part in body.chunks(MAX_BODY_BYTES) {
-        head(out, kind, id, part.len());
+        write_header(out, kind, id, part.len());
         out.put_slice(part);
         out.put_bytes(0, padding(part.len()));
     }
 }
 
-/// Writes a stream's end: an empty record.
+/// Encodes the empty record that ends a stream.
 pub fn end(out: &mut BytesMut, kind: u8, id: u16) {
-    head(out, kind, id, 0);
+    write_header(out, kind, id, 0);
 }
 
+/// Number of bytes that pad a body to a multiple of 8 bytes.
 fn padding(length: usize) -> usize {
     (8 - length % 8) % 8
 }
 
-/// Writes the header of a record; how much padding goes behind its body.
-pub(crate) fn head(out: &mut BytesMut, kind: u8, id: u16, length: usize) -> usize {
-    // Bodies are cut into parts that fit.
+/// Encodes the header of a record. Returns the length of the padding that must follow its body, in bytes.
+pub(crate) fn write_header(out: &mut BytesMut, kind: u8, id: u16, length: usize) -> usize {
+    // Callers split bodies into parts that fit.
     let length16 = u16::try_from(length).unwrap_or(u16::MAX);
     let padded = padding(length);
     out.put_slice(&Header { kind, id, length: length16, padding: u8::try_from(padded).unwrap_or(0) }.bytes());
@@ -221,9 +223,9 @@
 }
 
 /// The body of a begin record.
-pub fn begin_body(role: u16, keep: bool) -> [u8; 8] {
+pub fn begin_body(role: u16, keep_connection: bool) -> [u8; 8] {
     let [r1, r0] = role.to_be_bytes();
-    [r1, r0, if keep { KEEP_CONNECTION } else { 0 }, 0, 0, 0, 0, 0]
+    [r1, r0, if keep_connection { KEEP_CONNECTION } else { 0 }, 0, 0, 0, 0, 0]
 }
 
 /// The body of an end record.
--- a/crates/data-plane/fastcgi/src/server.rs
+++ b/crates/data-plane/fastcgi/src/server.rs
@@ -1,8 +1,8 @@
-//! The side that gets requests: one connection of a web server's.
+//! Server side: one connection from a web server.
 //!
-//! Records of a request that is not open are passed over, as section 3.3 has it: they may have crossed its end. What a
-//! web server sends of one request wrongly is that request's fault ([`Event::Bad`], to be answered); what makes the
-//! bytes behind it uncertain is an [`Error`], and the connection has to end.
+//! Records of a request that is not open are ignored, as section 3.3 requires: they may have been sent before the end
+//! record arrived. An invalid request is reported as [`Event::Bad`], to be answered; a violation that makes the following
+//! bytes ambiguous is an [`Error`], after which the connection must be closed.
 use crate::outgoing::{Cancelled, Outgoing, Tail};
 use crate::pairs::{self, Pair};
 use crate::record::{self, kind, Decoder, Header, Piece, Protocol, KEEP_CONNECTION, RESPONDER};
@@ -10,103 +10,117 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its id on this connection.
+    /// Id on this connection.
     pub id: u16,
-    /// Its params, in order.
+    /// Params in their order.
     pub params: Vec<Pair>,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// What has come.
+/// A received event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request, whole. It is owed an answer or an end.
+    /// A complete request, which must be answered or refused.
     Request(Request),
-    /// A request that can't be used: the status to answer with, and why. Nothing more is read of it.
+    /// An invalid request: its id, the HTTP status to answer with, and the reason. The rest of it is ignored.
     Bad(u16, u16, &'static str),
-    /// The web server does not want the answer any more; its end is written already.
+    /// The web server aborted a request, whose end record is queued already.
     Aborted(u16),
 }
 
 enum Stage {
+    /// The params are being received.
     Params(BytesMut),
+    /// The body is being received: the params, the parts of the body, and their size in bytes.
     Body(Vec<Pair>, Vec<Bytes>, usize),
-    /// Handed on, or bad.
-    Given,
-    /// Its answer is on its way.
+    /// The request was reported, as complete or invalid.
+    Reported,
+    /// The response is being written.
     Answered,
 }
 
-struct Open {
-    keep: bool,
+struct OpenRequest {
+    keep_connection: bool,
     stage: Stage,
 }
 
-/// See the module's page.
+/// Server side of a connection from a web server.
 pub struct Server {
     limits: Limits,
     decoder: Decoder,
-    open: BTreeMap<u16, Open>,
-    /// The record that is being read.
-    current: Option<Header>,
-    /// The body of the record that is being read, where it is gathered: begins and management.
-    small: BytesMut,
+    requests: BTreeMap<u16, OpenRequest>,
+    /// Header of the record that is being received.
+    current_record: Option<Header>,
+    /// Body of the record that is being received, for begin and management records.
+    record_body: BytesMut,
     outgoing: Outgoing,
     closing: bool,
 }
 
 impl Server {
-    /// A connection that nothing has come on.
+    /// Creates the state of a new connection.
     pub fn new(limits: Limits) -> Server {
-        let (decoder, small, outgoing) = (Decoder::default(), BytesMut::new(), Outgoing::default());
-        Server { limits, decoder, open: BTreeMap::new(), current: None, small, outgoing, closing: false }
+        let (decoder, record_body, outgoing) = (Decoder::default(), BytesMut::new(), Outgoing::default());
+        Server {
+            limits,
+            decoder,
+            requests: BTreeMap::new(),
+            current_record: None,
+            record_body,
+            outgoing,
+            closing: false,
+        }
     }
 
-    /// Requests that are owed an answer, or are still coming.
+    /// Number of requests that are being received or have not been answered completely.
     pub fn open(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
-    /// Whether part of a record, or of a request, has come.
+    /// Whether a record or a request has been received in part.
     pub fn midway(&self) -> bool {
-        self.decoder.midway()
-            || self.open.values().any(|o| matches!(o.stage, Stage::Params(_) | Stage::Body(..)))
+        self.decoder.is_mid_record()
+            || self
+                .requests
+                .values()
+                .any(|request| matches!(request.stage, Stage::Params(_) | Stage::Body(..)))
     }
 
-    /// Whether the connection is to be closed: a request without the flag to keep it was answered, and all is written.
+    /// Whether the connection is to be closed: a request without the flag to keep the connection has ended, no request is
+    /// open, and everything is written.
     pub fn closes(&self) -> bool {
-        self.closing && self.open.is_empty() && !self.outgoing.any()
+        self.closing && self.requests.is_empty() && !self.outgoing.has_pending()
     }
 
-    /// Whether so much waits to be written for the connection itself that nothing more should be read from it.
+    /// Whether so many bytes of management and end records are queued that reading from the connection should stop.
     pub fn clogged(&self) -> bool {
-        self.outgoing.clogged()
+        self.outgoing.is_backlogged()
     }
 
-    /// Makes more ready to be written, once all that was ready has been taken: some of each answer in turn. How many
-    /// answers were written to their end since it was called last.
+    /// Makes more bytes of the responses ready for writing, in round-robin order, once all ready bytes have been consumed.
+    /// Returns the number of responses that were written completely since the previous call.
     pub fn fill(&mut self) -> usize {
         let mut finished = 0;
-        for id in self.outgoing.done() {
+        for id in self.outgoing.take_completed() {
             finished += 1;
-            if let Some(open) = self.open.remove(&id) {
-                self.closing |= !open.keep;
+            if let Some(request) = self.requests.remove(&id) {
+                self.closing |= !request.keep_connection;
             }
         }
         self.outgoing.fill(|_| true, &mut Vec::new());
         finished
     }
 
-    /// What is ready to be written.
+    /// Bytes that are ready for writing.
     pub fn outgoing(&mut self) -> &mut Outgoing {
         &mut self.outgoing
     }
 
-    /// All that is to be written, at once.
+    /// Removes and returns all bytes that are to be written.
     pub fn drain(&mut self) -> Bytes {
         let mut out = BytesMut::new();
         loop {
@@ -118,212 +132,222 @@
         }
     }
 
-    /// Takes bytes that have come.
+    /// Processes received bytes and appends the events that they cause.
     ///
     /// # Errors
-    /// What can't be read any further; events before it count.
+    /// A protocol violation, after which the connection can't be read; events before it are valid.
     pub fn receive(&mut self, mut input: Bytes, events: &mut Vec<Event>) -> Result<(), Error> {
         while let Some(piece) = self.decoder.next(&mut input)? {
             match piece {
-                Piece::Begin(header) => self.begins(header)?,
-                Piece::Body(bytes) => self.body(bytes, events),
-                Piece::End(header) => self.ends(header, events)?,
+                Piece::Begin(header) => self.start_record(header)?,
+                Piece::Body(bytes) => self.receive_body(bytes, events),
+                Piece::End(header) => self.end_record(header, events)?,
             }
         }
         Ok(())
     }
 
-    fn fault(&self, what: Fault) -> Error {
-        Error { at: self.decoder.began(), what }
+    fn error(&self, fault: Fault) -> Error {
+        Error { offset: self.decoder.record_offset(), fault }
     }
 
-    fn begins(&mut self, header: Header) -> Result<(), Error> {
+    fn start_record(&mut self, header: Header) -> Result<(), Error> {
         let Header { kind, id, length, .. } = header;
-        self.small.clear();
-        self.current = Some(header);
+        self.record_body.clear();
+        self.current_record = Some(header);
         match kind {
-            kind::BEGIN if id == 0 => Err(self.fault(Fault::Id { kind, id })),
-            kind::BEGIN if length != 8 => Err(self.fault(Fault::Length { kind, length })),
+            kind::BEGIN if id == 0 => Err(self.error(Fault::Id { kind, id })),
+            kind::BEGIN if length != 8 => Err(self.error(Fault::Length { kind, length })),
             kind::BEGIN | kind::ABORT | kind::PARAMS | kind::STDIN | kind::DATA if id > 0 => Ok(()),
-            kind::GET_VALUES if id > 0 => Err(self.fault(Fault::Id { kind, id })),
-            // Those that an application writes; an unknown one for a request can't be answered in its name.
+            kind::GET_VALUES if id > 0 => Err(self.error(Fault::Id { kind, id })),
+            // Types that only an application sends.
             kind::END | kind::STDOUT | kind::STDERR | kind::GET_VALUES_RESULT | kind::UNKNOWN_TYPE => {
-                Err(self.fault(Fault::Unexpected(kind)))
+                Err(self.error(Fault::Unexpected(kind)))
             }
-            kind::ABORT | kind::PARAMS | kind::STDIN | kind::DATA => Err(self.fault(Fault::Id { kind, id })),
-            _ if id > 0 => Err(self.fault(Fault::Unexpected(kind))),
+            kind::ABORT | kind::PARAMS | kind::STDIN | kind::DATA => Err(self.error(Fault::Id { kind, id })),
+            // FCGI_UNKNOWN_TYPE can't be sent for a request, only for the connection.
+            _ if id > 0 => Err(self.error(Fault::Unexpected(kind))),
             _ => Ok(()),
         }
     }
 
-    fn bad(&mut self, id: u16, status: u16, why: &'static str, events: &mut Vec<Event>) {
-        if let Some(open) = self.open.get_mut(&id) {
-            open.stage = Stage::Given;
-            events.push(Event::Bad(id, status, why));
+    /// Reports an invalid request, whose further records are ignored.
+    fn reject(&mut self, id: u16, status: u16, reason: &'static str, events: &mut Vec<Event>) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.stage = Stage::Reported;
+            events.push(Event::Bad(id, status, reason));
         }
     }
 
-    fn body(&mut self, bytes: Bytes, events: &mut Vec<Event>) {
-        let Some(Header { kind, id, .. }) = self.current else { return };
+    fn receive_body(&mut self, bytes: Bytes, events: &mut Vec<Event>) {
+        let Some(Header { kind, id, .. }) = self.current_record else { return };
         let limits = self.limits;
-        let Some(open) = self.open.get_mut(&id) else {
-            // Of the connection itself, or a begin: short, or cut at what may be kept.
-            // A begin or an end is kept whole, however little the host allows.
-            let room = limits.params.max(8).saturating_sub(self.small.len());
-            self.small.extend_from_slice(&bytes[..bytes.len().min(room)]);
+        let Some(request) = self.requests.get_mut(&id) else {
+            // The body of a management or begin record is truncated to the limit. The 8 bytes of a begin record are
+            // always kept, even if the limit is lower.
+            let available = limits.params.max(8).saturating_sub(self.record_body.len());
+            self.record_body.extend_from_slice(&bytes[..bytes.len().min(available)]);
             return;
         };
-        match (kind, &mut open.stage) {
-            (kind::BEGIN, _) => self.small.extend_from_slice(&bytes),
-            (_, Stage::Given | Stage::Answered) => {}
+        match (kind, &mut request.stage) {
+            (kind::BEGIN, _) => self.record_body.extend_from_slice(&bytes),
+            (_, Stage::Reported | Stage::Answered) => {}
             (kind::PARAMS, Stage::Params(params)) if params.len() + bytes.len() <= limits.params => {
                 params.extend_from_slice(&bytes);
             }
-            (kind::PARAMS, Stage::Params(_)) => self.bad(id, 431, "the params are too large", events),
+            (kind::PARAMS, Stage::Params(_)) => self.reject(id, 431, "the params are too large", events),
             (kind::STDIN, Stage::Body(_, parts, size)) if *size + bytes.len() <= limits.body => {
                 *size += bytes.len();
                 parts.push(bytes);
             }
-            (kind::STDIN, Stage::Body(..)) => self.bad(id, 413, "the body is too large", events),
-            _ => self.bad(id, 400, "records are out of order", events),
+            (kind::STDIN, Stage::Body(..)) => self.reject(id, 413, "the body is too large", events),
+            _ => self.reject(id, 400, "records are out of order", events),
         }
     }
 
-    fn ends(&mut self, header: Header, events: &mut Vec<Event>) -> Result<(), Error> {
+    fn end_record(&mut self, header: Header, events: &mut Vec<Event>) -> Result<(), Error> {
         let Header { kind, id, length, .. } = header;
         match kind {
-            kind::BEGIN => return self.begin(id),
+            kind::BEGIN => return self.begin_request(id),
             kind::ABORT => {
-                // An answer that is ready already ends the request by itself.
-                let answered = matches!(self.open.get(&id), Some(Open { stage: Stage::Answered, .. }));
-                let ready = answered && self.outgoing.cancel(id) == Cancelled::Gone;
-                if self.open.contains_key(&id) && !ready {
+                // A response that is completely ready ends the request itself.
+                let answered =
+                    matches!(self.requests.get(&id), Some(OpenRequest { stage: Stage::Answered, .. }));
+                let is_ready = answered && self.outgoing.cancel(id) == Cancelled::Finished;
+                if self.requests.contains_key(&id) && !is_ready {
                     events.push(Event::Aborted(id));
                     self.finish(id, 0, Protocol::Complete);
                 }
             }
-            kind::PARAMS if length == 0 => self.params_end(id, events),
-            kind::STDIN if length == 0 => self.body_end(id, events),
-            kind::GET_VALUES => self.values(),
+            kind::PARAMS if length == 0 => self.end_params(id, events),
+            kind::STDIN if length == 0 => self.end_body(id, events),
+            kind::GET_VALUES => self.answer_get_values(),
             kind::PARAMS | kind::STDIN | kind::DATA => {}
-            unknown => self.own(kind::UNKNOWN_TYPE, 0, &[unknown, 0, 0, 0, 0, 0, 0, 0]),
+            unknown => self.push_record(kind::UNKNOWN_TYPE, 0, &[unknown, 0, 0, 0, 0, 0, 0, 0]),
         }
         Ok(())
     }
 
-    fn begin(&mut self, id: u16) -> Result<(), Error> {
-        if self.open.contains_key(&id) {
-            return Err(self.fault(Fault::BegunTwice(id)));
+    fn begin_request(&mut self, id: u16) -> Result<(), Error> {
+        if self.requests.contains_key(&id) {
+            return Err(self.error(Fault::BegunTwice(id)));
         }
-        let role = u16::from_be_bytes([self.small[0], self.small[1]]);
-        let keep = self.small[2] & KEEP_CONNECTION != 0;
-        self.closing |= !keep;
-        let refused = if role != RESPONDER {
+        let role = u16::from_be_bytes([self.record_body[0], self.record_body[1]]);
+        let keep_connection = self.record_body[2] & KEEP_CONNECTION != 0;
+        self.closing |= !keep_connection;
+        let refusal = if role != RESPONDER {
             Some(Protocol::UnknownRole)
-        } else if self.open.len() >= self.limits.requests {
+        } else if self.requests.len() >= self.limits.requests {
             Some(if self.limits.requests == 1 { Protocol::CantMultiplex } else { Protocol::Overloaded })
         } else {
             None
         };
-        match refused {
-            Some(why) => self.own(kind::END, id, &record::end_body(0, why)),
-            None => drop(self.open.insert(id, Open { keep, stage: Stage::Params(BytesMut::new()) })),
+        match refusal {
+            Some(status) => self.push_record(kind::END, id, &record::end_body(0, status)),
+            None => drop(
+                self.requests
+                    .insert(id, OpenRequest { keep_connection, stage: Stage::Params(BytesMut::new()) }),
+            ),
         }
         Ok(())
     }
 
-    fn params_end(&mut self, id: u16, events: &mut Vec<Event>) {
-        let most = self.limits.pairs;
-        let Some(open) = self.open.get_mut(&id) else { return };
-        match &mut open.stage {
-            Stage::Params(params) => match pairs::read(params.split().freeze(), most) {
-                Ok(pairs) => open.stage = Stage::Body(pairs, Vec::new(), 0),
-                Err(pairs::MalformedPairs::Many) => self.bad(id, 431, "there are too many params", events),
-                Err(pairs::MalformedPairs::Short) => {
-                    self.bad(id, 400, "the params end in the middle of a pair", events)
+    fn end_params(&mut self, id: u16, events: &mut Vec<Event>) {
+        let max_pairs = self.limits.pairs;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        match &mut request.stage {
+            Stage::Params(params) => match pairs::read(params.split().freeze(), max_pairs) {
+                Ok(pairs) => request.stage = Stage::Body(pairs, Vec::new(), 0),
+                Err(pairs::MalformedPairs::TooMany) => {
+                    self.reject(id, 431, "there are too many params", events)
+                }
+                Err(pairs::MalformedPairs::Truncated) => {
+                    self.reject(id, 400, "the params end in the middle of a pair", events)
                 }
             },
-            Stage::Body(..) => self.bad(id, 400, "records are out of order", events),
-            Stage::Given | Stage::Answered => {}
+            Stage::Body(..) => self.reject(id, 400, "records are out of order", events),
+            Stage::Reported | Stage::Answered => {}
         }
     }
 
-    fn body_end(&mut self, id: u16, events: &mut Vec<Event>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        match std::mem::replace(&mut open.stage, Stage::Given) {
-            Stage::Answered => open.stage = Stage::Answered,
+    fn end_body(&mut self, id: u16, events: &mut Vec<Event>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        match std::mem::replace(&mut request.stage, Stage::Reported) {
+            Stage::Answered => request.stage = Stage::Answered,
             Stage::Body(params, parts, size) => {
                 events.push(Event::Request(Request { id, params, body: joined(parts, size) }));
             }
             Stage::Params(_) => events.push(Event::Bad(id, 400, "records are out of order")),
-            Stage::Given => {}
+            Stage::Reported => {}
         }
     }
 
-    /// Answers what it is asked of itself (section 4.1); what it does not know it leaves out.
-    fn values(&mut self) {
-        let Ok(asked) = pairs::read(self.small.split().freeze(), self.limits.pairs) else { return };
+    /// Answers a query of this side's capabilities (section 4.1). Unknown names are left out of the answer.
+    fn answer_get_values(&mut self) {
+        let Ok(queries) = pairs::read(self.record_body.split().freeze(), self.limits.pairs) else { return };
         let mut body = BytesMut::new();
-        let several = self.limits.requests > 1;
-        for (name, _) in asked {
+        let multiplex = self.limits.requests > 1;
+        for (name, _) in queries {
             match &name[..] {
                 b"FCGI_MAX_REQS" => {
                     pairs::write(&mut body, &name, self.limits.requests.to_string().as_bytes())
                 }
-                b"FCGI_MPXS_CONNS" => pairs::write(&mut body, &name, if several { b"1" } else { b"0" }),
+                b"FCGI_MPXS_CONNS" => pairs::write(&mut body, &name, if multiplex { b"1" } else { b"0" }),
                 _ => {}
             }
         }
-        self.own(kind::GET_VALUES_RESULT, 0, &body);
+        self.push_record(kind::GET_VALUES_RESULT, 0, &body);
     }
 
-    /// Writes a record by itself.
-    fn own(&mut self, kind: u8, id: u16, body: &[u8]) {
+    /// Queues a record of the connection itself or the end record of a request.
+    fn push_record(&mut self, kind: u8, id: u16, body: &[u8]) {
         let mut out = BytesMut::with_capacity(64);
         if body.is_empty() {
             record::end(&mut out, kind, id);
         } else {
             record::write(&mut out, kind, id, body);
         }
-        self.outgoing.own(out.freeze());
+        self.outgoing.push_connection_record(out.freeze());
     }
 
+    /// Removes an open request and queues its end record.
     fn finish(&mut self, id: u16, application: u32, protocol: Protocol) {
-        if let Some(open) = self.open.remove(&id) {
-            self.closing |= !open.keep;
-            self.own(kind::END, id, &record::end_body(application, protocol));
+        if let Some(request) = self.requests.remove(&id) {
+            self.closing |= !request.keep_connection;
+            self.push_record(kind::END, id, &record::end_body(application, protocol));
         }
     }
 
-    /// The whole answer to an open request, to be written by turns: its head and body as a responder writes them, and
-    /// its end. The request is open until all of it is written. `false`: it is not open, or answered already.
+    /// Queues the complete response to an open request: its head and body in the form of a CGI responder, and the end
+    /// record. The request stays open until the response is written. Returns `false` if the request is not open or has
+    /// been answered already.
     pub fn answer(&mut self, id: u16, head: &[u8], body: Bytes) -> bool {
-        let Some(open) = self.open.get_mut(&id) else { return false };
-        if matches!(std::mem::replace(&mut open.stage, Stage::Answered), Stage::Answered) {
+        let Some(request) = self.requests.get_mut(&id) else { return false };
+        if matches!(std::mem::replace(&mut request.stage, Stage::Answered), Stage::Answered) {
             return false;
         }
         let mut out = BytesMut::with_capacity(head.len() + 128);
         record::write(&mut out, kind::STDOUT, id, head);
-        self.outgoing.stream(id, out, kind::STDOUT, body, Tail::Complete);
+        self.outgoing.push_stream(id, out, kind::STDOUT, body, Tail::Complete);
         true
     }
 
-    /// Ends an open request without an answer, for this reason.
-    pub fn refuse(&mut self, id: u16, why: Protocol) {
+    /// Ends an open request without a response, with the given protocol status.
+    pub fn refuse(&mut self, id: u16, status: Protocol) {
         self.outgoing.cancel(id);
-        self.finish(id, 0, why);
+        self.finish(id, 0, status);
     }
 }
 
-/// The parts of a body as one; a body of one part is not copied.
+/// Joins the parts of a body; a single part is not copied.
 pub(crate) fn joined(mut parts: Vec<Bytes>, size: usize) -> Bytes {
     match parts.len() {
         0 => Bytes::new(),
         1 => parts.remove(0),
         _ => {
-            let mut all = BytesMut::with_capacity(size);
-            parts.iter().for_each(|part| all.extend_from_slice(part));
-            all.freeze()
+            let mut joined = BytesMut::with_capacity(size);
+            parts.iter().for_each(|part| joined.extend_from_slice(part));
+            joined.freeze()
         }
     }
 }
--- a/crates/data-plane/fastcgi/tests/fastcgi.rs
+++ b/crates/data-plane/fastcgi/tests/fastcgi.rs
@@ -1,7 +1,7 @@
-//! Both sides against each other and against what they must not believe.
+//! Tests of both sides against each other and against invalid or hostile input.
 use bytes::{BufMut, Bytes, BytesMut};
 use fastcgi::cgi::{self, MalformedHead};
-use fastcgi::client::{Client, Event as Answered, Outcome};
+use fastcgi::client::{Client, Event as ClientEvent, Outcome};
 use fastcgi::record::{self, kind, Decoder, Piece, Protocol};
 use fastcgi::server::{Event, Request, Server};
 use fastcgi::{pairs, Error, Fault, Limits};
@@ -30,32 +30,39 @@
     parts.concat().into()
 }
 
-/// What comes of bytes that arrive in parts of this size.
-fn served(server: &mut Server, bytes: &Bytes, step: usize) -> Result<Vec<Event>, Error> {
+/// Events of a server that receives the bytes in chunks of `chunk_size`.
+fn receive_on_server(server: &mut Server, bytes: &Bytes, chunk_size: usize) -> Result<Vec<Event>, Error> {
     let mut events = Vec::new();
-    for part in bytes.chunks(step.max(1)) {
+    for part in bytes.chunks(chunk_size.max(1)) {
         server.receive(Bytes::copy_from_slice(part), &mut events)?;
     }
     Ok(events)
 }
 
-fn answered(client: &mut Client, bytes: &Bytes, step: usize) -> Result<Vec<Answered>, Error> {
+/// Events of a client that receives the bytes in chunks of `chunk_size`.
+fn receive_on_client(
+    client: &mut Client,
+    bytes: &Bytes,
+    chunk_size: usize,
+) -> Result<Vec<ClientEvent>, Error> {
     let mut events = Vec::new();
-    for part in bytes.chunks(step.max(1)) {
+    for part in bytes.chunks(chunk_size.max(1)) {
         client.receive(Bytes::copy_from_slice(part), &mut events)?;
     }
     Ok(events)
 }
 
-fn started(limits: Limits) -> Client {
+/// A client with one open request.
+fn client_with_request(limits: Limits) -> Client {
     let mut client = Client::new(limits);
     client.begin([(&b"A"[..], &b"b"[..])].into_iter(), Bytes::new(), true).expect("free");
     client
 }
 
-/// The specification's own examples (appendix B: simple, long params and data, an error, two requests at once).
+/// Runs the examples of the specification's appendix B: a simple request, params and data in several records, an error,
+/// and two concurrent requests.
 #[test]
-fn the_specifications_examples_are_understood() {
+fn examples_of_the_specification_are_decoded() {
     let params = b"\x0b\x02SERVER_PORT80\x0b\x0eSERVER_ADDR199.170.183.42";
     let simple = joined(&[
         begin(1),
@@ -66,8 +73,9 @@
     let text = |p: &pairs::Pair| (p.0.to_vec(), p.1.to_vec());
     let wanted =
         [(b"SERVER_PORT".to_vec(), b"80".to_vec()), (b"SERVER_ADDR".to_vec(), b"199.170.183.42".to_vec())];
-    for step in [1, 7, 8, 1000] {
-        let events = served(&mut Server::new(Limits::default()), &simple, step).expect("good");
+    for chunk_size in [1, 7, 8, 1000] {
+        let events =
+            receive_on_server(&mut Server::new(Limits::default()), &simple, chunk_size).expect("good");
         let [Event::Request(Request { id: 1, params, body })] = &events[..] else { panic!("{events:?}") };
         assert!(params.iter().map(text).collect::<Vec<_>>() == wanted && body.is_empty());
     }
@@ -81,13 +89,13 @@
         record(kind::STDIN, 1, b"3047936"),
         record(kind::STDIN, 1, b""),
     ]);
-    let events = served(&mut Server::new(Limits::default()), &long, 5).expect("good");
+    let events = receive_on_server(&mut Server::new(Limits::default()), &long, 5).expect("good");
     assert!(matches!(&events[..], [Event::Request(r)] if &r.body[..] == b"quantity=100&item=3047936"));
     let page = b"Content-type: text/html\r\n\r\n<html>\n<head> ... ";
     let answer =
         joined(&[record(kind::STDOUT, 1, page), record(kind::STDOUT, 1, b""), end(1, 0, Protocol::Complete)]);
-    let events = answered(&mut started(Limits::default()), &answer, 3).expect("good");
-    let [Answered::Ended(1, Outcome::Answered(head, body))] = &events[..] else { panic!("{events:?}") };
+    let events = receive_on_client(&mut client_with_request(Limits::default()), &answer, 3).expect("good");
+    let [ClientEvent::Ended(1, Outcome::Answered(head, body))] = &events[..] else { panic!("{events:?}") };
     assert!(head.status == 200 && &body[..] == b"<html>\n<head> ... ");
     let error = joined(&[
         record(kind::STDERR, 1, b"config error: missing SI_UID\n"),
@@ -95,11 +103,11 @@
         record(kind::STDERR, 1, b""),
         end(1, 938, Protocol::Complete),
     ]);
-    let events = answered(&mut started(Limits::default()), &error, 100).expect("good");
-    assert_eq!(events, [Answered::Ended(1, Outcome::Useless(938, "it wrote nothing"))]);
-    // Two at once, interleaved.
+    let events = receive_on_client(&mut client_with_request(Limits::default()), &error, 100).expect("good");
+    assert_eq!(events, [ClientEvent::Ended(1, Outcome::Useless(938, "the application wrote no output"))]);
+    // Two concurrent requests with interleaved records.
     let two = Limits { requests: 2, ..Limits::default() };
-    let mut client = started(two);
+    let mut client = client_with_request(two);
     assert_eq!(client.begin(std::iter::empty(), Bytes::new(), true), Some(2));
     assert!(client.begin(std::iter::empty(), Bytes::new(), true).is_none(), "no more than that");
     let mixed = joined(&[
@@ -110,24 +118,24 @@
         record(kind::STDOUT, 2, b"o"),
         end(2, 0, Protocol::Complete),
     ]);
-    let events = answered(&mut client, &mixed, 2).expect("good");
+    let events = receive_on_client(&mut client, &mixed, 2).expect("good");
     let bodies: Vec<_> = events
         .iter()
         .map(|e| match e {
-            Answered::Ended(id, Outcome::Answered(head, body)) => (*id, head.status, body.to_vec()),
+            ClientEvent::Ended(id, Outcome::Answered(head, body)) => (*id, head.status, body.to_vec()),
             other => panic!("{other:?}"),
         })
         .collect();
     assert_eq!(bodies, [(1, 200, b"one".to_vec()), (2, 404, b"two".to_vec())]);
 }
 
-/// Only what proves that nothing ran counts as refused.
+/// Guards against a retry of a request that may have run: only an end without any output before it is a refusal.
 #[test]
-fn an_end_says_what_may_have_run() {
+fn only_an_end_without_output_is_a_refusal() {
     let end_of = |before: &[Vec<u8>], application, protocol| {
         let bytes = joined(&[before.concat(), end(1, application, protocol)]);
-        match answered(&mut started(Limits::default()), &bytes, 9).expect("good").pop() {
-            Some(Answered::Ended(1, outcome)) => outcome,
+        match receive_on_client(&mut client_with_request(Limits::default()), &bytes, 9).expect("good").pop() {
+            Some(ClientEvent::Ended(1, outcome)) => outcome,
             other => panic!("{other:?}"),
         }
     };
@@ -138,18 +146,24 @@
         }
     }
     assert!(matches!(end_of(&[], 0, Protocol::Other(9)), Outcome::Useless(..)));
-    assert!(matches!(end_of(&[], 1, Protocol::Complete), Outcome::Useless(1, "it wrote nothing")));
+    assert!(matches!(
+        end_of(&[], 1, Protocol::Complete),
+        Outcome::Useless(1, "the application wrote no output")
+    ));
     let half = record(kind::STDOUT, 1, b"Content-Length: 9\r\n\r\nhalf");
-    assert!(matches!(end_of(&[half], 0, Protocol::Complete), Outcome::Useless(0, "its head can't be read")));
+    assert!(matches!(
+        end_of(&[half], 0, Protocol::Complete),
+        Outcome::Useless(0, "the head of the response is malformed")
+    ));
     let large = record(kind::STDOUT, 1, &vec![b'x'; 60_000]);
     let outcome = end_of(&[large.clone(), large], 0, Protocol::Complete);
-    assert_eq!(outcome, Outcome::Useless(0, "its answer is too large"));
+    assert_eq!(outcome, Outcome::Useless(0, "the response is too large"));
 }
 
-/// Guards against an answer that reaches another request: what was called off keeps its id until its end has come.
+/// Guards against a response that reaches another request: an aborted request keeps its id until its end record arrives.
 #[test]
-fn what_is_late_belongs_to_no_other_request() {
-    let mut client = started(Limits { requests: 2, ..Limits::default() });
+fn late_records_belong_to_no_other_request() {
+    let mut client = client_with_request(Limits { requests: 2, ..Limits::default() });
     assert!(
         !client.is_fully_written(1)
             && client.drain().ends_with(&record(kind::STDIN, 1, b""))
@@ -159,29 +173,29 @@
     assert_eq!(&client.drain()[..], &record(kind::ABORT, 1, b"")[..]);
     let id = client.begin(std::iter::empty(), Bytes::new(), true).expect("free");
     assert_eq!(id, 2, "the old id is still taken");
-    // Of one that was not begun nothing is written, and its id is free at once.
+    // A request that was not begun is not written, and its id is free at once.
     assert!(!client.abort(2) && client.drain().is_empty() && client.open() == 1);
     let late = joined(&[record(kind::STDOUT, 1, b"Status: 200\r\n\r\nlate"), end(1, 0, Protocol::Complete)]);
-    assert_eq!(answered(&mut client, &late, 4).expect("good"), []);
+    assert_eq!(receive_on_client(&mut client, &late, 4).expect("good"), []);
     assert_eq!(client.begin(std::iter::empty(), Bytes::new(), true), Some(1), "free again");
-    // Behind its end nothing may come, and what does makes the connection useless.
-    let mut client = started(Limits::default());
+    // A record after the end of its request is an error of the connection.
+    let mut client = client_with_request(Limits::default());
     let twice = joined(&[end(1, 0, Protocol::Complete), end(1, 0, Protocol::Complete)]);
-    let error = answered(&mut client, &twice, 16).expect_err("nothing stands for it");
-    assert_eq!(error, Error { at: 16, what: Fault::Id { kind: kind::END, id: 1 } });
-    // On the server's side what crossed an end is passed over.
+    let error = receive_on_client(&mut client, &twice, 16).expect_err("nothing stands for it");
+    assert_eq!(error, Error { offset: 16, fault: Fault::Id { kind: kind::END, id: 1 } });
+    // On the server side, records that were sent before the end record arrived are ignored.
     let mut server = Server::new(Limits::default());
     let whole = joined(&[begin(1), record(kind::PARAMS, 1, b""), record(kind::STDIN, 1, b"")]);
-    served(&mut server, &whole, 100).expect("good");
+    receive_on_server(&mut server, &whole, 100).expect("good");
     assert!(server.answer(1, b"Status: 200\r\n\r\n", Bytes::new()));
     assert!(!server.answer(1, b"", Bytes::new()) && !server.drain().is_empty(), "one answer");
     assert!(server.open() == 0 && !server.answer(1, b"", Bytes::new()));
     let late =
         joined(&[record(kind::ABORT, 1, b""), record(kind::STDIN, 1, b"x"), record(kind::STDIN, 1, b"")]);
-    assert_eq!(served(&mut server, &late, 100).expect("good"), []);
+    assert_eq!(receive_on_server(&mut server, &late, 100).expect("good"), []);
 }
 
-/// The records of some bytes: their types and ids, with the lengths of their bodies.
+/// Type, id and body length of each record.
 fn records(bytes: &Bytes) -> Vec<(u8, u16, u16)> {
     let (mut decoder, mut input, mut all) = (Decoder::default(), bytes.clone(), Vec::new());
     while let Some(piece) = decoder.next(&mut input).expect("good") {
@@ -189,25 +203,25 @@
             all.push((h.kind, h.id, h.length));
         }
     }
-    assert!(!decoder.midway());
+    assert!(!decoder.is_mid_record());
     all
 }
 
-/// Takes this much of what is ready to be written.
-fn take(from: &mut impl bytes::Buf, most: usize) -> Bytes {
-    let n = from.remaining().min(most);
+/// Consumes at most `max_bytes` of the ready bytes.
+fn take(from: &mut impl bytes::Buf, max_bytes: usize) -> Bytes {
+    let n = from.remaining().min(max_bytes);
     from.copy_to_bytes(n)
 }
 
-/// Guards against one large answer, or one large request, that holds up all others of its connection; and against a
-/// byte for what was called off, on either side.
+/// Guards against a large response or request that delays all others on its connection, and against bytes that are sent
+/// for a cancelled stream, on either side.
 #[test]
-fn streams_are_written_by_turns_and_end_at_a_record_when_called_off() {
+fn streams_are_interleaved_and_end_at_a_record_when_cancelled() {
     let limits = Limits { requests: 4, body: 1 << 20, ..Limits::default() };
     let mut server = Server::new(limits);
     for id in 1..=3 {
         let whole = joined(&[begin(id), record(kind::PARAMS, id, b""), record(kind::STDIN, id, b"")]);
-        served(&mut server, &whole, 100).expect("good");
+        receive_on_server(&mut server, &whole, 100).expect("good");
     }
     assert!(server.answer(1, b"Status: 200\r\n\r\n", Bytes::from(vec![b'x'; 200_000])));
     assert!(server.answer(2, b"Status: 200\r\n\r\n", Bytes::from_static(b"small")));
@@ -217,7 +231,7 @@
     let second =
         records(&first).iter().position(|r| *r == (kind::END, 2, 8)).expect("the small one is whole");
     assert!(first.len() < 120_000 && second < 10, "behind one turn of the large one");
-    // The third is called off in the middle of its answer: a whole record, and its END.
+    // The third is aborted in the middle of its response: the current record is completed, and its end record follows.
     let mut events = Vec::new();
     server.receive(record(kind::ABORT, 3, b"").into(), &mut events).expect("good");
     assert_eq!((events, server.fill()), (vec![Event::Aborted(3)], 1));
@@ -226,14 +240,14 @@
     assert_eq!(ends, [3, 1]);
     let of = |id: u16| records(&rest).iter().filter(|r| r.0 == kind::STDOUT && r.1 == id).count();
     assert!(of(3) == 0 && of(1) > 5 && server.open() == 0);
-    // One whose answer is ready ends by that, once.
+    // An aborted request whose response is ready ends once, with that response.
     let whole = joined(&[begin(1), record(kind::PARAMS, 1, b""), record(kind::STDIN, 1, b"")]);
-    served(&mut server, &whole, 100).expect("good");
+    receive_on_server(&mut server, &whole, 100).expect("good");
     server.answer(1, b"Status: 200\r\n\r\n", Bytes::new());
     server.fill();
-    assert_eq!(served(&mut server, &record(kind::ABORT, 1, b"").into(), 8).expect("good"), []);
+    assert_eq!(receive_on_server(&mut server, &record(kind::ABORT, 1, b"").into(), 8).expect("good"), []);
     assert_eq!(records(&server.drain()).iter().filter(|r| r.0 == kind::END).count(), 1);
-    // And the side that asks: by turns, and nothing of what may not begin.
+    // The client interleaves requests too, and sends nothing of a request that may not begin.
     let mut client = Client::new(limits);
     let nothing = || std::iter::empty();
     let large = client.begin(nothing(), Bytes::from(vec![b'x'; 100_000]), true).expect("free");
@@ -248,32 +262,32 @@
     let so_far = Bytes::from([first, more].concat());
     let all = records(&so_far);
     assert!(client.is_fully_written(small) && all.iter().all(|r| r.1 != barred));
-    // An application that ends a request before it has all of it gets nothing more of it.
+    // After an application ends a request early, nothing more of the request is sent.
     let early = joined(&[end(large, 0, Protocol::Overloaded)]);
-    let events = answered(&mut client, &early, 100).expect("good");
-    assert_eq!(events, [Answered::Ended(large, Outcome::Refused(Protocol::Overloaded))]);
+    let events = receive_on_client(&mut client, &early, 100).expect("good");
+    assert_eq!(events, [ClientEvent::Ended(large, Outcome::Refused(Protocol::Overloaded))]);
     assert!(client.drain().is_empty() && client.has_capacity());
 }
 
-/// Guards against a peer that asks without reading: what it makes us write has an end.
+/// Guards against unbounded output for a peer that sends queries without reading the answers.
 #[test]
-fn questions_without_end_clog_the_connection() {
+fn queued_answers_to_queries_are_bounded() {
     let mut server = Server::new(Limits::default());
-    let ask = Bytes::from(record(kind::GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"));
-    let mut n = 0;
+    let query = Bytes::from(record(kind::GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"));
+    let mut queries = 0;
     while !server.clogged() {
-        server.receive(ask.clone(), &mut Vec::new()).expect("good");
-        n += 1;
+        server.receive(query.clone(), &mut Vec::new()).expect("good");
+        queries += 1;
     }
-    assert!((1000..10_000).contains(&n), "{n}");
+    assert!((1000..10_000).contains(&queries), "{queries}");
     server.fill();
     assert!(!server.clogged());
 }
 
 #[test]
-fn a_bad_request_is_answered_and_a_bad_connection_is_named() {
+fn invalid_requests_are_reported_and_violations_are_errors() {
     let small = Limits { params: 64, pairs: 2, body: 10, ..Limits::default() };
-    let events = |parts: &[Vec<u8>]| served(&mut Server::new(small), &joined(parts), 6);
+    let events = |parts: &[Vec<u8>]| receive_on_server(&mut Server::new(small), &joined(parts), 6);
     let (no_params, begun) = (record(kind::PARAMS, 1, b""), begin(1));
     let bad = |parts: &[Vec<u8>]| match events(parts).expect("the connection is sound").as_slice() {
         [Event::Bad(1, status, _)] => *status,
@@ -285,36 +299,36 @@
         431,
         "three pairs"
     );
-    // A name of 2 GiB and more that is not there.
-    let lie = record(kind::PARAMS, 1, &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, b'x']);
-    assert_eq!(bad(&[begun.clone(), lie, no_params.clone(), record(kind::STDIN, 1, b"more")]), 400);
+    // A pair that states lengths of almost 2 GiB without the bytes.
+    let false_lengths = record(kind::PARAMS, 1, &[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, b'x']);
+    assert_eq!(bad(&[begun.clone(), false_lengths, no_params.clone(), record(kind::STDIN, 1, b"more")]), 400);
     assert_eq!(bad(&[begun.clone(), record(kind::STDIN, 1, b"early")]), 400);
     assert_eq!(bad(&[begun.clone(), record(kind::STDIN, 1, b"")]), 400);
     assert_eq!(bad(&[begun.clone(), no_params.clone(), record(kind::STDIN, 1, &[b'x'; 11])]), 413);
     assert_eq!(bad(&[begun.clone(), no_params.clone(), record(kind::DATA, 1, b"x")]), 400);
-    let fault = |parts: &[Vec<u8>]| events(parts).expect_err("it can't go on");
-    assert_eq!(fault(&[begun.clone(), begun.clone()]), Error { at: 16, what: Fault::BegunTwice(1) });
-    assert_eq!(fault(&[vec![2]]).what, Fault::Version(2));
-    assert_eq!(fault(&[vec![b'G', b'E']]).to_string(), "byte 0: a record of version 71");
-    assert_eq!(fault(&[record(kind::BEGIN, 1, b"xyz")]).what, Fault::Length { kind: 1, length: 3 });
-    assert_eq!(fault(&[record(kind::BEGIN, 0, &[0; 8])]).what, Fault::Id { kind: 1, id: 0 });
-    assert_eq!(fault(&[record(kind::STDOUT, 1, b"x")]).what, Fault::Unexpected(6));
-    assert_eq!(fault(&[record(77, 1, b"x")]).what, Fault::Unexpected(77));
-    // Of the connection itself an unknown type is answered, and so is what it can do.
+    let error_of = |parts: &[Vec<u8>]| events(parts).expect_err("it can't go on");
+    assert_eq!(error_of(&[begun.clone(), begun.clone()]), Error { offset: 16, fault: Fault::BegunTwice(1) });
+    assert_eq!(error_of(&[vec![2]]).fault, Fault::Version(2));
+    assert_eq!(error_of(&[vec![b'G', b'E']]).to_string(), "byte 0: a record of version 71");
+    assert_eq!(error_of(&[record(kind::BEGIN, 1, b"xyz")]).fault, Fault::Length { kind: 1, length: 3 });
+    assert_eq!(error_of(&[record(kind::BEGIN, 0, &[0; 8])]).fault, Fault::Id { kind: 1, id: 0 });
+    assert_eq!(error_of(&[record(kind::STDOUT, 1, b"x")]).fault, Fault::Unexpected(6));
+    assert_eq!(error_of(&[record(77, 1, b"x")]).fault, Fault::Unexpected(77));
+    // Management records of unknown type and queries of capabilities are answered.
     let mut server = Server::new(small);
-    let asked =
+    let queries =
         joined(&[record(77, 0, b"x"), record(kind::GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS\x01\x00x")]);
-    served(&mut server, &asked, 5).expect("good");
+    receive_on_server(&mut server, &queries, 5).expect("good");
     let wanted = joined(&[
         record(kind::UNKNOWN_TYPE, 0, &[77, 0, 0, 0, 0, 0, 0, 0]),
         record(kind::GET_VALUES_RESULT, 0, b"\x0f\x01FCGI_MPXS_CONNS0"),
     ]);
     assert_eq!(server.drain(), wanted);
-    // Other roles, and more requests than may be, are refused by the protocol's own word; an abort is ended at once.
+    // Other roles and requests above the limit are refused with a protocol status; an abort is answered with an end at once.
     let mut server = Server::new(small);
     let parts =
         [record(kind::BEGIN, 3, &record::begin_body(2, true)), begun, begin(2), record(kind::ABORT, 1, b"")];
-    assert_eq!(served(&mut server, &joined(&parts), 7).expect("good"), [Event::Aborted(1)]);
+    assert_eq!(receive_on_server(&mut server, &joined(&parts), 7).expect("good"), [Event::Aborted(1)]);
     let wanted = joined(&[
         end(3, 0, Protocol::UnknownRole),
         end(2, 0, Protocol::CantMultiplex),
@@ -324,7 +338,7 @@
 }
 
 #[test]
-fn heads_of_answers_are_read_strictly() {
+fn response_heads_are_parsed_strictly() {
     let read = |text: &str| cgi::read(&Bytes::copy_from_slice(text.as_bytes()), 1000);
     let status = |text| read(text).map(|h| h.status);
     assert_eq!(status("Status: 201 Created\r\nX-Y: z\r\n\r\nbody"), Ok(201));
@@ -334,28 +348,28 @@
     let head = read("A: b\r\nstatus:503\r\nSrv-Declined: 1\r\n\r\n").expect("good");
     assert_eq!((head.status, head.length, &head.fields[1].0[..]), (503, 37, &b"Srv-Declined"[..]));
     for (text, wanted) in [
-        ("", MalformedHead::Endless),
-        ("Status: 200\r\n", MalformedHead::Endless),
-        ("\r\n\r\nbody", MalformedHead::None),
-        ("no colon\n\n", MalformedHead::Line),
-        ("a b: c\n\n", MalformedHead::Line),
-        ("a: b\rc: d\n\n", MalformedHead::Line),
-        ("Status: 20\n\n", MalformedHead::Status),
-        ("Status: 2000\n\n", MalformedHead::Status),
-        ("Status: 099\n\n", MalformedHead::Status),
-        ("Status: 200\nStatus: 200\n\n", MalformedHead::Status),
+        ("", MalformedHead::Unterminated),
+        ("Status: 200\r\n", MalformedHead::Unterminated),
+        ("\r\n\r\nbody", MalformedHead::NoHeaders),
+        ("no colon\n\n", MalformedHead::InvalidLine),
+        ("a b: c\n\n", MalformedHead::InvalidLine),
+        ("a: b\rc: d\n\n", MalformedHead::InvalidLine),
+        ("Status: 20\n\n", MalformedHead::InvalidStatus),
+        ("Status: 2000\n\n", MalformedHead::InvalidStatus),
+        ("Status: 099\n\n", MalformedHead::InvalidStatus),
+        ("Status: 200\nStatus: 200\n\n", MalformedHead::InvalidStatus),
         ("Location: /here\n\n", MalformedHead::LocalRedirect),
-        ("Content-Length: 5\n\nbody", MalformedHead::Length),
-        ("Content-Length: 4\nContent-Length: 4\n\nbody", MalformedHead::Length),
-        ("Transfer-Encoding: chunked\n\n", MalformedHead::Length),
+        ("Content-Length: 5\n\nbody", MalformedHead::InvalidLength),
+        ("Content-Length: 4\nContent-Length: 4\n\nbody", MalformedHead::InvalidLength),
+        ("Transfer-Encoding: chunked\n\n", MalformedHead::InvalidLength),
     ] {
         assert_eq!(read(text), Err(wanted), "{text:?}");
     }
-    assert_eq!(read(&format!("A: {}\n\n", "x".repeat(1000))), Err(MalformedHead::Endless));
+    assert_eq!(read(&format!("A: {}\n\n", "x".repeat(1000))), Err(MalformedHead::Unterminated));
 }
 
 proptest! {
-    // The same cases every time, so that the verdict is the same.
+    // A fixed seed makes the result reproducible.
     #![proptest_config(ProptestConfig {
         cases: 2000,
         rng_seed: RngSeed::Fixed(10),
@@ -363,28 +377,28 @@
         ..ProptestConfig::default()
     })]
 
-    /// What one side writes the other reads, in whatever parts it arrives.
+    /// Each side decodes what the other encodes, in chunks of any size.
     #[test]
-    fn both_sides_understand_each_other(
+    fn encoding_round_trips_between_both_sides(
         pairs in proptest::collection::vec(("[A-Z_]{1,200}", "[ -~]{0,300}"), 0..6),
         body in proptest::collection::vec(any::<u8>(), 0..70_000),
         answer in proptest::collection::vec(any::<u8>(), 0..70_000),
-        step in 1usize..70_000,
+        chunk_size in 1usize..70_000,
     ) {
         let limits = Limits { body: 1 << 20, ..Limits::default() };
         let mut client = Client::new(limits);
         let given = pairs.iter().map(|(n, v)| (n.as_bytes(), v.as_bytes()));
         let id = client.begin(given, Bytes::from(body.clone()), true).expect("free");
         let mut server = Server::new(limits);
-        let events = served(&mut server, &client.drain(), step).expect("good");
+        let events = receive_on_server(&mut server, &client.drain(), chunk_size).expect("good");
         let [Event::Request(request)] = &events[..] else { panic!("{events:?}") };
         prop_assert_eq!(&request.body[..], &body[..]);
         let got: Vec<_> = request.params.iter().map(|(n, v)| (n.to_vec(), v.to_vec())).collect();
         let wanted: Vec<_> = pairs.iter().map(|(n, v)| (n.clone().into_bytes(), v.clone().into_bytes())).collect();
         prop_assert_eq!(got, wanted);
         prop_assert!(server.answer(request.id, b"Status: 200\r\n\r\n", Bytes::from(answer.clone())));
-        let events = answered(&mut client, &server.drain(), step).expect("good");
-        let [Answered::Ended(ended, Outcome::Answered(head, body))] = &events[..] else { panic!("{events:?}") };
+        let events = receive_on_client(&mut client, &server.drain(), chunk_size).expect("good");
+        let [ClientEvent::Ended(ended, Outcome::Answered(head, body))] = &events[..] else { panic!("{events:?}") };
         prop_assert_eq!((*ended, head.status, &body[..]), (id, 200, &answer[..]));
         prop_assert!(client.open() == 0 && server.open() == 0 && !server.closes());
     }
@@ -398,12 +412,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// Noise, and records of every type at every moment: no panic, and nothing is held beyond the bounds.
+    /// Random bytes and records of every type at any time cause no panic, and buffered data stays within the limits.
     #[test]
-    fn noise_is_refused_or_bounded(
+    fn random_input_is_rejected_or_bounded(
         records in proptest::collection::vec((0u8..14, 0u16..4, proptest::collection::vec(any::<u8>(), 0..24)), 0..10),
         noise in proptest::collection::vec(any::<u8>(), 0..40),
-        step in 1usize..40,
+        chunk_size in 1usize..40,
     ) {
         let mut bytes = BytesMut::new();
         for (kind, id, body) in &records {
@@ -412,7 +426,7 @@
         bytes.put_slice(&noise);
         let (bytes, limits) = (bytes.freeze(), Limits { params: 3, body: 30, requests: 2, ..Limits::default() });
         let mut server = Server::new(limits);
-        if let Ok(events) = served(&mut server, &bytes, step) {
+        if let Ok(events) = receive_on_server(&mut server, &bytes, chunk_size) {
             prop_assert!(server.open() <= 2);
             for event in events {
                 if let Event::Request(r) = event {
@@ -420,8 +434,8 @@
                 }
             }
         }
-        let mut client = started(limits);
-        let _ = answered(&mut client, &bytes, step);
+        let mut client = client_with_request(limits);
+        let _ = receive_on_client(&mut client, &bytes, chunk_size);
         let (mut decoder, mut input, mut held) = (Decoder::default(), bytes.clone(), 0);
         while let Ok(Some(piece)) = decoder.next(&mut input) {
             if let Piece::Body(body) = piece {
