--- a/crates/data-plane/route-table/src/cube.rs
+++ b/crates/data-plane/route-table/src/cube.rs
@@ -1,36 +1,36 @@
-//! Sets of requests: one condition for each thing that a request is told by. Meet and difference are sets of this kind again,
-//! so that what is true of all requests can be found out without sending one.
+//! Sets of requests, with one condition for each attribute of a request. Intersections are sets of this kind again, and
+//! differences are unions of them, so that statements about all requests can be proved without sending any.
 use crate::pattern::Region;
 use crate::spec::KnownNames;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The fronts, by position.
+/// Front ends, by position.
 pub const FRONTS: [&str; 2] = ["http", "fastcgi"];
-/// The methods, by position.
+/// Methods, by position.
 pub const METHODS: [&str; 2] = ["GET", "POST"];
 
-/// Some of a finite number of things, by position.
+/// A subset of a finite list of values, by position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValueSet(Vec<u64>);
 
 impl ValueSet {
-    /// These positions, of so many.
-    pub fn of(positions: impl Iterator<Item = usize>, of: usize) -> ValueSet {
-        let mut words = vec![0; of.div_ceil(64).max(1)];
-        positions.filter(|&p| p < of.max(1)).for_each(|p| words[p / 64] |= 1 << (p % 64));
+    /// The set of these positions in a list of `count` values.
+    pub fn of(positions: impl Iterator<Item = usize>, count: usize) -> ValueSet {
+        let mut words = vec![0; count.div_ceil(64).max(1)];
+        positions.filter(|&p| p < count.max(1)).for_each(|p| words[p / 64] |= 1 << (p % 64));
         ValueSet(words)
     }
 
-    /// All of so many; one at the least.
-    pub fn all(of: usize) -> ValueSet {
-        ValueSet::of(0..of.max(1), of.max(1))
+    /// All values of a list of `count` values, at least one.
+    pub fn all(count: usize) -> ValueSet {
+        ValueSet::of(0..count.max(1), count.max(1))
     }
 
-    fn with(&self, other: &ValueSet, both: impl Fn(u64, u64) -> u64) -> ValueSet {
-        ValueSet(self.0.iter().zip(&other.0).map(|(&a, &b)| both(a, b)).collect())
+    fn combine(&self, other: &ValueSet, operation: impl Fn(u64, u64) -> u64) -> ValueSet {
+        ValueSet(self.0.iter().zip(&other.0).map(|(&a, &b)| operation(a, b)).collect())
     }
 
-    /// The positions in it.
+    /// Positions in the set.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         self.0
             .iter()
@@ -38,121 +38,121 @@
             .flat_map(|(k, &w)| (0..64).filter(move |b| w >> b & 1 == 1).map(move |b| k * 64 + b))
     }
 
-    /// Whether a position is in it.
-    pub fn has(&self, position: usize) -> bool {
+    /// Whether a position is in the set.
+    pub fn contains(&self, position: usize) -> bool {
         self.0.get(position / 64).is_some_and(|w| w >> (position % 64) & 1 == 1)
     }
 
-    fn empty(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.0.iter().all(|&w| w == 0)
     }
 }
 
-/// Values of a header, `None` for one that is absent: these, or all but these.
+/// A set of header values: the listed ones, or all except the listed ones. `None` stands for an absent header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Values {
-    these: bool,
-    set: BTreeSet<Option<String>>,
+    included: bool,
+    listed: BTreeSet<Option<String>>,
 }
 
 impl Values {
-    /// These.
-    pub fn these(set: BTreeSet<Option<String>>) -> Values {
-        Values { these: true, set }
+    /// The listed values.
+    pub fn only(listed: BTreeSet<Option<String>>) -> Values {
+        Values { included: true, listed }
     }
 
-    /// All but these.
-    pub fn but(set: BTreeSet<Option<String>>) -> Values {
-        Values { these: false, set }
+    /// All values except the listed ones.
+    pub fn all_except(listed: BTreeSet<Option<String>>) -> Values {
+        Values { included: false, listed }
     }
 
-    /// Whether a value is one of them.
-    pub fn has(&self, value: Option<&str>) -> bool {
-        self.set.iter().any(|v| v.as_deref() == value) == self.these
+    /// Whether a value is in the set.
+    pub fn contains(&self, value: Option<&str>) -> bool {
+        self.listed.iter().any(|v| v.as_deref() == value) == self.included
     }
 
-    fn not(&self) -> Values {
-        Values { these: !self.these, set: self.set.clone() }
+    fn complement(&self) -> Values {
+        Values { included: !self.included, listed: self.listed.clone() }
     }
 
     fn intersection(&self, other: &Values) -> Values {
-        let set = match (self.these, other.these) {
-            (true, true) => self.set.intersection(&other.set).cloned().collect(),
-            (true, false) => self.set.difference(&other.set).cloned().collect(),
-            (false, true) => other.set.difference(&self.set).cloned().collect(),
-            (false, false) => return Values::but(self.set.union(&other.set).cloned().collect()),
+        let listed = match (self.included, other.included) {
+            (true, true) => self.listed.intersection(&other.listed).cloned().collect(),
+            (true, false) => self.listed.difference(&other.listed).cloned().collect(),
+            (false, true) => other.listed.difference(&self.listed).cloned().collect(),
+            (false, false) => return Values::all_except(self.listed.union(&other.listed).cloned().collect()),
         };
-        Values::these(set)
+        Values::only(listed)
     }
 
-    fn empty(&self) -> bool {
-        self.these && self.set.is_empty()
+    fn is_empty(&self) -> bool {
+        self.included && self.listed.is_empty()
     }
 
     fn example(&self) -> Option<String> {
-        if self.these {
-            return self.set.first().cloned().flatten();
+        if self.included {
+            return self.listed.first().cloned().flatten();
         }
-        if !self.set.contains(&None) {
+        if !self.listed.contains(&None) {
             return None;
         }
         let mut value = "x".to_string();
-        while self.set.contains(&Some(value.clone())) {
+        while self.listed.contains(&Some(value.clone())) {
             value.push('x');
         }
         Some(value)
     }
 }
 
-/// A set of requests.
+/// A set of requests: those that meet every condition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cube {
-    /// Fronts.
+    /// Front ends, by position in [`FRONTS`].
     pub fronts: ValueSet,
-    /// Methods.
+    /// Methods, by position in [`METHODS`].
     pub methods: ValueSet,
-    /// Classes.
+    /// Request classes.
     pub classes: ValueSet,
-    /// Clubs.
-    pub clubs: ValueSet,
-    /// Without a key, and with one.
+    /// Tenants.
+    pub tenants: ValueSet,
+    /// Position 0: requests without an idempotency key; position 1: requests with one.
     pub keyed: ValueSet,
-    /// Hosts, their labels from behind.
+    /// Hosts, with their labels in reverse order.
     pub host: Region,
     /// Paths.
     pub path: Region,
-    /// Headers that matter.
+    /// Conditions on headers, by name.
     pub headers: BTreeMap<String, Values>,
 }
 
-/// One request, as the table sees it.
+/// Attributes of one request by which it is routed.
 pub struct Query<'a> {
-    /// The front, by position.
+    /// Front end, by position in [`FRONTS`].
     pub front: usize,
-    /// The method, by position.
+    /// Method, by position in [`METHODS`].
     pub method: usize,
-    /// The class.
+    /// Class of the request, by position.
     pub class: usize,
-    /// The club.
+    /// Tenant, by position.
     pub club: usize,
-    /// Whether it carries a key.
+    /// Whether the request has an idempotency key.
     pub keyed: bool,
-    /// The host's labels, from behind, in small letters.
+    /// Labels of the host in reverse order and lower case.
     pub host: &'a [&'a str],
-    /// The path's segments; see [`crate::path::segments`].
+    /// Segments of the path; see [`crate::path::segments`].
     pub path: &'a [&'a str],
-    /// The value of a header.
+    /// Returns the value of a header.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
 }
 
 impl Cube {
-    /// All requests.
-    pub fn all(world: &KnownNames) -> Cube {
+    /// The set of all requests.
+    pub fn all(known: &KnownNames) -> Cube {
         Cube {
             fronts: ValueSet::all(FRONTS.len()),
             methods: ValueSet::all(METHODS.len()),
-            classes: ValueSet::all(world.classes.len()),
-            clubs: ValueSet::all(world.clubs.len()),
+            classes: ValueSet::all(known.classes.len()),
+            tenants: ValueSet::all(known.clubs.len()),
             keyed: ValueSet::all(2),
             host: Region::any(),
             path: Region::any(),
@@ -160,34 +160,36 @@
         }
     }
 
-    /// Whether the first look shows that nothing is in both: most pairs of a large table, which then cost little.
-    fn apart(&self, other: &Cube) -> bool {
-        let no = |a: &ValueSet, b: &ValueSet| a.0.iter().zip(&b.0).all(|(a, b)| a & b == 0);
-        no(&self.clubs, &other.clubs)
-            || !self.path.is.meets(&other.path.is)
-            || no(&self.classes, &other.classes)
-            || !self.host.is.meets(&other.host.is)
+    /// Whether a cheap check shows that the sets are disjoint, as it does for most pairs of routes in a large table.
+    /// `false` does not mean that they overlap.
+    fn is_obviously_disjoint(&self, other: &Cube) -> bool {
+        let disjoint = |a: &ValueSet, b: &ValueSet| a.0.iter().zip(&b.0).all(|(a, b)| a & b == 0);
+        disjoint(&self.tenants, &other.tenants)
+            || !self.path.pattern.overlaps(&other.path.pattern)
+            || disjoint(&self.classes, &other.classes)
+            || !self.host.pattern.overlaps(&other.host.pattern)
     }
 
-    /// What is in both; `None`: nothing.
+    /// The intersection of two sets; `None` if it is empty.
     pub fn intersection(&self, other: &Cube) -> Option<Cube> {
-        if self.apart(other) {
+        if self.is_obviously_disjoint(other) {
             return None;
         }
-        let and = |a: &ValueSet, b: &ValueSet| Some(a.with(b, |a, b| a & b)).filter(|s| !s.empty());
+        let and = |a: &ValueSet, b: &ValueSet| Some(a.combine(b, |a, b| a & b)).filter(|s| !s.is_empty());
         let mut headers = self.headers.clone();
         for (name, values) in &other.headers {
-            let met = headers.get(name).map_or_else(|| values.clone(), |own| own.intersection(values));
-            if met.empty() {
+            let intersection =
+                headers.get(name).map_or_else(|| values.clone(), |own| own.intersection(values));
+            if intersection.is_empty() {
                 return None;
             }
-            headers.insert(name.clone(), met);
+            headers.insert(name.clone(), intersection);
         }
         Some(Cube {
             fronts: and(&self.fronts, &other.fronts)?,
             methods: and(&self.methods, &other.methods)?,
             classes: and(&self.classes, &other.classes)?,
-            clubs: and(&self.clubs, &other.clubs)?,
+            tenants: and(&self.tenants, &other.tenants)?,
             keyed: and(&self.keyed, &other.keyed)?,
             host: self.host.intersection(&other.host)?,
             path: self.path.intersection(&other.path)?,
@@ -195,53 +197,59 @@
         })
     }
 
-    /// What is in this one and not in the other, as cubes that have nothing in common.
+    /// The difference of two sets, as disjoint sets.
     pub fn without(&self, other: &Cube) -> Vec<Cube> {
-        let Some(met) = self.intersection(other) else { return vec![self.clone()] };
-        let (mut rest, mut all) = (self.clone(), Vec::new());
-        // One condition after the other: what fails it, while those before hold.
+        let Some(intersection) = self.intersection(other) else { return vec![self.clone()] };
+        let (mut rest, mut pieces) = (self.clone(), Vec::new());
+        // For each condition in turn, adds the requests that fail it and meet the previous ones.
         let finite: [fn(&mut Cube) -> &mut ValueSet; 5] =
-            [|c| &mut c.fronts, |c| &mut c.methods, |c| &mut c.classes, |c| &mut c.clubs, |c| &mut c.keyed];
-        let mut met_ = met;
+            [|c| &mut c.fronts, |c| &mut c.methods, |c| &mut c.classes, |c| &mut c.tenants, |c| &mut c.keyed];
+        let mut remaining = intersection;
         for field in finite {
-            let inside = field(&mut met_).clone();
-            let outside = field(&mut rest).with(&inside, |a, b| a & !b);
-            if !outside.empty() {
+            let inside = field(&mut remaining).clone();
+            let outside = field(&mut rest).combine(&inside, |a, b| a & !b);
+            if !outside.is_empty() {
                 let mut piece = rest.clone();
                 *field(&mut piece) = outside;
-                all.push(piece);
+                pieces.push(piece);
             }
             *field(&mut rest) = inside;
         }
         for host in rest.host.without(&other.host) {
-            all.push(Cube { host, ..rest.clone() });
+            pieces.push(Cube { host, ..rest.clone() });
         }
-        rest.host = met_.host;
+        rest.host = remaining.host;
         for path in rest.path.without(&other.path) {
-            all.push(Cube { path, ..rest.clone() });
+            pieces.push(Cube { path, ..rest.clone() });
         }
-        rest.path = met_.path;
+        rest.path = remaining.path;
         for (name, values) in &other.headers {
-            let own = rest.headers.get(name).cloned().unwrap_or(Values::but(BTreeSet::new()));
-            let outside = own.intersection(&values.not());
-            if !outside.empty() {
+            let own = rest.headers.get(name).cloned().unwrap_or(Values::all_except(BTreeSet::new()));
+            let outside = own.intersection(&values.complement());
+            if !outside.is_empty() {
                 let mut piece = rest.clone();
                 piece.headers.insert(name.clone(), outside);
-                all.push(piece);
+                pieces.push(piece);
             }
             rest.headers.insert(name.clone(), own.intersection(values));
         }
-        all
+        pieces
     }
 
-    /// A request in it, its path and host as `fresh` as they may be: what no other condition names goes by few routes.
-    pub fn sample<R>(&self, fresh: &str, more: usize, ask: impl FnOnce(&Query) -> R) -> Option<R> {
-        let list = |r: &Region, least: usize| -> Vec<String> {
-            let named = r.is.segments.iter().map(|s| s.as_deref().unwrap_or(fresh).to_string());
-            let further = if r.is.more { least.saturating_sub(r.is.segments.len()) + more } else { 0 };
-            named.chain(std::iter::repeat_n(fresh.to_string(), further)).collect()
+    /// Calls `inspect` with a request of the set and returns its result; `None` if no request was found. Wildcard segments
+    /// of path and host get the text `unused`, which few other routes match, and are followed by `extra` more segments
+    /// where the pattern allows it.
+    pub fn sample<R>(&self, unused: &str, extra: usize, inspect: impl FnOnce(&Query) -> R) -> Option<R> {
+        let segments = |r: &Region, min_length: usize| -> Vec<String> {
+            let named = r.pattern.segments.iter().map(|s| s.as_deref().unwrap_or(unused).to_string());
+            let suffix_length = if r.pattern.any_suffix {
+                min_length.saturating_sub(r.pattern.segments.len()) + extra
+            } else {
+                0
+            };
+            named.chain(std::iter::repeat_n(unused.to_string(), suffix_length)).collect()
         };
-        let (host, path) = (list(&self.host, 1), list(&self.path, 1));
+        let (host, path) = (segments(&self.host, 1), segments(&self.path, 1));
         let (host, path): (Vec<&str>, Vec<&str>) =
             (host.iter().map(String::as_str).collect(), path.iter().map(String::as_str).collect());
         let values: Vec<(&str, Option<String>)> =
@@ -252,31 +260,32 @@
             front: first(&self.fronts)?,
             method: first(&self.methods)?,
             class: first(&self.classes)?,
-            club: first(&self.clubs)?,
+            club: first(&self.tenants)?,
             keyed: first(&self.keyed)? == 1,
             host: &host,
             path: &path,
             header: &header,
         };
-        self.has(&query).then(|| ask(&query))
+        self.has(&query).then(|| inspect(&query))
     }
 
-    /// Whether a request is in it.
+    /// Whether a request is in the set.
     pub fn has(&self, q: &Query) -> bool {
-        let region = |r: &Region, at: &[&str]| r.is.matches(at) && !r.but.iter().any(|p| p.matches(at));
-        self.clubs.has(q.club)
-            && self.classes.has(q.class)
-            && self.fronts.has(q.front)
-            && self.methods.has(q.method)
-            && self.keyed.has(usize::from(q.keyed))
-            && region(&self.path, q.path)
-            && region(&self.host, q.host)
-            && self.headers.iter().all(|(name, values)| values.has((q.header)(name)))
+        let contains =
+            |r: &Region, s: &[&str]| r.pattern.matches(s) && !r.except.iter().any(|p| p.matches(s));
+        self.tenants.contains(q.club)
+            && self.classes.contains(q.class)
+            && self.fronts.contains(q.front)
+            && self.methods.contains(q.method)
+            && self.keyed.contains(usize::from(q.keyed))
+            && contains(&self.path, q.path)
+            && contains(&self.host, q.host)
+            && self.headers.iter().all(|(name, values)| values.contains((q.header)(name)))
     }
 
-    /// A smallest request in it, in words.
-    pub fn example(&self, world: &KnownNames) -> String {
-        let first = |s: &ValueSet, names: &[String]| s.iter().next().and_then(|p| names.get(p).cloned());
+    /// Describes a request of the set with the shortest path and host.
+    pub fn example(&self, known: &KnownNames) -> String {
+        let first_name = |s: &ValueSet, names: &[String]| s.iter().next().and_then(|p| names.get(p).cloned());
         let method = self.methods.iter().next().map_or("GET", |m| METHODS[m]);
         let path = self.path.example().unwrap_or_default().join("/");
         let mut text = format!("{method} /{path}");
@@ -285,16 +294,16 @@
             labels.reverse();
             text += &format!(" at host {}", labels.join("."));
         }
-        if let Some(class) = first(&self.classes, &world.classes) {
+        if let Some(class) = first_name(&self.classes, &known.classes) {
             text += &format!(", class {class}");
         }
-        if let Some(club) = first(&self.clubs, &world.clubs) {
+        if let Some(club) = first_name(&self.tenants, &known.clubs) {
             text += &format!(", club {club}");
         }
-        if !self.fronts.has(0) {
+        if !self.fronts.contains(0) {
             text += ", by fastcgi";
         }
-        if !self.keyed.has(0) {
+        if !self.keyed.contains(0) {
             text += ", with a key";
         }
         for (name, values) in &self.headers {
--- a/crates/data-plane/route-table/src/diff.rs
+++ b/crates/data-plane/route-table/src/diff.rs
@@ -1,23 +1,25 @@
-//! Who moves between two tables.
+//! Requests that are routed differently by two tables.
 use crate::cube::Cube;
 use crate::table::{Compiled, RouteTarget, Table};
 
-/// Requests that get something else.
+/// A set of requests whose routing changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// One of them.
+    /// Example of such a request.
     pub example: String,
-    /// What they got.
+    /// Former routing.
     pub from: String,
-    /// What they get.
+    /// New routing.
     pub to: String,
-    /// Whether some of them carry keys whose repeats the upstreams of `from` drop, and those of `to` may not.
+    /// Whether some of the requests have keys by which the upstreams of `from` deduplicate retries, while those of `to`
+    /// may not.
     pub leaves_its_group: bool,
 }
 
-fn gets(table: &Table, route: Option<&Compiled>) -> String {
-    let Some(c) = route else { return "no route".into() };
-    let mut text = match &c.leads {
+/// Describes how a route handles its requests.
+fn describe_route(table: &Table, route: Option<&Compiled>) -> String {
+    let Some(compiled) = route else { return "no route".into() };
+    let mut text = match &compiled.leads {
         RouteTarget::Pool(p) => table.pools[*p].name.clone(),
         RouteTarget::Refused => "refused".into(),
         RouteTarget::Split(_, parts) => {
@@ -26,59 +28,61 @@
             parts.join(" + ")
         }
     };
-    if let Some(p) = c.fallback {
+    if let Some(p) = compiled.fallback {
         text += &format!(", or {}", table.pools[p].name);
     }
-    if let Some(n) = c.route.attempts {
+    if let Some(n) = compiled.route.attempts {
         text += &format!(", {n} attempts");
     }
-    if let Some(ms) = c.route.time_ms {
+    if let Some(ms) = compiled.route.time_ms {
         text += &format!(", {ms} ms");
     }
     text
 }
 
-/// Pools that a request may go to, by name; and the groups of each.
+/// Names and cells of the pools that a route may send requests to.
 fn pools<'t>(table: &'t Table, route: Option<&'t Compiled>) -> Vec<(&'t str, &'t [u16])> {
-    let all = route.into_iter().flat_map(Compiled::pools);
-    all.map(|p| (table.pools[p].name.as_str(), table.pools[p].cells.as_slice())).collect()
+    let pools = route.into_iter().flat_map(Compiled::pools);
+    pools.map(|p| (table.pools[p].name.as_str(), table.pools[p].cells.as_slice())).collect()
 }
 
-/// Every set of requests that gets something else, up to `most` of them; `true`: and that is all.
-pub fn diff(old: &Table, new: &Table, most: usize) -> (Vec<Move>, bool) {
+/// Returns the sets of requests whose routing changes, at most `max_moves`, and whether the result is complete. It is
+/// incomplete if there are more, if the tables use different names, or if the step limit is reached.
+pub fn diff(old: &Table, new: &Table, max_moves: usize) -> (Vec<Move>, bool) {
     let (mut moves, mut steps) = (Vec::<Move>::new(), 0);
-    let all = Cube::all(&old.world);
+    let all_requests = Cube::all(&old.world);
     if old.world != new.world {
         return (moves, false);
     }
-    let mut whole = true;
+    let mut is_complete = true;
     let mut parts = Vec::new();
-    whole &= old.walk(&all, &mut steps, &mut |cube, route| {
+    is_complete &= old.walk(&all_requests, &mut steps, &mut |cube, route| {
         parts.push((cube.clone(), route));
         true
     });
     for (cube, before) in parts {
-        let from = gets(old, before);
-        whole &= new.walk(&cube, &mut steps, &mut |part, after| {
-            let to = gets(new, after);
+        let from = describe_route(old, before);
+        is_complete &= new.walk(&cube, &mut steps, &mut |part, after| {
+            let to = describe_route(new, after);
             if to != from && !moves.iter().any(|m| m.from == from && m.to == to) {
-                if moves.len() >= most {
-                    whole = false;
+                if moves.len() >= max_moves {
+                    is_complete = false;
                     return false;
                 }
-                let keyed =
-                    part.keyed.has(1) && part.classes.iter().any(|c| old.world.keyed.get(c) == Some(&true));
-                let (was, is) = (pools(old, before), pools(new, after));
-                let stays = is.iter().all(|pool| was.contains(pool)) || was.is_empty();
+                let is_keyed = part.keyed.contains(1)
+                    && part.classes.iter().any(|c| old.world.keyed.get(c) == Some(&true));
+                let (old_pools, new_pools) = (pools(old, before), pools(new, after));
+                let keeps_pools =
+                    new_pools.iter().all(|pool| old_pools.contains(pool)) || old_pools.is_empty();
                 moves.push(Move {
                     example: part.example(&new.world),
                     from: from.clone(),
                     to,
-                    leaves_its_group: keyed && !stays,
+                    leaves_its_group: is_keyed && !keeps_pools,
                 });
             }
             true
         });
     }
-    (moves, whole)
+    (moves, is_complete)
 }
--- a/crates/data-plane/route-table/src/expect.rs
+++ b/crates/data-plane/route-table/src/expect.rs
@@ -1,84 +1,91 @@
-//! Expectations, proved for all requests that there can be: by going through the sets of requests that the table itself makes.
+//! Proofs of expectations for all possible requests, by checking each set of requests that the table routes alike.
 use crate::cube::Cube;
 use crate::spec::{Claim, Expectation, TableError};
 use crate::table::{cube, Compiled, RouteTarget, Table, MAX_STEPS};
 use std::collections::BTreeMap;
 
-/// Why an expectation does not hold, or can't be looked at.
-fn fails(expect: &Expectation, what: String) -> TableError {
-    TableError { place: expect.place.clone(), field: format!("expect {}", expect.name), what }
+/// Error of an expectation that does not hold or can't be checked.
+fn expectation_error(expect: &Expectation, message: String) -> TableError {
+    TableError { place: expect.place.clone(), field: format!("expect {}", expect.name), message }
 }
 
-fn names(table: &Table, pools: impl Iterator<Item = usize>) -> Vec<&str> {
+fn pool_names(table: &Table, pools: impl Iterator<Item = usize>) -> Vec<&str> {
     pools.map(|p| table.pools[p].name.as_str()).collect()
 }
 
-/// Where requests go by a route, in words.
-fn goes(table: &Table, route: Option<&Compiled>) -> String {
+/// Describes where a route sends its requests.
+fn describe_route(table: &Table, route: Option<&Compiled>) -> String {
     match route {
         None => "has no route".into(),
-        Some(c) => {
-            let to = match &c.leads {
+        Some(compiled) => {
+            let destination = match &compiled.leads {
                 RouteTarget::Refused => "is refused".to_string(),
-                _ => format!("goes to {}", names(table, c.pools()).join(", ")),
+                _ => format!("goes to {}", pool_names(table, compiled.pools()).join(", ")),
             };
-            format!("{to} by route {:?}, {}:{}", c.route.name, c.route.place.file, c.route.place.line)
+            format!(
+                "{destination} by route {:?}, {}:{}",
+                compiled.route.name, compiled.route.place.file, compiled.route.place.line
+            )
         }
     }
 }
 
-/// Proves expectations.
+/// Proves that all expectations hold.
 ///
 /// # Errors
-/// Each that does not hold with a smallest request that breaks it, and each that names what is not there.
-pub fn prove(table: &Table, all: &[Expectation]) -> Result<(), Vec<TableError>> {
-    let wrong: Vec<TableError> = all.iter().filter_map(|e| one(table, e).err()).collect();
-    if wrong.is_empty() {
+/// One error for each expectation that does not hold, with an example of a request that violates it, that uses an unknown
+/// name, or that can't be proved within the step limit.
+pub fn prove(table: &Table, expectations: &[Expectation]) -> Result<(), Vec<TableError>> {
+    let errors: Vec<TableError> = expectations.iter().filter_map(|e| prove_one(table, e).err()).collect();
+    if errors.is_empty() {
         Ok(())
     } else {
-        Err(wrong)
+        Err(errors)
     }
 }
 
-fn one(table: &Table, expect: &Expectation) -> Result<(), TableError> {
-    let scope =
-        cube(&expect.when, &table.world).map_err(|(at, what)| fails(expect, format!("{at}: {what}")))?;
+fn prove_one(table: &Table, expect: &Expectation) -> Result<(), TableError> {
+    let scope = cube(&expect.when, &table.world)
+        .map_err(|(field, message)| expectation_error(expect, format!("{field}: {message}")))?;
     let position = |name: &String| {
         let found = table.pools.iter().position(|p| p.name == *name);
-        found.ok_or_else(|| fails(expect, format!("there is no pool {name:?}")))
+        found.ok_or_else(|| expectation_error(expect, format!("there is no pool {name:?}")))
     };
     match &expect.claim {
         Claim::Only(pools) => {
             let pools: Vec<usize> = pools.iter().map(position).collect::<Result<_, _>>()?;
-            each(table, expect, &scope, |c| c.is_none_or(|c| c.pools().all(|p| pools.contains(&p))))
+            check(table, expect, &scope, |c| c.is_none_or(|c| c.pools().all(|p| pools.contains(&p))))
         }
-        Claim::Cells(cells) => each(table, expect, &scope, |c| {
-            let within = |p: usize| {
+        Claim::Cells(cells) => check(table, expect, &scope, |c| {
+            let is_within = |p: usize| {
                 let own = &table.pools[p].cells;
                 !own.is_empty() && own.iter().all(|cell| cells.contains(cell))
             };
-            c.is_none_or(|c| c.pools().all(within))
+            c.is_none_or(|c| c.pools().all(is_within))
         }),
-        Claim::Refused => each(table, expect, &scope, |c| c.is_some_and(|c| c.leads == RouteTarget::Refused)),
-        Claim::NeverRetried => each(table, expect, &scope, |c| {
+        Claim::Refused => {
+            check(table, expect, &scope, |c| c.is_some_and(|c| c.leads == RouteTarget::Refused))
+        }
+        Claim::NeverRetried => check(table, expect, &scope, |c| {
             c.is_none_or(|c| {
                 c.leads == RouteTarget::Refused || (c.route.attempts == Some(1) && c.fallback.is_none())
             })
         }),
-        Claim::Routed => each(table, expect, &scope, |c| c.is_some()),
-        Claim::AtMost(pool, most) => {
+        Claim::Routed => check(table, expect, &scope, |c| c.is_some()),
+        Claim::AtMost(pool, max_share) => {
             let pool = position(pool)?;
-            each(table, expect, &scope, |c| {
+            check(table, expect, &scope, |c| {
                 c.is_none_or(|c| {
-                    let part = match &c.leads {
+                    let share = match &c.leads {
                         RouteTarget::Pool(p) if *p == pool => crate::split::TOTAL_WEIGHT,
                         RouteTarget::Split(_, parts) => {
                             parts.iter().filter(|(p, _)| *p == pool).map(|(_, n)| n).sum()
                         }
                         _ => 0,
                     };
-                    // A fall-back may take all of them.
-                    part <= *most && (c.fallback != Some(pool) || *most >= crate::split::TOTAL_WEIGHT)
+                    // A fallback pool may receive all of the requests.
+                    share <= *max_share
+                        && (c.fallback != Some(pool) || *max_share >= crate::split::TOTAL_WEIGHT)
                 })
             })
         }
@@ -87,65 +94,66 @@
             let outside = Cube::all(&table.world).without(&scope);
             for c in table.routes.iter().filter(|c| c.pools().any(|p| p == pool)) {
                 for part in outside.iter().filter_map(|o| o.intersection(&c.cube)) {
-                    each(table, expect, &part, |c| c.is_none_or(|c| c.pools().all(|p| p != pool)))?;
+                    check(table, expect, &part, |c| c.is_none_or(|c| c.pools().all(|p| p != pool)))?;
                 }
             }
             Ok(())
         }
-        Claim::Apart => apart(table, expect, &scope),
+        Claim::Apart => prove_apart(table, expect, &scope),
     }
 }
 
-/// Whether something is true of each part of a scope.
-fn each(
+/// Checks that `holds` returns `true` for the route of each part of a scope.
+fn check(
     table: &Table,
     expect: &Expectation,
     scope: &Cube,
     holds: impl Fn(Option<&Compiled>) -> bool,
 ) -> Result<(), TableError> {
-    let (mut found, mut steps) = (None, 0);
-    let within = table.walk(scope, &mut steps, &mut |part, route| {
+    let (mut violation, mut steps) = (None, 0);
+    let is_complete = table.walk(scope, &mut steps, &mut |part, route| {
         if holds(route) {
             return true;
         }
-        found = Some(format!("{} {}", part.example(&table.world), goes(table, route)));
+        violation = Some(format!("{} {}", part.example(&table.world), describe_route(table, route)));
         false
     });
-    match found {
-        Some(what) => Err(fails(expect, what)),
-        None if within => Ok(()),
-        None => Err(fails(expect, format!("can't be proved within {MAX_STEPS} steps"))),
+    match violation {
+        Some(message) => Err(expectation_error(expect, message)),
+        None if is_complete => Ok(()),
+        None => Err(expectation_error(expect, format!("can't be proved within {MAX_STEPS} steps"))),
     }
 }
 
-fn apart(table: &Table, expect: &Expectation, scope: &Cube) -> Result<(), TableError> {
-    // The first club that reaches each pool, and how.
+/// Proves that no two tenants of a scope share a pool.
+fn prove_apart(table: &Table, expect: &Expectation, scope: &Cube) -> Result<(), TableError> {
+    // For each pool, the first tenant that reaches it, with an example.
     let mut first: BTreeMap<usize, (usize, String)> = BTreeMap::new();
     let mut steps = 0;
-    for club in scope.clubs.iter() {
-        let one = crate::cube::ValueSet::of([club].into_iter(), table.world.clubs.len());
-        let own = Cube { clubs: one, ..scope.clone() };
+    for tenant in scope.tenants.iter() {
+        let single = crate::cube::ValueSet::of([tenant].into_iter(), table.world.clubs.len());
+        let own = Cube { tenants: single, ..scope.clone() };
         let mut shared = None;
-        let within = table.walk(&own, &mut steps, &mut |part, route| {
+        let is_complete = table.walk(&own, &mut steps, &mut |part, route| {
             for pool in route.into_iter().flat_map(Compiled::pools) {
-                let here = || part.example(&table.world);
+                let example = || part.example(&table.world);
                 match first.get(&pool) {
-                    Some((other, how)) if *other != club => {
+                    Some((other, other_example)) if *other != tenant => {
                         let name = &table.pools[pool].name;
-                        shared = Some(format!("pool {name:?} is shared: {how}, and {}", here()));
+                        shared = Some(format!("pool {name:?} is shared: {other_example}, and {}", example()));
                         return false;
                     }
                     Some(_) => {}
-                    None => drop(first.insert(pool, (club, here()))),
+                    None => drop(first.insert(pool, (tenant, example()))),
                 }
             }
             true
         });
-        if let Some(what) = shared {
-            return Err(fails(expect, what));
+        if let Some(message) = shared {
+            return Err(expectation_error(expect, message));
         }
-        if !within {
-            return Err(fails(expect, format!("can't be proved within {MAX_STEPS} steps")));
+        if !is_complete {
+            return Err(expectation_error(expect, format!("can't be proved within {MAX_STEPS} steps")));
         }
     }
     Ok(())
--- a/crates/data-plane/route-table/src/lib.rs
+++ b/crates/data-plane/route-table/src/lib.rs
@@ -1,15 +1,15 @@
-//! Which pool a request goes to, and proofs of what must be true of that, without I/O.
+//! Selection of the pool for a request, and proofs of expectations about the routes, without I/O.
 //!
-//! | module | what it has |
+//! | module | content |
 //! | --- | --- |
-//! | [`spec`] | pools, routes and expectations as an operator writes them |
-//! | [`path`] | paths that mean the same to everybody, and no others |
-//! | [`pattern`] | patterns of paths and hosts, and what is left of one without some others |
-//! | [`cube`] | sets of requests: meet, difference, and a smallest request in one |
-//! | [`split`] | a key's pool among several, by parts of 10,000 |
-//! | [`table`] | routes checked and compiled; what a request gets |
-//! | [`expect`] | expectations, proved for all requests that there can be |
-//! | [`diff`] | who moves between two tables |
+//! | [`spec`] | pools, routes and expectations as written by an operator |
+//! | [`path`] | parsing of unambiguous request paths |
+//! | [`pattern`] | patterns of paths and hosts, and their differences |
+//! | [`cube`] | sets of requests: intersection, difference, and an example from a set |
+//! | [`split`] | weighted choice of a pool by key, with weights in parts of 10,000 |
+//! | [`table`] | validation, compilation and lookup of routes |
+//! | [`expect`] | proofs of expectations for all possible requests |
+//! | [`diff`] | requests that are routed differently by two tables |
 pub mod cube;
 pub mod diff;
 pub mod expect;
--- a/crates/data-plane/route-table/src/path.rs
+++ b/crates/data-plane/route-table/src/path.rs
@@ -1,32 +1,33 @@
-//! Paths that mean the same to everybody (RFC 3986, section 6.2). A path goes on to upstreams as its caller wrote it, so one
-//! that others might read otherwise is not mended but refused: mended here, it would lead round a route there.
+//! Parsing of unambiguous request paths (RFC 3986, section 6.2). A path is forwarded to upstreams unchanged, so an
+//! ambiguous path is rejected instead of normalized: an upstream could interpret it differently, which would bypass a
+//! route.
 use std::borrow::Cow;
 
-/// Most segments of a path.
+/// Maximum number of segments of a path.
 pub const MAX_SEGMENTS: usize = 64;
 
-/// Why a path is not clear.
+/// Reason why a path is ambiguous.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AmbiguousPath {
-    /// It does not begin with `/`.
+    /// The path does not begin with `/`.
     Relative,
-    /// A segment is `.` or `..`, however it is written.
+    /// A segment is `.` or `..`. In escaped form this is [`AmbiguousPath::Escape`].
     Dots,
-    /// A segment within it is empty.
+    /// A segment other than the last is empty.
     Empty,
-    /// A `%` without two digits behind it, or one that stands for a character that needs none, for `/`, `\` or a control
-    /// character.
+    /// A `%` without two hexadecimal digits, or an escape of an unreserved character, of `/`, `\`, `%` or `;`, or of a
+    /// control character.
     Escape,
-    /// A `\`, which some take for `/`.
+    /// A `\`, which some implementations treat as `/`.
     Backslash,
-    /// A `;`, behind which some take what follows for no part of the segment (section 3.3).
+    /// A `;`, after which some implementations treat the rest of the segment as parameters (section 3.3).
     Parameters,
-    /// It has more segments than are looked at.
+    /// The path has more than [`MAX_SEGMENTS`] segments.
     Long,
 }
 
 impl AmbiguousPath {
-    /// In words.
+    /// Description for the response to the client.
     pub fn description(self) -> &'static str {
         match self {
             AmbiguousPath::Relative => "the path does not begin with /",
@@ -40,16 +41,16 @@
     }
 }
 
-/// The segments of a path without its query, escapes in capital letters.
+/// Splits a path without query into its segments, with escapes in upper case.
 ///
 /// # Errors
-/// Why it is not clear.
+/// The path is ambiguous.
 pub fn segments(path: &str) -> Result<Vec<Cow<'_, str>>, AmbiguousPath> {
-    let rest = path.strip_prefix('/').ok_or(AmbiguousPath::Relative)?;
-    let mut all = Vec::new();
-    let mut parts = rest.split('/').peekable();
+    let relative = path.strip_prefix('/').ok_or(AmbiguousPath::Relative)?;
+    let mut segments = Vec::new();
+    let mut parts = relative.split('/').peekable();
     while let Some(part) = parts.next() {
-        if all.len() >= MAX_SEGMENTS {
+        if segments.len() >= MAX_SEGMENTS {
             return Err(AmbiguousPath::Long);
         }
         if part.is_empty() && parts.peek().is_some() {
@@ -64,9 +65,9 @@
         if part.contains(';') {
             return Err(AmbiguousPath::Parameters);
         }
-        all.push(segment(part)?);
+        segments.push(segment(part)?);
     }
-    Ok(all)
+    Ok(segments)
 }
 
 fn segment(part: &str) -> Result<Cow<'_, str>, AmbiguousPath> {
@@ -74,27 +75,28 @@
         return Ok(Cow::Borrowed(part));
     }
     let bytes = part.as_bytes();
-    let mut at = 0;
-    while let Some(n) = bytes[at..].iter().position(|&b| b == b'%') {
-        at += n;
-        let digits = part.get(at + 1..at + 3).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
+    let mut offset = 0;
+    while let Some(distance) = bytes[offset..].iter().position(|&b| b == b'%') {
+        offset += distance;
+        let digits = part.get(offset + 1..offset + 3).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
         let byte = digits.and_then(|d| u8::from_str_radix(d, 16).ok()).ok_or(AmbiguousPath::Escape)?;
-        // Unreserved ones (section 2.3) mean the same with and without: somebody will compare them as they are.
+        // Unreserved characters (section 2.3) are equivalent with and without escape, but a literal comparison would
+        // treat them as different.
         if byte.is_ascii_alphanumeric() || b"-._~/\\%;".contains(&byte) || byte < 0x20 || byte == 0x7f {
             return Err(AmbiguousPath::Escape);
         }
-        at += 3;
+        offset += 3;
     }
-    let mut out = part.to_string();
-    let lower = |s: &str| s.bytes().any(|b| b.is_ascii_lowercase());
-    let mut at = 0;
-    while let Some(n) = out[at..].find('%') {
-        at += n;
-        if lower(&out[at + 1..at + 3]) {
-            let upper = out[at + 1..at + 3].to_ascii_uppercase();
-            out.replace_range(at + 1..at + 3, &upper);
+    let mut normalized = part.to_string();
+    let has_lowercase = |digits: &str| digits.bytes().any(|b| b.is_ascii_lowercase());
+    let mut offset = 0;
+    while let Some(distance) = normalized[offset..].find('%') {
+        offset += distance;
+        if has_lowercase(&normalized[offset + 1..offset + 3]) {
+            let upper = normalized[offset + 1..offset + 3].to_ascii_uppercase();
+            normalized.replace_range(offset + 1..offset + 3, &upper);
         }
-        at += 3;
+        offset += 3;
     }
-    Ok(Cow::Owned(out))
+    Ok(Cow::Owned(normalized))
 }
--- a/crates/data-plane/route-table/src/pattern.rs
+++ b/crates/data-plane/route-table/src/pattern.rs
@@ -1,90 +1,95 @@
-//! Patterns of paths and hosts, as lists of segments; and what is left of one without some others.
+//! Patterns of paths and hosts as lists of segments, and regions: a pattern without some other patterns.
 use crate::path::{segments, MAX_SEGMENTS};
 use std::sync::Arc;
 
-/// A pattern of segments.
+/// A pattern that matches lists of segments.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pattern {
-    /// Each is a text or, `None`, any one.
+    /// Segments; `None` matches any one segment.
     pub segments: Vec<Option<Box<str>>>,
-    /// Any further ones may follow.
-    pub more: bool,
+    /// Whether any number of further segments may follow.
+    pub any_suffix: bool,
 }
 
 impl Pattern {
-    /// What every list of segments matches.
+    /// The pattern that matches every list of segments.
     pub fn any() -> Pattern {
-        Pattern { segments: Vec::new(), more: true }
+        Pattern { segments: Vec::new(), any_suffix: true }
     }
 
-    /// A path's: `{name}` for any one segment, `/*` at the end for any further ones, none too.
+    /// Parses a path pattern. `{name}` matches any one segment, and a final `/*` any number of further ones, including
+    /// none.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The pattern is invalid.
     pub fn path(text: &str) -> Result<Pattern, String> {
-        let (text, more) = match text.strip_suffix("/*") {
+        let (text, any_suffix) = match text.strip_suffix("/*") {
             Some(before) => (before, true),
             None => (text, false),
         };
-        if text.is_empty() && more {
+        if text.is_empty() && any_suffix {
             return Ok(Pattern::any());
         }
         if text.contains('*') {
-            return Err("has a * that is not /* at its end".into());
+            return Err("has a * other than a final /*".into());
         }
-        let all = segments(text).map_err(|e| e.description().to_string())?;
-        let one = |segment: &str| match segment.strip_prefix('{').and_then(|s| s.strip_suffix('}')) {
+        let segments = segments(text).map_err(|e| e.description().to_string())?;
+        let parse_segment = |segment: &str| match segment.strip_prefix('{').and_then(|s| s.strip_suffix('}'))
+        {
             Some(name) if !name.is_empty() && !name.contains(['{', '}']) => Ok(None),
             None if !segment.contains(['{', '}']) => Ok(Some(segment.into())),
-            _ => Err(format!("{segment:?} is no {{name}} of a segment")),
+            _ => Err(format!("{segment:?} is not a valid {{name}} placeholder")),
         };
-        Ok(Pattern { segments: all.iter().map(|s| one(s)).collect::<Result<_, _>>()?, more })
+        Ok(Pattern {
+            segments: segments.iter().map(|s| parse_segment(s)).collect::<Result<_, _>>()?,
+            any_suffix,
+        })
     }
 
-    /// A host's: its labels from behind, in small letters; `*.` for one or more before the others.
+    /// Parses a host pattern into its labels in reverse order and lower case. A leading `*.` matches one or more labels.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The pattern is invalid.
     pub fn host(text: &str) -> Result<Pattern, String> {
-        let (name, more) = match text.strip_prefix("*.") {
+        let (name, any_suffix) = match text.strip_prefix("*.") {
             Some(rest) => (rest, true),
             None => (text, false),
         };
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b':';
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b':';
         let labels: Vec<&str> = name.split('.').collect();
-        if labels.len() >= MAX_SEGMENTS || labels.iter().any(|l| l.is_empty() || !l.bytes().all(plain)) {
-            return Err("is no host, nor *. and the end of one".into());
+        if labels.len() >= MAX_SEGMENTS || labels.iter().any(|l| l.is_empty() || !l.bytes().all(is_allowed)) {
+            return Err("is neither a host name nor *. followed by a domain".into());
         }
         let mut segments: Vec<Option<Box<str>>> =
             labels.iter().rev().map(|l| Some(l.to_ascii_lowercase().into())).collect();
-        if more {
+        if any_suffix {
             segments.push(None);
         }
-        Ok(Pattern { segments, more })
+        Ok(Pattern { segments, any_suffix })
     }
 
-    /// Whether it matches these segments.
+    /// Whether the pattern matches a list of segments.
     pub fn matches<S: AsRef<str>>(&self, all: &[S]) -> bool {
-        let fits =
+        let is_match =
             |(own, given): (&Option<Box<str>>, &S)| own.as_deref().is_none_or(|own| own == given.as_ref());
-        (all.len() == self.segments.len() || (self.more && all.len() > self.segments.len()))
-            && self.segments.iter().zip(all).all(fits)
+        (all.len() == self.segments.len() || (self.any_suffix && all.len() > self.segments.len()))
+            && self.segments.iter().zip(all).all(is_match)
     }
 
-    /// Whether something matches both.
-    pub fn meets(&self, other: &Pattern) -> bool {
+    /// Whether some list of segments matches both patterns.
+    pub fn overlaps(&self, other: &Pattern) -> bool {
         let (short, long) =
             if self.segments.len() <= other.segments.len() { (self, other) } else { (other, self) };
-        let fits = |(a, b): (&Option<Box<str>>, &Option<Box<str>>)| a.is_none() || b.is_none() || a == b;
-        (short.segments.len() == long.segments.len() || short.more)
-            && short.segments.iter().zip(&long.segments).all(fits)
+        let is_match = |(a, b): (&Option<Box<str>>, &Option<Box<str>>)| a.is_none() || b.is_none() || a == b;
+        (short.segments.len() == long.segments.len() || short.any_suffix)
+            && short.segments.iter().zip(&long.segments).all(is_match)
     }
 
-    /// What both match, which is a pattern too; `None`: nothing.
+    /// The pattern of everything that both patterns match; `None` if there is nothing.
     pub fn intersection(&self, other: &Pattern) -> Option<Pattern> {
         let (short, long) =
             if self.segments.len() <= other.segments.len() { (self, other) } else { (other, self) };
-        if short.segments.len() < long.segments.len() && !short.more {
+        if short.segments.len() < long.segments.len() && !short.any_suffix {
             return None;
         }
         let mut segments = long.segments.clone();
@@ -95,23 +100,24 @@
                 _ => {}
             }
         }
-        Some(Pattern { segments, more: short.more && long.more })
+        Some(Pattern { segments, any_suffix: short.any_suffix && long.any_suffix })
     }
 }
 
-/// What a pattern matches and none of some others does.
+/// The lists of segments that match one pattern and none of some other patterns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Region {
-    /// Matched.
-    pub is: Pattern,
-    /// Not matched. Shared: a proof carries the same ones through many regions.
-    pub but: Vec<Arc<Pattern>>,
+    /// Pattern that must match.
+    pub pattern: Pattern,
+    /// Patterns that must not match. They are shared, because a proof uses the same ones in many regions.
+    pub except: Vec<Arc<Pattern>>,
 }
 
-/// A text that no pattern names.
-fn fresh(region: &Region) -> String {
-    let texts =
-        || region.but.iter().map(|p| &**p).chain([&region.is]).flat_map(|p| p.segments.iter().flatten());
+/// A segment text that no pattern of the region contains.
+fn unused_text(region: &Region) -> String {
+    let texts = || {
+        region.except.iter().map(|p| &**p).chain([&region.pattern]).flat_map(|p| p.segments.iter().flatten())
+    };
     let mut name = "x".to_string();
     while texts().any(|t| **t == *name) {
         name.push('x');
@@ -120,69 +126,72 @@
 }
 
 impl Region {
-    /// Everything.
+    /// The region of everything.
     pub fn any() -> Region {
-        Region { is: Pattern::any(), but: Vec::new() }
+        Region { pattern: Pattern::any(), except: Vec::new() }
     }
 
-    /// What a pattern matches.
-    pub fn of(is: Pattern) -> Region {
-        Region { is, but: Vec::new() }
+    /// The region of everything that a pattern matches.
+    pub fn of(pattern: Pattern) -> Region {
+        Region { pattern, except: Vec::new() }
     }
 
-    /// What both hold; `None`: nothing.
+    /// The intersection of two regions; `None` if it is empty.
     pub fn intersection(&self, other: &Region) -> Option<Region> {
-        let is = self.is.intersection(&other.is)?;
-        let mut but: Vec<Arc<Pattern>> = Vec::new();
-        // Only what takes something away.
-        for pattern in self.but.iter().chain(&other.but) {
-            if pattern.meets(&is) && !but.contains(pattern) {
-                but.push(pattern.clone());
+        let pattern = self.pattern.intersection(&other.pattern)?;
+        let mut except: Vec<Arc<Pattern>> = Vec::new();
+        // Keeps only exclusions that overlap the new pattern.
+        for exclusion in self.except.iter().chain(&other.except) {
+            if exclusion.overlaps(&pattern) && !except.contains(exclusion) {
+                except.push(exclusion.clone());
             }
         }
-        let met = Region { is, but };
-        met.example().is_some().then_some(met)
+        let region = Region { pattern, except };
+        region.example().is_some().then_some(region)
     }
 
-    /// What it holds and the other does not, as regions that have nothing in common.
+    /// The difference of two regions, as disjoint regions.
     pub fn without(&self, other: &Region) -> Vec<Region> {
         let mut outside = self.clone();
-        if other.is.meets(&self.is) {
-            outside.but.push(Arc::new(other.is.clone()));
+        if other.pattern.overlaps(&self.pattern) {
+            outside.except.push(Arc::new(other.pattern.clone()));
         }
-        let mut all: Vec<Region> = outside.example().is_some().then_some(outside).into_iter().collect();
-        // And what the other leaves out, piece by piece.
-        let mut before: Vec<Arc<Pattern>> = Vec::new();
-        for hole in &other.but {
-            let Some(is) = self.is.intersection(&other.is).and_then(|is| is.intersection(hole)) else {
+        let mut regions: Vec<Region> = outside.example().is_some().then_some(outside).into_iter().collect();
+        // Adds what the other region excludes, as disjoint pieces.
+        let mut previous: Vec<Arc<Pattern>> = Vec::new();
+        for exclusion in &other.except {
+            let Some(pattern) =
+                self.pattern.intersection(&other.pattern).and_then(|both| both.intersection(exclusion))
+            else {
                 continue;
             };
-            let but = self.but.iter().chain(&before).cloned().collect();
-            let piece = Region { is, but };
+            let except = self.except.iter().chain(&previous).cloned().collect();
+            let piece = Region { pattern, except };
             if piece.example().is_some() {
-                all.push(piece);
+                regions.push(piece);
             }
-            before.push(hole.clone());
+            previous.push(exclusion.clone());
         }
-        all
+        regions
     }
 
-    /// The shortest list of segments in it. Any one segment may be a text that nobody names: what matches that matches every
-    /// other text in its place, so that if this is left out at some length, all are.
+    /// The shortest list of segments in the region. Wildcard segments get a text that no pattern contains: only wildcards
+    /// match it, so a pattern that excludes it excludes every text in its place, and then no other text needs to be tried
+    /// at that length.
     pub fn example(&self) -> Option<Vec<String>> {
-        let fresh = fresh(self);
-        let least = self.is.segments.len();
-        let most = if self.is.more {
-            self.but.iter().map(|p| p.segments.len()).fold(least, usize::max) + 1
+        let unused = unused_text(self);
+        let min_length = self.pattern.segments.len();
+        let max_length = if self.pattern.any_suffix {
+            self.except.iter().map(|p| p.segments.len()).fold(min_length, usize::max) + 1
         } else {
-            least
+            min_length
         };
-        (least..=most).find_map(|length| {
-            let named = self.is.segments.iter().map(|s| s.as_deref().unwrap_or(&fresh));
+        (min_length..=max_length).find_map(|length| {
+            let named = self.pattern.segments.iter().map(|s| s.as_deref().unwrap_or(&unused));
             let all: Vec<String> =
-                named.chain(std::iter::repeat(&*fresh)).take(length).map(String::from).collect();
-            // A path has a segment at least; a host a label.
-            (length > 0 && !self.but.iter().any(|p| p.matches(&all))).then_some(all)
+                named.chain(std::iter::repeat(&*unused)).take(length).map(String::from).collect();
+            // A path has at least one segment, and a host at least one label.
+            (length > 0 && !self.except.iter().any(|p| p.matches(&all))).then_some(all)
         })
     }
 }
--- a/crates/data-plane/route-table/src/spec.rs
+++ b/crates/data-plane/route-table/src/spec.rs
@@ -1,203 +1,203 @@
-//! Pools, routes and expectations as an operator writes them: names, not yet checked.
+//! Pools, routes and expectations as written by an operator. Names in them are not validated yet.
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// Where something stands.
+/// A position in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceLocation {
-    /// The file.
+    /// Path of the file.
     pub file: Arc<str>,
-    /// The line, from 1.
+    /// Line number, counted from 1.
     pub line: usize,
 }
 
-/// What is wrong, and where.
+/// A fault in a table or an expectation, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableError {
-    /// Where.
+    /// Position of the faulty pool, route or expectation.
     pub place: SourceLocation,
-    /// The field, or what the table is called.
+    /// Path of the faulty field, or kind and name of the faulty item.
     pub field: String,
-    /// What.
-    pub what: String,
+    /// Description of the fault.
+    pub message: String,
 }
 
 impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}: {}", self.place.file, self.place.line, self.field, self.what)
+        write!(f, "{}:{}: {}: {}", self.place.file, self.place.line, self.field, self.message)
     }
 }
 
-/// The names that a deployment knows.
+/// The names that are defined in a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownNames {
-    /// Classes, by position.
+    /// Request classes, by position.
     pub classes: Vec<String>,
-    /// Clubs (tenants), by position. None: all requests are one's.
+    /// Tenants, by position. Empty: all requests belong to the same tenant.
     pub clubs: Vec<String>,
-    /// For each class whether its requests carry a key by which upstreams drop repeats.
+    /// For each class, whether its requests have a key by which upstreams deduplicate retries.
     pub keyed: Vec<bool>,
-    /// Zones of members.
+    /// Zones of pool members.
     pub zones: Vec<String>,
-    /// Kinds of members.
+    /// Machine kinds of pool members.
     pub kinds: Vec<String>,
 }
 
-/// A pool: all members that meet each condition that is given.
+/// A pool: all members that meet every condition given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it stands.
+    /// Position in the file.
     pub place: SourceLocation,
-    /// Groups (grupos); empty: any.
+    /// Cells; empty: any.
     pub cells: Vec<u16>,
     /// Zones; empty: any.
     pub zones: Vec<String>,
-    /// Kinds; empty: any.
+    /// Machine kinds; empty: any.
     pub kinds: Vec<String>,
-    /// What they speak, `http` or `fastcgi`; none: either.
+    /// Protocol of the members, `http` or `fastcgi`; `None`: either.
     pub speaks: Option<String>,
-    /// Sources that tell of them; empty: any.
+    /// Discovery sources that list the members; empty: any.
     pub sources: Vec<String>,
-    /// Values that keys of their metadata must have.
+    /// Required metadata, as pairs of key and value.
     pub meta: Vec<(String, String)>,
 }
 
-/// What a pool tells members by.
+/// Attributes of a member by which pools select it.
 #[derive(Clone, Copy, Debug)]
 pub struct Traits<'a> {
-    /// Its group.
+    /// Cell.
     pub cell: u16,
-    /// Its zone.
+    /// Zone.
     pub zone: &'a str,
-    /// Its kind.
+    /// Machine kind.
     pub kind: &'a str,
-    /// What it speaks.
+    /// Protocol, `http` or `fastcgi`.
     pub speaks: &'a str,
-    /// The sources that tell of it.
+    /// Discovery sources that list it.
     pub sources: &'a [Arc<str>],
-    /// Its metadata.
+    /// Metadata.
     pub meta: &'a BTreeMap<String, String>,
 }
 
 impl Pool {
-    /// Whether a member belongs to it.
+    /// Whether a member belongs to the pool.
     pub fn has(&self, member: &Traits) -> bool {
-        let one = |all: &[String], name: &str| all.is_empty() || all.iter().any(|n| n == name);
+        let allows = |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
         (self.cells.is_empty() || self.cells.contains(&member.cell))
-            && one(&self.zones, member.zone)
-            && one(&self.kinds, member.kind)
+            && allows(&self.zones, member.zone)
+            && allows(&self.kinds, member.kind)
             && self.speaks.as_deref().is_none_or(|s| s == member.speaks)
-            && (self.sources.is_empty() || member.sources.iter().any(|s| one(&self.sources, s)))
+            && (self.sources.is_empty() || member.sources.iter().any(|s| allows(&self.sources, s)))
             && self.meta.iter().all(|(key, value)| member.meta.get(key) == Some(value))
     }
 }
 
-/// What a header must be.
+/// Condition on a header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeaderIs {
-    /// There, or absent.
+    /// Present (`true`) or absent (`false`).
     There(bool),
-    /// One of these values.
+    /// Present with one of these values.
     OneOf(Vec<String>),
 }
 
-/// Conditions on a request; what is not given holds for any.
+/// Conditions on a request; an attribute without a condition may have any value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Conditions {
-    /// `http`, `fastcgi`.
+    /// Front ends: `http`, `fastcgi`.
     pub fronts: Vec<String>,
-    /// A host, or `*.` and what it ends in.
+    /// Host, or `*.` and a domain, which matches its subdomains.
     pub host: Option<String>,
-    /// A path; `{name}` for any one segment, `/*` at its end for any further ones.
+    /// Path pattern: `{name}` matches any one segment, a final `/*` any number of further ones.
     pub path: Option<String>,
-    /// `GET`, `POST`.
+    /// Methods: `GET`, `POST`.
     pub methods: Vec<String>,
-    /// Classes.
+    /// Request classes.
     pub classes: Vec<String>,
-    /// Clubs.
+    /// Tenants.
     pub clubs: Vec<String>,
-    /// Whether it carries a key.
+    /// Whether the request has an idempotency key.
     pub keyed: Option<bool>,
-    /// Headers, by their names in small letters.
+    /// Headers, by their names in lower case.
     pub headers: Vec<(String, HeaderIs)>,
 }
 
-/// By what a split chooses.
+/// Attribute of a request by which a split chooses the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SplitKey {
-    /// The request's key; its id where it has none.
+    /// Idempotency key of the request, or its id if it has none.
     Key,
-    /// Its club.
+    /// Tenant of the request.
     Club,
-    /// Its id.
+    /// Id of the request.
     Id,
 }
 
-/// Where a route leads.
+/// Destination of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// To a pool.
+    /// A pool.
     Pool(String),
-    /// Nowhere, for this reason.
+    /// None: the requests are refused with this reason.
     Refuse(String),
-    /// To one of several pools, in parts of 10,000 that sum to that.
+    /// One of several pools, with weights that sum to 10,000.
     Split(SplitKey, Vec<(String, u32)>),
 }
 
 /// A route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it stands.
+    /// Position in the file.
     pub place: SourceLocation,
-    /// Of several that match, the least comes first.
+    /// Precedence: of several matching routes, the one with the lowest value applies.
     pub precedence: i64,
-    /// Which requests.
+    /// Conditions on the requests.
     pub when: Conditions,
-    /// Where they go.
+    /// Destination of the requests.
     pub to: Destination,
-    /// Most attempts, if fewer than the class allows.
+    /// Maximum number of attempts, if lower than the class's.
     pub attempts: Option<u32>,
-    /// Most time in milliseconds, if less than the caller gives.
+    /// Maximum time in milliseconds, if shorter than the client's deadline.
     pub time_ms: Option<u64>,
-    /// The pool for requests that certainly have not run in the first.
+    /// Pool for requests that certainly have not run in the first pool.
     pub fallback: Option<String>,
 }
 
-/// What must be true of all requests in a scope.
+/// Statement that must be true of all requests in a scope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// They go to these pools only.
+    /// The requests go only to these pools.
     Only(Vec<String>),
-    /// They reach members of these groups only.
+    /// The requests reach only members of these cells.
     Cells(Vec<u16>),
-    /// They are refused by a route.
+    /// The requests are refused by a route.
     Refused,
-    /// They are never tried a second time.
+    /// The requests are never retried.
     NeverRetried,
-    /// A route is there for each.
+    /// Every request has a route.
     Routed,
-    /// Nothing else reaches this pool.
+    /// No other requests reach this pool.
     OnlyThese(String),
-    /// At most so many parts of 10,000 of them go to this pool.
+    /// At most this share of the requests, in parts of 10,000, goes to this pool.
     AtMost(String, u32),
-    /// No two of their clubs share a pool.
+    /// No two tenants of the requests share a pool.
     Apart,
 }
 
-/// An expectation.
+/// An expectation about the routes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expectation {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it stands.
+    /// Position in the file.
     pub place: SourceLocation,
-    /// Which requests.
+    /// Conditions on the requests.
     pub when: Conditions,
-    /// What must be true of them.
+    /// Statement about the requests.
     pub claim: Claim,
 }
--- a/crates/data-plane/route-table/src/table.rs
+++ b/crates/data-plane/route-table/src/table.rs
@@ -1,4 +1,4 @@
-//! Routes, checked and compiled: what a request gets.
+//! Validation and compilation of routes, and the lookup of a request's route.
 use crate::cube::{Cube, Query, ValueSet, Values, FRONTS, METHODS};
 use crate::pattern::{Pattern, Region};
 use crate::spec::{
@@ -7,110 +7,117 @@
 use crate::split;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Most pools and most routes of a table.
+/// Maximum number of pools of a table.
 pub const MAX_POOLS: usize = 256;
-/// And most routes.
+/// Maximum number of routes of a table.
 pub const MAX_ROUTES: usize = 20_000;
-/// Steps that finding out something about a table may take.
+/// Maximum number of steps of one check or proof.
 pub(crate) const MAX_STEPS: usize = 2_000_000;
 
-/// Where a compiled route leads: pools by position.
+/// Destination of a compiled route, with pools by position.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteTarget {
-    /// To a pool.
+    /// A pool.
     Pool(usize),
-    /// Nowhere.
+    /// None: the requests are refused.
     Refused,
-    /// To one of these, each with its part of 10,000.
+    /// One of several pools, each with its weight in parts of 10,000.
     Split(SplitKey, Vec<(usize, u32)>),
 }
 
 /// A compiled route.
 #[derive(Clone, Debug)]
 pub struct Compiled {
-    /// As it was written.
+    /// The route as written by the operator.
     pub route: Route,
-    /// The requests that meet its conditions.
+    /// The set of requests that meet its conditions.
     pub cube: Cube,
-    /// Where it leads.
+    /// Destination of the requests.
     pub leads: RouteTarget,
-    /// Its fall-back.
+    /// Fallback pool.
     pub fallback: Option<usize>,
 }
 
 impl Compiled {
-    /// Every pool that it can lead to.
+    /// Positions of all pools that may receive requests of this route.
     pub fn pools(&self) -> impl Iterator<Item = usize> + '_ {
-        let (one, several) = match &self.leads {
+        let (single, split) = match &self.leads {
             RouteTarget::Pool(p) => (Some(*p), &[][..]),
             RouteTarget::Refused => (None, &[][..]),
             RouteTarget::Split(_, parts) => (None, &parts[..]),
         };
-        let several = several.iter().filter(|(_, part)| *part > 0).map(|(p, _)| *p);
-        one.into_iter().chain(several).chain(self.fallback)
+        let split = split.iter().filter(|(_, part)| *part > 0).map(|(p, _)| *p);
+        single.into_iter().chain(split).chain(self.fallback)
     }
 }
 
-/// Routes that end at one place of the tree of paths.
+/// Routes whose path pattern ends at one node of the path tree.
 #[derive(Debug, Default)]
 struct Slot {
-    clubs: HashMap<usize, Vec<usize>>,
+    /// Routes for few tenants, by tenant.
+    by_tenant: HashMap<usize, Vec<usize>>,
+    /// All other routes.
     any: Vec<usize>,
 }
 
+/// A node of the path tree.
 #[derive(Debug, Default)]
 struct Node {
-    texts: HashMap<Box<str>, usize>,
-    any: Option<usize>,
+    /// Child nodes by literal segment.
+    literals: HashMap<Box<str>, usize>,
+    /// Child node for any one segment.
+    wildcard: Option<usize>,
+    /// Routes for exactly this path.
     exact: Slot,
-    more: Slot,
+    /// Routes for this path and every path below it.
+    subtree: Slot,
 }
 
-/// See the module's page.
+/// A validated table of routes.
 #[derive(Debug)]
 pub struct Table {
-    /// What is known.
+    /// Names that routes may use.
     pub world: KnownNames,
-    /// The pools.
+    /// Pools.
     pub pools: Vec<Pool>,
-    /// The routes, in the order in which they are tried.
+    /// Routes, by ascending precedence.
     pub routes: Vec<Compiled>,
-    /// The headers that matter.
+    /// Names of the headers that routes have conditions on.
     pub headers: Vec<String>,
     nodes: Vec<Node>,
-    /// Routes for one or few clubs by each of them, and those for more.
-    by_club: (HashMap<usize, Vec<usize>>, Vec<usize>),
+    /// Routes for few tenants, by tenant, and all other routes.
+    by_tenant: (HashMap<usize, Vec<usize>>, Vec<usize>),
 }
 
-/// Clubs up to which a route is found by each of its clubs.
-const FEW: usize = 8;
+/// Maximum number of tenants of a route that is indexed by each of its tenants.
+const MAX_INDEXED_TENANTS: usize = 8;
 
-fn wrong(place: &SourceLocation, field: &str, what: impl Into<String>) -> TableError {
-    TableError { place: place.clone(), field: field.into(), what: what.into() }
+fn fault(place: &SourceLocation, field: &str, message: impl Into<String>) -> TableError {
+    TableError { place: place.clone(), field: field.into(), message: message.into() }
 }
 
-/// Conditions as a set of requests.
+/// Compiles conditions into a set of requests.
 ///
 /// # Errors
-/// What is not known or can't be read, with its field.
+/// An unknown name or an invalid pattern, as the field and a message.
 pub fn cube(when: &Conditions, world: &KnownNames) -> Result<Cube, (&'static str, String)> {
     let mut cube = Cube::all(world);
-    let named = |field: &'static str, given: &[String], known: &[&str]| {
+    let positions = |field: &'static str, given: &[String], known: &[&str]| {
         if given.is_empty() {
             return Ok(ValueSet::all(known.len()));
         }
         let position = |name: &String| {
             known.iter().position(|k| k == name).ok_or_else(|| (field, format!("there is no {name:?}")))
         };
-        let all: Vec<usize> = given.iter().map(position).collect::<Result<_, _>>()?;
-        Ok(ValueSet::of(all.into_iter(), known.len()))
+        let found: Vec<usize> = given.iter().map(position).collect::<Result<_, _>>()?;
+        Ok(ValueSet::of(found.into_iter(), known.len()))
     };
     let classes: Vec<&str> = world.classes.iter().map(String::as_str).collect();
-    let clubs: Vec<&str> = world.clubs.iter().map(String::as_str).collect();
-    cube.fronts = named("front", &when.fronts, &FRONTS)?;
-    cube.methods = named("method", &when.methods, &METHODS)?;
-    cube.classes = named("class", &when.classes, &classes)?;
-    cube.clubs = named("club", &when.clubs, &clubs)?;
+    let tenants: Vec<&str> = world.clubs.iter().map(String::as_str).collect();
+    cube.fronts = positions("front", &when.fronts, &FRONTS)?;
+    cube.methods = positions("method", &when.methods, &METHODS)?;
+    cube.classes = positions("class", &when.classes, &classes)?;
+    cube.tenants = positions("club", &when.clubs, &tenants)?;
     if let Some(keyed) = when.keyed {
         cube.keyed = ValueSet::of([usize::from(keyed)].into_iter(), 2);
     }
@@ -120,16 +127,16 @@
     if let Some(path) = &when.path {
         cube.path = Region::of(Pattern::path(path).map_err(|e| ("path", e))?);
     }
-    for (name, is) in &when.headers {
-        let token = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'_';
-        if name.is_empty() || !name.bytes().all(token) {
-            return Err(("headers", format!("{name:?} is no name of a header in small letters")));
+    for (name, condition) in &when.headers {
+        let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'_';
+        if name.is_empty() || !name.bytes().all(is_allowed) {
+            return Err(("headers", format!("{name:?} is not a header name in lower case")));
         }
         let absent = BTreeSet::from([None]);
-        let values = match is {
-            HeaderIs::There(true) => Values::but(absent),
-            HeaderIs::There(false) => Values::these(absent),
-            HeaderIs::OneOf(all) => Values::these(all.iter().cloned().map(Some).collect()),
+        let values = match condition {
+            HeaderIs::There(true) => Values::all_except(absent),
+            HeaderIs::There(false) => Values::only(absent),
+            HeaderIs::OneOf(all) => Values::only(all.iter().cloned().map(Some).collect()),
         };
         cube.headers.insert(name.clone(), values);
     }
@@ -137,28 +144,28 @@
 }
 
 impl Table {
-    /// Checks and compiles.
+    /// Validates and compiles pools and routes.
     ///
     /// # Errors
-    /// All that is wrong, each with its place.
+    /// All faults, each with its position.
     pub fn new(world: KnownNames, pools: Vec<Pool>, routes: Vec<Route>) -> Result<Table, Vec<TableError>> {
         let mut faults = Vec::new();
-        if let Some(p) = pools.get(MAX_POOLS) {
-            return Err(vec![wrong(&p.place, "pool", format!("there are more than {MAX_POOLS}"))]);
+        if let Some(pool) = pools.get(MAX_POOLS) {
+            return Err(vec![fault(&pool.place, "pool", format!("there are more than {MAX_POOLS}"))]);
         }
-        if let Some(r) = routes.get(MAX_ROUTES) {
-            return Err(vec![wrong(&r.place, "route", format!("there are more than {MAX_ROUTES}"))]);
+        if let Some(route) = routes.get(MAX_ROUTES) {
+            return Err(vec![fault(&route.place, "route", format!("there are more than {MAX_ROUTES}"))]);
         }
         let mut positions = HashMap::new();
-        for (k, pool) in pools.iter().enumerate() {
-            if positions.insert(pool.name.clone(), k).is_some() {
-                faults.push(wrong(&pool.place, "pool.name", format!("another is called {:?}", pool.name)));
+        for (index, pool) in pools.iter().enumerate() {
+            if positions.insert(pool.name.clone(), index).is_some() {
+                faults.push(fault(&pool.place, "pool.name", format!("duplicate name {:?}", pool.name)));
             }
             let known = [("zones", &pool.zones, &world.zones), ("kinds", &pool.kinds, &world.kinds)];
             for (field, given, known) in known {
                 if let Some(name) = given.iter().find(|n| !known.contains(n)) {
-                    let what = format!("there is no {name:?}: the pool would be without members");
-                    faults.push(wrong(&pool.place, &format!("pool {}.{field}", pool.name), what));
+                    let message = format!("there is no {name:?}, so the pool would have no members");
+                    faults.push(fault(&pool.place, &format!("pool {}.{field}", pool.name), message));
                 }
             }
         }
@@ -167,42 +174,43 @@
         for route in routes {
             let field = |name: &str| format!("route {}.{name}", route.name);
             if !names.insert(route.name.clone()) {
-                faults.push(wrong(&route.place, "route.name", format!("another is called {:?}", route.name)));
+                faults.push(fault(&route.place, "route.name", format!("duplicate name {:?}", route.name)));
             }
-            let pool = |name: &str, at: &str| {
+            let pool_position = |name: &str, key: &str| {
                 positions
                     .get(name)
                     .copied()
-                    .ok_or_else(|| wrong(&route.place, &field(at), format!("there is no pool {name:?}")))
+                    .ok_or_else(|| fault(&route.place, &field(key), format!("there is no pool {name:?}")))
             };
             let leads = match &route.to {
-                Destination::Pool(name) => pool(name, "to").map(RouteTarget::Pool),
+                Destination::Pool(name) => pool_position(name, "to").map(RouteTarget::Pool),
                 Destination::Refuse(_) => Ok(RouteTarget::Refused),
-                Destination::Split(by, parts) => {
+                Destination::Split(key, parts) => {
                     let sum: u64 = parts.iter().map(|(_, part)| u64::from(*part)).sum();
-                    let all: Result<Vec<_>, _> =
-                        parts.iter().map(|(name, part)| Ok((pool(name, "split")?, *part))).collect();
+                    let targets: Result<Vec<_>, _> =
+                        parts.iter().map(|(name, part)| Ok((pool_position(name, "split")?, *part))).collect();
                     if sum != u64::from(split::TOTAL_WEIGHT) {
-                        let what = format!("its parts come to {sum} and not to {}", split::TOTAL_WEIGHT);
-                        Err(wrong(&route.place, &field("split"), what))
+                        let message = format!("the parts sum to {sum} instead of {}", split::TOTAL_WEIGHT);
+                        Err(fault(&route.place, &field("split"), message))
                     } else {
-                        all.map(|all| RouteTarget::Split(*by, all))
+                        targets.map(|targets| RouteTarget::Split(*key, targets))
                     }
                 }
             };
-            let fallback = route.fallback.as_deref().map(|name| pool(name, "fallback")).transpose();
-            let cube = cube(&route.when, &world).map_err(|(at, what)| wrong(&route.place, &field(at), what));
+            let fallback = route.fallback.as_deref().map(|name| pool_position(name, "fallback")).transpose();
+            let cube =
+                cube(&route.when, &world).map_err(|(key, message)| fault(&route.place, &field(key), message));
             match (leads, fallback, cube) {
                 (Ok(leads), Ok(fallback), Ok(cube)) => {
-                    // Repeats of a key find each other only where all of them go.
+                    // Retries are deduplicated only if all requests with the same key go to the same pool.
                     let by_id = matches!(&leads, RouteTarget::Split(SplitKey::Id, parts) if parts.iter().filter(|p| p.1 > 0).count() > 1);
                     let keyed = cube.classes.iter().find(|&c| world.keyed.get(c) == Some(&true));
                     if let (true, Some(class)) = (by_id, keyed) {
-                        let what = format!(
-                            "repeats of class {} would go to another pool than the one that drops them: split by key or club",
+                        let message = format!(
+                            "retries of class {} would go to a pool that can't deduplicate them: split by key or club",
                             world.classes[class]
                         );
-                        faults.push(wrong(&route.place, &field("split_by"), what));
+                        faults.push(fault(&route.place, &field("split_by"), message));
                     }
                     compiled.push(Compiled { route, cube, leads, fallback });
                 }
@@ -223,9 +231,9 @@
             routes: compiled,
             headers: headers.into_iter().collect(),
             nodes: vec![Node::default()],
-            by_club: (HashMap::new(), Vec::new()),
+            by_tenant: (HashMap::new(), Vec::new()),
         };
-        (0..table.routes.len()).for_each(|k| table.index(k));
+        (0..table.routes.len()).for_each(|k| table.index_route(k));
         let faults = table.faults();
         if faults.is_empty() {
             Ok(table)
@@ -234,64 +242,66 @@
         }
     }
 
-    fn index(&mut self, k: usize) {
-        let cube = &self.routes[k].cube;
-        let clubs: Vec<usize> = cube.clubs.iter().take(FEW + 1).collect();
-        let few = clubs.len() <= FEW && clubs.len() < self.world.clubs.len();
-        let mut at = 0;
-        for segment in cube.path.is.segments.clone() {
+    /// Adds a route to the path tree and the index by tenant.
+    fn index_route(&mut self, route: usize) {
+        let cube = &self.routes[route].cube;
+        let tenants: Vec<usize> = cube.tenants.iter().take(MAX_INDEXED_TENANTS + 1).collect();
+        let by_tenant = tenants.len() <= MAX_INDEXED_TENANTS && tenants.len() < self.world.clubs.len();
+        let mut node = 0;
+        for segment in cube.path.pattern.segments.clone() {
             let next = match &segment {
-                Some(text) => self.nodes[at].texts.get(text).copied(),
-                None => self.nodes[at].any,
+                Some(text) => self.nodes[node].literals.get(text).copied(),
+                None => self.nodes[node].wildcard,
             };
-            at = next.unwrap_or_else(|| {
+            node = next.unwrap_or_else(|| {
                 self.nodes.push(Node::default());
                 let new = self.nodes.len() - 1;
                 match segment {
-                    Some(text) => drop(self.nodes[at].texts.insert(text, new)),
-                    None => self.nodes[at].any = Some(new),
+                    Some(text) => drop(self.nodes[node].literals.insert(text, new)),
+                    None => self.nodes[node].wildcard = Some(new),
                 }
                 new
             });
         }
-        let more = self.routes[k].cube.path.is.more;
-        let node = &mut self.nodes[at];
-        let slot = if more { &mut node.more } else { &mut node.exact };
-        if few {
-            for club in clubs {
-                slot.clubs.entry(club).or_default().push(k);
-                self.by_club.0.entry(club).or_default().push(k);
+        let any_suffix = self.routes[route].cube.path.pattern.any_suffix;
+        let node = &mut self.nodes[node];
+        let slot = if any_suffix { &mut node.subtree } else { &mut node.exact };
+        if by_tenant {
+            for tenant in tenants {
+                slot.by_tenant.entry(tenant).or_default().push(route);
+                self.by_tenant.0.entry(tenant).or_default().push(route);
             }
         } else {
-            slot.any.push(k);
-            self.by_club.1.push(k);
+            slot.any.push(route);
+            self.by_tenant.1.push(route);
         }
     }
 
-    /// Routes that may have something in common with a set of requests, in order.
-    pub(crate) fn near(&self, cube: &Cube) -> Vec<usize> {
-        let clubs: Vec<usize> = cube.clubs.iter().take(FEW + 1).collect();
-        if clubs.len() > FEW {
+    /// Positions of the routes that may match requests of a set, in ascending order.
+    pub(crate) fn candidates(&self, cube: &Cube) -> Vec<usize> {
+        let tenants: Vec<usize> = cube.tenants.iter().take(MAX_INDEXED_TENANTS + 1).collect();
+        if tenants.len() > MAX_INDEXED_TENANTS {
             return (0..self.routes.len()).collect();
         }
-        let own = clubs.iter().filter_map(|club| self.by_club.0.get(club)).flatten();
-        let mut all: Vec<usize> = own.chain(&self.by_club.1).copied().collect();
-        all.sort_unstable();
-        all.dedup();
-        all
+        let own = tenants.iter().filter_map(|tenant| self.by_tenant.0.get(tenant)).flatten();
+        let mut routes: Vec<usize> = own.chain(&self.by_tenant.1).copied().collect();
+        routes.sort_unstable();
+        routes.dedup();
+        routes
     }
 
-    /// Overlaps without precedence, and routes that nothing reaches.
+    /// Faults between routes: overlapping routes with the same precedence, and routes that can never match.
     fn faults(&self) -> Vec<TableError> {
         let mut faults = Vec::new();
         let mut steps = 0;
-        for (k, own) in self.routes.iter().enumerate() {
+        for (index, own) in self.routes.iter().enumerate() {
             let before: Vec<usize> =
-                self.near(&own.cube).into_iter().take_while(|&other| other < k).collect();
-            // One request that it gets shows that it is reached; only where none is found at once all are gone through.
-            let reached = (0..3).any(|more| {
+                self.candidates(&own.cube).into_iter().take_while(|&other| other < index).collect();
+            // A sample request that gets this route proves that it can match. Only if no sample is found, the requests that
+            // earlier routes leave over are computed.
+            let reached = (0..3).any(|extra| {
                 let own =
-                    own.cube.sample("\u{1}", more, |q| self.route(q).is_some_and(|c| std::ptr::eq(c, own)));
+                    own.cube.sample("\u{1}", extra, |q| self.route(q).is_some_and(|c| std::ptr::eq(c, own)));
                 own == Some(true)
             });
             let mut rest = vec![own.cube.clone()];
@@ -301,25 +311,25 @@
                 if reached && other.route.precedence != own.route.precedence {
                     continue;
                 }
-                let Some(both) = own.cube.intersection(&other.cube) else { continue };
+                let Some(overlap) = own.cube.intersection(&other.cube) else { continue };
                 steps += 1;
                 if other.route.precedence == own.route.precedence {
-                    let what = format!(
-                        "has the precedence of route {:?}, {}, and both match {}",
+                    let message = format!(
+                        "has the same precedence as route {:?} in line {}, and both match {}",
                         other.route.name,
                         other.route.place.line,
-                        both.example(&self.world)
+                        overlap.example(&self.world)
                     );
-                    faults.push(wrong(&own.route.place, &format!("route {}", own.route.name), what));
+                    faults.push(fault(&own.route.place, &format!("route {}", own.route.name), message));
                     break;
                 }
                 if reached {
                     continue;
                 }
-                let left = rest.iter().flat_map(|cube| cube.without(&other.cube)).collect::<Vec<_>>();
-                if left != rest {
+                let remaining = rest.iter().flat_map(|cube| cube.without(&other.cube)).collect::<Vec<_>>();
+                if remaining != rest {
                     hidden_by.push(other.route.name.clone());
-                    rest = left;
+                    rest = remaining;
                 }
                 steps += rest.len();
                 if rest.is_empty() || steps > MAX_STEPS {
@@ -328,96 +338,97 @@
             }
             if rest.is_empty() && !reached {
                 hidden_by.truncate(4);
-                let what = format!("can never match: {} come before it", hidden_by.join(", "));
-                faults.push(wrong(&own.route.place, &format!("route {}", own.route.name), what));
+                let message = format!("can never match: hidden by {}", hidden_by.join(", "));
+                faults.push(fault(&own.route.place, &format!("route {}", own.route.name), message));
             }
             if steps > MAX_STEPS {
-                let what = format!("the table takes more than {MAX_STEPS} steps to check from here on");
-                faults.push(wrong(&own.route.place, &format!("route {}", own.route.name), what));
+                let message = format!("checking the routes from this one on would exceed {MAX_STEPS} steps");
+                faults.push(fault(&own.route.place, &format!("route {}", own.route.name), message));
                 break;
             }
         }
         faults
     }
 
-    /// The route of a request; `None`: there is none.
-    pub fn route(&self, q: &Query) -> Option<&Compiled> {
+    /// Returns the route of a request, if there is one.
+    pub fn route(&self, query: &Query) -> Option<&Compiled> {
         let mut best = usize::MAX;
-        let mut slot = |slot: &Slot| {
-            for list in [slot.clubs.get(&q.club).map_or(&[][..], Vec::as_slice), &slot.any] {
+        let mut visit = |slot: &Slot| {
+            for list in [slot.by_tenant.get(&query.club).map_or(&[][..], Vec::as_slice), &slot.any] {
                 for &k in list {
                     if k >= best {
                         break;
                     }
-                    if self.routes[k].cube.has(q) {
+                    if self.routes[k].cube.has(query) {
                         best = k;
                         break;
                     }
                 }
             }
         };
-        // Every place that the path leads to; as many as there are ways to read it, which are few.
-        let (mut here, mut next) = (vec![0], Vec::new());
-        for (depth, segment) in q.path.iter().enumerate() {
-            for &at in &here {
-                let node = &self.nodes[at];
-                slot(&node.more);
-                next.extend(node.texts.get(*segment).copied());
-                next.extend(node.any);
+        // Follows all matching branches of the path tree at once: at each node a literal segment and the wildcard. There are
+        // few in practice.
+        let (mut current, mut next) = (vec![0], Vec::new());
+        for (depth, segment) in query.path.iter().enumerate() {
+            for &node in &current {
+                let node = &self.nodes[node];
+                visit(&node.subtree);
+                next.extend(node.literals.get(*segment).copied());
+                next.extend(node.wildcard);
             }
-            std::mem::swap(&mut here, &mut next);
+            std::mem::swap(&mut current, &mut next);
             next.clear();
-            if here.is_empty() {
+            if current.is_empty() {
                 break;
             }
-            if depth + 1 == q.path.len() {
-                here.iter().for_each(|&at| {
-                    slot(&self.nodes[at].more);
-                    slot(&self.nodes[at].exact);
+            if depth + 1 == query.path.len() {
+                current.iter().for_each(|&node| {
+                    visit(&self.nodes[node].subtree);
+                    visit(&self.nodes[node].exact);
                 });
             }
         }
         self.routes.get(best)
     }
 
-    /// The route of a request, found the plain way: each in order.
-    pub fn route_plainly(&self, q: &Query) -> Option<&Compiled> {
-        self.routes.iter().find(|c| c.cube.has(q))
+    /// Returns the route of a request by trying each route in order; a reference for [`Table::route`].
+    pub fn route_by_linear_search(&self, query: &Query) -> Option<&Compiled> {
+        self.routes.iter().find(|c| c.cube.has(query))
     }
 
-    /// The pool of a route for this key, club and id; `None`: refused.
-    pub fn pool(&self, route: &Compiled, key: Option<&[u8]>, club: usize, id: &[u8]) -> Option<usize> {
+    /// Position of the pool of a route for a request's key, tenant and id; `None`: the request is refused.
+    pub fn pool(&self, route: &Compiled, key: Option<&[u8]>, tenant: usize, id: &[u8]) -> Option<usize> {
         match &route.leads {
             RouteTarget::Pool(p) => Some(*p),
             RouteTarget::Refused => None,
-            RouteTarget::Split(by, parts) => {
-                let club = club.to_le_bytes();
-                let by = match by {
+            RouteTarget::Split(split_key, parts) => {
+                let tenant = tenant.to_le_bytes();
+                let hash_key = match split_key {
                     SplitKey::Key => key.unwrap_or(id),
-                    SplitKey::Club => &club,
+                    SplitKey::Club => &tenant,
                     SplitKey::Id => id,
                 };
                 let named = parts.iter().map(|&(p, part)| (self.pools[p].name.as_str(), part));
-                split::choose(named, by).map(|k| parts[k].0)
+                split::choose(named, hash_key).map(|k| parts[k].0)
             }
         }
     }
 
-    /// Goes through all requests of a set by what they get: `visit` is given each part, with its route or none. `false`: it
-    /// takes more steps than it may.
+    /// Splits a set of requests into parts with the same route, and calls `visit` with each part and its route. `visit`
+    /// returns whether to go on. Returns `false` if the step limit is exceeded.
     pub(crate) fn walk<'t>(
         &'t self,
         scope: &Cube,
         steps: &mut usize,
         visit: &mut dyn FnMut(&Cube, Option<&'t Compiled>) -> bool,
     ) -> bool {
-        let near = self.near(scope);
-        let mut open = vec![(scope.clone(), 0)];
-        while let Some((cube, mut at)) = open.pop() {
-            let mut whole = true;
-            while let Some(&k) = near.get(at) {
+        let candidates = self.candidates(scope);
+        let mut pending = vec![(scope.clone(), 0)];
+        while let Some((cube, mut next)) = pending.pop() {
+            let mut is_unmatched = true;
+            while let Some(&k) = candidates.get(next) {
                 *steps += 1;
-                at += 1;
+                next += 1;
                 if *steps > MAX_STEPS {
                     return false;
                 }
@@ -426,26 +437,26 @@
                     if !visit(&inside, Some(route)) {
                         return true;
                     }
-                    open.extend(cube.without(&route.cube).into_iter().map(|rest| (rest, at)));
-                    whole = false;
+                    pending.extend(cube.without(&route.cube).into_iter().map(|rest| (rest, next)));
+                    is_unmatched = false;
                     break;
                 }
             }
-            if whole && !visit(&cube, None) {
+            if is_unmatched && !visit(&cube, None) {
                 return true;
             }
         }
         true
     }
 
-    /// How many routes lead to each pool.
+    /// Number of routes that may send requests to each pool, by pool name.
     pub fn reached(&self) -> BTreeMap<&str, usize> {
-        let mut all: BTreeMap<&str, usize> = self.pools.iter().map(|p| (p.name.as_str(), 0)).collect();
+        let mut counts: BTreeMap<&str, usize> = self.pools.iter().map(|p| (p.name.as_str(), 0)).collect();
         for route in &self.routes {
             for pool in route.pools() {
-                *all.entry(self.pools[pool].name.as_str()).or_default() += 1;
+                *counts.entry(self.pools[pool].name.as_str()).or_default() += 1;
             }
         }
-        all
+        counts
     }
 }
--- a/crates/data-plane/route-table/tests/routes.rs
+++ b/crates/data-plane/route-table/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Tables against a plain reading of them, and proofs against brute force.
+//! Tests of compiled tables against a linear search, and of proofs against brute force.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use route_table::cube::{Cube, Query};
@@ -14,7 +14,7 @@
     SourceLocation { file: "routes.toml".into(), line }
 }
 
-fn world() -> KnownNames {
+fn known_names() -> KnownNames {
     let text = |all: &[&str]| all.iter().map(|s| s.to_string()).collect();
     KnownNames {
         classes: text(&["alta", "pago"]),
@@ -57,7 +57,7 @@
 }
 
 fn table(routes: Vec<Route>) -> Result<Table, Vec<TableError>> {
-    Table::new(world(), vec![pool("main", &[1, 2]), pool("own", &[3]), pool("canary", &[4])], routes)
+    Table::new(known_names(), vec![pool("main", &[1, 2]), pool("own", &[3]), pool("canary", &[4])], routes)
 }
 
 fn expect(name: &str, when: Conditions, claim: Claim) -> Expectation {
@@ -69,9 +69,9 @@
     }
 }
 
-fn fault(result: Result<Table, Vec<TableError>>) -> String {
-    let all = result.expect_err("a fault");
-    all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
+fn errors_of(result: Result<Table, Vec<TableError>>) -> String {
+    let errors = result.expect_err("a fault");
+    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 #[test]
@@ -100,7 +100,7 @@
                 any(),
                 Destination::Split(SplitKey::Key, vec![("main".into(), 9000), ("own".into(), 999)]),
             )],
-            "route a.split: its parts come to 9999",
+            "route a.split: the parts sum to 9999",
         ),
         (
             vec![route(
@@ -109,12 +109,12 @@
                 any(),
                 Destination::Split(SplitKey::Id, vec![("main".into(), 9000), ("own".into(), 1000)]),
             )],
-            "route a.split_by: repeats of class alta would go to another pool",
+            "route a.split_by: retries of class alta would go to a pool that can't deduplicate them",
         ),
-        (vec![route("a", 0, any(), to("main")), route("a", 1, any(), to("main"))], "another is called \"a\""),
+        (vec![route("a", 0, any(), to("main")), route("a", 1, any(), to("main"))], "duplicate name \"a\""),
         (
             vec![route("a", 0, path("/x/{y}"), to("main")), route("b", 0, path("/{x}/y"), to("own"))],
-            "route b: has the precedence of route \"a\", 10, and both match GET /x/y",
+            "route b: has the same precedence as route \"a\" in line 10, and both match GET /x/y",
         ),
         (
             vec![
@@ -122,25 +122,25 @@
                 route("b", 1, club("ribera"), to("own")),
                 route("c", 2, Conditions { path: Some("/x/y".into()), ..club("alamos") }, to("own")),
             ],
-            "route c: can never match: a come before it",
+            "route c: can never match: hidden by a",
         ),
-        // Hidden by several together.
+        // Hidden by two routes together.
         (
             vec![
                 route("a", 0, Conditions { keyed: Some(true), ..any() }, to("main")),
                 route("b", 1, Conditions { keyed: Some(false), ..path("/x/*") }, to("main")),
                 route("c", 2, path("/x/{any}"), to("own")),
             ],
-            "route c: can never match: a, b come before it",
+            "route c: can never match: hidden by a, b",
         ),
     ] {
-        let text = fault(table(routes));
+        let text = errors_of(table(routes));
         assert!(text.contains(wanted), "{text:?} lacks {wanted:?}");
     }
     let empty = Pool { kinds: vec!["none".into()], ..pool("empty", &[]) };
-    let text = fault(Table::new(world(), vec![empty], Vec::new()));
+    let text = errors_of(Table::new(known_names(), vec![empty], Vec::new()));
     assert!(
-        text.contains("pool empty.kinds: there is no \"none\": the pool would be without members"),
+        text.contains("pool empty.kinds: there is no \"none\", so the pool would have no members"),
         "{text}"
     );
 }
@@ -174,9 +174,9 @@
     }
 }
 
-/// Guards against ways round a route: what others may read otherwise is refused, and the rest is one text.
+/// Guards against bypassing a route with an ambiguous path: such paths are rejected, and all others have one normal form.
 #[test]
-fn paths_mean_one_thing_or_are_refused() {
+fn ambiguous_paths_are_rejected() {
     for (text, wanted) in [
         ("a", AmbiguousPath::Relative),
         ("/a/./b", AmbiguousPath::Dots),
@@ -207,9 +207,9 @@
     assert!(!Pattern::host("*.clubes.ar").expect("good").matches(&["ar", "clubes"]));
 }
 
-/// Each kind of expectation, holding under one table and failing under the next; and one that names what is not there.
+/// Proves each kind of expectation against a table that meets it and one that violates it, and rejects unknown names.
 #[test]
-fn expectations_hold_or_fail_with_a_request_that_shows_it() {
+fn expectations_hold_or_fail_with_an_example() {
     let split = |canary| {
         Destination::Split(SplitKey::Key, vec![("main".into(), 10_000 - canary), ("canary".into(), canary)])
     };
@@ -281,7 +281,7 @@
             }
         }
     }
-    // Reached by nothing else: the route by path lets others in.
+    // The route by path lets other requests reach the pool.
     let only = expect("only", pays("ribera"), Claim::OnlyThese("own".into()));
     let text = prove(&good, std::slice::from_ref(&only)).expect_err("others reach it")[0].to_string();
     assert!(text.contains("/api/own"), "{text}");
@@ -290,7 +290,7 @@
         route("rest", 9, Conditions::default(), to("main")),
     ]);
     assert_eq!(prove(&narrow.expect("good"), &[only]), Ok(()));
-    // What is not there is an error, and not a pass.
+    // An unknown name is an error; the expectation does not hold trivially.
     for e in [
         expect("gone", club("gone"), Claim::Refused),
         expect("gone", Conditions { classes: vec!["gone".into()], ..Conditions::default() }, Claim::Routed),
@@ -301,44 +301,44 @@
         let text = prove(&good, &[e]).expect_err("named")[0].to_string();
         assert!(text.contains("there is no") && text.contains("\"gone\""), "{text}");
     }
-    // A table with a gap.
+    // A table that leaves some requests without a route.
     let gap = table(vec![route("a", 0, path("/api/*"), to("main"))]).expect("good");
     let text = prove(&gap, &[expect("all", club("ceibo"), Claim::Routed)]).expect_err("a gap")[0].to_string();
     assert!(text.contains("club ceibo has no route"), "{text}");
 }
 
 #[test]
-fn a_canary_that_grows_moves_its_part_and_no_more() {
-    let at = |canary: u32, key: u32| {
+fn a_growing_canary_takes_only_its_share() {
+    let position = |canary: u32, key: u32| {
         let pools = [("main", 10_000 - canary), ("canary", canary)];
         choose(pools.into_iter(), &key.to_le_bytes()).expect("one")
     };
     let keys = 0..100_000;
-    let share = |canary| keys.clone().filter(|&k| at(canary, k) == 1).count();
+    let share = |canary| keys.clone().filter(|&k| position(canary, k) == 1).count();
     assert!((4_800..=5_200).contains(&share(500)) && (9_700..=10_300).contains(&share(1000)));
-    let (mut came, mut left) = (0, 0);
+    let (mut gained, mut lost) = (0, 0);
     for k in keys.clone() {
-        match (at(500, k), at(1000, k)) {
-            (0, 1) => came += 1,
-            (1, 0) => left += 1,
+        match (position(500, k), position(1000, k)) {
+            (0, 1) => gained += 1,
+            (1, 0) => lost += 1,
             _ => {}
         }
     }
-    assert!(left == 0 && (4_700..=5_300).contains(&came), "{came} came, {left} left");
+    assert!(lost == 0 && (4_700..=5_300).contains(&gained), "{gained} gained, {lost} lost");
     assert_eq!(choose([("a", 0), ("b", 0)].into_iter(), b"x"), None);
-    assert!(keys.clone().all(|k| at(0, k) == 0));
+    assert!(keys.clone().all(|k| position(0, k) == 0));
 }
 
 #[test]
-fn a_difference_says_who_moves_and_whose_repeats_leave_their_group() {
+fn a_diff_reports_moved_requests_and_lost_deduplication() {
     let old = table(vec![route("rest", 9, Conditions::default(), to("main"))]).expect("good");
     let new = table(vec![
         route("ribera", 0, club("ribera"), to("own")),
         route("rest", 9, Conditions::default(), to("main")),
     ])
     .expect("good");
-    let (moves, whole) = diff(&old, &new, 100);
-    assert!(whole && moves.len() == 1, "{moves:?}");
+    let (moves, is_complete) = diff(&old, &new, 100);
+    assert!(is_complete && moves.len() == 1, "{moves:?}");
     assert_eq!((&*moves[0].from, &*moves[0].to, moves[0].leaves_its_group), ("main", "own", true));
     assert!(moves[0].example.contains("club ribera"), "{moves:?}");
     assert_eq!(diff(&new, &new, 100), (Vec::new(), true));
@@ -350,11 +350,11 @@
     assert!(!diff(&old, &unkeyed, 100).0[0].leaves_its_group);
 }
 
-/// A request of a small world: front, method, class, club, whether keyed, path and the one header.
-type Small = (usize, usize, usize, usize, bool, Vec<&'static str>, Option<&'static str>);
+/// A request for the brute-force tests: front end, method, class, tenant, whether it has a key, path and one header.
+type SmallQuery = (usize, usize, usize, usize, bool, Vec<&'static str>, Option<&'static str>);
 
-/// All of them.
-fn queries() -> Vec<Small> {
+/// All requests that the brute-force tests try.
+fn queries() -> Vec<SmallQuery> {
     let paths = [vec![""], vec!["a"], vec!["a", "b"], vec!["a", "c"], vec!["b", "b"], vec!["z", "z", "z"]];
     let mut all = Vec::new();
     for front in 0..2 {
@@ -373,7 +373,7 @@
     all
 }
 
-fn some_when() -> impl Strategy<Value = Conditions> {
+fn any_conditions() -> impl Strategy<Value = Conditions> {
     let sub = |all: &'static [&'static str]| proptest::sample::subsequence(all, 0..=all.len());
     let path = proptest::sample::select(vec![
         None,
@@ -415,11 +415,11 @@
         })
 }
 
-fn ask<R>(q: &Small, with: impl FnOnce(&Query) -> R) -> R {
-    let (front, method, class, club, keyed, path, header) = q;
+fn with_query<R>(small: &SmallQuery, inspect: impl FnOnce(&Query) -> R) -> R {
+    let (front, method, class, club, keyed, path, header) = small;
     let header = |name: &str| (name == "x-c").then_some(*header).flatten();
     let (front, method, class, club, keyed) = (*front, *method, *class, *club, *keyed);
-    with(&Query { front, method, class, club, keyed, host: &["x"], path, header: &header })
+    inspect(&Query { front, method, class, club, keyed, host: &["x"], path, header: &header })
 }
 
 proptest! {
@@ -430,12 +430,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// The compiled matcher agrees with a plain one, and proofs agree with trying every request: none that holds is broken
-    /// by any, and one that fails is.
+    /// The compiled lookup agrees with a linear search, and proofs agree with brute force: an expectation that some request
+    /// violates is not proved.
     #[test]
-    fn compiled_and_plain_agree_and_proofs_agree_with_brute_force(
-        whens in proptest::collection::vec(some_when(), 1..7),
-        scope in some_when(),
+    fn lookup_and_proofs_agree_with_brute_force(
+        whens in proptest::collection::vec(any_conditions(), 1..7),
+        scope in any_conditions(),
     ) {
         let routes: Vec<Route> = whens
             .into_iter()
@@ -450,42 +450,42 @@
             })
             .collect();
         let Ok(table) = table(routes) else { return Ok(()) };
-        let inside = cube(&scope, &world()).expect("known names");
-        let (mut broken, mut gap) = (false, false);
+        let inside = cube(&scope, &known_names()).expect("known names");
+        let (mut violated, mut gap) = (false, false);
         for q in queries() {
-            ask(&q, |q| {
-                let (fast, plain) = (table.route(q), table.route_plainly(q));
+            with_query(&q, |q| {
+                let (compiled, linear) = (table.route(q), table.route_by_linear_search(q));
                 let name = |c: Option<&route_table::table::Compiled>| c.map(|c| c.route.name.clone());
-                assert_eq!(name(fast), name(plain));
+                assert_eq!(name(compiled), name(linear));
                 if inside.has(q) {
-                    gap |= plain.is_none();
-                    broken |= plain.is_some_and(|c| c.pools().any(|p| table.pools[p].name != "main"));
+                    gap |= linear.is_none();
+                    violated |= linear.is_some_and(|c| c.pools().any(|p| table.pools[p].name != "main"));
                 }
             });
         }
         let routed = prove(&table, &[expect("routed", scope.clone(), Claim::Routed)]);
         let only = prove(&table, &[expect("only", scope, Claim::Only(vec!["main".into()]))]);
-        // What brute force breaks, the proof must; it may know of requests that this small world has not.
+        // A proof must fail if brute force finds a violation. It may also fail for requests that brute force does not try.
         prop_assert!(!gap || routed.is_err());
-        prop_assert!(!broken || only.is_err());
-        if let Err(wrong) = &only {
-            prop_assert!(wrong[0].what.contains("goes to own"), "{}", wrong[0]);
+        prop_assert!(!violated || only.is_err());
+        if let Err(errors) = &only {
+            prop_assert!(errors[0].message.contains("goes to own"), "{}", errors[0]);
         }
     }
 
-    /// Meet and difference are those of sets: each request is in exactly one part.
+    /// Intersection and difference are those of sets, and each request is in at most one part of a difference.
     #[test]
-    fn cubes_are_sets(a in some_when(), b in some_when()) {
-        let (a, b) = (cube(&a, &world()).expect("known"), cube(&b, &world()).expect("known"));
-        let (meet, rest) = (a.intersection(&b), a.without(&b));
+    fn cubes_are_sets(a in any_conditions(), b in any_conditions()) {
+        let (a, b) = (cube(&a, &known_names()).expect("known"), cube(&b, &known_names()).expect("known"));
+        let (intersection, difference) = (a.intersection(&b), a.without(&b));
         for q in queries() {
-            ask(&q, |q| {
+            with_query(&q, |q| {
                 let both = a.has(q) && b.has(q);
-                assert_eq!(meet.as_ref().is_some_and(|m| m.has(q)), both);
-                let parts = rest.iter().filter(|r| r.has(q)).count();
+                assert_eq!(intersection.as_ref().is_some_and(|i| i.has(q)), both);
+                let parts = difference.iter().filter(|d| d.has(q)).count();
                 assert_eq!(parts, usize::from(a.has(q) && !b.has(q)));
             });
         }
-        prop_assert!(Cube::all(&world()).intersection(&a) == Some(a));
+        prop_assert!(Cube::all(&known_names()).intersection(&a) == Some(a));
     }
 }
