--- a/crates/data-plane/route-table/src/cube.rs
+++ b/crates/data-plane/route-table/src/cube.rs
@@ -147,12 +147,12 @@
 
 impl Cube {
     /// The set of all requests.
-    pub fn all(known: &KnownNames) -> Cube {
+    pub fn all(known_names: &KnownNames) -> Cube {
         Cube {
             fronts: ValueSet::all(FRONTS.len()),
             methods: ValueSet::all(METHODS.len()),
-            classes: ValueSet::all(known.classes.len()),
-            tenants: ValueSet::all(known.clubs.len()),
+            classes: ValueSet::all(known_names.classes.len()),
+            tenants: ValueSet::all(known_names.clubs.len()),
             keyed: ValueSet::all(2),
             host: Region::any(),
             path: Region::any(),
@@ -284,7 +284,7 @@
     }
 
     /// Describes a request of the set with the shortest path and host.
-    pub fn example(&self, known: &KnownNames) -> String {
+    pub fn example(&self, known_names: &KnownNames) -> String {
         let first_name = |s: &ValueSet, names: &[String]| s.iter().next().and_then(|p| names.get(p).cloned());
         let method = self.methods.iter().next().map_or("GET", |m| METHODS[m]);
         let path = self.path.example().unwrap_or_default().join("/");
@@ -294,10 +294,10 @@
             labels.reverse();
             text += &format!(" at host {}", labels.join("."));
         }
-        if let Some(class) = first_name(&self.classes, &known.classes) {
+        if let Some(class) = first_name(&self.classes, &known_names.classes) {
             text += &format!(", class {class}");
         }
-        if let Some(club) = first_name(&self.tenants, &known.clubs) {
+        if let Some(club) = first_name(&self.tenants, &known_names.clubs) {
             text += &format!(", club {club}");
         }
         if !self.fronts.contains(0) {
--- a/crates/data-plane/route-table/src/diff.rs
+++ b/crates/data-plane/route-table/src/diff.rs
@@ -50,8 +50,8 @@
 /// incomplete if there are more, if the tables use different names, or if the step limit is reached.
 pub fn diff(old: &Table, new: &Table, max_moves: usize) -> (Vec<Move>, bool) {
     let (mut moves, mut steps) = (Vec::<Move>::new(), 0);
-    let all_requests = Cube::all(&old.world);
-    if old.world != new.world {
+    let all_requests = Cube::all(&old.known_names);
+    if old.known_names != new.known_names {
         return (moves, false);
     }
     let mut is_complete = true;
@@ -70,12 +70,12 @@
                     return false;
                 }
                 let is_keyed = part.keyed.contains(1)
-                    && part.classes.iter().any(|c| old.world.keyed.get(c) == Some(&true));
+                    && part.classes.iter().any(|c| old.known_names.keyed.get(c) == Some(&true));
                 let (old_pools, new_pools) = (pools(old, before), pools(new, after));
                 let keeps_pools =
                     new_pools.iter().all(|pool| old_pools.contains(pool)) || old_pools.is_empty();
                 moves.push(Move {
-                    example: part.example(&new.world),
+                    example: part.example(&new.known_names),
                     from: from.clone(),
                     to,
                     leaves_its_group: is_keyed && !keeps_pools,
--- a/crates/data-plane/route-table/src/expect.rs
+++ b/crates/data-plane/route-table/src/expect.rs
@@ -45,7 +45,7 @@
 }
 
 fn prove_one(table: &Table, expect: &Expectation) -> Result<(), TableError> {
-    let scope = cube(&expect.when, &table.world)
+    let scope = cube(&expect.when, &table.known_names)
         .map_err(|(field, message)| expectation_error(expect, format!("{field}: {message}")))?;
     let position = |name: &String| {
         let found = table.pools.iter().position(|p| p.name == *name);
@@ -91,7 +91,7 @@
         }
         Claim::OnlyThese(pool) => {
             let pool = position(pool)?;
-            let outside = Cube::all(&table.world).without(&scope);
+            let outside = Cube::all(&table.known_names).without(&scope);
             for c in table.routes.iter().filter(|c| c.pools().any(|p| p == pool)) {
                 for part in outside.iter().filter_map(|o| o.intersection(&c.cube)) {
                     check(table, expect, &part, |c| c.is_none_or(|c| c.pools().all(|p| p != pool)))?;
@@ -115,7 +115,7 @@
         if holds(route) {
             return true;
         }
-        violation = Some(format!("{} {}", part.example(&table.world), describe_route(table, route)));
+        violation = Some(format!("{} {}", part.example(&table.known_names), describe_route(table, route)));
         false
     });
     match violation {
@@ -131,12 +131,12 @@
     let mut first: BTreeMap<usize, (usize, String)> = BTreeMap::new();
     let mut steps = 0;
     for tenant in scope.tenants.iter() {
-        let single = crate::cube::ValueSet::of([tenant].into_iter(), table.world.clubs.len());
+        let single = crate::cube::ValueSet::of([tenant].into_iter(), table.known_names.clubs.len());
         let own = Cube { tenants: single, ..scope.clone() };
         let mut shared = None;
         let is_complete = table.walk(&own, &mut steps, &mut |part, route| {
             for pool in route.into_iter().flat_map(Compiled::pools) {
-                let example = || part.example(&table.world);
+                let example = || part.example(&table.known_names);
                 match first.get(&pool) {
                     Some((other, other_example)) if *other != tenant => {
                         let name = &table.pools[pool].name;
--- a/crates/data-plane/route-table/src/table.rs
+++ b/crates/data-plane/route-table/src/table.rs
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub struct Table {
     /// Names that routes may use.
-    pub world: KnownNames,
+    pub known_names: KnownNames,
     /// Pools.
     pub pools: Vec<Pool>,
     /// Routes, by ascending precedence.
@@ -100,8 +100,8 @@
 ///
 /// # Errors
 /// An unknown name or an invalid pattern, as the field and a message.
-pub fn cube(when: &Conditions, world: &KnownNames) -> Result<Cube, (&'static str, String)> {
-    let mut cube = Cube::all(world);
+pub fn cube(when: &Conditions, known_names: &KnownNames) -> Result<Cube, (&'static str, String)> {
+    let mut cube = Cube::all(known_names);
     let positions = |field: &'static str, given: &[String], known: &[&str]| {
         if given.is_empty() {
             return Ok(ValueSet::all(known.len()));
@@ -112,8 +112,8 @@
         let found: Vec<usize> = given.iter().map(position).collect::<Result<_, _>>()?;
         Ok(ValueSet::of(found.into_iter(), known.len()))
     };
-    let classes: Vec<&str> = world.classes.iter().map(String::as_str).collect();
-    let tenants: Vec<&str> = world.clubs.iter().map(String::as_str).collect();
+    let classes: Vec<&str> = known_names.classes.iter().map(String::as_str).collect();
+    let tenants: Vec<&str> = known_names.clubs.iter().map(String::as_str).collect();
     cube.fronts = positions("front", &when.fronts, &FRONTS)?;
     cube.methods = positions("method", &when.methods, &METHODS)?;
     cube.classes = positions("class", &when.classes, &classes)?;
@@ -148,7 +148,11 @@
     ///
     /// # Errors
     /// All faults, each with its position.
-    pub fn new(world: KnownNames, pools: Vec<Pool>, routes: Vec<Route>) -> Result<Table, Vec<TableError>> {
+    pub fn new(
+        known_names: KnownNames,
+        pools: Vec<Pool>,
+        routes: Vec<Route>,
+    ) -> Result<Table, Vec<TableError>> {
         let mut faults = Vec::new();
         if let Some(pool) = pools.get(MAX_POOLS) {
             return Err(vec![fault(&pool.place, "pool", format!("there are more than {MAX_POOLS}"))]);
@@ -161,7 +165,8 @@
             if positions.insert(pool.name.clone(), index).is_some() {
                 faults.push(fault(&pool.place, "pool.name", format!("duplicate name {:?}", pool.name)));
             }
-            let known = [("zones", &pool.zones, &world.zones), ("kinds", &pool.kinds, &world.kinds)];
+            let known =
+                [("zones", &pool.zones, &known_names.zones), ("kinds", &pool.kinds, &known_names.kinds)];
             for (field, given, known) in known {
                 if let Some(name) = given.iter().find(|n| !known.contains(n)) {
                     let message = format!("there is no {name:?}, so the pool would have no members");
@@ -198,17 +203,17 @@
                 }
             };
             let fallback = route.fallback.as_deref().map(|name| pool_position(name, "fallback")).transpose();
-            let cube =
-                cube(&route.when, &world).map_err(|(key, message)| fault(&route.place, &field(key), message));
+            let cube = cube(&route.when, &known_names)
+                .map_err(|(key, message)| fault(&route.place, &field(key), message));
             match (leads, fallback, cube) {
                 (Ok(leads), Ok(fallback), Ok(cube)) => {
                     // Retries are deduplicated only if all requests with the same key go to the same pool.
                     let by_id = matches!(&leads, RouteTarget::Split(SplitKey::Id, parts) if parts.iter().filter(|p| p.1 > 0).count() > 1);
-                    let keyed = cube.classes.iter().find(|&c| world.keyed.get(c) == Some(&true));
+                    let keyed = cube.classes.iter().find(|&c| known_names.keyed.get(c) == Some(&true));
                     if let (true, Some(class)) = (by_id, keyed) {
                         let message = format!(
                             "retries of class {} would go to a pool that can't deduplicate them: split by key or club",
-                            world.classes[class]
+                            known_names.classes[class]
                         );
                         faults.push(fault(&route.place, &field("split_by"), message));
                     }
@@ -226,7 +231,7 @@
         let headers: BTreeSet<String> =
             compiled.iter().flat_map(|c| c.cube.headers.keys().cloned()).collect();
         let mut table = Table {
-            world,
+            known_names,
             pools,
             routes: compiled,
             headers: headers.into_iter().collect(),
@@ -246,7 +251,7 @@
     fn index_route(&mut self, route: usize) {
         let cube = &self.routes[route].cube;
         let tenants: Vec<usize> = cube.tenants.iter().take(MAX_INDEXED_TENANTS + 1).collect();
-        let by_tenant = tenants.len() <= MAX_INDEXED_TENANTS && tenants.len() < self.world.clubs.len();
+        let by_tenant = tenants.len() <= MAX_INDEXED_TENANTS && tenants.len() < self.known_names.clubs.len();
         let mut node = 0;
         for segment in cube.path.pattern.segments.clone() {
             let next = match &segment {
@@ -318,7 +323,7 @@
                         "has the same precedence as route {:?} in line {}, and both match {}",
                         other.route.name,
                         other.route.place.line,
-                        overlap.example(&self.world)
+                        overlap.example(&self.known_names)
                     );
                     faults.push(fault(&own.route.place, &format!("route {}", own.route.name), message));
                     break;
--- a/crates/foundations/config/src/coordination.rs
+++ b/crates/foundations/config/src/coordination.rs
@@ -19,7 +19,7 @@
 
 /// Default of the maximum number of connected clients.
 const DEFAULT_CLIENTS: usize = 1024;
-/// Upper bound of that number.
+/// Upper bound of the configured maximum number of connected clients.
 const MAX_CLIENTS: usize = 16_384;
 
 /// The configuration file of a voter.
@@ -27,7 +27,7 @@
 pub struct CoordinationConfig {
     /// Name of the voter, one of `voters`.
     pub name: String,
-    /// Folder of its journal, lock and control socket.
+    /// Folder of the voter's journal, lock and control socket.
     pub folder: PathBuf,
     /// Raft tick: a leader sends a heartbeat every two ticks, and the election timeout is 10 to 20 ticks.
     pub tick: Duration,
@@ -35,12 +35,12 @@
     pub clients: usize,
     /// Address to listen on, if it differs from the one in `voters`.
     pub listen: Option<SocketAddr>,
-    /// Names and addresses of all voters, including its own.
+    /// Names and addresses of all voters, including this one.
     pub voters: Vec<(String, SocketAddr)>,
 }
 
 impl CoordinationConfig {
-    /// Address at which the others reach it.
+    /// Address at which the other voters reach this voter.
     pub fn addr(&self) -> SocketAddr {
         let own = self.voters.iter().find(|(name, _)| *name == self.name);
         own.map_or(SocketAddr::from(([127, 0, 0, 1], 0)), |(_, addr)| *addr)
@@ -57,11 +57,11 @@
 pub struct CoordinationClientConfig {
     /// Addresses of the voters.
     pub voters: Vec<SocketAddr>,
-    /// Time to live of its session without a renewal.
+    /// Time to live of the client's session without a renewal.
     pub ttl: Duration,
     /// Time without a response after which the connection is closed.
     pub patience: Duration,
-    /// Time after its start for which a balancer counts as warming up, and so as unavailable.
+    /// Time after its start during which a balancer is considered to be warming up and thus unavailable.
     pub warm: Duration,
 }
 
@@ -102,12 +102,12 @@
 
 fn address(text: &str, field: &str, given: &Spanned<String>) -> Result<SocketAddr, ConfigError> {
     let parsed = given.get_ref().parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
-    let what = format!("{:?} is no address with a port, such as \"127.0.0.1:7801\"", given.get_ref());
-    parsed.ok_or_else(|| fault_at(text, given.span().start, field, what))
+    let message = format!("{:?} is not an address with a port, such as \"127.0.0.1:7801\"", given.get_ref());
+    parsed.ok_or_else(|| fault_at(text, given.span().start, field, message))
 }
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 impl RawClientConfig {
@@ -118,8 +118,8 @@
     pub(crate) fn resolve(self, text: &str) -> Result<CoordinationClientConfig, ConfigError> {
         let list = self.voters.get_ref();
         if list.is_empty() || list.len() > MAX_VOTERS {
-            let what = format!("names {} voters, and 1 to {MAX_VOTERS} is right", list.len());
-            return Err(fault_at(text, self.voters.span().start, "council.voters", what));
+            let message = format!("contains {} voters instead of 1 to {MAX_VOTERS}", list.len());
+            return Err(fault_at(text, self.voters.span().start, "council.voters", message));
         }
         let voters = list.iter().map(|given| address(text, "council.voters", given));
         Ok(CoordinationClientConfig {
@@ -141,14 +141,14 @@
     let voters = parse_voters(text, &voter)?;
     let name = council.name.get_ref().clone();
     if !voters.iter().any(|(voter, _)| *voter == name) {
-        let what = format!("{name:?} is none of the voters");
-        return Err(fault_at(text, council.name.span().start, "council.name", what));
+        let message = format!("{name:?} is not one of the voters");
+        return Err(fault_at(text, council.name.span().start, "council.name", message));
     }
     let folder_at = council.folder.span().start;
     let folder = path_value(text, "council.folder", Some(council.folder))?.unwrap_or_default();
     if folder.as_os_str().len() > MAX_FOLDER_BYTES {
-        let what = format!("has more than {MAX_FOLDER_BYTES} bytes, too many for a Unix socket in it");
-        return Err(fault_at(text, folder_at, "council.folder", what));
+        let message = format!("is longer than {MAX_FOLDER_BYTES} bytes, too long for a Unix socket in it");
+        return Err(fault_at(text, folder_at, "council.folder", message));
     }
     let clients = parse_clients(text, council.clients.as_ref())?;
     let listen = council.listen.as_ref().map(|given| address(text, "council.listen", given)).transpose()?;
@@ -161,18 +161,23 @@
     for (index, voter) in raw.iter().enumerate() {
         let field = |name: &str| format!("voter[{index}].{name}");
         let name = voter.name.get_ref();
-        if let Some(what) = invalid_name(name, &voters) {
-            return Err(fault_at(text, voter.name.span().start, &field("name"), what));
+        if let Some(message) = invalid_name(name, &voters) {
+            return Err(fault_at(text, voter.name.span().start, &field("name"), message));
         }
         let addr = address(text, &field("addr"), &voter.addr)?;
         if let Some((other, _)) = voters.iter().find(|(_, known)| *known == addr) {
-            let what = format!("is the address of {other:?} too");
-            return Err(fault_at(text, voter.addr.span().start, &field("addr"), what));
+            let message = format!("is also the address of {other:?}");
+            return Err(fault_at(text, voter.addr.span().start, &field("addr"), message));
         }
         voters.push((name.clone(), addr));
     }
     if voters.is_empty() {
-        return Err(ConfigError { line: 0, column: 0, field: "voter".into(), what: "there is none".into() });
+        return Err(ConfigError {
+            line: 0,
+            column: 0,
+            field: "voter".into(),
+            message: "there are no voters".into(),
+        });
     }
     Ok(voters)
 }
@@ -181,9 +186,9 @@
 fn invalid_name(name: &str, voters: &[(String, SocketAddr)]) -> Option<String> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
-        Some(format!("{name:?} is no name of 1 to {MAX_NAME_BYTES} letters, digits, - and _"))
+        Some(format!("{name:?} is not a name of 1 to {MAX_NAME_BYTES} letters, digits, - and _"))
     } else if voters.iter().any(|(other, _)| other == name) {
-        Some(format!("another voter is called {name:?}"))
+        Some(format!("another voter has the name {name:?}"))
     } else if voters.len() >= MAX_VOTERS {
         Some(format!("there are more than {MAX_VOTERS} voters"))
     } else {
@@ -194,8 +199,8 @@
 fn parse_clients(text: &str, given: Option<&Spanned<i64>>) -> Result<usize, ConfigError> {
     let Some(given) = given else { return Ok(DEFAULT_CLIENTS) };
     let count = usize::try_from(*given.get_ref()).ok().filter(|count| (1..=MAX_CLIENTS).contains(count));
-    let what = format!("is not between 1 and {MAX_CLIENTS}");
-    count.ok_or_else(|| fault_at(text, given.span().start, "council.clients", what))
+    let message = format!("is not between 1 and {MAX_CLIENTS}");
+    count.ok_or_else(|| fault_at(text, given.span().start, "council.clients", message))
 }
 
 /// Reads the configuration file of a voter. A relative folder is resolved against the folder of the file.
@@ -208,7 +213,7 @@
     Ok(config)
 }
 
-/// Whether a TOML file is the configuration of a voter, judged by its tables.
+/// Whether a TOML file contains a `[[voter]]` table and is thus the configuration of a voter.
 pub fn is_coordination_file(path: &Path) -> bool {
     let bytes = read_consistent(path, MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == "[[voter]]")
--- a/crates/foundations/config/src/discovery.rs
+++ b/crates/foundations/config/src/discovery.rs
@@ -110,15 +110,15 @@
     pub token_file: Option<PathBuf>,
     /// Time that a blocking query waits for a change.
     pub wait: Duration,
-    /// Minimum time between two responses that bring changes.
+    /// Minimum time between two responses that contain changes.
     pub min_poll_interval: Duration,
-    /// Delay after the first failure; it doubles with each further one.
+    /// Delay after the first failure; it doubles with each subsequent failure.
     pub initial_backoff: Duration,
     /// Upper bound of the delay after a failure; at least `initial_backoff`.
     pub max_backoff: Duration,
     /// Maximum age of a response in the stale mode.
     pub max_staleness: Duration,
-    /// Time that endpoints stay which a list lacks after its index went backwards.
+    /// Time for which endpoints are kept that are missing from a list after its index went backwards.
     pub regrow_timeout: Duration,
     /// Metadata keys of the endpoints' attributes.
     pub meta_keys: MetaKeys,
@@ -267,22 +267,22 @@
     text: &str,
     registry: RawRegistry,
     consul: Vec<RawConsul>,
-    fixed: Vec<RawStatic>,
+    static_tables: Vec<RawStatic>,
 ) -> Result<DiscoveryConfig, ConfigError> {
-    if consul.len() > MAX_TABLES || fixed.len() > MAX_TABLES {
+    if consul.len() > MAX_TABLES || static_tables.len() > MAX_TABLES {
         return Err(file_error("consul, static", format!("there are more than {MAX_TABLES} of one kind")));
     }
     let services = read_services(text, consul)?;
-    let members = read_static_endpoints(text, fixed)?;
-    read_registry(text, registry, services, members)
+    let endpoints = read_static_endpoints(text, static_tables)?;
+    read_registry(text, registry, services, endpoints)
 }
 
-/// Fault of the file as a whole.
-fn file_error(field: &str, message: String) -> ConfigError {
-    ConfigError { line: 0, column: 0, field: field.into(), what: message }
+/// Error that concerns the whole file.
+fn file_error(field: &str, text: String) -> ConfigError {
+    ConfigError { line: 0, column: 0, field: field.into(), message: text }
 }
 
-/// Fault of a name that occurs twice.
+/// Fails if a name occurs twice.
 fn check_unique(
     names: &mut BTreeSet<String>,
     table: &TableReader,
@@ -293,7 +293,7 @@
     if names.insert(name.to_string()) {
         return Ok(());
     }
-    Err(table.error(offset, key, format!("another is called {name:?}")))
+    Err(table.error(offset, key, format!("duplicate name {name:?}")))
 }
 
 fn read_services(text: &str, tables: Vec<RawConsul>) -> Result<Vec<ConsulConfig>, ConfigError> {
@@ -345,7 +345,7 @@
     let defaults = DiscoveryConfig::default();
     let platform = raw.discovery.unwrap_or(defaults.platform);
     if !platform && services.is_empty() && static_endpoints.is_empty() {
-        let message = "is off, and there is no other source of members".into();
+        let message = "is off, and there is no other source of endpoints".into();
         return Err(file_error("registry.discovery", message));
     }
     Ok(DiscoveryConfig {
@@ -369,7 +369,7 @@
     let initial_backoff = table.duration("pause", raw.pause, INITIAL_BACKOFF)?;
     let max_backoff = table.duration("pause_most", raw.pause_most, MAX_BACKOFF)?;
     if max_backoff < initial_backoff {
-        let message = format!("is below pause, {}", initial_backoff.show());
+        let message = format!("is below pause, {}", initial_backoff.to_text());
         return Err(table.error(max_backoff_offset, "pause_most", message));
     }
     Ok(ConsulConfig {
@@ -410,7 +410,7 @@
     let addresses = value.into_inner().into_iter().map(|agent| table.socket_addr("agents", agent));
     let agents = addresses.collect::<Result<Vec<_>, _>>()?;
     if agents.is_empty() || agents.len() > MAX_AGENTS {
-        return Err(table.error(offset, "agents", format!("are not 1 to {MAX_AGENTS} addresses")));
+        return Err(table.error(offset, "agents", format!("does not contain 1 to {MAX_AGENTS} addresses")));
     }
     Ok(agents)
 }
@@ -425,8 +425,8 @@
     let error = |message: String| Err(table.error(offset, "datacentres", message));
     match &names[..] {
         [all] if all == "*" => Ok(Datacentres::All),
-        [] => error("are none; leave it out for the agent's own".into()),
-        _ if names.len() > MAX_DATACENTRES => error(format!("are more than {MAX_DATACENTRES}")),
+        [] => error("is empty; omit it for the agent's own datacentre".into()),
+        _ if names.len() > MAX_DATACENTRES => error(format!("contains more than {MAX_DATACENTRES}")),
         _ => Ok(Datacentres::Named(names)),
     }
 }
--- a/crates/foundations/config/src/disruption.rs
+++ b/crates/foundations/config/src/disruption.rs
@@ -9,14 +9,14 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// Table by which such a file is recognised.
+/// Table by which a file with budgets is recognized.
 const BUDGET_TABLE: &str = "[[budget]]";
-/// Largest count in a budget.
+/// Maximum value of a count in a budget.
 const MAX_COUNT: u32 = 1_000_000;
-/// Words for the kinds of resources.
+/// Values of `of`: kinds of resources.
 const KINDS: [(&str, ResourceKind); 2] =
     [("balancer", ResourceKind::Balancer), ("upstream", ResourceKind::Upstream)];
-/// Words for the labels that resources are grouped by.
+/// Values of `per`: labels that resources are grouped by.
 const GROUPS: [(&str, GroupBy); 5] = [
     ("fleet", GroupBy::Fleet),
     ("machine", GroupBy::Machine),
@@ -88,7 +88,7 @@
 fn group_name(table: &TableReader<'_>, value: &Spanned<String>) -> Result<String, ConfigError> {
     let name = value.get_ref();
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
-        let message = format!("is no name of 1 to {MAX_NAME_BYTES} bytes");
+        let message = format!("is not a name of 1 to {MAX_NAME_BYTES} bytes");
         return Err(table.error(value.span().start, "only", message));
     }
     Ok(name.clone())
@@ -99,7 +99,7 @@
     number.ok_or_else(|| table.error(value.span().start, key, format!("is not between 0 and {MAX_COUNT}")))
 }
 
-/// Locates an invalid budget in the text of the file.
+/// Error with the position of an invalid budget in the file.
 fn locate(text: &str, budgets: &[RawBudget], invalid: &InvalidBudget) -> ConfigError {
     let field = invalid.fault.field();
     let offset = budgets.get(invalid.index).map_or(0, |budget| budget.offset(field));
@@ -109,12 +109,12 @@
 /// Parses the text of a file.
 ///
 /// # Errors
-/// The first fault, with its place.
+/// The first fault, with its position.
 pub fn parse(bytes: &[u8]) -> Result<DisruptionConfig, ConfigError> {
     let (text, raw) = read_text::<RawConfig>(bytes)?;
     let coordination = raw.council.resolve(text)?;
-    let resolve = |(k, budget): (usize, &RawBudget)| {
-        budget.resolve(&TableReader { text, path: format!("budget[{k}]") })
+    let resolve = |(index, budget): (usize, &RawBudget)| {
+        budget.resolve(&TableReader { text, path: format!("budget[{index}]") })
     };
     let budgets: Result<Vec<DisruptionBudget>, ConfigError> =
         raw.budget.iter().enumerate().map(resolve).collect();
@@ -126,7 +126,7 @@
 /// Reads a file.
 ///
 /// # Errors
-/// One line: the path, line and column if known, the field, and what is wrong.
+/// One line: the path, line and column if known, the field, and the fault.
 pub fn read(path: &Path) -> Result<DisruptionConfig, ConfigFileError> {
     read_config(path, parse)
 }
--- a/crates/foundations/config/src/fastcgi.rs
+++ b/crates/foundations/config/src/fastcgi.rs
@@ -1,4 +1,4 @@
-//! The table `[fastcgi]` of the operator's file: where FastCGI callers connect, and what goes to members that speak it.
+//! Table `[fastcgi]` of the operator's file: listeners for FastCGI clients, and params for FastCGI endpoints.
 use crate::values::{fault_at, ConfigError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -6,32 +6,33 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// Most listeners, and most declared params.
-const MAX_PARAMS: usize = 64;
-/// Longest text of a value.
-const MAX_TEXT_BYTES: usize = 1024;
+/// Maximum number of listeners, and of declared params.
+const MAX_ENTRIES: usize = 64;
+/// Maximum length of a param's template, in bytes.
+const MAX_TEMPLATE_BYTES: usize = 1024;
 
-/// Where callers connect.
+/// Address of a listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Listen {
-    /// TCP.
+    /// TCP address.
     Tcp(SocketAddr),
-    /// A Unix socket.
+    /// Path of a Unix socket.
     Unix(PathBuf),
 }
 
-/// FastCGI, both sides.
+/// FastCGI settings for clients and endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FastCgi {
-    /// Where callers connect; none by default.
+    /// Listeners for clients; none by default.
     pub listen: Vec<Listen>,
-    /// Requests at once on a caller's connection.
+    /// Maximum number of concurrent requests on a client's connection.
     pub requests: usize,
-    /// Requests at once on a connection to a member that says that it takes several; 1: it is not asked.
+    /// Maximum number of concurrent requests on a connection to an endpoint that supports multiplexing; 1: the endpoint is
+    /// not queried for support.
     pub multiplex: usize,
-    /// Params in which a request's id, class, tenant, key and deadline are.
+    /// Names of the params that contain a request's id, class, tenant, idempotency key and deadline.
     pub names: Names,
-    /// Params for members, with their templates.
+    /// Params sent to endpoints, as pairs of name and template.
     pub params: Vec<(String, String)>,
 }
 
@@ -41,18 +42,18 @@
     }
 }
 
-/// Names of params.
+/// Names of the params that contain attributes of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Names {
-    /// The request's id.
+    /// Request id.
     pub id: String,
-    /// Its class.
+    /// Request class.
     pub class: String,
-    /// Its tenant.
+    /// Tenant.
     pub tenant: String,
-    /// Its key.
+    /// Idempotency key.
     pub key: String,
-    /// How long its caller waits.
+    /// Deadline.
     pub deadline: String,
 }
 
@@ -91,58 +92,78 @@
     deadline: Option<Spanned<String>>,
 }
 
-fn listen(text: &str, given: &Spanned<String>) -> Result<Listen, ConfigError> {
+/// Parses the address of a listener.
+fn listener(text: &str, given: &Spanned<String>) -> Result<Listen, ConfigError> {
     let value = given.get_ref();
-    // What a Unix socket's path can hold (`sun_path` of Linux, less its end).
+    // 107 bytes is the maximum length of a Unix socket's path (`sun_path` of Linux, without the terminator).
     if value.starts_with('/') && value.len() <= 107 && !value.contains('\0') {
         return Ok(Listen::Unix(value.into()));
     }
-    let what = || format!("{value:?} is neither an IP address with a port nor the path of a Unix socket");
-    value.parse().map(Listen::Tcp).map_err(|_| fault_at(text, given.span().start, "fastcgi.listen", what()))
+    let message = || format!("{value:?} is neither an IP address with a port nor the path of a Unix socket");
+    value
+        .parse()
+        .map(Listen::Tcp)
+        .map_err(|_| fault_at(text, given.span().start, "fastcgi.listen", message()))
 }
 
+/// Checks the table and applies the defaults.
 pub(crate) fn resolve(text: &str, raw: RawFastCgi) -> Result<FastCgi, ConfigError> {
-    let d = Names::default();
+    let defaults = Names::default();
     let name = |field: &str, given: Option<Spanned<String>>, default: String| {
         let Some(given) = given else { return Ok(default) };
-        let plain = |b: u8| b.is_ascii_uppercase() || b.is_ascii_digit() || b == b'_';
-        if given.get_ref().is_empty() || given.get_ref().len() > 128 || !given.get_ref().bytes().all(plain) {
-            let what = "is no name of capital letters, digits and _".into();
-            return Err(fault_at(text, given.span().start, &format!("fastcgi.names.{field}"), what));
+        let is_allowed = |b: u8| b.is_ascii_uppercase() || b.is_ascii_digit() || b == b'_';
+        if given.get_ref().is_empty()
+            || given.get_ref().len() > 128
+            || !given.get_ref().bytes().all(is_allowed)
+        {
+            let message = "is not a name of capital letters, digits and _".into();
+            return Err(fault_at(text, given.span().start, &format!("fastcgi.names.{field}"), message));
         }
         Ok(given.into_inner())
     };
-    if raw.listen.len() > MAX_PARAMS || raw.params.len() > MAX_PARAMS {
-        let what = format!("there are more than {MAX_PARAMS}");
-        return Err(ConfigError { line: 0, column: 0, field: "fastcgi.listen, fastcgi.params".into(), what });
+    if raw.listen.len() > MAX_ENTRIES || raw.params.len() > MAX_ENTRIES {
+        let message = format!("there are more than {MAX_ENTRIES}");
+        return Err(ConfigError {
+            line: 0,
+            column: 0,
+            field: "fastcgi.listen, fastcgi.params".into(),
+            message,
+        });
     }
-    let at_once = |field: &str, given: Option<Spanned<i64>>| {
-        let Some(n) = given else { return Ok(1) };
-        let fits = usize::try_from(*n.get_ref()).ok().filter(|n| (1..=1000).contains(n));
-        fits.ok_or_else(|| {
-            fault_at(text, n.span().start, &format!("fastcgi.{field}"), "is not between 1 and 1000".into())
+    let concurrency = |field: &str, given: Option<Spanned<i64>>| {
+        let Some(value) = given else { return Ok(1) };
+        let count = usize::try_from(*value.get_ref()).ok().filter(|n| (1..=1000).contains(n));
+        count.ok_or_else(|| {
+            fault_at(
+                text,
+                value.span().start,
+                &format!("fastcgi.{field}"),
+                "is not between 1 and 1000".into(),
+            )
         })
     };
-    let (requests, multiplex) = (at_once("requests", raw.requests)?, at_once("multiplex", raw.multiplex)?);
+    let (requests, multiplex) =
+        (concurrency("requests", raw.requests)?, concurrency("multiplex", raw.multiplex)?);
     let mut params = Vec::new();
     for (param, value) in raw.params {
-        if value.get_ref().len() > MAX_TEXT_BYTES || value.get_ref().chars().any(char::is_control) {
-            let what = format!("is no text of {MAX_TEXT_BYTES} bytes at most without control characters");
-            return Err(fault_at(text, value.span().start, &format!("fastcgi.params.{param}"), what));
+        if value.get_ref().len() > MAX_TEMPLATE_BYTES || value.get_ref().chars().any(char::is_control) {
+            let message =
+                format!("is not a text of at most {MAX_TEMPLATE_BYTES} bytes without control characters");
+            return Err(fault_at(text, value.span().start, &format!("fastcgi.params.{param}"), message));
         }
         params.push((param, value.into_inner()));
     }
-    let n = raw.names;
+    let names = raw.names;
     Ok(FastCgi {
-        listen: raw.listen.iter().map(|l| listen(text, l)).collect::<Result<_, _>>()?,
+        listen: raw.listen.iter().map(|l| listener(text, l)).collect::<Result<_, _>>()?,
         requests,
         multiplex,
         names: Names {
-            id: name("id", n.id, d.id)?,
-            class: name("class", n.class, d.class)?,
-            tenant: name("tenant", n.tenant, d.tenant)?,
-            key: name("key", n.key, d.key)?,
-            deadline: name("deadline", n.deadline, d.deadline)?,
+            id: name("id", names.id, defaults.id)?,
+            class: name("class", names.class, defaults.class)?,
+            tenant: name("tenant", names.tenant, defaults.tenant)?,
+            key: name("key", names.key, defaults.key)?,
+            deadline: name("deadline", names.deadline, defaults.deadline)?,
         },
         params,
     })
--- a/crates/foundations/config/src/file.rs
+++ b/crates/foundations/config/src/file.rs
@@ -1,4 +1,4 @@
-//! Reading configuration files; an error names the file and, where there is one, the place.
+//! Reading configuration files. An error contains the path and, if known, the position in the file.
 use crate::values::{read_consistent, ConfigError, ReadFileError, MAX_FILE_BYTES};
 use std::path::{Path, PathBuf};
 
@@ -18,7 +18,7 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is invalid, and where.
+        /// The first fault.
         error: ConfigError,
     },
 }
--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -1,13 +1,13 @@
-//! The start-up settings as JSON. Unknown keys are skipped; a missing required key is named.
+//! Parser of the start-up settings, which are JSON. Unknown keys are ignored; an error names a missing required key.
 //!
-//! Known to the wire, but read by no decision and so dropped here: names and the lists of names (`dcs`, `kinds`,
+//! The wire format also contains values that no decision depends on, and which are dropped here: names and the lists of names (`dcs`, `kinds`,
 //! `tiers`), `blend`, `clients`, `domain_type`, `family_info`, `stats`, `tick`, `weights`, `worth_by`,
 //! `over_share_worth`; of `classes[]` `aim_stretch`, `importance` and `streaming`; of `charges` all but crossings;
 //! of `invariants` `drain_grace`, `fall` and `grace_to_answer` (the module stops, spreads and answers well within
-//! them); of `permissions` those to probe, to tell peers and to send second copies, and the limits of CPU, open
-//! requests, connections and dialling; [`Deployment`] keeps what of these a balancer on sockets needs. Of the events the codec drops probe results, peer messages and load
-//! reports; of a request its key, its cost hint and its marks; of a list entry its scale. Never asked for: single
-//! fetches of the list, and unsubscribing.
+//! them); of `permissions` those to probe, to message peers and to send second copies, and the limits of CPU, open
+//! requests, connections and dialling. [`Deployment`] keeps those of them that a balancer on sockets needs. Of the events
+//! the codec drops probe results, peer messages and load reports; of a request its key, its cost hint and its marks; of a
+//! list entry its scale. Single fetches of the list and unsubscribing are never requested.
 pub mod coordination;
 pub mod discovery;
 pub mod disruption;
@@ -27,11 +27,11 @@
 use balancer::{Class, DedupScope, Effect, Settings, Tenant};
 use serde::Deserialize;
 
-/// The settings with what the module has no use for but sockets do. Names stand at the position that the
-/// module knows them by; a list that was not given is empty.
+/// Settings of the decision module, and those that only a balancer on sockets needs. Names are at the positions by which
+/// the module refers to them; an absent list is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub policy: Settings,
     /// Names of the classes.
     pub classes: Vec<String>,
@@ -41,11 +41,11 @@
     pub zones: Vec<String>,
     /// Names of the machine kinds.
     pub kinds: Vec<String>,
-    /// A connection that is not up within this time, in milliseconds, counts as refused.
+    /// Time limit for establishing a connection, in milliseconds. A connection that exceeds it is considered refused.
     pub dial_timeout: f64,
-    /// Time, in milliseconds, within which sends to a draining upstream must end.
+    /// Time in milliseconds after which no more requests may be sent to a draining upstream.
     pub drain_grace: f64,
-    /// Most requests that an instance may have open.
+    /// Maximum number of open requests of an instance.
     pub max_open: u64,
 }
 
@@ -78,7 +78,7 @@
     objective: f64,
     deadline: f64,
     effect: String,
-    #[serde(default = "all")]
+    #[serde(default = "default_dedup_scope")]
     dedup_scope: String,
     #[serde(default)]
     repeat_window: f64,
@@ -106,11 +106,11 @@
     retry_after: bool,
     #[serde(default)]
     max_retry_after: f64,
-    #[serde(default = "idle")]
+    #[serde(default = "default_idle_close")]
     idle_close: f64,
-    #[serde(default = "dial")]
+    #[serde(default = "default_dial_timeout")]
     dial_timeout: f64,
-    #[serde(default = "open")]
+    #[serde(default = "default_max_open")]
     max_open: u64,
 }
 
@@ -119,11 +119,11 @@
     cold_from: f64,
     ramp_time: f64,
     tip_multiple: f64,
-    #[serde(default = "ask")]
+    #[serde(default = "default_ask_within")]
     ask_within: f64,
     #[serde(default)]
     late_shedding: bool,
-    #[serde(default = "grace")]
+    #[serde(default = "default_drain_grace")]
     drain_grace: f64,
 }
 
@@ -133,29 +133,29 @@
     cross_zone: f64,
 }
 
-fn all() -> String {
+fn default_dedup_scope() -> String {
     "all".into()
 }
-fn idle() -> f64 {
+fn default_idle_close() -> f64 {
     Settings::default().idle_close
 }
-fn ask() -> f64 {
+fn default_ask_within() -> f64 {
     Settings::default().ask_within
 }
-fn dial() -> f64 {
+fn default_dial_timeout() -> f64 {
     250.0
 }
-fn grace() -> f64 {
+fn default_drain_grace() -> f64 {
     1000.0
 }
-fn open() -> u64 {
+fn default_max_open() -> u64 {
     20_000
 }
 
 /// Reads the settings of the decision module.
 ///
 /// # Errors
-/// A value is of the wrong type or out of its bounds; the message names its key.
+/// A value has the wrong type or is out of range; the message contains its key.
 pub fn parse(json: &[u8]) -> Result<Settings, String> {
     deployment(json).map(|d| d.policy)
 }
@@ -163,80 +163,85 @@
 /// Reads the settings of an instance.
 ///
 /// # Errors
-/// A value is of the wrong type or out of its bounds; the message names its key.
+/// A value has the wrong type or is out of range; the message contains its key.
 pub fn deployment(json: &[u8]) -> Result<Deployment, String> {
     let mut json = serde_json::Deserializer::from_slice(json);
-    // The path names the key of a value of the wrong type; the message alone does not.
-    let s: Setup = serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
-        path if path == "." => e.inner().to_string(),
-        path => format!("{path}: {}", e.inner()),
-    })?;
+    // The message for a value of the wrong type does not contain its key, so the path is added.
+    let setup: Setup =
+        serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
+            path if path == "." => e.inner().to_string(),
+            path => format!("{path}: {}", e.inner()),
+        })?;
     json.end().map_err(|e| e.to_string())?;
-    let ask_for_list = match s.membership_mode.as_str() {
+    let ask_for_list = match setup.membership_mode.as_str() {
         "pushed" => false,
         "on_request" => true,
         other => return Err(format!("membership_mode: unknown mode {other:?}")),
     };
     let settings = Settings {
-        index: s.index,
-        balancers: s.balancers,
-        stage: s.stage,
-        zone: s.zone,
-        classes: s.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: s.tenants.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
-        attempts_cap: s.permissions.attempts_cap,
-        cancel: s.permissions.cancel,
+        index: setup.index,
+        balancers: setup.balancers,
+        stage: setup.stage,
+        zone: setup.zone,
+        classes: setup.classes.iter().map(class).collect::<Result<_, _>>()?,
+        tenants: setup
+            .tenants
+            .iter()
+            .map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s })
+            .collect(),
+        attempts_cap: setup.permissions.attempts_cap,
+        cancel: setup.permissions.cancel,
         ask_for_list,
-        ask_within: s.invariants.ask_within,
-        idle_close: s.permissions.idle_close,
-        max_retry_after: if s.permissions.retry_after { s.permissions.max_retry_after } else { 0.0 },
-        cold_from: s.invariants.cold_from,
-        ramp_time: s.invariants.ramp_time,
-        tip_multiple: s.invariants.tip_multiple,
-        late_shedding: s.invariants.late_shedding,
-        cross_zone_price: s.charges.cross_zone,
-        // Of the operator's file, where it says so.
+        ask_within: setup.invariants.ask_within,
+        idle_close: setup.permissions.idle_close,
+        max_retry_after: if setup.permissions.retry_after { setup.permissions.max_retry_after } else { 0.0 },
+        cold_from: setup.invariants.cold_from,
+        ramp_time: setup.invariants.ramp_time,
+        tip_multiple: setup.invariants.tip_multiple,
+        late_shedding: setup.invariants.late_shedding,
+        cross_zone_price: setup.charges.cross_zone,
+        // Set by the operator's file, if at all.
         refuse_hopeless: false,
         tenant_retries: 0.0,
     };
     settings.validate().map_err(|e| e.to_string())?;
-    for (key, span) in [
-        ("permissions.dial_timeout", s.permissions.dial_timeout),
-        ("invariants.drain_grace", s.invariants.drain_grace),
+    for (key, duration_ms) in [
+        ("permissions.dial_timeout", setup.permissions.dial_timeout),
+        ("invariants.drain_grace", setup.invariants.drain_grace),
     ] {
-        if !(0.0..=1e9).contains(&span) {
+        if !(0.0..=1e9).contains(&duration_ms) {
             return Err(format!("{key}: must be a time of at least 0"));
         }
     }
     Ok(Deployment {
         policy: settings,
-        classes: s.classes.into_iter().map(|c| c.name).collect(),
-        tenants: s.tenants.into_iter().map(|t| t.name).collect(),
-        zones: s.dcs,
-        kinds: s.kinds,
-        dial_timeout: s.permissions.dial_timeout,
-        drain_grace: s.invariants.drain_grace,
-        max_open: s.permissions.max_open,
+        classes: setup.classes.into_iter().map(|c| c.name).collect(),
+        tenants: setup.tenants.into_iter().map(|t| t.name).collect(),
+        zones: setup.dcs,
+        kinds: setup.kinds,
+        dial_timeout: setup.permissions.dial_timeout,
+        drain_grace: setup.invariants.drain_grace,
+        max_open: setup.permissions.max_open,
     })
 }
 
-fn class(c: &ClassSetup) -> Result<Class, String> {
-    let effect = match c.effect.as_str() {
+fn class(setup: &ClassSetup) -> Result<Class, String> {
+    let effect = match setup.effect.as_str() {
         "free" => Effect::Free,
         "single_shot" => Effect::SingleShot,
         "guarded" => {
-            let scope = match c.dedup_scope.as_str() {
+            let scope = match setup.dedup_scope.as_str() {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
                 "cell" => DedupScope::Cell,
                 other => return Err(format!("classes.dedup_scope: unknown scope {other:?}")),
             };
-            Effect::Guarded { scope, window: c.repeat_window }
+            Effect::Guarded { scope, window: setup.repeat_window }
         }
         other => return Err(format!("classes.effect: unknown effect {other:?}")),
     };
-    let (runs_in, kinds_only) = (c.runs_in.clone(), c.kinds_only.clone());
-    let (objective, deadline, late_worth) = (c.objective, c.deadline, c.late_worth);
+    let (runs_in, kinds_only) = (setup.runs_in.clone(), setup.kinds_only.clone());
+    let (objective, deadline, late_worth) = (setup.objective, setup.deadline, setup.late_worth);
     Ok(Class { objective, deadline, effect, late_worth, runs_in, kinds_only })
 }
 
--- a/crates/foundations/config/src/operator.rs
+++ b/crates/foundations/config/src/operator.rs
@@ -1,7 +1,7 @@
-//! The operator's file: TOML, one table for each subsystem, every key optional, unknown keys refused.
+//! The operator's file: TOML with one table for each subsystem. Every key is optional, and unknown keys are rejected.
 //!
-//! Times are written with their unit (`250ms`, `10s`, `2m`) and sizes too (`256B`, `64KiB`, `1MiB`). Whatever is
-//! wrong is named with line, column and field. `deploy/herondock.example.toml` documents every key.
+//! Durations (`250ms`, `10s`, `2m`) and sizes (`256B`, `64KiB`, `1MiB`) are written with their unit. Errors contain line,
+//! column and field. `deploy/herondock.example.toml` documents every key.
 use crate::coordination::{CoordinationClientConfig, RawClientConfig};
 use crate::discovery::{DiscoveryConfig, RawConsul, RawRegistry, RawStatic};
 use crate::fastcgi::{FastCgi, RawFastCgi};
@@ -15,18 +15,18 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// One table: its keys with type, default, bounds, and whether they may change while the program runs.
+/// Defines a table: its keys with type, default, bounds, and whether a reload may change them.
 macro_rules! table {
-    ($(#[$about:meta])* $name:ident, $raw:ident, $path:literal, {
-        $($(#[$doc:meta])* $field:ident: $kind:ty = $default:expr, $least:expr, $most:expr, live: $live:literal;)*
+    ($(#[$table_doc:meta])* $name:ident, $raw:ident, $path:literal, {
+        $($(#[$doc:meta])* $field:ident: $kind:ty = $default:expr, $min:expr, $max:expr, reloadable: $reloadable:literal;)*
     } paths {
-        $($(#[$fdoc:meta])* $file:ident;)*
+        $($(#[$file_doc:meta])* $file:ident;)*
     }) => {
-        $(#[$about])*
+        $(#[$table_doc])*
         #[derive(Clone, Debug, PartialEq)]
         pub struct $name {
             $($(#[$doc])* pub $field: $kind,)*
-            $($(#[$fdoc])* pub $file: Option<PathBuf>,)*
+            $($(#[$file_doc])* pub $file: Option<PathBuf>,)*
         }
 
         impl Default for $name {
@@ -44,10 +44,10 @@
 
         impl $raw {
             fn resolve(self, text: &str) -> Result<$name, ConfigError> {
-                let d = $name::default();
+                let defaults = $name::default();
                 Ok($name {
                     $($field: quantity(
-                        text, concat!($path, ".", stringify!($field)), self.$field, d.$field, $least, $most,
+                        text, concat!($path, ".", stringify!($field)), self.$field, defaults.$field, $min, $max,
                     )?,)*
                     $($file: path_value(text, concat!($path, ".", stringify!($file)), self.$file)?,)*
                 })
@@ -55,16 +55,16 @@
         }
 
         impl $name {
-            /// Every key of the table with its default, as the file writes it; none for one that is absent.
+            /// Every key of the table with its default as written in the file; `None` if the key is absent by default.
             pub fn defaults() -> Vec<(&'static str, Option<String>)> {
-                let d = $name::default();
-                vec![$((stringify!($field), Some(d.$field.show())),)* $((stringify!($file), None),)*]
+                let defaults = $name::default();
+                vec![$((stringify!($field), Some(defaults.$field.to_text())),)* $((stringify!($file), None),)*]
             }
 
-            /// The keys that differ from `next` and can't change while the program runs.
+            /// Keys that differ from `next` and can't be changed by a reload.
             fn fixed(&self, next: &$name) -> Vec<&'static str> {
                 let mut names = Vec::new();
-                $(if !$live && self.$field != next.$field {
+                $(if !$reloadable && self.$field != next.$field {
                     names.push(concat!($path, ".", stringify!($field)));
                 })*
                 $(if self.$file != next.$file {
@@ -76,64 +76,65 @@
     };
 }
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 table! {
-    /// Sizes and waits at the sockets, towards callers and upstreams.
+    /// Limits of sizes and times on connections to clients and upstreams.
     Limits, RawLimits, "limits", {
-        /// Largest head of a message, both ways.
-        head: usize = 16 << 10, 8 << 10, 1 << 20, live: false;
-        /// Largest body, both ways.
-        body: usize = 64 << 10, 1 << 10, 64 << 20, live: true;
-        /// Longest id of a request.
-        request_id: usize = 256, 16, 4 << 10, live: true;
-        /// Largest list of members that is accepted from a source.
-        list: usize = 4 << 20, 64 << 10, 64 << 20, live: true;
-        /// How long a caller has for a request, counted from its connection or, on a kept one, from its first byte.
-        request_wait: Duration = ms(2500), ms(10), ms(600_000), live: true;
-        /// How long a caller that has been answered may keep its connection unused.
-        idle_wait: Duration = ms(10_000), ms(10), ms(3_600_000), live: true;
-        /// How long a connection that is to close, and owes no answer, has to take what was written.
-        flush_wait: Duration = ms(2000), ms(10), ms(60_000), live: true;
-        /// For how long what a caller goes on sending after it was turned away is read.
-        linger_wait: Duration = ms(500), ms(0), ms(60_000), live: true;
-        /// And how much of it.
-        linger: usize = 1 << 20, 0, 64 << 20, live: true;
-        /// When a caller may come again that found as many requests open as may be.
-        full_pause: Duration = ms(500), ms(1), ms(60_000), live: true;
-        /// How much sooner than the upstream would close it an idle connection is dropped.
-        upstream_idle_margin: Duration = ms(250), ms(0), ms(60_000), live: true;
+        /// Maximum size of the head of a request or response, in bytes.
+        head: usize = 16 << 10, 8 << 10, 1 << 20, reloadable: false;
+        /// Maximum size of the body of a request or response, in bytes.
+        body: usize = 64 << 10, 1 << 10, 64 << 20, reloadable: true;
+        /// Maximum length of a request id, in bytes.
+        request_id: usize = 256, 16, 4 << 10, reloadable: true;
+        /// Maximum size of an endpoint list from a source, in bytes.
+        list: usize = 4 << 20, 64 << 10, 64 << 20, reloadable: true;
+        /// Maximum time to receive a request, from the start of the connection or, on a kept connection, from the first
+        /// byte of the request.
+        request_wait: Duration = ms(2500), ms(10), ms(600_000), reloadable: true;
+        /// Maximum time that a client's connection may be idle after a response.
+        idle_wait: Duration = ms(10_000), ms(10), ms(3_600_000), reloadable: true;
+        /// Maximum time for a client to read the remaining output of a connection that is closing and has no open request.
+        flush_wait: Duration = ms(2000), ms(10), ms(60_000), reloadable: true;
+        /// Time for which the input of a rejected client is read and discarded.
+        linger_wait: Duration = ms(500), ms(0), ms(60_000), reloadable: true;
+        /// Maximum amount of a rejected client's input that is read and discarded, in bytes.
+        linger: usize = 1 << 20, 0, 64 << 20, reloadable: true;
+        /// Time after which a client may retry that was rejected because too many requests are open.
+        full_pause: Duration = ms(500), ms(1), ms(60_000), reloadable: true;
+        /// Time by which an idle connection is closed before the upstream would close it.
+        upstream_idle_margin: Duration = ms(250), ms(0), ms(60_000), reloadable: true;
     } paths {}
 }
 
 table! {
-    /// The process: its pid file, how it passes its sockets on, and how long its end takes.
+    /// Process settings: the pid file, the handoff of listening sockets, and the phases of the shutdown.
     Daemon, RawDaemon, "daemon", {
-        /// How long new connections are accepted after SIGTERM.
-        accepting: Duration = ms(500), ms(0), ms(600_000), live: false;
-        /// How long kept connections are served after it.
-        serving: Duration = ms(2400), ms(0), ms(600_000), live: false;
-        /// The last part of that, in which answers say that their connection closes.
-        announcing: Duration = ms(500), ms(0), ms(600_000), live: false;
-        /// When what is open then gets its final answer.
-        last_answer: Duration = ms(3500), ms(0), ms(600_000), live: false;
-        /// When the process ends.
-        end: Duration = ms(3650), ms(0), ms(600_000), live: false;
-        /// When connections that stay silent are closed after the sockets were passed on.
-        handed_over_silent: Duration = ms(10_000), ms(0), ms(600_000), live: false;
-        /// When what is open gets its final answer after the sockets were passed on.
-        handed_over: Duration = ms(60_000), ms(0), ms(600_000), live: false;
+        /// Time after SIGTERM for which new connections are accepted.
+        accepting: Duration = ms(500), ms(0), ms(600_000), reloadable: false;
+        /// Time after SIGTERM for which kept connections are served.
+        serving: Duration = ms(2400), ms(0), ms(600_000), reloadable: false;
+        /// Last part of `serving`, in which responses announce that their connection closes.
+        announcing: Duration = ms(500), ms(0), ms(600_000), reloadable: false;
+        /// Time after SIGTERM at which open requests get their final response.
+        last_answer: Duration = ms(3500), ms(0), ms(600_000), reloadable: false;
+        /// Time after SIGTERM at which the process exits.
+        end: Duration = ms(3650), ms(0), ms(600_000), reloadable: false;
+        /// Time after the handoff at which idle connections are closed.
+        handed_over_silent: Duration = ms(10_000), ms(0), ms(600_000), reloadable: false;
+        /// Time after the handoff at which open requests get their final response.
+        handed_over: Duration = ms(60_000), ms(0), ms(600_000), reloadable: false;
     } paths {
-        /// The pid file, locked while the process runs.
+        /// Pid file, which is locked while the process runs.
         pid_file;
-        /// The Unix socket at which a new process asks for the listening sockets.
+        /// Unix socket through which a new process requests the listening sockets.
         takeover;
     }
 }
 
-/// All that the operator's file says.
+/// Content of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     /// `[limits]`
@@ -148,7 +149,7 @@
     pub budget: BudgetTable,
     /// `[routing]`
     pub routing: Routing,
-    /// `[council]`; `None`: this instance belongs to none.
+    /// `[council]`; `None`: this instance does not use the coordination service.
     pub council: Option<CoordinationClientConfig>,
 }
 
@@ -164,7 +165,7 @@
     #[serde(default)]
     consul: Vec<RawConsul>,
     #[serde(default, rename = "static")]
-    fixed: Vec<RawStatic>,
+    static_tables: Vec<RawStatic>,
     #[serde(default)]
     fastcgi: RawFastCgi,
     #[serde(default)]
@@ -175,7 +176,7 @@
 }
 
 impl OperatorConfig {
-    /// The keys in which `next` differs and that can't change while the program runs.
+    /// Keys, or whole tables, that differ in `next` and can't be changed by a reload.
     pub fn fixed(&self, next: &OperatorConfig) -> Vec<&'static str> {
         let mut names = [self.limits.fixed(&next.limits), self.daemon.fixed(&next.daemon)].concat();
         if self.registry != next.registry {
@@ -194,16 +195,16 @@
     }
 }
 
-/// Reads the text of a file.
+/// Parses the content of an operator's file.
 ///
 /// # Errors
-/// The first fault, with its place.
+/// The first fault, with its position.
 pub fn parse(bytes: &[u8]) -> Result<OperatorConfig, ConfigError> {
     let (text, raw) = read_text::<Raw>(bytes)?;
     let fastcgi = crate::fastcgi::resolve(text, raw.fastcgi)?;
     let budget = crate::request_budget::resolve(text, raw.budget)?;
     let routing = crate::routing::resolve(text, raw.routing)?;
-    let registry = crate::discovery::resolve(text, raw.registry, raw.consul, raw.fixed)?;
+    let registry = crate::discovery::resolve(text, raw.registry, raw.consul, raw.static_tables)?;
     let operator = OperatorConfig {
         limits: raw.limits.resolve(text)?,
         daemon: raw.daemon.resolve(text)?,
@@ -211,18 +212,18 @@
         fastcgi,
         budget,
         routing,
-        council: raw.council.map(|c| c.resolve(text)).transpose()?,
+        council: raw.council.map(|council| council.resolve(text)).transpose()?,
     };
-    let d = &operator.daemon;
-    for (field, before, least, value) in [
-        ("daemon.serving", "accepting", d.accepting, d.serving),
-        ("daemon.last_answer", "serving", d.serving, d.last_answer),
-        ("daemon.end", "last_answer", d.last_answer, d.end),
-        ("daemon.handed_over", "handed_over_silent", d.handed_over_silent, d.handed_over),
+    let daemon = &operator.daemon;
+    for (field, previous, min, value) in [
+        ("daemon.serving", "accepting", daemon.accepting, daemon.serving),
+        ("daemon.last_answer", "serving", daemon.serving, daemon.last_answer),
+        ("daemon.end", "last_answer", daemon.last_answer, daemon.end),
+        ("daemon.handed_over", "handed_over_silent", daemon.handed_over_silent, daemon.handed_over),
     ] {
-        if value < least {
-            let what = format!("{} comes before {before}, {}", value.show(), least.show());
-            return Err(ConfigError { line: 0, column: 0, field: field.into(), what });
+        if value < min {
+            let message = format!("{} is before {previous}, {}", value.to_text(), min.to_text());
+            return Err(ConfigError { line: 0, column: 0, field: field.into(), message });
         }
     }
     Ok(operator)
@@ -231,12 +232,12 @@
 /// Reads the operator's file.
 ///
 /// # Errors
-/// One line: the file's path, then line and column where there are any, the field, and what is wrong.
+/// One line: the path, line and column if known, the field, and the fault.
 pub fn read(path: &Path) -> Result<OperatorConfig, ConfigFileError> {
     read_config(path, parse)
 }
 
-/// Whether a line of a file is the header of this table.
+/// Whether a file contains the header of a table as a line; `false` if it can't be read.
 pub(crate) fn has_table(path: &Path, header: &str) -> bool {
     let bytes = read_consistent(path, MAX_FILE_BYTES).unwrap_or_default();
     String::from_utf8_lossy(&bytes).lines().any(|line| line.trim() == header)
--- a/crates/foundations/config/src/request_budget.rs
+++ b/crates/foundations/config/src/request_budget.rs
@@ -1,51 +1,51 @@
-//! The table `[budget]` of the operator's file: what a request may still use on its way through the tiers.
+//! Table `[budget]` of the operator's file: limits of retries and hops of a request across all tiers.
 use crate::values::{fault_at, path_value, ConfigError};
 use serde::Deserialize;
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// The most repeats that can be allowed for one request.
+/// Upper bound of the number of retries of one request.
 const MAX_RETRIES: i64 = 100;
-/// And the most hops.
+/// Upper bound of the number of hops of one request.
 const MAX_HOPS: i64 = 64;
-/// Longest name of a pool.
+/// Maximum length of a pool's name, in bytes.
 const MAX_POOL_BYTES: usize = 128;
-/// Longest name of a field.
+/// Maximum length of a header field's name, in bytes.
 const MAX_FIELD_BYTES: usize = 64;
 
-/// Budgets across tiers.
+/// Settings of request budgets across tiers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetTable {
-    /// What this tier's instances are called together; none: budgets are neither read nor written.
+    /// Common name of this tier's instances; `None`: budgets are neither read nor written.
     pub pool: Option<String>,
-    /// The file with the secret that the pool's mark is made with, the same for all its instances.
+    /// File with the secret that the pool's mark is made with; it must be the same for all instances of the pool.
     pub secret_file: Option<PathBuf>,
-    /// Whether HTTP callers are believed.
+    /// Whether budgets of HTTP clients are trusted.
     pub trust_http: bool,
-    /// Whether FastCGI callers are.
+    /// Whether budgets of FastCGI clients are trusted.
     pub trust_fastcgi: bool,
-    /// Most repeats of a request, over all tiers.
+    /// Maximum number of retries of a request across all tiers.
     pub retries: u32,
-    /// Most hops that a request may have behind it.
+    /// Maximum number of hops that a request may have made.
     pub hops: usize,
-    /// What a caller's own repeat is worth, 0 to 1.
+    /// Worth of a client's own retry, 0 to 1.
     pub repeat_worth: f64,
-    /// Whether a request is refused at once that can't be answered in time any more.
+    /// Whether a request that can't be answered before its deadline any more is refused at once.
     pub refuse_hopeless: bool,
-    /// Repeats for each first attempt of a tenant; 0: no bound of its own.
+    /// Maximum number of retries per first attempt of a tenant; 0: no limit per tenant.
     pub tenant_retries: f64,
-    /// Names of the fields.
+    /// Names of the header fields.
     pub names: FieldNames,
 }
 
-/// Names of the fields, in small letters.
+/// Names of the header fields, in lower case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldNames {
-    /// What may still be used, in requests.
+    /// Request field with the remaining budget.
     pub budget: String,
-    /// Where a request has been.
+    /// Request field with the hops that the request has made.
     pub path: String,
-    /// What was used, in answers.
+    /// Response field with the budget that was used.
     pub used: String,
 }
 
@@ -96,19 +96,21 @@
     used: Option<Spanned<String>>,
 }
 
+/// Checks the table and applies the defaults.
 pub(crate) fn resolve(text: &str, raw: RawBudget) -> Result<BudgetTable, ConfigError> {
-    let d = BudgetTable::default();
-    let fault = |at: usize, field: &str, what: String| fault_at(text, at, &format!("budget.{field}"), what);
+    let defaults = BudgetTable::default();
+    let fault =
+        |at: usize, field: &str, message: String| fault_at(text, at, &format!("budget.{field}"), message);
     if let Some(pool) = &raw.pool {
-        let plain = |c: char| c.is_ascii_graphic();
+        let is_allowed = |c: char| c.is_ascii_graphic();
         if pool.get_ref().is_empty()
             || pool.get_ref().len() > MAX_POOL_BYTES
-            || !pool.get_ref().chars().all(plain)
+            || !pool.get_ref().chars().all(is_allowed)
         {
             return Err(fault(
                 pool.span().start,
                 "pool",
-                format!("is no name of 1 to {MAX_POOL_BYTES} visible characters"),
+                format!("is not a name of 1 to {MAX_POOL_BYTES} visible ASCII characters"),
             ));
         }
     }
@@ -121,49 +123,49 @@
                 return Err(fault(
                     front.span().start,
                     "trust",
-                    format!("{other:?} is none of http, fastcgi"),
+                    format!("{other:?} is not one of http, fastcgi"),
                 ));
             }
         }
     }
-    let whole = |field: &str, given: Option<Spanned<i64>>, default: i64, least: i64, most: i64| match given {
+    let integer = |field: &str, given: Option<Spanned<i64>>, default: i64, min: i64, max: i64| match given {
         None => Ok(default),
-        Some(n) if (least..=most).contains(n.get_ref()) => Ok(n.into_inner()),
-        Some(n) => Err(fault(n.span().start, field, format!("is not between {least} and {most}"))),
+        Some(value) if (min..=max).contains(value.get_ref()) => Ok(value.into_inner()),
+        Some(value) => Err(fault(value.span().start, field, format!("is not between {min} and {max}"))),
     };
-    let part = |field: &str, given: Option<Spanned<f64>>, default: f64| match given {
+    let fraction = |field: &str, given: Option<Spanned<f64>>, default: f64| match given {
         None => Ok(default),
-        Some(n) if (0.0..=1.0).contains(n.get_ref()) => Ok(n.into_inner()),
-        Some(n) => Err(fault(n.span().start, field, "is not between 0.0 and 1.0".into())),
+        Some(value) if (0.0..=1.0).contains(value.get_ref()) => Ok(value.into_inner()),
+        Some(value) => Err(fault(value.span().start, field, "is not between 0.0 and 1.0".into())),
     };
     let name = |field: &str, given: Option<Spanned<String>>, default: String| {
         let Some(given) = given else { return Ok(default) };
-        let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+        let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
         if given.get_ref().is_empty()
             || given.get_ref().len() > MAX_FIELD_BYTES
-            || !given.get_ref().bytes().all(plain)
+            || !given.get_ref().bytes().all(is_allowed)
         {
-            let what = "is no name of small letters, digits and -".into();
-            return Err(fault(given.span().start, &format!("names.{field}"), what));
+            let message = "is not a name of lower-case letters, digits and -".into();
+            return Err(fault(given.span().start, &format!("names.{field}"), message));
         }
         Ok(given.into_inner())
     };
-    let retries = whole("retries", raw.retries, d.retries.into(), 0, MAX_RETRIES)?;
-    let hops = whole("hops", raw.hops, i64::try_from(d.hops).unwrap_or(MAX_HOPS), 1, MAX_HOPS)?;
-    let n = raw.names;
+    let retries = integer("retries", raw.retries, defaults.retries.into(), 0, MAX_RETRIES)?;
+    let hops = integer("hops", raw.hops, i64::try_from(defaults.hops).unwrap_or(MAX_HOPS), 1, MAX_HOPS)?;
+    let raw_names = raw.names;
     let names = FieldNames {
-        budget: name("budget", n.budget, d.names.budget)?,
-        path: name("path", n.path, d.names.path)?,
-        used: name("used", n.used, d.names.used)?,
+        budget: name("budget", raw_names.budget, defaults.names.budget)?,
+        path: name("path", raw_names.path, defaults.names.path)?,
+        used: name("used", raw_names.used, defaults.names.used)?,
     };
-    // Guards against one field that stands for two things, and against one that the program needs for something else.
-    let taken =
+    // Each field must have a name of its own, which the program does not use for another purpose.
+    let reserved =
         ["req-id", "req-kind", "req-owner", "req-deadline", "idempotency-key", "srv-declined", "host"];
-    let all = [&names.budget, &names.path, &names.used];
-    for (k, own) in all.iter().enumerate() {
-        if taken.contains(&own.as_str()) || all[..k].contains(own) {
-            let what = format!("{own:?} is the name of something else");
-            return Err(ConfigError { line: 0, column: 0, field: "budget.names".into(), what });
+    let configured = [&names.budget, &names.path, &names.used];
+    for (index, own) in configured.iter().enumerate() {
+        if reserved.contains(&own.as_str()) || configured[..index].contains(own) {
+            let message = format!("{own:?} is reserved or used twice");
+            return Err(ConfigError { line: 0, column: 0, field: "budget.names".into(), message });
         }
     }
     Ok(BudgetTable {
@@ -171,12 +173,12 @@
         secret_file: path_value(text, "budget.secret_file", raw.secret_file)?,
         trust_http,
         trust_fastcgi,
-        // Within their bounds by now.
-        retries: u32::try_from(retries).unwrap_or(d.retries),
-        hops: usize::try_from(hops).unwrap_or(d.hops),
-        repeat_worth: part("repeat_worth", raw.repeat_worth, d.repeat_worth)?,
-        refuse_hopeless: raw.refuse_hopeless.unwrap_or(d.refuse_hopeless),
-        tenant_retries: part("tenant_retries", raw.tenant_retries, d.tenant_retries)?,
+        // Both values were checked above, so the conversions can't fail.
+        retries: u32::try_from(retries).unwrap_or(defaults.retries),
+        hops: usize::try_from(hops).unwrap_or(defaults.hops),
+        repeat_worth: fraction("repeat_worth", raw.repeat_worth, defaults.repeat_worth)?,
+        refuse_hopeless: raw.refuse_hopeless.unwrap_or(defaults.refuse_hopeless),
+        tenant_retries: fraction("tenant_retries", raw.tenant_retries, defaults.tenant_retries)?,
         names,
     })
 }
--- a/crates/foundations/config/src/rollout.rs
+++ b/crates/foundations/config/src/rollout.rs
@@ -12,29 +12,29 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Table by which such a file is recognised.
+/// Table by which the file of a rollout is recognized.
 const ROLLOUT_TABLE: &str = "[release]";
 /// Maximum number of machines with paths of their own.
 const MAX_MACHINES: usize = 4096;
-/// Longest path of a build, in bytes.
+/// Maximum length of a build's path, in bytes.
 const MAX_PATH_BYTES: usize = 1024;
 /// Default of `bake`, in milliseconds.
 const DEFAULT_BAKE_MS: u64 = 600_000;
-/// Smallest duration, in milliseconds.
+/// Minimum of all durations, in milliseconds.
 const MIN_DURATION_MS: u64 = 100;
-/// Largest `bake`, in milliseconds: a day.
+/// Maximum of `bake`, in milliseconds: a day.
 const MAX_BAKE_MS: u64 = 86_400_000;
-/// Largest `cap`, in milliseconds: a week.
+/// Maximum of `cap`, in milliseconds: a week.
 const MAX_CAP_MS: u64 = 7 * MAX_BAKE_MS;
-/// By default a stage is checked so often within `bake`.
+/// Default number of checks of a stage within `bake`.
 const CHECKS_PER_BAKE: u64 = 5;
-/// By default `cap` is so many times `bake`.
+/// Default of `cap`, as a multiple of `bake`.
 const BAKES_PER_CAP: u64 = 3;
 /// Default of the memory threshold, in bytes.
 const DEFAULT_MEMORY_BYTES: usize = 8 << 20;
-/// Largest memory threshold, in bytes.
+/// Maximum of the memory threshold, in bytes.
 const MAX_MEMORY_BYTES: usize = 1 << 40;
-/// Bytes in a MB.
+/// Bytes per MB, the unit of the memory threshold of [`CanaryAnalysis`].
 const MB: u32 = 1 << 20;
 
 /// Content of the file.
@@ -58,7 +58,7 @@
     pub auto_rollback: bool,
     /// Analysis that compares the builds.
     pub analysis: CanaryAnalysis,
-    /// Reason, for operators.
+    /// Reason for the rollout, shown to operators.
     pub reason: String,
 }
 
@@ -104,7 +104,7 @@
     new: Option<Spanned<String>>,
 }
 
-/// Times of a rollout.
+/// Durations of a rollout.
 struct Durations {
     bake: Duration,
     check_interval: Duration,
@@ -112,7 +112,8 @@
 }
 
 impl Durations {
-    /// Maximum number of checks in a rollout. Not more than that, as each costs power of the analysis.
+    /// Maximum number of checks in a rollout. The bound is tight, because each check costs statistical power of the
+    /// analysis.
     fn max_checks(&self, stages: usize) -> u32 {
         let interval_ms = self.check_interval.as_millis().max(1);
         let checks_per_stage = self.max_bake.as_millis().div_ceil(interval_ms) + 1;
@@ -123,7 +124,7 @@
 fn path(table: &TableReader<'_>, key: &str, value: &Spanned<String>) -> Result<String, ConfigError> {
     let path = value.get_ref();
     if path.len() > MAX_PATH_BYTES || !Path::new(path).is_absolute() {
-        let message = format!("{path:?} is no absolute path of at most {MAX_PATH_BYTES} bytes");
+        let message = format!("{path:?} is not an absolute path of at most {MAX_PATH_BYTES} bytes");
         return Err(table.error(value.span().start, key, message));
     }
     Ok(path.clone())
@@ -132,7 +133,7 @@
 fn stage(table: &TableReader<'_>, key: &str, value: &Spanned<String>) -> Result<Stage, ConfigError> {
     let error = |message: &str| Err(table.error(value.span().start, key, message.into()));
     match value.get_ref().parse::<u32>() {
-        Ok(0) => error("is no count above 0"),
+        Ok(0) => error("is not a count above 0"),
         Ok(count) => Ok(Stage::Count(count)),
         Err(_) => match table.share(key, value)? {
             0 => error("is 0 %"),
@@ -154,7 +155,7 @@
     fn check_stage_count(&self, table: &TableReader<'_>) -> Result<(), ConfigError> {
         let count = self.waves.get_ref().len();
         if !(1..=MAX_STAGES).contains(&count) {
-            let message = format!("there are {count}, and not 1 to {MAX_STAGES}");
+            let message = format!("there are {count} instead of 1 to {MAX_STAGES}");
             return Err(table.error(self.waves.span().start, "waves", message));
         }
         Ok(())
@@ -162,7 +163,7 @@
 
     fn stages(&self, table: &TableReader<'_>) -> Result<Vec<Stage>, ConfigError> {
         let stages = self.waves.get_ref();
-        let resolve = |(k, value)| stage(table, &format!("waves[{k}]"), value);
+        let resolve = |(index, value)| stage(table, &format!("waves[{index}]"), value);
         stages.iter().enumerate().map(resolve).collect()
     }
 
@@ -182,7 +183,7 @@
     }
 }
 
-/// Least amounts that the analysis takes into account.
+/// Minimum amounts that the analysis takes into account.
 struct AnalysisMinimums {
     memory_bytes: usize,
     requests: u64,
@@ -233,7 +234,7 @@
 
 fn min_requests(table: &TableReader<'_>, value: &Spanned<i64>) -> Result<u64, ConfigError> {
     let requests = u64::try_from(*value.get_ref()).ok().filter(|&requests| requests > 0);
-    requests.ok_or_else(|| table.error(value.span().start, "requests", "is no count above 0".into()))
+    requests.ok_or_else(|| table.error(value.span().start, "requests", "is not a count above 0".into()))
 }
 
 /// Paths on machines where they differ from `default`.
@@ -243,11 +244,11 @@
     default: &BuildPaths,
 ) -> Result<BTreeMap<String, BuildPaths>, ConfigError> {
     let mut paths = BTreeMap::new();
-    for (k, machine) in machines.iter().enumerate() {
-        let table = TableReader { text, path: format!("machine[{k}]") };
+    for (index, machine) in machines.iter().enumerate() {
+        let table = TableReader { text, path: format!("machine[{index}]") };
         let name = machine.name.get_ref();
-        if k >= MAX_MACHINES || paths.contains_key(name) {
-            let message = format!("{name:?} is named twice, or there are over {MAX_MACHINES}");
+        if index >= MAX_MACHINES || paths.contains_key(name) {
+            let message = format!("{name:?} is repeated, or there are more than {MAX_MACHINES} machines");
             return Err(table.error(machine.name.span().start, "name", message));
         }
         let path_or = |key: &str, value: Option<&Spanned<String>>, default: &String| match value {
@@ -266,7 +267,7 @@
 /// Parses the text of a file.
 ///
 /// # Errors
-/// The first fault, with its place.
+/// The first fault, with its position.
 pub fn parse(bytes: &[u8]) -> Result<RolloutConfig, ConfigError> {
     let (text, raw) = read_text::<RawConfig>(bytes)?;
     let RawConfig { council, release: mut rollout, gate: mut analysis, machine: machines } = raw;
@@ -298,7 +299,7 @@
 /// Reads a file.
 ///
 /// # Errors
-/// One line: the path, line and column if known, the field, and what is wrong.
+/// One line: the path, line and column if known, the field, and the fault.
 pub fn read(path: &Path) -> Result<RolloutConfig, ConfigFileError> {
     read_config(path, parse)
 }
--- a/crates/foundations/config/src/routing.rs
+++ b/crates/foundations/config/src/routing.rs
@@ -16,19 +16,19 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Most files with expectations.
+/// Maximum number of files with expectations.
 const MAX_EXPECTATION_FILES: usize = 64;
-/// Largest file with routes or expectations: 16 times an operator's file.
+/// Maximum size of a file with routes or expectations, in bytes: 16 times that of an operator's file.
 const MAX_TABLE_BYTES: u64 = MAX_FILE_BYTES * 16;
-/// Most attempts that a route may allow.
+/// Maximum number of attempts that a route may allow.
 const MAX_ATTEMPTS: u32 = 100;
 /// Protocols that a pool may require.
 const PROTOCOLS: [&str; 2] = ["http", "fastcgi"];
 
-/// `[routing]` of the operator's file.
+/// Table `[routing]` of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routing {
-    /// The file with pools and routes; none: all requests go to one pool of all members.
+    /// File with pools and routes; `None`: all requests go to one pool of all endpoints.
     pub table: Option<PathBuf>,
     /// Files with expectations.
     pub expect: Vec<PathBuf>,
@@ -42,17 +42,18 @@
     expect: Vec<Spanned<String>>,
 }
 
+/// Checks the table `[routing]`.
 pub(crate) fn resolve(text: &str, raw: RawRouting) -> Result<Routing, ConfigError> {
     let path = |field: &str, given: &Spanned<String>| {
         let value = given.get_ref();
         if value.is_empty() || value.len() > 4096 || value.contains('\0') {
-            return Err(fault_at(text, given.span().start, field, "is no path".into()));
+            return Err(fault_at(text, given.span().start, field, "is not a valid path".into()));
         }
         Ok(PathBuf::from(value))
     };
-    if let Some(more) = raw.expect.get(MAX_EXPECTATION_FILES) {
-        let what = format!("there are more than {MAX_EXPECTATION_FILES}");
-        return Err(fault_at(text, more.span().start, "routing.expect", what));
+    if let Some(excess) = raw.expect.get(MAX_EXPECTATION_FILES) {
+        let message = format!("there are more than {MAX_EXPECTATION_FILES}");
+        return Err(fault_at(text, excess.span().start, "routing.expect", message));
     }
     Ok(Routing {
         table: raw.table.as_ref().map(|t| path("routing.table", t)).transpose()?,
@@ -96,7 +97,7 @@
     OneOf(Vec<String>),
 }
 
-/// Conditions, in routes and expectations alike.
+/// Conditions of routes and expectations.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 struct RawWhen {
@@ -136,7 +137,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawRequestLimits {
+struct RawAtMost {
     pool: String,
     part: Spanned<i64>,
 }
@@ -150,21 +151,21 @@
     only: Option<Vec<String>>,
     cells: Option<Vec<u16>>,
     only_these: Option<String>,
-    at_most: Option<RawRequestLimits>,
+    at_most: Option<RawAtMost>,
     refused: Option<bool>,
     never_retried: Option<bool>,
     routed: Option<bool>,
     apart: Option<bool>,
 }
 
-fn when(raw: RawWhen) -> Conditions {
-    let header = |(name, is)| {
-        let is = match is {
-            RawHeader::There(there) => HeaderIs::There(there),
+fn conditions(raw: RawWhen) -> Conditions {
+    let header = |(name, value)| {
+        let condition = match value {
+            RawHeader::There(present) => HeaderIs::There(present),
             RawHeader::One(value) => HeaderIs::OneOf(vec![value]),
             RawHeader::OneOf(values) => HeaderIs::OneOf(values),
         };
-        (name, is)
+        (name, condition)
     };
     Conditions {
         fronts: raw.front,
@@ -178,10 +179,11 @@
     }
 }
 
-type Parts = (Vec<Pool>, Vec<Route>, Vec<Expectation>);
+/// Pools, routes and expectations of a file.
+type ParsedFile = (Vec<Pool>, Vec<Route>, Vec<Expectation>);
 
-/// Reads the text of a file.
-fn parse(name: &str, bytes: &[u8]) -> Result<Parts, ConfigError> {
+/// Parses the content of a file; `name` is its path in error messages.
+fn parse(name: &str, bytes: &[u8]) -> Result<ParsedFile, ConfigError> {
     let (text, raw) = read_text::<RawFile>(bytes)?;
     let source = SourceText { file: name.into(), text };
     Ok((
@@ -194,7 +196,7 @@
     ))
 }
 
-/// A file's text, for the locations of what it contains.
+/// Path and text of a file, to locate its items.
 struct SourceText<'a> {
     file: Arc<str>,
     text: &'a str,
@@ -212,7 +214,7 @@
 
     fn pool(&self, pool: RawPool) -> Result<Pool, ConfigError> {
         if let Some(speaks) = pool.speaks.as_ref().filter(|s| !PROTOCOLS.contains(&s.get_ref().as_str())) {
-            let message = format!("{:?} is none of {}", speaks.get_ref(), PROTOCOLS.join(", "));
+            let message = format!("{:?} is not one of {}", speaks.get_ref(), PROTOCOLS.join(", "));
             return Err(fault_at(self.text, speaks.span().start, "pool.speaks", message));
         }
         Ok(Pool {
@@ -235,7 +237,7 @@
             (None, None, false) => Destination::Split(split_key, route.split.into_iter().collect()),
             _ => {
                 let offset = route.name.span().start;
-                return Err(self.route_error(offset, "to", "needs one of to, refuse and split, and no more"));
+                return Err(self.route_error(offset, "to", "requires exactly one of to, refuse and split"));
             }
         };
         Ok(Route {
@@ -244,7 +246,7 @@
             place: self.location(&route.name),
             name: route.name.into_inner(),
             precedence: route.precedence,
-            when: when(route.when),
+            when: conditions(route.when),
             to,
             fallback: route.fallback,
         })
@@ -258,11 +260,12 @@
             "key" => Ok(SplitKey::Key),
             "club" => Ok(SplitKey::Club),
             "id" => Ok(SplitKey::Id),
-            _ => Err(self.route_error(key.span().start, "split_by", "is none of key, club, id")),
+            _ => Err(self.route_error(key.span().start, "split_by", "is not one of key, club, id")),
         }
     }
 
-    /// Attempts that a route allows, from its fields `attempts` and `retry`; `None` for those of the class.
+    /// Maximum number of attempts of a route, from its fields `attempts` and `retry`; `None`: the limit of the class
+    /// applies.
     fn attempts(
         &self,
         attempts: Option<&Spanned<i64>>,
@@ -276,7 +279,7 @@
                 Ok(Some(count))
             }
             _ => {
-                let message = format!("is not between 1 and {MAX_ATTEMPTS}, or more than retry allows");
+                let message = format!("is not between 1 and {MAX_ATTEMPTS}, or more than `retry` allows");
                 Err(self.route_error(attempts.span().start, "attempts", &message))
             }
         }
@@ -286,9 +289,9 @@
         let Some(time) = time else {
             return Ok(None);
         };
-        match Duration::read(time.get_ref()) {
+        match Duration::parse(time.get_ref()) {
             Ok(duration) if !duration.is_zero() => Ok(u64::try_from(duration.as_millis()).ok()),
-            Ok(_) => Err(self.route_error(time.span().start, "time", "is no time")),
+            Ok(_) => Err(self.route_error(time.span().start, "time", "is zero")),
             Err(message) => Err(self.route_error(time.span().start, "time", &message)),
         }
     }
@@ -307,19 +310,20 @@
         ];
         let mut claims = claims.into_iter().flatten();
         let (Some(claim), None) = (claims.next(), claims.next()) else {
-            let message = "needs one claim, which is not false: only, cells, only_these, at_most, refused, \
+            let message =
+                "requires exactly one claim that is not false: only, cells, only_these, at_most, refused, \
                            never_retried, routed or apart";
             return Err(fault_at(self.text, offset, "expect", message.into()));
         };
         Ok(Expectation {
             place: self.location(&expectation.name),
             name: expectation.name.into_inner(),
-            when: when(expectation.when),
+            when: conditions(expectation.when),
             claim,
         })
     }
 
-    fn at_most(&self, limit: RawRequestLimits) -> Result<Claim, ConfigError> {
+    fn at_most(&self, limit: RawAtMost) -> Result<Claim, ConfigError> {
         match u32::try_from(*limit.part.get_ref()) {
             Ok(part) if part <= TOTAL_WEIGHT => Ok(Claim::AtMost(limit.pool, part)),
             _ => {
@@ -330,58 +334,62 @@
     }
 }
 
-/// The names that routes may use.
-pub fn world(d: &Deployment) -> KnownNames {
+/// Names of a deployment that routes may use.
+pub fn world(deployment: &Deployment) -> KnownNames {
     KnownNames {
-        classes: d.classes.clone(),
-        clubs: d.tenants.clone(),
-        keyed: d.policy.classes.iter().map(|c| matches!(c.effect, Effect::Guarded { .. })).collect(),
-        zones: d.zones.clone(),
-        kinds: d.kinds.clone(),
+        classes: deployment.classes.clone(),
+        clubs: deployment.tenants.clone(),
+        keyed: deployment.policy.classes.iter().map(|c| matches!(c.effect, Effect::Guarded { .. })).collect(),
+        zones: deployment.zones.clone(),
+        kinds: deployment.kinds.clone(),
     }
 }
 
-fn file(path: &Path) -> Result<Parts, String> {
+fn read_file(path: &Path) -> Result<ParsedFile, String> {
     let name = path.display().to_string();
     let bytes = read_consistent(path, MAX_TABLE_BYTES).map_err(|e| format!("{name}: {e}"))?;
-    parse(&name, &bytes).map_err(|fault| format!("{name}: {fault}"))
+    parse(&name, &bytes).map_err(|error| format!("{name}: {error}"))
 }
 
-/// Reads the table and its expectations, and checks it. Relative paths begin at `base`. `None`: there is no table.
+/// Reads and checks the table of routes, and reads the expectations without proving them. Relative paths are resolved
+/// against `base`. Returns `None` if no table is configured.
 ///
 /// # Errors
-/// All that is wrong, each with its file and line.
+/// All faults, each with its file and, if known, its line.
 pub fn read(
     routing: &Routing,
     base: &Path,
-    world: &KnownNames,
+    known_names: &KnownNames,
 ) -> Result<Option<(Table, Vec<Expectation>)>, Vec<String>> {
     let Some(path) = &routing.table else {
-        let none = routing.expect.is_empty();
-        return if none { Ok(None) } else { Err(vec!["routing.expect: there is no routing.table".into()]) };
+        let is_unused = routing.expect.is_empty();
+        return if is_unused { Ok(None) } else { Err(vec!["routing.expect: requires routing.table".into()]) };
     };
-    let (pools, routes, mut expects) = file(&base.join(path)).map_err(|e| vec![e])?;
+    let (pools, routes, mut expectations) = read_file(&base.join(path)).map_err(|e| vec![e])?;
     for path in &routing.expect {
-        let (pools, routes, more) = file(&base.join(path)).map_err(|e| vec![e])?;
+        let (pools, routes, additional) = read_file(&base.join(path)).map_err(|e| vec![e])?;
         if !pools.is_empty() || !routes.is_empty() {
-            return Err(vec![format!("{}: pools and routes belong into the table's file", path.display())]);
+            return Err(vec![format!(
+                "{}: pools and routes are only allowed in the file of routing.table",
+                path.display()
+            )]);
         }
-        expects.extend(more);
+        expectations.extend(additional);
     }
-    let table = Table::new(world.clone(), pools, routes).map_err(lines)?;
-    Ok(Some((table, expects)))
+    let table = Table::new(known_names.clone(), pools, routes).map_err(messages)?;
+    Ok(Some((table, expectations)))
 }
 
-fn lines(all: Vec<TableError>) -> Vec<String> {
-    all.iter().map(ToString::to_string).collect()
+fn messages(errors: Vec<TableError>) -> Vec<String> {
+    errors.iter().map(ToString::to_string).collect()
 }
 
-/// The same, and proves the expectations.
+/// Reads and checks the table of routes as [`read`] does, and proves the expectations.
 ///
 /// # Errors
-/// All that is wrong, each with its file and line.
-pub fn load(routing: &Routing, base: &Path, world: &KnownNames) -> Result<Option<Table>, Vec<String>> {
-    let Some((table, expects)) = read(routing, base, world)? else { return Ok(None) };
-    prove(&table, &expects).map_err(lines)?;
+/// All faults, each with its file and, if known, its line.
+pub fn load(routing: &Routing, base: &Path, known_names: &KnownNames) -> Result<Option<Table>, Vec<String>> {
+    let Some((table, expectations)) = read(routing, base, known_names)? else { return Ok(None) };
+    prove(&table, &expectations).map_err(messages)?;
     Ok(Some(table))
 }
--- a/crates/foundations/config/src/share.rs
+++ b/crates/foundations/config/src/share.rs
@@ -1,18 +1,18 @@
-//! Percentages in operators' files.
+//! Percentages in configuration files.
 use crate::table_reader::TableReader;
 use crate::values::ConfigError;
 use toml::Spanned;
 
-/// Thousandths in a whole.
+/// Thousandths that make 100 %.
 const PER_MILLE: u32 = 1000;
 
 impl TableReader<'_> {
-    /// A percentage with at most one decimal place, in thousandths.
+    /// Parses a percentage with at most one decimal place; the result is in thousandths.
     pub(crate) fn share(&self, key: &str, value: &Spanned<String>) -> Result<u32, ConfigError> {
         let text = value.get_ref();
         parse_share(text).ok_or_else(|| {
             let message =
-                format!("{text:?} is no percentage between 0 % and 100 %, such as \"10 %\" or \"2.5 %\"");
+                format!("{text:?} is not a percentage between 0 % and 100 %, such as \"10 %\" or \"2.5 %\"");
             self.error(value.span().start, key, message)
         })
     }
@@ -25,7 +25,7 @@
     (share <= PER_MILLE).then_some(share)
 }
 
-/// A number of 1 to `max_digits` decimal digits.
+/// Parses a number of 1 to `max_digits` decimal digits.
 fn digits(text: &str, max_digits: usize) -> Option<u32> {
     let is_number =
         !text.is_empty() && text.len() <= max_digits && text.bytes().all(|byte| byte.is_ascii_digit());
--- a/crates/foundations/config/src/supervisor.rs
+++ b/crates/foundations/config/src/supervisor.rs
@@ -12,15 +12,15 @@
 
 /// Maximum number of instances of one supervisor.
 pub const MAX_INSTANCES: usize = 4096;
-/// Longest name of an instance, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 32;
-/// Longest path of a Unix socket, in bytes (`sun_path` of Linux, less its terminator).
+/// Maximum length of a Unix socket's path, in bytes (`sun_path` of Linux, less its terminator).
 const MAX_SOCKET_PATH_BYTES: usize = 107;
-/// Longest path of the folder, in bytes, so that `FOLDER/NAME.sock` is a valid socket path.
+/// Maximum length of the folder's path, in bytes, so that `FOLDER/NAME.sock` is a valid socket path.
 const MAX_FOLDER_BYTES: usize = MAX_SOCKET_PATH_BYTES - MAX_NAME_BYTES - "/.sock".len();
-/// Largest value of `crashes`.
+/// Maximum of `crashes`.
 const MAX_CRASH_LIMIT: usize = 1000;
-/// Largest duration in the file, in milliseconds.
+/// Maximum of all durations in the file, in milliseconds.
 const ONE_HOUR_MS: u64 = 3_600_000;
 
 /// Configuration of a supervisor.
@@ -30,7 +30,7 @@
     pub folder: PathBuf,
     /// Timeouts and limits.
     pub policy: SupervisorPolicy,
-    /// `[council]`: the coordination service; `None` if the supervisor does not use one.
+    /// `[council]`: client of the coordination service; `None` if the supervisor does not use one.
     pub coordination: Option<CoordinationClientConfig>,
     /// Name of this machine in the coordination service.
     pub machine: Option<String>,
@@ -53,7 +53,7 @@
     pub operator: Option<PathBuf>,
 }
 
-/// The file as it is written.
+/// Content of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawFile {
@@ -95,7 +95,7 @@
 /// Parses the file's content.
 ///
 /// # Errors
-/// The first fault, with its place.
+/// The first fault, with its position.
 pub fn parse(bytes: &[u8]) -> Result<FleetConfig, ConfigError> {
     let (text, raw) = read_text::<RawFile>(bytes)?;
     let RawFile { fleet, council, instance: raw_instances } = raw;
@@ -107,23 +107,23 @@
     let tier = optional_name(&table, "tier", fleet.tier.clone())?.unwrap_or_default();
     let coordination = council.map(|raw| raw.resolve(text)).transpose()?;
     if coordination.is_some() && machine.is_none() {
-        return Err(file_error("fleet.machine", "is needed with [council]"));
+        return Err(file_error("fleet.machine", "is required with [council]"));
     }
     let instances = read_instances(text, raw_instances, default_operator.as_ref())?;
     let policy = read_policy(&table, fleet, coordination.is_some())?;
     Ok(FleetConfig { folder, policy, coordination, machine, zone, tier, instances })
 }
 
-/// Fault of the file as a whole.
+/// Error that concerns the whole file.
 fn file_error(field: &str, message: &str) -> ConfigError {
-    ConfigError { line: 0, column: 0, field: field.into(), what: message.into() }
+    ConfigError { line: 0, column: 0, field: field.into(), message: message.into() }
 }
 
 fn read_folder(table: &TableReader, value: Spanned<String>) -> Result<PathBuf, ConfigError> {
     let offset = value.span().start;
     let folder = table.path("folder", Some(value))?.unwrap_or_default();
     if folder.as_os_str().len() > MAX_FOLDER_BYTES {
-        let message = format!("has more than {MAX_FOLDER_BYTES} bytes, too many for Unix sockets in it");
+        let message = format!("is longer than {MAX_FOLDER_BYTES} bytes, too long for Unix sockets in it");
         return Err(table.error(offset, "folder", message));
     }
     Ok(folder)
@@ -136,7 +136,7 @@
 }
 
 fn invalid_name(text: &str) -> String {
-    format!("{text:?} is no name of 1 to {MAX_NAME_BYTES} letters, digits, - and _")
+    format!("{text:?} is not a name of 1 to {MAX_NAME_BYTES} letters, digits, - and _")
 }
 
 fn optional_name(
@@ -166,7 +166,7 @@
         let fault = if !is_name(&name) {
             Some(invalid_name(&name))
         } else if !names.insert(name.clone()) {
-            Some(format!("another instance is called {name:?}"))
+            Some(format!("another instance has the name {name:?}"))
         } else if index >= MAX_INSTANCES {
             Some(format!("there are more than {MAX_INSTANCES} instances"))
         } else {
@@ -180,7 +180,7 @@
         instances.push(InstanceConfig { name, config, operator });
     }
     if instances.is_empty() {
-        return Err(file_error("instance", "there is none"));
+        return Err(file_error("instance", "there are no instances"));
     }
     Ok(instances)
 }
@@ -216,7 +216,7 @@
 /// Reads the file. Paths in it are relative to its folder.
 ///
 /// # Errors
-/// One line: the file's path, then line and column where there are any, the field, and the fault.
+/// One line: the path, line and column if known, the field, and the fault.
 pub fn read(path: &Path) -> Result<FleetConfig, ConfigFileError> {
     let mut fleet = read_config(path, parse)?;
     let base = path.parent().unwrap_or(Path::new(""));
@@ -228,7 +228,7 @@
     Ok(fleet)
 }
 
-/// Whether a TOML file is a supervisor's, by the tables in it.
+/// Whether a TOML file contains a `[fleet]` or `[[instance]]` table and is thus the configuration of a supervisor.
 pub fn is_fleet_file(path: &Path) -> bool {
     let bytes = crate::operator::read_consistent(path, crate::operator::MAX_FILE_BYTES).unwrap_or_default();
     let text = String::from_utf8_lossy(&bytes);
--- a/crates/foundations/config/src/table_reader.rs
+++ b/crates/foundations/config/src/table_reader.rs
@@ -1,11 +1,11 @@
-//! Reads the values of one TOML table and reports faults with their place in the file.
+//! Reader of the values of one TOML table, which reports faults with their position in the file.
 use crate::values::{fault_at, path_value, quantity, ConfigError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 use toml::Spanned;
 
-/// Longest text value, in bytes.
+/// Maximum length of a text value, in bytes.
 const MAX_TEXT_BYTES: usize = 512;
 
 /// Default and bounds of a duration, in milliseconds.
@@ -13,9 +13,9 @@
 pub(crate) struct DurationRange {
     /// Value of an absent key.
     pub default: u64,
-    /// Smallest value.
+    /// Minimum value.
     pub min: u64,
-    /// Largest value.
+    /// Maximum value.
     pub max: u64,
 }
 
@@ -33,12 +33,12 @@
         format!("{}.{key}", self.path)
     }
 
-    /// Fault at a byte offset of the file.
+    /// Error at a byte offset of the file.
     pub(crate) fn error(&self, offset: usize, key: &str, message: String) -> ConfigError {
         fault_at(self.text, offset, &self.field(key), message)
     }
 
-    /// A duration with a unit.
+    /// Parses a duration with a unit.
     pub(crate) fn duration(
         &self,
         key: &str,
@@ -49,7 +49,7 @@
         quantity(self.text, &self.field(key), value, default, min, max)
     }
 
-    /// A whole number from 1 to `max`.
+    /// Checks a whole number from 1 to `max`.
     pub(crate) fn count(
         &self,
         key: &str,
@@ -62,18 +62,18 @@
         count.ok_or_else(|| self.error(value.span().start, key, format!("is not between 1 and {max}")))
     }
 
-    /// A text of 1 to [`MAX_TEXT_BYTES`] bytes without control characters.
+    /// Checks a text of 1 to [`MAX_TEXT_BYTES`] bytes without control characters.
     pub(crate) fn string(&self, key: &str, value: Spanned<String>) -> Result<String, ConfigError> {
         let offset = value.span().start;
         let value = value.into_inner();
         if value.is_empty() || value.len() > MAX_TEXT_BYTES || value.chars().any(char::is_control) {
-            let message = format!("is no text of 1 to {MAX_TEXT_BYTES} bytes without control characters");
+            let message = format!("is not a text of 1 to {MAX_TEXT_BYTES} bytes without control characters");
             return Err(self.error(offset, key, message));
         }
         Ok(value)
     }
 
-    /// A text that may be absent.
+    /// Checks a text that may be absent.
     pub(crate) fn optional_string(
         &self,
         key: &str,
@@ -82,7 +82,7 @@
         value.map(|value| self.string(key, value)).transpose()
     }
 
-    /// A text with a default.
+    /// Checks a text with a default.
     pub(crate) fn string_or(
         &self,
         key: &str,
@@ -92,7 +92,7 @@
         Ok(self.optional_string(key, value)?.unwrap_or_else(|| default.into()))
     }
 
-    /// A list of texts.
+    /// Checks a list of texts.
     pub(crate) fn strings(
         &self,
         key: &str,
@@ -101,16 +101,16 @@
         values.into_iter().map(|value| self.string(key, value)).collect()
     }
 
-    /// An IP address with a port.
+    /// Parses an IP address with a port.
     pub(crate) fn socket_addr(&self, key: &str, value: Spanned<String>) -> Result<SocketAddr, ConfigError> {
         let text = value.get_ref();
         text.parse().map_err(|_| {
-            let message = format!("{text:?} is no IP address with a port, such as \"127.0.0.1:8500\"");
+            let message = format!("{text:?} is not an IP address with a port, such as \"127.0.0.1:8500\"");
             self.error(value.span().start, key, message)
         })
     }
 
-    /// A path that may be absent.
+    /// Checks a path that may be absent.
     pub(crate) fn path(
         &self,
         key: &str,
@@ -119,7 +119,7 @@
         path_value(self.text, &self.field(key), value)
     }
 
-    /// One of several words, with the value that each stands for; the first is the default.
+    /// Returns the value of a keyword; the first keyword is the default.
     pub(crate) fn keyword<T: Copy>(
         &self,
         key: &str,
@@ -130,7 +130,7 @@
         let found = keywords.iter().find(|(keyword, _)| keyword == value.get_ref());
         found.map(|&(_, meaning)| meaning).ok_or_else(|| {
             let names: Vec<&str> = keywords.iter().map(|&(keyword, _)| keyword).collect();
-            let message = format!("{:?} is none of {}", value.get_ref(), names.join(", "));
+            let message = format!("{:?} is not one of {}", value.get_ref(), names.join(", "));
             self.error(value.span().start, key, message)
         })
     }
--- a/crates/foundations/config/src/tests.rs
+++ b/crates/foundations/config/src/tests.rs
@@ -8,13 +8,16 @@
 
 #[test]
 fn missing_optional_keys_get_defaults_and_unknown_ones_are_skipped() {
-    let s = parse(MINIMAL.as_bytes()).unwrap();
-    assert_eq!(s.classes[0].effect, Effect::Guarded { scope: DedupScope::Cell, window: 900.0 });
-    assert_eq!((s.idle_close, s.ask_within, s.stage, s.ask_for_list), (5000.0, 10_000.0, 0, false));
+    let settings = parse(MINIMAL.as_bytes()).unwrap();
+    assert_eq!(settings.classes[0].effect, Effect::Guarded { scope: DedupScope::Cell, window: 900.0 });
+    assert_eq!(
+        (settings.idle_close, settings.ask_within, settings.stage, settings.ask_for_list),
+        (5000.0, 10_000.0, 0, false)
+    );
 }
 
 #[test]
-fn a_missing_required_key_and_a_bad_value_are_named() {
+fn errors_name_missing_keys_and_invalid_values() {
     let error = |from: &str, to: &str| parse(MINIMAL.replace(from, to).as_bytes()).unwrap_err();
     assert!(error("\"balancers\": 2, ", "").contains("balancers"));
     assert!(error("\"tip_multiple\": 3", "\"x\": 1").contains("tip_multiple"));
--- a/crates/foundations/config/src/values.rs
+++ b/crates/foundations/config/src/values.rs
@@ -1,4 +1,4 @@
-//! Values of the operator's files: quantities with units, paths, and where a fault is.
+//! Values in operators' configuration files: quantities with units, paths, and errors with positions.
 use serde::Deserialize;
 use std::fmt;
 use std::fs::File;
@@ -7,22 +7,22 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Largest operator's file that is read.
+/// Maximum size of a configuration file, in bytes.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
-/// How often a file that changes while it is read is read again.
-const READS: usize = 5;
+/// Maximum number of attempts to read a file that changes while it is read.
+const MAX_READ_ATTEMPTS: usize = 5;
 
-/// What is wrong with a file, and where.
+/// A fault in a configuration file, with its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
-    /// Counted from 1; 0 where the whole file is at fault.
+    /// Line, counted from 1; 0 if the fault concerns the whole file.
     pub line: usize,
-    /// In characters, counted from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// The path of the key; empty where there is none.
+    /// Path of the key; empty if there is none.
     pub field: String,
-    /// What is wrong.
-    pub what: String,
+    /// Description of the fault.
+    pub message: String,
 }
 
 impl fmt::Display for ConfigError {
@@ -33,19 +33,21 @@
         if !self.field.is_empty() {
             write!(f, "{}: ", self.field)?;
         }
-        write!(f, "{}", self.what)
+        write!(f, "{}", self.message)
     }
 }
 
 impl std::error::Error for ConfigError {}
 
-/// A value that the file writes as a number and a unit.
+/// A value that is written as a number with a unit.
 pub(crate) trait Quantity: Copy + PartialOrd {
-    fn read(text: &str) -> Result<Self, String>;
-    fn show(self) -> String;
+    /// Parses the value; the error is a message for the operator.
+    fn parse(text: &str) -> Result<Self, String>;
+    /// Formats the value with the largest unit that expresses it as a whole number.
+    fn to_text(self) -> String;
 }
 
-/// A whole number and one of the units; anything else is an error that lists them.
+/// Parses a whole number with one of the units. The error message lists the units.
 fn number(text: &str, units: &[(&str, u64)], example: &str) -> Result<u64, String> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (digits, unit) = text.split_at(digits);
@@ -57,19 +59,19 @@
             value.ok_or_else(|| format!("{text:?} is too large"))
         }
         _ => Err(format!(
-            "{text:?} is no whole number with a unit ({}), such as {example:?}",
+            "{text:?} is not a whole number with a unit ({}), such as {example:?}",
             names.join(", ")
         )),
     }
 }
 
 impl Quantity for Duration {
-    fn read(text: &str) -> Result<Duration, String> {
+    fn parse(text: &str) -> Result<Duration, String> {
         let units = [("ms", 1), ("s", 1000), ("m", 60_000)];
         number(text, &units, "250ms").map(Duration::from_millis)
     }
 
-    fn show(self) -> String {
+    fn to_text(self) -> String {
         match self.as_millis() {
             ms if ms % 1000 == 0 => format!("{}s", ms / 1000),
             ms => format!("{ms}ms"),
@@ -77,56 +79,58 @@
     }
 }
 
-/// A span of time as the operator's files write it, such as `"250ms"`, `"10s"` or `"5m"`.
+/// Parses a duration as written in configuration files, such as `"250ms"`, `"10s"` or `"5m"`.
 ///
 /// # Errors
-/// What it is in place of that.
+/// The text is not a whole number with a unit, or too large.
 pub fn duration(text: &str) -> Result<Duration, String> {
-    Duration::read(text)
+    Duration::parse(text)
 }
 
 impl Quantity for usize {
-    fn read(text: &str) -> Result<usize, String> {
+    fn parse(text: &str) -> Result<usize, String> {
         let units = [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20)];
         let bytes = number(text, &units, "64KiB")?;
         usize::try_from(bytes).map_err(|_| format!("{text:?} is too large"))
     }
 
-    fn show(self) -> String {
+    fn to_text(self) -> String {
         match self {
-            b if b >= 1 << 20 && b % (1 << 20) == 0 => format!("{}MiB", b >> 20),
-            b if b >= 1 << 10 && b % (1 << 10) == 0 => format!("{}KiB", b >> 10),
-            b => format!("{b}B"),
+            bytes if bytes >= 1 << 20 && bytes % (1 << 20) == 0 => format!("{}MiB", bytes >> 20),
+            bytes if bytes >= 1 << 10 && bytes % (1 << 10) == 0 => format!("{}KiB", bytes >> 10),
+            bytes => format!("{bytes}B"),
         }
     }
 }
 
+/// Parses a quantity between `min` and `max`, or returns the default of an absent one.
 pub(crate) fn quantity<T: Quantity>(
     text: &str,
     field: &str,
     given: Option<Spanned<String>>,
     default: T,
-    least: T,
-    most: T,
+    min: T,
+    max: T,
 ) -> Result<T, ConfigError> {
     let Some(given) = given else { return Ok(default) };
-    let fault = |what| fault_at(text, given.span().start, field, what);
-    let value = T::read(given.get_ref()).map_err(fault)?;
-    if (least..=most).contains(&value) {
+    let fault = |message| fault_at(text, given.span().start, field, message);
+    let value = T::parse(given.get_ref()).map_err(fault)?;
+    if (min..=max).contains(&value) {
         return Ok(value);
     }
-    Err(fault(format!("{} is not between {} and {}", given.get_ref(), least.show(), most.show())))
+    Err(fault(format!("{} is not between {} and {}", given.get_ref(), min.to_text(), max.to_text())))
 }
 
-/// Longest path that a Unix socket can have (`sun_path` of Linux, less its end); the bound for all paths here.
+/// Maximum length of a path, in bytes: that of a Unix socket (`sun_path` of Linux, without the terminator).
 const MAX_PATH_BYTES: usize = 107;
 
-/// A fault at a byte of the text.
-pub(crate) fn fault_at(text: &str, at: usize, field: &str, what: String) -> ConfigError {
-    let (line, column) = place(text, at);
-    ConfigError { line, column, field: field.into(), what }
+/// Error at a byte offset of the text.
+pub(crate) fn fault_at(text: &str, offset: usize, field: &str, message: String) -> ConfigError {
+    let (line, column) = position(text, offset);
+    ConfigError { line, column, field: field.into(), message }
 }
 
+/// Checks a path that may be absent.
 pub(crate) fn path_value(
     text: &str,
     field: &str,
@@ -135,32 +139,32 @@
     let Some(given) = given else { return Ok(None) };
     let value = given.get_ref();
     if value.is_empty() || value.len() > MAX_PATH_BYTES || value.contains('\0') {
-        let what = format!("is no path of 1 to {MAX_PATH_BYTES} bytes");
-        return Err(fault_at(text, given.span().start, field, what));
+        let message = format!("is not a path of 1 to {MAX_PATH_BYTES} bytes");
+        return Err(fault_at(text, given.span().start, field, message));
     }
     Ok(Some(PathBuf::from(value)))
 }
 
-/// Line and column of a byte of the text.
-fn place(text: &str, at: usize) -> (usize, usize) {
-    let before = text.get(..at).unwrap_or(text);
+/// Line and column of a byte offset of the text, counted from 1.
+fn position(text: &str, offset: usize) -> (usize, usize) {
+    let before = text.get(..offset).unwrap_or(text);
     let line_start = before.rfind('\n').map_or(0, |n| n + 1);
     (before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
 }
 
-/// A file as text, and as what serde makes of it.
+/// Decodes a TOML file; returns its text and the deserialized value.
 pub(crate) fn read_text<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(&'a str, T), ConfigError> {
     let text = std::str::from_utf8(bytes).map_err(|e| {
-        let good = std::str::from_utf8(&bytes[..e.valid_up_to()]).unwrap_or_default();
-        fault_at(good, good.len(), "", "is not UTF-8".into())
+        let valid = std::str::from_utf8(&bytes[..e.valid_up_to()]).unwrap_or_default();
+        fault_at(valid, valid.len(), "", "is not UTF-8".into())
     })?;
     let fault = |error: &toml::de::Error, path: String| {
-        let (line, column) = error.span().map_or((0, 0), |span| place(text, span.start));
-        ConfigError { line, column, field: path, what: error.message().trim().replace('\n', " ") }
+        let (line, column) = error.span().map_or((0, 0), |span| position(text, span.start));
+        ConfigError { line, column, field: path, message: error.message().trim().replace('\n', " ") }
     };
     let reader = toml::Deserializer::parse(text).map_err(|e| fault(&e, String::new()))?;
     let raw = serde_path_to_error::deserialize(reader).map_err(|e| {
-        // A value that keeps its place has a path of its own inside; an unknown key ends in itself.
+        // `Spanned` values add internal path elements, and an unknown key adds `?`; both are removed.
         let path: Vec<String> = e.path().iter().map(ToString::to_string).collect();
         let path: Vec<String> = path.into_iter().filter(|p| !p.contains('$') && p != "?").collect();
         fault(e.inner(), path.join("."))
@@ -168,55 +172,56 @@
     Ok((text, raw))
 }
 
-/// Why a file can't be read; the path is not part of the message.
+/// Reason why a file can't be read; the message does not contain the path.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadFileError {
-    /// It is a directory.
+    /// The file is a directory.
     #[error("is a directory")]
     Directory,
-    /// It is neither a regular file nor a directory.
-    #[error("is no regular file")]
+    /// The file is neither a regular file nor a directory.
+    #[error("is not a regular file")]
     NotRegular,
-    /// It is larger than this number of bytes.
-    #[error("holds more than {0} bytes")]
+    /// The file is larger than this number of bytes.
+    #[error("is larger than {0} bytes")]
     TooLarge(u64),
-    /// Its content changed during each attempt to read it.
-    #[error("changes while it is read")]
+    /// The content changed during each attempt to read it.
+    #[error("changed during every attempt to read it")]
     Unstable,
     /// The system can't read it.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Reads a complete file that may be replaced or written meanwhile: the result is its content at one time.
+/// Reads a complete file that may be replaced or written concurrently; the result is its content at one point in time.
 ///
 /// # Errors
-/// It is no regular file, holds more than `most` bytes, can't be read, or goes on changing.
-pub fn read_consistent(path: &Path, most: u64) -> Result<Vec<u8>, ReadFileError> {
-    // Before it is opened: opening a pipe would wait for its writer.
-    let kind = std::fs::metadata(path)?;
-    if kind.is_dir() {
+/// The file is not a regular file, is larger than `max_bytes`, can't be read, or keeps changing.
+pub fn read_consistent(path: &Path, max_bytes: u64) -> Result<Vec<u8>, ReadFileError> {
+    // Checked before the file is opened, because opening a pipe would wait for its writer.
+    let metadata = std::fs::metadata(path)?;
+    if metadata.is_dir() {
         return Err(ReadFileError::Directory);
     }
-    if !kind.is_file() {
+    if !metadata.is_file() {
         return Err(ReadFileError::NotRegular);
     }
-    for _ in 0..READS {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let mut file = File::open(path)?;
         let before = file.metadata()?;
         let mut bytes = Vec::new();
-        match file.by_ref().take(most + 1).read_to_end(&mut bytes) {
+        match file.by_ref().take(max_bytes + 1).read_to_end(&mut bytes) {
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             Err(e) => return Err(e.into()),
         }
-        if bytes.len() as u64 > most {
-            return Err(ReadFileError::TooLarge(most));
+        if bytes.len() as u64 > max_bytes {
+            return Err(ReadFileError::TooLarge(max_bytes));
         }
         let after = file.metadata()?;
-        // Guards against the half of a file that is being written in place: replaced by renaming it is whole.
-        let same = before.modified().ok() == after.modified().ok() && after.len() == bytes.len() as u64;
-        if same {
+        // Detects a file that is being written in place and thus incomplete. A file replaced by renaming is always
+        // complete.
+        let unchanged = before.modified().ok() == after.modified().ok() && after.len() == bytes.len() as u64;
+        if unchanged {
             return Ok(bytes);
         }
     }
--- a/crates/foundations/config/tests/disruption.rs
+++ b/crates/foundations/config/tests/disruption.rs
@@ -1,4 +1,4 @@
-//! Files of disruption budgets.
+//! Tests of files with disruption budgets.
 use config::disruption::{is_disruption_file, parse, read};
 use std::path::Path;
 
@@ -8,12 +8,15 @@
 
 #[test]
 fn a_complete_file_is_read() {
-    let b = &parse(VALID.as_bytes()).expect("valid").budgets.budgets[0];
-    assert_eq!((b.max_unavailable, b.max_unavailable_per_mille, b.min_available), (Some(3), Some(25), 2));
+    let budget = &parse(VALID.as_bytes()).expect("valid").budgets.budgets[0];
+    assert_eq!(
+        (budget.max_unavailable, budget.max_unavailable_per_mille, budget.min_available),
+        (Some(3), Some(25), 2)
+    );
 }
 
 #[test]
-fn faults_are_reported_with_their_place() {
+fn faults_are_reported_with_their_position() {
     for (from, to, wanted) in [
         ("most = 3", "most = -1", "7:8: budget[0].most: "),
         ("most = 3", "most = 0", "7:8: budget[0].most: is 0"),
@@ -33,6 +36,6 @@
 #[test]
 fn the_example_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/outages.example.toml");
-    let all = read(&path).expect("valid");
-    assert!(all.budgets.budgets.len() >= 4 && is_disruption_file(&path));
+    let config = read(&path).expect("valid");
+    assert!(config.budgets.budgets.len() >= 4 && is_disruption_file(&path));
 }
--- a/crates/foundations/config/tests/rollout.rs
+++ b/crates/foundations/config/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Files of rollouts.
+//! Tests of files of rollouts.
 use config::rollout::{is_rollout_file, parse, read};
 use rollout::{BuildPaths, Stage};
 use std::collections::BTreeMap;
@@ -10,18 +10,18 @@
 
 #[test]
 fn a_complete_file_is_read() {
-    let r = parse(VALID.as_bytes()).expect("valid");
-    assert_eq!(r.stages, [Stage::Count(1), Stage::Share(0.1)]);
+    let config = parse(VALID.as_bytes()).expect("valid");
+    assert_eq!(config.stages, [Stage::Count(1), Stage::Share(0.1)]);
     assert_eq!(
-        (r.analysis.late.min_difference, r.analysis.max_checks, r.auto_rollback),
+        (config.analysis.late.min_difference, config.analysis.max_checks, config.auto_rollback),
         (0.03, 3 * 31, true)
     );
     let own = BuildPaths { old: "/a".into(), new: "/c".into() };
-    assert_eq!(r.machine_paths, BTreeMap::from([("m7".to_string(), own)]));
+    assert_eq!(config.machine_paths, BTreeMap::from([("m7".to_string(), own)]));
 }
 
 #[test]
-fn faults_are_reported_with_their_place() {
+fn faults_are_reported_with_their_position() {
     for (from, to, wanted) in [
         ("\"/a\"", "\"a\"", "4:7: release.old: "),
         ("\"1\", ", "\"0\", ", "6:10: release.waves[0]: "),
--- a/crates/foundations/config/tests/supervisor.rs
+++ b/crates/foundations/config/tests/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor's file: values, defaults and the place of each fault.
+//! Tests of the supervisor's file: values, defaults and the position of each fault.
 use config::supervisor::{is_fleet_file, parse, FleetConfig, MAX_INSTANCES};
 use std::path::{Path, PathBuf};
 
@@ -7,28 +7,29 @@
     operator = \"other.toml\"\n";
 
 #[test]
-fn a_whole_file_is_read() {
+fn a_complete_file_is_read() {
     let fleet = parse(GOOD.as_bytes()).expect("good");
     assert_eq!((fleet.policy.max_parallel, fleet.policy.crash_limit, fleet.instances.len()), (2, 5, 2));
     let operators: Vec<_> = fleet.instances.iter().map(|i| i.operator.clone()).collect();
     assert_eq!(operators, [Some("own.toml".into()), Some("other.toml".into())]);
 }
 
-/// Guards against caps below what fleets have: 2,000 instances are read, and one too many is named.
+/// Guards against a limit below the size of real fleets: 2,000 instances are accepted, and the first one above the limit
+/// is reported.
 #[test]
-fn a_fleet_is_as_large_as_its_file_up_to_the_bound() {
-    let of = |n: usize| {
+fn instances_are_accepted_up_to_the_limit() {
+    let fleet_of = |count: usize| {
         let instances =
-            (0..n).map(|k| format!("[[instance]]\nname = \"balancer-{k}\"\nconfig = \"{k}.json\"\n"));
+            (0..count).map(|k| format!("[[instance]]\nname = \"balancer-{k}\"\nconfig = \"{k}.json\"\n"));
         parse(format!("[fleet]\nfolder = \"/run/herondock\"\n{}", instances.collect::<String>()).as_bytes())
     };
-    assert_eq!(of(2000).expect("good").instances.len(), 2000);
-    let fault = of(MAX_INSTANCES + 1).expect_err("too many").to_string();
+    assert_eq!(fleet_of(2000).expect("good").instances.len(), 2000);
+    let fault = fleet_of(MAX_INSTANCES + 1).expect_err("too many").to_string();
     assert!(fault.contains("instance[4096].name") && fault.contains("more than 4096 instances"), "{fault}");
 }
 
 #[test]
-fn what_is_wrong_is_named_with_its_place() {
+fn faults_are_reported_with_their_position() {
     for (from, to, wanted) in [
         ("at_once = 2", "at_once = 0", "3:11: fleet.at_once: "),
         ("at_once = 2", "at_once = -1", "3:11: fleet.at_once: "),
@@ -48,15 +49,15 @@
 }
 
 #[test]
-fn the_example_is_good_and_shows_every_key() {
+fn the_example_is_valid_and_shows_every_key() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/fleet.example.toml");
     let text = std::fs::read_to_string(&path).expect("the example");
-    let all = parse(text.as_bytes()).expect("good");
-    let least =
+    let example = parse(text.as_bytes()).expect("good");
+    let minimal =
         parse(b"[fleet]\nfolder = \"x\"\n[[instance]]\nname = \"n1\"\nconfig = \"y\"\n").expect("good");
     let defaults =
         |f: &FleetConfig| FleetConfig { folder: PathBuf::new(), instances: Vec::new(), ..f.clone() };
-    assert_eq!(defaults(&all), defaults(&least), "it states the defaults");
+    assert_eq!(defaults(&example), defaults(&minimal), "it states the defaults");
     for key in [
         "operator",
         "spread",
