--- a/crates/data-plane/fastcgi/src/client.rs
+++ b/crates/data-plane/fastcgi/src/client.rs
@@ -149,7 +149,7 @@
         self.requests.values().filter(|request| request.aborted).count()
     }
 
-    /// Whether the last byte of a request was consumed by the writer. Until then an application that reads its whole
+    /// Whether the last byte of a request was consumed by the writer. Until then an application that reads its complete
     /// input first can't have begun the request.
     pub fn is_fully_written(&self, id: u16) -> bool {
         !self.outgoing.has_unsent(id)
@@ -261,7 +261,8 @@
                 let Some(request) = self.requests.remove(&id).filter(|r| !r.aborted) else { return };
                 let body = &self.record_body;
                 let application = u32::from_be_bytes([body[0], body[1], body[2], body[3]]);
-                events.push(Event::Ended(id, self.outcome(request, application, Protocol::of(body[4]))));
+                events
+                    .push(Event::Ended(id, self.outcome(request, application, Protocol::from_byte(body[4]))));
             }
             kind::GET_VALUES_RESULT => {
                 let values =
--- a/crates/data-plane/fastcgi/src/outgoing.rs
+++ b/crates/data-plane/fastcgi/src/outgoing.rs
@@ -1,5 +1,5 @@
-//! Output queue of a connection. Records of the connection itself come first, then the streams in round-robin order, so
-//! that a large stream does not delay the others.
+//! Output queue of a connection. Records of the connection itself and records that abort or end a request come
+//! first, then the streams in round-robin order, so that a large stream does not delay the others.
 //!
 //! Bytes that were made ready are always written completely. A cancelled stream ends at a record boundary; a stream that
 //! is cancelled before any of it was made ready is not written at all.
@@ -11,19 +11,19 @@
 /// Maximum number of body bytes that a stream contributes per turn; a multiple of 8, so that only the last record of a
 /// stream is padded.
 const TURN_BYTES: usize = 16 << 10;
-/// Number of ready bytes from which no more turns are added.
+/// Number of ready bytes at which no more turns are added.
 const MAX_READY_BYTES: usize = 64 << 10;
 /// Body parts shorter than this, in bytes, are copied after their header, which makes one part instead of three.
 const COPY_LIMIT_BYTES: usize = 4 << 10;
-/// Maximum number of queued bytes of the connection's own records before reading from the connection should stop.
+/// Number of queued bytes of connection records above which reading from the connection should stop.
 const MAX_CONNECTION_BYTES: usize = 64 << 10;
 
-/// How a stream ends.
+/// Records that end a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Tail {
-    /// With the empty record of the stream.
+    /// The empty record of the stream.
     Close,
-    /// With the empty record of the stream and the end record of the request.
+    /// The empty record of the stream, and the end record of the request.
     Complete,
 }
 
@@ -62,13 +62,13 @@
 }
 
 impl Outgoing {
-    /// Queues a record of the connection itself.
+    /// Queues a record that is written before all streams: a management record, or the abort or end record of a request.
     pub(crate) fn push_connection_record(&mut self, bytes: Bytes) {
         self.connection_bytes += bytes.len();
         self.connection_records.push_back(bytes);
     }
 
-    /// Whether so many bytes of the connection's own records are queued that reading from it should stop.
+    /// Whether so many bytes of these records are queued that reading from the connection should stop.
     pub(crate) fn is_backlogged(&self) -> bool {
         self.connection_bytes > MAX_CONNECTION_BYTES
     }
--- a/crates/data-plane/fastcgi/src/record.rs
+++ b/crates/data-plane/fastcgi/src/record.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// Length of a record's header (`FCGI_HEADER_LEN`), in bytes.
-pub const HEADER: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// Maximum length of a record's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 0xffff;
 
@@ -61,18 +61,18 @@
             Protocol::CantMultiplex => 1,
             Protocol::Overloaded => 2,
             Protocol::UnknownRole => 3,
-            Protocol::Other(b) => b,
+            Protocol::Other(byte) => byte,
         }
     }
 
     /// The status encoded in an end record.
-    pub fn of(byte: u8) -> Protocol {
+    pub fn from_byte(byte: u8) -> Protocol {
         match byte {
             0 => Protocol::Complete,
             1 => Protocol::CantMultiplex,
             2 => Protocol::Overloaded,
             3 => Protocol::UnknownRole,
-            b => Protocol::Other(b),
+            byte => Protocol::Other(byte),
         }
     }
 }
@@ -91,7 +91,7 @@
 }
 
 impl Header {
-    fn bytes(self) -> [u8; HEADER] {
+    fn bytes(self) -> [u8; HEADER_BYTES] {
         let ([id1, id0], [l1, l0]) = (self.id.to_be_bytes(), self.length.to_be_bytes());
         [1, self.kind, id1, id0, l1, l0, self.padding, 0]
     }
@@ -110,7 +110,7 @@
 
 enum State {
     /// The received part of a header, and its length in bytes.
-    Header([u8; HEADER], usize),
+    Header([u8; HEADER_BYTES], usize),
     /// The header, and the remaining lengths of body and padding in bytes.
     Body(Header, usize, usize),
 }
@@ -126,7 +126,7 @@
 
 impl Default for Decoder {
     fn default() -> Self {
-        Decoder { state: State::Header([0; HEADER], 0), consumed: 0, record_offset: 0 }
+        Decoder { state: State::Header([0; HEADER_BYTES], 0), consumed: 0, record_offset: 0 }
     }
 }
 
@@ -151,7 +151,7 @@
                 if *received == 0 {
                     self.record_offset = self.consumed;
                 }
-                let count = input.len().min(HEADER - *received);
+                let count = input.len().min(HEADER_BYTES - *received);
                 bytes[*received..*received + count].copy_from_slice(&input[..count]);
                 input.advance(count);
                 *received += count;
@@ -160,7 +160,7 @@
                 if *received > 0 && bytes[0] != 1 {
                     return Err(Error { offset: self.record_offset, fault: Fault::Version(bytes[0]) });
                 }
-                if *received < HEADER {
+                if *received < HEADER_BYTES {
                     return Ok(None);
                 }
                 let [_, kind, id1, id0, l1, l0, padding, _] = *bytes;
@@ -187,7 +187,7 @@
                     return Ok(None);
                 }
                 let header = *header;
-                self.state = State::Header([0; HEADER], 0);
+                self.state = State::Header([0; HEADER_BYTES], 0);
                 Ok(Some(Piece::End(header)))
             }
         }
--- a/crates/data-plane/route-table/src/cube.rs
+++ b/crates/data-plane/route-table/src/cube.rs
@@ -270,17 +270,17 @@
     }
 
     /// Whether a request is in the set.
-    pub fn has(&self, q: &Query) -> bool {
+    pub fn has(&self, query: &Query) -> bool {
         let contains =
             |r: &Region, s: &[&str]| r.pattern.matches(s) && !r.except.iter().any(|p| p.matches(s));
-        self.tenants.contains(q.club)
-            && self.classes.contains(q.class)
-            && self.fronts.contains(q.front)
-            && self.methods.contains(q.method)
-            && self.keyed.contains(usize::from(q.keyed))
-            && contains(&self.path, q.path)
-            && contains(&self.host, q.host)
-            && self.headers.iter().all(|(name, values)| values.contains((q.header)(name)))
+        self.tenants.contains(query.club)
+            && self.classes.contains(query.class)
+            && self.fronts.contains(query.front)
+            && self.methods.contains(query.method)
+            && self.keyed.contains(usize::from(query.keyed))
+            && contains(&self.path, query.path)
+            && contains(&self.host, query.host)
+            && self.headers.iter().all(|(name, values)| values.contains((query.header)(name)))
     }
 
     /// Describes a request of the set with the shortest path and host.
--- a/crates/data-plane/route-table/src/spec.rs
+++ b/crates/data-plane/route-table/src/spec.rs
@@ -97,9 +97,9 @@
 
 /// Condition on a header.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HeaderIs {
+pub enum HeaderCondition {
     /// Present (`true`) or absent (`false`).
-    There(bool),
+    Present(bool),
     /// Present with one of these values.
     OneOf(Vec<String>),
 }
@@ -122,7 +122,7 @@
     /// Whether the request has an idempotency key.
     pub keyed: Option<bool>,
     /// Headers, by their names in lower case.
-    pub headers: Vec<(String, HeaderIs)>,
+    pub headers: Vec<(String, HeaderCondition)>,
 }
 
 /// Attribute of a request by which a split chooses the pool.
--- a/crates/data-plane/route-table/src/table.rs
+++ b/crates/data-plane/route-table/src/table.rs
@@ -2,7 +2,7 @@
 use crate::cube::{Cube, Query, ValueSet, Values, FRONTS, METHODS};
 use crate::pattern::{Pattern, Region};
 use crate::spec::{
-    Conditions, Destination, HeaderIs, KnownNames, Pool, Route, SourceLocation, SplitKey, TableError,
+    Conditions, Destination, HeaderCondition, KnownNames, Pool, Route, SourceLocation, SplitKey, TableError,
 };
 use crate::split;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -134,9 +134,9 @@
         }
         let absent = BTreeSet::from([None]);
         let values = match condition {
-            HeaderIs::There(true) => Values::all_except(absent),
-            HeaderIs::There(false) => Values::only(absent),
-            HeaderIs::OneOf(all) => Values::only(all.iter().cloned().map(Some).collect()),
+            HeaderCondition::Present(true) => Values::all_except(absent),
+            HeaderCondition::Present(false) => Values::only(absent),
+            HeaderCondition::OneOf(all) => Values::only(all.iter().cloned().map(Some).collect()),
         };
         cube.headers.insert(name.clone(), values);
     }
@@ -455,7 +455,7 @@
     }
 
     /// Number of routes that may send requests to each pool, by pool name.
-    pub fn reached(&self) -> BTreeMap<&str, usize> {
+    pub fn routes_per_pool(&self) -> BTreeMap<&str, usize> {
         let mut counts: BTreeMap<&str, usize> = self.pools.iter().map(|p| (p.name.as_str(), 0)).collect();
         for route in &self.routes {
             for pool in route.pools() {
--- a/crates/data-plane/route-table/tests/routes.rs
+++ b/crates/data-plane/route-table/tests/routes.rs
@@ -88,7 +88,7 @@
             vec![route(
                 "a",
                 0,
-                Conditions { headers: vec![("X-A".into(), HeaderIs::There(true))], ..any() },
+                Conditions { headers: vec![("X-A".into(), HeaderCondition::Present(true))], ..any() },
                 to("main"),
             )],
             "route a.headers",
@@ -399,9 +399,9 @@
             let text = |all: Vec<&str>| all.into_iter().map(String::from).collect();
             let headers = match header {
                 0 => vec![],
-                1 => vec![("x-c".to_string(), HeaderIs::There(true))],
-                2 => vec![("x-c".to_string(), HeaderIs::There(false))],
-                _ => vec![("x-c".to_string(), HeaderIs::OneOf(vec!["1".into(), "".into()]))],
+                1 => vec![("x-c".to_string(), HeaderCondition::Present(true))],
+                2 => vec![("x-c".to_string(), HeaderCondition::Present(false))],
+                _ => vec![("x-c".to_string(), HeaderCondition::OneOf(vec!["1".into(), "".into()]))],
             };
             Conditions {
                 clubs: text(clubs),
--- a/crates/foundations/config/src/lib.rs
+++ b/crates/foundations/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Parser of the start-up settings, which are JSON. Unknown keys are ignored; an error names a missing required key.
 //!
-//! The wire format also contains values that no decision depends on, and which are dropped here: names and the lists of names (`dcs`, `kinds`,
-//! `tiers`), `blend`, `clients`, `domain_type`, `family_info`, `stats`, `tick`, `weights`, `worth_by`,
+//! The wire format also contains values that no decision depends on, and which are dropped here: names and the lists of
+//! names (`dcs`, `kinds`, `tiers`), `blend`, `clients`, `domain_type`, `family_info`, `stats`, `tick`, `weights`, `worth_by`,
 //! `over_share_worth`; of `classes[]` `aim_stretch`, `importance` and `streaming`; of `charges` all but crossings;
 //! of `invariants` `drain_grace`, `fall` and `grace_to_answer` (the module stops, spreads and answers well within
 //! them); of `permissions` those to probe, to message peers and to send second copies, and the limits of CPU, open
--- a/crates/foundations/config/src/routing.rs
+++ b/crates/foundations/config/src/routing.rs
@@ -4,8 +4,8 @@
 use balancer::Effect;
 use route_table::expect::prove;
 use route_table::spec::{
-    Claim, Conditions, Destination, Expectation, HeaderIs, KnownNames, Pool, Route, SourceLocation, SplitKey,
-    TableError,
+    Claim, Conditions, Destination, Expectation, HeaderCondition, KnownNames, Pool, Route, SourceLocation,
+    SplitKey, TableError,
 };
 use route_table::split::TOTAL_WEIGHT;
 use route_table::table::Table;
@@ -161,9 +161,9 @@
 fn conditions(raw: RawWhen) -> Conditions {
     let header = |(name, value)| {
         let condition = match value {
-            RawHeader::There(present) => HeaderIs::There(present),
-            RawHeader::One(value) => HeaderIs::OneOf(vec![value]),
-            RawHeader::OneOf(values) => HeaderIs::OneOf(values),
+            RawHeader::There(present) => HeaderCondition::Present(present),
+            RawHeader::One(value) => HeaderCondition::OneOf(vec![value]),
+            RawHeader::OneOf(values) => HeaderCondition::OneOf(values),
         };
         (name, condition)
     };
