--- a/crates/data-plane/fastcgi/src/server.rs
+++ b/crates/data-plane/fastcgi/src/server.rs
@@ -90,8 +90,8 @@
                 .any(|request| matches!(request.stage, Stage::Params(_) | Stage::Body(..)))
     }
 
-    /// Whether the connection is to be closed: a request without the flag to keep the connection has ended, no request is
-    /// open, and everything is written.
+    /// Whether the connection is to be closed: a request without the flag to keep the connection was received, no request
+    /// is open, and everything is written.
     pub fn closes(&self) -> bool {
         self.closing && self.requests.is_empty() && !self.outgoing.has_pending()
     }
