--- a/crates/control-plane/coordination-server/src/client/connection.rs
+++ b/crates/control-plane/coordination-server/src/client/connection.rs
@@ -21,7 +21,7 @@
 pub(super) enum ConnectionEventKind {
     Connected,
     Reply(Box<Reply>),
-    /// The connection was closed or failed; the reason is `None` if it is not worth a log line.
+    /// The connection was closed or failed; the reason is `None` if it is not logged.
     Disconnected(Option<String>),
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl ClientConnection {
-    /// Starts to connect; what happens is sent to `events` with this number.
+    /// Starts a task that connects to the voter; its events are sent to `events` with this number.
     pub fn spawn(
         number: u64,
         address: String,
@@ -45,7 +45,7 @@
         ClientConnection { frames, task }
     }
 
-    /// Queues a call. If the queue is full it is dropped, and the connection fails by the response timeout.
+    /// Queues a call. If the queue is full, the call is dropped, and the response timeout closes the connection.
     pub fn send(&self, call: &Call) {
         let _ = self.frames.try_send(to_json(call));
     }
@@ -90,8 +90,8 @@
         let address = &self.address;
         match connect(address, &own).await {
             Ok(connection) if connection.other.voter.is_some() => Ok(connection),
-            Ok(_) => Err(Some(format!("{address}: is no voter"))),
-            // Expected while a voter is down.
+            Ok(_) => Err(Some(format!("{address}: the process at this address is not a voter"))),
+            // Expected while a voter is down, and therefore not logged.
             Err(ConnectError::Unreachable(_)) => Err(None),
             Err(error @ ConnectError::InvalidAddress(_)) => Err(Some(error.to_string())),
             Err(error) => Err(Some(format!("{address}: {error}"))),
@@ -106,8 +106,8 @@
         }
     }
 
-    async fn read_replies(&self, mut from: BufReader<OwnedReadHalf>) {
-        while let Ok(bytes) = read(&mut from, MAX_CALL_BYTES).await {
+    async fn read_replies(&self, mut reader: BufReader<OwnedReadHalf>) {
+        while let Ok(bytes) = read(&mut reader, MAX_CALL_BYTES).await {
             let Ok(reply) = from_json::<Reply>(&bytes) else { return };
             if self.report(ConnectionEventKind::Reply(Box::new(reply))).await.is_err() {
                 return;
@@ -120,9 +120,9 @@
     }
 }
 
-async fn write_frames(mut to: OwnedWriteHalf, mut queue: mpsc::Receiver<Vec<u8>>) {
+async fn write_frames(mut writer: OwnedWriteHalf, mut queue: mpsc::Receiver<Vec<u8>>) {
     while let Some(frame) = queue.recv().await {
-        if write(&mut to, &frame).await.is_err() {
+        if write(&mut writer, &frame).await.is_err() {
             return;
         }
     }
--- a/crates/control-plane/coordination-server/src/client/mod.rs
+++ b/crates/control-plane/coordination-server/src/client/mod.rs
@@ -45,7 +45,7 @@
     None,
     /// This session is held.
     Active(SessionId),
-    /// This session owns the name; the client's own session is over.
+    /// This session owns the name now; the client's own session has ended.
     Fenced(SessionId),
 }
 
@@ -57,7 +57,7 @@
     CloseSession,
 }
 
-/// The time since the machine was started, including the time that it was suspended: sessions expire meanwhile.
+/// Time since the machine was started, including the time for which it was suspended: sessions expire during a suspension.
 pub fn boottime_now() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
@@ -71,7 +71,7 @@
 }
 
 impl WeakClientHandle {
-    /// The handle; `None` if the client has ended.
+    /// Returns a handle that keeps the client running; `None` if the client has ended.
     pub fn upgrade(&self) -> Option<ClientHandle> {
         Some(ClientHandle {
             commands: self.commands.upgrade()?,
@@ -157,7 +157,7 @@
         let _ = self.commands.send(ClientCommand::OpenSession(session)).await;
     }
 
-    /// Closes the session and ends the client; returns once that is acknowledged, or after the timeout.
+    /// Closes the session and ends the client; returns once a voter has acknowledged the closing, or after the timeout.
     pub async fn close_session(&self, timeout: Duration) {
         if self.commands.send(ClientCommand::CloseSession).await.is_ok() {
             let _ = tokio::time::timeout(timeout, self.commands.closed()).await;
--- a/crates/control-plane/coordination-server/src/client/presence.rs
+++ b/crates/control-plane/coordination-server/src/client/presence.rs
@@ -20,8 +20,8 @@
     })
 }
 
-/// Opens a session for a client that has none, which distinguishes its process from all others, also those of the same name.
-/// The ephemeral key `present/KIND/NAME` holds the session and the process id.
+/// Opens a session for a client that has none. The session distinguishes its process from all others, also from those of
+/// the same name. The ephemeral key `present/KIND/NAME` holds the session and the process id.
 pub fn announce_presence(client: &ClientHandle, file: &CoordinationClientConfig, kind: &str, name: &str) {
     let name = format!("{kind}/{name}");
     let session = SessionConfig { name: name.clone(), ttl: file.ttl, take_over: true };
--- a/crates/control-plane/coordination-server/src/client/task.rs
+++ b/crates/control-plane/coordination-server/src/client/task.rs
@@ -15,14 +15,14 @@
 /// Connection events that may be queued for the task.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// Where the task publishes the state of its session.
+/// Channels to which the task publishes the state of its session.
 pub(super) struct SessionPublisher {
     pub state: watch::Sender<SessionState>,
     /// The last session, and when it expires by [`boottime_now`].
     pub expiry: watch::Sender<Option<(SessionId, Duration)>>,
 }
 
-/// What remains to be done after a command.
+/// Next step of the task after a command or a connection event.
 enum NextStep {
     Handle(Event),
     Ignore,
@@ -227,19 +227,22 @@
                 SessionState::None
             }
             SessionEvent::Ended(id) => {
-                info!(session = id, "council: the session of {name} has ended");
+                info!(session = id, "council: the session of {name} has ended; opening another one");
                 SessionState::None
             }
             SessionEvent::Fenced { session, by } => {
-                info!(session, by, "council: another process has the name {name}");
+                info!(
+                    session,
+                    by, "council: the session of {name} is fenced: another process took over its name"
+                );
                 SessionState::Fenced(by)
             }
             SessionEvent::WaitingForName(by) => {
-                info!(by, "council: {name} waits: another session has its name");
+                info!(by, "council: {name} waits for its session: another session has its name");
                 SessionState::None
             }
             SessionEvent::Rejected(reason) => {
-                info!("council: {name} got no session: {reason}");
+                info!("council: the session of {name} was rejected: {reason}");
                 SessionState::None
             }
         };
--- a/crates/control-plane/coordination-server/src/client_connections.rs
+++ b/crates/control-plane/coordination-server/src/client_connections.rs
@@ -17,11 +17,11 @@
 
 /// Replies that may be queued for a client; a client that reads too slowly is disconnected.
 const MAX_QUEUED_REPLIES: usize = 1_024;
-/// Events that may be queued for the voter; beyond that, connections are not read.
+/// Events that may be queued for the voter; while the queue is full, connections are not read.
 const MAX_QUEUED_EVENTS: usize = 1_024;
 /// Maximum number of incoming connections of voters.
 const MAX_VOTER_CONNECTIONS: usize = 64;
-/// Delay after a failed accept, for instance when file descriptors are exhausted.
+/// Delay after a failed accept, for instance when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// An event on an incoming connection.
@@ -65,7 +65,8 @@
 pub struct ClientConnections(Rc<Shared>);
 
 impl ClientConnections {
-    /// No connections, and at most `max_clients` of clients. Events are sent to the returned receiver.
+    /// Creates an empty set that accepts at most `max_clients` connections of clients. Events are sent to the returned
+    /// receiver.
     pub fn new(own: Handshake, max_clients: usize) -> (ClientConnections, mpsc::Receiver<ConnectionEvent>) {
         let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
         let shared = Shared {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Sends a reply to a client, if it is still connected.
+    /// Sends a reply to a client, if it is still connected. A client whose queue of replies is full is disconnected.
     pub fn reply(&self, client: u64, reply: Reply) {
         let clients = self.0.clients.borrow();
         let Some(connection) = clients.get(&client) else { return };
@@ -111,11 +112,11 @@
         match handshake(stream, &own).await {
             Ok(connection) if connection.other.voter.is_some() => self.serve_voter(connection).await,
             Ok(connection) => self.serve_client(connection).await,
-            // Port scans and interrupted connections are not worth a log line.
+            // Port scans and interrupted connections are not logged.
             Err(ConnectError::Frame(FrameError::Truncated)) => {}
             Err(ConnectError::Frame(FrameError::Io(error))) if error.kind() == ErrorKind::ConnectionReset => {
             }
-            Err(error) => info!("council: turned away: {error}"),
+            Err(error) => info!("council: connection rejected: {error}"),
         }
     }
 
@@ -141,7 +142,10 @@
     async fn serve_client(&self, connection: Connection) {
         let shared = &self.0;
         if shared.clients.borrow().len() >= shared.max_clients {
-            return info!("council: {} clients are connected, no more are taken", shared.max_clients);
+            return info!(
+                "council: connection rejected: {} clients are connected, the maximum",
+                shared.max_clients
+            );
         }
         let client = shared.last_client_id.get() + 1;
         shared.last_client_id.set(client);
@@ -157,23 +161,27 @@
     }
 }
 
-async fn write_replies(mut to: OwnedWriteHalf, mut queue: mpsc::Receiver<Reply>) {
+async fn write_replies(mut writer: OwnedWriteHalf, mut queue: mpsc::Receiver<Reply>) {
     while let Some(reply) = queue.recv().await {
-        if write(&mut to, &to_json(&reply)).await.is_err() {
+        if write(&mut writer, &to_json(&reply)).await.is_err() {
             return;
         }
     }
 }
 
-async fn read_calls(mut from: BufReader<OwnedReadHalf>, client: u64, events: mpsc::Sender<ConnectionEvent>) {
-    while let Ok(bytes) = read(&mut from, MAX_CALL_BYTES).await {
+async fn read_calls(
+    mut reader: BufReader<OwnedReadHalf>,
+    client: u64,
+    events: mpsc::Sender<ConnectionEvent>,
+) {
+    while let Ok(bytes) = read(&mut reader, MAX_CALL_BYTES).await {
         match from_json::<Call>(&bytes) {
             Ok(call) => {
                 if events.send(ConnectionEvent::Call { client, call }).await.is_err() {
                     return;
                 }
             }
-            Err(error) => return info!("council: a client's call is none: {error}"),
+            Err(error) => return info!("council: connection closed: malformed call of a client: {error}"),
         }
     }
 }
--- a/crates/control-plane/coordination-server/src/command/mod.rs
+++ b/crates/control-plane/coordination-server/src/command/mod.rs
@@ -17,7 +17,7 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout of one voter's status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Shortest response timeout of a command's connection.
+/// Minimum response timeout of a command's connection.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Response timeout of a command's connection, in ticks of the voters.
 const RESPONSE_TIMEOUT_TICKS: u32 = 20;
@@ -112,7 +112,7 @@
 fn read_backup(path: &Path) -> Result<Vec<u8>, CommandError> {
     let failed = |reason: String| CommandError::BackupFile { file: path.into(), reason };
     let loaded = backup_file(path).load().map_err(|error| failed(error.to_string()))?;
-    Ok(loaded.ok_or_else(|| failed("there is none".into()))?.content)
+    Ok(loaded.ok_or_else(|| failed("the file does not exist".into()))?.content)
 }
 
 fn print(line: &str) -> Result<(), CommandError> {
@@ -152,14 +152,14 @@
             Command::Watch { under } => self.watch(&under).await,
             Command::Backup { to } => self.backup(&to).await,
             Command::Remove { name } => {
-                self.call_until_done(Request::RemoveMember { name: name.clone() }).await?;
+                self.call_expecting_done(Request::RemoveMember { name: name.clone() }).await?;
                 print(&format!("{name} is a member no more"))
             }
             Command::Transfer { name } => {
-                self.call_until_done(Request::TransferLeadership { name: name.clone() }).await?;
+                self.call_expecting_done(Request::TransferLeadership { name: name.clone() }).await?;
                 print(&format!("{name} is asked to lead"))
             }
-            // Executed without the voters.
+            // Executed by `run`, without a connection to the voters.
             Command::Form | Command::Restore { .. } => Ok(()),
         }
     }
@@ -178,7 +178,7 @@
         answer_of(self.client().request(ClientRequest::Call(request), COMMAND_TIMEOUT).await)
     }
 
-    async fn call_until_done(&self, request: Request) -> Result<(), CommandError> {
+    async fn call_expecting_done(&self, request: Request) -> Result<(), CommandError> {
         match self.call(request).await? {
             Answer::Done => Ok(()),
             other => Err(unexpected(&other)),
--- a/crates/control-plane/coordination-server/src/command/tables.rs
+++ b/crates/control-plane/coordination-server/src/command/tables.rs
@@ -17,10 +17,10 @@
     "says",
 ];
 const MEMBERS_HEADER: [&str; 6] = ["member", "number", "address", "votes", "heard", "has"];
-/// Stands for an unknown value.
+/// Shown in place of an unknown value.
 const UNKNOWN: &str = "-";
 
-/// A voter and its status, or why it has none.
+/// A voter and its status, or the error of the request for it.
 pub(super) struct StatusRow {
     pub name: String,
     pub address: SocketAddr,
--- a/crates/control-plane/coordination-server/src/crash_points.rs
+++ b/crates/control-plane/coordination-server/src/crash_points.rs
@@ -13,12 +13,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashPoint {
     kind: String,
+    /// Operations of this kind that still succeed; for the kind `slow`, the delay of a sync in milliseconds.
     remaining: u64,
 }
 
 /// The text is not a crash point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("is no KIND:COUNT")]
+#[error("is not of the form KIND:COUNT")]
 pub struct ParseCrashPointError;
 
 impl std::str::FromStr for CrashPoint {
@@ -74,9 +75,9 @@
 impl<F: Files> Files for CrashingFiles<F> {
     type Open = F::Open;
 
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
         self.crash_at("read");
-        self.files.read(name, most)
+        self.files.read(name, max_bytes)
     }
 
     fn open(&mut self, name: &str) -> io::Result<Self::Open> {
@@ -84,13 +85,13 @@
         self.files.open(name)
     }
 
-    fn write(&mut self, file: &mut Self::Open, at: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write(&mut self, file: &mut Self::Open, offset: u64, bytes: &[u8]) -> io::Result<()> {
         if self.is_crash_point("write") {
-            // A torn write.
-            let _ = self.files.write(file, at, &bytes[..bytes.len() / 2]);
+            // A torn write: only the first half of the bytes is written.
+            let _ = self.files.write(file, offset, &bytes[..bytes.len() / 2]);
             kill_process();
         }
-        self.files.write(file, at, bytes)
+        self.files.write(file, offset, bytes)
     }
 
     fn truncate(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()> {
--- a/crates/control-plane/coordination-server/src/error.rs
+++ b/crates/control-plane/coordination-server/src/error.rs
@@ -14,9 +14,9 @@
     #[error(transparent)]
     Config(#[from] ConfigFileError),
     /// The asynchronous runtime can't be started.
-    #[error("{0}")]
+    #[error("the asynchronous runtime can't be started: {0}")]
     Runtime(#[source] io::Error),
-    /// Signals can't be caught.
+    /// The signal handlers can't be installed.
     #[error("{0}")]
     Signals(String),
     /// The folder is locked by another process, or the lock can't be taken.
@@ -38,9 +38,9 @@
         /// The error of the journal.
         source: JournalError,
     },
-    /// The journal is damaged, so that the voter may have lost what it acknowledged.
+    /// The journal is damaged, so that votes and entries that the voter acknowledged may be lost.
     #[error(
-        "{}: {source}; what this voter promised is lost: remove it from the council, empty the folder, and it joins anew",
+        "{}: {source}; votes and entries that this voter acknowledged may be lost: remove it from the council, empty the folder, and it joins again",
         folder.display()
     )]
     DamagedJournal {
@@ -61,10 +61,10 @@
     #[error(transparent)]
     Backup(#[from] DecodeError),
     /// A cluster can't be bootstrapped in a folder that holds a voter.
-    #[error("{}: holds a voter already", .0.display())]
+    #[error("{}: the folder already holds a voter", .0.display())]
     FolderInUse(PathBuf),
     /// The folder belongs to another voter.
-    #[error("{}: is the folder of {owner}, and this is {name}", folder.display())]
+    #[error("{}: the folder belongs to voter {owner}, and this is voter {name}", folder.display())]
     ForeignFolder {
         /// The folder.
         folder: PathBuf,
@@ -74,7 +74,7 @@
         name: String,
     },
     /// The address can't be listened on.
-    #[error("listen: {address}: {source}")]
+    #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -82,10 +82,10 @@
         source: io::Error,
     },
     /// The thread that writes the journal can't be started.
-    #[error("{0}")]
+    #[error("the thread that writes the journal can't be started: {0}")]
     JournalThread(#[source] io::Error),
     /// The thread that writes the journal has ended.
-    #[error("the disk's thread has ended")]
+    #[error("the thread that writes the journal has ended")]
     JournalThreadEnded,
 }
 
@@ -110,7 +110,7 @@
     BackupFile {
         /// The file.
         file: PathBuf,
-        /// What is wrong.
+        /// Reason of the failure.
         reason: String,
     },
     /// Standard output can't be written.
@@ -126,16 +126,16 @@
     #[error("{0}; is there a majority of voters?")]
     NotExecuted(String),
     /// The answer is not one to this request.
-    #[error("an answer that is none: {0}")]
+    #[error("unexpected answer: {0}")]
     UnexpectedAnswer(String),
     /// No voter answers.
     #[error("no voter answers")]
     NoVoter,
     /// The key does not exist.
-    #[error("{0}: there is none")]
+    #[error("key {0} does not exist")]
     NoKey(String),
     /// A watch fell behind the oldest resumable revision.
-    #[error("changes before {oldest} are not known any more")]
+    #[error("changes up to revision {oldest} are no longer available")]
     Compacted {
         /// The oldest revision from which a watch can resume.
         oldest: u64,
--- a/crates/control-plane/coordination-server/src/framing.rs
+++ b/crates/control-plane/coordination-server/src/framing.rs
@@ -6,9 +6,9 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Time without progress after which a write fails.
+/// Maximum time without progress before a write fails.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of the length prefix.
+/// Number of bytes of the length prefix.
 const LENGTH_BYTES: usize = 4;
 
 /// A frame could not be read.
@@ -18,10 +18,10 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The connection was closed within a frame.
-    #[error("unexpected end of file")]
+    #[error("the connection was closed within a frame")]
     Truncated,
     /// The frame is longer than allowed.
-    #[error("a frame of {length} bytes, {maximum} at most")]
+    #[error("a frame has {length} bytes, and at most {maximum} are allowed")]
     TooLong {
         /// Announced length in bytes.
         length: usize,
@@ -37,16 +37,16 @@
 ///
 /// # Errors
 /// The connection failed or was closed, or the frame is longer.
-pub async fn read(from: &mut (impl AsyncRead + Unpin), maximum: usize) -> Result<Vec<u8>, FrameError> {
+pub async fn read(reader: &mut (impl AsyncRead + Unpin), maximum: usize) -> Result<Vec<u8>, FrameError> {
     let mut prefix = [0; LENGTH_BYTES];
-    from.read_exact(&mut prefix).await?;
+    reader.read_exact(&mut prefix).await?;
     let length = u32::from_le_bytes(prefix) as usize;
     if length > maximum {
         return Err(FrameError::TooLong { length, maximum });
     }
-    // Memory is allocated as the bytes arrive, not as they are announced.
+    // Memory is allocated as the bytes arrive, not for the announced length, which may be wrong.
     let mut content = Vec::new();
-    from.take(length as u64).read_to_end(&mut content).await?;
+    reader.take(length as u64).read_to_end(&mut content).await?;
     match content.len() == length {
         true => Ok(content),
         false => Err(FrameError::Truncated),
@@ -57,18 +57,19 @@
 ///
 /// # Errors
 /// The connection failed, or the other side does not read.
-pub async fn write(to: &mut (impl AsyncWrite + Unpin), content: &[u8]) -> io::Result<()> {
+pub async fn write(writer: &mut (impl AsyncWrite + Unpin), content: &[u8]) -> io::Result<()> {
     let length = u32::try_from(content.len()).map_err(|_| ErrorKind::FileTooLarge)?;
     let mut frame = Vec::with_capacity(LENGTH_BYTES + content.len());
     frame.extend_from_slice(&length.to_le_bytes());
     frame.extend_from_slice(content);
-    let mut rest = &frame[..];
-    while !rest.is_empty() {
-        let written = timeout(WRITE_TIMEOUT, to.write(rest)).await.map_err(|_| ErrorKind::TimedOut)??;
+    let mut remaining = &frame[..];
+    while !remaining.is_empty() {
+        let written =
+            timeout(WRITE_TIMEOUT, writer.write(remaining)).await.map_err(|_| ErrorKind::TimedOut)??;
         if written == 0 {
             return Err(ErrorKind::WriteZero.into());
         }
-        rest = &rest[written..];
+        remaining = &remaining[written..];
     }
     Ok(())
 }
--- a/crates/control-plane/coordination-server/src/handshake.rs
+++ b/crates/control-plane/coordination-server/src/handshake.rs
@@ -17,13 +17,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The address is invalid.
-    #[error("{0:?} is no address")]
+    #[error("{0:?} is not a valid address")]
     InvalidAddress(String),
     /// The address can't be connected to.
     #[error(transparent)]
     Unreachable(io::Error),
     /// The other side sent no handshake in time.
-    #[error("says nothing")]
+    #[error("no handshake was received in time")]
     Timeout,
     /// The handshake could not be exchanged.
     #[error(transparent)]
--- a/crates/control-plane/coordination-server/src/journal_writer.rs
+++ b/crates/control-plane/coordination-server/src/journal_writer.rs
@@ -13,11 +13,12 @@
 /// (16 MiB) and a state machine (32 MiB) of maximum size.
 const JOURNAL_FORMAT: JournalFormat =
     JournalFormat { name: "journal", kind: "council", version: 1, max_bytes: 256 << 20 };
-/// Requests that are written together, at most.
+/// Maximum number of requests that are written together.
 const MAX_BATCH: usize = 256;
-/// Requests that may be queued. A voter has few in flight: each waits for the one before, or covers what came meanwhile.
+/// Requests that may be queued. A voter has few in flight: each waits for the one before, or covers everything that arrived
+/// in the meantime.
 const MAX_QUEUED_REQUESTS: usize = 4 * MAX_BATCH;
-/// Free bytes that a full disk needs before the voter recovers.
+/// Bytes that must be free on a full disk before the voter recovers.
 const RECOVERY_CAPACITY_BYTES: usize = 1 << 20;
 /// A batch that takes longer than this is reported as slow.
 const SLOW_BATCH: Duration = Duration::from_millis(500);
@@ -29,7 +30,7 @@
 pub struct OpenedJournal {
     /// The journal.
     pub journal: VoterJournal,
-    /// Its records.
+    /// Records of the journal.
     pub records: Vec<Vec<u8>>,
 }
 
@@ -132,7 +133,7 @@
             match request {
                 JournalRequest::Recover if self.failed => self.recover(),
                 JournalRequest::Recover => {}
-                // The voter knows of the failure already, and has discarded what was in flight.
+                // The failure was already reported to the voter, which has discarded the requests in flight.
                 JournalRequest::Persist(_) if self.failed => {}
                 JournalRequest::Persist(request) if request.replace => self.replace(&request),
                 JournalRequest::Persist(request) => self.append(&request),
@@ -174,7 +175,7 @@
             Ok(()) => self.unsynced = Some(request.number),
             Err(error) => {
                 self.failed = true;
-                // What was written before may still be acknowledged.
+                // Requests that were written before the failure may still be acknowledged.
                 if self.sync() {
                     self.persist_failed(request.number, &error, false);
                 }
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Syncs what is written; returns whether that succeeded.
+    /// Syncs the requests that are written; returns whether that succeeded.
     fn sync(&mut self) -> bool {
         let Some(number) = self.unsynced.take() else { return true };
         match self.journal.sync() {
--- a/crates/control-plane/coordination-server/src/lib.rs
+++ b/crates/control-plane/coordination-server/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | `transport` | how connections are made |
+//! | `transport` | connections between processes |
 //! | `framing` | frames on a connection |
 //! | `handshake` | establishing connections |
 //! | `journal_writer` | the thread that writes a voter's journal |
--- a/crates/control-plane/coordination-server/src/peer_connections.rs
+++ b/crates/control-plane/coordination-server/src/peer_connections.rs
@@ -15,13 +15,13 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// Messages that may be queued for a connection. Raft sends dropped ones again.
+/// Messages that may be queued for a connection. Raft resends messages that are dropped.
 const MAX_QUEUED_MESSAGES: usize = 256;
 /// Delay before the first reconnection.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Upper bound of the delay between reconnections.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// A message of more bytes holds a snapshot; one of them may be queued at a time.
+/// A message that is longer than this holds a snapshot; only one of them may be queued at a time.
 const LARGE_MESSAGE_BYTES: usize = 1 << 20;
 
 struct Peer {
@@ -40,7 +40,7 @@
 }
 
 impl PeerConnections {
-    /// No connections. The ids of voters to which a connection failed are sent to `unreachable`.
+    /// Creates an empty set. The ids of voters to which a connection failed are sent to `unreachable`.
     pub fn new(own: Handshake, unreachable: mpsc::Sender<u64>) -> PeerConnections {
         PeerConnections { own, peers: BTreeMap::new(), unreachable }
     }
@@ -51,7 +51,7 @@
             self.add_peer(id, address);
         }
         let Some(peer) = self.peers.get(&id) else { return };
-        // Another snapshot would only take memory; it is requested again.
+        // A second snapshot in the queue would only use memory; Raft requests it again.
         if message.len() > LARGE_MESSAGE_BYTES && peer.large_message_pending.replace(true) {
             return;
         }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Whether more messages may come.
+/// Whether the queue of messages is still open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueueState {
     Open,
@@ -119,14 +119,14 @@
 impl PeerConnection {
     async fn run(mut self) {
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
-        // The last logged error; it is logged once in a row.
+        // The last logged error; consecutive equal errors are logged once.
         let mut last_error: Option<String> = None;
         loop {
             match connect(&self.address, &self.own).await {
                 Ok(connection) => {
                     backoff.reset();
                     if last_error.take().is_some() {
-                        info!("council: {} is reached again", self.address);
+                        info!("council: connected to {} again", self.address);
                     }
                     if self.send_queued(connection).await == QueueState::Closed {
                         return;
@@ -135,13 +135,13 @@
                 Err(error) => {
                     let error = error.to_string();
                     if last_error.as_ref() != Some(&error) {
-                        info!("council: {}: {error}", self.address);
+                        info!("council: can't connect to voter at {}: {error}", self.address);
                         last_error = Some(error);
                     }
                 }
             }
             let _ = self.unreachable.try_send(self.id);
-            // Queued messages are outdated by now.
+            // Queued messages are outdated, and Raft resends what is still needed.
             while self.queue.try_recv().is_ok() {}
             self.large_message_pending.set(false);
             sleep(backoff.next_delay(rand::rngs::OsRng.gen())).await;
--- a/crates/control-plane/coordination-server/src/server/event_loop.rs
+++ b/crates/control-plane/coordination-server/src/server/event_loop.rs
@@ -19,14 +19,15 @@
 use tokio::time::{interval, Instant, Interval, MissedTickBehavior};
 use tracing::info;
 
-/// Interval of checks: whether a failed disk works again, and whether a leaderless voter was removed.
+/// Interval of the checks whether a failed disk works again and whether a leaderless voter was removed.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a stopping leader waits for another voter to take over.
+/// Maximum time for which a stopping leader waits until another voter has taken over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time without a leader after which a voter asks whether it is still a member: a removed voter gets no more messages.
+/// Time without a leader after which a voter queries the others whether it is still a member: a removed voter gets no more
+/// messages.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a voter's process reacts to.
+/// Event sources of a voter's process.
 pub(super) struct Inputs {
     pub signals: Signals,
     pub connections: mpsc::Receiver<ConnectionEvent>,
@@ -34,7 +35,7 @@
     pub unreachable: mpsc::Receiver<u64>,
 }
 
-/// What a voter's actions act on.
+/// Destinations of a voter's actions.
 pub(super) struct Outputs {
     pub journal: SyncSender<JournalRequest>,
     pub peers: PeerConnections,
@@ -53,7 +54,7 @@
     /// The voter is no longer a member.
     removed: bool,
     leaderless_since: Option<Instant>,
-    /// Set when the process was told to stop.
+    /// Time at which the process exits at the latest; set when it received a signal to stop.
     stop_deadline: Option<Instant>,
 }
 
@@ -70,7 +71,7 @@
     TickOrClients,
 }
 
-/// An interval whose missed ticks are not made up for.
+/// An interval that does not catch up on missed ticks: after a delay, the next tick follows one period later.
 fn delayed_interval(period: Duration) -> Interval {
     let mut interval = interval(period);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Runs until the voter is told to stop or is removed.
+    /// Runs until the process receives a signal to stop or the voter is removed.
     pub async fn run(mut self, mut inputs: Inputs) -> Result<(), ServerError> {
         let mut ticks = delayed_interval(self.config.tick);
         let mut maintenance = delayed_interval(MAINTENANCE_INTERVAL);
@@ -110,7 +111,7 @@
         let (removed, mut is_removed) = mpsc::channel(1);
         while !self.is_finished() {
             let event = tokio::select! {
-                // Disk events before messages, which wait for them.
+                // Disk events are handled before messages, which wait for them.
                 biased;
                 signal = inputs.signals.next() => self.handle_signal(signal),
                 Some(event) = inputs.journal.recv() => self.handle_journal_event(event),
@@ -140,7 +141,7 @@
     /// Whether the process ends now; logs the reason.
     fn is_finished(&self) -> bool {
         if self.removed {
-            info!("council: {} is a voter no more, and ends", self.config.name);
+            info!("council: {} was removed from the council and exits", self.config.name);
             return true;
         }
         let has_stopped = self
@@ -148,7 +149,7 @@
             .is_some_and(|deadline| !self.voter.is_serving_leader() || Instant::now() >= deadline);
         if has_stopped {
             self.manager.notify_stopping();
-            info!("council: {} ends", self.config.name);
+            info!("council: {} exits", self.config.name);
         }
         has_stopped
     }
@@ -157,7 +158,7 @@
         match signal {
             ProcessSignal::Stop if self.stop_deadline.is_some() => None,
             ProcessSignal::Stop => {
-                info!("council: {} is told to end", self.config.name);
+                info!("council: {} received a signal to stop", self.config.name);
                 self.stop_deadline = Some(Instant::now() + HANDOVER_TIMEOUT);
                 Some(Event::TransferLeadership)
             }
@@ -178,14 +179,14 @@
             JournalEvent::Recovered(records) => match PersistedState::read(&records) {
                 Ok(persisted) => Some(Event::Recovered(persisted)),
                 Err(error) => {
-                    info!("council: {folder}: {error}");
+                    info!("council: {folder}: the journal can't be read after a failure: {error}");
                     None
                 }
             },
             // The failure was logged when it began.
             JournalEvent::RecoveryFailed => None,
             JournalEvent::Slow(elapsed) => {
-                info!("council: {folder}: the disk took {} ms for a save", elapsed.as_millis());
+                info!("council: {folder}: writing to the journal took {} ms", elapsed.as_millis());
                 None
             }
         }
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Asks the other voters whether this one is still a member.
+    /// Queries the other voters whether this one is still a member.
     fn check_membership(&self, removed: mpsc::Sender<()>) {
         if other_voters(&self.config).is_empty() {
             return;
@@ -258,12 +259,12 @@
         match event {
             VoterEvent::BecameLeader(term) => {
                 self.leaderless_since = None;
-                info!(term, "council: {name} leads");
+                info!(term, "council: {name} is the leader");
                 self.manager.notify_ready("leads".into());
             }
             VoterEvent::FollowsLeader(leader) => {
                 self.leaderless_since = None;
-                info!("council: {name} follows {leader}");
+                info!("council: {name} follows the leader {leader}");
                 self.manager.notify_ready(format!("follows {leader}"));
             }
             VoterEvent::Leaderless => {
@@ -271,19 +272,21 @@
                 info!("council: {name} knows no leader");
             }
             VoterEvent::StorageFailed(why) => {
-                info!("council: {name} stands aside and does not vote: {folder}: {why}");
+                info!(
+                    "council: {name} neither votes nor acknowledges entries: storage failed: {folder}: {why}"
+                );
                 self.manager.notify_ready(format!("stands aside: {folder}: {why}"));
             }
-            VoterEvent::StorageRecovered => info!("council: {name} is back"),
+            VoterEvent::StorageRecovered => info!("council: {name} votes again: its storage has recovered"),
             VoterEvent::Removed => self.removed = true,
-            VoterEvent::SnapshotFailed(why) => info!("council: {folder}: the log was not folded: {why}"),
+            VoterEvent::SnapshotFailed(why) => info!("council: {folder}: the log was not compacted: {why}"),
             VoterEvent::MembershipChanged(change) => {
                 info!("council: {change}");
                 let ids: Vec<u64> = self.voter.status().members.iter().map(|member| member.id).collect();
                 self.outputs.peers.retain(&ids);
             }
             VoterEvent::SessionExpired(session) => {
-                info!("council: the session of {session} has ended, it was not renewed")
+                info!("council: the session of {session} has expired: it was not renewed in time")
             }
         }
     }
@@ -296,11 +299,11 @@
                 let names = new.voters.iter().map(|(name, _)| name.clone()).collect();
                 self.voter.set_expected_members(names);
                 self.config = new;
-                info!("council: reloaded");
+                info!("council: configuration reloaded");
                 self.manager.notify_ready(format!("listening on {}", self.config.listen()));
             }
             Err(why) => {
-                info!("council: not reloaded: {why}");
+                info!("council: configuration not reloaded: {why}");
                 self.manager.notify_ready(format!("not reloaded: {why}"));
             }
         }
--- a/crates/control-plane/coordination-server/src/server/mod.rs
+++ b/crates/control-plane/coordination-server/src/server/mod.rs
@@ -3,7 +3,7 @@
 //! | module | contents |
 //! | --- | --- |
 //! | `bootstrap` | creating a cluster |
-//! | `startup` | from the configuration to a running voter, with joining |
+//! | `startup` | starting a voter from its configuration, and joining a cluster |
 //! | `event_loop` | the running voter |
 //! | `voter_addresses` | addresses of voters that are not members yet |
 mod bootstrap;
@@ -24,7 +24,7 @@
 
 /// Name of the lock file in a voter's folder.
 const LOCK_FILE: &str = "lock";
-/// Response timeout of this process's own clients, in ticks.
+/// Response timeout of the clients inside this process, in ticks.
 const RESPONSE_TIMEOUT_TICKS: u32 = 20;
 
 /// Command-line options of a voter.
@@ -34,7 +34,7 @@
     pub halt: Option<CrashPoint>,
 }
 
-/// Runs a voter until it is told to stop or is removed.
+/// Runs a voter until it receives a signal to stop or is removed.
 ///
 /// # Errors
 /// The voter can't start: the configuration, the folder, the journal or the address can't be used.
--- a/crates/control-plane/coordination-server/src/server/startup.rs
+++ b/crates/control-plane/coordination-server/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! From the configuration to a running voter, with joining a cluster if the folder is empty.
+//! Startup of a voter from its configuration; a voter with an empty folder joins a cluster first.
 use super::event_loop::{Inputs, Outputs, VoterProcess};
 use super::voter_addresses::VoterAddresses;
 use super::{client_of_others, handshake_of, lock_folder, ServerOptions};
@@ -24,10 +24,10 @@
 const JOIN_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Timeout of an attempt to join.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Unreachable voters that may be queued for the voter.
+/// Reports of unreachable voters that may be queued for the voter.
 const MAX_QUEUED_UNREACHABLE: usize = 64;
 
-/// Runs a voter until it is told to stop or is removed.
+/// Runs a voter until it receives a signal to stop or is removed.
 pub(super) async fn serve(path: PathBuf, options: ServerOptions) -> Result<(), ServerError> {
     let mut signals = Signals::install().map_err(|error| ServerError::Signals(error.to_string()))?;
     let config = config::coordination::read(&path)?;
@@ -127,13 +127,13 @@
 }
 
 impl Joining<'_> {
-    /// Returns the id of the cluster once the process is a member; `None` if it is told to stop before.
+    /// Returns the id of the cluster once the process is a member; `None` if it receives a signal to stop before that.
     async fn run(
         mut self,
         signals: &mut Signals,
         connections: &mut mpsc::Receiver<ConnectionEvent>,
     ) -> Option<u64> {
-        info!("council: {} has an empty folder, and asks to join", self.config.name);
+        info!("council: {} has an empty folder and requests to join the council", self.config.name);
         let join = request_join(self.config, self.identity.voter);
         tokio::pin!(join);
         loop {
@@ -170,7 +170,7 @@
 /// Requests to join until the request is granted; returns the id of the cluster.
 async fn request_join(config: &CoordinationConfig, voter: u64) -> u64 {
     let client = client_of_others(config);
-    // The last logged reason; it is logged once in a row.
+    // The last logged reason; consecutive equal reasons are logged once.
     let mut last_reason = None;
     loop {
         let request = Request::Join { name: config.name.clone(), addr: config.addr().to_string(), voter };
@@ -181,7 +181,7 @@
             RequestOutcome::Indeterminate(reason) | RequestOutcome::NotExecuted(reason) => reason,
         };
         if last_reason.as_ref() != Some(&reason) {
-            info!("council: {} has not joined: {reason}", config.name);
+            info!("council: {} has not joined yet: {reason}", config.name);
             last_reason = Some(reason);
         }
         sleep(JOIN_RETRY_DELAY).await;
--- a/crates/control-plane/coordination-server/src/transport.rs
+++ b/crates/control-plane/coordination-server/src/transport.rs
@@ -1,5 +1,5 @@
 //! The transport: plain TCP, for loopback or a trusted network. A transport that authenticates the other side would replace
-//! the items of this module; nothing else depends on what a connection is made of.
+//! the items of this module; no other module depends on the kind of connection.
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/control-plane/coordination/src/protocol.rs
+++ b/crates/control-plane/coordination/src/protocol.rs
@@ -4,7 +4,7 @@
 use crate::state_machine::{Outcome, Revision, SessionId, Transaction, VersionedValue, WatchEvent};
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol; both sides must use the same.
+/// Version of the protocol; both sides must use the same one.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Maximum frame between a client and a voter, in bytes.
 pub const MAX_CALL_BYTES: usize = 64 << 20;
@@ -26,39 +26,39 @@
     pub voter: Option<u64>,
     /// Address of the sender, if it is a voter.
     pub addr: Option<String>,
-    /// Id of the voter that the sender wants to reach, if it is known.
+    /// Id of the voter that the sender tries to reach, if it is known.
     pub to: Option<u64>,
 }
 
-/// Why two processes can't talk to each other; the message names the other side.
+/// Reason why two processes can't communicate; the message names the other side.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
-    /// They use different versions of the protocol.
-    #[error("{name} speaks version {theirs}, and this is version {ours}")]
+    /// The two processes use different versions of the protocol.
+    #[error("{name} uses protocol version {theirs}, and this process uses version {ours}")]
     Version {
         /// Name of the other side.
         name: String,
-        /// Its version.
+        /// Protocol version of the other side.
         theirs: u32,
-        /// The local version.
+        /// Protocol version of this process.
         ours: u32,
     },
-    /// They belong to different clusters.
-    #[error("{name} is of council {theirs:016x}, and this is council {ours:016x}")]
+    /// The two processes belong to different clusters.
+    #[error("{name} belongs to council {theirs:016x}, and this process belongs to council {ours:016x}")]
     Cluster {
         /// Name of the other side.
         name: String,
-        /// Id of its cluster.
+        /// Id of the other side's cluster.
         theirs: u64,
         /// Id of the local cluster.
         ours: u64,
     },
-    /// The other side wants to talk to another voter.
-    #[error("{name} looks for voter {wanted:016x}, and this is voter {ours:016x}")]
+    /// The other side tries to reach another voter.
+    #[error("{name} tries to reach voter {wanted:016x}, and this is voter {ours:016x}")]
     Voter {
         /// Name of the other side.
         name: String,
-        /// Id of the voter that it looks for.
+        /// Id of the voter that the other side tries to reach.
         wanted: u64,
         /// Id of the local voter.
         ours: u64,
@@ -66,7 +66,7 @@
 }
 
 impl Handshake {
-    /// Checks whether the sender of this handshake can talk to the sender of `own`.
+    /// Checks whether the sender of this handshake can communicate with the sender of `own`.
     ///
     /// # Errors
     /// The versions, the clusters, or the addressed and the local voter differ.
@@ -105,7 +105,7 @@
     OpenSession {
         /// Name, unique among open sessions.
         name: String,
-        /// Random number that identifies this opening when it is sent again.
+        /// Random number by which a retry of the same request is recognised.
         nonce: u64,
         /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
@@ -223,7 +223,7 @@
         #[serde(rename = "changes")]
         events: Vec<WatchEvent>,
     },
-    /// Events after the requested revision were dropped: read the keys, and watch from that revision.
+    /// Events after the requested revision were dropped: read the keys again, and watch from the revision of that read.
     #[serde(rename = "Lost")]
     Compacted {
         /// The oldest revision from which a watch can resume.
@@ -237,7 +237,7 @@
     /// The voter lost leadership; the request may or may not have been applied.
     #[serde(rename = "Unclear")]
     Indeterminate,
-    /// Too many requests are pending; holds what is exceeded. Nothing was done.
+    /// The voter can't take the request now; holds the reason. Nothing was done.
     Busy(String),
     /// The voter's view of the cluster.
     Status(Box<Status>),
@@ -268,7 +268,7 @@
     pub cluster: u64,
     /// `leader`, `follower`, `candidate`, `learner`, `aside`, `unjoined` or `removed`.
     pub role: String,
-    /// Why the voter's storage has failed, if it has (role `aside`).
+    /// Reason of the storage failure, if storage has failed (role `aside`).
     #[serde(rename = "aside")]
     pub storage_error: Option<String>,
     /// The Raft term.
@@ -301,19 +301,19 @@
 /// A member of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Random id; it stands for one disk and is never used for another.
+    /// Random id; it identifies one disk and is never used for another one.
     pub id: u64,
     /// Name of the member.
     pub name: String,
     /// Address of the member.
     pub addr: String,
-    /// Whether it is a voter; otherwise it is a learner.
+    /// Whether the member is a voter; otherwise it is a learner.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// Whether it was recently active; known to the leader only.
+    /// Whether the member was recently active; known to the leader only.
     #[serde(default)]
     pub active: Option<bool>,
-    /// Index of the last entry that it has; known to the leader only.
+    /// Index of the last log entry that the member has; known to the leader only.
     #[serde(rename = "has", default)]
     pub match_index: Option<u64>,
 }
--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -265,10 +265,10 @@
     let l = voters.leader();
     let f = (l + 1) % 3;
     disk::full_at(pid(f), 10).expect("runs");
-    voters.machines[f].process(0).logs("stands aside and does not vote");
+    voters.machines[f].process(0).logs("neither votes nor acknowledges entries: storage failed");
     workload.wait_for_operations(&voters, 40);
     disk::room(pid(f)).expect("runs");
-    voters.machines[f].process(0).logs("is back");
+    voters.machines[f].process(0).logs("votes again: its storage has recovered");
     voters.wait_until_converged();
 
     let l = voters.leader();
@@ -398,8 +398,8 @@
     std::fs::write(other.file(0), text).expect("writes");
     let stranger = Process::start(other.process(0, &["run"]));
     stranger.logs("listens on");
-    stranger.logs("turned away: c");
-    assert!(stranger.log().iter().any(|l| l.contains("is of council")), "{:?}", stranger.log());
+    stranger.logs("connection rejected: c");
+    assert!(stranger.log().iter().any(|l| l.contains("belongs to council")), "{:?}", stranger.log());
     assert!(written(&voters.put("k", "w")), "the majority goes on");
     drop(stranger);
     voters.machines[lost].start();
@@ -611,7 +611,7 @@
     voters.machines[f].kill();
     std::fs::write(voters.machines[f].disk().join("journal"), copy).expect("writes");
     voters.machines[f].start();
-    voters.machines[f].process(0).logs("stands aside");
+    voters.machines[f].process(0).logs("neither votes nor acknowledges entries: storage failed");
     voters.until("aside", |all| all.iter().any(|s| s.name == voters.names[f] && s.role == "aside"));
     assert_eq!(voters.get("k").as_deref(), Some("new"));
     assert!(written(&voters.put("k", "newer")), "two are a majority");
@@ -636,7 +636,7 @@
     let mut slow = Process::start(voters.process(f, &["run", "--halt-at", "slow:600"]));
     let workload = Workload::spawn(&voters, 4);
     workload.wait_for_operations(&voters, 300);
-    slow.logs("ms for a save");
+    slow.logs("writing to the journal took ");
     workload.stop_and_check();
     voters.wait_until_converged();
     slow.kill();
