--- a/crates/control-plane/coordination/src/client/connection.rs
+++ b/crates/control-plane/coordination/src/client/connection.rs
@@ -3,7 +3,8 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Leader hints that are followed in a row without a delay; voters that name one another in a circle are slowed down.
+/// Number of consecutive leader hints that are followed without a delay; further ones are delayed, so that voters that name
+/// one another in a circle cause no busy loop.
 const MAX_IMMEDIATE_REDIRECTS: u32 = 2;
 
 #[derive(Debug)]
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The connection is lost: calls in flight are sent again on the next one.
+    /// Handles the loss of the connection: calls in flight are sent again on the next one.
     pub(super) fn disconnected(&mut self, now: Duration, leader_hint: Option<String>) {
         let delay = match leader_hint {
             Some(_) if self.connection_backoff.failures() < MAX_IMMEDIATE_REDIRECTS => {
@@ -76,7 +77,8 @@
         let timeout = self.config.response_timeout;
         let overdue = |call: Option<SentCall>| call.is_some_and(|call| now >= call.sent_at + timeout);
         // An established watch is silent while nothing changes.
-        let request_overdue = self.pending.values().any(|r| !r.is_established_watch() && overdue(r.call));
+        let request_overdue =
+            self.pending.values().any(|pending| !pending.is_established_watch() && overdue(pending.call));
         if overdue(self.session.call()) || overdue(self.ping) || request_overdue {
             actions.push(Action::Disconnect);
             self.disconnected(now, None);
--- a/crates/control-plane/coordination/src/client/mod.rs
+++ b/crates/control-plane/coordination/src/client/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! **A session is held** for its time to live, counted from the moment the last acknowledged renewal was *sent*, by this
 //! process's clock and shortened by [`crate::CLOCK_DRIFT_FRACTION`]. After that the holder must assume that the session has
-//! ended; the voters wait longer. A fenced session is not reopened, because another process owns its name.
+//! ended; the voters wait longer before they expire it. A fenced session is not reopened, because another process owns its name.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -69,7 +69,7 @@
     Transact {
         /// Conditions that must all hold.
         compares: Vec<Compare>,
-        /// Operations that are applied if they hold.
+        /// Operations that are applied if all conditions hold.
         ops: Vec<Op>,
     },
     /// A linearizable read.
@@ -103,13 +103,13 @@
         /// Timeout; ignored for a watch.
         timeout: Duration,
     },
-    /// The request with this id is no longer wanted.
+    /// Cancels the request with this id.
     Cancel(u64),
     /// Opens a session, if the client has none.
     OpenSession(SessionConfig),
     /// Closes the session.
     CloseSession,
-    /// The time of [`Client::next_timeout`] has come.
+    /// The time that [`Client::next_timeout`] returned has been reached.
     Timeout,
 }
 
@@ -126,7 +126,7 @@
     Complete {
         /// The id of the request.
         request_id: u64,
-        /// Its outcome.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
     /// The state of the session changed.
@@ -171,22 +171,22 @@
     config: ClientConfig,
     random: Pcg64Mcg,
     connection: ConnectionState,
-    /// Position in `config.voters` of the voter that is tried next.
+    /// Position in `config.voters` of the voter to which the next connection is made.
     next_voter: usize,
     /// Address of the leader as named by the last voter.
     leader_hint: Option<String>,
     connection_backoff: Backoff,
     /// Id of the last call that was sent.
     last_call_id: u64,
-    /// By request id.
+    /// Requests without a final outcome, by request id.
     pending: BTreeMap<u64, PendingRequest>,
     /// Request ids of pending transactions in order; only the first may be in flight.
     transactions: VecDeque<u64>,
     session: Session,
     session_backoff: Backoff,
-    /// When the last reply arrived.
+    /// Time at which the last reply arrived.
     last_reply_at: Duration,
-    /// Liveness check in flight.
+    /// The liveness check in flight, if any.
     ping: Option<SentCall>,
 }
 
@@ -267,7 +267,7 @@
         self.last_reply_at = now;
         let Reply { id, answer } = reply;
         match answer {
-            // Regardless of the call it answers: this voter can serve none of them.
+            // Holds for every call, not only the answered one: this voter can serve none of them.
             Answer::NotLeader { leader } => {
                 actions.push(Action::Disconnect);
                 return self.disconnected(now, leader);
--- a/crates/control-plane/coordination/src/client/requests.rs
+++ b/crates/control-plane/coordination/src/client/requests.rs
@@ -20,13 +20,13 @@
     pub call: Option<SentCall>,
     /// Assigned when a transaction is first sent.
     pub transaction: Option<TransactionId>,
-    /// How many times the request was sent.
+    /// Number of times that the request was sent.
     pub attempts: u32,
     /// Earliest time of the next attempt.
     pub not_before: Duration,
     /// The last revision that was reported to a watch.
     pub last_revision: Option<Revision>,
-    /// Delay after the leader answered that it is busy.
+    /// Backoff of the retries after the leader answered that it is busy.
     pub busy_backoff: Backoff,
 }
 
@@ -89,15 +89,15 @@
         self.pending.insert(request_id, pending);
     }
 
-    /// Why a request is not accepted.
+    /// Reason for which a request is not accepted; `None` if it is accepted.
     fn rejection_of(&self, request: &ClientRequest) -> Option<String> {
         let is_transaction = matches!(request, ClientRequest::Transact { .. });
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return Some(format!("{MAX_PENDING_REQUESTS} requests are pending already"));
         }
         match self.session {
-            Session::None if is_transaction => Some("there is no session".into()),
-            Session::Closed if is_transaction => Some("the session is over".into()),
+            Session::None if is_transaction => Some("the client has no session".into()),
+            Session::Closed if is_transaction => Some("the session was closed or fenced".into()),
             _ => None,
         }
     }
@@ -123,7 +123,7 @@
 
     /// Completes the requests whose deadline has passed.
     pub(super) fn expire_requests(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let expired = |r: &PendingRequest| r.deadline.is_some_and(|deadline| deadline <= now);
+        let expired = |request: &PendingRequest| request.deadline.is_some_and(|deadline| deadline <= now);
         let outcomes: Vec<(u64, RequestOutcome)> =
             self.pending.iter().filter(|(_, r)| expired(r)).map(|(&id, r)| (id, r.timed_out())).collect();
         for (request_id, outcome) in outcomes {
@@ -177,7 +177,7 @@
         answer: Answer,
         actions: &mut Vec<Action>,
     ) {
-        let in_flight = |r: &PendingRequest| r.call.is_some_and(|call| call.id == call_id);
+        let in_flight = |request: &PendingRequest| request.call.is_some_and(|call| call.id == call_id);
         let Some((&request_id, pending)) = self.pending.iter_mut().find(|(_, r)| in_flight(r)) else {
             return;
         };
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The session of a transaction has ended.
+    /// Completes a transaction that was rejected because its session has ended.
     fn transaction_rejected(
         &mut self,
         now: Duration,
@@ -234,10 +234,10 @@
         }
     }
 
-    /// Completes all pending transactions as not executed: there will be no session again.
+    /// Completes all pending transactions as not executed, because no further session will be opened.
     pub(super) fn reject_transactions(&mut self, actions: &mut Vec<Action>) {
         for request_id in std::mem::take(&mut self.transactions) {
-            let outcome = RequestOutcome::NotExecuted("the session is over".into());
+            let outcome = RequestOutcome::NotExecuted("the session was closed or fenced".into());
             self.complete(request_id, outcome, actions);
         }
     }
--- a/crates/control-plane/coordination/src/client/session.rs
+++ b/crates/control-plane/coordination/src/client/session.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A session is renewed this many times in its time to live.
+/// Number of renewals of a session within its time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     None,
     /// A session is being opened.
     Opening {
-        /// Identifies this opening when it is sent again.
+        /// Random number by which the service recognises a retry of this opening.
         nonce: u64,
         take_over: bool,
         call: Option<SentCall>,
@@ -34,9 +34,9 @@
 #[derive(Debug)]
 pub(super) struct OpenSession {
     id: SessionId,
-    /// When the session may have expired, by the local clock.
+    /// Time after which the session may have expired, by the local clock.
     expires_at: Duration,
-    /// When the last acknowledged renewal was sent.
+    /// Time at which the last acknowledged renewal was sent.
     renewed_at: Duration,
     /// The renewal in flight.
     call: Option<SentCall>,
@@ -89,7 +89,7 @@
 }
 
 impl Client {
-    /// The session, while it is certainly held by the local clock.
+    /// The session, if it has certainly not expired by the local clock.
     pub fn held_session(&self, now: Duration) -> Option<SessionId> {
         match &self.session {
             Session::Open(open) if !open.suspect && now < open.expires_at => Some(open.id),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// When the session expires by the local clock unless it is renewed.
+    /// Time at which the session expires by the local clock unless it is renewed.
     pub fn lease_expiry(&self) -> Option<Duration> {
         match &self.session {
             Session::Open(open) => Some(open.expires_at),
@@ -259,7 +259,7 @@
         open.call = None;
     }
 
-    /// The service reported the end of a session.
+    /// Handles the end of a session, as reported by the service.
     pub(super) fn session_ended(
         &mut self,
         now: Duration,
--- a/crates/control-plane/coordination/src/client/watches.rs
+++ b/crates/control-plane/coordination/src/client/watches.rs
@@ -18,7 +18,7 @@
     pub(super) fn send_ping(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let idle = now >= self.last_reply_at + self.config.response_timeout;
         if self.ping.is_none() && self.has_only_watches() && idle {
-            // No key is empty: the answer only shows that the voter is still the leader.
+            // No key has an empty name, so the answer is empty and only shows that the voter is still the leader.
             let request = Request::Read(Select::Key(String::new()));
             self.ping = Some(SentCall { id: self.send(request, actions), sent_at: now });
         }
--- a/crates/control-plane/coordination/src/lib.rs
+++ b/crates/control-plane/coordination/src/lib.rs
@@ -1,8 +1,8 @@
 //! Coordination service: a replicated key-value store with sessions, transactions and watches, on the Raft implementation
 //! of the crate `raft`.
 //!
-//! A few voters replicate one log. An entry is committed once a majority has it on disk, and then outlives the loss of any
-//! minority; without a majority nothing changes.
+//! A few voters replicate one log. An entry is committed once a majority has it on disk; it then survives the loss of any
+//! minority. Without a majority, nothing is committed.
 //!
 //! The crate does no I/O and reads no clock (sans-I/O): its state machines take events with the current time and return
 //! actions.
--- a/crates/control-plane/coordination/src/limits.rs
+++ b/crates/control-plane/coordination/src/limits.rs
@@ -2,7 +2,7 @@
 //! build.
 use serde::{Deserialize, Serialize};
 
-/// Limits; a command that would exceed one is rejected with its name.
+/// Limits; a command that would exceed one is rejected with the name of the limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
@@ -22,7 +22,7 @@
     pub name: u64,
     /// Number of open sessions.
     pub sessions: u64,
-    /// Number of ended sessions whose end is remembered.
+    /// Number of ended sessions for which the reason of the end is kept.
     pub ended: u64,
     /// Shortest time to live of a session, in milliseconds.
     pub ttl_least_ms: u64,
--- a/crates/control-plane/coordination/src/raft_log.rs
+++ b/crates/control-plane/coordination/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The Raft log in memory, from the last compaction on, as the crate `raft` reads it. The voter persists its entries.
+//! The Raft log in memory, from the last compaction on, as the crate `raft` reads it. The voter persists the entries.
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::{Cell, RefCell};
@@ -46,7 +46,7 @@
         log
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces all entries by a snapshot.
     pub fn install_snapshot(&self, snapshot: Snapshot) {
         let mut log = self.content.borrow_mut();
         let metadata = snapshot.get_metadata();
@@ -60,7 +60,7 @@
         log.snapshot = snapshot;
     }
 
-    /// Appends entries; each replaces the entries with its index and later.
+    /// Appends entries; each one replaces the entries with the same or a greater index.
     pub fn append(&self, entries: &[Entry]) {
         let mut log = self.content.borrow_mut();
         for entry in entries {
@@ -161,7 +161,7 @@
         let mut bytes = 0;
         for entry in log.entries.range(from..to) {
             bytes += size_of(entry);
-            // At least one entry, whatever its size.
+            // At least one entry is returned, whatever its size.
             if !entries.is_empty() && bytes > max_bytes {
                 break;
             }
@@ -192,12 +192,13 @@
         Ok(log.compacted_index + log.entries.len() as u64)
     }
 
-    fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
+    fn snapshot(&self, request_index: u64, member_id: u64) -> raft::Result<Snapshot> {
         let log = self.content.borrow();
         let metadata = log.snapshot.get_metadata();
         let conf_state = metadata.get_conf_state();
-        // Of no use to a member that it does not include, nor to one that would need compacted entries after it.
-        let includes_member = conf_state.voters.contains(&to) || conf_state.learners.contains(&to);
+        // The snapshot is of no use to a member that it does not include, nor to one that would then need compacted entries.
+        let includes_member =
+            conf_state.voters.contains(&member_id) || conf_state.learners.contains(&member_id);
         let is_too_old = metadata.index < request_index || metadata.index < log.compacted_index;
         if is_too_old || !includes_member {
             self.snapshot_requested.set(true);
--- a/crates/control-plane/coordination/src/state_machine/command.rs
+++ b/crates/control-plane/coordination/src/state_machine/command.rs
@@ -11,7 +11,7 @@
     OpenSession {
         /// Name, unique among open sessions.
         name: String,
-        /// Random number of the opener. A retry with the same nonce finds the session that it opened.
+        /// Random number of the client. A retry with the same nonce returns the session that the first attempt opened.
         nonce: u64,
         /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
@@ -47,7 +47,7 @@
     /// Conditions that must all hold.
     #[serde(rename = "when", default, skip_serializing_if = "Vec::is_empty")]
     pub compares: Vec<Compare>,
-    /// Operations that are applied if they hold.
+    /// Operations that are applied if all conditions hold.
     #[serde(rename = "then")]
     pub ops: Vec<Op>,
 }
@@ -76,7 +76,7 @@
     Put {
         /// The key.
         key: String,
-        /// Its value.
+        /// The new value.
         value: String,
         /// Whether the key is deleted when the writing session ends.
         #[serde(rename = "bound", default, skip_serializing_if = "std::ops::Not::not")]
@@ -125,7 +125,7 @@
 /// Reason for rejecting a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// A limit would be exceeded: what is limited, and the maximum.
+    /// A limit would be exceeded; holds the name of the limit and its maximum.
     #[serde(rename = "Bound")]
     LimitExceeded(String, u64),
     /// Another session owns the name.
@@ -142,16 +142,16 @@
 }
 
 impl Rejection {
-    pub(super) fn limit(what: &str, maximum: u64) -> Rejection {
-        Rejection::LimitExceeded(what.into(), maximum)
+    pub(super) fn limit(name: &str, maximum: u64) -> Rejection {
+        Rejection::LimitExceeded(name.into(), maximum)
     }
 }
 
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejection::LimitExceeded(what, maximum) => write!(f, "{what}: {maximum} at most"),
-            Rejection::NameTaken(by) => write!(f, "session {by} has the name"),
+            Rejection::LimitExceeded(name, maximum) => write!(f, "{name}: {maximum} at most"),
+            Rejection::NameTaken(owner) => write!(f, "session {owner} has the name"),
             Rejection::SessionEnded(end) => write!(f, "the session has ended: {end}"),
             Rejection::Superseded => f.write_str("a later write of the session was made"),
             Rejection::Invalid(reason) => f.write_str(reason),
@@ -159,14 +159,14 @@
     }
 }
 
-/// How a session ended.
+/// Reason of the end of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SessionEnd {
-    /// It was closed by its holder.
+    /// The holder closed the session.
     Closed,
-    /// It was not renewed in time, or its end is no longer remembered.
+    /// The session was not renewed in time, or the reason of its end is no longer kept.
     Expired,
-    /// This session took over its name.
+    /// This session took over the name.
     Fenced(SessionId),
 }
 
@@ -175,7 +175,7 @@
         match self {
             SessionEnd::Closed => f.write_str("closed"),
             SessionEnd::Expired => f.write_str("expired"),
-            SessionEnd::Fenced(by) => write!(f, "session {by} has its name now"),
+            SessionEnd::Fenced(successor) => write!(f, "session {successor} has its name now"),
         }
     }
 }
--- a/crates/control-plane/coordination/src/state_machine/mod.rs
+++ b/crates/control-plane/coordination/src/state_machine/mod.rs
@@ -34,7 +34,7 @@
     pub value: String,
     /// The revision that last wrote it.
     pub version: Revision,
-    /// The session that an ephemeral key belongs to.
+    /// The session that an ephemeral key belongs to; `None` for any other key.
     #[serde(rename = "bound", default, skip_serializing_if = "Option::is_none")]
     pub session: Option<SessionId>,
 }
@@ -44,7 +44,7 @@
 pub struct Session {
     /// Name, unique among open sessions.
     pub name: String,
-    /// Random number of the opener.
+    /// Random number of the client that opened the session, by which a retry is recognised.
     pub nonce: u64,
     /// Time to live without a renewal, in milliseconds.
     pub ttl_ms: u64,
@@ -101,7 +101,7 @@
         Ok(state.with_indexes())
     }
 
-    /// Rebuilds what is not serialized.
+    /// Rebuilds the fields that are not serialized.
     pub(crate) fn with_indexes(mut self) -> StateMachine {
         self.history = WatchHistory::starting_at(self.revision);
         self.bytes = self.keys.iter().map(|(key, item)| size_of(key, &item.value)).sum();
@@ -152,12 +152,12 @@
         self.sessions.get(&id)
     }
 
-    /// How a session ended; [`SessionEnd::Expired`] if that is no longer remembered.
+    /// Reason of the end of a session; [`SessionEnd::Expired`] if it is no longer kept.
     pub fn session_end(&self, id: SessionId) -> SessionEnd {
         self.ended.iter().rev().find(|(ended, _)| *ended == id).map_or(SessionEnd::Expired, |(_, end)| *end)
     }
 
-    /// The events after this revision, oldest first; `None` if some were dropped, and a watch has to start over.
+    /// The events after this revision, oldest first; `None` if some of them were dropped, so that a watch has to start over.
     pub fn events_since(&self, revision: Revision) -> Option<impl Iterator<Item = &WatchEvent>> {
         self.history.since(revision)
     }
@@ -168,7 +168,7 @@
     }
 
     /// Prepares a state that was restored from a backup: ends all sessions and skips `gap` revisions, so that no revision
-    /// that was assigned after the backup is assigned again.
+    /// that was assigned after the backup is assigned a second time.
     pub fn mark_restored(&mut self, gap: u64) {
         for id in self.sessions.keys().copied().collect::<Vec<_>>() {
             self.end_session(id, SessionEnd::Expired);
@@ -177,7 +177,7 @@
         self.history = WatchHistory::starting_at(self.revision);
     }
 
-    /// Why a transaction is rejected whatever the state is; `None` if it is valid.
+    /// Reason for which a transaction is rejected regardless of the state; `None` if it is valid.
     pub fn validate(&self, transaction: &Transaction) -> Option<Rejection> {
         validation::validate(&self.limits, transaction)
     }
@@ -223,7 +223,7 @@
             }
             Some(open) if !take_over => return Outcome::Rejected(Rejection::NameTaken(open)),
             Some(open) => {
-                // Ending it takes one revision, opening the new one the next.
+                // The end of the former session takes one revision, and the opening of the new one the next.
                 let successor = self.revision + 2;
                 self.end_session(open, SessionEnd::Fenced(successor));
             }
@@ -245,8 +245,8 @@
             return Some(Rejection::limit("bytes of a name", limits.name));
         }
         if ttl_ms < limits.ttl_least_ms || ttl_ms > limits.ttl_most_ms {
-            let (least, most) = (limits.ttl_least_ms, limits.ttl_most_ms);
-            return Some(Rejection::Invalid(format!("a session lives {least} to {most} ms unrenewed")));
+            let (min_ms, max_ms) = (limits.ttl_least_ms, limits.ttl_most_ms);
+            return Some(Rejection::Invalid(format!("a session lives {min_ms} to {max_ms} ms unrenewed")));
         }
         None
     }
@@ -303,7 +303,7 @@
                     self.put(key, value, ephemeral.then_some(transaction.session))
                 }
                 Op::Delete(key) => {
-                    self.unbind(key);
+                    self.detach_from_session(key);
                     self.delete(key);
                 }
             }
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Why the state would become too large with these operations.
+    /// Reason for which these operations are rejected, if they would make the state too large.
     fn check_capacity(&self, ops: &[Op]) -> Option<Rejection> {
         let (mut keys, mut bytes) = (self.keys.len() as u64, self.bytes);
         for op in ops {
@@ -348,8 +348,8 @@
         None
     }
 
-    /// The key no longer belongs to a session.
-    fn unbind(&mut self, key: &str) {
+    /// Removes a key from the ephemeral keys of its session, if it belongs to one.
+    fn detach_from_session(&mut self, key: &str) {
         let Some(session) = self.keys.get(key).and_then(|item| item.session) else { return };
         if let Some(keys) = self.ephemeral_keys.get_mut(&session) {
             keys.remove(key);
@@ -357,7 +357,7 @@
     }
 
     fn put(&mut self, key: &str, value: &str, session: Option<SessionId>) {
-        self.unbind(key);
+        self.detach_from_session(key);
         if let Some(session) = session {
             self.ephemeral_keys.entry(session).or_default().insert(key.into());
         }
--- a/crates/control-plane/coordination/src/state_machine/validation.rs
+++ b/crates/control-plane/coordination/src/state_machine/validation.rs
@@ -3,7 +3,7 @@
 use crate::limits::Limits;
 use std::collections::BTreeSet;
 
-/// Why a transaction is rejected whatever the state is; `None` if it is valid.
+/// Reason for which a transaction is rejected regardless of the state; `None` if it is valid.
 pub(super) fn validate(limits: &Limits, transaction: &Transaction) -> Option<Rejection> {
     let Transaction { compares, ops, .. } = transaction;
     if (compares.len() + ops.len()) as u64 > limits.parts {
--- a/crates/control-plane/coordination/src/state_machine/watch_history.rs
+++ b/crates/control-plane/coordination/src/state_machine/watch_history.rs
@@ -22,13 +22,13 @@
     }
 }
 
-/// A bounded number of events, oldest first. It is not part of a snapshot.
+/// A bounded number of events, oldest first. The history is not part of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct WatchHistory {
     events: VecDeque<WatchEvent>,
     /// Bytes of keys and values of `events`.
     bytes: u64,
-    /// `events` is complete for all later revisions.
+    /// Revision after which `events` is complete: all events of later revisions are in it.
     complete_after: Revision,
 }
 
--- a/crates/control-plane/coordination/src/voter/compaction.rs
+++ b/crates/control-plane/coordination/src/voter/compaction.rs
@@ -16,7 +16,7 @@
             return;
         }
         let Some(snapshot) = self.take_snapshot() else { return };
-        // Never beyond what `raft` itself has applied.
+        // Entries that `raft` itself has not applied yet are kept.
         let raft_applied = self.raft.as_ref().map_or(0, |raft| raft.raft.raft_log.applied());
         let first_retained =
             if is_long { self.applied_index.saturating_sub(retained).min(raft_applied) } else { 0 };
--- a/crates/control-plane/coordination/src/voter/error.rs
+++ b/crates/control-plane/coordination/src/voter/error.rs
@@ -2,18 +2,18 @@
 use crate::state_machine::DecodeError;
 use protobuf::ProtobufError;
 
-/// A voter can't start or go on from what it has stored or received.
+/// Stored or received data from which a voter can't start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum VoterError {
     /// The journal holds no identity.
-    #[error("the disk is new")]
+    #[error("the journal holds no identity of a voter")]
     NoIdentity,
     /// A record of the journal is invalid.
-    #[error("record {index}: {source}")]
+    #[error("record {index} of the journal: {source}")]
     Record {
         /// Position in the journal, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// Fault of the record.
         source: RecordError,
     },
     /// The stored snapshot is invalid.
@@ -52,19 +52,19 @@
     Raft(#[from] raft::Error),
 }
 
-/// What is wrong with a record of the journal.
+/// Fault of a record of the journal.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It has no content.
-    #[error("is empty")]
+    /// The record has no content.
+    #[error("the record is empty")]
     Empty,
-    /// It is not a valid identity.
+    /// The record is not a valid identity.
     #[error(transparent)]
     Identity(#[from] serde_json::Error),
-    /// It is not a valid message of the Raft implementation.
+    /// The record is not a valid message of the Raft implementation.
     #[error(transparent)]
     Message(#[from] ProtobufError),
-    /// Its kind is unknown; holds the first byte.
-    #[error("is of kind {0}, which this build does not know")]
+    /// The kind of the record is unknown; holds the first byte.
+    #[error("the record is of kind {0}, which this build does not know")]
     UnknownKind(u8),
 }
--- a/crates/control-plane/coordination/src/voter/event.rs
+++ b/crates/control-plane/coordination/src/voter/event.rs
@@ -47,7 +47,7 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// Persist records, in order; answered by [`Event::Persisted`] or [`Event::PersistFailed`].
+    /// Persist records, in the order of the requests; answered by [`Event::Persisted`] or [`Event::PersistFailed`].
     Persist(PersistRequest),
     /// Reply to a client; dropped if it has disconnected.
     Reply {
@@ -67,7 +67,7 @@
     pub number: u64,
     /// Records of the journal.
     pub records: Vec<Vec<u8>>,
-    /// Whether the records replace the whole journal; otherwise they are appended.
+    /// Whether the records replace the content of the journal; otherwise they are appended.
     pub replace: bool,
     /// Whether this is a compaction, whose failure is harmless.
     pub compaction: bool,
--- a/crates/control-plane/coordination/src/voter/leader.rs
+++ b/crates/control-plane/coordination/src/voter/leader.rs
@@ -1,11 +1,11 @@
 //! Volatile state of the leader. It is discarded when leadership is lost; the next leader starts from the replicated state.
 //!
 //! **Reads, renewals and watches** wait for a round of heartbeats that started after they arrived and in which a quorum
-//! confirms the leadership. A leader that was suspended while another was elected gets no such confirmation, so it answers
-//! nothing stale and renews nothing.
+//! confirms the leadership. A leader that was suspended while another was elected gets no such confirmation, so it
+//! neither answers with stale data nor renews sessions.
 //!
-//! **Session expiry** is timed here by the local clock. A new leader gives each session its full time to live, whatever was
-//! left of it. The holder counts from before it sent its renewal, so it gives the session up first.
+//! **Session expiry** is timed here by the local clock. A new leader gives each session its full time to live, regardless of
+//! the time that was left. The holder counts from before it sent its renewal, so it stops relying on the session first.
 use super::{reply, Action, ELECTION_TICKS};
 use crate::protocol::{Answer, Call};
 use crate::state_machine::{Outcome, Revision, SessionId};
@@ -24,7 +24,7 @@
     answer: Option<Answer>,
 }
 
-/// A call and the connection that it came from.
+/// A call and the client's connection on which it arrived.
 #[derive(Clone, Debug)]
 pub(super) struct ClientCall {
     pub client: u64,
@@ -38,9 +38,9 @@
     pub calls: Vec<ClientCall>,
 }
 
-/// Calls whose round was confirmed.
+/// Calls whose read round was confirmed.
 pub(super) struct ConfirmedReads {
-    /// Index that must be applied before they are answered.
+    /// Index of the log entry that must be applied before the calls are answered.
     pub read_index: u64,
     pub calls: Vec<ClientCall>,
 }
@@ -68,7 +68,7 @@
     pub session_deadlines: BTreeMap<SessionId, Duration>,
     /// Sessions whose expiry was proposed.
     pub expiring_sessions: BTreeSet<SessionId>,
-    /// By proposal number.
+    /// Clients that wait for a proposal, by proposal number.
     pending_proposals: BTreeMap<u64, PendingProposal>,
     /// Calls that wait for the next read round.
     pub queued_reads: Vec<ClientCall>,
@@ -82,7 +82,7 @@
     pub serving_since: u32,
     /// Tick of the last message from each member.
     pub last_contact: BTreeMap<u64, u32>,
-    /// Members that were sent a snapshot, with the ticks since.
+    /// Members to which a snapshot was sent, with the number of ticks since then.
     pub snapshot_ticks: BTreeMap<u64, u32>,
 }
 
@@ -121,14 +121,14 @@
         self.watches.len() as u64
     }
 
-    /// A message from a member arrived.
+    /// Records that a message from a member arrived.
     pub fn record_contact(&mut self, id: u64) {
         if self.is_serving() {
             self.last_contact.insert(id, self.ticks);
         }
     }
 
-    /// Whether a member was heard from within the election timeout.
+    /// Whether a message from a member arrived within the election timeout.
     pub fn is_active(&self, id: u64) -> bool {
         let contact = self.last_contact.get(&id);
         contact.is_some_and(|&tick| self.ticks.wrapping_sub(tick) <= ELECTION_TICKS as u32)
@@ -140,8 +140,8 @@
     }
 
     /// Extends all sessions, after a suspension of the process.
-    pub fn extend_sessions(&mut self, by: Duration) {
-        self.session_deadlines.values_mut().for_each(|deadline| *deadline += by);
+    pub fn extend_sessions(&mut self, duration: Duration) {
+        self.session_deadlines.values_mut().for_each(|deadline| *deadline += duration);
     }
 
     /// Starts the expiry timeout of a new session.
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Leadership is lost: answers everything that is pending.
+    /// Handles the loss of leadership: answers all pending calls and ends all watches.
     pub fn step_down(&mut self, leader: Option<String>, actions: &mut Vec<Action>) {
         self.serving_term = None;
         for proposal in std::mem::take(&mut self.pending_proposals).into_values() {
@@ -197,7 +197,7 @@
         [self.process_id.to_le_bytes(), self.last_number.to_le_bytes()].concat()
     }
 
-    /// The proposal that was registered last was not accepted.
+    /// Removes the proposal that was registered last, because Raft did not accept it.
     pub fn cancel_proposal(&mut self) {
         self.pending_proposals.remove(&self.last_number);
     }
@@ -213,12 +213,12 @@
         }
     }
 
-    /// A command was applied.
+    /// Answers the client that waits for a command that was applied.
     pub fn command_applied(&mut self, context: &[u8], outcome: Outcome, actions: &mut Vec<Action>) {
         self.complete_proposal(context, Answer::Outcome(outcome), actions);
     }
 
-    /// A quorum confirmed the leadership for the round with this context.
+    /// Handles the confirmation of the leadership by a quorum, for the round with this context.
     pub fn confirm_round(&mut self, context: &[u8], read_index: u64) {
         let id = context.try_into().map(u64::from_le_bytes).unwrap_or(0);
         if let Some(round) = self.read_round.take_if(|round| round.id == id) {
--- a/crates/control-plane/coordination/src/voter/leadership.rs
+++ b/crates/control-plane/coordination/src/voter/leadership.rs
@@ -9,9 +9,9 @@
 
 /// Calls that may be pending at one voter.
 pub(super) const MAX_PENDING_CALLS: usize = 8_192;
-/// Ticks after which an unconfirmed read round is started again.
+/// Number of ticks after which an unconfirmed read round is started again.
 const READ_ROUND_TIMEOUT_TICKS: u32 = 3;
-/// Ticks after which a snapshot that a follower has not acknowledged is sent again.
+/// Number of ticks after which a snapshot that a follower has not acknowledged is sent again.
 const SNAPSHOT_TIMEOUT_TICKS: u32 = 40;
 
 impl Voter {
@@ -41,10 +41,10 @@
         leader.serving_since = leader.ticks;
         leader.notified_revision = state.state_machine.revision();
         leader.expiring_sessions.clear();
-        let former = std::mem::take(&mut leader.session_deadlines);
+        let former_deadlines = std::mem::take(&mut leader.session_deadlines);
         let defective = self.config.defects.short_sessions;
-        // The full time to live: this voter does not know when the sessions were last renewed.
-        let deadline = |id: SessionId, ttl_ms: u64| match former.get(&id) {
+        // Each session gets its full time to live: this voter does not know when it was last renewed.
+        let deadline = |id: SessionId, ttl_ms: u64| match former_deadlines.get(&id) {
             Some(&deadline) if defective => deadline,
             _ if defective => now,
             _ => now + expiry_timeout(ttl_ms),
@@ -152,7 +152,7 @@
         raft.propose(context, data).is_ok()
     }
 
-    /// The leader's work at each tick: session expiry, unconfirmed read rounds, snapshots and learners.
+    /// Does the leader's work at each tick: session expiry, unconfirmed read rounds, lost snapshots and promotion of learners.
     pub(super) fn tick_leader(&mut self) {
         let now = self.last_tick_at;
         let Some(state) = &self.state else { return };
@@ -183,7 +183,7 @@
         self.promote_learner();
     }
 
-    /// `raft` waits without limit for the acknowledgement of a snapshot; one that was lost is sent again.
+    /// Sends snapshots again that were not acknowledged in time: `raft` itself waits for the acknowledgement without a limit.
     fn resend_lost_snapshots(&mut self) {
         let Some(raft) = &mut self.raft else { return };
         let snapshot_ticks = &mut self.leader.snapshot_ticks;
--- a/crates/control-plane/coordination/src/voter/membership.rs
+++ b/crates/control-plane/coordination/src/voter/membership.rs
@@ -1,8 +1,8 @@
 //! Membership changes: joining, promotion and removal, one at a time, each replicated through the log.
 //!
 //! A process joins with an empty disk and a random voter id. It is a learner first, and is promoted to voter once it has
-//! caught up. A voter id stands for a disk: a process that returns under a known name with another disk is a new member, and
-//! is rejected until an operator has removed the former one.
+//! caught up. A voter id identifies a disk: a process that returns under a known name with another disk is a new member,
+//! and is rejected until an operator has removed the former one.
 use super::leader::{CallId, PROPOSAL_CONTEXT_BYTES};
 use super::replicated_state::MemberAddress;
 use super::{reply, Action, Voter, VoterError, VoterEvent};
@@ -14,10 +14,10 @@
 
 /// Maximum number of members, voters and learners together.
 const MAX_MEMBERS: usize = 9;
-/// A learner is promoted once it lags by no more than this many entries.
+/// Maximum number of entries by which a learner may lag when it is promoted.
 const MAX_PROMOTION_LAG: u64 = 64;
 
-/// The active voter with the longest log, to which leadership can be transferred at once.
+/// Returns the id of the active voter with the longest log, to which leadership can be transferred at once.
 pub(super) fn successor(raft: &RawNode<RaftLog>) -> Option<u64> {
     let tracker = raft.raft.prs();
     let own_id = raft.raft.id;
@@ -47,7 +47,7 @@
         self.leader.is_active(id) || id == self.identity.voter
     }
 
-    /// Why these voters would have no quorum, if so.
+    /// Reason for which these voters would have no quorum; `None` if enough of them are active.
     fn missing_quorum(&self, voters: &BTreeSet<u64>) -> Option<String> {
         let active = voters.iter().filter(|&&id| self.is_member_active(id)).count();
         let quorum = voters.len() / 2 + 1;
@@ -73,11 +73,13 @@
         let mut context = proposal_context;
         context.resize(PROPOSAL_CONTEXT_BYTES, 0);
         // Strings only, so serialization can't fail.
-        context.extend(address.map(|a| serde_json::to_vec(a).unwrap_or_default()).unwrap_or_default());
+        context.extend(
+            address.map(|address| serde_json::to_vec(address).unwrap_or_default()).unwrap_or_default(),
+        );
         !raft.raft.has_pending_conf() && raft.propose_conf_change(context, change).is_ok()
     }
 
-    /// Proposes a change for a call; replies at once if another change is pending.
+    /// Proposes a membership change for a call; replies that the voter is busy if another change is pending.
     fn propose_change_for(
         &mut self,
         call: CallId,
@@ -146,7 +148,7 @@
         reply(call.client, call.call_id, answer, actions);
     }
 
-    /// A leader can't remove itself: the next one does.
+    /// Transfers leadership before the removal of this voter: a leader can't remove itself, so the next leader does.
     fn transfer_before_removal(&mut self, name: &str) -> Answer {
         let successor = self.raft.as_ref().and_then(successor);
         match (successor, &mut self.raft) {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Asks the voter with this name to become leader.
+    /// Transfers leadership to the voter with this name.
     pub(super) fn transfer_leadership(&mut self, name: &str) -> Answer {
         let id = self.state.as_ref().and_then(|state| state.member_named(name));
         let voter = id.filter(|id| self.log.conf_state().voters.contains(id));
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Promotes a learner that has caught up, if the resulting voters have a quorum.
+    /// Promotes a learner that has caught up, if enough of the resulting voters are active for a quorum.
     pub(super) fn promote_learner(&mut self) {
         let (Some(raft), Some(state)) = (&self.raft, &self.state) else { return };
         let last_index = raft.raft.raft_log.last_index();
@@ -209,15 +211,15 @@
         let report = match change.get_change_type() {
             ConfChangeType::RemoveNode => {
                 let name = state.members.remove(&id).map_or_else(String::new, |member| member.name);
-                format!("{name} is a member no more")
+                format!("{name} was removed from the members")
             }
             change_type => {
                 let address: MemberAddress = serde_json::from_slice(address).map_err(VoterError::Member)?;
                 let name = address.name.clone();
                 state.members.insert(id, address);
                 match change_type {
-                    ConfChangeType::AddNode => format!("{name} votes"),
-                    _ => format!("{name} joins, and learns"),
+                    ConfChangeType::AddNode => format!("{name} is a voter now"),
+                    _ => format!("{name} joined as a learner"),
                 }
             }
         };
--- a/crates/control-plane/coordination/src/voter/mod.rs
+++ b/crates/control-plane/coordination/src/voter/mod.rs
@@ -47,11 +47,11 @@
 pub const ELECTION_TICKS: usize = 10;
 /// Ticks between heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// A tick that is late by more than this many ticks means that the process was suspended.
+/// If more than this many ticks have passed since the last tick, the process was suspended.
 const SUSPENSION_TICKS: u32 = 3;
 /// Default number of log entries that are kept before the log is compacted.
 pub const LOG_ENTRIES: u64 = 20_000;
-/// Bytes of log entries that are kept before the log is compacted.
+/// Maximum bytes of log entries that are kept before the log is compacted.
 const MAX_LOG_BYTES: u64 = 16 << 20;
 /// Entries that are kept in memory after a compaction, for followers that lag slightly.
 const RETAINED_LOG_ENTRIES: u64 = 1_000;
@@ -63,9 +63,9 @@
     pub expected_members: Vec<String>,
     /// Time between two [`Event::Tick`]s.
     pub tick: Duration,
-    /// Seed of the election timeouts, and id of this process's proposals.
+    /// Seed of the election timeouts, and id of this process in the contexts of its proposals.
     pub seed: u64,
-    /// Log entries that are kept before the log is compacted; see [`LOG_ENTRIES`].
+    /// Number of log entries that are kept before the log is compacted; the default is [`LOG_ENTRIES`].
     pub log_entries: u64,
     /// Defects for the simulation to detect.
     pub defects: InjectedDefects,
@@ -96,9 +96,9 @@
     /// `None` until the first snapshot of a joining voter.
     state: Option<ReplicatedState>,
     applied_index: u64,
-    /// Why storage has failed.
+    /// Reason of the storage failure; `None` while storage works.
     storage_error: Option<String>,
-    /// Whether the storage failure can't be recovered from.
+    /// Whether the storage failure is permanent: no recovery is attempted.
     storage_error_is_permanent: bool,
     removed: bool,
     /// Persist requests in flight, each with the messages that wait for it.
@@ -106,8 +106,8 @@
     last_persist_number: u64,
     /// Number of the compaction in flight.
     pending_compaction: Option<u64>,
-    /// A received snapshot that is being persisted. Nothing else is processed meanwhile, because `raft` can't continue from
-    /// a log that is not yet on disk.
+    /// A received snapshot that is being persisted. Until that is done, nothing else is processed, because `raft` can't
+    /// continue from a log that is not yet on disk.
     pending_install: Option<PendingInstall>,
     leader: Leader,
     last_tick_at: Duration,
@@ -145,7 +145,7 @@
         Ok(voter)
     }
 
-    /// Starts from the content of the journal.
+    /// Sets the state of the voter from the content of the journal.
     fn load(&mut self, persisted: PersistedState) -> Result<(), VoterError> {
         let PersistedState { snapshot, hard_state, entries, .. } = persisted;
         let applied = snapshot.get_metadata().index;
@@ -195,7 +195,7 @@
         self.leader.is_serving()
     }
 
-    /// Why storage has failed, if it has.
+    /// Reason of the storage failure, if storage has failed.
     pub fn storage_error(&self) -> Option<&str> {
         self.storage_error.as_deref()
     }
@@ -234,7 +234,7 @@
         }
         let Some(raft) = &mut self.raft else { return };
         raft.tick();
-        // Sessions could not be renewed during a suspension. Extending them is always safe.
+        // Sessions could not be renewed during a suspension. Extending their deadlines is always safe.
         if elapsed > self.config.tick * SUSPENSION_TICKS {
             self.leader.extend_sessions(elapsed);
         }
@@ -256,12 +256,14 @@
         }
         self.leader.record_contact(message.from);
         if let Some(raft) = &mut self.raft {
-            // An error means that the message is of no use, for instance because its sender was removed.
+            // An error means that the message can be ignored, for instance because its sender was removed.
             let _ = raft.step(message);
         }
     }
 
-    /// Whether the leader counts on entries that the local log does not hold: the disk was set back or lost its end.
+    /// Whether a heartbeat carries a commit index beyond the local log. The leader sends at most the index that this voter
+    /// acknowledged, so the voter has lost entries: its disk was restored to an earlier state, or the end of the journal was
+    /// lost.
     fn has_lost_acknowledged_entries(&self, message: &Message) -> bool {
         let Some(raft) = &self.raft else { return false };
         message.get_msg_type() == MessageType::MsgHeartbeat
@@ -272,7 +274,7 @@
     fn report_unreachable(&mut self, id: u64) {
         if let (Some(raft), None) = (&mut self.raft, &self.pending_install) {
             raft.report_unreachable(id);
-            // A snapshot on its way there is sent again.
+            // A snapshot that is being sent to this voter is sent again.
             raft.report_snapshot(id, raft::SnapshotStatus::Failure);
         }
     }
--- a/crates/control-plane/coordination/src/voter/persistence.rs
+++ b/crates/control-plane/coordination/src/voter/persistence.rs
@@ -61,7 +61,7 @@
             HARD_STATE => self.hard_state = HardState::parse_from_bytes(content)?,
             ENTRY => {
                 let entry = Entry::parse_from_bytes(content)?;
-                // An entry replaces the ones with its index and later.
+                // An entry replaces the entries with the same or a greater index.
                 while self.entries.last().is_some_and(|last| last.index >= entry.index) {
                     self.entries.pop();
                 }
--- a/crates/control-plane/coordination/src/voter/reads.rs
+++ b/crates/control-plane/coordination/src/voter/reads.rs
@@ -5,9 +5,9 @@
 use crate::state_machine::{Outcome, Rejection, Revision, SessionEnd, SessionId, VersionedValue};
 use std::time::Duration;
 
-/// Watches that one voter serves.
+/// Maximum number of watches that one voter serves.
 const MAX_WATCHES: usize = 4_096;
-/// A watch without events is told of the current revision after this many revisions.
+/// Number of revisions after which a watch without events is notified of the current revision.
 const WATCH_PROGRESS_INTERVAL: Revision = 1_000;
 
 impl Voter {
@@ -25,9 +25,9 @@
                 Request::RenewSession { .. } => defects.stale_renewals,
                 _ => defects.stale_reads,
             };
-            let (stale, rest) = calls.into_iter().partition(skips_round);
+            let (stale, remaining) = calls.into_iter().partition(skips_round);
             leader.confirmed_reads.push(ConfirmedReads { read_index: 0, calls: stale });
-            calls = rest;
+            calls = remaining;
             if calls.is_empty() {
                 return;
             }
@@ -110,7 +110,7 @@
         if leader.watches.len() >= MAX_WATCHES {
             return Answer::Busy(format!("{MAX_WATCHES} watches"));
         }
-        // Events that it missed are sent by the next notification.
+        // Events after the requested revision that happened before are sent by the next notification.
         leader.notified_revision = leader.notified_revision.min(revision);
         leader.watches.insert(id, Watch { prefix: prefix.into(), last_revision: revision });
         Answer::Watching { revision }
@@ -131,7 +131,8 @@
                 reply(id.client, id.call_id, Answer::Compacted { oldest }, actions);
                 return false;
             };
-            let events: Vec<_> = events.filter(|e| e.key.starts_with(&watch.prefix)).cloned().collect();
+            let events: Vec<_> =
+                events.filter(|event| event.key.starts_with(&watch.prefix)).cloned().collect();
             if !events.is_empty() || revision - watch.last_revision >= WATCH_PROGRESS_INTERVAL {
                 watch.last_revision = revision;
                 reply(id.client, id.call_id, Answer::Events { revision, events }, actions);
--- a/crates/control-plane/coordination/src/voter/ready.rs
+++ b/crates/control-plane/coordination/src/voter/ready.rs
@@ -10,9 +10,9 @@
 /// A persist request in flight.
 pub(super) struct PendingPersist {
     pub number: u64,
-    /// Number of the last `Ready` that it covers.
+    /// Number of the last `Ready` that the request covers.
     pub ready_number: u64,
-    /// Messages to send once it is on disk.
+    /// Messages to send once the records are on disk.
     pub messages: Vec<Message>,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Voter {
-    /// Processes everything that follows from an event.
+    /// Processes everything that results from an event.
     pub(super) fn process_ready(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while self.pending_install.is_none() {
             self.update_leadership(now, actions);
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Persists new entries; the messages are sent once they, and everything before them, are on disk.
+    /// Persists new entries; the messages are sent once these entries, and everything before them, are on disk.
     fn persist_ready(
         &mut self,
         ready: Ready,
@@ -169,7 +169,7 @@
     ) -> Result<(), VoterError> {
         let index = entry.index;
         match entry.get_entry_type() {
-            // Proposed by a new leader to commit the entries of earlier terms.
+            // An empty entry, which a new leader proposes to commit the entries of earlier terms.
             EntryType::EntryNormal if entry.data.is_empty() => Ok(()),
             EntryType::EntryNormal => {
                 let command = serde_json::from_slice(&entry.data)
@@ -214,7 +214,8 @@
         Ok(())
     }
 
-    /// Tells `raft` which entries are applied, as far as they are on disk; after a snapshot that may be later.
+    /// Reports the applied entries to `raft`, as far as they are on disk. After the installation of a snapshot they may be on
+    /// disk only later.
     pub(super) fn advance_applied(&mut self) {
         let applied = self.applied_index;
         let Some(raft) = &mut self.raft else { return };
--- a/crates/control-plane/coordination/src/voter/status.rs
+++ b/crates/control-plane/coordination/src/voter/status.rs
@@ -35,7 +35,7 @@
         status
     }
 
-    /// The role as [`Status::role`] names it.
+    /// The role of this voter, as in [`Status::role`].
     fn role(&self) -> &'static str {
         match &self.raft {
             _ if self.removed => "removed",
--- a/crates/control-plane/coordination/src/voter/storage.rs
+++ b/crates/control-plane/coordination/src/voter/storage.rs
@@ -4,7 +4,7 @@
 use raft::StateRole;
 
 impl Voter {
-    /// Everything up to this persist request is on disk.
+    /// Handles the report that all persist requests up to this one are on disk.
     pub(super) fn persisted(&mut self, number: u64, actions: &mut Vec<Action>) {
         if self.pending_compaction.is_some_and(|compaction| compaction <= number) {
             self.pending_compaction = None;
@@ -42,7 +42,7 @@
         self.storage_failed(reason, actions);
     }
 
-    /// Stops taking part in consensus. The outcome of pending requests is indeterminate.
+    /// Stops taking part in consensus. The outcome of pending proposals is indeterminate.
     pub(super) fn storage_failed(&mut self, reason: String, actions: &mut Vec<Action>) {
         self.stop_raft(actions);
         self.discard_pending_persists();
@@ -54,7 +54,7 @@
         self.last_report = None;
     }
 
-    /// Drops the Raft node; a leader first asks an up-to-date follower to start an election at once.
+    /// Drops the Raft node; a leader first requests that the follower with the longest log start an election at once.
     fn stop_raft(&mut self, actions: &mut Vec<Action>) {
         let Some(mut raft) = self.raft.take() else { return };
         if raft.raft.state != StateRole::Leader {
