--- a/crates/control-plane/disruption/src/availability.rs
+++ b/crates/control-plane/disruption/src/availability.rs
@@ -1,4 +1,4 @@
-//! Availability of resources: which ones are unavailable and why, and how much of each budget that uses.
+//! Availability of resources: the unavailable resources with the reasons, and the usage of each budget.
 use crate::budget::{DisruptionBudget, Label};
 use crate::messages::{DisruptionKind, EndpointCondition, InstanceState};
 use crate::snapshot::{FleetSnapshot, ObservedEndpoint};
@@ -9,26 +9,26 @@
 /// Reason why a resource counts as unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// A lease for it is granted.
+    /// A lease for the resource is granted.
     Leased {
         /// Lease holder.
         owner: String,
         /// Kind of the disruption.
         kind: DisruptionKind,
     },
-    /// It has no session: it is down, stopped or partitioned, and may be serving.
+    /// The balancer has no session: it is down, stopped or partitioned, and may be serving.
     Missing,
-    /// Its supervisor reports that no process of it runs.
+    /// The supervisor of the balancer reports that no process of it runs.
     Down,
-    /// It reports itself that it does not serve, or not fully.
+    /// The balancer itself reports that it does not serve, or not fully.
     ReportedState(InstanceState),
-    /// Service discovery reports that it takes no requests.
+    /// Service discovery reports that the upstream takes no requests.
     ReportedByDiscovery(EndpointCondition),
     /// Most balancers observe this condition.
     ObservedByBalancers {
-        /// Condition.
+        /// Observed condition.
         condition: EndpointCondition,
-        /// Number of balancers that observe it.
+        /// Number of balancers that observe the condition.
         observers: usize,
         /// Number of balancers that have the upstream.
         balancers: usize,
@@ -36,7 +36,7 @@
 }
 
 impl UnavailableReason {
-    /// Whether a resource that counts as unavailable for this reason may be serving all the same.
+    /// Whether a resource that counts as unavailable for this reason may nevertheless be serving.
     pub(crate) fn may_serve(&self) -> bool {
         matches!(
             self,
@@ -74,16 +74,16 @@
 pub struct BudgetUsage {
     /// Number of resources in the group.
     pub size: u32,
-    /// Number of unavailable ones.
+    /// Number of unavailable resources.
     pub unavailable: u32,
-    /// Maximum number of unavailable ones.
+    /// Maximum number of unavailable resources.
     pub limit: u32,
-    /// Minimum number of available ones.
+    /// Minimum number of available resources.
     pub min_available: u32,
 }
 
 impl BudgetUsage {
-    /// Number of resources that are missing to `min_available`.
+    /// Number of further resources that must be available to reach `min_available`, limited to `min_available` itself.
     pub(crate) fn shortage(&self) -> u32 {
         (self.min_available + self.unavailable).saturating_sub(self.size).min(self.min_available)
     }
@@ -199,8 +199,8 @@
     }
 }
 
-/// Reasons why an upstream is unavailable; empty if it is available. A report of service discovery counts whichever balancer
-/// has it; what balancers observe themselves counts if more than half of them do.
+/// Reasons why an upstream is unavailable; empty if it is available. A report of service discovery counts regardless of the
+/// balancer that has it; a condition that balancers observe themselves counts if more than half of them observe it.
 fn unavailable_reasons(endpoint: &ObservedEndpoint) -> Vec<UnavailableReason> {
     let conditions = &endpoint.conditions;
     let balancers = conditions.len();
--- a/crates/control-plane/disruption/src/budget.rs
+++ b/crates/control-plane/disruption/src/budget.rs
@@ -8,7 +8,7 @@
 pub const MAX_BUDGETS: usize = 64;
 /// Maximum length of a budget's name and of a label's value, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Thousandths in a whole.
+/// Number of thousandths in 100 %.
 const PER_MILLE: u32 = 1000;
 
 /// A label of a resource. A resource can have several values of one label, such as the pools of an upstream.
@@ -21,7 +21,7 @@
 }
 
 impl Label {
-    /// A label.
+    /// Creates a label.
     pub fn new(name: impl Into<String>, value: impl Into<String>) -> Label {
         Label { name: name.into(), value: value.into() }
     }
@@ -95,7 +95,7 @@
             applies
                 && self.group_by != GroupBy::Fleet
                 && label.name == self.group_by.label()
-                && self.group.as_ref().is_none_or(|only| *only == label.value)
+                && self.group.as_ref().is_none_or(|group| *group == label.value)
         });
         whole_fleet.into_iter().chain(labelled.map(|label| label.value.as_str()))
     }
@@ -163,17 +163,17 @@
 /// Fault of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BudgetFault {
-    /// There are more than [`MAX_BUDGETS`].
+    /// There are more than [`MAX_BUDGETS`] budgets.
     #[error("there are more than {MAX_BUDGETS} budgets")]
     TooMany,
     /// The name is empty or longer than [`MAX_NAME_BYTES`].
-    #[error("is no name of 1 to {MAX_NAME_BYTES} bytes")]
+    #[error("is not a name of 1 to {MAX_NAME_BYTES} bytes")]
     InvalidName,
     /// Another budget has the name.
-    #[error("another budget is called {0:?}")]
+    #[error("another budget has the name {0:?}")]
     DuplicateName(String),
     /// Resources of the kind do not have the label.
-    #[error("{}s have no {}", .kind.as_str(), .group_by.label())]
+    #[error("{}s have no label {}", .kind.as_str(), .group_by.label())]
     NoSuchLabel {
         /// Kind of the resources.
         kind: ResourceKind,
@@ -181,19 +181,19 @@
         group_by: GroupBy,
     },
     /// A group is selected although all resources form one group.
-    #[error("the whole fleet is one group")]
+    #[error("a group can't be selected, because the whole fleet is one group")]
     GroupOfWholeFleet,
     /// No limit is set.
-    #[error("neither most nor share nor floor is there")]
+    #[error("none of most, share and floor is set")]
     NoLimit,
     /// The share exceeds the whole group.
     #[error("is more than 100 %")]
     ShareAboveWhole,
     /// The maximum count is 0.
-    #[error("is 0: nothing could ever be taken out")]
+    #[error("is 0: no resource could ever be taken out of service")]
     ZeroCount,
     /// The maximum share is 0.
-    #[error("is 0 %: nothing could ever be taken out")]
+    #[error("is 0 %: no resource could ever be taken out of service")]
     ZeroShare,
 }
 
@@ -216,11 +216,11 @@
 pub struct InvalidBudget {
     /// Position of the faulty budget.
     pub index: usize,
-    /// Fault.
+    /// Fault of the budget.
     pub fault: BudgetFault,
 }
 
-/// A group that no resource can ever be taken out of.
+/// A group in which no resource can ever be made unavailable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnsatisfiableGroup {
     /// Name of the budget.
@@ -262,7 +262,7 @@
         Ok(())
     }
 
-    /// Groups of these resources that nothing can ever be taken out of, although each budget is valid by itself.
+    /// Groups of these resources in which no resource can ever be made unavailable, although each budget is valid by itself.
     pub fn unsatisfiable_groups<'a>(
         &self,
         resources: impl Iterator<Item = (&'a ResourceId, &'a BTreeSet<Label>)> + Clone,
--- a/crates/control-plane/disruption/src/conditional_write.rs
+++ b/crates/control-plane/disruption/src/conditional_write.rs
@@ -5,9 +5,9 @@
 /// A transaction: its operations are executed only if all its conditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConditionalWrite {
-    /// Conditions.
+    /// Conditions that must all hold.
     pub compares: Vec<Compare>,
-    /// Operations.
+    /// Operations that are executed if all conditions hold.
     pub ops: Vec<Op>,
 }
 
--- a/crates/control-plane/disruption/src/drains.rs
+++ b/crates/control-plane/disruption/src/drains.rs
@@ -35,15 +35,16 @@
         self.leases.iter().filter(|(resource, _)| resource.kind == ResourceKind::Upstream)
     }
 
-    /// Recalls drains where a group is below its `min_available`: the newest first, as many as are missing. Drains that have
-    /// not been reported as complete end at once; the owners of the others are asked to end them.
+    /// Recalls drains where a group is below its `min_available`: the newest first, as many as are needed to reach it.
+    /// Drains that have not been reported as complete end at once; in the others a recall reason is stored, for which their
+    /// owners are to end them.
     pub fn recall_drains(&self) -> Option<DrainRecall> {
         let view = AvailabilityView::of(self);
         let usage_by_group = view.budget_usage();
         let shortages = usage_by_group.iter().map(|(&key, usage)| (key, usage.shortage()));
         let mut shortages: BTreeMap<GroupKey<'_>, u32> = shortages.filter(|&(_, n)| n > 0).collect();
         let mut drains: Vec<_> = self.drains().collect();
-        // By grant and not by version: that a drain is complete is written later and makes it no newer.
+        // Sorted by grant, not by version: the later write that reports a drain as complete must not make it count as newer.
         drains.sort_by_key(|(_, lease)| Reverse(lease.value.fencing_token));
         let mut recall = DrainRecall { write: ConditionalWrite::default(), drains: Vec::new() };
         for (resource, lease) in drains {
@@ -85,7 +86,8 @@
             |drained: &DrainedEndpoints| drained.fencing_tokens.get(&upstream.name) == Some(&token);
         let mut pending = Vec::new();
         for (name, entry) in &self.balancers {
-            // A process that has exited has nothing in flight, and its supervisor reports that. One that is missing may have.
+            // A process that has exited has no requests in flight, and its supervisor reports the exit. A balancer that is
+            // missing may have some.
             let is_confirmed = self.drained.get(name).is_some_and(|drained| confirms(&drained.value));
             let has_session = self.statuses.contains_key(name);
             if is_confirmed || !has_session && entry.value.down {
@@ -102,7 +104,8 @@
     }
 }
 
-/// Counts the end of a drain against the shortages of the upstream's groups; the last group that it helps, if any.
+/// Subtracts a drain that would end from the shortages of the upstream's groups. Returns the last group whose shortage it
+/// reduces, if any.
 fn relieve_shortage<'a>(
     view: &'a AvailabilityView<'_>,
     resource: &ResourceId,
--- a/crates/control-plane/disruption/src/grants.rs
+++ b/crates/control-plane/disruption/src/grants.rs
@@ -68,7 +68,7 @@
 pub struct RequestDecision {
     /// Id of the request.
     pub request_id: String,
-    /// Decision.
+    /// Decision on the request.
     pub decision: LeaseDecision,
 }
 
@@ -100,7 +100,7 @@
             let request = &request.value;
             let decision = self.decision(request, &usage_by_group, &granted);
             let is_granted = decision == LeaseDecision::Granted && granted.insert(&request.resource);
-            // The first request that waits for a budget reserves its place in all its groups, so that later ones cannot
+            // The first request that waits for a budget counts as unavailable in all its groups, so that later requests cannot
             // starve it.
             let reserves = matches!(decision, LeaseDecision::WaitsForBudget { .. }) && !has_reservation;
             has_reservation |= reserves;
@@ -141,8 +141,8 @@
         if granted.contains(resource) {
             return LeaseDecision::HeldByOther("who asked before".into());
         }
-        // A resource that certainly does not serve is not made unavailable by its disruption, and repairing it must not wait
-        // for a budget that only the repair frees. One that may be serving needs room for itself in the budget.
+        // A resource that certainly does not serve is not made unavailable by its disruption, and its repair must not wait for
+        // a budget that only the repair frees. A resource that may be serving is granted only within the budget.
         let reasons = self.unavailable.get(resource);
         if reasons.is_some_and(|reasons| !reasons.iter().all(UnavailableReason::may_serve)) {
             return LeaseDecision::Granted;
@@ -192,7 +192,7 @@
         AvailabilityView::of(self).decisions()
     }
 
-    /// The write that grants leases, if any request can be granted; at most [`MAX_RESOURCES_PER_WRITE`] at once.
+    /// The write that grants leases, at most [`MAX_RESOURCES_PER_WRITE`] in one write; `None` if no request can be granted.
     pub fn grants(&self) -> Option<LeaseGrants> {
         let granted = |d: RequestDecision| (d.decision == LeaseDecision::Granted).then_some(d.request_id);
         let request_ids: Vec<String> =
@@ -228,7 +228,7 @@
             drained: false,
             recall_reason: None,
         };
-        // A request is deleted with its session, so this also requires that the requester is still there.
+        // A request is deleted with its session, so this also requires that the requester's session is alive.
         write.compares.push(Compare::Version(request_key(id), request.version));
         write.compares.push(Compare::Absent(lease_key(&resource)));
         write.ops.push(put(lease_key(&resource), &lease));
--- a/crates/control-plane/disruption/src/keys.rs
+++ b/crates/control-plane/disruption/src/keys.rs
@@ -4,13 +4,13 @@
 //! | key | value | written by | removed |
 //! | --- | --- | --- | --- |
 //! | `outage/budgets` | [`DisruptionBudgets`](crate::DisruptionBudgets) | an operator | never |
-//! | `outage/ledger` | nothing; each write that grants leases changes it, so that of two concurrent ones one fails | whoever grants | never |
+//! | `outage/ledger` | nothing; each write that grants leases changes it, so that of two concurrent ones one fails | the granting process | never |
 //! | `outage/unit/balancer/NAME` | [`BalancerEntry`](crate::BalancerEntry) | its supervisor | when an operator forgets it |
 //! | `outage/said/NAME` | [`InstanceStatus`](crate::InstanceStatus) | the balancer itself | with its session |
 //! | `outage/sight/NAME` | [`EndpointObservations`](crate::EndpointObservations) | a balancer, about its upstreams | with its session |
 //! | `outage/quiet/NAME` | [`DrainedEndpoints`](crate::DrainedEndpoints) | a balancer, about drains | with its session |
-//! | `outage/ask/ID` | [`LeaseRequest`](crate::LeaseRequest) | whoever wants to disrupt a resource | with its session, or when the lease is granted |
-//! | `outage/leave/KIND/NAME` | [`DisruptionLease`](crate::DisruptionLease) | whoever grants | when the resource is back in service |
+//! | `outage/ask/ID` | [`LeaseRequest`](crate::LeaseRequest) | the process that requests the disruption | with its session, or when the lease is granted |
+//! | `outage/leave/KIND/NAME` | [`DisruptionLease`](crate::DisruptionLease) | the granting process | when the resource is back in service |
 //! | `outage/holder/NAME` | session id of a lease owner | the owner | with its session |
 //! | `outage/list/HASH` | [`EndpointList`](crate::EndpointList) | the first balancer with these upstreams | when no observations refer to it |
 //! | `outage/leaving/NAME/PID` | [`DrainedEndpoints`](crate::DrainedEndpoints) of a process that handed its sockets over | that process | with its session |
@@ -81,7 +81,7 @@
     format!("{LEASES}{resource}")
 }
 
-/// A key under [`KEY_PREFIX`], by what its value describes.
+/// A key under [`KEY_PREFIX`], by the kind of its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Key<'a> {
     Budgets,
@@ -99,7 +99,7 @@
     PredecessorDrained(&'a str),
 }
 
-/// Builds a key from what follows its prefix.
+/// Builds a key from the text after its prefix.
 type KeyFamily<'a> = fn(&'a str) -> Key<'a>;
 
 impl<'a> Key<'a> {
--- a/crates/control-plane/disruption/src/lease_agent/mod.rs
+++ b/crates/control-plane/disruption/src/lease_agent/mod.rs
@@ -22,8 +22,8 @@
 pub const DRAIN_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Delay after a failed read or write.
 pub const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A lease of an earlier process of the same supervisor is released if nothing was observed to be done under it for this long.
-/// An action of that process shows in the store much sooner.
+/// Time after which a lease of an earlier process of the same supervisor is released, if no action under it was observed. An
+/// action of that process is visible in the store much sooner.
 pub const ADOPTED_LEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A lease that was granted to this supervisor.
@@ -55,7 +55,7 @@
     Wait(Option<Duration>),
 }
 
-/// What the supervisor wants for one balancer.
+/// Intent of the supervisor for one balancer.
 #[derive(Clone, Debug)]
 enum LeaseIntent {
     /// Acquire and hold a lease.
@@ -68,7 +68,7 @@
     },
     /// Release the lease.
     Release {
-        /// Whether another process is to serve; then the lease ends only once that process is ready.
+        /// Whether another process is to serve; in that case the lease ends only once that process is ready.
         replaced: bool,
     },
 }
@@ -80,7 +80,8 @@
     fencing_token: u64,
 }
 
-/// See the [module documentation](self).
+/// Acquires and releases disruption leases for a supervisor, and does its share of the work that any agent may do. See the
+/// [module documentation](self).
 pub struct LeaseAgent {
     owner: String,
     random: Pcg64Mcg,
@@ -90,11 +91,11 @@
     balancers: Option<BTreeMap<String, BalancerEntry>>,
     /// Leases of an earlier process by balancer name, with the time of their adoption.
     adopted: BTreeMap<String, Duration>,
-    /// When this agent does the pending shared work.
+    /// Time at which this agent does the pending shared work, unless another agent has done it by then.
     assist_at: Option<Duration>,
     /// Drains with a limited duration, with the time at which they were first seen.
     timed_drains: BTreeMap<DrainId, Duration>,
-    /// Drains without pending confirmations, with the time since when.
+    /// Drains without pending confirmations, with the time at which this was first observed.
     idle_drains: BTreeMap<DrainId, Duration>,
     /// No step is taken before this time.
     retry_at: Duration,
@@ -129,21 +130,21 @@
         self.intents.insert(balancer.into(), intent);
     }
 
-    /// Reports that nothing was done under a lease because its session was not active when the notification came. The lease is
-    /// still wanted; the supervisor is notified again once the session is active.
+    /// Reports that nothing was done under a lease because its session was not active when the notification arrived. The lease
+    /// is still needed; the supervisor is notified again once the session is active.
     pub fn mark_unused(&mut self, balancer: &str) {
         if let Some(LeaseIntent::Acquire { notified, .. }) = self.intents.get_mut(balancer) {
             *notified = None;
         }
     }
 
-    /// Releases the lease for a balancer. `replaced` tells whether another process is to serve; then the lease ends only once
-    /// that process is ready.
+    /// Releases the lease for a balancer. `replaced` states whether another process is to serve; in that case the lease ends
+    /// only once that process is ready.
     pub fn release(&mut self, balancer: &str, replaced: bool) {
         self.intents.insert(balancer.into(), LeaseIntent::Release { replaced });
     }
 
-    /// Sets the balancers of the machine, all of them.
+    /// Sets the complete list of the machine's balancers.
     pub fn set_balancers(&mut self, balancers: BTreeMap<String, BalancerEntry>) {
         self.balancers = Some(balancers);
     }
@@ -177,10 +178,11 @@
     pub fn on_consistent_read(&mut self, now: Duration, snapshot: &FleetSnapshot) -> Step {
         match snapshot.grants() {
             Some(grants) => {
-                let description = format!("leave is given: {}", grants.request_ids.join(", "));
+                let description =
+                    format!("leases are granted for the requests {}", grants.request_ids.join(", "));
                 Step::Write { write: grants.write, description: Some(description) }
             }
-            // Another agent was faster, or the budgets no longer permit it.
+            // Another agent has granted the leases meanwhile, or the budgets no longer permit them.
             None => Step::Wait(Some(now + RETRY_DELAY)),
         }
     }
@@ -190,7 +192,7 @@
         format!("{}/{balancer}", self.owner)
     }
 
-    /// Notifies the supervisor of granted leases that it does not know of.
+    /// Notifies the supervisor of granted leases of which it was not notified yet.
     fn notify_grants(
         &mut self,
         session: SessionId,
--- a/crates/control-plane/disruption/src/lease_agent/own.rs
+++ b/crates/control-plane/disruption/src/lease_agent/own.rs
@@ -59,7 +59,7 @@
             let unused = match self.intents.get(&resource.name) {
                 Some(LeaseIntent::Acquire { .. }) => return None,
                 Some(LeaseIntent::Release { replaced }) => !replaced,
-                // A lease of an earlier process, of which it is not known whether it acted.
+                // A lease of an earlier process; it is not known whether that process acted on it.
                 None => {
                     let since = *self.adopted.entry(resource.name.clone()).or_insert(now);
                     let same_process = !lease.value.kind.replaces_process()
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Withdraws requests that are no longer wanted and writes those that are missing.
+    /// Deletes requests that are no longer needed and writes those that are missing.
     fn update_requests(
         &self,
         session: SessionId,
@@ -110,7 +110,7 @@
             owner: self.owner.clone(),
             session,
             kind,
-            // Requests that an operator insists on are decided first.
+            // Requests that override budgets for an operator are decided first.
             priority: u8::from(override_reason.is_some()),
             reason: reason.into(),
             override_reason: override_reason.cloned(),
@@ -128,14 +128,14 @@
             || leases.iter().any(|(resource, _)| resource.name == balancer)
     }
 
-    /// Drops intents to release what is neither requested nor leased any more.
+    /// Drops the intents to release leases that are neither requested nor held any more.
     fn forget_released(&mut self, snapshot: &FleetSnapshot, leases: &[OwnLease<'_>]) {
-        let is_over = |(name, intent): &(&String, &LeaseIntent)| {
+        let is_released = |(name, intent): &(&String, &LeaseIntent)| {
             matches!(intent, LeaseIntent::Release { .. })
                 && !self.is_requested_or_leased(name, snapshot, leases)
         };
         let released: Vec<String> =
-            self.intents.iter().filter(is_over).map(|(name, _)| name.clone()).collect();
+            self.intents.iter().filter(is_released).map(|(name, _)| name.clone()).collect();
         for balancer in released {
             self.intents.remove(&balancer);
             self.adopted.remove(&balancer);
--- a/crates/control-plane/disruption/src/lease_agent/shared.rs
+++ b/crates/control-plane/disruption/src/lease_agent/shared.rs
@@ -17,12 +17,13 @@
 }
 
 impl LeaseAgent {
-    /// Does shared work at once if it grants a lease to this supervisor, and otherwise if nobody else does it in time.
+    /// Does shared work at once if it grants a lease to this supervisor. Any other shared work is done after a random delay, if
+    /// no other agent has done it by then.
     pub(super) fn shared_step(&mut self, now: Duration, snapshot: &FleetSnapshot) -> Step {
         let grants = snapshot.grants();
         let is_own = |id: &String| snapshot.requests.get(id).is_some_and(|r| r.value.owner == self.owner);
         if grants.as_ref().is_some_and(|grants| grants.request_ids.iter().any(is_own)) {
-            // Grants are decided on what a majority has now, not on the last known snapshot.
+            // Grants are decided on a consistent read, not on the last known snapshot, which may be outdated.
             return Step::ReadConsistent;
         }
         let step = match grants {
@@ -46,7 +47,7 @@
         step
     }
 
-    /// When the next drain ends or is complete, or the next adopted lease is released.
+    /// Time at which the next drain ends or is complete, or at which the next adopted lease is released.
     fn next_timeout(&self, now: Duration, snapshot: &FleetSnapshot) -> Option<Duration> {
         let drain_ends = self.timed_drains.iter().filter_map(|(drain, seen_at)| {
             let lease = snapshot.leases.get(&drain.resource)?;
@@ -56,7 +57,7 @@
         });
         let completions = self.idle_drains.values().map(|&since| since + DRAIN_SETTLE_TIME);
         let adopted = self.adopted.values().map(|&since| since + ADOPTED_LEASE_TIMEOUT);
-        // What is due already waits for another change, which wakes the agent.
+        // Work that is due already waits for another change, which wakes the agent.
         drain_ends.chain(completions).chain(adopted).filter(|&at| at > now).min()
     }
 
@@ -64,21 +65,22 @@
     fn shared_write(&mut self, now: Duration, snapshot: &FleetSnapshot) -> Option<SharedWrite> {
         self.track_drains(now, snapshot);
         if let Some(orphaned) = snapshot.orphaned_leases().into_iter().next() {
-            let description = format!("the leave for {} is nobody's any more", orphaned.resource);
+            let description = format!("the orphaned lease for {} is deleted", orphaned.resource);
             return Some(SharedWrite { write: orphaned.write, description });
         }
         if let Some(recall) = snapshot.recall_drains() {
-            let named = recall.drains.iter().map(|drain| format!("{}, for {}", drain.resource, drain.reason));
-            let description = format!("asked to return: {}", named.collect::<Vec<_>>().join("; "));
+            let named = recall.drains.iter().map(|drain| format!("{}: {}", drain.resource, drain.reason));
+            let description = format!("drains are recalled: {}", named.collect::<Vec<_>>().join("; "));
             return Some(SharedWrite { write: recall.write, description });
         }
         if let Some(write) = snapshot.remove_unused_lists() {
-            return Some(SharedWrite { write, description: "lists that nobody has are removed".into() });
+            return Some(SharedWrite { write, description: "unused upstream lists are deleted".into() });
         }
         snapshot.drains().find_map(|(resource, lease)| self.advance_drain(now, snapshot, resource, lease))
     }
 
-    /// Forgets what has ended, and remembers when drains with a limited duration were first seen.
+    /// Drops the entries of drains and leases that have ended, and stores the time at which drains with a limited duration were
+    /// first observed.
     fn track_drains(&mut self, now: Duration, snapshot: &FleetSnapshot) {
         let is_current = |drain: &DrainId| {
             let lease = snapshot.leases.get(&drain.resource);
@@ -112,13 +114,13 @@
         let ends_at = self.timed_drains.get(&drain).zip(duration).map(|(&seen_at, span)| seen_at + span);
         if ends_at.is_some_and(|at| now >= at) {
             let op = Op::Delete(lease_key(resource));
-            return Some(shared_write(op, format!("the drain of {resource} has ended by itself")));
+            return Some(shared_write(op, format!("the drain of {resource} has reached its time limit")));
         }
         if lease.value.drained || !snapshot.pending_confirmations(resource).is_empty() {
             self.idle_drains.remove(&drain);
             return None;
         }
-        // A process that has just handed its sockets over appears in the store a moment later.
+        // The key of a process that has just handed its sockets over appears in the store with a short delay.
         let since = *self.idle_drains.entry(drain).or_insert(now);
         if now < since + DRAIN_SETTLE_TIME {
             return None;
--- a/crates/control-plane/disruption/src/lease_lifecycle.rs
+++ b/crates/control-plane/disruption/src/lease_lifecycle.rs
@@ -7,7 +7,7 @@
 use coordination::state_machine::{Compare, Op, SessionId};
 use std::collections::BTreeMap;
 
-/// A lease that nobody can act on any more.
+/// A lease whose owner's session has ended, so that no process can act on it any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrphanedLease {
     /// Leased resource.
@@ -33,9 +33,9 @@
         let status = self.statuses.get(&resource.name)?;
         let unused_and_ready = unused && status.value.state == InstanceState::Ready;
         let in_service = self.is_back_in_service(resource, &lease.value) || unused_and_ready;
-        // Only the owner can tell a reload that is done from one that has not begun.
-        let is_over = in_service && (lease.value.kind.replaces_process() || unused);
-        is_over.then(|| ConditionalWrite {
+        // Only the owner can distinguish a completed reload from one that has not started.
+        let may_end = in_service && (lease.value.kind.replaces_process() || unused);
+        may_end.then(|| ConditionalWrite {
             compares: vec![
                 Compare::Version(lease_key(resource), lease.version),
                 Compare::Version(status_key(&resource.name), status.version),
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Leases of balancers that are ready and whose owners are gone.
+    /// Leases of balancers that are ready, as far as they do not belong to the current session of their owner.
     pub fn orphaned_leases(&self) -> Vec<OrphanedLease> {
         let mut orphaned = Vec::new();
         for (resource, lease) in &self.leases {
--- a/crates/control-plane/disruption/src/lib.rs
+++ b/crates/control-plane/disruption/src/lib.rs
@@ -2,13 +2,14 @@
 //! of the coordination store, without I/O.
 //!
 //! A [`DisruptionBudget`] limits the unavailable resources of each group (a machine, a zone, a tier, a pool, the whole fleet).
-//! Whoever wants to make a resource unavailable writes a [`LeaseRequest`] and acts only under a granted [`DisruptionLease`].
-//! Decisions are a pure function of the [`FleetSnapshot`], so no single process is needed to make them: any process that sees
-//! that leases can be granted writes them, and of two concurrent writes one fails.
+//! A process that is to make a resource unavailable writes a [`LeaseRequest`] and acts only under a granted
+//! [`DisruptionLease`].
+//! Decisions are a pure function of the [`FleetSnapshot`], so no single process is needed to make them: any process that
+//! finds that leases can be granted writes them, and of two concurrent writes one fails.
 //!
-//! Everything that is unavailable counts, whatever the cause: a granted lease, a missing session, a balancer that is not ready
+//! Every unavailable resource counts, whatever the cause: a granted lease, a missing session, a balancer that is not ready
 //! or still warming up, an upstream that service discovery drains or that most balancers have ejected. A leased resource counts
-//! as unavailable until it has been observed in service again; the end of the lease owner changes nothing about that.
+//! as unavailable until it has been observed in service again, even if the session of the lease owner ends.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -75,7 +76,7 @@
 /// Identifies a resource. Displayed as `KIND/NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceId {
-    /// Kind.
+    /// Kind of the resource.
     pub kind: ResourceKind,
     /// Name, unique among resources of the kind.
     pub name: String,
--- a/crates/control-plane/disruption/src/messages.rs
+++ b/crates/control-plane/disruption/src/messages.rs
@@ -38,14 +38,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// It does not serve yet.
+    /// The balancer does not serve yet.
     Starting,
-    /// It serves, but not for long enough to count as fully available.
+    /// The balancer serves, but not for long enough to count as fully available.
     #[serde(rename = "cold")]
     WarmingUp,
-    /// It serves.
+    /// The balancer serves.
     Ready,
-    /// It finishes its requests and exits.
+    /// The balancer finishes its requests and exits.
     #[serde(rename = "leaving")]
     ShuttingDown,
 }
@@ -65,7 +65,7 @@
 /// Status that a balancer reports of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// State.
+    /// Reported state.
     pub state: InstanceState,
     /// Session of the process; greater for a later process of the same name.
     pub session: SessionId,
@@ -80,18 +80,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointCondition {
-    /// It takes requests.
+    /// The upstream takes requests.
     #[serde(rename = "in")]
     InService,
-    /// It started recently and gets a reduced share of requests.
+    /// The upstream started recently and gets a reduced share of requests.
     #[serde(rename = "cold")]
     WarmingUp,
-    /// This balancer ejected it because its own requests failed there.
+    /// This balancer ejected the upstream because its own requests failed there.
     Ejected,
     /// Service discovery reports failing health checks.
     #[serde(rename = "critical")]
     Unhealthy,
-    /// Service discovery reports that it drains.
+    /// Service discovery reports that the upstream is draining.
     Draining,
 }
 
@@ -113,10 +113,10 @@
     pub upstreams: BTreeMap<String, EndpointLabels>,
 }
 
-/// What one balancer observes of its upstreams.
+/// Conditions of the upstreams of one balancer, as it observes them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointObservations {
-    /// Hash of the [`EndpointList`] with its upstreams.
+    /// Hash of the [`EndpointList`] that holds the balancer's upstreams.
     #[serde(rename = "list")]
     pub list_hash: String,
     /// Conditions by upstream name; an upstream that is not listed is in service.
@@ -124,7 +124,7 @@
     pub conditions: BTreeMap<String, EndpointCondition>,
 }
 
-/// Drains that a balancer applies and has no requests in flight for.
+/// Drains that a balancer applies and for which it has no requests in flight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DrainedEndpoints {
     /// Fencing token of the drain's lease, by upstream name.
@@ -138,7 +138,7 @@
 pub enum DisruptionKind {
     /// The balancer's process exits and another one is started.
     Restart,
-    /// Another process takes the sockets over.
+    /// Another process takes over the sockets.
     #[serde(rename = "take-over")]
     Handoff,
     /// The balancer reads its configuration again.
@@ -211,7 +211,7 @@
     /// Reason, for operators; may be empty.
     #[serde(rename = "why", default, skip_serializing_if = "String::is_empty")]
     pub reason: String,
-    /// Reason for which it exceeds `max_unavailable` of budgets, if it does.
+    /// Reason for which the lease exceeds `max_unavailable` of budgets; `None` if it does not.
     #[serde(rename = "overrides", default, skip_serializing_if = "Option::is_none")]
     pub override_reason: Option<String>,
     /// Time after which a drain ends by itself, in milliseconds from its grant; `None` for no limit.
@@ -220,7 +220,7 @@
     /// Whether all balancers have confirmed that the drained upstream has no requests in flight.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub drained: bool,
-    /// Reason for which the owner of a drain is asked to end it; `None` if it is not.
+    /// Reason for which a drain is recalled, so that its owner ends it; `None` if it is not recalled.
     #[serde(rename = "recalled", default, skip_serializing_if = "Option::is_none")]
     pub recall_reason: Option<String>,
 }
--- a/crates/control-plane/disruption/src/projection.rs
+++ b/crates/control-plane/disruption/src/projection.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Reason why a stored value cannot be used. Whoever wrote it runs another version.
+/// Reason why a stored value cannot be used; its writer runs another version.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// The value is not the JSON that its key calls for.
+    /// The value is not the JSON of the type that belongs to its key.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The key of a lease does not end with `KIND/NAME`.
@@ -73,7 +73,7 @@
     /// Prefix of the keys that belong to it.
     const KEY_PREFIX: &'static str;
 
-    /// Revision that the view stands at.
+    /// Revision of the store up to which the view is current.
     fn revision(&self) -> Revision;
 
     /// Sets the revision.
@@ -85,7 +85,7 @@
     /// Decodes a changed value and stores it; `None` for a deleted key.
     ///
     /// # Errors
-    /// The value cannot be decoded; what the view then holds for the key is up to the implementation.
+    /// The value cannot be decoded. The implementation decides which value the view then holds for the key.
     fn try_apply(&mut self, key: &str, value: Option<&str>, version: Revision) -> Result<(), DecodeError>;
 
     /// Builds the view from a read of all its keys at `revision`.
--- a/crates/control-plane/disruption/src/snapshot.rs
+++ b/crates/control-plane/disruption/src/snapshot.rs
@@ -46,7 +46,7 @@
 pub struct ObservedEndpoint {
     /// Labels that budgets group it by.
     pub labels: BTreeSet<Label>,
-    /// Its condition at each balancer that has it.
+    /// Condition of the upstream at each balancer that has it.
     pub conditions: Vec<EndpointCondition>,
 }
 
--- a/crates/verification/disruption-simulation/src/world/leases.rs
+++ b/crates/verification/disruption-simulation/src/world/leases.rs
@@ -15,7 +15,7 @@
 /// Probability that a response is lost.
 const RESPONSE_LOSS: f64 = 0.005;
 /// Part of the description by which a lease agent's write of an orphaned lease is recognised.
-const ORPHANED_LEASE_TEXT: &str = "nobody's";
+const ORPHANED_LEASE_TEXT: &str = "orphaned lease";
 
 impl World {
     /// A change of the store reaches a supervisor.
