--- a/crates/control-plane/coordination-server/src/command/mod.rs
+++ b/crates/control-plane/coordination-server/src/command/mod.rs
@@ -220,12 +220,12 @@
         Err(CommandError::WatchEnded)
     }
 
-    async fn backup(&self, to: &Path) -> Result<(), CommandError> {
+    async fn backup(&self, path: &Path) -> Result<(), CommandError> {
         match self.call(Request::Backup).await? {
             Answer::Backup(text) => {
-                let failed = |reason: String| CommandError::BackupFile { file: to.into(), reason };
-                backup_file(to).save(text.as_bytes()).map_err(|error| failed(error.to_string()))?;
-                print(&format!("{}: {} bytes", to.display(), text.len()))
+                let failed = |reason: String| CommandError::BackupFile { file: path.into(), reason };
+                backup_file(path).save(text.as_bytes()).map_err(|error| failed(error.to_string()))?;
+                print(&format!("{}: {} bytes", path.display(), text.len()))
             }
             other => Err(unexpected(&other)),
         }
--- a/crates/control-plane/coordination-server/src/command/tables.rs
+++ b/crates/control-plane/coordination-server/src/command/tables.rs
@@ -75,15 +75,15 @@
 
 /// The table of `members`.
 pub(super) fn members_table(members: &[Member]) -> String {
-    let known = |value: Option<String>| value.unwrap_or(UNKNOWN.into());
+    let or_unknown = |value: Option<String>| value.unwrap_or(UNKNOWN.into());
     let cells = |member: &Member| {
         vec![
             member.name.clone(),
             format!("{:016x}", member.id),
             member.addr.clone(),
             if member.is_voter { "yes" } else { "learns" }.into(),
-            known(member.active.map(|active| if active { "yes" } else { "no" }.into())),
-            known(member.match_index.map(|index| index.to_string())),
+            or_unknown(member.active.map(|active| if active { "yes" } else { "no" }.into())),
+            or_unknown(member.match_index.map(|index| index.to_string())),
         ]
     };
     let mut table = vec![header(&MEMBERS_HEADER)];
--- a/crates/control-plane/coordination-server/src/server/event_loop.rs
+++ b/crates/control-plane/coordination-server/src/server/event_loop.rs
@@ -246,10 +246,10 @@
         Ok(())
     }
 
-    fn send(&mut self, to: u64, message: Vec<u8>) {
-        let address = self.voter.member_address(to).or_else(|| self.voter_addresses.get(to));
+    fn send(&mut self, voter_id: u64, message: Vec<u8>) {
+        let address = self.voter.member_address(voter_id).or_else(|| self.voter_addresses.get(voter_id));
         if let Some(address) = address {
-            self.outputs.peers.send(to, address, message);
+            self.outputs.peers.send(voter_id, address, message);
         }
     }
 
@@ -271,11 +271,11 @@
                 self.leaderless_since = Some(Instant::now());
                 info!("council: {name} knows no leader");
             }
-            VoterEvent::StorageFailed(why) => {
+            VoterEvent::StorageFailed(reason) => {
                 info!(
-                    "council: {name} neither votes nor acknowledges entries: storage failed: {folder}: {why}"
+                    "council: {name} neither votes nor acknowledges entries: storage failed: {folder}: {reason}"
                 );
-                self.manager.notify_ready(format!("stands aside: {folder}: {why}"));
+                self.manager.notify_ready(format!("stands aside: {folder}: {reason}"));
             }
             VoterEvent::StorageRecovered => info!("council: {name} votes again: its storage has recovered"),
             VoterEvent::Removed => self.removed = true,
@@ -302,9 +302,9 @@
                 info!("council: configuration reloaded");
                 self.manager.notify_ready(format!("listening on {}", self.config.listen()));
             }
-            Err(why) => {
-                info!("council: configuration not reloaded: {why}");
-                self.manager.notify_ready(format!("not reloaded: {why}"));
+            Err(error) => {
+                info!("council: configuration not reloaded: {error}");
+                self.manager.notify_ready(format!("not reloaded: {error}"));
             }
         }
     }
--- a/crates/control-plane/coordination-server/src/server/startup.rs
+++ b/crates/control-plane/coordination-server/src/server/startup.rs
@@ -33,8 +33,8 @@
     let config = config::coordination::read(&path)?;
     let manager = ServiceManager::from_env();
     let lock = lock_folder(&config.folder)?;
-    if let Some(why) = lock.write_error() {
-        info!("council: {why}");
+    if let Some(error) = lock.write_error() {
+        info!("council: {error}");
     }
     let OpenedJournal { mut journal, records } = journal_writer::open(&config.folder, options.halt)?;
     let listener = bind(&config).await?;
@@ -83,7 +83,7 @@
         expected_members: config.voters.iter().map(|(name, _)| name.clone()).collect(),
         tick: config.tick,
         seed: random_id(),
-        log_entries: voter::LOG_ENTRIES,
+        log_entries: voter::DEFAULT_MAX_LOG_ENTRIES,
         defects: InjectedDefects::default(),
     }
 }
--- a/crates/control-plane/coordination/src/voter/mod.rs
+++ b/crates/control-plane/coordination/src/voter/mod.rs
@@ -50,7 +50,7 @@
 /// If more than this many ticks have passed since the last tick, the process was suspended.
 const SUSPENSION_TICKS: u32 = 3;
 /// Default number of log entries that are kept before the log is compacted.
-pub const LOG_ENTRIES: u64 = 20_000;
+pub const DEFAULT_MAX_LOG_ENTRIES: u64 = 20_000;
 /// Maximum bytes of log entries that are kept before the log is compacted.
 const MAX_LOG_BYTES: u64 = 16 << 20;
 /// Entries that are kept in memory after a compaction, for followers that lag slightly.
@@ -65,7 +65,7 @@
     pub tick: Duration,
     /// Seed of the election timeouts, and id of this process in the contexts of its proposals.
     pub seed: u64,
-    /// Number of log entries that are kept before the log is compacted; the default is [`LOG_ENTRIES`].
+    /// Number of log entries that are kept before the log is compacted; the default is [`DEFAULT_MAX_LOG_ENTRIES`].
     pub log_entries: u64,
     /// Defects for the simulation to detect.
     pub defects: InjectedDefects,
--- a/crates/control-plane/disruption/src/lease_agent/shared.rs
+++ b/crates/control-plane/disruption/src/lease_agent/shared.rs
@@ -111,7 +111,7 @@
             description,
         };
         let duration = lease.value.duration_ms.map(Duration::from_millis);
-        let ends_at = self.timed_drains.get(&drain).zip(duration).map(|(&seen_at, span)| seen_at + span);
+        let ends_at = self.timed_drains.get(&drain).zip(duration).map(|(&seen_at, limit)| seen_at + limit);
         if ends_at.is_some_and(|at| now >= at) {
             let op = Op::Delete(lease_key(resource));
             return Some(shared_write(op, format!("the drain of {resource} has reached its time limit")));
