--- a/crates/control-plane/coordination/tests/encoding.rs
+++ b/crates/control-plane/coordination/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of what is stored and sent, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
-//! line, its name and its JSON.
+//! Compares the encoding of stored and sent values with the encoding that earlier builds wrote. Each line of
+//! `fixtures/encoding.txt` holds the name of a value and its JSON.
 use coordination::limits::Limits;
 use coordination::protocol::{Answer, Call, Handshake, Member, Reply, Request, Select, Status};
 use coordination::state_machine::{
@@ -12,15 +12,15 @@
 
 const FIXTURE: &str = include_str!("fixtures/encoding.txt");
 
-/// Asserts that a value is written as the line of this name, and that the line is read as the value.
+/// Asserts that a value is encoded as in the line with this name, and that its encoding is decoded to the same value.
 fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
-    let written = serde_json::to_string(value).expect("a value without maps of odd keys");
+    let encoded = serde_json::to_string(value).expect("a value without maps of odd keys");
     let line = FIXTURE.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    assert_eq!(line, Some(&*written), "{name} {written}");
-    assert_eq!(&serde_json::from_str::<T>(&written).expect("reads what it wrote"), value, "{name}");
+    assert_eq!(line, Some(&*encoded), "{name} {encoded}");
+    assert_eq!(&serde_json::from_str::<T>(&encoded).expect("its own encoding is valid"), value, "{name}");
 }
 
-fn write() -> Transaction {
+fn transaction() -> Transaction {
     Transaction {
         session: 4,
         sequence: 9,
@@ -39,7 +39,7 @@
     }
 }
 
-fn refusals() -> Vec<Rejection> {
+fn rejections() -> Vec<Rejection> {
     vec![
         Rejection::LimitExceeded("keys".into(), 5),
         Rejection::NameTaken(3),
@@ -58,7 +58,7 @@
         Outcome::CompareFailed { index: 1, found_version: 0 },
         Outcome::SessionClosed,
     ];
-    all.extend(refusals().into_iter().map(Outcome::Rejected));
+    all.extend(rejections().into_iter().map(Outcome::Rejected));
     all
 }
 
@@ -66,12 +66,12 @@
 fn commands_and_outcomes_keep_their_encoding() {
     let open = Command::OpenSession { name: "n1".into(), nonce: 11, ttl_ms: 1500, take_over: true };
     assert_encoding("command.open", &open);
-    assert_encoding("command.write", &Command::Transaction(write()));
+    assert_encoding("command.write", &Command::Transaction(transaction()));
     assert_encoding("command.write.empty", &Command::Transaction(Transaction::default()));
     assert_encoding("command.close", &Command::CloseSession { session: 4 });
     assert_encoding("command.expire", &Command::ExpireSession { session: 4 });
-    for (k, outcome) in outcomes().iter().enumerate() {
-        assert_encoding(&format!("outcome.{k}"), outcome);
+    for (index, outcome) in outcomes().iter().enumerate() {
+        assert_encoding(&format!("outcome.{index}"), outcome);
     }
 }
 
@@ -81,7 +81,7 @@
         Request::OpenSession { name: "n1".into(), nonce: 11, ttl_ms: 1500, take_over: false },
         Request::RenewSession { session: 4 },
         Request::CloseSession { session: 4 },
-        Request::Transaction(write()),
+        Request::Transaction(transaction()),
         Request::Read(Select::Key("a".into())),
         Request::Read(Select::Prefix("a/".into())),
         Request::Watch { prefix: "a/".into(), after: Some(3) },
@@ -94,15 +94,15 @@
         Request::TransferLeadership { name: "v2".into() },
         Request::Backup,
     ];
-    for (k, request) in requests.into_iter().enumerate() {
-        assert_encoding(&format!("call.{k}"), &Call { id: k as u64, request });
+    for (index, request) in requests.into_iter().enumerate() {
+        assert_encoding(&format!("call.{index}"), &Call { id: index as u64, request });
     }
 }
 
 #[test]
 fn replies_keep_their_encoding() {
-    let item = |bound| VersionedValue { value: "1".into(), version: 5, session: bound };
-    let changed =
+    let item = |owner| VersionedValue { value: "1".into(), version: 5, session: owner };
+    let event =
         |value: Option<&str>| WatchEvent { revision: 6, key: "a".into(), value: value.map(Into::into) };
     let member = Member {
         id: 1,
@@ -134,7 +134,7 @@
         Answer::SessionRenewed,
         Answer::Values { revision: 6, items: vec![("a".into(), item(Some(4))), ("b".into(), item(None))] },
         Answer::Watching { revision: 6 },
-        Answer::Events { revision: 6, events: vec![changed(Some("1")), changed(None)] },
+        Answer::Events { revision: 6, events: vec![event(Some("1")), event(None)] },
         Answer::Compacted { oldest: 3 },
         Answer::NotLeader { leader: Some("127.0.0.1:9".into()) },
         Answer::NotLeader { leader: None },
@@ -148,13 +148,13 @@
         Answer::Failed("no such member".into()),
     ];
     answers.extend(outcomes().into_iter().map(Answer::Outcome));
-    for (k, answer) in answers.into_iter().enumerate() {
-        assert_encoding(&format!("reply.{k}"), &Reply { id: k as u64, answer });
+    for (index, answer) in answers.into_iter().enumerate() {
+        assert_encoding(&format!("reply.{index}"), &Reply { id: index as u64, answer });
     }
 }
 
 #[test]
-fn the_first_frame_keeps_its_encoding() {
+fn the_handshake_keeps_its_encoding() {
     let voter = Handshake {
         version: 1,
         cluster: Some(2),
@@ -168,26 +168,30 @@
     assert_encoding("hello.client", &client);
 }
 
-/// The state machine as a snapshot holds it, with a session, its last transaction, a bound key and an ended session.
+/// Encodes a state machine with a session, its last transaction, an ephemeral key and an ended session.
 #[test]
 fn a_snapshot_keeps_its_encoding() {
-    let mut record = StateMachine::new(Limits::default());
+    let mut state = StateMachine::new(Limits::default());
     let open =
         |name: &str, nonce| Command::OpenSession { name: name.into(), nonce, ttl_ms: 1500, take_over: true };
-    assert_eq!(record.apply(&open("n1", 11)), Outcome::SessionOpened(1));
-    assert_eq!(record.apply(&open("n2", 12)), Outcome::SessionOpened(2));
-    let put = |key: &str, bound| Op::Put { key: key.into(), value: format!("of {key}"), ephemeral: bound };
+    assert_eq!(state.apply(&open("n1", 11)), Outcome::SessionOpened(1));
+    assert_eq!(state.apply(&open("n2", 12)), Outcome::SessionOpened(2));
+    let put = |key: &str, is_ephemeral| Op::Put {
+        key: key.into(),
+        value: format!("of {key}"),
+        ephemeral: is_ephemeral,
+    };
     let write =
         Transaction { session: 1, sequence: 1, compares: vec![], ops: vec![put("a", true), put("b", false)] };
-    assert_eq!(record.apply(&Command::Transaction(write)), Outcome::Committed(3));
-    assert_eq!(record.apply(&Command::ExpireSession { session: 2 }), Outcome::SessionClosed);
-    let written = String::from_utf8(record.encode()).expect("text");
+    assert_eq!(state.apply(&Command::Transaction(write)), Outcome::Committed(3));
+    assert_eq!(state.apply(&Command::ExpireSession { session: 2 }), Outcome::SessionClosed);
+    let encoded = String::from_utf8(state.encode()).expect("UTF-8");
     let line = FIXTURE.lines().find_map(|line| line.strip_prefix("snapshot "));
-    assert_eq!(line, Some(&*written), "snapshot {written}");
-    let read = StateMachine::decode(written.as_bytes()).expect("reads");
-    assert_eq!(read.encode(), written.as_bytes());
+    assert_eq!(line, Some(&*encoded), "snapshot {encoded}");
+    let decoded = StateMachine::decode(encoded.as_bytes()).expect("its own encoding is valid");
+    assert_eq!(decoded.encode(), encoded.as_bytes());
     assert_eq!(
-        (read.revision(), read.get("a"), read.session_end(2)),
-        (4, record.get("a"), SessionEnd::Expired)
+        (decoded.revision(), decoded.get("a"), decoded.session_end(2)),
+        (4, state.get("a"), SessionEnd::Expired)
     );
 }
--- a/crates/control-plane/coordination/tests/state_machine.rs
+++ b/crates/control-plane/coordination/tests/state_machine.rs
@@ -16,8 +16,8 @@
     }
 }
 
-fn put(key: &str, value: &str, bound: bool) -> Op {
-    Op::Put { key: key.into(), value: value.into(), ephemeral: bound }
+fn put(key: &str, value: &str, is_ephemeral: bool) -> Op {
+    Op::Put { key: key.into(), value: value.into(), ephemeral: is_ephemeral }
 }
 
 fn write(session: SessionId, sequence: u64, compares: Vec<Compare>, ops: Vec<Op>) -> Command {
@@ -26,42 +26,55 @@
 
 #[test]
 fn a_transaction_is_applied_once_and_only_if_its_compares_hold() {
-    let mut r = StateMachine::new(Limits::default());
-    let s = session(&mut r, "a");
+    let mut state = StateMachine::new(Limits::default());
+    let id = session(&mut state, "a");
     let both = vec![put("x", "1", false), put("y", "1", false)];
-    let first = write(s, 1, vec![Compare::Absent("x".into())], both.clone());
-    let Outcome::Committed(at) = r.apply(&first) else { panic!("absent") };
+    let first = write(id, 1, vec![Compare::Absent("x".into())], both.clone());
+    let Outcome::Committed(revision) = state.apply(&first) else { panic!("absent") };
     // A retry returns the first outcome, although the condition no longer holds.
-    assert_eq!(r.apply(&first), Outcome::Committed(at));
-    assert_eq!(r.revision(), at);
-    let differs = r.apply(&write(s, 2, vec![Compare::Exists("x".into()), Compare::Absent("y".into())], both));
-    assert_eq!(differs, Outcome::CompareFailed { index: 1, found_version: at });
-    let older = r.apply(&write(s, 1, vec![], vec![put("x", "late", false)]));
-    assert_eq!(older, Outcome::Rejected(Rejection::Superseded), "a later one was made");
-    let same = r.apply(&write(s, 3, vec![Compare::Version("x".into(), at)], vec![Op::Delete("x".into())]));
-    assert!(matches!(same, Outcome::Committed(_)) && r.get("x").is_none() && r.get("y").is_some());
+    assert_eq!(state.apply(&first), Outcome::Committed(revision));
+    assert_eq!(state.revision(), revision);
+    let differs =
+        state.apply(&write(id, 2, vec![Compare::Exists("x".into()), Compare::Absent("y".into())], both));
+    assert_eq!(differs, Outcome::CompareFailed { index: 1, found_version: revision });
+    let older = state.apply(&write(id, 1, vec![], vec![put("x", "late", false)]));
+    assert_eq!(older, Outcome::Rejected(Rejection::Superseded), "a later transaction was applied");
+    let same = state.apply(&write(
+        id,
+        3,
+        vec![Compare::Version("x".into(), revision)],
+        vec![Op::Delete("x".into())],
+    ));
+    assert!(matches!(same, Outcome::Committed(_)) && state.get("x").is_none() && state.get("y").is_some());
 }
 
 #[test]
-fn a_session_ends_with_its_keys_and_says_how() {
-    let mut r = StateMachine::new(Limits::default());
-    let (a, b) = (session(&mut r, "a"), session(&mut r, "b"));
-    r.apply(&write(a, 1, vec![], vec![put("k", "a", true), put("stays", "a", false)]));
+fn a_session_ends_with_its_ephemeral_keys_and_keeps_the_reason() {
+    let mut state = StateMachine::new(Limits::default());
+    let (first, second) = (session(&mut state, "a"), session(&mut state, "b"));
+    state.apply(&write(first, 1, vec![], vec![put("k", "a", true), put("stays", "a", false)]));
     // A key that another session writes belongs to that session.
-    r.apply(&write(b, 1, vec![], vec![put("k2", "b", true)]));
-    assert_eq!(open(&mut r, "a", 1, true), Outcome::SessionOpened(a), "the same opening sent again");
-    assert_eq!(open(&mut r, "a", 2, false), Outcome::Rejected(Rejection::NameTaken(a)));
-    let Outcome::SessionOpened(next) = open(&mut r, "a", 2, true) else { panic!("takes over") };
-    assert!(next > a && r.get("k").is_none() && r.get("stays").is_some() && r.get("k2").is_some());
-    let late = r.apply(&write(a, 2, vec![], vec![put("k", "late", false)]));
+    state.apply(&write(second, 1, vec![], vec![put("k2", "b", true)]));
+    assert_eq!(open(&mut state, "a", 1, true), Outcome::SessionOpened(first), "the same opening sent again");
+    assert_eq!(open(&mut state, "a", 2, false), Outcome::Rejected(Rejection::NameTaken(first)));
+    let Outcome::SessionOpened(next) = open(&mut state, "a", 2, true) else { panic!("takes over") };
+    assert!(
+        next > first && state.get("k").is_none() && state.get("stays").is_some() && state.get("k2").is_some()
+    );
+    let late = state.apply(&write(first, 2, vec![], vec![put("k", "late", false)]));
     assert_eq!(late, Outcome::Rejected(Rejection::SessionEnded(SessionEnd::Fenced(next))));
-    r.apply(&Command::ExpireSession { session: b });
-    assert!(r.get("k2").is_none());
-    assert_eq!(r.session_end(b), SessionEnd::Expired);
-    let alive = r.apply(&write(next, 1, vec![Compare::SessionEnded(b), Compare::SessionAlive(next)], vec![]));
+    state.apply(&Command::ExpireSession { session: second });
+    assert!(state.get("k2").is_none());
+    assert_eq!(state.session_end(second), SessionEnd::Expired);
+    let alive = state.apply(&write(
+        next,
+        1,
+        vec![Compare::SessionEnded(second), Compare::SessionAlive(next)],
+        vec![],
+    ));
     assert!(matches!(alive, Outcome::Committed(_)));
-    assert_eq!(r.apply(&Command::CloseSession { session: next }), Outcome::SessionClosed);
-    assert_eq!(r.session_end(next), SessionEnd::Closed);
+    assert_eq!(state.apply(&Command::CloseSession { session: next }), Outcome::SessionClosed);
+    assert_eq!(state.session_end(next), SessionEnd::Closed);
 }
 
 #[test]
@@ -77,68 +90,84 @@
         sessions: 2,
         ..Limits::default()
     };
-    let mut r = StateMachine::new(limits);
-    let s = session(&mut r, "a");
+    let mut state = StateMachine::new(limits);
+    let id = session(&mut state, "a");
     let mut number = 0;
-    let mut refused = |r: &mut StateMachine, compares: Vec<Compare>, ops: Vec<Op>, wanted: &str| {
+    let mut assert_rejected = |state: &mut StateMachine,
+                               compares: Vec<Compare>,
+                               ops: Vec<Op>,
+                               expected: &str| {
         number += 1;
-        let before = r.revision();
-        match r.apply(&write(s, number, compares, ops)) {
-            Outcome::Rejected(why) => assert!(why.to_string().contains(wanted), "{why}"),
-            other => panic!("{wanted}: {other:?}"),
+        let before = state.revision();
+        match state.apply(&write(id, number, compares, ops)) {
+            Outcome::Rejected(rejection) => assert!(rejection.to_string().contains(expected), "{rejection}"),
+            other => panic!("{expected}: {other:?}"),
         }
-        assert_eq!((r.revision(), r.size()), (before, (0, 0)), "{wanted}");
+        assert_eq!((state.revision(), state.size()), (before, (0, 0)), "{expected}");
     };
-    refused(&mut r, vec![], vec![put("long!", "", false)], "bytes of a key: 4");
-    refused(&mut r, vec![], vec![put("", "", false)], "bytes of a key");
-    refused(&mut r, vec![Compare::Absent("long!".into())], vec![], "bytes of a key");
-    refused(&mut r, vec![], vec![put("k", "123456789", false)], "bytes of a value: 8");
-    refused(&mut r, vec![], vec![put("k", "12345678", false), put("l", "12345678", false)], "values: 12");
-    refused(&mut r, vec![Compare::SessionAlive(1); 5], vec![], "conditions and changes of a write: 4");
+    assert_rejected(&mut state, vec![], vec![put("long!", "", false)], "bytes of a key: 4");
+    assert_rejected(&mut state, vec![], vec![put("", "", false)], "bytes of a key");
+    assert_rejected(&mut state, vec![Compare::Absent("long!".into())], vec![], "bytes of a key");
+    assert_rejected(&mut state, vec![], vec![put("k", "123456789", false)], "bytes of a value: 8");
+    assert_rejected(
+        &mut state,
+        vec![],
+        vec![put("k", "12345678", false), put("l", "12345678", false)],
+        "values: 12",
+    );
+    assert_rejected(
+        &mut state,
+        vec![Compare::SessionAlive(1); 5],
+        vec![],
+        "conditions and changes of a write: 4",
+    );
     let four = ["a", "b", "c", "d"].map(|k| put(k, "", false)).to_vec();
-    refused(&mut r, vec![], four, "keys: 3");
-    refused(&mut r, vec![], vec![put("k", "1", false), Op::Delete("k".into())], "changed twice");
-    assert!(matches!(open(&mut r, "long", 1, true), Outcome::Rejected(Rejection::LimitExceeded(..))));
-    session(&mut r, "b");
-    assert!(matches!(open(&mut r, "c", 1, true), Outcome::Rejected(Rejection::LimitExceeded(..))));
-    let short = r.apply(&Command::OpenSession { name: "a".into(), nonce: 9, ttl_ms: 1, take_over: true });
+    assert_rejected(&mut state, vec![], four, "keys: 3");
+    assert_rejected(&mut state, vec![], vec![put("k", "1", false), Op::Delete("k".into())], "changed twice");
+    assert!(matches!(open(&mut state, "long", 1, true), Outcome::Rejected(Rejection::LimitExceeded(..))));
+    session(&mut state, "b");
+    assert!(matches!(open(&mut state, "c", 1, true), Outcome::Rejected(Rejection::LimitExceeded(..))));
+    let short = state.apply(&Command::OpenSession { name: "a".into(), nonce: 9, ttl_ms: 1, take_over: true });
     assert!(matches!(short, Outcome::Rejected(Rejection::Invalid(_))));
 }
 
 #[test]
 fn watches_resume_until_their_events_are_compacted() {
-    let mut r = StateMachine::new(Limits { changes: 4, ..Limits::default() });
-    let s = session(&mut r, "a");
-    let begin = r.revision();
+    let mut state = StateMachine::new(Limits { changes: 4, ..Limits::default() });
+    let id = session(&mut state, "a");
+    let begin = state.revision();
     for n in 1..=4 {
-        r.apply(&write(s, n, vec![], vec![put("k", &n.to_string(), false)]));
+        state.apply(&write(id, n, vec![], vec![put("k", &n.to_string(), false)]));
     }
-    let seen = |r: &StateMachine, from| {
-        r.events_since(from).map(|all| all.filter_map(|c| c.value.clone()).collect::<Vec<_>>())
+    let values_since = |state: &StateMachine, from| {
+        state.events_since(from).map(|all| all.filter_map(|c| c.value.clone()).collect::<Vec<_>>())
     };
-    assert_eq!(seen(&r, begin + 2), Some(vec!["3".into(), "4".into()]));
-    assert_eq!(seen(&r, begin), Some(["1", "2", "3", "4"].map(String::from).to_vec()));
-    r.apply(&write(s, 5, vec![], vec![put("k", "5", false)]));
-    assert_eq!((seen(&r, begin), r.oldest_resumable_revision()), (None, begin + 1));
-    let again = StateMachine::decode(&r.encode()).expect("valid");
-    assert_eq!((seen(&again, r.revision()), seen(&again, begin + 2)), (Some(vec![]), None));
+    assert_eq!(values_since(&state, begin + 2), Some(vec!["3".into(), "4".into()]));
+    assert_eq!(values_since(&state, begin), Some(["1", "2", "3", "4"].map(String::from).to_vec()));
+    state.apply(&write(id, 5, vec![], vec![put("k", "5", false)]));
+    assert_eq!((values_since(&state, begin), state.oldest_resumable_revision()), (None, begin + 1));
+    let decoded = StateMachine::decode(&state.encode()).expect("valid");
+    assert_eq!(
+        (values_since(&decoded, state.revision()), values_since(&decoded, begin + 2)),
+        (Some(vec![]), None)
+    );
 }
 
 /// Guards against revisions that are assigned twice after a restore from a backup.
 #[test]
 fn a_restored_state_has_no_sessions_and_skips_revisions() {
-    let mut r = StateMachine::new(Limits::default());
-    let s = session(&mut r, "a");
-    r.apply(&write(s, 1, vec![], vec![put("bound", "", true), put("free", "1", false)]));
-    let backup = r.encode();
-    let later = session(&mut r, "later");
+    let mut state = StateMachine::new(Limits::default());
+    let id = session(&mut state, "a");
+    state.apply(&write(id, 1, vec![], vec![put("bound", "", true), put("free", "1", false)]));
+    let backup = state.encode();
+    let later = session(&mut state, "later");
     let mut restored = StateMachine::decode(&backup).expect("valid");
     restored.mark_restored(1 << 40);
     assert!(restored.get("bound").is_none() && restored.get("free").is_some());
     assert!(session(&mut restored, "new") > later + (1 << 39));
 }
 
-fn change() -> impl Strategy<Value = Op> {
+fn operation() -> impl Strategy<Value = Op> {
     let key = "[ab]{1,2}";
     prop_oneof![
         (key, "[a-z]{0,3}", any::<bool>()).prop_map(|(key, value, bound)| Op::Put {
@@ -163,7 +192,7 @@
             ttl_ms: 1000,
             take_over
         }),
-        (1u64..20, 1u64..9, prop::collection::vec(condition, 0..2), prop::collection::vec(change(), 0..3))
+        (1u64..20, 1u64..9, prop::collection::vec(condition, 0..2), prop::collection::vec(operation(), 0..3))
             .prop_map(|(session, sequence, compares, ops)| write(session, sequence, compares, ops)),
         (1u64..20).prop_map(|session| Command::CloseSession { session }),
         (1u64..20).prop_map(|session| Command::ExpireSession { session }),
@@ -176,24 +205,24 @@
     #[test]
     fn a_decoded_state_continues_identically(
         commands in prop::collection::vec(command(), 1..60),
-        at in 0usize..60,
+        decode_at in 0usize..60,
     ) {
-        let mut one = StateMachine::new(Limits { ended: 3, ..Limits::default() });
-        let mut other = None;
-        for (k, command) in commands.iter().enumerate() {
-            if k == at {
-                other = Some(StateMachine::decode(&one.encode()).expect("valid"));
+        let mut original = StateMachine::new(Limits { ended: 3, ..Limits::default() });
+        let mut decoded = None;
+        for (index, command) in commands.iter().enumerate() {
+            if index == decode_at {
+                decoded = Some(StateMachine::decode(&original.encode()).expect("valid"));
             }
-            let outcome = one.apply(command);
-            if let Some(other) = &mut other {
-                prop_assert_eq!(other.apply(command), outcome);
-                prop_assert_eq!(other.encode(), one.encode());
+            let outcome = original.apply(command);
+            if let Some(decoded) = &mut decoded {
+                prop_assert_eq!(decoded.apply(command), outcome);
+                prop_assert_eq!(decoded.encode(), original.encode());
             }
-            let bytes: usize = one.with_prefix("").map(|(key, item)| key.len() + item.value.len()).sum();
-            prop_assert_eq!(one.size(), (one.with_prefix("").count(), bytes as u64));
+            let bytes: usize = original.with_prefix("").map(|(key, item)| key.len() + item.value.len()).sum();
+            prop_assert_eq!(original.size(), (original.with_prefix("").count(), bytes as u64));
             // Ephemeral keys belong to open sessions.
-            let bound = one.with_prefix("").filter_map(|(_, item)| item.session);
-            prop_assert!(bound.into_iter().all(|session| one.session(session).is_some()));
+            let sessions = original.with_prefix("").filter_map(|(_, item)| item.session);
+            prop_assert!(sessions.into_iter().all(|session| original.session(session).is_some()));
         }
     }
 }
--- a/crates/control-plane/disruption/tests/budget.rs
+++ b/crates/control-plane/disruption/tests/budget.rs
@@ -48,7 +48,7 @@
     );
     let duplicate = DisruptionBudgets { budgets: vec![budget(Some(1), None, 0), budget(Some(2), None, 0)] };
     assert_eq!(duplicate.validate().expect_err("duplicate name").index, 1);
-    // One of one, and never unavailable: each budget is valid by itself.
+    // Each budget is valid by itself, but the only resource of the group must always be available.
     let budgets = DisruptionBudgets {
         budgets: vec![
             budget(Some(1), None, 0),
--- a/crates/control-plane/disruption/tests/decisions.rs
+++ b/crates/control-plane/disruption/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions on lease requests, and release, recall and completion of leases, over a real state machine of the store.
+//! Decisions on lease requests, and release, recall and completion of leases, with the real state machine of the store.
 use coordination::limits::Limits;
 use coordination::state_machine::{Command, Op, Outcome, StateMachine, Transaction, VersionedValue};
 use disruption::keys::{
@@ -16,6 +16,7 @@
 /// The state machine of the store, with a session for each writer.
 struct Fixture {
     store: StateMachine,
+    /// Session id and number of transactions, by writer.
     sessions: BTreeMap<String, (u64, u64)>,
 }
 
@@ -44,40 +45,40 @@
         fixture
     }
 
-    fn session(&mut self, who: &str) -> u64 {
-        if let Some((id, _)) = self.sessions.get(who) {
+    fn session(&mut self, writer: &str) -> u64 {
+        if let Some((id, _)) = self.sessions.get(writer) {
             return *id;
         }
         let open = Command::OpenSession {
-            name: who.into(),
+            name: writer.into(),
             nonce: self.sessions.len() as u64,
             ttl_ms: 5000,
             take_over: true,
         };
         let Outcome::SessionOpened(id) = self.store.apply(&open) else { panic!("opened") };
-        self.sessions.insert(who.into(), (id, 0));
+        self.sessions.insert(writer.into(), (id, 0));
         id
     }
 
-    fn write(&mut self, who: &str, write: ConditionalWrite) -> bool {
-        let session = self.session(who);
-        let number = self.sessions.get_mut(who).map(|(_, n)| {
-            *n += 1;
-            *n
+    fn write(&mut self, writer: &str, write: ConditionalWrite) -> bool {
+        let session = self.session(writer);
+        let number = self.sessions.get_mut(writer).map(|(_, count)| {
+            *count += 1;
+            *count
         });
         let write =
             Transaction { session, sequence: number.unwrap_or(1), compares: write.compares, ops: write.ops };
         matches!(self.store.apply(&Command::Transaction(write)), Outcome::Committed(_))
     }
 
-    fn put<T: serde::Serialize>(&mut self, who: &str, key: &str, value: &T, ephemeral: bool) {
+    fn put<T: serde::Serialize>(&mut self, writer: &str, key: &str, value: &T, ephemeral: bool) {
         let value = serde_json::to_string(value).expect("JSON");
-        let then = vec![Op::Put { key: key.into(), value, ephemeral }];
-        assert!(self.write(who, ConditionalWrite { compares: vec![], ops: then }));
+        let operations = vec![Op::Put { key: key.into(), value, ephemeral }];
+        assert!(self.write(writer, ConditionalWrite { compares: vec![], ops: operations }));
     }
 
-    fn end_session(&mut self, who: &str) {
-        if let Some((session, _)) = self.sessions.remove(who) {
+    fn end_session(&mut self, writer: &str) {
+        if let Some((session, _)) = self.sessions.remove(writer) {
             self.store.apply(&Command::ExpireSession { session });
         }
     }
@@ -90,8 +91,8 @@
 
     /// Registers a balancer, with a status if `state` is given.
     fn balancer(&mut self, name: &str, zone: &str, state: Option<InstanceState>) {
-        let resource = BalancerEntry { machine: "m".into(), zone: zone.into(), ..BalancerEntry::default() };
-        self.put("supervisor", &balancer_key(name), &resource, false);
+        let entry = BalancerEntry { machine: "m".into(), zone: zone.into(), ..BalancerEntry::default() };
+        self.put("supervisor", &balancer_key(name), &entry, false);
         if let Some(state) = state {
             self.report_state(name, state);
         }
@@ -105,18 +106,18 @@
 
     fn request(
         &mut self,
-        who: &str,
+        writer: &str,
         resource: ResourceId,
         kind: DisruptionKind,
         priority: u8,
         override_reason: Option<&str>,
     ) -> String {
-        let session = self.session(who);
-        let id = format!("{who}/{}", resource.name);
+        let session = self.session(writer);
+        let id = format!("{writer}/{}", resource.name);
         let override_reason = override_reason.map(Into::into);
         let request = LeaseRequest {
             resource,
-            owner: who.into(),
+            owner: writer.into(),
             session,
             kind,
             priority,
@@ -124,11 +125,11 @@
             override_reason,
             duration_ms: None,
         };
-        self.put(who, &request_key(&id), &request, true);
+        self.put(writer, &request_key(&id), &request, true);
         id
     }
 
-    /// Grants leases; the ids of the granted requests.
+    /// Grants leases and returns the ids of the granted requests.
     fn grant(&mut self) -> Vec<String> {
         let Some(grants) = self.snapshot().grants() else { return Vec::new() };
         assert!(self.write("granter", grants.write), "nothing has changed meanwhile");
@@ -140,17 +141,17 @@
         all.into_iter().find(|d| d.request_id == id).expect("the request is pending").decision
     }
 
-    /// Writes a balancer's observations of its upstreams; those without a condition are in service.
-    fn observe(&mut self, who: &str, upstreams: &[&str], out: &[(&str, EndpointCondition)]) {
-        let place = |_| EndpointLabels { pools: vec!["dues".into()], zone: "a".into() };
-        let list = EndpointList { upstreams: upstreams.iter().map(|u| (u.to_string(), place(u))).collect() };
+    /// Writes a balancer's observations of its upstreams; upstreams without a condition are in service.
+    fn observe(&mut self, writer: &str, upstreams: &[&str], conditions: &[(&str, EndpointCondition)]) {
+        let labels = |_| EndpointLabels { pools: vec!["dues".into()], zone: "a".into() };
+        let list = EndpointList { upstreams: upstreams.iter().map(|u| (u.to_string(), labels(u))).collect() };
         let hash = upstreams.join("-");
-        self.put(who, &endpoint_list_key(&hash), &list, false);
+        self.put(writer, &endpoint_list_key(&hash), &list, false);
         let observations = EndpointObservations {
             list_hash: hash,
-            conditions: out.iter().map(|(u, s)| (u.to_string(), *s)).collect(),
+            conditions: conditions.iter().map(|(name, condition)| (name.to_string(), *condition)).collect(),
         };
-        self.put(who, &observations_key(who), &observations, true);
+        self.put(writer, &observations_key(writer), &observations, true);
     }
 }
 
@@ -170,9 +171,9 @@
 
 #[test]
 fn unavailable_resources_count_whatever_the_cause() {
-    for how in ["no session", "cold", "starting", "leaving", "leave"] {
+    for cause in ["no session", "cold", "starting", "leaving", "leave"] {
         let mut fixture = fleet_of_three(1, 0);
-        match how {
+        match cause {
             "no session" => fixture.end_session("n3"),
             "cold" => fixture.report_state("n3", InstanceState::WarmingUp),
             "starting" => fixture.report_state("n3", InstanceState::Starting),
@@ -185,10 +186,10 @@
         let id = fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
         let decision = fixture.decision(&id);
         let LeaseDecision::WaitsForBudget { budget, usage, .. } = &decision else {
-            panic!("{how}: {decision:?}")
+            panic!("{cause}: {decision:?}")
         };
-        assert_eq!((budget.as_str(), usage.unavailable, usage.limit), ("whole", 1, 1), "{how}");
-        assert_eq!(fixture.grant(), [] as [String; 0], "{how}");
+        assert_eq!((budget.as_str(), usage.unavailable, usage.limit), ("whole", 1, 1), "{cause}");
+        assert_eq!(fixture.grant(), [] as [String; 0], "{cause}");
     }
 }
 
@@ -198,11 +199,11 @@
     fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
     assert_eq!(fixture.grant(), ["m1/n1"]);
     let resource = ResourceId::balancer("n1");
-    // The old process is still ready.
+    // The former process is still ready.
     assert_eq!(fixture.snapshot().release_lease(&resource, false), None);
     fixture.report_state("n1", InstanceState::ShuttingDown);
     fixture.end_session("n1");
-    // Without the owner, others cannot delete the lease either.
+    // After the end of the owner's session, other agents cannot delete the lease either.
     fixture.end_session("m1");
     assert_eq!(fixture.snapshot().orphaned_leases(), []);
     assert_eq!(fixture.snapshot().release_lease(&resource, false), None);
@@ -219,8 +220,8 @@
     assert!(fixture.snapshot().leases.is_empty());
 }
 
-/// Guards against disrupting a partitioned balancer that still serves: it counts as unavailable, yet its disruption takes one
-/// more out of service.
+/// Guards against the disruption of a partitioned balancer that still serves: it counts as unavailable already, but its
+/// disruption takes one more balancer out of service.
 #[test]
 fn a_missing_or_warming_balancer_may_be_serving() {
     let mut fixture = fleet_of_three(1, 0);
@@ -232,7 +233,7 @@
         matches!(fixture.decision(&id), LeaseDecision::WaitsForBudget { .. }),
         "n1 is unavailable, and n2 may be serving"
     );
-    // The same for one that came back and warms up: it serves, if not fully.
+    // A balancer that is warming up after its return serves as well, if not fully.
     let mut fixture = fleet_of_three(1, 0);
     fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
     assert_eq!(fixture.grant(), ["m1/n1"]);
@@ -242,7 +243,7 @@
         matches!(fixture.decision(&id), LeaseDecision::WaitsForBudget { .. }),
         "n1 is unavailable, and n2 serves"
     );
-    // Alone it is within the budget: it is the one unavailable balancer.
+    // n2 itself is the only unavailable balancer, which the budget permits.
     let mut fixture = fleet_of_three(1, 0);
     fixture.end_session("n2");
     let id = fixture.request("m1", ResourceId::balancer("n2"), DisruptionKind::Restart, 0, None);
@@ -291,7 +292,7 @@
         DisruptionBudgets { budgets: vec![budget("whole", ResourceKind::Balancer, GroupBy::Fleet, 1, 0)] };
     fixture.put("operator", BUDGETS, &smaller, false);
     assert!(!fixture.write("m1", write));
-    // So it does if the requester is gone.
+    // A grant also fails if the requester's session has ended.
     let write = fixture.snapshot().grants().expect("one").write;
     fixture.end_session("m1");
     assert!(!fixture.write("m2", write));
@@ -309,7 +310,8 @@
     assert_eq!(fixture.grant(), ["m1/a1"]);
     let first = fixture.request("m2", ResourceId::balancer("a2"), DisruptionKind::Restart, 0, None);
     let second = fixture.request("m3", ResourceId::balancer("b1"), DisruptionKind::Restart, 0, None);
-    // The zone of the first is exhausted; it reserves its place in the fleet, and the one behind it waits for that.
+    // The first request waits for the budget of its zone. It counts against the fleet's budget all the same, so the second
+    // request has to wait.
     assert!(
         matches!(fixture.decision(&first), LeaseDecision::WaitsForBudget { ref budget, .. } if budget == "zone")
     );
@@ -327,34 +329,36 @@
     let down = BalancerEntry { machine: "m".into(), down: true, ..BalancerEntry::default() };
     fixture.end_session("n3");
     fixture.put("supervisor", &balancer_key("n3"), &down, false);
-    let mend = fixture.request("m1", ResourceId::balancer("n3"), DisruptionKind::Restart, 0, None);
-    assert_eq!(fixture.decision(&mend), LeaseDecision::Granted);
+    let repair = fixture.request("m1", ResourceId::balancer("n3"), DisruptionKind::Restart, 0, None);
+    assert_eq!(fixture.decision(&repair), LeaseDecision::Granted);
     fixture.grant();
-    let over = fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, Some("fire"));
-    // Two must stay available, and two are.
-    assert!(matches!(fixture.decision(&over), LeaseDecision::WaitsForBudget { .. }));
+    let overriding =
+        fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, Some("fire"));
+    // Two balancers must stay available, and only two are.
+    assert!(matches!(fixture.decision(&overriding), LeaseDecision::WaitsForBudget { .. }));
     let mut fixture = fleet_of_three(1, 1);
     fixture.end_session("n3");
-    let over = fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, Some("fire"));
-    assert_eq!(fixture.decision(&over), LeaseDecision::Granted);
+    let overriding =
+        fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, Some("fire"));
+    assert_eq!(fixture.decision(&overriding), LeaseDecision::Granted);
     fixture.grant();
-    let leave = &fixture.snapshot().leases[&ResourceId::balancer("n1")].value;
-    assert_eq!(leave.override_reason.as_deref(), Some("fire"), "it is stored");
-    // One of one, and never out: status at once, and not waited for.
+    let lease = &fixture.snapshot().leases[&ResourceId::balancer("n1")].value;
+    assert_eq!(lease.override_reason.as_deref(), Some("fire"), "it is stored");
+    // The only balancer must stay available, so the request is rejected at once instead of waiting.
     let mut fixture = Fixture::new(vec![budget("whole", ResourceKind::Balancer, GroupBy::Fleet, 1, 1)]);
     fixture.balancer("n1", "a", Some(InstanceState::Ready));
     let id = fixture.request("m1", ResourceId::balancer("n1"), DisruptionKind::Restart, 0, None);
     assert!(
-        matches!(fixture.decision(&id), LeaseDecision::Rejected(ref why) if why.contains("lets nothing out"))
+        matches!(fixture.decision(&id), LeaseDecision::Rejected(ref reason) if reason.contains("lets nothing out"))
     );
     let id = fixture.request("m1", ResourceId::balancer("nobody"), DisruptionKind::Restart, 0, None);
     assert!(
-        matches!(fixture.decision(&id), LeaseDecision::Rejected(ref why) if why.contains("is not known"))
+        matches!(fixture.decision(&id), LeaseDecision::Rejected(ref reason) if reason.contains("is not known"))
     );
 }
 
 #[test]
-fn discovery_reports_bind_and_observations_need_a_majority() {
+fn discovery_reports_always_count_and_observations_need_a_majority() {
     let mut fixture = Fixture::new(vec![budget("pool", ResourceKind::Upstream, GroupBy::Pool, 1, 0)]);
     let all = ["u1", "u2", "u3"];
     fixture.observe("n1", &all, &[("u1", EndpointCondition::Ejected)]);
@@ -393,20 +397,20 @@
     fixture.request("op", ResourceId::upstream("u1"), DisruptionKind::Drain, 0, None);
     assert_eq!(fixture.grant(), ["op/u1"]);
     let resource = ResourceId::upstream("u1");
-    let number = fixture.snapshot().leases[&resource].value.fencing_token;
+    let token = fixture.snapshot().leases[&resource].value.fencing_token;
     assert_eq!(fixture.snapshot().pending_confirmations(&resource), ["n1", "n2"]);
     // A confirmation of another drain of the same upstream does not count.
     fixture.put(
         "n1",
         &drained_key("n1"),
-        &DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".into(), number + 1)]) },
+        &DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".into(), token + 1)]) },
         true,
     );
     assert_eq!(fixture.snapshot().pending_confirmations(&resource), ["n1", "n2"]);
     fixture.put(
         "n1",
         &drained_key("n1"),
-        &DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".into(), number)]) },
+        &DrainedEndpoints { fencing_tokens: BTreeMap::from([("u1".into(), token)]) },
         true,
     );
     fixture.end_session("n2");
@@ -419,7 +423,7 @@
         "its supervisor reports that no process of it runs"
     );
     // A process that handed its sockets over and still finishes requests.
-    fixture.put("old", "outage/leaving/n1/77", &DrainedEndpoints::default(), true);
+    fixture.put("predecessor", "outage/leaving/n1/77", &DrainedEndpoints::default(), true);
     assert_eq!(fixture.snapshot().pending_confirmations(&resource), ["n1/77 (ends what it has)"]);
 }
 
@@ -433,11 +437,11 @@
         assert_eq!(fixture.grant().len(), 1);
     }
     assert_eq!(fixture.snapshot().recall_drains(), None);
-    // That the first is complete is written after the second was granted and makes it no newer.
+    // The first drain is reported as complete after the second was granted; it still counts as the older one.
     let first = ResourceId::upstream("u1");
-    let over = DisruptionLease { drained: true, ..fixture.snapshot().leases[&first].value.clone() };
-    fixture.put("op", &lease_key(&first), &over, false);
-    // A third fails: one more than min_available permits is missing.
+    let completed = DisruptionLease { drained: true, ..fixture.snapshot().leases[&first].value.clone() };
+    fixture.put("op", &lease_key(&first), &completed, false);
+    // A third upstream fails: one more is unavailable than min_available permits.
     fixture.observe("n1", &all, &[("u3", EndpointCondition::Unhealthy)]);
     let recall = fixture.snapshot().recall_drains().expect("one");
     assert_eq!(
@@ -445,10 +449,10 @@
         ["u2"],
         "the newest"
     );
-    // The owner of a complete drain is only asked to end it.
+    // A complete drain is not ended by the recall; its owner has to end it.
     let id = ResourceId::upstream("u2");
-    let over = DisruptionLease { drained: true, ..fixture.snapshot().leases[&id].value.clone() };
-    fixture.put("op", &lease_key(&id), &over, false);
+    let completed = DisruptionLease { drained: true, ..fixture.snapshot().leases[&id].value.clone() };
+    fixture.put("op", &lease_key(&id), &completed, false);
     let write = fixture.snapshot().recall_drains().expect("one").write;
     assert!(fixture.write("m1", write));
     assert!(fixture.snapshot().leases[&id].value.recall_reason.is_some());
--- a/crates/control-plane/disruption/tests/encoding.rs
+++ b/crates/control-plane/disruption/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
-//! line, its key and its JSON.
+//! Compares the keys and the encoding of stored values with those that earlier builds wrote. Each line of
+//! `fixtures/encoding.txt` holds the key of a value and its JSON.
 use disruption::keys::{
     balancer_key, drained_key, endpoint_list_key, lease_key, observations_key, owner_key,
     predecessor_drained_key, request_key, status_key, BUDGETS, DRAIN_LEASES, KEY_PREFIX, LEDGER,
@@ -17,20 +17,20 @@
 const FIXTURE: &str = include_str!("fixtures/encoding.txt");
 
 fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(key: &str, value: &T) {
-    let written = serde_json::to_string(value).expect("a value without maps of odd keys");
-    let line = format!("{key} {written}");
+    let encoded = serde_json::to_string(value).expect("a value without maps of odd keys");
+    let line = format!("{key} {encoded}");
     assert!(FIXTURE.lines().any(|known| known == line), "{line}");
-    assert_eq!(&serde_json::from_str::<T>(&written).expect("reads what it wrote"), value, "{key}");
+    assert_eq!(&serde_json::from_str::<T>(&encoded).expect("its own encoding is valid"), value, "{key}");
 }
 
 fn budgets() -> DisruptionBudgets {
-    let budget = |kind, per, only: Option<&str>, most, per_mille| DisruptionBudget {
+    let budget = |kind, grouping, label: Option<&str>, max_count, max_per_mille| DisruptionBudget {
         name: "b".into(),
         kind,
-        group_by: per,
-        group: only.map(Into::into),
-        max_unavailable: most,
-        max_unavailable_per_mille: per_mille,
+        group_by: grouping,
+        group: label.map(Into::into),
+        max_unavailable: max_count,
+        max_unavailable_per_mille: max_per_mille,
         min_available: 2,
     };
     DisruptionBudgets {
