--- a/crates/control-plane/disruption-agent/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -51,7 +51,7 @@
 
     fn send(&self, command: AgentCommand) {
         if let Err(error) = self.commands.try_send(command) {
-            info!("outage: {error}");
+            info!("outage: command not passed to the lease agent: {error}");
         }
     }
 
@@ -77,7 +77,7 @@
         self.send(AgentCommand::Release { balancer: balancer.into(), replaced });
     }
 
-    /// Sets the balancers of this machine, all of them.
+    /// Replaces the list of balancers of this machine.
     pub fn set_balancers(&self, balancers: BTreeMap<String, BalancerEntry>) {
         self.send(AgentCommand::SetBalancers(balancers));
     }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Whether the lease may be acted on now: its session is active by this machine's clock, so nobody else can have been
-    /// granted what it permits.
+    /// Whether the lease may be acted on now: its session is active by this machine's clock, so nobody else can hold a lease
+    /// that conflicts with it.
     pub fn is_active(&self, lease: &GrantedLease) -> bool {
         self.session() == Some(lease.session)
     }
@@ -102,7 +102,7 @@
         self.client.active_session().map(|(session, _)| session)
     }
 
-    /// Whether the coordination service is reachable: the session is active.
+    /// Whether the session is active, which means that the coordination service is reachable.
     pub fn is_connected(&self) -> bool {
         self.session().is_some()
     }
@@ -118,7 +118,7 @@
     }
 }
 
-/// What the task does after a step.
+/// Continuation of the task after a step.
 enum Next {
     /// Take the next step at once.
     Continue,
@@ -181,14 +181,14 @@
         let mut grants = Vec::new();
         let mut step = self.lease_agent.next(boottime_now(), session, self.informer.snapshot(), &mut grants);
         for grant in grants {
-            // A grant that does not fit into the channel is notified again under the next session.
+            // A grant that does not fit into the channel is returned again under the next session.
             let _ = self.grants.try_send(grant);
         }
         if step == Step::ReadConsistent {
             step = match self.informer.read_consistent().await {
                 Ok(snapshot) => self.lease_agent.on_consistent_read(boottime_now(), snapshot),
                 Err(error) => {
-                    info!("outage: not read: {error}");
+                    info!("outage: snapshot not read: {error}");
                     self.lease_agent.on_failure(boottime_now());
                     return Next::Continue;
                 }
@@ -202,7 +202,7 @@
                     info!("outage: {description}");
                 }
                 if let Err(error) = self.execute(write).await {
-                    info!("outage: not written: {error}");
+                    info!("outage: write of the lease agent failed: {error}");
                     self.lease_agent.on_failure(boottime_now());
                 }
                 self.publish();
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Executes a write, and reads the snapshot again whether or not it succeeded.
+    /// Executes a write, and then reads the snapshot again, whether or not the write succeeded.
     async fn execute(&mut self, change: ConditionalWrite) -> Result<(), StoreError> {
         let outcome = write(&self.client, change).await;
         let read = self.informer.read_consistent().await.map(|_| ());
--- a/crates/control-plane/disruption-agent/src/command/apply.rs
+++ b/crates/control-plane/disruption-agent/src/command/apply.rs
@@ -6,7 +6,7 @@
 use disruption::keys::BUDGETS;
 use disruption::{ConditionalWrite, DisruptionBudgets};
 
-/// Puts budgets in force, and prints groups that nothing can ever be taken out of.
+/// Stores the budgets, and prints the groups from which no resource can ever be taken out of service.
 pub(super) async fn apply(
     budgets: &DisruptionBudgets,
     client: &mut OperatorClient,
--- a/crates/control-plane/disruption-agent/src/command/client.rs
+++ b/crates/control-plane/disruption-agent/src/command/client.rs
@@ -17,7 +17,7 @@
 const SESSION_TTL: Duration = Duration::from_secs(5);
 /// Timeout for closing the session.
 pub const SESSION_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum time between two looks at a changing snapshot.
+/// Maximum time between two reads of the snapshot while a command waits for a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum length of an operator's name, in characters.
 const MAX_OPERATOR_CHARS: usize = 32;
@@ -84,7 +84,7 @@
 
     /// Waits until the snapshot has changed, or for [`POLL_INTERVAL`].
     pub async fn changed(&mut self) {
-        // A timeout is no error: the caller looks again.
+        // A timeout is not an error: the caller reads the snapshot again.
         let _ = tokio::time::timeout(POLL_INTERVAL, self.informer.next()).await;
     }
 
--- a/crates/control-plane/disruption-agent/src/command/drain.rs
+++ b/crates/control-plane/disruption-agent/src/command/drain.rs
@@ -61,7 +61,7 @@
     Ok(id)
 }
 
-/// Waits until the request is granted, for `timeout` at most.
+/// Waits until the request is granted, for at most `timeout`; withdraws it at once if there is no timeout and it has to wait.
 async fn await_grant(
     client: &mut OperatorClient,
     session: SessionId,
@@ -88,11 +88,11 @@
                 continue;
             }
             rejected @ LeaseDecision::Rejected(_) => return withdraw(client, request_id, rejected).await,
-            waits => {
+            waiting => {
                 if timeout.is_none_or(|timeout| started.elapsed() >= timeout) {
-                    return withdraw(client, request_id, waits).await;
+                    return withdraw(client, request_id, waiting).await;
                 }
-                let text = waits.to_string();
+                let text = waiting.to_string();
                 if printed != text {
                     print(&format!("{resource} {text}"))?;
                     printed = text;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Ends a drain.
+/// Ends the drain of an upstream by deleting its lease. Retries if the lease changes meanwhile.
 pub(super) async fn undrain(client: &mut OperatorClient, endpoint: &str) -> Result<(), CommandError> {
     client.session().await?;
     let resource = ResourceId::upstream(EndpointName::parse(endpoint).name);
@@ -164,7 +164,7 @@
     }
 }
 
-/// `POOL/UPSTREAM`, or the upstream alone.
+/// Parsed form of `POOL/UPSTREAM`, or of the upstream alone.
 struct EndpointName<'a> {
     pool: Option<&'a str>,
     name: &'a str,
@@ -179,7 +179,10 @@
     }
 }
 
-/// The upstream that `endpoint` names.
+/// Returns the upstream that `endpoint` names.
+///
+/// # Errors
+/// No balancer knows the upstream, or it is not in the given pool.
 fn find_upstream(snapshot: &FleetSnapshot, endpoint: &str) -> Result<ResourceId, CommandError> {
     let EndpointName { pool, name } = EndpointName::parse(endpoint);
     let upstreams = snapshot.upstreams();
--- a/crates/control-plane/disruption-agent/src/command/mod.rs
+++ b/crates/control-plane/disruption-agent/src/command/mod.rs
@@ -20,7 +20,7 @@
 /// A command with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Put the budgets of the file in force.
+    /// Store the budgets of the file, which then apply to the whole fleet.
     Apply,
     /// Print unavailable resources, usage of budgets and pending requests.
     Status {
@@ -56,19 +56,19 @@
     #[error(transparent)]
     Output(#[from] OutputError),
     /// No session could be opened in time.
-    #[error("the council does not answer within {0:?}: is there a majority of voters?")]
+    #[error("the council opened no session within {0:?}: is a majority of voters running?")]
     NoSession(Duration),
     /// The store cannot be read.
-    #[error("the council: {0}")]
+    #[error("cannot read from the council: {0}")]
     Read(StoreError),
     /// The store cannot be written.
     #[error(transparent)]
     Write(StoreError),
-    /// A write without conditions was refused because of a condition.
-    #[error("the record differs")]
+    /// A write without conditions was rejected because of a condition.
+    #[error("a write without conditions was rejected because of a condition")]
     UnexpectedConflict,
     /// No balancer has the upstream.
-    #[error("no balancer has an upstream {name:?}; there are {known}")]
+    #[error("no balancer has an upstream {name:?}; {known} upstreams are known")]
     UnknownUpstream {
         /// Name that was given.
         name: String,
@@ -86,16 +86,16 @@
         pools: String,
     },
     /// The session of the command has ended.
-    #[error("its session has ended")]
+    #[error("the session of this command has ended")]
     SessionEnded,
     /// The lease request is gone although no lease was granted.
-    #[error("the ask has ended")]
+    #[error("the lease request was deleted, and no lease was granted")]
     RequestEnded,
     /// The lease request cannot be granted, or not in time.
     #[error("{}", decision_text(.0))]
     NotGranted(LeaseDecision),
     /// The drain ended before it was complete.
-    #[error("the drain of {0} has ended")]
+    #[error("the drain of {0} ended before it was complete")]
     DrainEnded(ResourceId),
     /// The drain is not complete in time.
     #[error("{resource} is not drained after {timeout:?}; not confirmed by {pending}")]
@@ -107,24 +107,24 @@
         /// Balancers that have not confirmed.
         pending: String,
     },
-    /// No drain is granted for the upstream.
-    #[error("{0} is not drained by agreement")]
+    /// No drain lease is granted for the upstream.
+    #[error("no drain lease is granted for {0}")]
     NoDrain(ResourceId),
     /// The fleet has no such balancer.
     #[error("no balancer {0:?} is known")]
     UnknownBalancer(String),
     /// The balancer is running.
-    #[error("{0} runs, and says so")]
+    #[error("{0} is running and connected to the council")]
     BalancerRuns(String),
-    /// The supervisor of the balancer is connected.
-    #[error("the supervisor of {0} is there, and would name it again")]
+    /// The supervisor of the balancer, with the name of its machine, is connected.
+    #[error("the supervisor of {0} is connected, and would add the balancer again")]
     SupervisorConnected(String),
     /// The balancer's entry has changed since it was read.
-    #[error("it changed meanwhile")]
+    #[error("the entry of the balancer has changed since it was read")]
     Conflict,
 }
 
-/// A rejection is printed as its reason alone.
+/// Text of a decision for the operator. A rejection is printed as its reason alone.
 fn decision_text(decision: &LeaseDecision) -> String {
     match decision {
         LeaseDecision::Rejected(reason) => reason.clone(),
--- a/crates/control-plane/disruption-agent/src/command/status.rs
+++ b/crates/control-plane/disruption-agent/src/command/status.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Unavailable resource in the JSON status.
+/// Unavailable resource in the JSON status. `why` holds the reasons for which it is unavailable, `reason` that of its lease.
 #[derive(Serialize)]
 struct UnavailableStatus<'a> {
     unit: String,
@@ -18,7 +18,8 @@
     held: Option<bool>,
 }
 
-/// Usage of a budget in the JSON status.
+/// Usage of a budget in one group, in the JSON status: `units` is the size of the group, `out` the number of unavailable
+/// resources, `may` the number that may be unavailable, and `floor` the number that must stay available.
 #[derive(Serialize)]
 struct BudgetStatus {
     budget: String,
--- a/crates/control-plane/disruption-agent/src/informer.rs
+++ b/crates/control-plane/disruption-agent/src/informer.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Delay before a failed read is repeated.
+/// Delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Keeps a [`Projection`] up to date.
@@ -53,13 +53,13 @@
                     self.snapshot.advance_to(revision);
                     return;
                 }
-                // The watch fell behind, or the store was created anew.
+                // The watch has ended: it fell behind, or the store was recreated. The snapshot is read again.
                 _ => self.watch = None,
             }
         }
     }
 
-    /// Reads the snapshot and watches from its revision on. Returns whether the read succeeded.
+    /// Reads the snapshot and starts a watch from its revision on. Returns whether the read succeeded.
     async fn start_watch(&mut self) -> bool {
         let Ok(snapshot) = read::<P>(&self.client, self.prefix).await else { return false };
         self.watch = Some(self.client.watch(self.prefix, Some(snapshot.revision())).await);
@@ -67,8 +67,8 @@
         true
     }
 
-    /// Reads the snapshot from a majority (a linearizable read) and returns it. Decisions that must not rest on an outdated
-    /// snapshot are made on this one.
+    /// Reads the snapshot from a majority (a linearizable read) and returns it. Decisions for which an
+    /// outdated snapshot would be unsafe are made on this one.
     ///
     /// # Errors
     /// The read did not succeed.
--- a/crates/control-plane/disruption-agent/src/reporter.rs
+++ b/crates/control-plane/disruption-agent/src/reporter.rs
@@ -21,9 +21,9 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-/// Interval at which in-flight requests are checked while there are drains.
+/// Interval at which requests in flight are counted while there are drains.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval at which upstreams are observed. Conditions that change faster are reported once.
+/// Interval at which upstreams are observed. A condition that changes several times within it is reported once.
 const OBSERVATION_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -37,9 +37,9 @@
     pub conditions: BTreeMap<String, EndpointCondition>,
 }
 
-/// What the reporter needs from the balancer.
+/// Interface of the balancer that the reporter uses.
 pub trait BalancerView {
-    /// Drains exactly these upstreams, given with reasons. No new requests go there when this returns.
+    /// Drains exactly these upstreams, given by name with the reason. No new requests are sent to them once this returns.
     fn apply_drains(&self, upstreams: &BTreeMap<String, String>);
     /// Number of requests in flight at an upstream.
     fn in_flight(&self, upstream: &str) -> usize;
@@ -60,8 +60,8 @@
 }
 
 /// Spawns a reporter on the current `LocalSet`. It reads drains at once, so that they are known before the balancer serves, and
-/// appears in the store when `states` first leaves [`InstanceState::Starting`]. The returned receiver tells whether the drains
-/// are known.
+/// writes to the store once `states` first leaves [`InstanceState::Starting`]. The returned receiver holds whether the
+/// drains are known.
 pub fn spawn(
     client: ClientHandle,
     config: ReporterConfig,
@@ -70,7 +70,7 @@
 ) -> watch::Receiver<bool> {
     let (known_sender, known) = watch::channel(false);
     let (snapshot_sender, snapshot) = watch::channel(FleetSnapshot::default());
-    // In a task of its own, so that drains do not wait for writes.
+    // A separate task, so that drains are applied without waiting for writes.
     tokio::task::spawn_local(follow_drains(client.clone(), balancer.clone(), known_sender, snapshot_sender));
     let task = ReporterTask {
         snapshot,
@@ -119,7 +119,7 @@
     balancer.apply_drains(&reasons.collect());
 }
 
-/// What the reporter last wrote under its session.
+/// Values that the reporter last wrote under its session.
 #[derive(Clone, PartialEq)]
 struct Report {
     session: SessionId,
@@ -128,22 +128,22 @@
     observations: EndpointObservations,
 }
 
-/// Reports of a process whose name another process has taken over.
+/// State of the reports of a process whose name another process has taken over.
 struct PredecessorReporter {
     client: ClientHandle,
-    /// What was last written, with its session.
+    /// Value that was last written, with its session.
     written: Option<(SessionId, DrainedEndpoints)>,
 }
 
 struct ReporterTask {
-    /// Drains, as last applied.
+    /// Drains that were last applied.
     snapshot: watch::Receiver<FleetSnapshot>,
     client: ClientHandle,
     config: ReporterConfig,
     balancer: Rc<dyn BalancerView>,
     states: watch::Receiver<InstanceState>,
     is_announced: bool,
-    /// When the balancer became ready.
+    /// Time at which the balancer became ready.
     ready_at: Option<Instant>,
     written: Option<Report>,
     predecessor: Option<PredecessorReporter>,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The state to report, and when it changes by itself.
+    /// Returns the state to report, and the time at which it changes without an event.
     fn state(&mut self) -> (InstanceState, Option<Instant>) {
         let state = *self.states.borrow_and_update();
         if state != InstanceState::Ready {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Applied drains without requests in flight.
+    /// Returns the applied drains without requests in flight.
     fn drained(&self) -> DrainedEndpoints {
         let snapshot = self.snapshot.borrow();
         let idle = snapshot.leases.iter().filter(|(id, _)| self.balancer.in_flight(&id.name) == 0);
@@ -208,7 +208,7 @@
         observations
     }
 
-    /// Writes what has changed; returns when to look again.
+    /// Writes what has changed; returns the time of the next step.
     async fn step(&mut self) -> Instant {
         let (state, warm_at) = self.state();
         if state != InstanceState::Starting && !self.is_announced {
@@ -253,10 +253,10 @@
                 self.written = Some(report);
                 true
             }
-            // The session has ended meanwhile; the next session state is noticed soon.
+            // The session has ended meanwhile; the change of the session state wakes the task.
             WriteOutcome::Conflict => true,
             WriteOutcome::Failed(error) => {
-                info!("outage: {} is not heard: {error}", self.config.name);
+                info!("outage: report of {} not written: {error}", self.config.name);
                 false
             }
         }
--- a/crates/control-plane/disruption-agent/src/store.rs
+++ b/crates/control-plane/disruption-agent/src/store.rs
@@ -35,7 +35,7 @@
 pub enum WriteOutcome {
     /// The write was executed as this revision.
     Committed(Revision),
-    /// A condition does not hold; the write has to be decided again on a newer snapshot.
+    /// A condition does not hold; the caller has to decide again on a newer snapshot.
     Conflict,
     /// The write was not executed, or it is not known whether it was.
     Failed(StoreError),
