--- a/crates/control-plane/rollout/src/canary.rs
+++ b/crates/control-plane/rollout/src/canary.rs
@@ -3,28 +3,29 @@
 //! # Statistics
 //!
 //! Requests at one instance fail together (an upstream hangs, a zone is partitioned), so they are not independent samples, and a
-//! test by requests would stop good rollouts. The sampling unit is the **instance**: each has one value per metric.
+//! test that takes requests as samples would stop good rollouts. The sampling unit is the **instance**: each has one value per
+//! metric.
 //!
 //! - Test: one-sided Student's t test of the difference of means, with the variance of the old instances for both groups (one or
 //!   two new instances have no usable variance) and `n_old - 1` degrees of freedom.
 //! - Significance level: [`CanaryAnalysis::false_positive_rate`] holds for a whole rollout and is divided by the number of
-//!   checks and of metrics (Bonferroni correction), so frequent checks cost power but not significance.
+//!   checks and of metrics (Bonferroni correction), so frequent checks reduce the power of the test but not its significance.
 //! - Effect size: a difference below [`MetricThreshold::min_difference`] is no regression, however significant.
 //! - Variance floor: with few requests the old instances may by chance show no variance at all. For proportions the variance is
 //!   at least that of independent requests, with the pooled proportion estimated by the rule of succession.
 //!
-//! Per-instance values have heavier tails than the test assumes, and a stage of one instance has no mean to even that out.
-//! Therefore the [state machine](crate::state_machine) acts on a regression only if two consecutive checks find it, each over
-//! the metrics since the previous one. In simulation, without that rule 79 of 1,000 good rollouts were stopped where one instance
-//! in twenty fails five times as many requests during a check, and without the variance floor 33 of 600 good rollouts of small
-//! fleets.
+//! Per-instance values have heavier tails than the test assumes, and a stage of one instance has no mean that would average
+//! that out. Therefore the [state machine](crate::state_machine) acts on a regression only if two consecutive checks find it,
+//! each over the metrics since the previous one. In simulation, without that rule 79 of 1,000 good rollouts were stopped where
+//! one instance in twenty fails five times as many requests during a check, and without the variance floor 33 of 600 good
+//! rollouts of small fleets.
 //!
-//! An instance whose placement makes it always worse than the others cannot be told from a bad build.
+//! An instance that is always worse than the others because of its placement cannot be distinguished from a bad build.
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use thiserror::Error;
 
-/// Minimum number of old instances; their variance is what the comparison rests on.
+/// Minimum number of old instances; the comparison uses their variance.
 const MIN_BASELINE_INSTANCES: usize = 4;
 /// Exclusive upper bound of significance levels.
 const MAX_SIGNIFICANCE_LEVEL: f64 = 0.5;
@@ -75,13 +76,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AnalysisError {
     /// The threshold of this metric is not a positive number.
-    #[error("gate.{0}: is no difference above 0")]
+    #[error("gate.{0}: must be a finite number above 0")]
     InvalidThreshold(&'static str),
     /// The false positive rate is out of bounds.
-    #[error("gate.false_halts: is no chance between 0 and 0.5")]
+    #[error("gate.false_halts: must be a probability above 0 and below 0.5")]
     InvalidFalsePositiveRate,
     /// No checks are permitted.
-    #[error("gate.looks: is 0")]
+    #[error("gate.looks: must be above 0")]
     NoChecks,
 }
 
@@ -105,9 +106,9 @@
 pub enum AnalysisVerdict {
     /// The new build is worse, with a description for operators.
     Regression(String),
-    /// A regression of at least the minimum difference can be excluded with the same certainty.
+    /// A regression of at least the minimum difference can be excluded at the same significance level.
     Healthy,
-    /// Neither can be told yet, with the reason for operators.
+    /// The samples permit neither conclusion yet, with the reason for operators.
     Inconclusive(String),
 }
 
@@ -148,7 +149,7 @@
         }
     }
 
-    /// The proportion that the metric is; `None` if it is not one.
+    /// Value of the metric as a proportion; `None` for a metric that is not a proportion.
     fn proportion(self, sample: &MetricsSample) -> Option<Proportion> {
         match self {
             Metric::Unserved => Some(Proportion {
@@ -257,7 +258,7 @@
         let (new, old) = (self.included(new), self.included(old));
         if new.is_empty() || old.len() < MIN_BASELINE_INSTANCES {
             return AnalysisVerdict::Inconclusive(format!(
-                "{} of the new and {} of the old were asked {} requests, and 1 and {MIN_BASELINE_INSTANCES} are needed",
+                "{} new and {} old instances received {} requests each; 1 and {MIN_BASELINE_INSTANCES} are needed",
                 new.len(),
                 old.len(),
                 self.min_requests
@@ -267,7 +268,7 @@
             self.false_positive_rate / f64::from(self.max_checks) / Metric::ALL.len() as f64;
         // The parameters may come from a store whose writer did not validate them.
         if !(significance_level > 0.0 && significance_level < MAX_SIGNIFICANCE_LEVEL) {
-            return AnalysisVerdict::Inconclusive("the chance of a false halt is none".into());
+            return AnalysisVerdict::Inconclusive("the significance level is out of bounds".into());
         }
         let mut inconclusive = None;
         for metric in Metric::ALL {
@@ -285,7 +286,7 @@
             // A regression that the samples cannot exclude.
             if difference + margin > min_difference && inconclusive.is_none() {
                 inconclusive = Some(format!(
-                    "{}: {difference:+.3}, and {margin:.3} either way could be chance",
+                    "{}: difference {difference:+.3}, margin of error {margin:.3}",
                     metric.name()
                 ));
             }
--- a/crates/control-plane/rollout/src/executor.rs
+++ b/crates/control-plane/rollout/src/executor.rs
@@ -1,5 +1,5 @@
-//! What one supervisor does for a rollout: for which instances it requests disruption leases, which builds they are started
-//! from, and what it reports on them. It performs no I/O: the caller requests leases, signals processes and writes reports.
+//! Actions of one supervisor for a rollout: for which instances it requests disruption leases, from which builds they are
+//! started, and what it reports on them. It performs no I/O: the caller requests leases, signals processes and writes reports.
 //!
 //! Replacements are computed anew from the latest snapshot each time ([`RolloutSpec::step`]), and once more when a lease is
 //! used, on a snapshot that was read from a majority after the grant, so that nothing is started after a pause. A supervisor that
@@ -29,7 +29,7 @@
     pub crashes: usize,
 }
 
-/// What the supervisor is to do.
+/// Action for the supervisor to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutorAction {
     /// Request a lease to restart an instance.
@@ -109,7 +109,7 @@
     replaced: bool,
 }
 
-/// See the [module documentation](self).
+/// Executor of a rollout at one supervisor; see the [module documentation](self).
 #[derive(Default)]
 pub struct RolloutExecutor {
     /// Replacements in progress, by instance name.
@@ -117,7 +117,7 @@
 }
 
 impl RolloutExecutor {
-    /// Whether a lease to replace this instance is awaited.
+    /// Whether a lease to replace this instance was requested and is not granted yet.
     pub fn is_waiting_for_lease(&self, instance: &str) -> bool {
         self.in_progress.get(instance).is_some_and(|progress| !progress.replaced)
     }
@@ -151,7 +151,7 @@
     ) -> Vec<ExecutorAction> {
         let mut actions = Vec::new();
         self.in_progress.retain(|name, progress| {
-            let is_over = match instances.iter().find(|instance| instance.name == *name) {
+            let is_finished = match instances.iter().find(|instance| instance.name == *name) {
                 _ if progress.rollout_number != rollout_number => true,
                 Some(instance) if progress.replaced => {
                     instance.build == progress.build && (instance.ready || instance.start_failure.is_some())
@@ -159,17 +159,17 @@
                 Some(_) => !is_wanted(replacements, name, &progress.build),
                 None => true,
             };
-            if is_over {
+            if is_finished {
                 let replaced = progress.replaced;
                 actions.push(ExecutorAction::ReleaseLease { instance: name.clone(), replaced });
             }
-            !is_over
+            !is_finished
         });
         actions
     }
 
-    /// Replaces instances that were on their way to one build and are now to run the other. They are unavailable under this
-    /// supervisor's lease already.
+    /// Replaces instances that were being replaced by one build and are now to run the other. They are already unavailable
+    /// under this supervisor's lease.
     fn redirect(
         &self,
         replacements: &[Replacement],
@@ -209,8 +209,9 @@
         actions
     }
 
-    /// Returns what to do under a lease that was granted and may be used now, if the replacement is still wanted. The rollout in
-    /// `context` must have been read after the grant: a pause that came before counts, however late it is noticed.
+    /// Returns the action to take under a lease that was granted and may be used now: the replacement if it is still wanted, or
+    /// else the release of the lease. The rollout in `context` must have been read after the grant, so that a pause that was
+    /// written before the grant is always respected.
     pub fn on_lease_granted(
         &mut self,
         instance: &str,
--- a/crates/control-plane/rollout/src/lib.rs
+++ b/crates/control-plane/rollout/src/lib.rs
@@ -1,8 +1,8 @@
 //! Staged rollout of a build over a fleet of instances, without I/O: the caller passes observations of the instances and gets
 //! back which build each of them is to run and how far the rollout has come.
 //!
-//! A rollout is a [`RolloutSpec`] with a [`RolloutState`], both stored where all supervisors read them. Each step is a pure
-//! function of these and of the observations, so any supervisor can continue where another stopped.
+//! A rollout is a [`RolloutSpec`] with a [`RolloutState`], both in the coordination store, from which all supervisors read
+//! them. Each step is a pure function of these and of the observations, so any supervisor can continue where another stopped.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -12,7 +12,7 @@
 //! | [`keys`] | keys of the coordination store |
 //! | [`messages`] | stored values |
 //! | [`snapshot`] | the latest rollout at one revision |
-//! | [`executor`] | what one supervisor does for a rollout |
+//! | [`executor`] | actions of one supervisor for a rollout |
 pub mod canary;
 pub mod executor;
 pub mod keys;
@@ -48,7 +48,7 @@
     pub old: BuildId,
     /// Build that is rolled out.
     pub new: BuildId,
-    /// Stages, each including all before it. The rest of the fleet follows the last one.
+    /// Stages, each including all before it. After the last one the remaining instances of the fleet follow.
     #[serde(rename = "waves")]
     pub stages: Vec<Stage>,
     /// Minimum time that a stage is observed after all its instances are ready, in milliseconds.
@@ -77,22 +77,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SpecError {
     /// Both builds are the same.
-    #[error("new: is the build that runs already")]
+    #[error("new: is the same build as old")]
     SameBuild,
     /// There are no stages, or more than [`MAX_STAGES`].
-    #[error("waves: there are {0}, and not 1 to {MAX_STAGES}")]
+    #[error("waves: must have 1 to {MAX_STAGES} entries, and has {0}")]
     StageCount(usize),
     /// The stage at this position is empty or exceeds the fleet.
-    #[error("waves[{0}]: is no count above 0 and no share between 0 and 1")]
+    #[error("waves[{0}]: must be a count above 0, or a share above 0 and up to 1")]
     InvalidStage(usize),
     /// `max_bake_ms` is less than `bake_ms`.
-    #[error("cap: is shorter than the bake")]
+    #[error("cap: must not be shorter than bake")]
     MaxBakeTooShort,
     /// `check_interval_ms` is 0 or greater than `bake_ms`.
-    #[error("look: is 0, or longer than the bake")]
+    #[error("look: must be above 0, and not longer than bake")]
     InvalidCheckInterval,
     /// The analysis permits fewer checks than the rollout may take.
-    #[error("gate.looks: {max_checks} are too few for {needed}")]
+    #[error("gate.looks: is {max_checks}, and the release may take {needed} looks")]
     TooFewChecks {
         /// Checks that the analysis permits.
         max_checks: u32,
--- a/crates/control-plane/rollout/src/snapshot.rs
+++ b/crates/control-plane/rollout/src/snapshot.rs
@@ -43,7 +43,7 @@
     #[error(transparent)]
     InvalidSpec(#[from] SpecError),
     /// The latest rollout was written by another version.
-    #[error("{key} can't be read, and is of another version: {reason}")]
+    #[error("cannot decode {key}, which may be of another version: {reason}")]
     Unreadable {
         /// Key that cannot be decoded.
         key: String,
@@ -93,7 +93,7 @@
         let report = report.filter(|report| report.rollout_number == plan.spec.number);
         let running = status.map(|s| s.build.clone()).filter(|build| !build.is_empty()).map(BuildId);
         // An instance that is being replaced from or to the new build counts as running it: the last status of a process that
-        // has exited stays for a while, and one that never comes up has none.
+        // has exited stays for a while, and a process that never becomes ready has no status.
         let starting = report.map(|report| report.build.clone()).filter(|build| *build == plan.spec.new);
         let build = starting.or(running.clone());
         let is_ready = status.is_some_and(|status| status.state == InstanceState::Ready);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The transition that follows from the observations, if there is one.
+    /// Returns the transition that follows from the observations, if there is one.
     pub fn next_transition(&self, fleet: &FleetSnapshot, now_ms: u64) -> Option<Transition> {
         let (plan, state) = self.current()?;
         let next = plan.spec.step(&state.value, &self.observations(fleet), now_ms).next_state?;
--- a/crates/control-plane/rollout/src/stages.rs
+++ b/crates/control-plane/rollout/src/stages.rs
@@ -1,5 +1,5 @@
-//! Order in which a rollout takes the instances. Every process computes the same order: instances are taken round by round, one
-//! from each zone in turn and within a zone one from each machine in turn. The order within zones and machines is pseudo-random,
+//! Order in which a rollout replaces the instances. Every process computes the same order: instances are taken round by round,
+//! one from each zone in turn and within a zone one from each machine in turn. The order within zones and machines is pseudo-random,
 //! seeded by the rollout's number, so that rollouts do not always start with the same instances.
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -39,9 +39,9 @@
 pub struct Placement<'a> {
     /// Name of the instance.
     pub name: &'a str,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: &'a str,
-    /// Its machine.
+    /// Machine of the instance.
     pub machine: &'a str,
 }
 
@@ -50,7 +50,7 @@
 /// Instances of a zone by machine.
 type Machines<'a> = BTreeMap<SortKey<'a>, Vec<&'a str>>;
 
-/// Order in which the rollout with this number takes the instances.
+/// Returns the names of the instances in the order in which the rollout with this number replaces them.
 pub fn order<'a>(rollout_number: u64, placements: &[Placement<'a>]) -> Vec<&'a str> {
     let sort_key = |name: &'a str| -> SortKey<'a> {
         (hashing::stable(format!("{rollout_number}/{name}").as_bytes()), name)
--- a/crates/control-plane/rollout/src/state_machine/mod.rs
+++ b/crates/control-plane/rollout/src/state_machine/mod.rs
@@ -7,7 +7,7 @@
 //! | | an instance crashes repeatedly, is not ready in time, or its executable is missing | stop: [`Paused`](RolloutState::Paused), or [`RollingBack`](RolloutState::RollingBack) with `auto_rollback` |
 //! | | two consecutive checks find a regression | stop, as above |
 //! | | observed for `bake_ms`, and the analysis finds the build healthy | next stage, or [`Complete`](RolloutState::Complete) |
-//! | | observed for `max_bake_ms`, and the analysis is inconclusive | the same: a rollout must end in a night without traffic |
+//! | | observed for `max_bake_ms`, and the analysis is inconclusive | as above: a rollout must also end without traffic, as at night |
 //! | [`Paused`](RolloutState::Paused) | any | none; every instance keeps its build |
 //! | [`RollingBack`](RolloutState::RollingBack) | instances run the new build | they are replaced, the worst first |
 //! | | all instances run the old build | [`RolledBack`](RolloutState::RolledBack) |
@@ -137,17 +137,17 @@
     RollBack(String),
 }
 
-/// Reason why a command does not apply to a state.
+/// Error of a command that does not apply to the state of the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// Pausing requires a stage or rollback in progress.
-    #[error("it does not go on")]
+    #[error("no wave or rollback of the release is in progress")]
     NotInProgress,
     /// Resuming requires a paused rollout.
-    #[error("it is not halted")]
+    #[error("the release is not halted")]
     NotPaused,
     /// The rollout is being rolled back, or is rolled back.
-    #[error("it is on its way back, or there")]
+    #[error("the release is being rolled back, or is rolled back already")]
     AlreadyRollingBack,
 }
 
@@ -167,7 +167,7 @@
     pub replacements: Vec<Replacement>,
     /// Next state, if it differs. Replacements belong to the current one.
     pub next_state: Option<RolloutState>,
-    /// What the rollout waits for, for operators.
+    /// Text for operators that names what the rollout waits for.
     pub waiting_for: Option<String>,
 }
 
@@ -219,7 +219,8 @@
         }
     }
 
-    /// What follows from a state and the observations of all instances at `now_ms`, a Unix time in milliseconds.
+    /// Returns the step that follows from a state and the observations of all instances at `now_ms`, a Unix time in
+    /// milliseconds.
     pub fn step(&self, state: &RolloutState, instances: &[InstanceObservation], now_ms: u64) -> Step {
         match state {
             RolloutState::InStage { stage, ready_since_ms, checks, suspected } => {
@@ -233,7 +234,7 @@
             }
             RolloutState::RollingBack { reason } => self.step_rollback(reason, instances),
             RolloutState::Paused { reason, .. } => Step::wait(Vec::new(), format!("halted: {reason}")),
-            // An instance was on its way to the new build, unobserved, when the others were rolled back.
+            // An instance was being replaced by the new build, unobserved, when the others were rolled back.
             RolloutState::RolledBack { reason } if instances.iter().any(|i| i.runs(&self.new)) => {
                 Step::transition(RolloutState::RollingBack { reason: reason.clone() })
             }
--- a/crates/control-plane/rollout/src/state_machine/rollback.rs
+++ b/crates/control-plane/rollout/src/state_machine/rollback.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Sorts failed instances first, then those that are not ready.
+/// Sort key: failed instances come first, then those that are not ready.
 fn rank(instance: &InstanceObservation) -> (bool, bool) {
     (instance.failure.is_none(), instance.ready)
 }
--- a/crates/control-plane/rollout/src/state_machine/stage.rs
+++ b/crates/control-plane/rollout/src/state_machine/stage.rs
@@ -40,11 +40,11 @@
             return self.replace_members(stage, &members, instances.len());
         };
         if !is_ready {
-            // After the return of an instance that went away, the stage is observed from the beginning.
+            // An instance became unavailable: once it is ready again, the stage is observed from the beginning.
             return Step::transition(RolloutState::stage_start(stage));
         }
         let observed_ms = now_ms.saturating_sub(ready_since_ms);
-        // Checks are counted because each has its share of the false positive rate.
+        // Checks are counted because each uses up a part of the false positive rate.
         let due_checks = observed_ms / self.check_interval_ms.max(1);
         if due_checks <= progress.checks {
             let text = format!("wave {} is watched for {observed_ms} ms of {}", stage + 1, self.bake_ms);
@@ -85,8 +85,8 @@
         })
     }
 
-    /// Replaces members that run another build. An instance that runs the new build keeps it, even if a change of the fleet has
-    /// changed the order.
+    /// Replaces members that run another build. An instance that runs the new build keeps it, even if the order has changed
+    /// because the fleet has.
     fn replace_members(&self, stage: usize, members: &[&InstanceObservation], fleet_size: usize) -> Step {
         let remaining = members.iter().filter(|instance| !instance.runs(&self.new));
         let replacements: Vec<Replacement> =
@@ -113,11 +113,12 @@
         };
         let is_whole_fleet = self.target_count(stage, instances.len()) >= instances.len();
         match self.analysis.compare(&samples(&self.new), &samples(&self.old)) {
-            // Two consecutive checks: instances fail together now and then, and a stage of one may be hit by that.
+            // Two consecutive checks are required: requests of an instance fail together now and then, and in a stage of one
+            // instance such a burst looks like a regression.
             AnalysisVerdict::Regression(description) if suspected => self.stop(stage, description),
             AnalysisVerdict::Regression(_) => observed_further(true),
             AnalysisVerdict::Healthy if observed_ms >= self.bake_ms => self.pass(stage, is_whole_fleet),
-            // Without old instances there is nothing to compare with; the stages before have been.
+            // Without old instances there is nothing to compare with; the earlier stages were compared.
             AnalysisVerdict::Inconclusive(_)
                 if observed_ms >= self.max_bake_ms || observed_ms >= self.bake_ms && is_whole_fleet =>
             {
