--- a/crates/control-plane/rollout-agent/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -16,9 +16,10 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::info;
 
-/// Interval at which transitions are looked for during a rollout: a due check does not change the store.
+/// Interval at which the agent looks for a due transition during a rollout. No change of the store announces a due check.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The same without a rollout in progress: an instance may turn up on the wrong build.
+/// Interval at which the agent looks for a due transition without a rollout in progress: an instance may appear that runs the
+/// wrong build.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum delay before a transition is written that another agent could write as well; the maximum is twice as long.
 const ASSIST_DELAY: Duration = Duration::from_millis(200);
@@ -26,7 +27,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Maximum number of reports in one write.
 const MAX_REPORTS_PER_WRITE: usize = 64;
-/// Capacity of the channels between the handle and the task. A lease that does not fit is confirmed when it is notified again.
+/// Capacity of the channels between the handle and the task. A lease that does not fit is confirmed when its grant is
+/// returned again.
 const CHANNEL_CAPACITY: usize = 1_024;
 
 /// Reports by instance name.
@@ -126,7 +128,7 @@
     /// Reports written under `session`.
     written_reports: Reports,
     session: Option<SessionId>,
-    /// When this agent writes the due transition.
+    /// Time at which this agent writes the due transition.
     assist_at: Option<Instant>,
     retry_at: Option<Instant>,
 }
@@ -155,11 +157,11 @@
         self.snapshots.send_replace(self.informer.snapshot().clone());
     }
 
-    /// Reads the snapshot, so that what was written before a lease was granted is known when it is used.
+    /// Reads the snapshot, so that all that was written before the grant is known when the lease is used.
     async fn confirm_lease(&mut self, lease: GrantedLease) {
         let read = self.informer.read_consistent().await.map(|_| ());
         if let Err(error) = &read {
-            info!("release: not read: {error}");
+            info!("release: snapshot not read: {error}");
         }
         self.publish();
         // Both channels have the same capacity, so there is room.
@@ -187,7 +189,7 @@
     }
 
     fn on_failure(&mut self, error: &StoreError) {
-        info!("release: not written: {error}");
+        info!("release: write of the rollout agent failed: {error}");
         self.retry_at = Some(Instant::now() + RETRY_DELAY);
     }
 
@@ -209,12 +211,12 @@
         }
     }
 
-    /// The transition that follows from a snapshot.
+    /// Returns the transition that follows from a snapshot.
     fn transition(&self, snapshot: &RolloutSnapshot) -> Option<Transition> {
         snapshot.next_transition(&self.fleet.borrow(), unix_ms())
     }
 
-    /// Writes the transition that is due, unless another agent does so in time. Returns whether another step may follow at once.
+    /// Writes the transition that is due, unless another agent does so first. Returns whether another step may follow at once.
     async fn advance_state(&mut self, now: Instant) -> bool {
         if self.transition(self.informer.snapshot()).is_none() {
             self.assist_at = None;
@@ -225,7 +227,7 @@
             return false;
         }
         self.assist_at = None;
-        // Transitions are decided on what a majority has now, not on the last known snapshot.
+        // Transitions are decided on a snapshot that is read from a majority now, not on the last known one.
         let snapshot = match self.informer.read_consistent().await {
             Ok(snapshot) => snapshot.clone(),
             Err(error) => {
@@ -242,7 +244,7 @@
                 WriteOutcome::Failed(error) => self.on_failure(&error),
             }
         }
-        // If this read fails, the watch brings the change.
+        // If this read fails, the watch reports the change.
         let _ = self.informer.read_consistent().await;
         self.publish();
         true
--- a/crates/control-plane/rollout-agent/src/build_id.rs
+++ b/crates/control-plane/rollout-agent/src/build_id.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Metadata of a path.
+/// Returns the metadata of a path.
 ///
 /// # Errors
 /// The metadata cannot be read.
@@ -58,7 +58,7 @@
     std::fs::metadata(path).map_err(BuildError::io(path))
 }
 
-/// Build of an executable.
+/// Returns the build id of an executable.
 ///
 /// # Errors
 /// The file cannot be read, or is not an executable file.
@@ -105,7 +105,7 @@
     Err(BuildError::Mismatch { path: path.into(), found, expected: expected.clone() })
 }
 
-/// The first characters of a build id, for operators.
+/// Returns the first characters of a build id, for operators.
 pub fn short(build: &BuildId) -> &str {
     build.0.get(..SHORT_CHARS).unwrap_or(&build.0)
 }
--- a/crates/control-plane/rollout-agent/src/command/mod.rs
+++ b/crates/control-plane/rollout-agent/src/command/mod.rs
@@ -43,7 +43,7 @@
     #[error(transparent)]
     Output(#[from] OutputError),
     /// The store cannot be read.
-    #[error("the council: {0}")]
+    #[error("cannot read from the council: {0}")]
     Read(StoreError),
     /// The store cannot be written.
     #[error(transparent)]
@@ -111,7 +111,7 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Plan of the rollout with this number.
+/// Returns the plan of the rollout with this number.
 fn plan(config: &RolloutConfig, number: u64, old: &BuildId, new: &BuildId) -> RolloutPlan {
     RolloutPlan {
         spec: RolloutSpec {
@@ -147,7 +147,7 @@
                 let (old, new) = (build_id::short(&old), build_id::short(&new));
                 return Ok(print(&format!("release {number} begins, from build {old} to {new}"))?);
             }
-            // Another operator was faster; the next attempt sees that rollout.
+            // Another operator has started a rollout meanwhile; the retry reads it.
             WriteOutcome::Conflict => {}
             WriteOutcome::Failed(error) => return Err(CommandError::Write(error)),
         }
--- a/crates/control-plane/rollout-agent/src/command/status.rs
+++ b/crates/control-plane/rollout-agent/src/command/status.rs
@@ -92,7 +92,7 @@
         instances: observations.iter().map(InstanceStatus::of).collect(),
         unread: &rollout.unreadable,
     });
-    // Texts, numbers and maps with text keys: encoding cannot fail.
+    // The status consists of texts, numbers and maps with text keys, so encoding cannot fail.
     serde_json::to_value(Output { release: status }).unwrap_or_default()
 }
 
@@ -144,7 +144,7 @@
     ]
 }
 
-/// The text, or `-` if it is empty.
+/// Returns the text, or `-` if it is empty.
 fn or_dash(text: &str) -> String {
     if text.is_empty() {
         "-".into()
--- a/crates/control-plane/rollout-agent/src/sampler.rs
+++ b/crates/control-plane/rollout-agent/src/sampler.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, Instant};
 use tracing::info;
 
-/// Writes per check interval. A check misses the metrics of one such part at most.
+/// Number of writes per check interval. A check misses the metrics of at most one write interval.
 const WRITES_PER_CHECK: u32 = 8;
 /// Minimum interval between two writes.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(50);
@@ -42,13 +42,13 @@
 /// A window of metrics, which belongs to one state of the rollout.
 struct Window {
     state_version: u64,
-    /// Totals at its beginning.
+    /// Totals at the beginning of the window.
     start: MetricsSample,
     written_at: Option<Instant>,
 }
 
 impl Window {
-    /// Metrics since the beginning, from the totals now.
+    /// Returns the metrics since the beginning of the window, given the present totals.
     fn metrics(&self, totals: MetricsSample) -> MetricsSample {
         MetricsSample {
             requests: totals.requests.saturating_sub(self.start.requests),
@@ -96,6 +96,6 @@
     let op = put_ephemeral(metrics_key(name), &window);
     let change = ConditionalWrite::while_session_alive(session, vec![op]);
     if let WriteOutcome::Failed(error) = write(client, change).await {
-        info!("release: {name} is not heard: {error}");
+        info!("release: metrics of {name} not written: {error}");
     }
 }
