--- a/crates/control-plane/supervisor/src/crash_history.rs
+++ b/crates/control-plane/supervisor/src/crash_history.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What follows a crash.
+/// Response to a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CrashResponse {
     /// Start another process after this delay.
@@ -27,7 +27,7 @@
         self.crashed_at.iter().filter(|&&at| now < at + window).count()
     }
 
-    /// Forgets all crashes.
+    /// Removes all crashes and resets the backoff.
     pub(crate) fn clear(&mut self) {
         *self = CrashHistory::default();
     }
@@ -36,7 +36,7 @@
     pub(crate) fn record(&mut self, now: Duration, policy: &SupervisorPolicy) -> CrashResponse {
         self.crashed_at.retain(|&at| now < at + policy.crash_window);
         if self.crashed_at.is_empty() {
-            // After a long run the backoff begins anew.
+            // The process ran for longer than the window, so the backoff starts at its initial delay again.
             self.consecutive_restarts = 0;
         }
         self.crashed_at.push_back(now);
--- a/crates/control-plane/supervisor/src/instance.rs
+++ b/crates/control-plane/supervisor/src/instance.rs
@@ -17,15 +17,15 @@
     Starting,
     /// The process serves.
     Ready,
-    /// The process serves and reads its files again.
+    /// The process serves and reloads its configuration files.
     Reloading,
-    /// The process was told to exit; another one will be started.
+    /// The process was sent SIGTERM; another one is started after it exits.
     Restarting,
-    /// The process was told to exit.
+    /// The process was sent SIGTERM; none is started after it exits.
     Stopping,
-    /// No process runs, by the operator's command.
+    /// No process runs, because the operator stopped the instance.
     Stopped,
-    /// No process runs, and none will be started, for this reason.
+    /// No process runs, and none is started until the instance is started by command or replaced. Holds the reason.
     CrashLoop(String),
 }
 
@@ -54,7 +54,7 @@
 /// One instance: a balancer that is served by one process at a time, except during a handoff.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Its state.
+    /// State of the instance.
     pub state: InstanceState,
     /// The process that serves, or will serve; `None` while no process runs.
     pub process: Option<ProcessId>,
@@ -69,7 +69,7 @@
     pub time_to_ready: Option<Duration>,
     /// Start of the interval that becomes `time_to_ready`; `None` while the instance is ready.
     pub(crate) unready_since: Option<Duration>,
-    /// Time at which the present state, or the successor, has taken too long.
+    /// Time at which the timeout of the present state, or of the successor, expires.
     pub(crate) deadline: Duration,
     /// Whether a process was ever started or adopted.
     pub(crate) has_started: bool,
@@ -119,20 +119,20 @@
         self.process.is_none() && self.successor.is_none() && self.draining_predecessors.is_empty()
     }
 
-    /// Whether this is one of its processes.
+    /// Whether this is one of the processes of the instance.
     pub(crate) fn owns(&self, process: ProcessId) -> bool {
         self.process == Some(process)
             || self.successor == Some(process)
             || self.draining_predecessors.contains(&process)
     }
 
-    /// Changes the state, with the time at which it has taken too long.
+    /// Changes the state and sets its deadline.
     pub(crate) fn enter(&mut self, state: InstanceState, deadline: Duration) {
         self.state = state;
         self.deadline = deadline;
     }
 
-    /// Time of the next change that needs no event; [`NO_DEADLINE`] if there is none.
+    /// Returns the time of the next change without an event; [`NO_DEADLINE`] if there is none.
     pub(crate) fn next_timeout(&self) -> Duration {
         match self.state {
             InstanceState::BackingOff(start_at) => start_at.min(self.deadline),
@@ -140,12 +140,12 @@
         }
     }
 
-    /// One of its processes became ready.
+    /// Records that one of its processes became ready.
     pub(crate) fn process_ready(&mut self, now: Duration, process: ProcessId) {
         if !self.draining_predecessors.contains(&process) {
             self.missed_ready_timeout = false;
-            let took = self.unready_since.take().map(|since| now.saturating_sub(since));
-            self.time_to_ready = took.or(self.time_to_ready);
+            let elapsed = self.unready_since.take().map(|since| now.saturating_sub(since));
+            self.time_to_ready = elapsed.or(self.time_to_ready);
         }
         if self.successor == Some(process) {
             self.draining_predecessors.extend(self.process);
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Its process exited during a handoff: the successor inherits the sockets and starts like any other process.
+    /// Makes the successor the process of the instance, after its predecessor exited during a handoff. It inherits the sockets
+    /// and starts like any other process.
     pub(crate) fn promote_successor(&mut self, successor: ProcessId, ready_deadline: Duration) {
         self.process = Some(successor);
         self.successor = None;
@@ -172,7 +173,7 @@
         self.enter(state, ready_deadline);
     }
 
-    /// Its only process exited.
+    /// Records that the only process of the instance exited.
     pub(crate) fn clear_process(&mut self) {
         self.process = None;
         self.kill_sent = false;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// A new process was started for it.
+    /// Records that a new process of the instance was started.
     pub(crate) fn process_started(&mut self, now: Duration, process: ProcessId, ready_deadline: Duration) {
         if self.has_started {
             self.restarts += 1;
--- a/crates/control-plane/supervisor/src/lib.rs
+++ b/crates/control-plane/supervisor/src/lib.rs
@@ -1,8 +1,9 @@
 //! Process supervisor of several balancer instances on one machine, as a state machine without I/O.
 //!
-//! A [`Supervisor`] handles what happens to the processes of its instances ([`Event`]) and returns what has to be done
-//! ([`Action`]). Instances are identified by their index; each process gets a [`ProcessId`] of its own, so that a late
-//! event of an old process is never attributed to a new one. Times are durations since the supervisor's start.
+//! A [`Supervisor`] handles events of the processes of its instances ([`Event`]) and returns the actions that the caller
+//! has to execute ([`Action`]). Instances are identified by their index; each process gets a [`ProcessId`] of its own, so
+//! that a late event of an old process is never attributed to a new one. Times are durations since the start of the
+//! supervisor.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/control-plane/supervisor/src/message.rs
+++ b/crates/control-plane/supervisor/src/message.rs
@@ -4,14 +4,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId(pub u64);
 
-/// What a rolling operation does to each instance.
+/// Action of a rolling operation on each instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RollingAction {
     /// Terminates the process and starts another.
     Restart,
     /// Starts a successor that receives the listening sockets; the predecessor drains and exits by itself.
     Handoff,
-    /// Makes the process read its files again.
+    /// Makes the process reload its configuration files.
     Reload,
 }
 
@@ -29,16 +29,16 @@
     Start,
 }
 
-/// An input of the state machine.
+/// Input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A process became ready, after its start or after a reload.
     Ready(ProcessId),
-    /// A process rejected the files that it was to reload, for this reason.
+    /// A process rejected the configuration files that it was to reload, for this reason.
     ReloadFailed(ProcessId, String),
     /// A process exited.
     Exited {
-        /// The process.
+        /// Identifier of the process.
         process: ProcessId,
         /// Whether it exited by itself with status 0.
         clean: bool,
@@ -56,15 +56,15 @@
 /// A signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP: reload the files.
+    /// SIGHUP: reload the configuration files.
     Reload,
     /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGKILL.
+    /// SIGKILL: end the process at once.
     Kill,
 }
 
-/// An output of the state machine, to be carried out in order.
+/// Output of the state machine. The caller executes the actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start a process. A successor finds the handoff socket of its predecessor by itself.
@@ -80,7 +80,7 @@
     RequestLease {
         /// Index of the instance.
         instance: usize,
-        /// The step.
+        /// Action of the step.
         action: RollingAction,
     },
     /// Release the lease of an instance, or withdraw the request for it.
@@ -101,7 +101,7 @@
         /// Description of the cause.
         reason: String,
     },
-    /// An instance crashed too often and is not restarted any more.
+    /// An instance crashed too often and is no longer restarted.
     CrashLoop {
         /// Index of the instance.
         instance: usize,
--- a/crates/control-plane/supervisor/src/policy.rs
+++ b/crates/control-plane/supervisor/src/policy.rs
@@ -14,13 +14,13 @@
     pub initial_backoff: Duration,
     /// Upper bound of the restart delay.
     pub max_backoff: Duration,
-    /// Number of crashes within `crash_window` after which an instance is not restarted any more.
+    /// Number of crashes within `crash_window` after which an instance is no longer restarted.
     pub crash_limit: usize,
     /// Time during which a crash counts towards `crash_limit`.
     pub crash_window: Duration,
     /// Number of instances that a rolling operation handles at the same time; 0 counts as 1.
     pub max_parallel: usize,
-    /// Time that a handoff waits while too many draining predecessors of its instance have not exited.
+    /// Maximum time that a handoff waits while too many draining predecessors of its instance are still running.
     pub predecessor_drain_timeout: Duration,
     /// Whether each step of a rolling operation needs a lease; see
     /// [`Action::RequestLease`](crate::Action::RequestLease).
--- a/crates/control-plane/supervisor/src/rolling.rs
+++ b/crates/control-plane/supervisor/src/rolling.rs
@@ -9,7 +9,7 @@
 /// Progress of a rolling operation, as shown to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RollProgress {
-    /// What is done to each instance.
+    /// Action on each instance.
     pub action: RollingAction,
     /// Number of instances that have not completed.
     pub remaining: usize,
@@ -18,20 +18,20 @@
 /// A rolling operation in progress.
 pub(crate) struct RollingOperation {
     action: RollingAction,
-    /// Instances that were not begun, in order.
+    /// Instances on which the operation has not begun, in order.
     queue: VecDeque<usize>,
-    /// Instances that were begun and have not completed.
+    /// Instances on which the operation has begun and has not completed.
     in_progress: BTreeSet<usize>,
     /// Instances for which a lease is requested.
     lease_requested: BTreeSet<usize>,
-    /// The instance for which a lease was granted by the present event.
+    /// Instance for which the event that is being handled granted a lease.
     lease_granted: Option<usize>,
-    /// Time until which a handoff waits for draining predecessors to exit.
+    /// Deadline for draining predecessors to exit, while a handoff waits for them.
     pub(crate) drain_deadline: Option<Duration>,
 }
 
 impl RollingOperation {
-    /// An operation over the instances 0 to `instances` - 1.
+    /// Returns an operation over the instances 0 to `instances` - 1.
     pub(crate) fn new(action: RollingAction, instances: usize) -> RollingOperation {
         RollingOperation {
             action,
@@ -47,7 +47,7 @@
         RollProgress { action: self.action, remaining: self.queue.len() + self.in_progress.len() }
     }
 
-    /// Takes note of a granted lease; `false` if none was requested for this instance.
+    /// Records a granted lease. Returns `false` if none was requested for this instance.
     fn accept_lease(&mut self, instance: usize) -> bool {
         let requested = self.lease_requested.remove(&instance);
         if requested {
@@ -63,9 +63,9 @@
 
 /// Decision about the next instance of a rolling operation.
 enum NextStep {
-    /// Begin with this instance.
+    /// Begin the operation on this instance.
     Begin(usize),
-    /// Nothing can be begun now.
+    /// The operation cannot begin on any instance now.
     Wait,
     /// Abort the operation.
     Abort { instance: usize, reason: String },
@@ -81,7 +81,7 @@
         self.rolling.as_ref().map(RollingOperation::progress)
     }
 
-    /// Takes note of a granted lease, or releases it if it is not needed any more.
+    /// Records a granted lease, or releases it if it is no longer needed.
     pub(crate) fn lease_granted(&mut self, instance: usize, actions: &mut Vec<Action>) {
         let accepted = self.rolling.as_mut().is_some_and(|rolling| rolling.accept_lease(instance));
         if !accepted {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Begins with the next instances, once those in progress have completed and all others are ready.
+    /// Begins the operation on the next instances, up to `max_parallel` at a time, while all instances that are not in
+    /// progress are ready.
     pub(crate) fn advance_roll(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(mut rolling) = self.rolling.take() else { return };
         self.retire_completed(&mut rolling, actions);
@@ -133,7 +134,7 @@
             }
         }
         if self.policy.requires_lease {
-            // A lease that cannot be used now is left to others.
+            // A lease that cannot be used now is released, so that it does not block others.
             actions.extend(rolling.lease_granted.take().map(release_unused));
             self.update_lease_requests(&mut rolling, actions);
         }
@@ -172,9 +173,8 @@
         }
         let next = rolling.lease_granted.or(rolling.queue.front().copied());
         let Some(instance) = next else { return NextStep::Wait };
-        // Guards against an unbounded number of processes when handoffs follow one another faster than idle
-        // connections close.
-        if self.is_crowded(instance, rolling.action) {
+        // Bounds the number of processes when handoffs follow one another faster than idle connections close.
+        if self.has_too_many_predecessors(instance, rolling.action) {
             return self.wait_for_predecessors(now, instance, rolling);
         }
         rolling.drain_deadline = None;
@@ -200,12 +200,12 @@
     }
 
     /// Whether too many draining predecessors run for another handoff of this instance.
-    fn is_crowded(&self, instance: usize, action: RollingAction) -> bool {
+    fn has_too_many_predecessors(&self, instance: usize, action: RollingAction) -> bool {
         action == RollingAction::Handoff
             && self.instances[instance].draining_predecessors.len() >= MAX_DRAINING_PREDECESSORS
     }
 
-    /// Requests leases for the instances that can be next, while all others are ready; withdraws other requests.
+    /// Requests leases for the next instances while all others are ready, and withdraws the other requests.
     fn update_lease_requests(&self, rolling: &mut RollingOperation, actions: &mut Vec<Action>) {
         let free = self.max_parallel().saturating_sub(rolling.in_progress.len());
         let mut all = self.instances.iter().enumerate();
@@ -215,7 +215,7 @@
         let mut wanted = BTreeSet::new();
         if others_ready {
             let next = rolling.queue.iter().copied().take(free);
-            wanted.extend(next.filter(|&instance| !self.is_crowded(instance, rolling.action)));
+            wanted.extend(next.filter(|&instance| !self.has_too_many_predecessors(instance, rolling.action)));
         }
         let withdrawn = rolling.lease_requested.difference(&wanted);
         actions.extend(withdrawn.map(|&instance| release_unused(instance)));
--- a/crates/control-plane/supervisor/src/state_machine.rs
+++ b/crates/control-plane/supervisor/src/state_machine.rs
@@ -15,7 +15,7 @@
 }
 
 impl Supervisor {
-    /// Supervises this number of instances, which are started one after another.
+    /// Returns a supervisor of this number of instances. They are started one after another, `start_interval` apart.
     pub fn new(instances: usize, policy: SupervisorPolicy) -> Supervisor {
         let start_at =
             |index: usize| policy.start_interval.saturating_mul(u32::try_from(index).unwrap_or(u32::MAX));
@@ -23,7 +23,7 @@
         Supervisor { policy, instances, rolling: None, last_process_id: 0, stopping: false }
     }
 
-    /// Adopts a process that was found running. To be called before any event is handled.
+    /// Adopts a process that is already running, and returns its identifier. Must be called before any event is handled.
     pub fn adopt(&mut self, now: Duration, instance: usize, ready: bool) -> ProcessId {
         let process = self.next_process_id();
         let ready_deadline = now + self.policy.ready_timeout;
@@ -47,8 +47,8 @@
     /// Time at which [`Event::Timeout`] has to be passed to [`Supervisor::handle`]; `None` if only events matter.
     pub fn next_timeout(&self) -> Option<Duration> {
         let drain_deadline = self.rolling.as_ref().and_then(|rolling| rolling.drain_deadline);
-        let of_instances = self.instances.iter().map(Instance::next_timeout);
-        of_instances.chain(drain_deadline).min().filter(|&at| at < NO_DEADLINE)
+        let timeouts = self.instances.iter().map(Instance::next_timeout);
+        timeouts.chain(drain_deadline).min().filter(|&at| at < NO_DEADLINE)
     }
 
     /// Handles an event and appends the resulting actions. `now` is the time since the supervisor's start and must not
@@ -75,7 +75,7 @@
         ProcessId(self.last_process_id)
     }
 
-    /// Index of the instance of a process; `None` if the process is known to have exited.
+    /// Returns the index of the instance of a process; `None` if the process is known to have exited.
     fn instance_of(&self, process: ProcessId) -> Option<usize> {
         self.instances.iter().position(|instance| instance.owns(process))
     }
@@ -91,7 +91,7 @@
         if self.instances[index].state != InstanceState::Reloading {
             return;
         }
-        // The process goes on serving with its former configuration.
+        // The process keeps serving with its former configuration.
         self.instances[index].enter(InstanceState::Ready, NO_DEADLINE);
         self.abort_roll_at(index, format!("did not take its files: {reason}"), actions);
     }
@@ -189,7 +189,7 @@
                 }
                 None => instance.state = InstanceState::Stopped,
             }
-            // Draining predecessors shorten their drain.
+            // On SIGTERM, draining predecessors shorten their drain.
             let others = instance.draining_predecessors.iter().copied().chain(instance.successor);
             actions.extend(others.map(terminate));
         }
@@ -201,11 +201,11 @@
         }
         let stop_deadline = now + self.policy.stop_timeout;
         let Some(instance) = self.instances.get_mut(index) else { return };
-        // Crashes of the former build say nothing about the next one.
+        // Crashes of the former build do not count for the next one.
         instance.crash_history.clear();
         instance.missed_ready_timeout = false;
         if let Some(successor) = instance.successor.take() {
-            // It exits like a draining predecessor: nothing waits for it.
+            // Treated as a draining predecessor, whose exit does not change the state of the instance.
             instance.draining_predecessors.insert(successor);
             actions.push(Action::Signal(successor, Signal::Kill));
         }
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Acts on the instances whose state has taken too long.
+    /// Handles the instances whose deadline has passed.
     fn enforce_deadlines(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for index in 0..self.instances.len() {
             let instance = &mut self.instances[index];
@@ -249,7 +249,7 @@
         match instance.state {
             InstanceState::Starting => {
                 instance.missed_ready_timeout = true;
-                // Counts as a crash, so that the restart backs off: the instance may need the time.
+                // The exit counts as a crash, so that the restart backs off: the instance may need more time.
                 actions.push(Action::Signal(process, Signal::Kill));
                 self.abort_roll_at(index, format!("not ready after {ready_timeout:?}"), actions);
             }
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Starts the processes whose start time or backoff has come.
+    /// Starts the processes whose start time has come or whose backoff has elapsed.
     fn start_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let ready_deadline = now + self.policy.ready_timeout;
         for index in 0..self.instances.len() {
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Reports the end of [`Command::Stop`] once no process runs.
+    /// Reports that [`Command::Stop`] is complete once no process runs.
     fn report_stopped(&mut self, actions: &mut Vec<Action>) {
         if self.stopping && self.instances.iter().all(Instance::is_down) {
             self.stopping = false;
