--- a/crates/foundations/lifecycle/src/lib.rs
+++ b/crates/foundations/lifecycle/src/lib.rs
@@ -1,7 +1,8 @@
 //! Lifecycle of one balancer process, from its start to its exit, as a state machine without I/O.
 //!
-//! A [`Lifecycle`] handles what happens ([`Event`]) and returns what has to be done ([`Action`]). It reads no clock:
-//! `now` is the time since the start of the process. [`Lifecycle::next_timeout`] tells when it has to be called next.
+//! A [`Lifecycle`] handles events ([`Event`]) and returns the actions that the caller has to execute ([`Action`]). It
+//! reads no clock: `now` is the time since the start of the process. [`Lifecycle::next_timeout`] returns the time at which
+//! it has to be called next.
 //!
 //! ```text
 //! starting --> ready <--> reloading
--- a/crates/foundations/lifecycle/src/state_machine.rs
+++ b/crates/foundations/lifecycle/src/state_machine.rs
@@ -2,14 +2,14 @@
 use crate::{Action, Event, Exit, ShutdownTimeouts, State, SuccessorEvent};
 use std::time::Duration;
 
-/// Claim of a successor to the listening sockets of its predecessor.
+/// State of the claim of this process to the listening sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListenerClaim {
     /// The sockets belong to this process.
     Owned,
     /// The sockets were received; the predecessor still accepts connections.
     Unclaimed,
-    /// The predecessor was told that this process is ready.
+    /// The predecessor was notified that this process is ready.
     Claimed,
 }
 
@@ -32,7 +32,7 @@
         exit_at: Duration::MAX,
     };
 
-    /// Schedule of a shutdown that begins now.
+    /// Returns the schedule of a shutdown that begins now.
     fn after_stop(now: Duration, timeouts: &ShutdownTimeouts) -> ShutdownSchedule {
         let announce_after = timeouts.close_idle_after.saturating_sub(timeouts.close_announcement);
         ShutdownSchedule {
@@ -44,14 +44,15 @@
         }
     }
 
-    /// A successor took over: the remaining steps are those of a handoff.
+    /// Reschedules the remaining steps for a handoff, when a successor has taken over.
     fn extend_for_handoff(&mut self, now: Duration, timeouts: &ShutdownTimeouts) {
         self.close_idle_at = now + timeouts.handoff_close_idle_after;
         self.fail_requests_at = now + timeouts.handoff_fail_requests_after;
         self.exit_at = self.fail_requests_at + (timeouts.exit_after - timeouts.fail_requests_after);
     }
 
-    /// The process was told to stop after a handoff: the remaining steps are at most those of a shutdown.
+    /// Moves the remaining steps to no later than those of a shutdown, when the process receives the stop signal after a
+    /// handoff.
     fn shorten_for_stop(&mut self, now: Duration, timeouts: &ShutdownTimeouts) {
         self.close_idle_at = self.close_idle_at.min(now + timeouts.close_idle_after);
         self.fail_requests_at = now + timeouts.fail_requests_after;
@@ -68,23 +69,23 @@
     listening: bool,
     endpoints_known: bool,
     claim: ListenerClaim,
-    /// A reload was requested that could not begin yet.
+    /// Whether a reload was requested that could not start yet.
     reload_pending: bool,
-    /// A successor has requested the sockets and has not disconnected.
+    /// Whether a successor has requested the sockets and has not disconnected.
     successor_connected: bool,
     accepting: bool,
-    /// Open requests, as last counted.
+    /// Number of open requests that was last reported.
     open_requests: usize,
-    /// Nothing was open when it was last counted in the state [`State::Closing`].
+    /// Whether no request or connection was open in the last report in the state [`State::Closing`].
     nothing_open: bool,
-    /// Idle connections were closed.
+    /// Whether idle connections were closed.
     idle_closed: bool,
-    /// Number of requests that [`Action::FailOpenRequests`] applied to.
+    /// Number of open requests at the time of [`Action::FailOpenRequests`]; `None` before it.
     failed_requests: Option<usize>,
 }
 
 impl Lifecycle {
-    /// A process with listening sockets of its own.
+    /// Returns the lifecycle of a process with listening sockets of its own.
     pub fn new(timeouts: ShutdownTimeouts) -> Lifecycle {
         Lifecycle {
             timeouts,
@@ -103,12 +104,13 @@
         }
     }
 
-    /// A process that takes the sockets of another one over: it accepts no connections before [`Event::Released`].
+    /// Returns the lifecycle of a process that takes over the sockets of another one: it accepts no connections before
+    /// [`Event::Released`].
     pub fn new_successor(timeouts: ShutdownTimeouts) -> Lifecycle {
         Lifecycle { claim: ListenerClaim::Unclaimed, ..Lifecycle::new(timeouts) }
     }
 
-    /// The present state.
+    /// Present state of the process.
     pub fn state(&self) -> State {
         self.state
     }
@@ -234,7 +236,7 @@
 
     fn stop(&mut self, now: Duration, actions: &mut Vec<Action>) {
         match self.state {
-            // No connection was accepted, so no answer is owed; a predecessor goes on serving.
+            // No connection was accepted, so no request has to be answered; a predecessor keeps serving.
             State::Starting if !self.accepting => {
                 self.state = State::Ended;
                 actions.extend([Action::NotifyStopping, Action::Exit(Exit::Done)]);
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Whether a stop would end the process earlier, as it does after a handoff.
+    /// Whether the stop signal makes the process exit earlier, as it does after a handoff.
     fn can_shorten_shutdown(&self, now: Duration) -> bool {
         self.failed_requests.is_none()
             && now + self.timeouts.fail_requests_after < self.schedule.fail_requests_at
@@ -270,14 +272,14 @@
                 self.hand_over(now, actions);
             }
             SuccessorEvent::Ready => {}
-            // After the handoff the sockets belong to the successor, whatever happens to it.
+            // After the handoff the sockets belong to the successor, even if it disconnects.
             SuccessorEvent::Disconnected => {
                 self.successor_connected = self.successor_connected && !self.accepting;
             }
         }
     }
 
-    /// The successor is ready: it accepts connections from now on.
+    /// Hands the sockets off: the successor is ready and accepts connections from now on.
     fn hand_over(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state < State::ShuttingDown {
             actions.push(Action::NotifyStopping);
@@ -290,7 +292,7 @@
         actions.extend([Action::StopAccepting, Action::ReleaseSuccessor, Action::CloseConnections]);
     }
 
-    /// Takes the shutdown steps whose time has come.
+    /// Takes the shutdown steps that are due.
     fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state == State::ShuttingDown && now >= self.schedule.stop_accepting_at {
             self.state = State::Draining;
--- a/crates/foundations/lifecycle/src/timeouts.rs
+++ b/crates/foundations/lifecycle/src/timeouts.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A timeout is shorter than the one of the step before it.
+/// Error: a timeout is shorter than that of the step before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{field} is shorter than the timeout of the step before it")]
 pub struct TimeoutOrderError {
@@ -10,32 +10,32 @@
     pub field: &'static str,
 }
 
-/// Timeouts of the graceful shutdown, counted from the stop signal, and of the end after a handoff, counted from the
-/// moment when the successor took over.
+/// Timeouts of the graceful shutdown, counted from the stop signal, and of the shutdown after a handoff, counted from the
+/// time at which the successor took over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShutdownTimeouts {
-    /// New connections are accepted until then.
+    /// Time after which no new connections are accepted.
     pub stop_accepting_after: Duration,
-    /// Idle connections are kept open until then: callers would otherwise reconnect to a balancer that may be restarting
-    /// as well.
+    /// Time after which idle connections are closed. Until then they are kept open, because clients would otherwise reconnect
+    /// to a balancer that may be restarting as well.
     pub close_idle_after: Duration,
-    /// Time before `close_idle_after` during which responses announce that their connection closes, so that the idle
-    /// connections that are closed then are not being written to.
+    /// Time before `close_idle_after` during which responses announce that their connection closes, so that no client is
+    /// writing to an idle connection when it is closed.
     pub close_announcement: Duration,
-    /// Open requests get their final answer at this time.
+    /// Time at which open requests are answered with an error.
     pub fail_requests_after: Duration,
-    /// The process exits at this time.
+    /// Time at which the process exits, even if connections are open.
     pub exit_after: Duration,
-    /// After a handoff, idle connections are closed at this time. Responses announce it from the handoff on.
+    /// Time after a handoff at which idle connections are closed. Responses announce it from the handoff on.
     pub handoff_close_idle_after: Duration,
-    /// After a handoff, open requests get their final answer at this time.
+    /// Time after a handoff at which open requests are answered with an error.
     pub handoff_fail_requests_after: Duration,
 }
 
 impl Default for ShutdownTimeouts {
     /// The platform sends new connections for 0.2 to 0.4 s after SIGTERM, and SIGKILL 3.7 s after it at the earliest.
-    /// After a handoff nobody sends SIGKILL: requests have 60 s, and connections may be idle for 10 s, as long as at any
-    /// other time, so that the handoff closes none that would otherwise have stayed open.
+    /// After a handoff no SIGKILL follows: requests have 60 s, and connections may be idle for 10 s, as long as at any
+    /// other time, so that the handoff closes no connection that would otherwise have stayed open.
     fn default() -> Self {
         ShutdownTimeouts {
             stop_accepting_after: Duration::from_millis(500),
