--- a/crates/foundations/daemon/src/control.rs
+++ b/crates/foundations/daemon/src/control.rs
@@ -16,17 +16,17 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Longest command line, in bytes.
+/// Maximum length of a command line, in bytes.
 pub const MAX_COMMAND_BYTES: u64 = 256 << 10;
-/// Time that a client has to send its command.
+/// Maximum time that a client has to send its command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Commands that are queued for the daemon's event loop.
+/// Maximum number of commands that are queued for the daemon's event loop.
 const MAX_QUEUED_COMMANDS: usize = 64;
-/// Reply lines that are queued for a client that does not read; further ones are dropped.
+/// Maximum number of reply lines that are queued for a client that does not read; further ones are dropped.
 const MAX_QUEUED_REPLY_LINES: usize = 256;
-/// Time that clients have to read their last reply when the socket closes.
+/// Maximum time that clients have to read their last reply when the socket closes.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay after a connection could not be accepted, as descriptors are short.
+/// Delay after a connection could not be accepted, for example because no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A command of a client.
@@ -41,7 +41,7 @@
 pub struct ControlSocket {
     requests: mpsc::Receiver<ControlRequest>,
     accept_task: tokio::task::JoinHandle<()>,
-    /// Ends when all connections are closed: each holds a sender.
+    /// Channel without messages, which ends when all connections are closed: each holds a sender.
     open_connections: mpsc::Receiver<()>,
 }
 
@@ -68,12 +68,12 @@
     pub async fn next(&mut self) -> ControlRequest {
         match self.requests.recv().await {
             Some(request) => request,
-            // The accept task runs as long as `self` lives.
+            // The accept task, which holds a sender, runs as long as `self` lives.
             None => std::future::pending().await,
         }
     }
 
-    /// Accepts no further commands, and waits up to a second for clients to read their last reply.
+    /// Closes the socket to new commands, and waits up to a second for clients to read their last reply.
     pub async fn close(mut self) {
         self.accept_task.abort();
         drop(self.requests);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads the command and writes reply lines until the daemon drops the reply channel or the client is gone.
+/// Reads the command and writes reply lines until the daemon drops the reply channel or the client disconnects.
 async fn serve_connection(stream: UnixStream, requests: mpsc::Sender<ControlRequest>) {
     let (reader, mut writer) = stream.into_split();
     let mut line = String::new();
@@ -118,28 +118,28 @@
     }
 }
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// No daemon listens at the path.
-    #[error("no daemon runs")]
+    #[error("no daemon is running")]
     NotRunning,
     /// The daemon reported this failure.
     #[error("{0}")]
     Failed(String),
-    /// The connection broke, or the daemon was silent for too long.
+    /// The connection broke, or the daemon sent no reply line within the timeout.
     #[error("{0}")]
     Connection(#[from] io::Error),
     /// The daemon closed the connection before its last reply line.
-    #[error("it ended before it answered")]
+    #[error("the daemon closed the connection before its last reply line")]
     Incomplete,
 }
 
-/// Sends a command to the daemon at `path` and passes each progress line to `on_line`. `read_timeout` limits the time
+/// Sends a command to the daemon at `path` and passes each progress line to `on_line`. `read_timeout` is the maximum time
 /// between two reply lines.
 ///
 /// # Errors
-/// No daemon runs there, the connection breaks, or the daemon reports a failure.
+/// No daemon listens there, the connection breaks, or the daemon reports a failure.
 pub fn send_command(
     path: &Path,
     command: &str,
--- a/crates/foundations/daemon/src/lib.rs
+++ b/crates/foundations/daemon/src/lib.rs
@@ -1,9 +1,9 @@
-//! Parts that every daemon of herondock shares.
+//! Parts shared by the daemons of herondock.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | [`control`] | control socket: commands to a running daemon, both sides |
-//! | [`log`] | log output: one line for each event of `tracing`, on standard error |
+//! | [`log`] | log output: one line on standard error for each event of `tracing` |
 //! | [`service_manager`] | notification of the service manager, watchdog, socket activation |
 //! | [`pid_file`] | pid file, held by a lock |
 //! | [`signals`] | signals that a daemon handles |
--- a/crates/foundations/daemon/src/log.rs
+++ b/crates/foundations/daemon/src/log.rs
@@ -1,5 +1,6 @@
 //! Log output: each event of `tracing` is one line on standard error, the message first, then its fields as
-//! `name=value`. Lines carry no time stamp: whoever started the daemon and reads its log adds it.
+//! `name=value`. Lines have no time stamp: the process that reads the log, such as the service manager,
+//! adds it.
 use std::fmt::{self, Write as _};
 use tracing::field::{Field, Visit};
 use tracing::{Event, Level, Subscriber};
@@ -7,7 +8,7 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Longest line, in bytes; longer ones are truncated.
+/// Maximum length of a line, in bytes; longer ones are truncated.
 const MAX_LINE_BYTES: usize = 16 << 10;
 
 /// Formats an event as a line.
@@ -47,15 +48,15 @@
         event.record(&mut text);
         let mut line = (text.message + &text.fields).replace('\n', " ");
         if line.len() > MAX_LINE_BYTES {
-            let cut = (0..=MAX_LINE_BYTES).rev().find(|&at| line.is_char_boundary(at));
-            line.truncate(cut.unwrap_or(0));
+            let end = (0..=MAX_LINE_BYTES).rev().find(|&index| line.is_char_boundary(index));
+            line.truncate(end.unwrap_or(0));
         }
         writeln!(out, "{line}")
     }
 }
 
-/// Standard error without panics: `eprintln!` panics when the reader of the log is gone or its disk is full. Each write
-/// is one complete line.
+/// Writer to standard error that ignores errors: `eprintln!` panics when the reader of the log has exited or its disk is
+/// full. Each write is one complete line.
 struct StandardError;
 
 impl std::io::Write for StandardError {
--- a/crates/foundations/daemon/src/pid_file.rs
+++ b/crates/foundations/daemon/src/pid_file.rs
@@ -1,7 +1,8 @@
-//! Pid file: one process holds it by a file lock, which the system releases however that process ends.
+//! Pid file, which one process holds by a file lock. The system releases the lock whichever way that process ends.
 //!
-//! Only the lock counts. A stale file of a killed process does not prevent a start, and a holder that could not write
-//! its process id, on a full disk, holds the file all the same; the system then tells who it is.
+//! Only the lock determines the holder. A stale file of a killed process does not prevent a start, and a holder that could
+//! not write its process id because the disk is full still holds the file; it is then identified by the kernel's table of
+//! file locks.
 use rustix::fs::{flock, FlockOperation};
 use rustix::io::Errno;
 use std::fs::{File, OpenOptions};
@@ -11,16 +12,16 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Longest content of a pid file that is read, in bytes.
+/// Maximum number of bytes that are read from a pid file.
 const MAX_CONTENT_BYTES: u64 = 64;
 /// Number of attempts to lock a file that other processes keep replacing.
 const MAX_LOCK_ATTEMPTS: usize = 5;
-/// Interval at which a held lock is tried again.
+/// Interval at which acquiring a held lock is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Kernel table of file locks.
+/// Path of the kernel's table of file locks.
 const LOCK_TABLE: &str = "/proc/locks";
 
-/// A pid file could not be acquired.
+/// Error: a pid file could not be acquired.
 #[derive(Debug, Error)]
 pub enum PidFileError {
     /// The file cannot be opened or locked.
@@ -31,7 +32,7 @@
         /// Error of the system.
         source: io::Error,
     },
-    /// Another process holds it.
+    /// Another process holds the file.
     #[error("{}: held by {}", path.display(), describe_holder(*holder))]
     Held {
         /// Path of the pid file.
@@ -40,7 +41,7 @@
         holder: Option<u32>,
     },
     /// Other processes kept replacing the file.
-    #[error("{}: goes on being replaced", path.display())]
+    #[error("{}: other processes keep replacing the file", path.display())]
     Replaced {
         /// Path of the pid file.
         path: PathBuf,
@@ -58,7 +59,7 @@
     write_error: Option<String>,
 }
 
-/// Process id of the holder of the pid file; `None` if nobody holds it, 0 if the holder is unknown.
+/// Process id of the holder of the pid file; `None` if no process holds it, 0 if the holder is unknown.
 pub fn holder(path: &Path) -> Option<u32> {
     let file = File::open(path).ok()?;
     match flock(&file, FlockOperation::NonBlockingLockShared) {
@@ -67,12 +68,12 @@
     }
 }
 
-/// Process id of the holder of the lock, by the content of the file or else by the kernel's lock table.
+/// Process id of the holder of the lock, from the content of the file or else from [`LOCK_TABLE`].
 fn identify_holder(file: &File) -> Option<u32> {
     read_pid(file).or_else(|| holder_by_lock_table(file))
 }
 
-/// Finds the holder in [`LOCK_TABLE`], of which each line is
+/// Finds the holder in [`LOCK_TABLE`]. Each line has the form
 /// `NUMBER: FLOCK ADVISORY WRITE PID MAJOR:MINOR:INODE START END`.
 fn holder_by_lock_table(file: &File) -> Option<u32> {
     let metadata = file.metadata().ok()?;
@@ -82,7 +83,7 @@
     let mut holders = locks.lines().filter_map(|line| {
         let words: Vec<&str> = line.split_whitespace().collect();
         let [_, "FLOCK", _, "WRITE", pid, locked, ..] = words[..] else { return None };
-        // Some file systems name another device here than `stat(2)` does; the inode is almost certainly unique.
+        // Some file systems report another device here than `stat(2)` does; the inode number alone is almost certainly unique.
         let same_file = locked == location || locked.rsplit(':').next() == Some(&inode);
         same_file.then(|| pid.parse().ok()).flatten()
     });
@@ -124,10 +125,13 @@
                 }
                 Err(e) => return Err(io_error(e.into())),
             }
-            // Guards against locking a file that its former holder removed after it was opened here.
+            // Checks that the former holder has not removed the file after it was opened here.
             if is_file_at(&file, path) {
                 let write_error = write_pid(&mut file).err().map(|e| {
-                    format!("{}: {e}; it is held, without the number of its process", path.display())
+                    format!(
+                        "{}: {e}; the lock is held, but the process id is not in the file",
+                        path.display()
+                    )
                 });
                 return Ok(PidFile { file, path: path.into(), write_error });
             }
@@ -135,7 +139,7 @@
         Err(PidFileError::Replaced { path: path.into() })
     }
 
-    /// Why the file does not contain the process id, if it does not.
+    /// Reason why the file does not contain the process id; `None` if it does.
     pub fn write_error(&self) -> Option<&str> {
         self.write_error.as_deref()
     }
@@ -143,7 +147,7 @@
     /// Acquires the file once its holder releases it, as a predecessor does when it exits.
     ///
     /// # Errors
-    /// As [`PidFile::acquire`]; that another process holds the file, only after `timeout`.
+    /// As [`PidFile::acquire`], except that a held file is an error only after `timeout`.
     pub async fn acquire_with_timeout(path: &Path, timeout: Duration) -> Result<PidFile, PidFileError> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -165,7 +169,7 @@
 
 impl Drop for PidFile {
     fn drop(&mut self) {
-        // Removed while it is still locked: a process that opened it before notices by `is_file_at`.
+        // The file is removed while it is still locked: a process that opened it before notices this by `is_file_at`.
         if is_file_at(&self.file, &self.path) {
             let _ = std::fs::remove_file(&self.path);
         }
--- a/crates/foundations/daemon/src/service_manager.rs
+++ b/crates/foundations/daemon/src/service_manager.rs
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Notifications that are queued for a service manager that does not read; further ones are dropped.
+/// Maximum number of notifications that are queued for a service manager that does not read; further ones are dropped.
 const MAX_QUEUED_NOTIFICATIONS: usize = 16;
-/// Shortest interval of watchdog notifications.
+/// Minimum interval of watchdog notifications.
 const MIN_WATCHDOG_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The sockets that the service manager passed cannot be used.
+/// Error: the sockets that the service manager passed cannot be used.
 #[derive(Debug, Error)]
 pub enum ActivationError {
     /// The descriptor is not a listening TCP socket.
     #[error("LISTEN_FDS: {0}")]
     NotATcpListener(#[source] io::Error),
-    /// This number of sockets was passed, and one is needed.
-    #[error("LISTEN_FDS: {0} sockets were passed, and there is one front")]
+    /// This number of sockets was passed; the process listens on one.
+    #[error("LISTEN_FDS: {0} sockets were passed, expected 1")]
     TooManySockets(usize),
 }
 
@@ -35,8 +35,8 @@
 
 /// The service manager that started this process.
 ///
-/// Notifications are sent by a thread of their own, so that a full or missing socket never delays requests; they are
-/// dropped if there is no service manager or its socket is full.
+/// A separate thread sends the notifications, so that a full or missing socket never delays requests. They are dropped if
+/// there is no service manager or its socket is full.
 pub struct ServiceManager {
     watchdog_interval: Option<Duration>,
     notifications: Option<SyncSender<Notification>>,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Starts the thread that sends notifications; `None` if the system has no thread to spare.
+/// Starts the thread that sends notifications; `None` if the system cannot create one.
 fn spawn_sender() -> Option<SyncSender<Notification>> {
     let (sender, receiver) = sync_channel(MAX_QUEUED_NOTIFICATIONS);
     let send_all = move || receiver.into_iter().for_each(send);
@@ -92,7 +92,7 @@
     Some(sender)
 }
 
-/// Sends a notification; blocks while the socket is full. Errors mean that nobody listens and are ignored.
+/// Sends a notification; blocks while the socket is full. Errors mean that no process listens, and are ignored.
 fn send(notification: Notification) {
     let states = match notification {
         Notification::Ready(status) => {
--- a/crates/foundations/daemon/src/signals.rs
+++ b/crates/foundations/daemon/src/signals.rs
@@ -3,12 +3,12 @@
 use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// A signal handler could not be installed.
+/// Error: a signal handler could not be installed.
 #[derive(Debug, Error)]
-#[error("signals: {0}")]
+#[error("cannot install the signal handlers: {0}")]
 pub struct SignalError(#[from] io::Error);
 
-/// Request that a signal makes to the daemon.
+/// Request to the daemon that a signal represents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
     /// SIGHUP: reload the configuration.
@@ -25,7 +25,8 @@
 }
 
 impl Signals {
-    /// Installs the handlers. To be called first, inside a tokio runtime: an unhandled signal ends the process.
+    /// Installs the handlers. Must be called inside a tokio runtime, before anything else: an unhandled signal ends the
+    /// process.
     ///
     /// SIGXFSZ is caught as well and not reported: a write beyond the file size limit then fails with EFBIG, as a write
     /// to a full disk fails with ENOSPC, and does not end the process.
--- a/crates/foundations/daemon/src/table.rs
+++ b/crates/foundations/daemon/src/table.rs
@@ -1,7 +1,7 @@
 //! Text tables with aligned columns.
 use std::fmt::Write as _;
 
-/// Separates two columns.
+/// Text between two columns.
 const COLUMN_SEPARATOR: &str = "  ";
 
 /// Formats each row as a line, with cells padded to the width of their column. The first row determines the number of
