--- a/crates/foundations/storage/src/atomic_file.rs
+++ b/crates/foundations/storage/src/atomic_file.rs
@@ -5,11 +5,11 @@
 //! ```
 //!
 //! `KIND` and `VERSION` identify the form of the content, `WRITTEN` is the time of writing (Unix time in milliseconds),
-//! `LENGTH` the number of content bytes, and `CRC32` (IEEE 802.3, eight hexadecimal digits) the checksum of the header
-//! before it and the content, so that a corrupted time is detected as well.
+//! `LENGTH` the number of content bytes, and `CRC32` (IEEE 802.3, eight hexadecimal digits) the checksum of the preceding
+//! header fields and the content, so that a corrupted time is detected as well.
 //!
-//! A new version is written to a temporary file beside the old one, flushed to the disk, and renamed over it: a crash at
-//! any moment leaves the old or the new version.
+//! New content is written to a temporary file in the same directory, flushed to the disk, and renamed over the old file: a
+//! crash at any time leaves the old or the new content.
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Write};
@@ -19,17 +19,17 @@
 use thiserror::Error;
 
 const MAGIC: &str = "herondock-store 1";
-/// Longest header line, in bytes: the magic, a kind and five numbers.
+/// Maximum length of the header line, in bytes: the magic, a kind and five numbers.
 const MAX_HEADER_BYTES: usize = 160;
-/// Longest name of a kind, in bytes.
+/// Maximum length of a kind, in bytes.
 pub const MAX_KIND_BYTES: usize = 32;
-/// Time by which a file may have been written in the future: clocks are set back a little now and then.
+/// Maximum time that a file may appear to be written in the future: clocks are occasionally set back a little.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 /// Number of attempts to lock the temporary file while other processes rename it away.
 const MAX_LOCK_ATTEMPTS: usize = 5;
 /// Mode of the file: readable by its owner only.
 const FILE_MODE: u32 = 0o600;
-/// Appended to the path of the file, makes the path of the temporary file.
+/// Suffix of the path of the temporary file, after the path of the file.
 const TEMPORARY_SUFFIX: &str = ".new";
 
 /// A file that is replaced as a whole.
@@ -38,7 +38,7 @@
     path: PathBuf,
     kind: &'static str,
     version: u32,
-    /// Longest content, in bytes.
+    /// Maximum length of the content, in bytes.
     max_bytes: usize,
 }
 
@@ -51,17 +51,17 @@
     pub age: Duration,
 }
 
-/// Why a file cannot be loaded.
+/// Error of loading a file.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[source] io::Error),
     /// The content is longer than allowed.
-    #[error("holds more than it may")]
+    #[error("is larger than the limit")]
     TooLarge,
     /// The file has no valid header.
-    #[error("is no file that herondock wrote")]
+    #[error("is not a file written by herondock")]
     UnknownFormat,
     /// The content is of another kind or version.
     #[error("holds {kind} in version {version}")]
@@ -72,18 +72,18 @@
         version: u64,
     },
     /// The content is shorter or longer than the header states.
-    #[error("is cut short, or has grown")]
+    #[error("its length differs from the one in its header")]
     LengthMismatch,
     /// The checksum does not match.
     #[error("its checksum differs")]
     ChecksumMismatch,
     /// The file was written in the future, so that its age is unknown.
-    #[error("was written in the future, by this machine's clock")]
+    #[error("was written in the future according to this machine's clock")]
     WrittenInFuture,
 }
 
 impl AtomicFile {
-    /// A file for content of this kind (1 to [`MAX_KIND_BYTES`] letters, digits and `-`) and version, of up to
+    /// Returns a file for content of this kind (1 to [`MAX_KIND_BYTES`] letters, digits and `-`) and version, of up to
     /// `max_bytes`. Does not access the disk.
     pub fn new(path: impl Into<PathBuf>, kind: &'static str, version: u32, max_bytes: usize) -> AtomicFile {
         debug_assert!((1..=MAX_KIND_BYTES).contains(&kind.len()));
@@ -130,7 +130,7 @@
         if expected != checksum(header.checked, content) {
             return Err(LoadError::ChecksumMismatch);
         }
-        // Checked after the checksum: a kind with a corrupted byte is damage, not another kind.
+        // Compared after the checksum, so that a corrupted kind is reported as damage and not as another kind.
         if header.kind != self.kind || header.version != u64::from(self.version) {
             return Err(LoadError::WrongKind { kind: header.kind.into(), version: header.version });
         }
@@ -148,13 +148,14 @@
     /// is saving.
     pub fn save(&self, content: &[u8]) -> io::Result<()> {
         if content.len() > self.max_bytes {
-            let message = format!("{} bytes, and {} at most are kept", content.len(), self.max_bytes);
+            let message =
+                format!("the content has {} bytes, {} at most are permitted", content.len(), self.max_bytes);
             return Err(io::Error::new(ErrorKind::FileTooLarge, message));
         }
         let temporary_path = temporary_path(&self.path);
         let mut file = lock_temporary_file(&temporary_path)?;
         if let Err(e) = self.write(&mut file, content) {
-            // The incomplete file is of no use and takes space that may be short.
+            // The incomplete file is useless, and the disk may be full.
             let _ = file.set_len(0);
             return Err(e);
         }
@@ -173,7 +174,7 @@
         file.sync_all()
     }
 
-    /// Makes the rename durable. Where a directory cannot be synced, the file is complete all the same.
+    /// Makes the rename durable. Errors are ignored: even if the directory cannot be synced, the file is complete.
     fn sync_directory(&self) {
         let parent = self.path.parent().filter(|parent| !parent.as_os_str().is_empty());
         if let Ok(directory) = File::open(parent.unwrap_or(Path::new("."))) {
@@ -216,13 +217,13 @@
     name.into()
 }
 
-/// Opens and locks the temporary file. All processes use the same name, so that a killed one leaves one file at most.
+/// Opens and locks the temporary file. All processes use the same name, so that killed ones leave at most one file.
 fn lock_temporary_file(path: &Path) -> io::Result<File> {
     for _ in 0..MAX_LOCK_ATTEMPTS {
         let mut options = OpenOptions::new();
         let file = options.write(true).create(true).truncate(false).mode(FILE_MODE).open(path)?;
         flock(&file, FlockOperation::NonBlockingLockExclusive)?;
-        // Guards against writing to a file that another process renamed after it was opened here.
+        // Checks that no other process has renamed the file after it was opened here.
         let (opened, at_path) = (file.metadata()?, std::fs::metadata(path));
         if at_path.is_ok_and(|at_path| (opened.dev(), opened.ino()) == (at_path.dev(), at_path.ino())) {
             return Ok(file);
--- a/crates/foundations/storage/src/files.rs
+++ b/crates/foundations/storage/src/files.rs
@@ -1,5 +1,5 @@
-//! File operations of a journal, as a trait: the system's files, and in tests files whose disk is full, or whose process
-//! is killed between two operations.
+//! File operations of a journal, as a trait. It is implemented by the system's files, and in tests by files on a full disk
+//! or of a process that is killed between two operations.
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -13,7 +13,7 @@
     /// Reads a file of up to `max_bytes`; `None` if there is none.
     ///
     /// # Errors
-    /// It cannot be read, or is longer (`FileTooLarge`).
+    /// The file cannot be read, or is longer than `max_bytes` (`FileTooLarge`).
     fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>>;
 
     /// Opens a file; creates an empty one if there is none.
@@ -34,13 +34,13 @@
     /// The system's error.
     fn truncate(&mut self, file: &mut Self::Open, length: u64) -> io::Result<()>;
 
-    /// Waits until all that was written is on the disk.
+    /// Waits until all written bytes of the file are on the disk.
     ///
     /// # Errors
-    /// The system's error; it is unknown then what is on the disk.
+    /// The system's error; it is then unknown which bytes are on the disk.
     fn sync(&mut self, file: &mut Self::Open) -> io::Result<()>;
 
-    /// Replaces the file `to` by the file `from`. Before [`Files::sync_directory`], a crash may undo it.
+    /// Replaces the file `to` by the file `from`. Until [`Files::sync_directory`] returns, a crash may undo this.
     ///
     /// # Errors
     /// The system's error.
@@ -58,10 +58,10 @@
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Opens a folder, which is created if there is none, for this user alone.
+    /// Opens a folder. If there is none, it is created with access for this user only.
     ///
     /// # Errors
-    /// It cannot be created.
+    /// The folder cannot be created.
     pub fn new(path: &Path) -> io::Result<Folder> {
         use std::os::unix::fs::DirBuilderExt;
         std::fs::DirBuilder::new().recursive(true).mode(0o700).create(path)?;
--- a/crates/foundations/storage/src/journal/format.rs
+++ b/crates/foundations/storage/src/journal/format.rs
@@ -3,25 +3,25 @@
 use thiserror::Error;
 
 const MAGIC: &str = "herondock-journal 1";
-/// Longest part of an unknown header that an error quotes, in bytes.
+/// Maximum number of bytes of an unknown header that an error quotes.
 const MAX_QUOTED_HEADER_BYTES: usize = 160;
 /// Length of a record's head, in bytes.
 const HEAD_BYTES: usize = 12;
-/// Number of zeros at the end of the file that count as space which was allocated, but never written.
+/// Minimum number of zeros at the end of the file that count as space that was allocated but never written.
 const MIN_TRAILING_ZEROS: usize = 8;
-/// Longest record, in bytes.
+/// Maximum length of a record, in bytes.
 pub const MAX_RECORD_BYTES: usize = 128 << 20;
-/// Appended to the name of a journal, makes the name of the file that replaces it.
+/// Suffix of the name of the file that replaces a journal, after the name of the journal.
 const REPLACEMENT_SUFFIX: &str = ".new";
 
-/// Why a journal cannot be opened.
+/// Error of opening or recovering a journal.
 #[derive(Debug, Error)]
 pub enum JournalError {
     /// The system's error.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The file is not a journal of this kind and version.
-    #[error("{name}: is no {kind} in version {version}: {found:?}")]
+    #[error("{name}: is not a {kind} journal in version {version}; its header is {found:?}")]
     WrongFormat {
         /// Name of the file.
         name: &'static str,
@@ -39,7 +39,7 @@
         name: &'static str,
         /// Offset of the record, in bytes.
         offset: u64,
-        /// What does not match.
+        /// Description of the damage.
         reason: &'static str,
     },
 }
@@ -53,7 +53,7 @@
     pub kind: &'static str,
     /// Version of the content.
     pub version: u32,
-    /// Longest file, in bytes.
+    /// Maximum length of the file, in bytes.
     pub max_bytes: u64,
 }
 
@@ -61,17 +61,17 @@
 pub(super) struct DecodedJournal {
     /// The records, in order.
     pub records: Vec<Vec<u8>>,
-    /// Offset behind the last complete record; 0 if the header is incomplete.
+    /// Offset of the end of the last complete record; 0 if the header is incomplete.
     pub end: u64,
 }
 
-/// What follows at an offset of the file.
+/// Result of decoding at an offset of the file.
 enum Decoded<'a> {
     /// A complete record.
     Record(&'a [u8]),
     /// The remains of a record that was being written when the process or machine crashed.
     TornTail,
-    /// Damage, for this reason.
+    /// Damage, with a description.
     Damage(&'static str),
 }
 
@@ -91,7 +91,7 @@
     pub(super) fn decode(&self, bytes: &[u8]) -> Result<DecodedJournal, JournalError> {
         let header = self.header();
         if bytes.len() < header.len() && header.starts_with(bytes) {
-            // The journal was being created.
+            // The process or machine crashed while the journal was being created.
             return Ok(DecodedJournal { records: Vec::new(), end: 0 });
         }
         if !bytes.starts_with(&header) {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Decodes the record at the beginning of `bytes`, which end with the file.
+/// Decodes the record at the beginning of `bytes`, which extend to the end of the file.
 fn decode_record(bytes: &[u8]) -> Decoded<'_> {
     if bytes.len() < HEAD_BYTES || bytes.iter().all(|&b| b == 0) {
         return Decoded::TornTail;
@@ -137,19 +137,19 @@
     let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let (length, content_checksum, head_checksum) = (number(0) as usize, number(4), number(8));
     if head_checksum != crc32fast::hash(&head[..8]) {
-        // A torn head is followed by allocated space only.
+        // A torn head is followed only by space that was allocated and not written, which reads as zeros.
         return match !rest.is_empty() && rest.iter().all(|&b| b == 0) {
             true => Decoded::TornTail,
-            false => Decoded::Damage("its head does not fit its checksum"),
+            false => Decoded::Damage("the checksum of the record head does not match"),
         };
     }
     let Some(content) = rest.get(..length) else { return Decoded::TornTail };
     if content_checksum != crc32fast::hash(content) {
-        // Torn content ends with allocated space that reaches the end of the file.
+        // Torn content ends with zeros of allocated space that extend to the end of the file.
         let zeros = bytes.iter().rev().take_while(|&&b| b == 0).count();
         return match zeros >= MIN_TRAILING_ZEROS && zeros > rest.len() - length {
             true => Decoded::TornTail,
-            false => Decoded::Damage("its content does not fit its checksum"),
+            false => Decoded::Damage("the checksum of the record content does not match"),
         };
     }
     Decoded::Record(content)
@@ -160,7 +160,7 @@
     for record in records {
         let length = u32::try_from(record.len()).ok().filter(|&n| n as usize <= MAX_RECORD_BYTES);
         let length = length.ok_or(io::ErrorKind::FileTooLarge)?;
-        debug_assert!(length > 0, "an empty record cannot be told from allocated space");
+        debug_assert!(length > 0, "an empty record cannot be distinguished from allocated space");
         let mut head = [0; HEAD_BYTES];
         head[..4].copy_from_slice(&length.to_le_bytes());
         head[4..8].copy_from_slice(&crc32fast::hash(record).to_le_bytes());
--- a/crates/foundations/storage/src/journal/mod.rs
+++ b/crates/foundations/storage/src/journal/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! A crash can leave a torn tail: a record that is cut short, or of which only zeros reached the disk. It was never
 //! durable and is truncated. Anything else that does not match its checksum is reported as damage, with the file and the
-//! offset, and no record behind it is returned.
+//! offset, and no record after it is returned.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/foundations/storage/src/journal/writer.rs
+++ b/crates/foundations/storage/src/journal/writer.rs
@@ -8,7 +8,7 @@
     files: F,
     format: JournalFormat,
     file: F::Open,
-    /// Number of bytes that are durable; `None` while a replacement is incomplete, so that either file may be in place.
+    /// Number of durable bytes; `None` while a replacement is incomplete, when either file may be in place.
     durable_bytes: Option<u64>,
     /// Number of bytes that were written.
     written_bytes: u64,
@@ -32,15 +32,16 @@
         } else if decoded.end < bytes.len() as u64 {
             files.truncate(&mut file, decoded.end)?;
         }
-        // Also without a change: what was read may be in the system's cache only, and counts as durable from here on.
+        // Synced even without a change: the bytes that were read count as durable from here on, and may so far be only in the
+        // page cache.
         files.sync(&mut file)?;
         files.sync_directory()?;
         let journal = Journal { files, format, file, durable_bytes: Some(written_bytes), written_bytes };
         Ok((journal, decoded.records))
     }
 
-    /// Whether all that was written is durable, so that the journal can be used; not so after a failed append, or a
-    /// replacement that failed halfway.
+    /// Whether all appended records are durable. They are not before [`Journal::sync`], after it fails, and after a
+    /// replacement that failed halfway. A failed append does not change the result.
     pub fn is_intact(&self) -> bool {
         self.durable_bytes == Some(self.written_bytes)
     }
@@ -68,7 +69,7 @@
     /// Waits until all appended records are durable.
     ///
     /// # Errors
-    /// The system's error. It is unknown then what is on the disk: [`Journal::recover`] has to be called.
+    /// The system's error. It is then unknown which bytes are on the disk: [`Journal::recover`] has to be called.
     pub fn sync(&mut self) -> io::Result<()> {
         self.files.sync(&mut self.file)?;
         self.durable_bytes = Some(self.written_bytes);
@@ -88,7 +89,7 @@
         let replacement_name = self.format.replacement_name();
         let mut file = self.files.open(&replacement_name)?;
         if let Err(e) = write_whole(&mut self.files, &mut file, &bytes) {
-            // The incomplete file is of no use and takes space that may be short.
+            // The incomplete file is useless, and the disk may be full.
             let _ = self.files.truncate(&mut file, 0);
             return Err(e);
         }
@@ -101,13 +102,13 @@
         Ok(())
     }
 
-    /// After an error: truncates the journal to its durable part, and checks that `free_bytes` can be written. The
-    /// journal is then as if it had been opened anew; its records are returned.
+    /// Recovers from an error: truncates the journal to its durable part, checks that `free_bytes` can be written, and
+    /// returns the records. The journal is then in the same state as after [`Journal::open`].
     ///
     /// # Errors
-    /// There is still no space, or durable records are missing.
+    /// There is still no space, the files cannot be accessed, or durable records are missing.
     pub fn recover(&mut self, free_bytes: usize) -> Result<Vec<Vec<u8>>, JournalError> {
-        // Opened by name: after a rename that may have happened, the open file may be the replaced one.
+        // Opened again by name: if an interrupted replacement has renamed its file, the open file is the replaced one.
         let mut file = self.files.open(self.format.name)?;
         self.files.sync_directory()?;
         let bytes = read_file(&mut self.files, &self.format)?;
@@ -116,7 +117,7 @@
         // completely on the disk before it was renamed.
         let durable_bytes = self.durable_bytes.unwrap_or(end);
         if end < durable_bytes || end == 0 {
-            return Err(self.format.damaged(end, "records that were promised are gone"));
+            return Err(self.format.damaged(end, "durable records are missing"));
         }
         self.files.truncate(&mut file, durable_bytes)?;
         let written = self.files.write(&mut file, durable_bytes, &vec![0; free_bytes]);
@@ -132,7 +133,7 @@
     }
 }
 
-/// Reads the journal's file; empty if there is none. It may be longer than the limit by allocated space.
+/// Reads the journal's file; empty if there is none. Allocated space may make it longer than the limit.
 fn read_file(files: &mut impl Files, format: &JournalFormat) -> io::Result<Vec<u8>> {
     let max_bytes = format.max_bytes.saturating_mul(2);
     Ok(files.read(format.name, max_bytes)?.unwrap_or_default())
--- a/crates/foundations/storage/src/lib.rs
+++ b/crates/foundations/storage/src/lib.rs
@@ -6,7 +6,7 @@
 //! | [`journal`] | an append-only journal of records |
 //! | [`files`] | the file operations of a journal, replaceable in tests |
 //!
-//! Loaded content is exactly what was saved at one time; anything else is reported as an error.
+//! Loaded content is exactly what one call saved; anything else is reported as an error.
 pub mod atomic_file;
 pub mod files;
 pub mod journal;
