--- a/crates/foundations/backoff/src/lib.rs
+++ b/crates/foundations/backoff/src/lib.rs
@@ -2,20 +2,21 @@
 //! are drawn by the caller, so that state machines stay without I/O and a seed reproduces them.
 use std::time::Duration;
 
-/// Doublings that are applied; further ones would not change a delay that is bounded in practice.
+/// Maximum number of doublings that are applied; more would not change a delay that is bounded in practice.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// `initial` doubled `doublings` times, `max` at the most.
+/// Returns `initial` doubled `doublings` times, but at most `max`.
 pub fn exponential_delay(initial: Duration, max: Duration, doublings: u32) -> Duration {
     initial.saturating_mul(1 << doublings.min(MAX_DOUBLINGS)).min(max)
 }
 
-/// Half of `delay` to all of it, by a draw from 0 to 1 ("equal jitter"; Brooker, Exponential Backoff And Jitter).
+/// Returns a delay between half of `delay` and all of it, given a random number from 0 to 1 ("equal jitter"; Brooker,
+/// Exponential Backoff And Jitter).
 pub fn with_jitter(delay: Duration, draw: f64) -> Duration {
     delay.mul_f64(0.5 + 0.5 * clamp_draw(draw))
 }
 
-/// Limits a draw to the range from 0 to 1; 1 if it is not finite.
+/// Limits a random number to the range from 0 to 1; returns 1 if it is not finite.
 pub fn clamp_draw(draw: f64) -> f64 {
     if draw.is_finite() {
         draw.clamp(0.0, 1.0)
@@ -33,12 +34,12 @@
 }
 
 impl Backoff {
-    /// A backoff that begins with `initial` and never exceeds `max`.
+    /// Returns a backoff whose first delay is `initial`, and whose delays never exceed `max`. Jitter shortens them.
     pub fn new(initial: Duration, max: Duration) -> Backoff {
         Backoff { initial, max, failures: 0 }
     }
 
-    /// Records a failure and returns the delay after it, with jitter.
+    /// Records a failure and returns the delay after it, with jitter. `draw` is a random number from 0 to 1.
     pub fn next_delay(&mut self, draw: f64) -> Duration {
         let delay = with_jitter(exponential_delay(self.initial, self.max, self.failures), draw);
         self.failures = self.failures.saturating_add(1);
--- a/crates/foundations/hashing/src/lib.rs
+++ b/crates/foundations/hashing/src/lib.rs
@@ -1,8 +1,8 @@
 //! Hash functions whose values are the same at every instance, in every version and after every restart.
 //!
-//! [`stable`] places upstreams on a ring and compares settings, so its values must never change. It is not for tables
-//! that are filled by clients, since collisions are easily constructed. [`keyed`] is for values that are visible to others
-//! who must not be able to guess them.
+//! [`stable`] places upstreams on a ring and compares settings, so its values must never change. It must not be
+//! used for hash tables whose keys clients choose, since collisions are easily constructed. [`keyed`] is for values that
+//! others can see and must not be able to predict.
 use std::hash::Hasher;
 
 /// 64-bit FNV-1a hash (draft-eastlake-fnv, section 4).
@@ -24,12 +24,12 @@
 pub struct Digest(fnv::FnvHasher);
 
 impl Digest {
-    /// Adds a number, in little endian.
-    pub fn write_u64(&mut self, n: u64) {
-        self.0.write(&n.to_le_bytes());
+    /// Adds the bytes of a number, in little endian.
+    pub fn write_u64(&mut self, value: u64) {
+        self.0.write(&value.to_le_bytes());
     }
 
-    /// Hash of all that was added.
+    /// Returns the hash of all bytes that were added.
     pub fn finish(&self) -> u64 {
         self.0.finish()
     }
