--- a/crates/control-plane/supervisor/tests/supervisor.rs
+++ b/crates/control-plane/supervisor/tests/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor's decisions, path by path, and what holds on every path.
+//! Scenarios of the supervisor, and invariants that hold for every sequence of events.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,38 +7,40 @@
     Action, Command, Event, InstanceState, ProcessId, RollingAction, Signal, Supervisor, SupervisorPolicy,
 };
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn ended(process: ProcessId) -> Event {
+fn exited(process: ProcessId) -> Event {
     Event::Exited { process, clean: false, status: "signal 9".into() }
 }
 
-struct Run(Supervisor);
+/// Supervisor under test, driven by events at times in milliseconds.
+struct Harness(Supervisor);
 
-impl Run {
-    fn at(&mut self, now: u64, event: Event) -> Vec<Action> {
+impl Harness {
+    fn handle_at(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.0.handle(ms(now), event, &mut actions);
+        self.0.handle(ms(now_ms), event, &mut actions);
         actions
     }
 
-    /// Three instances, all ready by 1 s; their processes are 1, 2 and 3.
-    fn ready() -> Run {
-        let mut run = Run(Supervisor::new(3, SupervisorPolicy::default()));
-        run.at(200, Event::Timeout);
-        for p in 1..=3 {
-            run.at(1000, Event::Ready(ProcessId(p)));
+    /// Supervisor of three instances, all ready by 1 s; their processes are 1, 2 and 3.
+    fn ready() -> Harness {
+        let mut harness = Harness(Supervisor::new(3, SupervisorPolicy::default()));
+        harness.handle_at(200, Event::Timeout);
+        for process in 1..=3 {
+            harness.handle_at(1000, Event::Ready(ProcessId(process)));
         }
-        assert!(run.0.instances().iter().all(|i| i.state == InstanceState::Ready));
-        run
+        assert!(harness.0.instances().iter().all(|i| i.state == InstanceState::Ready));
+        harness
     }
 
-    fn roll(roll: RollingAction) -> (Run, Vec<Action>) {
-        let mut run = Run::ready();
-        let actions = run.at(2000, Event::Command(Command::Roll(roll)));
-        (run, actions)
+    /// Supervisor of three ready instances that starts a rolling operation at 2 s, with the resulting actions.
+    fn rolling(action: RollingAction) -> (Harness, Vec<Action>) {
+        let mut harness = Harness::ready();
+        let actions = harness.handle_at(2000, Event::Command(Command::Roll(action)));
+        (harness, actions)
     }
 }
 
@@ -46,157 +48,179 @@
     Action::Start { instance, process: ProcessId(process) }
 }
 
-fn end(process: u64) -> Action {
+fn terminate(process: u64) -> Action {
     Action::Signal(ProcessId(process), Signal::Terminate)
 }
 
-/// Guards against a step that is taken before leave for it was given, and against leave that is kept when it is of no use.
+/// Guards against a step that starts before its lease is granted, and against a lease that is kept although it cannot be
+/// used.
 #[test]
-fn each_step_of_a_roll_waits_for_leave() {
-    let mut run =
-        Run(Supervisor::new(3, SupervisorPolicy { requires_lease: true, ..SupervisorPolicy::default() }));
-    run.at(200, Event::Timeout);
-    for p in 1..=3 {
-        run.at(1000, Event::Ready(ProcessId(p)));
+fn each_step_of_a_rolling_operation_waits_for_its_lease() {
+    let mut harness =
+        Harness(Supervisor::new(3, SupervisorPolicy { requires_lease: true, ..SupervisorPolicy::default() }));
+    harness.handle_at(200, Event::Timeout);
+    for process in 1..=3 {
+        harness.handle_at(1000, Event::Ready(ProcessId(process)));
     }
-    let ask = |instance| Action::RequestLease { instance, action: RollingAction::Restart };
-    let back = |instance, acted| Action::ReleaseLease { instance, acted };
-    assert_eq!(run.at(2000, Event::Command(Command::Roll(RollingAction::Restart))), [ask(0)]);
-    assert_eq!(run.at(50_000, Event::Timeout), [], "however long it takes");
-    assert_eq!(run.at(60_000, Event::LeaseGranted(0)), [end(1)]);
-    // What it has done by it is to be seen first; then comes the next.
-    assert_eq!(run.at(61_000, ended(ProcessId(1))), [start(0, 4)]);
-    assert_eq!(run.at(62_000, Event::Ready(ProcessId(4))), [back(0, true), ask(1)]);
-    // Another of the machine crashes: leave that comes now is of no use, and is somebody else's to have.
-    assert_eq!(run.at(63_000, ended(ProcessId(3))), [back(1, false)]);
-    assert_eq!(run.at(63_100, Event::LeaseGranted(1)), [back(1, false)]);
-    run.at(64_000, Event::Timeout);
-    assert_eq!(run.at(65_000, Event::Ready(ProcessId(5))), [ask(1)]);
-    // Stopped, it gives up what it asks for.
-    assert!(run.at(66_000, Event::Command(Command::Stop)).contains(&back(1, false)));
-    assert_eq!(run.at(66_100, Event::LeaseGranted(1)), [back(1, false)]);
+    let request = |instance| Action::RequestLease { instance, action: RollingAction::Restart };
+    let release = |instance, acted| Action::ReleaseLease { instance, acted };
+    assert_eq!(harness.handle_at(2000, Event::Command(Command::Roll(RollingAction::Restart))), [request(0)]);
+    assert_eq!(
+        harness.handle_at(50_000, Event::Timeout),
+        [],
+        "no step without a lease, however long it takes"
+    );
+    assert_eq!(harness.handle_at(60_000, Event::LeaseGranted(0)), [terminate(1)]);
+    // The lease is released once the new process is ready; then the next one is requested.
+    assert_eq!(harness.handle_at(61_000, exited(ProcessId(1))), [start(0, 4)]);
+    assert_eq!(harness.handle_at(62_000, Event::Ready(ProcessId(4))), [release(0, true), request(1)]);
+    // Another instance of the machine crashes: a lease that is granted now cannot be used, and is released for others.
+    assert_eq!(harness.handle_at(63_000, exited(ProcessId(3))), [release(1, false)]);
+    assert_eq!(harness.handle_at(63_100, Event::LeaseGranted(1)), [release(1, false)]);
+    harness.handle_at(64_000, Event::Timeout);
+    assert_eq!(harness.handle_at(65_000, Event::Ready(ProcessId(5))), [request(1)]);
+    // A stop withdraws the pending request.
+    assert!(harness.handle_at(66_000, Event::Command(Command::Stop)).contains(&release(1, false)));
+    assert_eq!(harness.handle_at(66_100, Event::LeaseGranted(1)), [release(1, false)]);
 }
 
 #[test]
-fn starts_are_spread_out() {
-    let mut run = Run(Supervisor::new(3, SupervisorPolicy::default()));
-    assert_eq!(run.at(0, Event::Timeout), [start(0, 1)]);
-    assert_eq!(run.0.next_timeout(), Some(ms(100)));
-    assert_eq!(run.at(99, Event::Timeout), []);
-    assert_eq!(run.at(250, Event::Timeout), [start(1, 2), start(2, 3)]);
+fn first_starts_are_staggered() {
+    let mut harness = Harness(Supervisor::new(3, SupervisorPolicy::default()));
+    assert_eq!(harness.handle_at(0, Event::Timeout), [start(0, 1)]);
+    assert_eq!(harness.0.next_timeout(), Some(ms(100)));
+    assert_eq!(harness.handle_at(99, Event::Timeout), []);
+    assert_eq!(harness.handle_at(250, Event::Timeout), [start(1, 2), start(2, 3)]);
 }
 
 #[test]
-fn what_crashes_is_started_again_after_growing_pauses_and_given_up_in_the_end() {
-    let mut run = Run::ready();
-    let (mut now, mut process, mut pauses) = (2000, 1, Vec::new());
+fn a_crashed_instance_restarts_with_backoff_until_it_is_in_a_crash_loop() {
+    let mut harness = Harness::ready();
+    let (mut now, mut process, mut delays) = (2000, 1, Vec::new());
     loop {
-        let actions = run.at(now, ended(ProcessId(process)));
+        let actions = harness.handle_at(now, exited(ProcessId(process)));
         if let Some(Action::CrashLoop { instance: 0, reason }) = actions.first() {
             assert!(reason.contains("5 crashes") && reason.contains("signal 9"), "{reason}");
             break;
         }
-        let InstanceState::BackingOff(at) = run.0.instances()[0].state else { panic!("{actions:?}") };
-        pauses.push((at - ms(now)).as_millis());
-        now = at.as_millis() as u64;
-        let actions = run.at(now, Event::Timeout);
+        let InstanceState::BackingOff(restart_at) = harness.0.instances()[0].state else {
+            panic!("{actions:?}")
+        };
+        delays.push((restart_at - ms(now)).as_millis());
+        now = restart_at.as_millis() as u64;
+        let actions = harness.handle_at(now, Event::Timeout);
         let [Action::Start { instance: 0, process: next }] = actions[..] else { panic!("{actions:?}") };
         process = next.0;
     }
-    assert_eq!(pauses, [500, 1000, 2000, 4000]);
-    assert!(run.at(999_000, Event::Timeout).is_empty(), "given up");
-    assert_eq!(run.at(999_000, Event::Command(Command::Start)).len(), 1, "until the operator wants it");
-    // Long after the last crash the first pause holds again.
-    let mut rare = Run::ready();
-    for at in [10_000, 100_000] {
-        let process = rare.0.instances()[0].process.expect("it runs");
-        rare.at(at, ended(process));
-        assert_eq!(rare.0.instances()[0].state, InstanceState::BackingOff(ms(at + 500)));
-        rare.at(at + 500, Event::Timeout);
+    assert_eq!(delays, [500, 1000, 2000, 4000]);
+    assert!(harness.handle_at(999_000, Event::Timeout).is_empty(), "no restart in a crash loop");
+    assert_eq!(
+        harness.handle_at(999_000, Event::Command(Command::Start)).len(),
+        1,
+        "the operator starts it again"
+    );
+    // Long after the last crash the delay is the initial one again.
+    let mut rare = Harness::ready();
+    for now in [10_000, 100_000] {
+        let process = rare.0.instances()[0].process.expect("a process");
+        rare.handle_at(now, exited(process));
+        assert_eq!(rare.0.instances()[0].state, InstanceState::BackingOff(ms(now + 500)));
+        rare.handle_at(now + 500, Event::Timeout);
     }
 }
 
 #[test]
-fn a_restart_rolls_one_at_a_time_and_waits_for_each_to_be_ready() {
-    let (mut run, actions) = Run::roll(RollingAction::Restart);
-    assert_eq!(actions, [end(1)]);
+fn a_rolling_restart_handles_one_instance_at_a_time_and_waits_until_it_is_ready() {
+    let (mut harness, actions) = Harness::rolling(RollingAction::Restart);
+    assert_eq!(actions, [terminate(1)]);
     assert_eq!(
-        run.at(2500, Event::Exited { process: ProcessId(1), clean: true, status: String::new() }),
+        harness.handle_at(2500, Event::Exited { process: ProcessId(1), clean: true, status: String::new() }),
         [start(0, 4)]
     );
-    assert_eq!(run.at(2600, Event::Timeout), []);
-    assert_eq!(run.at(2700, Event::Ready(ProcessId(4))), [end(2)]);
+    assert_eq!(harness.handle_at(2600, Event::Timeout), []);
+    assert_eq!(harness.handle_at(2700, Event::Ready(ProcessId(4))), [terminate(2)]);
     assert_eq!(
-        run.at(2800, Event::Command(Command::Roll(RollingAction::Reload))),
+        harness.handle_at(2800, Event::Command(Command::Roll(RollingAction::Reload))),
         [Action::Rejected("a roll is going on")]
     );
-    run.at(3000, ended(ProcessId(2)));
-    assert_eq!(run.at(3100, Event::Ready(ProcessId(5))), [end(3)]);
-    run.at(3200, ended(ProcessId(3)));
-    assert_eq!(run.at(3300, Event::Ready(ProcessId(6))), [Action::RollFinished(RollingAction::Restart)]);
-    assert_eq!(run.0.rolling(), None);
-    assert!(run.0.instances().iter().all(|i| i.restarts == 1));
+    harness.handle_at(3000, exited(ProcessId(2)));
+    assert_eq!(harness.handle_at(3100, Event::Ready(ProcessId(5))), [terminate(3)]);
+    harness.handle_at(3200, exited(ProcessId(3)));
+    assert_eq!(
+        harness.handle_at(3300, Event::Ready(ProcessId(6))),
+        [Action::RollFinished(RollingAction::Restart)]
+    );
+    assert_eq!(harness.0.rolling(), None);
+    assert!(harness.0.instances().iter().all(|i| i.restarts == 1));
 }
 
 #[test]
-fn a_roll_halts_at_the_first_that_is_not_ready() {
-    // It crashes.
-    let (mut run, _) = Run::roll(RollingAction::Restart);
-    run.at(2500, ended(ProcessId(1)));
-    let actions = run.at(2600, ended(ProcessId(4)));
+fn a_rolling_operation_aborts_at_the_first_instance_that_does_not_become_ready() {
+    // The new process crashes.
+    let (mut harness, _) = Harness::rolling(RollingAction::Restart);
+    harness.handle_at(2500, exited(ProcessId(1)));
+    let actions = harness.handle_at(2600, exited(ProcessId(4)));
     assert!(
         matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.contains("signal 9")),
         "{actions:?}"
     );
-    assert_eq!(run.at(3200, Event::Timeout), [start(0, 5)], "it is started again, and the roll is over");
-    assert_eq!(run.at(3300, Event::Ready(ProcessId(5))), []);
-    // It takes too long.
-    let (mut run, _) = Run::roll(RollingAction::Restart);
-    run.at(2500, ended(ProcessId(1)));
-    let actions = run.at(32_500, Event::Timeout);
+    assert_eq!(
+        harness.handle_at(3200, Event::Timeout),
+        [start(0, 5)],
+        "the instance is restarted, and the rolling operation has ended"
+    );
+    assert_eq!(harness.handle_at(3300, Event::Ready(ProcessId(5))), []);
+    // The new process is not ready in time.
+    let (mut harness, _) = Harness::rolling(RollingAction::Restart);
+    harness.handle_at(2500, exited(ProcessId(1)));
+    let actions = harness.handle_at(32_500, Event::Timeout);
     assert_eq!(actions[0], Action::Signal(ProcessId(4), Signal::Kill));
     assert!(
         matches!(&actions[1], Action::RollAborted { instance: 0, reason } if reason.contains("not ready after 30s"))
     );
-    // It does not take its files.
-    let (mut run, actions) = Run::roll(RollingAction::Reload);
+    // The process rejects its configuration files.
+    let (mut harness, actions) = Harness::rolling(RollingAction::Reload);
     assert_eq!(actions, [Action::Signal(ProcessId(1), Signal::Reload)]);
-    let actions = run.at(2100, Event::ReloadFailed(ProcessId(1), "limits.head".into()));
+    let actions = harness.handle_at(2100, Event::ReloadFailed(ProcessId(1), "limits.head".into()));
     assert!(
         matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.contains("limits.head"))
     );
-    assert_eq!(run.0.instances()[0].state, InstanceState::Ready, "it serves on with what it had");
+    assert_eq!(
+        harness.0.instances()[0].state,
+        InstanceState::Ready,
+        "it keeps serving with its former configuration"
+    );
 }
 
-/// Guards against a roll that goes on while another instance is down: it would take the last one away.
+/// Guards against a rolling operation that continues while another instance is down, and so stops the last one that serves.
 #[test]
-fn a_roll_waits_for_what_crashed_elsewhere_and_halts_when_that_is_given_up() {
-    let (mut run, _) = Run::roll(RollingAction::Restart);
-    run.at(2100, ended(ProcessId(3)));
-    run.at(2500, ended(ProcessId(1)));
-    assert_eq!(run.at(2550, Event::Ready(ProcessId(4))), [], "instance 2 is down");
-    run.at(2600, Event::Timeout);
-    assert_eq!(run.at(2700, Event::Ready(ProcessId(5))), [end(2)]);
-    let (mut run, _) = Run::roll(RollingAction::Restart);
+fn a_rolling_operation_waits_for_a_crashed_instance_and_aborts_if_that_is_in_a_crash_loop() {
+    let (mut harness, _) = Harness::rolling(RollingAction::Restart);
+    harness.handle_at(2100, exited(ProcessId(3)));
+    harness.handle_at(2500, exited(ProcessId(1)));
+    assert_eq!(harness.handle_at(2550, Event::Ready(ProcessId(4))), [], "instance 2 is down");
+    harness.handle_at(2600, Event::Timeout);
+    assert_eq!(harness.handle_at(2700, Event::Ready(ProcessId(5))), [terminate(2)]);
+    let (mut harness, _) = Harness::rolling(RollingAction::Restart);
     let mut now = 2000;
     loop {
         now += 100;
-        let Some(process) = run.0.instances()[2].process else {
-            if run.at(now, Event::Timeout).iter().any(|a| matches!(a, Action::CrashLoop { .. }))
+        let Some(process) = harness.0.instances()[2].process else {
+            if harness.handle_at(now, Event::Timeout).iter().any(|a| matches!(a, Action::CrashLoop { .. }))
                 || now > 60_000
             {
                 break;
             }
-            if matches!(run.0.instances()[2].state, InstanceState::CrashLoop(_)) {
+            if matches!(harness.0.instances()[2].state, InstanceState::CrashLoop(_)) {
                 break;
             }
             continue;
         };
-        run.at(now, ended(process));
+        harness.handle_at(now, exited(process));
     }
-    run.at(now, ended(ProcessId(1)));
-    let process = run.0.instances()[0].process.expect("started again");
-    let actions = run.at(now + 100, Event::Ready(process));
+    harness.handle_at(now, exited(ProcessId(1)));
+    let process = harness.0.instances()[0].process.expect("restarted");
+    let actions = harness.handle_at(now + 100, Event::Ready(process));
     assert!(
         matches!(&actions[..], [Action::RollAborted { instance: 2, reason }] if reason == "is given up"),
         "{actions:?}"
@@ -204,140 +228,160 @@
 }
 
 #[test]
-fn a_take_over_lets_the_old_process_be_until_the_new_one_is_ready() {
-    let (mut run, actions) = Run::roll(RollingAction::Handoff);
+fn a_handoff_keeps_the_predecessor_serving_until_the_successor_is_ready() {
+    let (mut harness, actions) = Harness::rolling(RollingAction::Handoff);
     assert_eq!(actions, [start(0, 4)]);
-    assert_eq!(run.at(2100, Event::Ready(ProcessId(4))), [start(1, 5)]);
-    assert_eq!(run.0.instances()[0].process, Some(ProcessId(4)));
-    // The old one ends in its own time, and that is no crash.
-    assert_eq!(run.at(9000, Event::Exited { process: ProcessId(1), clean: true, status: String::new() }), []);
-    assert_eq!(run.0.instances()[0].state, InstanceState::Ready);
-    // The next one never becomes ready: nothing has changed for the process that serves.
-    let actions = run.at(9100, ended(ProcessId(5)));
+    assert_eq!(harness.handle_at(2100, Event::Ready(ProcessId(4))), [start(1, 5)]);
+    assert_eq!(harness.0.instances()[0].process, Some(ProcessId(4)));
+    // The exit of the draining predecessor does not count as a crash.
+    assert_eq!(
+        harness.handle_at(9000, Event::Exited { process: ProcessId(1), clean: true, status: String::new() }),
+        []
+    );
+    assert_eq!(harness.0.instances()[0].state, InstanceState::Ready);
+    // The next successor exits before it is ready: the process that serves keeps serving.
+    let actions = harness.handle_at(9100, exited(ProcessId(5)));
     assert!(
         matches!(&actions[..], [Action::RollAborted { instance: 1, reason }] if reason.contains("before it was ready"))
     );
     assert_eq!(
-        (run.0.instances()[1].process, &run.0.instances()[1].state),
+        (harness.0.instances()[1].process, &harness.0.instances()[1].state),
         (Some(ProcessId(2)), &InstanceState::Ready)
     );
-    // Or it hangs.
-    let (mut run, _) = Run::roll(RollingAction::Handoff);
-    let actions = run.at(32_000, Event::Timeout);
+    // A successor that hangs is killed at the deadline.
+    let (mut harness, _) = Harness::rolling(RollingAction::Handoff);
+    let actions = harness.handle_at(32_000, Event::Timeout);
     assert_eq!(actions[0], Action::Signal(ProcessId(4), Signal::Kill));
     assert!(matches!(&actions[1], Action::RollAborted { instance: 0, .. }));
-    assert_eq!(run.at(32_100, ended(ProcessId(4))), []);
-    assert_eq!(run.0.instances()[0].state, InstanceState::Ready);
+    assert_eq!(harness.handle_at(32_100, exited(ProcessId(4))), []);
+    assert_eq!(harness.0.instances()[0].state, InstanceState::Ready);
 }
 
-/// Guards against two processes of one instance that both believe to be the only one.
+/// Guards against starting a third process after the predecessor has exited during a handoff, so that two processes would
+/// both serve as the instance.
 #[test]
-fn when_the_old_process_dies_during_a_take_over_the_new_one_is_the_instance() {
-    let (mut run, _) = Run::roll(RollingAction::Handoff);
-    let actions = run.at(2100, ended(ProcessId(1)));
+fn a_successor_becomes_the_process_of_the_instance_if_the_predecessor_exits_during_the_handoff() {
+    let (mut harness, _) = Harness::rolling(RollingAction::Handoff);
+    let actions = harness.handle_at(2100, exited(ProcessId(1)));
     assert!(
         matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.starts_with("crashed"))
     );
-    assert_eq!(run.at(9000, Event::Timeout), [], "no third one is started");
-    run.at(9100, Event::Ready(ProcessId(4)));
+    assert_eq!(harness.handle_at(9000, Event::Timeout), [], "no third process is started");
+    harness.handle_at(9100, Event::Ready(ProcessId(4)));
     assert_eq!(
-        (run.0.instances()[0].process, &run.0.instances()[0].state),
+        (harness.0.instances()[0].process, &harness.0.instances()[0].state),
         (Some(ProcessId(4)), &InstanceState::Ready)
     );
 }
 
-/// Guards against processes that pile up, and against a roll that halts only because silent callers have not gone yet.
+/// Guards against an unbounded number of draining processes, and against a rolling operation that aborts too early, only
+/// because clients still hold idle connections.
 #[test]
-fn a_take_over_waits_while_four_old_processes_have_not_ended() {
-    let mut run = Run(Supervisor::new(1, SupervisorPolicy::default()));
-    run.at(0, Event::Timeout);
-    run.at(10, Event::Ready(ProcessId(1)));
-    let take_over = || Event::Command(Command::Roll(RollingAction::Handoff));
-    for k in 1..=4 {
-        assert_eq!(run.at(k * 100, take_over()), [start(0, k + 1)]);
+fn a_handoff_waits_while_four_predecessors_are_draining() {
+    let mut harness = Harness(Supervisor::new(1, SupervisorPolicy::default()));
+    harness.handle_at(0, Event::Timeout);
+    harness.handle_at(10, Event::Ready(ProcessId(1)));
+    let handoff = || Event::Command(Command::Roll(RollingAction::Handoff));
+    for round in 1..=4 {
+        assert_eq!(harness.handle_at(round * 100, handoff()), [start(0, round + 1)]);
         assert_eq!(
-            run.at(k * 100 + 30, Event::Ready(ProcessId(k + 1))),
+            harness.handle_at(round * 100 + 30, Event::Ready(ProcessId(round + 1))),
             [Action::RollFinished(RollingAction::Handoff)]
         );
-        assert_eq!(run.0.instances()[0].time_to_ready, Some(ms(30)));
+        assert_eq!(harness.0.instances()[0].time_to_ready, Some(ms(30)));
     }
-    assert_eq!(run.at(1000, take_over()), [], "the first of five has to wait");
-    assert_eq!(run.0.next_timeout(), Some(ms(76_000)));
-    assert_eq!(run.at(9000, ended(ProcessId(2))), [start(0, 6)], "until one has gone");
-    run.at(9030, Event::Ready(ProcessId(6)));
-    run.at(10_000, take_over());
-    let actions = run.at(85_000, Event::Timeout);
+    assert_eq!(harness.handle_at(1000, handoff()), [], "the fifth handoff has to wait");
+    assert_eq!(harness.0.next_timeout(), Some(ms(76_000)));
+    assert_eq!(
+        harness.handle_at(9000, exited(ProcessId(2))),
+        [start(0, 6)],
+        "until one predecessor has exited"
+    );
+    harness.handle_at(9030, Event::Ready(ProcessId(6)));
+    harness.handle_at(10_000, handoff());
+    let actions = harness.handle_at(85_000, Event::Timeout);
     assert!(
         matches!(&actions[..], [Action::RollAborted { instance: 0, reason }] if reason.contains("have not ended after 75s"))
     );
-    assert_eq!(run.0.next_timeout(), None);
+    assert_eq!(harness.0.next_timeout(), None);
 }
 
-/// Guards against figures that leave out the time in which nobody served.
+/// Guards against a time to ready that leaves out the time during which no process served.
 #[test]
-fn the_time_until_ready_counts_from_the_signal() {
-    let (mut run, _) = Run::roll(RollingAction::Restart);
-    run.at(4400, ended(ProcessId(1)));
-    run.at(4450, Event::Ready(ProcessId(4)));
-    assert_eq!(run.0.instances()[0].time_to_ready, Some(ms(2450)));
-    // After a crash it counts from the start of the next process: nobody sent a signal.
-    let mut run = Run::ready();
-    run.at(2000, ended(ProcessId(1)));
-    run.at(2500, Event::Timeout);
-    run.at(2540, Event::Ready(ProcessId(4)));
-    assert_eq!(run.0.instances()[0].time_to_ready, Some(ms(40)));
+fn the_time_to_ready_counts_from_the_stop_signal() {
+    let (mut harness, _) = Harness::rolling(RollingAction::Restart);
+    harness.handle_at(4400, exited(ProcessId(1)));
+    harness.handle_at(4450, Event::Ready(ProcessId(4)));
+    assert_eq!(harness.0.instances()[0].time_to_ready, Some(ms(2450)));
+    // After a crash it counts from the start of the next process, since there was no signal.
+    let mut harness = Harness::ready();
+    harness.handle_at(2000, exited(ProcessId(1)));
+    harness.handle_at(2500, Event::Timeout);
+    harness.handle_at(2540, Event::Ready(ProcessId(4)));
+    assert_eq!(harness.0.instances()[0].time_to_ready, Some(ms(40)));
 }
 
 #[test]
-fn several_are_taken_at_once_where_that_is_set() {
-    let mut run =
-        Run(Supervisor::new(3, SupervisorPolicy { max_parallel: 2, ..SupervisorPolicy::default() }));
-    run.at(200, Event::Timeout);
-    for p in 1..=3 {
-        run.at(1000, Event::Ready(ProcessId(p)));
+fn max_parallel_instances_are_restarted_at_the_same_time() {
+    let mut harness =
+        Harness(Supervisor::new(3, SupervisorPolicy { max_parallel: 2, ..SupervisorPolicy::default() }));
+    harness.handle_at(200, Event::Timeout);
+    for process in 1..=3 {
+        harness.handle_at(1000, Event::Ready(ProcessId(process)));
     }
-    assert_eq!(run.at(2000, Event::Command(Command::Roll(RollingAction::Restart))), [end(1), end(2)]);
+    assert_eq!(
+        harness.handle_at(2000, Event::Command(Command::Roll(RollingAction::Restart))),
+        [terminate(1), terminate(2)]
+    );
 }
 
 #[test]
-fn all_are_stopped_and_what_does_not_end_is_killed() {
-    let mut run = Run::ready();
-    assert_eq!(run.at(2000, Event::Command(Command::Stop)), [end(1), end(2), end(3)]);
-    run.at(2100, ended(ProcessId(1)));
-    run.at(2200, ended(ProcessId(3)));
-    assert_eq!(run.at(12_000, Event::Timeout), [Action::Signal(ProcessId(2), Signal::Kill)]);
-    assert_eq!(run.at(12_100, ended(ProcessId(2))), [Action::Stopped]);
-    assert!(run.at(99_000, Event::Timeout).is_empty(), "nothing is started again");
-    // One that has passed its sockets on hurries too, and is waited for.
-    let (mut run, _) = Run::roll(RollingAction::Handoff);
-    run.at(2100, Event::Ready(ProcessId(4)));
-    let actions = run.at(2200, Event::Command(Command::Stop));
-    assert!(actions.contains(&end(1)) && actions.contains(&end(5)), "{actions:?}");
-    for p in [2, 3, 4, 5] {
-        assert_eq!(run.at(2300, ended(ProcessId(p))), []);
+fn a_stop_terminates_all_processes_and_kills_those_that_do_not_exit() {
+    let mut harness = Harness::ready();
+    assert_eq!(
+        harness.handle_at(2000, Event::Command(Command::Stop)),
+        [terminate(1), terminate(2), terminate(3)]
+    );
+    harness.handle_at(2100, exited(ProcessId(1)));
+    harness.handle_at(2200, exited(ProcessId(3)));
+    assert_eq!(harness.handle_at(12_000, Event::Timeout), [Action::Signal(ProcessId(2), Signal::Kill)]);
+    assert_eq!(harness.handle_at(12_100, exited(ProcessId(2))), [Action::Stopped]);
+    assert!(harness.handle_at(99_000, Event::Timeout).is_empty(), "no process is started");
+    // A draining predecessor is terminated as well, and the stop waits for its exit.
+    let (mut harness, _) = Harness::rolling(RollingAction::Handoff);
+    harness.handle_at(2100, Event::Ready(ProcessId(4)));
+    let actions = harness.handle_at(2200, Event::Command(Command::Stop));
+    assert!(actions.contains(&terminate(1)) && actions.contains(&terminate(5)), "{actions:?}");
+    for process in [2, 3, 4, 5] {
+        assert_eq!(harness.handle_at(2300, exited(ProcessId(process))), []);
     }
-    assert_eq!(run.at(2400, ended(ProcessId(1))), [Action::Stopped]);
+    assert_eq!(harness.handle_at(2400, exited(ProcessId(1))), [Action::Stopped]);
 }
 
 #[test]
-fn what_was_found_running_is_not_started_again() {
-    let mut fleet = Supervisor::new(2, SupervisorPolicy::default());
-    let found = fleet.adopt(ms(0), 0, true);
-    let mut run = Run(fleet);
-    let actions = run.at(100, Event::Timeout);
+fn an_adopted_process_is_not_started_again() {
+    let mut supervisor = Supervisor::new(2, SupervisorPolicy::default());
+    let adopted = supervisor.adopt(ms(0), 0, true);
+    let mut harness = Harness(supervisor);
+    let actions = harness.handle_at(100, Event::Timeout);
     assert!(matches!(actions[..], [Action::Start { instance: 1, .. }]));
-    run.at(200, ended(found));
-    assert_eq!(run.0.instances()[0].state, InstanceState::BackingOff(ms(700)), "it crashed like any other");
+    harness.handle_at(200, exited(adopted));
+    assert_eq!(
+        harness.0.instances()[0].state,
+        InstanceState::BackingOff(ms(700)),
+        "its exit counts as a crash, as that of any other process"
+    );
 }
 
+/// Step of a generated sequence. A number picks one of the running processes, or the instance of a lease.
 #[derive(Clone, Debug)]
 enum Step {
     Ready(usize),
-    Ended(usize),
-    NotReloaded(usize),
-    Leave(usize),
+    Exited(usize),
+    ReloadFailed(usize),
+    LeaseGranted(usize),
     Command(Command),
-    Time,
+    Timeout,
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
@@ -350,17 +394,17 @@
     ];
     let step = prop_oneof![
         6 => (0usize..8).prop_map(Step::Ready),
-        4 => (0usize..8).prop_map(Step::Ended),
-        1 => (0usize..8).prop_map(Step::NotReloaded),
-        4 => (0usize..8).prop_map(Step::Leave),
+        4 => (0usize..8).prop_map(Step::Exited),
+        1 => (0usize..8).prop_map(Step::ReloadFailed),
+        4 => (0usize..8).prop_map(Step::LeaseGranted),
         2 => command.prop_map(Step::Command),
-        4 => Just(Step::Time),
+        4 => Just(Step::Timeout),
     ];
     proptest::collection::vec((0u64..5000, step), 0..80)
 }
 
 proptest! {
-    // The same cases every time, so that the verdict is the same.
+    // A fixed seed, so that every run checks the same cases.
     #![proptest_config(ProptestConfig {
         cases: 2000,
         rng_seed: RngSeed::Fixed(8),
@@ -368,111 +412,113 @@
         ..ProptestConfig::default()
     })]
 
-    /// On every path: one process an instance but for a take-over, no more than one instance down by our own doing, no
-    /// signal to what has ended, and no crash loop.
+    /// For every sequence of events: an instance has one process except during a handoff, a rolling operation sends SIGTERM to
+    /// no instance while another one is down, no step runs without its lease, no signal is sent to a process that has exited,
+    /// and the next timeout is in the future, so that the event loop does not spin.
     #[test]
-    fn whatever_happens_no_more_is_taken_away_than_was_said(steps in steps(), asks in any::<bool>()) {
-        let mut fleet = Supervisor::new(4, SupervisorPolicy { requires_lease: asks, ..SupervisorPolicy::default() });
-        // Instances for which leave is asked, and for which there is some.
-        let (mut asked, mut has) = (BTreeSet::new(), BTreeSet::new());
-        // Processes that run, and their instance.
+    fn invariants_hold_for_every_sequence_of_events(steps in steps(), with_leases in any::<bool>()) {
+        let mut supervisor = Supervisor::new(4, SupervisorPolicy { requires_lease: with_leases, ..SupervisorPolicy::default() });
+        // Instances for which a lease is requested, and for which one is held.
+        let (mut requested, mut held) = (BTreeSet::new(), BTreeSet::new());
+        // Running processes, with their instance.
         let mut running: BTreeMap<ProcessId, usize> = BTreeMap::new();
         let (mut now, mut actions) = (0, Vec::new());
-        for (gap, step) in steps {
-            now += gap;
+        for (gap_ms, step) in steps {
+            now += gap_ms;
             let pick = |n: usize| running.keys().nth(n % running.len().max(1)).copied();
             let event = match step {
                 Step::Ready(n) => pick(n).map(Event::Ready),
-                Step::Ended(n) => pick(n).map(ended),
-                Step::NotReloaded(n) => pick(n).map(|p| Event::ReloadFailed(p, "x".into())),
+                Step::Exited(n) => pick(n).map(exited),
+                Step::ReloadFailed(n) => pick(n).map(|p| Event::ReloadFailed(p, "x".into())),
                 Step::Command(command) => Some(Event::Command(command)),
-                // Also leave that comes late, for what was given back.
-                Step::Leave(n) if asks => {
-                    has.extend(asked.take(&(n % 4)));
+                // Also grants that arrive late, for a request that was withdrawn.
+                Step::LeaseGranted(n) if with_leases => {
+                    held.extend(requested.take(&(n % 4)));
                     Some(Event::LeaseGranted(n % 4))
                 }
-                Step::Leave(_) => None,
-                Step::Time => None,
+                Step::LeaseGranted(_) => None,
+                Step::Timeout => None,
             }
             .unwrap_or(Event::Timeout);
             if let Event::Exited { process, .. } = &event {
                 running.remove(process);
             }
-            let rolling = fleet.rolling();
-            fleet.handle(ms(now), event.clone(), &mut actions);
+            let rolling = supervisor.rolling();
+            supervisor.handle(ms(now), event.clone(), &mut actions);
             for action in actions.drain(..) {
                 match action {
                     Action::RequestLease { instance, .. } => {
-                        prop_assert!(asks && !has.contains(&instance) && asked.insert(instance), "asked once");
+                        prop_assert!(with_leases && !held.contains(&instance) && requested.insert(instance), "a lease is requested twice");
                     }
                     Action::ReleaseLease { instance, .. } => {
-                        asked.remove(&instance);
-                        has.remove(&instance);
+                        requested.remove(&instance);
+                        held.remove(&instance);
                     }
                     Action::Start { instance, process } => {
                         prop_assert!(running.insert(process, instance).is_none());
-                        let taking_over = fleet.instances()[instance].successor == Some(process);
-                        prop_assert!(!asks || !taking_over || has.contains(&instance), "taken over without leave");
+                        let is_successor = supervisor.instances()[instance].successor == Some(process);
+                        prop_assert!(!with_leases || !is_successor || held.contains(&instance), "a handoff without a lease");
                         let others = running.iter().filter(|&(p, i)| *i == instance && *p != process).count();
-                        prop_assert!(taking_over || others == fleet.instances()[instance].draining_predecessors.len());
-                        prop_assert!(others <= 5, "bounded");
+                        prop_assert!(is_successor || others == supervisor.instances()[instance].draining_predecessors.len());
+                        prop_assert!(others <= 5, "too many processes of one instance");
                     }
                     Action::Signal(process, signal) => {
-                        prop_assert!(running.contains_key(&process), "a signal to what has ended");
-                        if asks && matches!(signal, Signal::Terminate | Signal::Reload) && event != Event::Command(Command::Stop) {
-                            prop_assert!(has.contains(&running[&process]), "{signal:?} without leave");
+                        prop_assert!(running.contains_key(&process), "a signal to a process that has exited");
+                        if with_leases && matches!(signal, Signal::Terminate | Signal::Reload) && event != Event::Command(Command::Stop) {
+                            prop_assert!(held.contains(&running[&process]), "{signal:?} without a lease");
                         }
-                        if signal == Signal::Terminate && event != Event::Command(Command::Stop) && fleet.rolling().is_some() {
-                            let up = fleet.instances().iter().filter(|i| i.state == InstanceState::Ready).count();
-                            prop_assert!(up >= 3, "a restart beside another that is down");
+                        if signal == Signal::Terminate && event != Event::Command(Command::Stop) && supervisor.rolling().is_some() {
+                            let ready = supervisor.instances().iter().filter(|i| i.state == InstanceState::Ready).count();
+                            prop_assert!(ready >= 3, "a restart while another instance is down");
                         }
                     }
-                    Action::RollAborted { .. } | Action::RollFinished(_) => prop_assert!(fleet.rolling().is_none()),
-                    Action::Rejected(why) => prop_assert!(rolling.is_some() || why.contains("stopped")),Action::CrashLoop { .. } | Action::Stopped => {}
+                    Action::RollAborted { .. } | Action::RollFinished(_) => prop_assert!(supervisor.rolling().is_none()),
+                    Action::Rejected(reason) => prop_assert!(rolling.is_some() || reason.contains("stopped")),
+                    Action::CrashLoop { .. } | Action::Stopped => {}
                 }
             }
-            if fleet.rolling().is_none() {
-                prop_assert!(asked.is_empty() && has.is_empty(), "kept: {asked:?} {has:?}");
+            if supervisor.rolling().is_none() {
+                prop_assert!(requested.is_empty() && held.is_empty(), "not released: {requested:?} {held:?}");
             }
-            for i in fleet.instances() {
-                if matches!(i.state, InstanceState::Ready | InstanceState::Reloading | InstanceState::Starting | InstanceState::Restarting | InstanceState::Stopping) {
-                    prop_assert!(i.process.is_some_and(|p| running.contains_key(&p)), "{i:?}");
+            for instance in supervisor.instances() {
+                if matches!(instance.state, InstanceState::Ready | InstanceState::Reloading | InstanceState::Starting | InstanceState::Restarting | InstanceState::Stopping) {
+                    prop_assert!(instance.process.is_some_and(|p| running.contains_key(&p)), "{instance:?}");
                 } else {
-                    prop_assert!(i.process.is_none(), "{i:?}");
+                    prop_assert!(instance.process.is_none(), "{instance:?}");
                 }
             }
-            if let Some(wake) = fleet.next_timeout() {
-                prop_assert!(wake > ms(now), "it wants to be told of what it was told");
+            if let Some(timeout) = supervisor.next_timeout() {
+                prop_assert!(timeout > ms(now), "the next timeout is not in the future");
             }
         }
     }
 }
 
-/// Guards against a replacement that waits for what never comes: whatever the instance does, its next process is started, and
-/// what its build did before does not count against the next one.
+/// Guards against a replacement that waits forever: the next process is started in every state of the instance, and crashes
+/// of its former build do not count against the next one.
 #[test]
-fn a_replacement_is_started_whatever_the_instance_does() {
-    // It serves.
-    let mut run = Run::ready();
-    assert_eq!(run.at(2000, Event::Command(Command::Replace(0))), [end(1)]);
-    assert_eq!(run.at(2500, ended(ProcessId(1))), [start(0, 4)]);
-    // It is not ready yet, and is to be replaced once more.
-    assert_eq!(run.at(2600, Event::Command(Command::Replace(0))), [end(4)]);
-    assert_eq!(run.at(2700, ended(ProcessId(4))), [start(0, 5)]);
-    // It crashes again and again, and is given up.
+fn a_replacement_is_started_in_every_state_of_the_instance() {
+    // The instance is ready.
+    let mut harness = Harness::ready();
+    assert_eq!(harness.handle_at(2000, Event::Command(Command::Replace(0))), [terminate(1)]);
+    assert_eq!(harness.handle_at(2500, exited(ProcessId(1))), [start(0, 4)]);
+    // The instance is not ready yet and is replaced again.
+    assert_eq!(harness.handle_at(2600, Event::Command(Command::Replace(0))), [terminate(4)]);
+    assert_eq!(harness.handle_at(2700, exited(ProcessId(4))), [start(0, 5)]);
+    // The instance crashes repeatedly and is in a crash loop.
     let mut now = 3000;
-    while !matches!(run.0.instances()[0].state, InstanceState::CrashLoop(_)) {
-        let process = run.0.instances()[0].process.expect("a process");
-        run.at(now, ended(process));
+    while !matches!(harness.0.instances()[0].state, InstanceState::CrashLoop(_)) {
+        let process = harness.0.instances()[0].process.expect("a process");
+        harness.handle_at(now, exited(process));
         now += 5000;
-        run.at(now, Event::Timeout);
+        harness.handle_at(now, Event::Timeout);
     }
-    let crashes = |run: &Run, now: u64| run.0.instances()[0].recent_crashes(ms(now), ms(60_000));
-    assert_eq!((crashes(&run, now), crashes(&run, now + 60_000)), (5, 0));
-    let actions = run.at(now, Event::Command(Command::Replace(0)));
+    let crashes = |harness: &Harness, now: u64| harness.0.instances()[0].recent_crashes(ms(now), ms(60_000));
+    assert_eq!((crashes(&harness, now), crashes(&harness, now + 60_000)), (5, 0));
+    let actions = harness.handle_at(now, Event::Command(Command::Replace(0)));
     assert!(matches!(actions[..], [Action::Start { instance: 0, .. }]), "{actions:?}");
-    assert_eq!(crashes(&run, now), 0);
-    // One that the operator stopped stays so.
-    run.at(now, Event::Command(Command::Stop));
-    assert_eq!(run.at(now, Event::Command(Command::Replace(1))), []);
+    assert_eq!(crashes(&harness, now), 0);
+    // An instance that the operator stopped stays stopped.
+    harness.handle_at(now, Event::Command(Command::Stop));
+    assert_eq!(harness.handle_at(now, Event::Command(Command::Replace(1))), []);
 }
