--- a/crates/foundations/storage/tests/journal.rs
+++ b/crates/foundations/storage/tests/journal.rs
@@ -8,59 +8,65 @@
 
 const FORMAT: JournalFormat = JournalFormat { name: "log", kind: "test", version: 1, max_bytes: 4096 };
 
+/// Content of a file.
 #[derive(Clone, Debug, Default)]
 struct Content {
-    /// As a process sees it.
-    now: Vec<u8>,
-    /// As the disk has it.
-    disk: Vec<u8>,
+    /// Bytes that a process reads.
+    cached: Vec<u8>,
+    /// Bytes that are on the disk.
+    durable: Vec<u8>,
 }
 
+/// State of a [`Disk`]. Names map to indices of `files`.
 #[derive(Debug, Default)]
-struct State {
+struct DiskState {
     files: Vec<Content>,
-    names: BTreeMap<String, usize>,
-    names_on_disk: BTreeMap<String, usize>,
-    /// Steps until the process is killed.
-    left: Option<usize>,
-    /// Bytes that a file may grow to.
-    room: Option<u64>,
-    steps: usize,
+    cached_names: BTreeMap<String, usize>,
+    durable_names: BTreeMap<String, usize>,
+    /// Number of operations until the process is killed; `None` if it is not killed.
+    operations_left: Option<usize>,
+    /// Maximum length of a file, in bytes; `None` for no limit.
+    max_file_bytes: Option<u64>,
+    /// Number of operations so far.
+    operations: usize,
 }
 
-/// A disk that keeps what was synced, and of the rest what a test says; killed at any step.
+/// Simulated disk. It keeps what was synced and, at a crash, as much of the rest as the test requests; the process can be
+/// killed at any operation.
 #[derive(Clone, Debug, Default)]
-struct Disk(Rc<RefCell<State>>);
+struct Disk(Rc<RefCell<DiskState>>);
 
 impl Disk {
-    fn step(&self) -> io::Result<std::cell::RefMut<'_, State>> {
-        let mut s = self.0.borrow_mut();
-        s.steps += 1;
-        match &mut s.left {
+    /// Counts an operation; fails if the process is killed before it.
+    fn begin_operation(&self) -> io::Result<std::cell::RefMut<'_, DiskState>> {
+        let mut state = self.0.borrow_mut();
+        state.operations += 1;
+        match &mut state.operations_left {
             Some(0) => return Err(io::Error::other("killed")),
             Some(left) => *left -= 1,
             None => {}
         }
-        Ok(s)
+        Ok(state)
     }
 
-    /// The machine goes down: of what was not synced, this share of the bytes came to the disk, and the names if so.
-    fn crash(&self, part: f64, names: bool) {
-        let mut s = self.0.borrow_mut();
-        (s.left, s.room) = (None, None);
-        for file in &mut s.files {
-            let same = file.now.iter().zip(&file.disk).take_while(|(a, b)| a == b).count();
-            let more = file.now.len().saturating_sub(same);
-            let came = same + (more as f64 * part) as usize;
-            if file.now.len() >= file.disk.len() {
-                file.disk = file.now[..came].to_vec();
+    /// Simulates a crash of the machine. Of the bytes that were not synced, `written_share` (0 to 1) reached the disk; renamed
+    /// and created names did if `names_written`.
+    fn crash(&self, written_share: f64, names_written: bool) {
+        let mut state = self.0.borrow_mut();
+        (state.operations_left, state.max_file_bytes) = (None, None);
+        for file in &mut state.files {
+            let common = file.cached.iter().zip(&file.durable).take_while(|(a, b)| a == b).count();
+            let unsynced = file.cached.len().saturating_sub(common);
+            let written = common + (unsynced as f64 * written_share) as usize;
+            if file.cached.len() >= file.durable.len() {
+                file.durable = file.cached[..written].to_vec();
             }
-            file.now = file.disk.clone();
+            file.cached = file.durable.clone();
         }
-        if names {
-            s.names_on_disk = s.names.clone();
+        if names_written {
+            state.durable_names = state.cached_names.clone();
         }
-        s.names = s.names_on_disk.clone();
+        state.cached_names = state.durable_names.clone();
     }
 }
 
@@ -68,113 +74,123 @@
     type Open = usize;
 
     fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
-        let s = self.step()?;
-        let bytes = s.names.get(name).map(|&f| s.files[f].now.clone());
+        let state = self.begin_operation()?;
+        let bytes = state.cached_names.get(name).map(|&index| state.files[index].cached.clone());
         assert!(bytes.as_ref().is_none_or(|b| b.len() as u64 <= max_bytes));
         Ok(bytes)
     }
 
     fn open(&mut self, name: &str) -> io::Result<usize> {
-        let mut s = self.step()?;
-        if let Some(&f) = s.names.get(name) {
-            return Ok(f);
+        let mut state = self.begin_operation()?;
+        if let Some(&index) = state.cached_names.get(name) {
+            return Ok(index);
         }
-        s.files.push(Content::default());
-        let f = s.files.len() - 1;
-        s.names.insert(name.into(), f);
-        Ok(f)
+        state.files.push(Content::default());
+        let index = state.files.len() - 1;
+        state.cached_names.insert(name.into(), index);
+        Ok(index)
     }
 
-    fn write(&mut self, f: &mut usize, at: u64, bytes: &[u8]) -> io::Result<()> {
-        // A write that is killed or finds no room may leave a part of itself.
-        let killed = self.step().is_err();
-        let mut s = self.0.borrow_mut();
-        let room = s.room.unwrap_or(u64::MAX).saturating_sub(at) as usize;
-        let most = if killed { bytes.len() / 2 } else { bytes.len().min(room) };
-        let now = &mut s.files[*f].now;
-        let at = at as usize;
-        now.resize(now.len().max(at + most), 0);
-        now[at..at + most].copy_from_slice(&bytes[..most]);
-        match (killed, most == bytes.len()) {
+    fn write(&mut self, file: &mut usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        // A write of a killed process, or on a full disk, may be partial.
+        let killed = self.begin_operation().is_err();
+        let mut state = self.0.borrow_mut();
+        let space = state.max_file_bytes.unwrap_or(u64::MAX).saturating_sub(offset) as usize;
+        let length = if killed { bytes.len() / 2 } else { bytes.len().min(space) };
+        let cached = &mut state.files[*file].cached;
+        let offset = offset as usize;
+        cached.resize(cached.len().max(offset + length), 0);
+        cached[offset..offset + length].copy_from_slice(&bytes[..length]);
+        match (killed, length == bytes.len()) {
             (true, _) => Err(io::Error::other("killed")),
             (false, true) => Ok(()),
             (false, false) => Err(io::ErrorKind::StorageFull.into()),
         }
     }
 
-    fn truncate(&mut self, f: &mut usize, length: u64) -> io::Result<()> {
-        let mut s = self.step()?;
-        s.files[*f].now.truncate(length as usize);
+    fn truncate(&mut self, file: &mut usize, length: u64) -> io::Result<()> {
+        let mut state = self.begin_operation()?;
+        state.files[*file].cached.truncate(length as usize);
         Ok(())
     }
 
-    fn sync(&mut self, f: &mut usize) -> io::Result<()> {
-        let mut s = self.step()?;
-        let file = &mut s.files[*f];
-        file.disk = file.now.clone();
+    fn sync(&mut self, file: &mut usize) -> io::Result<()> {
+        let mut state = self.begin_operation()?;
+        let content = &mut state.files[*file];
+        content.durable = content.cached.clone();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let mut s = self.step()?;
-        let f = s.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        s.names.insert(to.into(), f);
+        let mut state = self.begin_operation()?;
+        let index = state.cached_names.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        state.cached_names.insert(to.into(), index);
         Ok(())
     }
 
     fn sync_directory(&mut self) -> io::Result<()> {
-        let mut s = self.step()?;
-        s.names_on_disk = s.names.clone();
+        let mut state = self.begin_operation()?;
+        state.durable_names = state.cached_names.clone();
         Ok(())
     }
 }
 
-fn record(k: u8) -> Vec<u8> {
-    vec![k; 5 + usize::from(k) % 7]
+fn record(number: u8) -> Vec<u8> {
+    vec![number; 5 + usize::from(number) % 7]
 }
 
-/// Appends, promises and replaces; what was promised is noted as it happens.
-fn work(disk: &Disk, promised: &mut Vec<Vec<u8>>, all: &mut Vec<Vec<u8>>) -> Result<(), JournalError> {
+/// Appends, syncs and replaces. `durable` receives the records of each completed sync or replacement, and `all` all records
+/// that the journal is to hold.
+fn write_records(
+    disk: &Disk,
+    durable: &mut Vec<Vec<u8>>,
+    all: &mut Vec<Vec<u8>>,
+) -> Result<(), JournalError> {
     let (mut journal, _) = Journal::open(disk.clone(), FORMAT)?;
-    for k in 1..=12 {
-        all.push(record(k));
-        journal.append(&[record(k)])?;
-        if k % 4 == 0 {
-            // The older half is folded into one.
+    for number in 1..=12 {
+        all.push(record(number));
+        journal.append(&[record(number)])?;
+        if number % 4 == 0 {
+            // The journal is compacted to its newer half.
             let kept = all[all.len() / 2..].to_vec();
             *all = kept.clone();
             journal.replace(&kept)?;
-        } else if k % 2 == 0 {
+        } else if number % 2 == 0 {
             journal.sync()?;
         } else {
             continue;
         }
-        *promised = all.clone();
+        *durable = all.clone();
     }
     Ok(())
 }
 
-/// Guards against losing what was promised, or taking what was not, whenever the process or its machine dies: every
-/// step of opening, writing, syncing, replacing and renaming is visited.
+/// Guards against losing durable records, or returning records that were not written, after a crash of the process or the
+/// machine at any operation of opening, writing, syncing, replacing and renaming.
 #[test]
-fn killed_at_any_step_it_has_what_was_promised_and_no_more_than_was_written() {
-    let whole = Disk::default();
-    work(&whole, &mut Vec::new(), &mut Vec::new()).expect("nobody kills it");
-    let steps = whole.0.borrow().steps;
-    assert!(steps > 30, "{steps}");
-    for at in 0..steps {
-        for (part, names) in [(0.0, false), (0.0, true), (0.5, false), (0.5, true), (1.0, true)] {
+fn after_a_crash_at_any_operation_all_durable_records_are_found_and_none_that_was_not_written() {
+    let uninterrupted = Disk::default();
+    write_records(&uninterrupted, &mut Vec::new(), &mut Vec::new()).expect("the process is not killed");
+    let operations = uninterrupted.0.borrow().operations;
+    assert!(operations > 30, "{operations}");
+    for crash_at in 0..operations {
+        for (written_share, names_written) in
+            [(0.0, false), (0.0, true), (0.5, false), (0.5, true), (1.0, true)]
+        {
             let disk = Disk::default();
-            disk.0.borrow_mut().left = Some(at);
-            let (mut promised, mut all) = (Vec::new(), Vec::new());
-            work(&disk, &mut promised, &mut all).expect_err("it is killed");
-            disk.crash(part, names);
+            disk.0.borrow_mut().operations_left = Some(crash_at);
+            let (mut durable, mut all) = (Vec::new(), Vec::new());
+            write_records(&disk, &mut durable, &mut all).expect_err("the process is killed");
+            disk.crash(written_share, names_written);
             let (_, found) = Journal::open(disk.clone(), FORMAT).expect("no damage");
-            // Either the journal of the last promise with a part of what was appended since, or the one in its place.
-            let grown = found.starts_with(&promised) && found.len() <= promised.len() + 2;
+            // Either the last durable journal with some of the records that were appended since, or its replacement.
+            let grown = found.starts_with(&durable) && found.len() <= durable.len() + 2;
             let replaced = all.starts_with(&found) && found.len() + 1 >= all.len();
-            assert!(grown || replaced, "step {at}, {part}, {names}: {found:?} of {promised:?}, {all:?}");
-            // And it goes on from there.
+            assert!(
+                grown || replaced,
+                "operation {crash_at}, {written_share}, {names_written}: {found:?} of {durable:?}, {all:?}"
+            );
+            // The journal can be appended to afterwards.
             let (mut journal, before) = Journal::open(disk.clone(), FORMAT).expect("opens");
             journal.append(&[record(99)]).expect("appends");
             journal.sync().expect("syncs");
@@ -184,52 +200,52 @@
     }
 }
 
-/// Guards against a full disk after which something is lost, half there, or never works again.
+/// Guards against a full disk after which durable records are lost, a partial record is read, or the journal stays unusable.
 #[test]
-fn a_full_disk_loses_nothing_that_was_promised_and_room_brings_it_back() {
-    for room in 0..400 {
+fn a_full_disk_loses_no_durable_record_and_the_journal_recovers_once_there_is_space() {
+    for space in 0..400 {
         let disk = Disk::default();
         let (mut journal, _) = Journal::open(disk.clone(), FORMAT).expect("opens");
-        disk.0.borrow_mut().room = Some(40 + room);
-        let mut promised = Vec::new();
+        disk.0.borrow_mut().max_file_bytes = Some(40 + space);
+        let mut durable = Vec::new();
         let mut failed = false;
-        for k in 1..=30 {
-            let mut all = promised.clone();
-            all.push(record(k));
-            let done = match k % 9 {
+        for number in 1..=30 {
+            let mut all = durable.clone();
+            all.push(record(number));
+            let result = match number % 9 {
                 0 => journal.replace(&all),
-                _ => journal.append(&[record(k)]).and_then(|()| journal.sync()),
+                _ => journal.append(&[record(number)]).and_then(|()| journal.sync()),
             };
-            if done.is_ok() {
-                promised = all;
+            if result.is_ok() {
+                durable = all;
                 continue;
             }
             failed = true;
-            assert!(journal.recover(64).is_err(), "there is no room yet");
-            disk.0.borrow_mut().room = None;
-            assert_eq!(journal.recover(64).expect("there is room"), promised);
+            assert!(journal.recover(64).is_err(), "there is no space yet");
+            disk.0.borrow_mut().max_file_bytes = None;
+            assert_eq!(journal.recover(64).expect("there is space"), durable);
             break;
         }
-        assert!(failed, "{room}");
+        assert!(failed, "{space}");
         journal.append(&[record(77)]).expect("appends");
         journal.sync().expect("syncs");
         disk.crash(0.0, false);
-        promised.push(record(77));
-        assert_eq!(Journal::open(disk, FORMAT).expect("opens").1, promised);
+        durable.push(record(77));
+        assert_eq!(Journal::open(disk, FORMAT).expect("opens").1, durable);
     }
 }
 
-/// Opens a journal with this content: its records and the length of what is kept.
-fn opened(format: JournalFormat, bytes: &[u8]) -> Result<(Vec<Vec<u8>>, usize), JournalError> {
+/// Opens a journal with this content. Returns its records, and its length after a torn tail was truncated.
+fn open_content(format: JournalFormat, bytes: &[u8]) -> Result<(Vec<Vec<u8>>, usize), JournalError> {
     let disk = Disk::default();
-    let content = Content { now: bytes.to_vec(), disk: bytes.to_vec() };
+    let content = Content { cached: bytes.to_vec(), durable: bytes.to_vec() };
     disk.0.borrow_mut().files.push(content);
-    disk.0.borrow_mut().names.insert(format.name.into(), 0);
+    disk.0.borrow_mut().cached_names.insert(format.name.into(), 0);
     let (journal, records) = Journal::open(disk, format)?;
     Ok((records, usize::try_from(journal.length()).expect("fits")))
 }
 
-/// Guards against taking damage for a torn tail: damage of a durable record is reported, whichever byte is damaged.
+/// Guards against mistaking damage for a torn tail: a damaged durable record is reported, whichever byte is damaged.
 #[test]
 fn damage_is_reported_with_its_offset_and_a_torn_tail_is_truncated() {
     let disk = Disk::default();
@@ -238,50 +254,50 @@
     let all: Vec<_> = (1..=5).map(record).collect();
     journal.append(&all).expect("appends");
     journal.sync().expect("syncs");
-    let good = disk.0.borrow().files[0].now.clone();
-    assert_eq!(opened(FORMAT, &good).expect("good"), (all.clone(), good.len()));
-    for at in 0..good.len() {
+    let good = disk.0.borrow().files[0].cached.clone();
+    assert_eq!(open_content(FORMAT, &good).expect("good"), (all.clone(), good.len()));
+    for index in 0..good.len() {
         for bit in 0..8 {
-            let mut bad = good.clone();
-            bad[at] ^= 1 << bit;
-            match opened(FORMAT, &bad) {
-                Err(JournalError::Damaged { offset, .. }) => assert!(offset as usize <= at),
-                Err(JournalError::WrongFormat { .. }) => assert!(at < header_length),
-                got => panic!("bit {bit} of byte {at}: {got:?}"),
+            let mut damaged = good.clone();
+            damaged[index] ^= 1 << bit;
+            match open_content(FORMAT, &damaged) {
+                Err(JournalError::Damaged { offset, .. }) => assert!(offset as usize <= index),
+                Err(JournalError::WrongFormat { .. }) => assert!(index < header_length),
+                other => panic!("bit {bit} of byte {index}: {other:?}"),
             }
         }
     }
     for cut in 0..good.len() {
-        let (found, end) = opened(FORMAT, &good[..cut]).expect("a torn tail is truncated");
+        let (found, end) = open_content(FORMAT, &good[..cut]).expect("a torn tail is truncated");
         // Without a complete header the journal is created anew.
-        let kept = if cut < header_length { header_length } else { cut };
-        assert!(all.starts_with(&found) && end <= kept);
+        let max_length = if cut < header_length { header_length } else { cut };
+        assert!(all.starts_with(&found) && end <= max_length);
         assert!(cut >= header_length || found.is_empty());
-        let mut zeros = good[..cut].to_vec();
-        zeros.resize(good.len() + 9, 0);
+        let mut zero_filled = good[..cut].to_vec();
+        zero_filled.resize(good.len() + 9, 0);
         if cut >= header_length {
-            let (found, _) = opened(FORMAT, &zeros).expect("allocated space is not damage");
+            let (found, _) = open_content(FORMAT, &zero_filled).expect("allocated space is not damage");
             assert!(all.starts_with(&found), "{cut}");
         }
     }
     let other = JournalFormat { version: 2, ..FORMAT };
-    let error = opened(other, &good).expect_err("another version");
+    let error = open_content(other, &good).expect_err("another version");
     assert!(matches!(error, JournalError::WrongFormat { .. }) && error.to_string().contains("in version 2"));
 }
 
 #[test]
-fn it_has_a_bound_and_says_so() {
+fn writes_beyond_the_maximum_length_are_rejected() {
     let disk = Disk::default();
     let (mut journal, _) = Journal::open(disk, FORMAT).expect("opens");
     let error = journal.append(&[vec![1; 5000]]).expect_err("too long");
     assert_eq!(error.kind(), io::ErrorKind::FileTooLarge);
     assert!(journal.replace(&[vec![1; 5000]]).is_err());
-    journal.append(&[vec![1; 3000]]).expect("there is room for this");
+    journal.append(&[vec![1; 3000]]).expect("within the maximum length");
 }
 
-/// The system's files do what the seam asks of them.
+/// Guards against an implementation of `Files` for the system's files that deviates from the simulated disk.
 #[test]
-fn in_a_folder_it_is_found_again() {
+fn a_journal_in_a_folder_is_found_again() {
     let path = std::env::temp_dir().join(format!("herondock-journal-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let open = || Journal::open(Folder::new(&path).expect("a folder"), FORMAT).expect("opens");
@@ -312,7 +328,11 @@
     let folder = Folder::new(&path).expect("a folder");
     std::fs::write(path.join(COUNCIL.name), FORMER_BUILD).expect("writes");
     let (mut journal, records) = Journal::open(folder, COUNCIL).expect("opens");
-    assert_eq!(std::fs::read(path.join(COUNCIL.name)).expect("reads"), FORMER_BUILD, "it is left as it is");
+    assert_eq!(
+        std::fs::read(path.join(COUNCIL.name)).expect("reads"),
+        FORMER_BUILD,
+        "opening does not change the file"
+    );
     assert_eq!(records.len(), 3);
     // Between the header line and each record there are the twelve bytes of the record's head.
     assert_eq!(records, [&FORMER_BUILD[51..125], &FORMER_BUILD[137..548], &FORMER_BUILD[560..565]]);
@@ -325,24 +345,24 @@
     std::fs::remove_dir_all(&path).expect("removes");
 }
 
-/// Guards against an upgrade that takes the torn tail of a crash of the former build for damage, or for a record.
+/// Guards against an upgrade that mistakes a torn tail of the former build for damage, or for a record.
 #[test]
 fn a_torn_tail_of_the_former_build_is_truncated() {
-    let (complete, length) = opened(COUNCIL, FORMER_BUILD).expect("opens");
+    let (complete, length) = open_content(COUNCIL, FORMER_BUILD).expect("opens");
     assert_eq!((complete.len(), length), (3, FORMER_BUILD.len()));
     let last_record = FORMER_BUILD.len() - complete[2].len() - 12;
-    let with = |more: &[u8]| [FORMER_BUILD, more].concat();
+    let with_suffix = |suffix: &[u8]| [FORMER_BUILD, suffix].concat();
     let torn_record = &FORMER_BUILD[last_record..FORMER_BUILD.len() - 3];
-    for (content, records, kept) in [
+    for (content, record_count, kept_bytes) in [
         // The last record is cut short.
         (FORMER_BUILD[..FORMER_BUILD.len() - 1].to_vec(), 2, last_record),
         (FORMER_BUILD[..last_record + 5].to_vec(), 2, last_record),
         // A further record is cut short, or only its space was allocated.
-        (with(torn_record), 3, FORMER_BUILD.len()),
-        (with(&[0; 64]), 3, FORMER_BUILD.len()),
-        (with(&[torn_record, &[0; 400]].concat()), 3, FORMER_BUILD.len()),
+        (with_suffix(torn_record), 3, FORMER_BUILD.len()),
+        (with_suffix(&[0; 64]), 3, FORMER_BUILD.len()),
+        (with_suffix(&[torn_record, &[0; 400]].concat()), 3, FORMER_BUILD.len()),
     ] {
-        let (found, length) = opened(COUNCIL, &content).expect("a torn tail");
-        assert_eq!((found.as_slice(), length), (&complete[..records], kept));
+        let (found, length) = open_content(COUNCIL, &content).expect("a torn tail");
+        assert_eq!((found.as_slice(), length), (&complete[..record_count], kept_bytes));
     }
 }
