--- a/crates/foundations/daemon/tests/pid_file.rs
+++ b/crates/foundations/daemon/tests/pid_file.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_pid_file_has_one_holder_whose_process_id_is_reported() {
     let path = path("one");
-    let held = PidFile::acquire(&path).expect("nobody holds it");
+    let held = PidFile::acquire(&path).expect("no process holds it");
     assert_eq!(holder(&path), Some(std::process::id()));
     let error = PidFile::acquire(&path).err().expect("it is held").to_string();
     assert!(error.ends_with(&format!("held by process {}", std::process::id())), "{error}");
@@ -24,8 +24,8 @@
     for content in ["1\n", "not a number", "", "99999999999999999999999999"] {
         let path = path("stale");
         std::fs::write(&path, content).expect("writes");
-        assert_eq!(holder(&path), None, "it counts only while it is locked");
-        let held = PidFile::acquire(&path).expect("nobody holds it");
+        assert_eq!(holder(&path), None, "a file has a holder only while it is locked");
+        let held = PidFile::acquire(&path).expect("no process holds it");
         assert_eq!(std::fs::read_to_string(&path).expect("reads"), format!("{}\n", std::process::id()));
         drop(held);
     }
@@ -34,7 +34,7 @@
 #[test]
 fn a_pid_file_that_was_replaced_is_not_removed() {
     let path = path("replaced");
-    let held = PidFile::acquire(&path).expect("nobody holds it");
+    let held = PidFile::acquire(&path).expect("no process holds it");
     std::fs::remove_file(&path).expect("removes");
     std::fs::write(&path, "other").expect("writes");
     drop(held);
@@ -48,13 +48,13 @@
     let path = path("full");
     let _ = std::fs::remove_file(&path);
     std::os::unix::fs::symlink("/dev/full", &path).expect("links");
-    let held = PidFile::acquire(&path).expect("the lock is what counts");
-    let fault = held.write_error().expect("no room");
-    assert!(fault.contains("No space left") && fault.contains(&*path.to_string_lossy()), "{fault}");
+    let held = PidFile::acquire(&path).expect("the lock is acquired");
+    let error = held.write_error().expect("no space");
+    assert!(error.contains("No space left") && error.contains(&*path.to_string_lossy()), "{error}");
     drop(held);
     assert!(!path.exists() && std::path::Path::new("/dev/full").exists());
-    // Empty, as a file size limit of zero bytes leaves it.
-    let held = PidFile::acquire(&path).expect("nobody holds it");
+    // An empty file, as a file size limit of zero bytes leaves it.
+    let held = PidFile::acquire(&path).expect("no process holds it");
     assert_eq!(held.write_error(), None);
     std::fs::write(&path, "").expect("empties");
     assert_eq!(holder(&path), Some(std::process::id()), "the system reports the holder");
