--- a/crates/foundations/hashing/tests/hashes.rs
+++ b/crates/foundations/hashing/tests/hashes.rs
@@ -1,29 +1,30 @@
-//! Known values: hashes must not change between versions.
+//! Known hash values, which must not change between versions.
 use hashing::{keyed, stable, Digest};
 
-/// Guards against another hash: upstreams would change their places, and instances of two versions disagree.
+/// Guards against a change of the stable hash, after which instances of two versions would place upstreams differently.
 #[test]
-fn it_is_the_published_one() {
-    // From the draft's appendix C.
-    for (text, wanted) in
+fn stable_is_fnv_1a() {
+    // Test vectors of draft-eastlake-fnv, appendix C.
+    for (text, expected) in
         [("", 0xcbf2_9ce4_8422_2325), ("a", 0xaf63_dc4c_8601_ec8c), ("foobar", 0x8594_4171_f739_67e8)]
     {
-        assert_eq!(stable(text.as_bytes()), wanted, "{text:?}");
+        assert_eq!(stable(text.as_bytes()), expected, "{text:?}");
     }
 }
 
 #[test]
-fn bit_by_bit_it_is_the_same() {
+fn the_incremental_hash_equals_the_hash_of_all_bytes() {
     let mut digest = Digest::default();
     digest.write_u64(0x0102);
     assert_eq!(digest.finish(), stable(&[2, 1, 0, 0, 0, 0, 0, 0]));
 }
 
-/// Guards against another one: instances of two versions would not know each other's marks.
+/// Guards against a change of the keyed hash, after which instances of two versions would not recognise the values that the
+/// other one computed.
 #[test]
-fn the_keyed_one_depends_on_both_and_stays() {
-    let all = [keyed(b"a", b"x"), keyed(b"b", b"x"), keyed(b"a", b"y"), keyed(b"", b"x")];
-    assert!((0..4).all(|k| (0..k).all(|j| all[j] != all[k])));
-    // As it was when marks were first written.
+fn keyed_depends_on_secret_and_bytes_and_does_not_change() {
+    let hashes = [keyed(b"a", b"x"), keyed(b"b", b"x"), keyed(b"a", b"y"), keyed(b"", b"x")];
+    assert!((0..4).all(|k| (0..k).all(|j| hashes[j] != hashes[k])));
+    // Value of the first version that used this hash.
     assert_eq!(keyed(b"a", b"x"), 0x7c53ed62c51ebe08);
 }
