--- a/crates/control-plane/disruption-agent/src/agent.rs
+++ b/crates/control-plane/disruption-agent/src/agent.rs
@@ -66,13 +66,13 @@
         });
     }
 
-    /// Reports that nothing was done under a lease because it came too late. It is returned again if it is still valid.
+    /// Reports that a lease was not used because it was granted too late. It is returned again if it is still valid.
     pub fn mark_unused(&self, balancer: &str) {
         self.send(AgentCommand::MarkUnused { balancer: balancer.into() });
     }
 
-    /// Releases the lease for a balancer. `replaced` tells whether another process is to serve; then the lease ends only once
-    /// that process is ready.
+    /// Releases the lease for a balancer. If `replaced`, another process is to serve, and the lease ends only once that process is
+    /// ready.
     pub fn release(&self, balancer: &str, replaced: bool) {
         self.send(AgentCommand::Release { balancer: balancer.into(), replaced });
     }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Whether the lease may be acted on now: its session is active by this machine's clock, so nobody else can hold a lease
-    /// that conflicts with it.
+    /// Whether the lease may be acted on now: its session is active by this machine's clock, so no conflicting
+    /// lease can have been granted to another owner.
     pub fn is_active(&self, lease: &GrantedLease) -> bool {
         self.session() == Some(lease.session)
     }
@@ -120,7 +120,7 @@
 
 /// Continuation of the task after a step.
 enum Next {
-    /// Take the next step at once.
+    /// Take the next step immediately.
     Continue,
     /// Wait for a change, or until this time since boot.
     Wait(Option<Duration>),
@@ -202,7 +202,7 @@
                     info!("outage: {description}");
                 }
                 if let Err(error) = self.execute(write).await {
-                    info!("outage: write of the lease agent failed: {error}");
+                    info!("outage: write, or the read after it, failed: {error}");
                     self.lease_agent.on_failure(boottime_now());
                 }
                 self.publish();
@@ -212,6 +212,9 @@
     }
 
     /// Executes a write, and then reads the snapshot again, whether or not the write succeeded.
+    ///
+    /// # Errors
+    /// The write failed, or the read after a write that was executed or conflicted.
     async fn execute(&mut self, change: ConditionalWrite) -> Result<(), StoreError> {
         let outcome = write(&self.client, change).await;
         let read = self.informer.read_consistent().await.map(|_| ());
--- a/crates/control-plane/rollout-agent/src/agent.rs
+++ b/crates/control-plane/rollout-agent/src/agent.rs
@@ -189,7 +189,7 @@
     }
 
     fn on_failure(&mut self, error: &StoreError) {
-        info!("release: write of the rollout agent failed: {error}");
+        info!("release: read or write of the rollout agent failed: {error}");
         self.retry_at = Some(Instant::now() + RETRY_DELAY);
     }
 
--- a/crates/control-plane/rollout-agent/tests/build_id.rs
+++ b/crates/control-plane/rollout-agent/tests/build_id.rs
@@ -12,7 +12,7 @@
     assert!(of_file(&path).expect_err("not executable").to_string().contains("may not be run"));
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("sets");
     let build = of_file(&path).expect("a build");
-    // The example of FIPS 180-4.
+    // Test vector of FIPS 180-4 for `abc`.
     assert_eq!(build.0, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
     verify(&path, &build).expect("the same build");
     assert!(verify(&path, &BuildId("00".into())).is_err() && of_file(&folder).is_err());
--- a/crates/control-plane/rollout/src/canary.rs
+++ b/crates/control-plane/rollout/src/canary.rs
@@ -8,7 +8,7 @@
 //!
 //! - Test: one-sided Student's t test of the difference of means, with the variance of the old instances for both groups (one or
 //!   two new instances have no usable variance) and `n_old - 1` degrees of freedom.
-//! - Significance level: [`CanaryAnalysis::false_positive_rate`] holds for a whole rollout and is divided by the number of
+//! - Significance level: [`CanaryAnalysis::false_positive_rate`] holds for an entire rollout and is divided by the number of
 //!   checks and of metrics (Bonferroni correction), so frequent checks reduce the power of the test but not its significance.
 //! - Effect size: a difference below [`MetricThreshold::min_difference`] is no regression, however significant.
 //! - Variance floor: with few requests the old instances may by chance show no variance at all. For proportions the variance is
--- a/crates/control-plane/rollout/src/executor.rs
+++ b/crates/control-plane/rollout/src/executor.rs
@@ -1,8 +1,7 @@
 //! Actions of one supervisor for a rollout: for which instances it requests disruption leases, from which builds they are
 //! started, and what it reports on them. It performs no I/O: the caller requests leases, signals processes and writes reports.
 //!
-//! Replacements are computed anew from the latest snapshot each time ([`RolloutSpec::step`]), and once more when a lease is
-//! used, on a snapshot that was read from a majority after the grant, so that nothing is started after a pause. A supervisor that
+//! Replacements are computed from the latest snapshot each time ([`RolloutSpec::step`]), and again when a lease is used, on a snapshot that was read from a majority after the grant, so that nothing is started after a pause. A supervisor that
 //! is cut off from the coordination service has no active session and starts nothing either.
 use crate::{BuildId, InstanceReport, Replacement, RolloutPlan, RolloutSnapshot, RolloutSpec, RolloutState};
 use coordination::state_machine::SessionId;
--- a/crates/control-plane/rollout/src/lib.rs
+++ b/crates/control-plane/rollout/src/lib.rs
@@ -1,5 +1,5 @@
 //! Staged rollout of a build over a fleet of instances, without I/O: the caller passes observations of the instances and gets
-//! back which build each of them is to run and how far the rollout has come.
+//! back the build that each of them is to run and the state of the rollout.
 //!
 //! A rollout is a [`RolloutSpec`] with a [`RolloutState`], both in the coordination store, from which all supervisors read
 //! them. Each step is a pure function of these and of the observations, so any supervisor can continue where another stopped.
--- a/crates/control-plane/rollout/src/state_machine/mod.rs
+++ b/crates/control-plane/rollout/src/state_machine/mod.rs
@@ -129,7 +129,7 @@
 /// Command of an operator, with a reason where one is given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Replace no more instances.
+    /// Stop replacing instances.
     Pause(String),
     /// Continue where it was paused.
     Resume,
--- a/crates/control-plane/rollout/src/state_machine/stage.rs
+++ b/crates/control-plane/rollout/src/state_machine/stage.rs
@@ -111,26 +111,26 @@
         let samples = |build| -> Vec<MetricsSample> {
             instances.iter().filter(|i| i.runs(build)).filter_map(|i| i.metrics).collect()
         };
-        let is_whole_fleet = self.target_count(stage, instances.len()) >= instances.len();
+        let covers_fleet = self.target_count(stage, instances.len()) >= instances.len();
         match self.analysis.compare(&samples(&self.new), &samples(&self.old)) {
             // Two consecutive checks are required: requests of an instance fail together now and then, and in a stage of one
             // instance such a burst looks like a regression.
             AnalysisVerdict::Regression(description) if suspected => self.stop(stage, description),
             AnalysisVerdict::Regression(_) => observed_further(true),
-            AnalysisVerdict::Healthy if observed_ms >= self.bake_ms => self.pass(stage, is_whole_fleet),
+            AnalysisVerdict::Healthy if observed_ms >= self.bake_ms => self.pass(stage, covers_fleet),
             // Without old instances there is nothing to compare with; the earlier stages were compared.
             AnalysisVerdict::Inconclusive(_)
-                if observed_ms >= self.max_bake_ms || observed_ms >= self.bake_ms && is_whole_fleet =>
+                if observed_ms >= self.max_bake_ms || observed_ms >= self.bake_ms && covers_fleet =>
             {
-                self.pass(stage, is_whole_fleet)
+                self.pass(stage, covers_fleet)
             }
             _ => observed_further(false),
         }
     }
 
     /// Passes a stage.
-    fn pass(&self, stage: usize, is_whole_fleet: bool) -> Step {
-        let is_last = stage >= self.stages.len() || is_whole_fleet;
+    fn pass(&self, stage: usize, covers_fleet: bool) -> Step {
+        let is_last = stage >= self.stages.len() || covers_fleet;
         Step::transition(if is_last { RolloutState::Complete } else { RolloutState::stage_start(stage + 1) })
     }
 
--- a/crates/control-plane/rollout/tests/encoding.rs
+++ b/crates/control-plane/rollout/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The keys and bytes of what is stored, against those that earlier builds wrote: `fixtures/encoding.txt` holds one value a
-//! line, its key and its JSON.
+//! Keys and encoding of the stored values, compared with those that earlier builds wrote: `fixtures/encoding.txt` holds one
+//! value per line, as its key and its JSON.
 use disruption::Projection;
 use rollout::keys::{metrics_key, report_key, KEY_PREFIX, PLAN_KEY, STATE_KEY};
 use rollout::{
@@ -14,10 +14,10 @@
 const FIXTURE: &str = include_str!("fixtures/encoding.txt");
 
 fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(key: &str, value: &T) {
-    let written = serde_json::to_string(value).expect("a value without maps of odd keys");
+    let written = serde_json::to_string(value).expect("an encodable value");
     let line = format!("{key} {written}");
-    assert!(FIXTURE.lines().any(|known| known == line), "{line}");
-    assert_eq!(&serde_json::from_str::<T>(&written).expect("reads what it wrote"), value, "{key}");
+    assert!(FIXTURE.lines().any(|stored| stored == line), "{line}");
+    assert_eq!(&serde_json::from_str::<T>(&written).expect("a decodable value"), value, "{key}");
 }
 
 fn plan() -> RolloutPlan {
--- a/crates/control-plane/rollout/tests/rollout.rs
+++ b/crates/control-plane/rollout/tests/rollout.rs
@@ -9,21 +9,21 @@
 };
 use std::collections::BTreeSet;
 
-/// Upper bound for stopped good rollouts is 1 in 100 of this; 1,000 with optimisation.
+/// Of 1,000 good rollouts, at most 1 in 100 of this number may be stopped: 10 with optimisation, 1 without.
 const ROLLOUTS: u64 = if cfg!(debug_assertions) { 100 } else { 1000 };
-/// Seconds of a simulated step.
+/// Length of a simulated step, in seconds.
 const STEP_SECONDS: usize = 10;
-/// Replacements made in one step.
+/// Maximum number of replacements in one step.
 const REPLACEMENTS_PER_STEP: usize = 20;
-/// Requests of an instance per second.
+/// Number of requests per second that an instance receives.
 const REQUEST_RATE: u64 = 14;
 
-/// Uniform in 0..1.
+/// Draws a number that is uniform in 0..1.
 fn uniform(random: &mut Pcg64Mcg) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Number of successes in `trials`, by the normal approximation.
+/// Draws the number of successes in `trials`, by the normal approximation of the binomial distribution.
 fn binomial(random: &mut Pcg64Mcg, trials: u64, probability: f64) -> u64 {
     let mean = trials as f64 * probability;
     let deviation = (trials as f64 * probability * (1.0 - probability)).sqrt();
@@ -53,10 +53,10 @@
 }
 
 fn fleet(size: usize) -> Vec<InstanceObservation> {
-    let instance = |k: usize| InstanceObservation {
-        name: format!("m{}b{k}", k % 20),
-        zone: ["a", "b", "c"][k % 20 % 3].into(),
-        machine: format!("m{}", k % 20),
+    let instance = |index: usize| InstanceObservation {
+        name: format!("m{}b{index}", index % 20),
+        zone: ["a", "b", "c"][index % 20 % 3].into(),
+        machine: format!("m{}", index % 20),
         build: Some(build("old")),
         ready: true,
         ..InstanceObservation::default()
@@ -160,19 +160,20 @@
     assert_eq!(order_of(&instances), names);
 }
 
-/// Guards against what no analysis sees: a build that never gets ready or is missing on one machine stops the rollout; a paused
-/// rollout replaces nothing until it is resumed; and instances that join meanwhile take the new build from none.
+/// Guards against failures that the analysis does not detect: a build that never becomes ready, or is missing on one machine,
+/// must stop the rollout. A paused rollout must replace nothing until it is resumed, and instances that join meanwhile must
+/// not cause an instance that runs the new build to lose it.
 #[test]
 fn a_failed_instance_stops_the_rollout_and_a_paused_one_replaces_nothing() {
     let spec = RolloutSpec { auto_rollback: false, ..spec(1) };
     let mut instances = fleet(30);
     let first = spec.step(&spec.initial_state(), &instances, 0).replacements;
     assert_eq!(first.len(), 1);
-    let k = instances.iter().position(|i| i.name == first[0].instance).expect("exists");
+    let failed_index = instances.iter().position(|i| i.name == first[0].instance).expect("exists");
     // An instance that failed for another reason, outside the stage, does not matter.
-    instances[(k + 1) % 30].failure = Some("crashed".into());
+    instances[(failed_index + 1) % 30].failure = Some("crashed".into());
     assert_eq!(spec.step(&spec.initial_state(), &instances, 0).replacements, first);
-    instances[k].failure = Some("the build is missing".into());
+    instances[failed_index].failure = Some("the build is missing".into());
     let paused = spec.step(&spec.initial_state(), &instances, 0).next_state.expect("paused");
     assert!(
         matches!(&paused, RolloutState::Paused { stage: Some(0), reason } if reason.contains("missing")),
@@ -181,14 +182,14 @@
     let step = spec.step(&paused, &instances, 1);
     assert!(step.replacements.is_empty() && step.next_state.is_none(), "{step:?}");
     assert!(spec.apply_command(&paused, &OperatorCommand::Pause("again".into())).is_err());
-    instances[k].failure = None;
-    instances[k].build = Some(build("new"));
+    instances[failed_index].failure = None;
+    instances[failed_index].build = Some(build("new"));
     let resumed = spec.apply_command(&paused, &OperatorCommand::Resume).expect("resumes");
-    // Others join, before it in the order or after it: it keeps its build.
+    // Other instances join, before it or after it in the order: it keeps its build.
     instances.extend(fleet(60).split_off(30));
     let replacements = spec.step(&resumed, &instances, 2).replacements;
     assert!(
-        replacements.iter().all(|r| r.instance != instances[k].name && r.build == spec.new),
+        replacements.iter().all(|r| r.instance != instances[failed_index].name && r.build == spec.new),
         "{replacements:?}"
     );
     let rolling_back =
@@ -198,7 +199,7 @@
     let paused_rollback = spec.apply_command(&rolling_back, &pause).expect("paused");
     let resumed = spec.apply_command(&paused_rollback, &OperatorCommand::Resume);
     assert!(matches!(resumed, Ok(RolloutState::RollingBack { .. })));
-    let replacement = Replacement { instance: instances[k].name.clone(), build: spec.old.clone() };
+    let replacement = Replacement { instance: instances[failed_index].name.clone(), build: spec.old.clone() };
     assert_eq!(spec.step(&rolling_back, &instances, 3).replacements, [replacement]);
     let rolled_back = RolloutState::RolledBack { reason: "no".into() };
     assert_eq!(spec.step(&rolling_back, &fleet(60), 3).next_state, Some(rolled_back));
--- a/crates/control-plane/rollout/tests/snapshot.rs
+++ b/crates/control-plane/rollout/tests/snapshot.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// Guards against two concurrent rollouts, a state that overwrites another, and a state of another version that counts as none.
+/// Guards against two concurrent rollouts, a state that overwrites a concurrent one, and a state of another version
+/// that is treated as if there were none.
 #[test]
 fn one_rollout_at_a_time_and_each_state_replaces_the_current_one() {
     let mut snapshot = RolloutSnapshot::default();
@@ -62,8 +63,8 @@
     assert!(error.to_string().contains(STATE_KEY));
 }
 
-/// Guards against the last status of a process that has exited: it hides that another one is being started from the new build,
-/// and makes the instance count as ready too early.
+/// Guards against the last status of a process that has exited: it must not hide that another process is being started
+/// from the new build, nor make the instance count as ready too early.
 #[test]
 fn an_instance_on_its_way_to_the_new_build_counts_as_running_it_and_as_not_ready() {
     let mut snapshot = RolloutSnapshot::default();
@@ -88,9 +89,9 @@
     assert_eq!(observe(&snapshot, &fleet), ("new".into(), false));
     fleet.statuses.insert("b".into(), status("new"));
     assert_eq!(observe(&snapshot, &fleet), ("new".into(), true));
-    // On its way back it runs the new build until its process reports otherwise.
-    let back = InstanceReport { build: BuildId("old".into()), ..report };
-    snapshot.apply(&report_key("b"), Some(&json(&back)), 10);
+    // During a rollback it counts as running the new build until its process reports otherwise.
+    let rollback_report = InstanceReport { build: BuildId("old".into()), ..report };
+    snapshot.apply(&report_key("b"), Some(&json(&rollback_report)), 10);
     assert_eq!(observe(&snapshot, &fleet), ("new".into(), true));
     // A report for another rollout does not count.
     let other = InstanceReport { rollout_number: 7, build: BuildId("new".into()), failure: None };
