--- a/crates/foundations/storage/src/atomic_file.rs
+++ b/crates/foundations/storage/src/atomic_file.rs
@@ -1,4 +1,4 @@
-//! A file that is replaced as a whole. It consists of a header line and the content:
+//! A file whose entire content is replaced atomically. It consists of a header line and the content:
 //!
 //! ```text
 //! herondock-store 1 KIND VERSION WRITTEN LENGTH CRC32\n
@@ -32,7 +32,7 @@
 /// Suffix of the path of the temporary file, after the path of the file.
 const TEMPORARY_SUFFIX: &str = ".new";
 
-/// A file that is replaced as a whole.
+/// A file whose entire content is replaced atomically.
 #[derive(Clone, Debug)]
 pub struct AtomicFile {
     path: PathBuf,
--- a/crates/foundations/storage/src/journal/format.rs
+++ b/crates/foundations/storage/src/journal/format.rs
@@ -134,7 +134,8 @@
         return Decoded::TornTail;
     }
     let (head, rest) = bytes.split_at(HEAD_BYTES);
-    let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let number =
+        |start: usize| u32::from_le_bytes([head[start], head[start + 1], head[start + 2], head[start + 3]]);
     let (length, content_checksum, head_checksum) = (number(0) as usize, number(4), number(8));
     if head_checksum != crc32fast::hash(&head[..8]) {
         // A torn head is followed only by space that was allocated and not written, which reads as zeros.
--- a/crates/foundations/storage/src/journal/mod.rs
+++ b/crates/foundations/storage/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! An append-only journal of records. A record is durable after [`Journal::sync`]; the whole journal can be replaced
-//! atomically, which is how it is compacted.
+//! An append-only journal of records. A record is durable after [`Journal::sync`]; for compaction, the entire
+//! journal can be replaced atomically.
 //!
 //! ```text
 //! herondock-journal 1 KIND VERSION CRC32\n
--- a/crates/foundations/storage/src/lib.rs
+++ b/crates/foundations/storage/src/lib.rs
@@ -1,4 +1,4 @@
-//! Durable state, in two forms: a file that is replaced as a whole ([`AtomicFile`]) and an append-only [`journal`].
+//! Durable state, in two forms: an atomically replaced file ([`AtomicFile`]) and an append-only [`journal`].
 //!
 //! | module | contents |
 //! | --- | --- |
