--- a/crates/foundations/storage/src/journal/mod.rs
+++ b/crates/foundations/storage/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! An append-only journal of records. A record is durable after [`Journal::sync`]; the whole journal can be replaced
-//! atomically, which is how it is compacted.
+//! An append-only journal of records. A record is durable after [`Journal::sync`]; for compaction, the entire
+//! journal can be replaced atomically.
 //!
 //! ```text
 //! herondock-journal 1 KIND VERSION CRC32\n
@@ -8,7 +8,7 @@
 //!
 //! A crash can leave a torn tail: a record that is cut short, or of which only zeros reached the disk. It was never
 //! durable and is truncated. Anything else that does not match its checksum is reported as damage, with the file and the
-//! offset, and no record behind it is returned.
+//! offset, and no record after it is returned.
 //!
 //! | module | contents |
 //! | --- | --- |
