--- a/crates/herondock/src/run/error.rs
+++ b/crates/herondock/src/run/error.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 use tokio::task::JoinError;
 
-/// Why an instance can't start or go on, or can't reload its files. Each message is one line that names the file and field, or
-/// the address, at fault.
+/// Reason why an instance can't start, must stop, or can't reload its files. Each message is one line that names the file and
+/// field, or the address, at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The platform's configuration can't be used.
@@ -23,13 +23,13 @@
     /// The operator's file can't be used.
     #[error(transparent)]
     OperatorFile(#[from] ConfigFileError),
-    /// The routing table can't be used: all that is wrong with it.
+    /// The routing table is invalid; contains all of its faults.
     #[error("{0}")]
     RoutingTable(String),
     /// The thread that read the routing table has panicked.
     #[error("routing.table: {0}")]
     TableReader(JoinError),
-    /// The routing table has changed too often.
+    /// The routing table has been replaced too often.
     #[error(transparent)]
     TableChanges(#[from] TooManyTableChanges),
     /// A reload changes keys that are fixed while the process runs.
@@ -41,35 +41,35 @@
     /// The secret of request budgets can't be read.
     #[error(transparent)]
     Secret(#[from] SecretError),
-    /// The address can't be listened on.
+    /// The socket can't be bound to the address.
     #[error("listen: {address}: {source}")]
     Listen {
-        /// The address.
+        /// Configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The listener has no address.
+    /// The local address of the listener can't be determined.
     #[error("listen: {0}")]
     LocalAddress(io::Error),
-    /// There is no listener.
+    /// The instance was created without a listener.
     #[error("listen: there is no listener")]
     NoListener,
-    /// The listener is closed already.
-    #[error("listen: {0}: closed already")]
+    /// The listener is already closed.
+    #[error("listen: {0}: the listening socket is already closed")]
     ListenerClosed(SocketAddr),
-    /// A listener that was passed to this process has another address than the configuration's.
-    #[error("listen: the socket that was passed is at {got} and not at {wanted}")]
+    /// A listener that was passed to this process is bound to another address than the configured one.
+    #[error("listen: the socket passed to this process is bound to {actual} instead of {expected}")]
     PassedListener {
         /// Address of the listener.
-        got: SocketAddr,
-        /// Address of the configuration.
-        wanted: SocketAddr,
+        actual: SocketAddr,
+        /// Address in the configuration.
+        expected: SocketAddr,
     },
     /// The service manager passed sockets that can't be used.
     #[error(transparent)]
     Activation(#[from] ActivationError),
-    /// A predecessor did not hand its listener off.
+    /// The predecessor did not hand its listener off.
     #[error(transparent)]
     Handoff(#[from] HandoffError),
     /// The FastCGI front can't listen.
@@ -87,7 +87,7 @@
     /// The instance's task has panicked.
     #[error("{0}")]
     Task(JoinError),
-    /// The drivers' timers have stopped, without which no request would end.
+    /// The drivers' timers have stopped; without them requests would never time out.
     #[error("the timers stopped: {0}")]
     TimersStopped(String),
 }
--- a/crates/herondock/src/run/event_stream.rs
+++ b/crates/herondock/src/run/event_stream.rs
@@ -1,4 +1,4 @@
-//! Everything that happens to the process, as one stream of events.
+//! Merges signals, timers and events of tasks into one stream of process events.
 use super::error::RunError;
 use crate::listener_handoff::protocol::HandoffRequest;
 use daemon::signals::{ProcessSignal, Signals};
@@ -8,33 +8,33 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, Interval};
 
-/// How often open requests and connections are counted during a graceful shutdown.
+/// Interval at which open requests and connections are counted during a graceful shutdown.
 const OPEN_COUNT_INTERVAL: Duration = Duration::from_millis(10);
-/// Capacity of the event queue; senders wait when it is full.
+/// Number of events that the queue holds; senders wait while it is full.
 const EVENT_QUEUE_CAPACITY: usize = 16;
 
 /// Sends events of the instance's tasks.
 #[derive(Clone)]
 pub struct EventSender {
-    /// For the lifecycle.
+    /// Events for the lifecycle.
     pub events: mpsc::Sender<Event>,
-    /// Requests at the handoff socket, one at a time.
+    /// Requests received at the handoff socket; the queue holds one.
     pub handoff_requests: mpsc::Sender<HandoffRequest>,
 }
 
 /// An event of the process.
 pub enum ProcessEvent {
-    /// For the lifecycle.
+    /// Event for the lifecycle.
     Lifecycle(Event),
-    /// A request at the handoff socket.
+    /// A request received at the handoff socket.
     Handoff(HandoffRequest),
-    /// The service manager's watchdog has to be notified.
+    /// The service manager's watchdog is due for a notification.
     WatchdogTick,
-    /// Open requests and connections have to be counted.
+    /// Open requests and connections are due to be counted.
     CountOpen,
 }
 
-/// Everything that an instance waits for.
+/// All event sources of an instance.
 pub struct EventStream {
     signals: Signals,
     events: mpsc::Receiver<Event>,
@@ -44,50 +44,61 @@
 }
 
 impl EventStream {
-    /// Signals, what is told, the watchdog's beat, and the end of the driver's timers.
+    /// Creates the stream and the sender of its events. `watchdog` is the interval of watchdog notifications; `timers` is the
+    /// task that runs the drivers' timers.
     pub fn new(
         signals: Signals,
         watchdog: Option<Duration>,
         timers: JoinHandle<()>,
     ) -> (EventStream, EventSender) {
-        let (events, told) = mpsc::channel(EVENT_QUEUE_CAPACITY);
-        let (ask, asked) = mpsc::channel(1);
-        let alive = watchdog.map(tokio::time::interval);
+        let (events, event_receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let (handoff_sender, handoff_receiver) = mpsc::channel(1);
+        let watchdog_interval = watchdog.map(tokio::time::interval);
         (
-            EventStream { signals, events: told, handoff_requests: asked, watchdog: alive, timers },
-            EventSender { events, handoff_requests: ask },
+            EventStream {
+                signals,
+                events: event_receiver,
+                handoff_requests: handoff_receiver,
+                watchdog: watchdog_interval,
+                timers,
+            },
+            EventSender { events, handoff_requests: handoff_sender },
         )
     }
 
-    /// The next thing that happens. `wake`: when the lifecycle wants to be told of the time; `counts`: whether what is
-    /// open is to be counted.
+    /// Waits for the next event. `wake_at` is the time of the lifecycle's next timeout; with `count_open`, open requests and
+    /// connections are due to be counted every [`OPEN_COUNT_INTERVAL`].
     ///
     /// # Errors
-    /// The timers stopped. Without them no request would end: better to stop at once, seen by all.
-    pub async fn next(&mut self, wake: Option<Instant>, counts: bool) -> Result<ProcessEvent, RunError> {
-        let alive = async {
+    /// The drivers' timers stopped. Requests would never time out without them, so the process has to exit with an error.
+    pub async fn next(
+        &mut self,
+        wake_at: Option<Instant>,
+        count_open: bool,
+    ) -> Result<ProcessEvent, RunError> {
+        let watchdog_tick = async {
             match &mut self.watchdog {
-                Some(alive) => drop(alive.tick().await),
+                Some(interval) => drop(interval.tick().await),
                 None => std::future::pending().await,
             }
         };
-        let time = async {
-            match wake {
-                Some(at) => tokio::time::sleep_until(at).await,
+        let timeout = async {
+            match wake_at {
+                Some(time) => tokio::time::sleep_until(time).await,
                 None => std::future::pending().await,
             }
         };
         Ok(tokio::select! {
-            told = self.signals.next() => ProcessEvent::Lifecycle(match told {
+            signal = self.signals.next() => ProcessEvent::Lifecycle(match signal {
                 ProcessSignal::Stop => Event::Stop,
                 ProcessSignal::Reload => Event::Reload,
             }),
             Some(event) = self.events.recv() => ProcessEvent::Lifecycle(event),
-            Some(asked) = self.handoff_requests.recv() => ProcessEvent::Handoff(asked),
-            () = time => ProcessEvent::Lifecycle(Event::Timeout),
-            () = tokio::time::sleep(OPEN_COUNT_INTERVAL), if counts => ProcessEvent::CountOpen,
-            () = alive => ProcessEvent::WatchdogTick,
-            end = &mut self.timers => return Err(RunError::TimersStopped(format!("{end:?}"))),
+            Some(request) = self.handoff_requests.recv() => ProcessEvent::Handoff(request),
+            () = timeout => ProcessEvent::Lifecycle(Event::Timeout),
+            () = tokio::time::sleep(OPEN_COUNT_INTERVAL), if count_open => ProcessEvent::CountOpen,
+            () = watchdog_tick => ProcessEvent::WatchdogTick,
+            result = &mut self.timers => return Err(RunError::TimersStopped(format!("{result:?}"))),
         })
     }
 }
--- a/crates/herondock/src/run/instance.rs
+++ b/crates/herondock/src/run/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: its lifecycle decides, and each of its actions is performed here.
+//! A running instance: passes events to its lifecycle and performs the resulting actions.
 use super::error::RunError;
 use super::event_stream::{EventSender, EventStream, ProcessEvent};
 use super::reload::Reloader;
@@ -30,49 +30,49 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// How long the pid file of a predecessor that has passed its sockets on is waited for.
+/// Maximum time to wait for a predecessor that has handed its sockets off to release the pid file.
 const PID_FILE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the exit waits for the coordination service to close the session; it expires by itself as well.
+/// Maximum time that the exit waits for the coordination service to close the session, which would otherwise expire.
 const SESSION_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What an instance consists of.
+/// Components of an instance.
 pub struct InstanceConfig {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// When the process began.
+    /// Time at which the process started.
     pub start: Instant,
-    /// Hash of the platform's settings: a successor uses transferred state only if its settings have the same.
+    /// Hash of the platform's settings. A successor uses transferred state only if its own settings have the same hash.
     pub fingerprint: u64,
-    /// `[daemon]` of the operator's file, with what the command line put in its place.
+    /// `[daemon]` of the operator's file, with the overrides of the command line.
     pub daemon: Daemon,
-    /// The service manager.
+    /// Sends notifications to the service manager.
     pub manager: ServiceManager,
-    /// The pools and their drivers.
+    /// Pools and their drivers.
     pub pools: Pools,
-    /// The endpoints of all sources.
-    pub members: EndpointAggregator<Pools>,
+    /// Endpoints of all sources.
+    pub endpoints: EndpointAggregator<Pools>,
     /// Registrations of this instance in service discovery.
     pub registrations: Registrations,
-    /// The front for HTTP.
+    /// Front for clients that use HTTP.
     pub http_front: Rc<HttpFront>,
-    /// The front for FastCGI.
+    /// Front for clients that use FastCGI.
     pub fastcgi_front: Rc<FastCgiFront>,
-    /// Descriptors of the process.
+    /// Budget of file descriptors of the process.
     pub descriptors: DescriptorBudget,
-    /// Tells the fronts how far a graceful shutdown has come.
+    /// Publishes the progress of a graceful shutdown to the fronts.
     pub progress: watch::Sender<ShutdownProgress>,
-    /// Applies changed files.
+    /// Applies changed files on SIGHUP.
     pub reloader: Reloader,
-    /// A handle of the listening socket to accept on and to pass on; `None` once accepting has stopped.
+    /// Listening socket, to accept connections on and to hand off; `None` once accepting has stopped.
     pub listener: Option<std::net::TcpListener>,
-    /// The pid file, unless a predecessor still holds it.
+    /// Pid file; `None` if there is none, or while a predecessor holds it.
     pub pid_file: Option<PidFile>,
-    /// Receives the events of the instance's tasks.
+    /// Sends the events of the instance's tasks to its event stream.
     pub sender: EventSender,
     /// Client of the coordination service, if the instance has one.
     pub coordination: Option<ClientHandle>,
-    /// State of the instance as reported to the coordination service.
-    pub states: watch::Sender<disruption::InstanceState>,
+    /// Publishes the state of the instance to the reporter for the coordination service.
+    pub state_sender: watch::Sender<disruption::InstanceState>,
 }
 
 /// A running instance.
@@ -80,25 +80,26 @@
     config: InstanceConfig,
     address: SocketAddr,
     lifecycle: Lifecycle,
-    /// Sends the claim of the sockets to the predecessor.
+    /// Triggers the claim of the sockets at the predecessor.
     claim: Option<oneshot::Sender<()>>,
-    /// The task that receives requests for a handoff.
+    /// Task that receives requests at the handoff socket.
     handoff_listener: Option<AbortHandle>,
-    /// A process that has asked for the sockets.
+    /// Process that has requested the sockets and got no answer yet.
     successor: Option<Successor>,
-    /// The same, once it could serve.
+    /// Successor that is ready to serve and waits to be released.
     ready_successor: Rc<RefCell<Option<ReadySuccessor>>>,
-    /// The HTTP front's task.
+    /// Task of the HTTP front.
     http_task: Option<JoinHandle<()>>,
-    /// Why the last reload was rejected.
+    /// Error of the last reload, if it failed.
     reload_error: Option<RunError>,
 }
 
 impl Instance {
-    /// An instance that does not accept yet; with a predecessor, it takes the sockets over from it.
+    /// Creates an instance that does not accept connections yet. If there is a predecessor, the instance claims the sockets
+    /// from it once it is ready.
     ///
     /// # Errors
-    /// The listener has no address.
+    /// There is no listener, or its local address can't be determined.
     pub fn new(config: InstanceConfig, predecessor: Option<ReceivedListeners>) -> Result<Instance, RunError> {
         let address = config.listener.as_ref().ok_or(RunError::NoListener)?.local_addr();
         let address = address.map_err(RunError::LocalAddress)?;
@@ -126,12 +127,12 @@
         Ok(instance)
     }
 
-    /// Reports to the lifecycle once the predecessor accepts no connections any more.
+    /// Notifies the lifecycle once the predecessor accepts no connections any more.
     fn wait_for_release(&self, predecessor: ReceivedListeners, claimed: oneshot::Receiver<()>) {
         let events = self.config.sender.events.clone();
         tokio::task::spawn_local(async move {
             let ready = async {
-                // Guards against a process that ends before it is ready: a sender that is dropped is no claim.
+                // A dropped sender is no claim: this process exits before it is ready.
                 if claimed.await.is_err() {
                     std::future::pending::<()>().await;
                 }
@@ -141,7 +142,7 @@
         });
     }
 
-    /// Reports to the lifecycle once endpoints are known.
+    /// Notifies the lifecycle once endpoints are known.
     fn wait_for_endpoints(&self) {
         let (events, pools) = (self.config.sender.events.clone(), self.config.pools.clone());
         tokio::task::spawn_local(async move {
@@ -150,7 +151,7 @@
         });
     }
 
-    /// Runs until the lifecycle has ended.
+    /// Runs the instance until its lifecycle has ended.
     ///
     /// # Errors
     /// The listener can't be used, or the drivers' timers stopped.
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Handles an event of the process, and what of it the lifecycle is told.
+    /// Handles an event of the process; returns the event to pass to the lifecycle.
     fn lifecycle_event(&mut self, event: ProcessEvent) -> Event {
         match event {
             ProcessEvent::Lifecycle(event) => event,
@@ -183,7 +184,7 @@
                 self.answer_endpoints(query);
                 Event::Timeout
             }
-            // The lifecycle decides whether it gets the sockets.
+            // The lifecycle decides whether the sockets are handed off.
             ProcessEvent::Handoff(HandoffRequest::Listeners(successor)) => {
                 self.successor = Some(successor);
                 Event::Successor(SuccessorEvent::Connected)
@@ -191,61 +192,61 @@
         }
     }
 
-    /// When the lifecycle's next timeout is due.
+    /// Time of the lifecycle's next timeout.
     fn next_timeout(&self) -> Option<Instant> {
-        self.lifecycle.next_timeout().map(|wake| self.config.start + wake)
+        self.lifecycle.next_timeout().map(|elapsed| self.config.start + elapsed)
     }
 
-    /// Whether a graceful shutdown goes on, so that open requests and connections are counted.
+    /// Whether a graceful shutdown is in progress; open requests and connections are counted then.
     fn is_shutting_down(&self) -> bool {
         self.lifecycle.state() >= State::ShuttingDown
     }
 
-    /// The requests and connections that are open now.
+    /// Numbers of open requests and connections, as an event. There is at least one connection while the HTTP front runs.
     fn open_counts(&self) -> Event {
         let connections = self.config.descriptors.callers().max(usize::from(self.is_serving()));
         Event::OpenCounts { requests: self.config.pools.open_requests(), connections }
     }
 
-    /// Whether clients are connected, or may be accepted.
+    /// Whether the HTTP front runs: clients are connected or may be accepted.
     fn is_serving(&self) -> bool {
         self.http_task.as_ref().is_some_and(|task| !task.is_finished())
     }
 
-    /// Answers a query for the endpoints at the Unix socket.
+    /// Answers a query for the endpoints at the handoff socket.
     fn answer_endpoints(&self, query: EndpointsQuery) {
-        // Texts and numbers only: this can't fail.
-        let endpoints = serde_json::to_vec(&self.config.members.status()).unwrap_or_default();
+        // Strings and numbers can always be encoded.
+        let endpoints = serde_json::to_vec(&self.config.endpoints.status()).unwrap_or_default();
         tokio::task::spawn_local(query.answer(endpoints));
     }
 
-    async fn perform(&mut self, action: Action, because: Event) -> Result<(), RunError> {
+    async fn perform(&mut self, action: Action, cause: Event) -> Result<(), RunError> {
         match action {
             Action::Accept => self.accept().await?,
             Action::Claim => drop(self.claim.take().map(|claim| claim.send(()))),
             Action::NotifyReady => self.notify_ready(),
             Action::NotifyReloading => self.config.manager.notify_reloading(),
-            Action::NotifyStopping => self.notify_stopping(because),
+            Action::NotifyStopping => self.notify_stopping(cause),
             Action::ReadFiles => self.reload().await,
             Action::HandOffListeners => self.hand_off_listeners()?,
             Action::RejectSuccessor => self.reject_successor(),
             Action::StopAccepting => self.stop_accepting(),
             Action::ReleaseSuccessor => self.release_successor(),
-            Action::AnswerBy(at) => {
-                self.config.pools.answer_within(at.saturating_sub(self.config.start.elapsed()));
+            Action::AnswerBy(deadline) => {
+                self.config.pools.answer_within(deadline.saturating_sub(self.config.start.elapsed()));
             }
             Action::CloseConnections => self.advance_to(ShutdownPhase::ClosingConnections),
             Action::CloseIdleConnections => self.advance_to(ShutdownPhase::ClosingIdle),
             Action::FailOpenRequests => self.config.pools.fail_open_requests(),
             Action::IgnoreSignal(event) => {
-                info!("{}: {event:?} comes too late, it is ending", self.config.name);
+                info!("{}: ignored {event:?}, a shutdown is in progress", self.config.name);
             }
             Action::Exit(exit) => self.shut_down(exit).await,
         }
         Ok(())
     }
 
-    /// Another handle of the listening socket.
+    /// Duplicates the descriptor of the listening socket.
     fn clone_listener(&self) -> Result<std::net::TcpListener, RunError> {
         let address = self.address;
         match &self.config.listener {
@@ -256,79 +257,79 @@
 
     async fn accept(&mut self) -> Result<(), RunError> {
         let address = self.address;
-        let accepting = TcpListener::from_std(self.clone_listener()?);
-        let accepting = accepting.map_err(|source| RunError::Listen { address, source })?;
-        self.http_task = Some(tokio::task::spawn_local(self.config.http_front.clone().run(accepting)));
+        let listener = TcpListener::from_std(self.clone_listener()?);
+        let listener = listener.map_err(|source| RunError::Listen { address, source })?;
+        self.http_task = Some(tokio::task::spawn_local(self.config.http_front.clone().run(listener)));
         self.config.fastcgi_front.start_accepting()?;
-        self.take_pid_file().await;
+        self.acquire_pid_file().await;
         self.listen_for_successors();
         info!("{}: serving on {address}", self.config.name);
         Ok(())
     }
 
-    /// Takes the pid file, where a predecessor held it until it had passed its sockets on. Without it the instance serves on:
-    /// to exit would harm more than a file that another process holds.
-    async fn take_pid_file(&mut self) {
+    /// Acquires the pid file, which a predecessor holds until it has handed its sockets off. If that fails, the instance
+    /// continues to serve: an exit would do more harm than a pid file that another process holds.
+    async fn acquire_pid_file(&mut self) {
         let (Some(path), None) = (&self.config.daemon.pid_file, &self.config.pid_file) else { return };
         match PidFile::acquire_with_timeout(path, PID_FILE_TIMEOUT).await {
             Ok(file) => {
-                if let Some(why) = file.write_error() {
-                    info!("daemon.pid_file: {why}");
+                if let Some(error) = file.write_error() {
+                    info!("daemon.pid_file: {error}");
                 }
                 self.config.pid_file = Some(file);
             }
-            Err(message) => info!("daemon.pid_file: {message}"),
+            Err(error) => info!("daemon.pid_file: not acquired from the predecessor: {error}"),
         }
     }
 
     fn listen_for_successors(&mut self) {
         let Some(path) = &self.config.daemon.takeover else { return };
         match HandoffListener::bind(path) {
-            Ok(bound) => {
+            Ok(listener) => {
                 let requests = self.config.sender.handoff_requests.clone();
-                let receive = async move { while requests.send(bound.next().await).await.is_ok() {} };
+                let receive = async move { while requests.send(listener.next().await).await.is_ok() {} };
                 self.handoff_listener = Some(tokio::task::spawn_local(receive).abort_handle());
             }
-            Err(message) => info!("{message}"),
+            Err(error) => info!("no handoff is possible: {error}"),
         }
     }
 
     fn notify_ready(&self) {
-        self.config.states.send_replace(disruption::InstanceState::Ready);
+        self.config.state_sender.send_replace(disruption::InstanceState::Ready);
         self.config.registrations.set_desired_state(DesiredState::Passing);
         self.config.manager.notify_ready(match &self.reload_error {
             None => format!("serving on {}", self.address),
-            Some(why) => format!("not reloaded: {why}"),
+            Some(error) => format!("not reloaded: {error}"),
         });
     }
 
-    fn notify_stopping(&self, because: Event) {
+    fn notify_stopping(&self, cause: Event) {
         self.config.manager.notify_stopping();
-        self.config.states.send_replace(disruption::InstanceState::ShuttingDown);
-        // From now on the readiness check fails.
+        self.config.state_sender.send_replace(disruption::InstanceState::ShuttingDown);
+        // The readiness check fails from now on.
         self.advance_to(ShutdownPhase::Announced);
-        // After a handoff the successor is what is registered here.
-        if because == Event::Stop {
+        // After a handoff the registration belongs to the successor.
+        if cause == Event::Stop {
             self.config.registrations.set_desired_state(DesiredState::ShuttingDown);
-            info!("{}: told to end", self.config.name);
+            info!("{}: received a stop signal, shutting down gracefully", self.config.name);
         }
     }
 
     async fn reload(&mut self) {
         self.reload_error = self.config.reloader.reload().await.err();
         match &self.reload_error {
-            None => info!("reloaded"),
-            Some(why) => info!("not reloaded: {why}"),
+            None => info!("configuration reloaded"),
+            Some(error) => info!("not reloaded: {error}"),
         }
-        // There is room: at most one reload goes on.
+        // The queue has room, as at most one reload is in progress.
         let _ = self.config.sender.events.try_send(Event::Reloaded);
     }
 
-    /// Passes the listeners and the transferred state to the successor, while this process serves on.
+    /// Sends the listeners and the transferred state to the successor. This process continues to accept connections.
     fn hand_off_listeners(&mut self) -> Result<(), RunError> {
         let Some(successor) = self.successor.take() else { return Ok(()) };
-        info!("{}: {} asks for the sockets", self.config.name, successor.name);
-        let (endpoints, learned) = (self.config.members.cache(), self.config.pools.learned());
+        info!("{}: successor {} requests the listening sockets", self.config.name, successor.name);
+        let (endpoints, learned) = (self.config.endpoints.cache(), self.config.pools.learned());
         let state = TransferredState::new(self.config.fingerprint, endpoints, learned).encode();
         let mut listeners = vec![OwnedFd::from(self.clone_listener()?)];
         listeners.extend(self.config.fastcgi_front.listeners()?);
@@ -339,8 +340,8 @@
                     ready.replace(Some(successor));
                     SuccessorEvent::Ready
                 }
-                Err(e) => {
-                    info!("the take-over came to nothing: {e}");
+                Err(error) => {
+                    info!("handoff to the successor failed, this process continues to serve: {error}");
                     SuccessorEvent::Disconnected
                 }
             };
@@ -351,13 +352,13 @@
 
     fn reject_successor(&mut self) {
         if let Some(successor) = self.successor.take() {
-            let why = "another process is taking over, or this one is ending";
-            tokio::task::spawn_local(successor.reject(why));
+            let reason = "another process is taking over, or this one is ending";
+            tokio::task::spawn_local(successor.reject(reason));
         }
     }
 
     fn stop_accepting(&mut self) {
-        // Guards against clients whose connections the system would go on accepting, for nobody.
+        // While the socket is open, the operating system completes connections that no process would serve.
         self.config.listener = None;
         self.config.fastcgi_front.close();
         let handed_over = self.ready_successor.borrow().is_some();
@@ -365,19 +366,19 @@
         self.advance_to(ShutdownPhase::Draining);
     }
 
-    /// Advances the fronts to this phase of graceful shutdown.
+    /// Advances the fronts to a phase of graceful shutdown; they never go back to an earlier one.
     fn advance_to(&self, phase: ShutdownPhase) {
         self.config.progress.send_modify(|progress| progress.phase = progress.phase.max(phase));
     }
 
-    /// Gives up all that the successor needs, and tells it to accept.
+    /// Releases the pid file and the handoff socket, and notifies the successor that it may accept connections.
     fn release_successor(&mut self) {
         self.config.pid_file = None;
         if let Some(task) = self.handoff_listener.take() {
             task.abort();
         }
         if let Some(successor) = self.ready_successor.take() {
-            info!("{}: the sockets are another process's now", self.config.name);
+            info!("{}: handed the listening sockets off to the successor", self.config.name);
             tokio::task::spawn_local(successor.release());
         }
     }
@@ -392,19 +393,19 @@
         }
         if self.is_serving() {
             let open = self.config.pools.open_requests();
-            info!("{name}: callers are still connected at the end, {open} requests unanswered");
+            info!("{name}: clients are still connected at the end of the graceful shutdown, {open} requests unanswered");
         }
-        if let Exit::Failed(n) = exit {
-            info!("{name}: {n} requests had no answer in time and were failed");
+        if let Exit::Failed(count) = exit {
+            info!("{name}: {count} requests had no answer in time and were failed");
         }
         if let (Some(path), Some(_)) = (&self.config.daemon.takeover, &self.handoff_listener) {
-            // A file that stays behind is no obstacle to the next process.
+            // The next process replaces a socket file that is left behind.
             let _ = std::fs::remove_file(path);
         }
     }
 }
 
-/// The phases of graceful shutdown, as the lifecycle takes them.
+/// Times of the phases of graceful shutdown, by the settings in `[daemon]`.
 fn shutdown_timeouts(daemon: &Daemon) -> ShutdownTimeouts {
     ShutdownTimeouts {
         stop_accepting_after: daemon.accepting,
--- a/crates/herondock/src/run/listener_origin.rs
+++ b/crates/herondock/src/run/listener_origin.rs
@@ -1,4 +1,4 @@
-//! Origin of an instance's listener: a predecessor, the service manager, or a new socket.
+//! Obtains the listener of an instance: from a predecessor, from the service manager, or as a new socket.
 use super::error::RunError;
 use crate::listener_handoff::protocol::{self, ReceivedListeners};
 use crate::listener_handoff::transferred_state::TransferredState;
@@ -10,64 +10,65 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-/// A listener with what came with it.
+/// Listener of an instance, with what its origin passed along.
 pub struct ListenerOrigin {
-    /// The listening socket.
+    /// Listening socket.
     pub listener: std::net::TcpListener,
-    /// The pid file; `None` while a predecessor holds it.
+    /// Pid file; `None` if there is none, or while a predecessor holds it.
     pub pid_file: Option<PidFile>,
-    /// The predecessor, if there is one.
+    /// Predecessor, if it hands its listeners off.
     pub predecessor: Option<ReceivedListeners>,
-    /// Listeners of other fronts, from the predecessor.
+    /// Listeners of other fronts that the predecessor handed off.
     pub other_fronts: Vec<OwnedFd>,
-    /// State, from the predecessor.
+    /// State that the predecessor transferred; `None` if there is none or it is for other settings.
     pub transferred: Option<TransferredState>,
 }
 
-/// Obtains the listener.
+/// Obtains the listener from a predecessor at `daemon.takeover`, else from the service manager, else binds a new socket.
 ///
 /// # Errors
-/// The address can't be listened on, a socket that was passed has another address, or the pid file is held.
+/// The socket can't be bound, a socket that was passed has another address, the handoff failed, or the pid file can't be
+/// acquired.
 pub async fn obtain_listener(config: &NodeConfig, daemon: &Daemon) -> Result<ListenerOrigin, RunError> {
-    let at = |source: std::io::Error| RunError::Listen { address: config.listen, source };
-    let fits = |listener: &std::net::TcpListener| {
-        let got = listener.local_addr().map_err(at)?;
-        let port = config.listen.port() == 0 || config.listen.port() == got.port();
-        match port && config.listen.ip() == got.ip() {
-            true => listener.set_nonblocking(true).map_err(at),
-            false => Err(RunError::PassedListener { got, wanted: config.listen }),
+    let listen_error = |source: std::io::Error| RunError::Listen { address: config.listen, source };
+    let prepare = |listener: &std::net::TcpListener| {
+        let actual = listener.local_addr().map_err(listen_error)?;
+        let same_port = config.listen.port() == 0 || config.listen.port() == actual.port();
+        match same_port && config.listen.ip() == actual.ip() {
+            true => listener.set_nonblocking(true).map_err(listen_error),
+            false => Err(RunError::PassedListener { actual, expected: config.listen }),
         }
     };
-    let asked = match &daemon.takeover {
+    let received = match &daemon.takeover {
         Some(path) => protocol::request_listeners(path, &config.name).await?,
         None => None,
     };
-    if let Some(mut taken) = asked {
-        fits(&taken.listener)?;
-        let listener = taken.listener.try_clone().map_err(at)?;
-        let along = TransferredState::decode(&taken.state, config.fingerprint);
-        let others = std::mem::take(&mut taken.other_fronts);
+    if let Some(mut predecessor) = received {
+        prepare(&predecessor.listener)?;
+        let listener = predecessor.listener.try_clone().map_err(listen_error)?;
+        let state = TransferredState::decode(&predecessor.state, config.fingerprint);
+        let other_listeners = std::mem::take(&mut predecessor.other_fronts);
         return Ok(ListenerOrigin {
             listener,
             pid_file: None,
-            predecessor: Some(taken),
-            other_fronts: others,
-            transferred: along,
+            predecessor: Some(predecessor),
+            other_fronts: other_listeners,
+            transferred: state,
         });
     }
     let pid_file = daemon.pid_file.as_deref().map(PidFile::acquire).transpose();
     let pid_file = pid_file.map_err(RunError::PidFile)?;
-    if let Some(why) = pid_file.as_ref().and_then(PidFile::write_error) {
-        info!("daemon.pid_file: {why}");
+    if let Some(error) = pid_file.as_ref().and_then(PidFile::write_error) {
+        info!("daemon.pid_file: {error}");
     }
     let listener = match service_manager::activated_listener()? {
         Some(listener) => {
-            fits(&listener)?;
+            prepare(&listener)?;
             listener
         }
         None => {
-            let listener = TcpListener::bind(config.listen).await.map_err(at)?;
-            listener.into_std().map_err(at)?
+            let listener = TcpListener::bind(config.listen).await.map_err(listen_error)?;
+            listener.into_std().map_err(listen_error)?
         }
     };
     Ok(ListenerOrigin { listener, pid_file, predecessor: None, other_fronts: Vec::new(), transferred: None })
--- a/crates/herondock/src/run/mod.rs
+++ b/crates/herondock/src/run/mod.rs
@@ -1,12 +1,13 @@
-//! `herondock run`: one instance, from its files to its exit.
+//! `herondock run`: runs one instance.
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `listener_origin.rs` | where the listener comes from: a predecessor, the service manager, or a new socket |
-//! | `wiring.rs` | what an instance consists of, built from its files |
-//! | `event_stream.rs` | what happens to the process, as one stream of events |
-//! | `instance.rs` | the running instance: performs each action of its lifecycle |
-//! | `reload.rs` | what SIGHUP may change |
+//! | `listener_origin.rs` | obtains the listener from a predecessor, the service manager, or as a new socket |
+//! | `wiring.rs` | builds the components of an instance from its settings |
+//! | `event_stream.rs` | merges signals, timers and events of tasks into one stream |
+//! | `instance.rs` | the running instance: performs the actions of its lifecycle |
+//! | `reload.rs` | configuration reload on SIGHUP |
+//! | `error.rs` | errors |
 mod error;
 mod event_stream;
 mod instance;
@@ -42,41 +43,42 @@
 use tokio::time::Instant;
 use wiring::{Clock, Shared};
 
-/// Arguments of the command line.
+/// Options of the command line.
 #[derive(Default)]
 pub struct Options {
-    /// The operator's file.
+    /// Path of the operator's file.
     pub operator: Option<PathBuf>,
-    /// Takes the place of `daemon.pid_file`.
+    /// Overrides `daemon.pid_file`.
     pub pid_file: Option<PathBuf>,
-    /// Takes the place of `daemon.takeover`.
+    /// Overrides `daemon.takeover`.
     pub takeover: Option<PathBuf>,
 }
 
-/// Runs an instance until its graceful shutdown is over.
+/// Runs an instance until its graceful shutdown is complete.
 ///
 /// # Errors
-/// One line that names the file and field at fault, or the address that can't be listened on.
+/// The instance can't start, or can't continue; see [`RunError`].
 pub fn run(options: Options) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(RunError::Runtime)?;
-    // A task of its own: the future that a runtime blocks on is polled whenever any task has been.
-    let served = async { tokio::task::spawn_local(serve(options)).await.map_err(RunError::Task)? };
-    tokio::task::LocalSet::new().block_on(&runtime, served)
+    // Spawned as a task, since the future that a runtime blocks on is polled each time that any task has been polled.
+    let serving = async { tokio::task::spawn_local(serve(options)).await.map_err(RunError::Task)? };
+    tokio::task::LocalSet::new().block_on(&runtime, serving)
 }
 
-/// Exits as soon as standard input ends, whatever the process is doing: its starter has gone, and with it all clients.
+/// Exits at once with status 1 when standard input reaches its end: the process that started this one has exited, and with
+/// it all clients.
 pub fn exit_with_standard_input() {
     std::thread::spawn(|| {
-        // The bytes are of no interest; an error ends the process as well.
+        // The input is discarded; a read error also ends the process.
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
         std::process::exit(1);
     });
 }
 
-/// Builds an instance and drives it until it ends.
+/// Builds an instance and runs it until it exits.
 async fn serve(options: Options) -> Result<(), RunError> {
-    // Before anything else: a signal without a handler ends the process.
+    // Installed first, since a signal without a handler would kill the process.
     let signals = Signals::install()?;
     let clock = Clock { start: Instant::now(), start_ms: clock::unix_ms() };
     let node = node_config::load()?;
@@ -84,10 +86,10 @@
     let mut daemon = operator.daemon.clone();
     daemon.pid_file = options.pid_file.or(daemon.pid_file);
     daemon.takeover = options.takeover.or(daemon.takeover);
-    wiring::shorten_shutdown(&mut daemon, node.deployment.policy.classes.iter().map(|c| c.deadline));
+    wiring::shorten_shutdown(&mut daemon, node.deployment.policy.classes.iter().map(|class| class.deadline));
     let manager = ServiceManager::from_env();
-    let world = routing::world(&node.deployment);
-    let table = read_table(options.operator.as_deref(), &operator, &world)?;
+    let known_names = routing::world(&node.deployment);
+    let table = read_table(options.operator.as_deref(), &operator, &known_names)?;
     let ListenerOrigin { listener, pid_file, predecessor, other_fronts, transferred } =
         obtain_listener(&node, &daemon).await?;
     let NodeConfig { name, discovery, seed, max_descriptors, cached_endpoints, .. } = node;
@@ -110,37 +112,37 @@
     let learned = transferred.as_ref().map(TransferredState::learned);
     let pools = shared.pools(&operator, learned)?;
     pools.replace_table(table)?;
-    let failing = pools.clone();
-    let timers = tokio::task::spawn_local(async move { failing.wait_for_failure().await });
+    let timer_pools = pools.clone();
+    let timers = tokio::task::spawn_local(async move { timer_pools.wait_for_failure().await });
     let random = shared.random();
-    let members = EndpointAggregator::new(
+    let endpoints = EndpointAggregator::new(
         pools.clone(),
         NameIndex::new(&shared.deployment),
         operator.registry.last_resort,
         random.clone(),
     );
-    let sources = Sources::new(&members, &operator, &shared.limits);
+    let sources = Sources::new(&endpoints, &operator, &shared.limits);
     let cached = wiring::initial_endpoints(transferred, &operator, cached_endpoints, clock.start_ms);
-    pools.apply_cached(&members.restore(cached));
+    pools.apply_cached(&endpoints.restore(cached));
     let (discovery_address, addresses) = watch::channel(discovery);
     sources.spawn(addresses, &shared.limits, &node_config::staleness_settings(&shared.deployment));
     if let Some(file) = operator.registry.cache_file.as_deref().map(cache::cache_file) {
         let interval = operator.registry.cache_write_interval;
-        tokio::task::spawn_local(cache::write_changes(members.clone(), file, interval));
+        tokio::task::spawn_local(cache::write_changes(endpoints.clone(), file, interval));
     }
     let address = listener.local_addr().map_err(RunError::LocalAddress)?;
     let registrations =
         Registrations::spawn(&operator.registry.consul, &name, address, &shared.limits, &random);
-    let (states, reported_states) = watch::channel(disruption::InstanceState::Starting);
+    let (state_sender, state_receiver) = watch::channel(disruption::InstanceState::Starting);
     let balancer = LocalBalancer {
-        endpoints: members.clone(),
+        endpoints: endpoints.clone(),
         pools: pools.clone(),
         slow_start_ms: shared.deployment.policy.ramp_time,
         counters: shared.counters.clone(),
     };
-    // Nothing that serves waits for the coordination service; while it is away nothing changes.
+    // Serving does not depend on the coordination service: while it is unavailable, the last known drains stay in force.
     let coordination = match &operator.council {
-        Some(file) => Some(disruption_reporting::begin(file, &name, balancer, reported_states).await),
+        Some(file) => Some(disruption_reporting::begin(file, &name, balancer, state_receiver).await),
         None => None,
     };
     let listeners = fastcgi::open_listeners(&operator.fastcgi.listen, other_fronts)?;
@@ -153,7 +155,7 @@
         limits: shared.limits.clone(),
         discovery: discovery_address,
         pools: pools.clone(),
-        world,
+        known_names,
     };
     let config = InstanceConfig {
         name,
@@ -162,7 +164,7 @@
         daemon,
         manager,
         pools,
-        members,
+        endpoints,
         registrations,
         http_front,
         fastcgi_front,
@@ -173,7 +175,7 @@
         pid_file,
         sender,
         coordination,
-        states,
+        state_sender,
     };
     Instance::new(config, predecessor)?.run(events).await
 }
--- a/crates/herondock/src/run/wiring.rs
+++ b/crates/herondock/src/run/wiring.rs
@@ -1,4 +1,4 @@
-//! Builds what one instance consists of: the pools with their drivers, the fronts, and the first list of endpoints.
+//! Builds the components of an instance: the pools with their drivers, the fronts, and the initial endpoint list.
 use crate::descriptor_budget::DescriptorBudget;
 use crate::driver::{DriverConfig, DriverHandle, OpenRequestIds};
 use crate::endpoint_sources::cache;
@@ -28,67 +28,68 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Longest span that is taken from settings, in milliseconds: one day.
-const MAX_SPAN_MS: f64 = 86_400_000.0;
-/// Longest deadline, in milliseconds, that the platform grants time for after SIGTERM.
-const LONGEST_DEADLINE_MS: f64 = 3000.0;
+/// Maximum duration that a setting may have, in milliseconds: one day.
+const MAX_DURATION_MS: f64 = 86_400_000.0;
+/// Longest deadline that the platform allows for after SIGTERM, in milliseconds.
+const PLATFORM_MAX_DEADLINE_MS: f64 = 3000.0;
 
-fn span(ms: f64) -> Duration {
+fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// When the process began, on the monotonic clock and in Unix milliseconds.
+/// Start time of the process, on the monotonic clock and on the wall clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    /// The monotonic clock at the start.
+    /// Monotonic time at the start.
     pub start: Instant,
-    /// The wall clock at the start, in Unix milliseconds.
+    /// Wall-clock time at the start, in Unix milliseconds.
     pub start_ms: f64,
 }
 
 impl Clock {
-    /// The decision modules' clock: Unix milliseconds at the start, and the time elapsed since.
+    /// Current time of the decision modules' clock, in milliseconds: the Unix time at the start plus the monotonic time elapsed
+    /// since.
     fn now_ms(&self) -> f64 {
         self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// What all parts of an instance share.
+/// Settings and state that the components of an instance share.
 pub struct Shared {
-    /// When the process began.
+    /// Start time of the process.
     pub clock: Clock,
-    /// Seed of the process's random numbers.
+    /// Seed of the random numbers of the process.
     pub seed: u64,
-    /// The platform's settings.
+    /// Settings of the platform.
     pub deployment: Deployment,
     /// Limits of the operator's file, which a reload may change.
     pub limits: LiveConfig<Limits>,
-    /// Descriptors of the process.
+    /// Budget of file descriptors of the process.
     pub descriptors: DescriptorBudget,
-    /// Counters of the process.
+    /// Request counters of the process.
     pub counters: Rc<RequestCounters>,
-    /// Request budgets, where they are on.
+    /// Policy of request budgets; `None` if they are disabled.
     pub budgets: Option<Rc<BudgetPolicy>>,
-    /// How far a graceful shutdown has come.
+    /// Progress of a graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownProgress>,
 }
 
 impl Shared {
-    /// The process's random numbers, from their beginning.
+    /// Random number generator in its initial state.
     pub fn random(&self) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed)
     }
 
-    /// Pools whose decision modules begin with what a predecessor had learned.
+    /// Creates the pools. The decision module of the default pool starts with the state that a predecessor had learned.
     ///
     /// # Errors
-    /// The settings are not valid for the decision module.
+    /// The decision module rejects the settings.
     pub fn pools(&self, operator: &OperatorConfig, learned: Option<Learned>) -> Result<Pools, SettingsError> {
         Balancer::new(self.deployment.policy.clone(), self.seed, self.clock.start_ms)?;
         Ok(Pools::new(self.driver_factory(operator, learned), self.deployment.clone()))
     }
 
-    /// Creates the driver of each pool. The settings have been found valid.
+    /// Returns a function that creates the driver of a pool. The settings must be valid.
     fn driver_factory(&self, operator: &OperatorConfig, learned: Option<Learned>) -> DriverFactory {
         let connections = self.connection_settings();
         let fastcgi = Rc::new(transport::fastcgi::FastCgiSettings {
@@ -100,11 +101,11 @@
         let (descriptors, counters) = (self.descriptors.clone(), self.counters.clone());
         Box::new(move |pool: &str| {
             let policy = &deployment.policy;
-            // Each pool has random numbers of its own; those of the default pool are the process's.
+            // Each pool has a seed of its own; the default pool, whose name is empty, uses the seed of the process.
             let seed = if pool.is_empty() { seed } else { seed ^ hashing::stable(pool.as_bytes()) };
             let now = clock.now_ms();
             let balancer = Balancer::new(policy.clone(), seed, now);
-            let mut balancer = balancer.expect("the settings were found good at the start");
+            let mut balancer = balancer.expect("the settings were validated at the start");
             if let (true, Some(learned)) = (pool.is_empty(), &learned) {
                 balancer.recall(learned, now);
             }
@@ -126,14 +127,14 @@
 
     fn connection_settings(&self) -> ConnectionSettings {
         ConnectionSettings {
-            dial_timeout: span(self.deployment.dial_timeout),
-            idle_close: span(self.deployment.policy.idle_close.min(MAX_SPAN_MS)),
+            dial_timeout: duration_from_ms(self.deployment.dial_timeout),
+            idle_close: duration_from_ms(self.deployment.policy.idle_close.min(MAX_DURATION_MS)),
             descriptors: self.descriptors.clone(),
             limits: self.limits.clone(),
         }
     }
 
-    /// The front for clients that speak HTTP.
+    /// Creates the front for clients that use HTTP.
     pub fn http_front(&self, pools: &Pools) -> Rc<http::HttpFront> {
         http::HttpFront::new(http::HttpFrontConfig {
             pools: pools.clone(),
@@ -145,7 +146,7 @@
         })
     }
 
-    /// The front for clients that speak FastCGI.
+    /// Creates the front for clients that use FastCGI.
     pub fn fastcgi_front(
         &self,
         pools: &Pools,
@@ -165,21 +166,22 @@
     }
 }
 
-/// Latency objective of a class. Settings that were found valid bound it by the deadline.
+/// Latency objective of a class, which is at most its deadline in valid settings.
 fn objective(class: &Class) -> Duration {
-    span(class.objective.clamp(0.0, MAX_SPAN_MS))
+    duration_from_ms(class.objective.clamp(0.0, MAX_DURATION_MS))
 }
 
-/// How long upstreams discard duplicates of a class; `None`: duplicates do no harm, or there are none.
+/// Time for which upstreams discard duplicates of a request of this class; `None` if duplicates do no harm, or if there are
+/// none.
 fn dedup_window(class: &Class) -> Option<Duration> {
     match class.effect {
-        Effect::Guarded { window, .. } => Some(span(window.clamp(0.0, MAX_SPAN_MS))),
+        Effect::Guarded { window, .. } => Some(duration_from_ms(window.clamp(0.0, MAX_DURATION_MS))),
         Effect::Free | Effect::SingleShot => None,
     }
 }
 
-/// The endpoints that are known at the start. What a predecessor knew a moment ago is newer than the instance's own cache,
-/// and that is newer than what the platform saved.
+/// Endpoints that are known at the start. The state of a predecessor is newer than the instance's own cache file, which is
+/// newer than the list in the platform's configuration.
 pub fn initial_endpoints(
     transferred: Option<TransferredState>,
     operator: &OperatorConfig,
@@ -187,50 +189,54 @@
     now_ms: f64,
 ) -> EndpointCache {
     let registry = &operator.registry;
-    let store = registry.cache_file.as_deref().map(cache::cache_file);
-    let saved = || cache::load(store.as_ref()?, registry.max_cache_age);
+    let file = registry.cache_file.as_deref().map(cache::cache_file);
+    let cached = || cache::load(file.as_ref()?, registry.max_cache_age);
     transferred
         .and_then(|state| state.endpoints(now_ms))
-        .or_else(saved)
-        .or_else(|| platform.map(|known| platform_cache(known, protocol(registry.fastcgi), now_ms)))
+        .or_else(cached)
+        .or_else(|| platform.map(|list| platform_cache(list, protocol(registry.fastcgi), now_ms)))
         .unwrap_or_default()
 }
 
-/// The endpoint list of the platform's configuration, as if discovery had answered it just now: how old it is, the platform
-/// does not say.
-fn platform_cache(known: EndpointListResponse, speaks: EndpointProtocol, now_ms: f64) -> EndpointCache {
+/// Endpoint list of the platform's configuration, with the current time as its update time, since the platform does not state
+/// its age.
+fn platform_cache(
+    list: EndpointListResponse,
+    endpoint_protocol: EndpointProtocol,
+    now_ms: f64,
+) -> EndpointCache {
     let source = Source { rank: 0, label: PLATFORM_LABEL.into() };
-    let reports = known
+    let reports = list
         .reports()
         .iter()
-        .map(|r| (source.clone(), EndpointReport { protocol: speaks, ..r.clone() }, None))
+        .map(|r| (source.clone(), EndpointReport { protocol: endpoint_protocol, ..r.clone() }, None))
         .collect();
-    for fault in known.entry_errors.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
-        info!("known: {fault}");
+    for error in list.entry_errors.iter().take(MAX_LOGGED_ENTRY_ERRORS) {
+        info!("known: ignored an invalid entry of the platform's endpoint list: {error}");
     }
-    // Entries that could not be read have to be requested again.
+    // Without an index the full list is requested, including the entries that could not be parsed.
     let indices =
-        if known.entry_errors.is_empty() { vec![(source.clone(), known.version)] } else { Vec::new() };
+        if list.entry_errors.is_empty() { vec![(source.clone(), list.version)] } else { Vec::new() };
     EndpointCache { reports, updated: vec![(source, now_ms)], indices }
 }
 
-/// Brings the phases of graceful shutdown forward where every deadline is shorter than the platform's longest. The platform
-/// kills a balancer 0.7 s and the longest deadline after SIGTERM, and counts deadlines of 3 s at most; the defaults are for
-/// these. Phases that the operator's file sets stay as they are.
+/// Moves the phases of graceful shutdown to earlier times if all deadlines are shorter than [`PLATFORM_MAX_DEADLINE_MS`]. The
+/// platform kills a balancer 0.7 s plus the longest deadline after SIGTERM, where deadlines count as 3 s at most; the default
+/// phases are for deadlines of 3 s. Phases that the operator's file sets are not changed.
 pub fn shorten_shutdown(daemon: &mut Daemon, deadlines: impl Iterator<Item = f64>) {
     let defaults = Daemon::default();
-    let phases = |d: &Daemon| (d.serving, d.last_answer, d.end);
+    let phases = |daemon: &Daemon| (daemon.serving, daemon.last_answer, daemon.end);
     let longest = deadlines.fold(0.0, f64::max);
-    if phases(daemon) != phases(&defaults) || !(longest > 0.0 && longest < LONGEST_DEADLINE_MS) {
+    if phases(daemon) != phases(&defaults) || !(longest > 0.0 && longest < PLATFORM_MAX_DEADLINE_MS) {
         return;
     }
-    let earlier = span(LONGEST_DEADLINE_MS - longest);
-    daemon.end = daemon.end.saturating_sub(earlier);
-    daemon.last_answer = daemon.last_answer.saturating_sub(earlier);
-    daemon.serving = daemon.serving.saturating_sub(earlier).max(daemon.accepting).min(daemon.last_answer);
+    let reduction = duration_from_ms(PLATFORM_MAX_DEADLINE_MS - longest);
+    daemon.end = daemon.end.saturating_sub(reduction);
+    daemon.last_answer = daemon.last_answer.saturating_sub(reduction);
+    daemon.serving = daemon.serving.saturating_sub(reduction).max(daemon.accepting).min(daemon.last_answer);
 }
 
-/// Applies the parts of an enabled `[budget]` that the decision module enforces.
+/// Applies the settings of an enabled `[budget]` that the decision module enforces.
 pub fn apply_budget(settings: &mut Settings, budget: &BudgetTable) {
     settings.refuse_hopeless = budget.refuse_hopeless;
     settings.tenant_retries = budget.tenant_retries;
--- a/crates/herondock/tests/callers.rs
+++ b/crates/herondock/tests/callers.rs
@@ -147,7 +147,7 @@
     let mut client = node.client_with_request(&format!("{}{start}", get("r1", "15000m")));
     upstream.next_request();
     node.terminate();
-    node.wait_for_log("told to end");
+    node.wait_for_log("received a stop signal");
     client.send(rest);
     go.send(()).expect("the upstream waits");
     assert_eq!(client.answer().expect("an answer").body, b"first");
--- a/crates/herondock/tests/daemon.rs
+++ b/crates/herondock/tests/daemon.rs
@@ -75,14 +75,14 @@
     let mut hung = many(40, &|k| pay(&format!("hung-{k}"), "20000m"));
     arrived(80 + 40 + 40 + 40);
     node.terminate();
-    node.wait_for_log("told to end");
+    node.wait_for_log("received a stop signal");
     half.iter_mut().enumerate().for_each(|(k, client)| client.send(&halves(k).1));
     arrived(80 + 40 + 40 + 40 + 40);
     // Every one is at the upstream by now, and a second signal changes nothing.
     signal(node.pid(), "TERM");
     signal(node.pid(), "HUP");
-    node.wait_for_log("Stop comes too late");
-    node.wait_for_log("Reload comes too late");
+    node.wait_for_log("ignored Stop, a shutdown is in progress");
+    node.wait_for_log("ignored Reload, a shutdown is in progress");
     dam.open();
     let body =
         |client: &mut Client| String::from_utf8(client.answer().expect("an answer").body).expect("text");
--- a/crates/herondock/tests/fastcgi.rs
+++ b/crates/herondock/tests/fastcgi.rs
@@ -291,7 +291,7 @@
     web.send(&params("held", "read", "GET"), b"");
     upstream.next_request();
     node.terminate();
-    node.wait_for_log("told to end");
+    node.wait_for_log("received a stop signal");
     word.send(()).expect("it waits");
     assert_eq!(status(&mut web), (200, "held".into()));
     assert!(node.wait().success());
@@ -315,7 +315,7 @@
     assert_eq!(status(&mut kept).0, 200);
     let new = started(&args, "null");
     assert_eq!(PAIRINGS[2].addr(&new), addr);
-    old.wait_for_log("the sockets are another process's");
+    old.wait_for_log("handed the listening sockets off");
     for web in [&mut kept, &mut newcomer] {
         web.send(&params("after", "read", "GET"), b"");
         assert_eq!(status(web).0, 200);
--- a/crates/herondock/tests/sockets.rs
+++ b/crates/herondock/tests/sockets.rs
@@ -464,7 +464,7 @@
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
-    assert!(log.iter().any(|l| l.contains("told to end")), "{log:?}");
+    assert!(log.iter().any(|l| l.contains("received a stop signal")), "{log:?}");
     assert!(!log.iter().any(|l| l.contains("at the end")), "it was held up: {log:?}");
 }
 
--- a/crates/herondock/tests/takeover.rs
+++ b/crates/herondock/tests/takeover.rs
@@ -130,7 +130,7 @@
             assert!(!log.contains("serving on"), "{log}");
             assert_eq!(new.wait().expect("it ends").success(), how == "TERM");
         }
-        old.wait_for_log("came to nothing");
+        old.wait_for_log("handoff to the successor failed");
     });
     assert_eq!(ledger.check(&figures()), []);
     assert_eq!(old.client().call(&get("after", "5000m")).status(), 200);
@@ -222,7 +222,7 @@
 
 /// Waits until the old process has done all that the hand-over asked of it: its one thread has come round once more.
 fn handed_over(old: &Node, mut turn: Client) {
-    old.wait_for_log("the sockets are another process's");
+    old.wait_for_log("handed the listening sockets off");
     let answer = turn.call(&get("round", "20000m"));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
 }
@@ -281,7 +281,7 @@
     let mut node = started(&args, &known(&upstream));
     let quiet = Quiet::open(&node, 10);
     node.terminate();
-    node.wait_for_log("told to end");
+    node.wait_for_log("received a stop signal");
     quiet.all_are_served();
     assert!(node.wait().success(), "nobody is left");
     // And where nothing is announced, what is silent closes at once; a caller that has yet to ask is served all the same.
