--- a/crates/herondock/src/listener_handoff/protocol.rs
+++ b/crates/herondock/src/listener_handoff/protocol.rs
@@ -1,21 +1,22 @@
 //! The handoff protocol over a Unix socket.
 //!
 //! ```text
-//! new: take-over 1 NAME\n
-//! old: sockets LENGTH\n        with the listeners attached (SCM_RIGHTS), and LENGTH bytes of what goes along;
-//!      or refused WHY\n
-//! new: ready\n                 once it could serve; until then the old one serves as if nothing were going on
-//! old: released\n              it accepts nothing any more
+//! successor:   take-over 1 NAME\n
+//! predecessor: sockets LENGTH\n     with the listeners attached (SCM_RIGHTS), followed by LENGTH bytes of state;
+//!              or refused REASON\n
+//! successor:   ready\n              once it is able to serve; until then the predecessor serves as before
+//! predecessor: released\n           once it accepts no connections any more
 //! ```
 //!
 //! The same socket answers queries for the endpoints:
 //!
 //! ```text
-//! any: members 1\n
-//! old: view LENGTH\n           and LENGTH bytes of JSON
+//! client:      members 1\n
+//! instance:    view LENGTH\n        followed by LENGTH bytes of JSON
 //! ```
 //!
-//! Either side may exit at any time, which the other notices by the end of the connection. Both run as the same user.
+//! Either side may exit at any time; the other side notices that the connection has closed. Both run as the same user, or the
+//! requesting process as root.
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -30,11 +31,11 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// Longest line, in bytes.
+/// Maximum length of a protocol line, in bytes.
 const MAX_LINE_BYTES: u64 = 256;
 /// Maximum size of the transferred state, in bytes.
 const MAX_STATE_BYTES: usize = 64 << 20;
-/// How long one side waits for a step of the other that takes no work.
+/// Maximum time that one side waits for a step of the other side that requires no work.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of listeners that are passed on.
 const MAX_LISTENERS: usize = 65;
@@ -45,15 +46,15 @@
 /// A process that requests the listeners.
 pub struct Successor {
     stream: BufReader<UnixStream>,
-    /// Its name.
+    /// Name that the process stated in its request.
     pub name: String,
 }
 
-/// A request of a process that has connected.
+/// A request at the handoff socket.
 pub enum HandoffRequest {
-    /// For the listeners.
+    /// Request for the listeners.
     Listeners(Successor),
-    /// For the endpoints.
+    /// Request for the endpoints.
     Endpoints(EndpointsQuery),
 }
 
@@ -61,12 +62,11 @@
 pub struct EndpointsQuery(BufReader<UnixStream>);
 
 impl EndpointsQuery {
-    /// Answers with the endpoints as JSON.
-    pub async fn answer(mut self, view: Vec<u8>) {
-        // The process may have exited.
-        let head = format!("view {}\n", view.len());
+    /// Answers with the endpoints as JSON. Errors are ignored: the requesting process may have exited.
+    pub async fn answer(mut self, endpoints: Vec<u8>) {
+        let head = format!("view {}\n", endpoints.len());
         let _ = timeout(STEP_TIMEOUT, self.0.write_all(head.as_bytes())).await;
-        let _ = timeout(STEP_TIMEOUT, self.0.write_all(&view)).await;
+        let _ = timeout(STEP_TIMEOUT, self.0.write_all(&endpoints)).await;
     }
 }
 
@@ -87,49 +87,51 @@
 /// Requests the endpoints, as JSON, from the process that listens at `path`.
 ///
 /// # Errors
-/// No process listens there, or it breaks the protocol.
+/// No process listens there, it violates the protocol, or it does not answer within [`STEP_TIMEOUT`].
 pub async fn request_endpoints(path: &Path) -> Result<Vec<u8>, HandoffError> {
-    let asked = async {
+    let exchange = async {
         let mut stream = BufReader::new(UnixStream::connect(path).await?);
         stream.write_all(b"members 1\n").await?;
         let head = read_line(&mut stream).await?;
         let length = head.strip_prefix("view ").and_then(|n| n.parse::<usize>().ok());
-        let length = length.filter(|&n| n <= MAX_STATE_BYTES);
-        let mut view = vec![0; length.ok_or_else(|| io::Error::other(format!("it said {head:?}")))?];
-        stream.read_exact(&mut view).await?;
-        Ok::<_, io::Error>(view)
+        let length = length.filter(|&length| length <= MAX_STATE_BYTES);
+        let mut endpoints =
+            vec![0; length.ok_or_else(|| io::Error::other(format!("unexpected answer {head:?}")))?];
+        stream.read_exact(&mut endpoints).await?;
+        Ok::<_, io::Error>(endpoints)
     };
-    let asked = timeout(STEP_TIMEOUT, asked).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
-    asked.map_err(HandoffError::at(path))
+    let result = timeout(STEP_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
+    result.map_err(HandoffError::at(path))
 }
 
 impl HandoffListener {
-    /// Listens at `path`. A socket that a former process left there is replaced.
+    /// Listens at `path`. An existing file, such as the socket of an earlier process, is replaced.
     ///
     /// # Errors
-    /// The path can't be listened on.
+    /// The socket can't be bound at `path`, or its permissions can't be set.
     pub fn bind(path: &Path) -> Result<HandoffListener, HandoffError> {
-        let fault = HandoffError::at(path);
+        let handoff_error = HandoffError::at(path);
         match std::fs::remove_file(path) {
-            Err(e) if e.kind() != ErrorKind::NotFound => return Err(fault(e)),
+            Err(e) if e.kind() != ErrorKind::NotFound => return Err(handoff_error(e)),
             _ => {}
         }
-        let listener = UnixListener::bind(path).map_err(&fault)?;
-        // Only this user may connect; the user of the other end is checked as well.
-        let private = std::os::unix::fs::PermissionsExt::from_mode(0o600);
-        std::fs::set_permissions(path, private).map_err(fault)?;
+        let listener = UnixListener::bind(path).map_err(&handoff_error)?;
+        // Only this user may connect; `next` also checks the user of the connecting process.
+        let owner_only = std::os::unix::fs::PermissionsExt::from_mode(0o600);
+        std::fs::set_permissions(path, owner_only).map_err(handoff_error)?;
         Ok(HandoffListener(listener))
     }
 
-    /// The next request. Processes that disconnect, are slow, or run as another user are ignored.
+    /// Waits for the next request. Processes that disconnect, exceed [`STEP_TIMEOUT`], or run as another user than this one or
+    /// root are ignored.
     pub async fn next(&self) -> HandoffRequest {
         loop {
             let Ok((stream, _)) = self.0.accept().await else {
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let own = rustix::process::geteuid().as_raw();
-            if !stream.peer_cred().is_ok_and(|peer| peer.uid() == own || peer.uid() == 0) {
+            let own_uid = rustix::process::geteuid().as_raw();
+            if !stream.peer_cred().is_ok_and(|peer| peer.uid() == own_uid || peer.uid() == 0) {
                 continue;
             }
             let mut stream = BufReader::new(stream);
@@ -147,107 +149,109 @@
 }
 
 impl Successor {
-    /// Rejects it.
-    pub async fn reject(mut self, why: &str) {
-        // The process may have exited.
-        let _ = timeout(STEP_TIMEOUT, self.stream.write_all(format!("refused {why}\n").as_bytes())).await;
+    /// Rejects the request with this reason. Errors are ignored: the requesting process may have exited.
+    pub async fn reject(mut self, reason: &str) {
+        let _ = timeout(STEP_TIMEOUT, self.stream.write_all(format!("refused {reason}\n").as_bytes())).await;
     }
 
-    /// Sends the listeners, that of the platform's clients first, and the state; waits until the successor could serve.
+    /// Sends the listeners, with the one for the platform's clients first, and the state; then waits, without a time limit, until
+    /// the successor is ready to serve.
     ///
     /// # Errors
-    /// It disconnected or read too slowly, or there are too many listeners.
-    pub async fn hand_off(mut self, listeners: Vec<OwnedFd>, along: &[u8]) -> io::Result<ReadySuccessor> {
-        let head = format!("sockets {}\n", along.len());
+    /// The successor disconnected, did not read within [`STEP_TIMEOUT`] or violated the protocol, or there are more than
+    /// [`MAX_LISTENERS`] listeners.
+    pub async fn hand_off(mut self, listeners: Vec<OwnedFd>, state: &[u8]) -> io::Result<ReadySuccessor> {
+        let head = format!("sockets {}\n", state.len());
         timeout(STEP_TIMEOUT, send_with_descriptors(self.stream.get_ref(), head.as_bytes(), &listeners))
             .await??;
-        // The other handles keep the sockets open.
+        // The sockets stay open, since this process holds other descriptors of them.
         drop(listeners);
-        timeout(STEP_TIMEOUT, self.stream.write_all(along)).await??;
+        timeout(STEP_TIMEOUT, self.stream.write_all(state)).await??;
         match read_line(&mut self.stream).await?.as_str() {
             "ready" => Ok(ReadySuccessor(self.stream)),
-            other => Err(io::Error::other(format!("it said {other:?}"))),
+            line => Err(io::Error::other(format!("unexpected answer {line:?}"))),
         }
     }
 }
 
-/// A successor that could serve, and waits to be released.
+/// A successor that is ready to serve and waits to be released.
 pub struct ReadySuccessor(BufReader<UnixStream>);
 
 impl ReadySuccessor {
-    /// Releases it to accept.
+    /// Notifies the successor that this process accepts no connections any more.
     pub async fn release(mut self) {
-        // If it has exited, the next process finds the sockets closed, as after any exit.
+        // A failure means that the successor has exited. The next process then binds new sockets, as after any exit.
         let _ = timeout(STEP_TIMEOUT, self.0.write_all(b"released\n")).await;
     }
 }
 
-/// What a successor has received.
+/// Listeners and state that a successor has received.
 pub struct ReceivedListeners {
-    /// The listener; the predecessor still accepts on it.
+    /// Listener for the platform's clients. The predecessor still accepts connections on it.
     pub listener: TcpListener,
     /// Listeners of other fronts.
     pub other_fronts: Vec<OwnedFd>,
-    /// The transferred state, encoded.
+    /// Transferred state, encoded as JSON.
     pub state: Vec<u8>,
     stream: BufReader<UnixStream>,
 }
 
-/// Requests the listeners from the process that listens at `path`. `None`: there is none.
+/// Requests the listeners from the process that listens at `path`; returns `None` if there is no such process. `name` is the
+/// name of this instance, for the log of the other process.
 ///
 /// # Errors
-/// It rejects the request, disconnects, or breaks the protocol.
+/// The other process rejects the request, disconnects, violates the protocol, or exceeds [`STEP_TIMEOUT`].
 pub async fn request_listeners(path: &Path, name: &str) -> Result<Option<ReceivedListeners>, HandoffError> {
-    let fault = HandoffError::at(path);
+    let handoff_error = HandoffError::at(path);
     let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
-        // There is no socket, or one that a former process left.
+        // There is no socket, or one that an earlier process left behind.
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
-        Err(e) => return Err(fault(e)),
+        Err(e) => return Err(handoff_error(e)),
     };
-    let asked = async {
+    let exchange = async {
         let mut stream = BufReader::new(stream);
         stream.write_all(format!("take-over 1 {}\n", name.replace(['\n', '\r'], " ")).as_bytes()).await?;
-        let (head, passed) = receive_with_descriptors(stream.get_ref()).await?;
+        let (head, descriptors) = receive_with_descriptors(stream.get_ref()).await?;
         let mut words = head.splitn(2, ' ');
         let length = match (words.next(), words.next().unwrap_or("")) {
             (Some("sockets"), length) => length.parse::<usize>().ok().filter(|&n| n <= MAX_STATE_BYTES),
-            (Some("refused"), why) => return Err(io::Error::other(format!("refused: {why}"))),
+            (Some("refused"), reason) => return Err(io::Error::other(format!("refused: {reason}"))),
             _ => None,
         };
-        let length = length.ok_or_else(|| io::Error::other(format!("it said {head:?}")))?;
-        let mut passed = passed.into_iter();
-        let listener = passed.next().ok_or_else(|| io::Error::other("no socket came"))?;
-        let mut along = vec![0; length];
-        stream.read_exact(&mut along).await?;
+        let length = length.ok_or_else(|| io::Error::other(format!("unexpected answer {head:?}")))?;
+        let mut descriptors = descriptors.into_iter();
+        let listener = descriptors.next().ok_or_else(|| io::Error::other("no listener was attached"))?;
+        let mut encoded_state = vec![0; length];
+        stream.read_exact(&mut encoded_state).await?;
         Ok(ReceivedListeners {
             listener: TcpListener::from(listener),
-            other_fronts: passed.collect(),
-            state: along,
+            other_fronts: descriptors.collect(),
+            state: encoded_state,
             stream,
         })
     };
-    timeout(STEP_TIMEOUT, asked)
+    timeout(STEP_TIMEOUT, exchange)
         .await
-        .map_err(|_| fault(ErrorKind::TimedOut.into()))?
+        .map_err(|_| handoff_error(ErrorKind::TimedOut.into()))?
         .map(Some)
-        .map_err(fault)
+        .map_err(handoff_error)
 }
 
 impl ReceivedListeners {
-    /// Waits until only this process accepts on the listener. Once `ready` ends, the predecessor is notified; it may also exit
-    /// before, which leaves the listener to this process as well.
+    /// Waits until only this process accepts connections on the listener. Once `ready` completes, the predecessor is notified. If
+    /// the predecessor exits before, the listener is left to this process as well.
     pub async fn wait_until_released(mut self, ready: impl std::future::Future<Output = ()>) {
         let mut ready = std::pin::pin!(ready);
-        let mut told = false;
+        let mut notified = false;
         loop {
             tokio::select! {
-                () = &mut ready, if !told => {
-                    told = true;
-                    // A failure shows in the next read.
+                () = &mut ready, if !notified => {
+                    notified = true;
+                    // A failed write also makes the next read fail.
                     let _ = self.stream.write_all(b"ready\n").await;
                 }
-                // The only line is the release, and the end of the connection is the exit of the predecessor.
+                // Returns on the line `released`, or when the connection closes because the predecessor has exited.
                 _ = read_line(&mut self.stream) => return,
             }
         }
@@ -263,19 +267,19 @@
     }
 }
 
-/// Sends a line with listeners attached.
-async fn send_with_descriptors(stream: &UnixStream, text: &[u8], listeners: &[OwnedFd]) -> io::Result<()> {
+/// Sends a line with the descriptors of listeners attached.
+async fn send_with_descriptors(stream: &UnixStream, line: &[u8], listeners: &[OwnedFd]) -> io::Result<()> {
     stream
         .async_io(Interest::WRITABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
-            let passed: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
-            if !control.push(SendAncillaryMessage::ScmRights(&passed)) {
+            let descriptors: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
+            if !control.push(SendAncillaryMessage::ScmRights(&descriptors)) {
                 return Err(io::Error::other("too many listeners"));
             }
-            let sent = sendmsg(stream, &[IoSlice::new(text)], &mut control, SendFlags::NOSIGNAL)?;
-            // A short line is written completely on a connection without output.
-            if sent == text.len() {
+            let sent = sendmsg(stream, &[IoSlice::new(line)], &mut control, SendFlags::NOSIGNAL)?;
+            // Nothing else waits in the send buffer, so a short line is written completely.
+            if sent == line.len() {
                 Ok(())
             } else {
                 Err(ErrorKind::WriteZero.into())
@@ -284,31 +288,31 @@
         .await
 }
 
-/// Reads a line byte by byte, so that no byte behind it is consumed, and the descriptors attached to it.
+/// Reads a line and the descriptors attached to it. The line is read byte by byte, so that no byte after it is consumed.
 async fn receive_with_descriptors(stream: &UnixStream) -> io::Result<(String, Vec<OwnedFd>)> {
-    let (mut text, mut passed) = (Vec::new(), Vec::new());
-    while text.last() != Some(&b'\n') && (text.len() as u64) < MAX_LINE_BYTES {
+    let (mut line, mut received) = (Vec::new(), Vec::new());
+    while line.last() != Some(&b'\n') && (line.len() as u64) < MAX_LINE_BYTES {
         let byte = stream
             .async_io(Interest::READABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
                 let mut control = RecvAncillaryBuffer::new(&mut space);
                 let mut byte = [0];
-                let got = recvmsg(
+                let message = recvmsg(
                     stream,
                     &mut [IoSliceMut::new(&mut byte)],
                     &mut control,
                     RecvFlags::CMSG_CLOEXEC,
                 )?;
-                for message in control.drain() {
-                    if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-                        passed.extend(descriptors);
+                for ancillary in control.drain() {
+                    if let RecvAncillaryMessage::ScmRights(descriptors) = ancillary {
+                        received.extend(descriptors);
                     }
                 }
-                Ok((got.bytes > 0).then_some(byte[0]))
+                Ok((message.bytes > 0).then_some(byte[0]))
             })
             .await?;
-        text.push(byte.ok_or(ErrorKind::UnexpectedEof)?);
+        line.push(byte.ok_or(ErrorKind::UnexpectedEof)?);
     }
-    let text = String::from_utf8(text).map_err(|_| ErrorKind::InvalidData)?;
-    Ok((text.trim_end().into(), passed))
+    let line = String::from_utf8(line).map_err(|_| ErrorKind::InvalidData)?;
+    Ok((line.trim_end().into(), received))
 }
--- a/crates/herondock/src/listener_handoff/transferred_state.rs
+++ b/crates/herondock/src/listener_handoff/transferred_state.rs
@@ -1,17 +1,17 @@
-//! State that a predecessor transfers to its successor with the sockets: the endpoints with their ages, and what the decision
-//! module has learned of capacity and demand. Only a process with the same settings uses it; `docs/design/supervisor.md` says what
-//! is not transferred, and why.
+//! State that a predecessor transfers to its successor along with the sockets: the endpoints with their ages, and the estimates
+//! of capacity and demand of the decision module. Only a process with the same settings uses it. `docs/design/supervisor.md` lists
+//! the state that is not transferred, with the reasons.
 use balancer::Learned;
 use discovery::endpoint_cache::EndpointCache;
 use serde::{Deserialize, Serialize};
 
-/// Maximum age of a source's endpoints, in milliseconds: older ones are requested again instead.
+/// Maximum age of the endpoints of a source, in milliseconds. Older ones are discarded and requested again.
 const MAX_AGE_MS: f64 = 60_000.0;
 
 /// Transferred state. Its JSON names are part of the handoff protocol.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransferredState {
-    /// Hash of the settings that it is valid for.
+    /// Hash of the settings that the state is valid for.
     #[serde(rename = "settings")]
     settings_fingerprint: u64,
     #[serde(rename = "view")]
@@ -28,37 +28,38 @@
 }
 
 impl TransferredState {
-    /// State of a process with settings of this hash.
-    pub fn new(settings: u64, view: EndpointCache, learned: Learned) -> TransferredState {
+    /// Creates the state of a process whose settings have this hash.
+    pub fn new(fingerprint: u64, endpoint_cache: EndpointCache, learned: Learned) -> TransferredState {
         let Learned { capacity, peak, unloaded, demands } = learned;
         TransferredState {
-            settings_fingerprint: settings,
-            endpoints: view,
+            settings_fingerprint: fingerprint,
+            endpoints: endpoint_cache,
             learned: LearnedCapacity { capacity, peak, unloaded, demands },
         }
     }
 
-    /// Encodes it as JSON.
+    /// Encodes the state as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        // Numbers and texts only: this can't fail. Without state the successor starts like any other process.
+        // Numbers and strings can always be encoded; with an empty state the successor would start like any other process.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes it for a process with settings of this hash. `None`: it is for other settings, or can't be parsed.
-    pub fn decode(bytes: &[u8], settings: u64) -> Option<TransferredState> {
+    /// Decodes state for a process whose settings have this hash; returns `None` if the state is for other settings or can't be
+    /// parsed.
+    pub fn decode(bytes: &[u8], fingerprint: u64) -> Option<TransferredState> {
         serde_json::from_slice::<TransferredState>(bytes)
             .ok()
-            .filter(|along| along.settings_fingerprint == settings)
+            .filter(|state| state.settings_fingerprint == fingerprint)
     }
 
-    /// The endpoints that are not too old at this Unix time in milliseconds; `None`: there are none.
-    pub fn endpoints(self, now: f64) -> Option<EndpointCache> {
-        let mut view = self.endpoints;
-        view.remove_stale(now, MAX_AGE_MS);
-        (!view.reports.is_empty()).then_some(view)
+    /// Endpoints that are at most [`MAX_AGE_MS`] old at `now_ms`, in Unix milliseconds; `None` if there are none.
+    pub fn endpoints(self, now_ms: f64) -> Option<EndpointCache> {
+        let mut endpoints = self.endpoints;
+        endpoints.remove_stale(now_ms, MAX_AGE_MS);
+        (!endpoints.reports.is_empty()).then_some(endpoints)
     }
 
-    /// What the decision module has learned; it validates the values.
+    /// Estimates of the decision module, which validates the values when it restores them.
     pub fn learned(&self) -> Learned {
         let LearnedCapacity { capacity, peak, unloaded, ref demands } = self.learned;
         Learned { capacity, peak, unloaded, demands: demands.clone() }
