--- a/crates/herondock/src/endpoint_sources/cache.rs
+++ b/crates/herondock/src/endpoint_sources/cache.rs
@@ -1,4 +1,4 @@
-//! The endpoint cache on disk: loaded at the start and written after changes.
+//! Endpoint cache on disk: loaded at the start and written after changes.
 use super::aggregator::EndpointAggregator;
 use super::EndpointSubscriber;
 use crate::clock::unix_ms;
@@ -9,9 +9,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// Longest content of the cache file, in bytes.
+/// Maximum size of the cache file's content, in bytes.
 const MAX_CACHE_BYTES: usize = 64 << 20;
-/// Longest interval between two writes: the update times in the file must not become too old.
+/// Maximum time to wait for a change before the file is written again, so that the update times in it do not become too old.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
 /// The cache file at this path.
@@ -22,7 +22,7 @@
 /// Loads the cache without the reports of sources whose last update is older than `max_age`. A damaged file, and reports
 /// that are too old, are logged and ignored.
 pub fn load(store: &AtomicFile, max_age: Duration) -> Option<EndpointCache> {
-    let log_ignored = |what: String| info!("registry.saved: {}: {what}; passed over", store.path().display());
+    let log_ignored = |reason: String| info!("registry.saved: {}: {reason}; ignored", store.path().display());
     let loaded = match store.load() {
         Ok(loaded) => loaded?,
         Err(e) => {
@@ -30,17 +30,17 @@
             return None;
         }
     };
-    let mut saved = match EndpointCache::decode(&loaded.content) {
-        Ok(saved) => saved,
+    let mut cache = match EndpointCache::decode(&loaded.content) {
+        Ok(cache) => cache,
         Err(e) => {
             log_ignored(e.to_string());
             return None;
         }
     };
-    for source in saved.remove_stale(unix_ms(), max_age.as_secs_f64() * 1000.0) {
-        log_ignored(format!("what {} told is older than {max_age:?}", source.label));
+    for source in cache.remove_stale(unix_ms(), max_age.as_secs_f64() * 1000.0) {
+        log_ignored(format!("the endpoints of {} are older than {max_age:?}", source.label));
     }
-    Some(saved)
+    Some(cache)
 }
 
 /// Writes the cache after each change, at most once per `min_interval`; does not return.
@@ -57,14 +57,14 @@
         let path = store.path().display().to_string();
         let result = tokio::task::spawn_blocking(move || store.save(&bytes)).await;
         let failed = match result {
-            // Another process of the same instance is saving, during a handoff.
+            // During a handoff the other process of the instance may be writing the file.
             Ok(Err(e)) if e.kind() == std::io::ErrorKind::WouldBlock => None,
             Ok(result) => result.err().map(|e| e.to_string()),
             Err(e) => Some(e.to_string()),
         };
         match &failed {
-            Some(why) if !failing => info!("registry.saved: {path}: not saved: {why}"),
-            None if failing => info!("registry.saved: {path}: saved again"),
+            Some(error) if !failing => info!("registry.saved: {path}: endpoints not saved: {error}"),
+            None if failing => info!("registry.saved: {path}: endpoints saved again"),
             _ => {}
         }
         failing = failed.is_some();
--- a/crates/herondock/src/endpoint_sources/client.rs
+++ b/crates/herondock/src/endpoint_sources/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 client for registries: one persistent connection, with limits on time and size.
+//! HTTP/1.1 client for registries, with one persistent connection and limits on the time and size of responses.
 use crate::live_config::LiveConfig;
 use bytes::Bytes;
 use config::operator::Limits;
@@ -15,19 +15,19 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// Timeout of connecting, so that it does not use up a request's time.
+/// Timeout of connecting, shorter than that of a request, so that a failed attempt to connect does not use up all of it.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why there is no complete response.
+/// Reason why there is no complete response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection was not established in time.
+    /// The connection was not established within [`CONNECT_TIMEOUT`].
     #[error("not connected in time")]
     ConnectTimeout,
     /// The connection cannot be established.
     #[error("{0}")]
     Connect(#[from] io::Error),
-    /// The response was not complete in time.
+    /// The response was not complete before the timeout.
     #[error("no answer in time")]
     ResponseTimeout,
     /// The request is not valid.
@@ -41,15 +41,15 @@
     Body(#[from] Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// A request.
+/// A request to a registry.
 pub struct ApiRequest<'a> {
-    /// `GET` or `PUT`.
+    /// Method, `GET` or `PUT`.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
     /// Further headers, by name.
     pub headers: &'a [(&'static str, &'a str)],
-    /// Body; empty if there is none.
+    /// Body, or empty.
     pub body: Bytes,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A complete response.
+/// A complete response of a registry.
 pub struct ApiResponse {
     /// Status code.
     pub status: StatusCode,
@@ -104,7 +104,7 @@
 }
 
 impl Client {
-    /// A client without a connection. Responses are limited to `limits.list` bytes.
+    /// Creates a client without a connection. The body of a response is limited to `limits.list` bytes.
     pub fn new(limits: LiveConfig<Limits>) -> Client {
         Client { limits, connection: None }
     }
@@ -117,7 +117,7 @@
     /// Sends a request and waits for its complete response for `response_timeout` at most.
     ///
     /// # Errors
-    /// There is no complete response; the connection is closed then.
+    /// There is no complete response. The connection is closed then.
     pub async fn send(
         &mut self,
         addr: SocketAddr,
@@ -150,7 +150,7 @@
         Ok(ApiResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
     }
 
-    /// The open connection to this address, or a new one if the server has closed it since the last response.
+    /// Returns the open connection to this address, or opens a new one if there is none or the server has closed it.
     async fn connected(&mut self, addr: SocketAddr) -> Result<&mut Connection, RequestError> {
         let reusable = match self.connection.take().filter(|connection| connection.addr == addr) {
             Some(mut connection) => connection.sender.ready().await.is_ok().then_some(connection),
--- a/crates/herondock/src/endpoint_sources/consul.rs
+++ b/crates/herondock/src/endpoint_sources/consul.rs
@@ -17,13 +17,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Interval at which the catalogue is queried for datacentres.
+/// Interval at which the catalogue is queried for the list of datacentres.
 const DATACENTRES_INTERVAL: Duration = Duration::from_secs(60);
-/// Timeout of that query.
+/// Timeout of the query for the list of datacentres.
 const DATACENTRES_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of datacentres in which a service is watched.
 const MAX_DATACENTRES: usize = 64;
-/// Longest ACL token, in bytes.
+/// Maximum length of an ACL token, in bytes.
 const MAX_TOKEN_BYTES: u64 = 4096;
 /// Header that contains the ACL token.
 pub const TOKEN_HEADER: &str = "x-consul-token";
@@ -56,7 +56,7 @@
     /// There is no complete response.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// The response has another status than 200.
+    /// The status of the response is not 200.
     #[error("answered {0}")]
     Status(StatusCode),
     /// The body is malformed.
@@ -64,16 +64,16 @@
     Body(#[from] serde_json::Error),
 }
 
-/// The file of the ACL token, read again before each query, since tokens are rotated while the program runs.
+/// File that contains the ACL token. It is read before each query, since tokens are rotated while the process runs.
 pub struct AclToken(Option<PathBuf>);
 
 impl AclToken {
-    /// The token in this file, or no token.
+    /// Creates the token of this file; without a path, no token is sent.
     pub fn new(path: Option<PathBuf>) -> AclToken {
         AclToken(path)
     }
 
-    /// Reads the token; `None` if there is no file.
+    /// Reads the token; returns `None` if no file is configured.
     ///
     /// # Errors
     /// The file cannot be read or contains no token. A query without it would return an incomplete list.
@@ -100,17 +100,17 @@
     Ok(token.into())
 }
 
-/// One service of Consul.
+/// A Consul service as a source of endpoints.
 #[derive(Clone)]
 pub struct ConsulSource {
-    /// Its table in the operator's file.
+    /// Settings of the service in the operator's file.
     pub settings: ConsulConfig,
-    /// Limits of responses.
+    /// Limits on responses.
     pub limits: LiveConfig<Limits>,
 }
 
 impl ConsulSource {
-    /// Labels of its sources; empty if the datacentres are not known before the catalogue is queried.
+    /// Labels of the sources, one for each datacentre; empty if the catalogue has to be queried for the datacentres first.
     pub fn labels(&self) -> Vec<String> {
         match &self.settings.datacentres {
             Datacentres::Own => vec![self.label(None)],
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Watches the service in each of its datacentres; does not return. `source` is its source, or, if there are several, a
-    /// placeholder of the same rank.
+    /// Watches the service in each of its datacentres; does not return. `source` is the source of a single datacentre, or a
+    /// placeholder of the same rank if there are several.
     pub async fn run<A: EndpointSubscriber + 'static>(self, source: SourceHandle<A>) {
         match &self.settings.datacentres {
             Datacentres::Own => self.clone().watch(None, source).await,
@@ -135,27 +135,27 @@
                 self.clone().watch(names.first().cloned(), source).await;
             }
             Datacentres::Named(names) => {
-                let begin = |dc: &String| {
+                let spawn_watch = |dc: &String| {
                     let source = source.add_sibling(&self.label(Some(dc)));
                     tokio::task::spawn_local(self.clone().watch(Some(dc.clone()), source))
                 };
-                for watch in names.iter().map(begin).collect::<Vec<_>>() {
+                for watch in names.iter().map(spawn_watch).collect::<Vec<_>>() {
                     // Watches do not return.
                     let _ = watch.await;
                 }
             }
-            Datacentres::All => self.all(source).await,
+            Datacentres::All => self.watch_all(source).await,
         }
     }
 
-    /// Watches each datacentre that the catalogue has listed at any time: one that it does not list any more may be
-    /// unreachable, and its last list stays.
-    async fn all<A: EndpointSubscriber + 'static>(&self, source: SourceHandle<A>) {
+    /// Watches each datacentre that the catalogue has listed at any time, up to [`MAX_DATACENTRES`]. A datacentre that is no
+    /// longer listed may just be unreachable, so its last endpoint list stays in use.
+    async fn watch_all<A: EndpointSubscriber + 'static>(&self, source: SourceHandle<A>) {
         let (mut client, mut watches) =
             (Client::new(self.limits.clone()), BTreeMap::<String, JoinHandle<()>>::new());
         let mut agent = 0;
         loop {
-            let pause = match self.datacentres(&mut client, agent).await {
+            let delay = match self.datacentres(&mut client, agent).await {
                 Ok(names) => {
                     for dc in names {
                         if watches.len() < MAX_DATACENTRES && !watches.contains_key(&dc) {
@@ -172,7 +172,7 @@
                     self.settings.max_backoff
                 }
             };
-            sleep(backoff::with_jitter(pause, source.draw())).await;
+            sleep(backoff::with_jitter(delay, source.draw())).await;
         }
     }
 
@@ -201,42 +201,43 @@
         Ok(client.send(self.settings.agents[agent], &request, timeout).await?)
     }
 
-    /// The watch on one datacentre.
+    /// Creates the watch of one datacentre. `index` is that of the last known list, if there is one.
     fn new_watch(&self, datacentre: Option<String>, index: Option<u64>) -> Watch {
-        let s = &self.settings;
-        let prefix = if s.datacentres == Datacentres::Own { String::new() } else { "datacentre".into() };
+        let settings = &self.settings;
+        let prefix =
+            if settings.datacentres == Datacentres::Own { String::new() } else { "datacentre".into() };
         let mapping = EntryMapping {
-            kind: if s.health { ListKind::Health } else { ListKind::Catalogue },
+            kind: if settings.health { ListKind::Health } else { ListKind::Catalogue },
             datacentre_prefix: prefix,
-            name_key: s.meta_keys.name.clone(),
-            zone_key: s.meta_keys.zone.clone(),
-            kind_key: s.meta_keys.kind.clone(),
-            cell_key: s.meta_keys.cell.clone(),
-            start_key: s.meta_keys.started.clone(),
-            tagged_address: s.tagged_address.clone(),
-            protocol: if s.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
+            name_key: settings.meta_keys.name.clone(),
+            zone_key: settings.meta_keys.zone.clone(),
+            kind_key: settings.meta_keys.kind.clone(),
+            cell_key: settings.meta_keys.cell.clone(),
+            start_key: settings.meta_keys.started.clone(),
+            tagged_address: settings.tagged_address.clone(),
+            protocol: if settings.fastcgi { EndpointProtocol::FastCgi } else { EndpointProtocol::Http },
         };
         let target = Target {
-            service: s.service.clone(),
+            service: settings.service.clone(),
             datacentre,
-            namespace: s.namespace.clone(),
-            partition: s.partition.clone(),
-            filter: s.filter.clone(),
-            consistency: match s.consistency {
+            namespace: settings.namespace.clone(),
+            partition: settings.partition.clone(),
+            filter: settings.filter.clone(),
+            consistency: match settings.consistency {
                 Consistency::Default => watch::Consistency::Default,
                 Consistency::Stale => watch::Consistency::Stale,
                 Consistency::Consistent => watch::Consistency::Consistent,
             },
         };
         let intervals = WatchIntervals {
-            wait: s.wait,
-            min_poll_interval: s.min_poll_interval,
-            initial_backoff: s.initial_backoff,
-            max_backoff: s.max_backoff,
-            max_staleness: s.max_staleness,
-            regrow_timeout: s.regrow_timeout,
+            wait: settings.wait,
+            min_poll_interval: settings.min_poll_interval,
+            initial_backoff: settings.initial_backoff,
+            max_backoff: settings.max_backoff,
+            max_staleness: settings.max_staleness,
+            regrow_timeout: settings.regrow_timeout,
         };
-        Watch::new(target, mapping, intervals, s.agents.len(), index)
+        Watch::new(target, mapping, intervals, settings.agents.len(), index)
     }
 
     async fn watch<A: EndpointSubscriber>(self, datacentre: Option<String>, source: SourceHandle<A>) {
@@ -268,23 +269,23 @@
                 }
                 Err(error) => watch.on_failure(now, &error.to_string(), draw),
             };
-            for fault in &outcome.entry_errors {
-                source.log(&format!("passed over: {fault}"));
+            for error in &outcome.entry_errors {
+                source.log(&format!("ignored an invalid entry: {error}"));
             }
             match outcome.update {
-                SourceUpdate::Unavailable(why) => {
-                    // Logged once, and not with each retry.
-                    if last_error.as_ref() != Some(&why) {
-                        source.log(&format!("no news: {why}"));
+                SourceUpdate::Unavailable(reason) => {
+                    // Logged once, not for each retry.
+                    if last_error.as_ref() != Some(&reason) {
+                        source.log(&format!("no update, the last endpoint list stays in use: {reason}"));
                     }
-                    source.report_unavailable(why.clone());
-                    last_error = Some(why);
+                    source.report_unavailable(reason.clone());
+                    last_error = Some(reason);
                 }
-                news => {
+                update => {
                     if last_error.take().is_some() {
-                        source.log("answers again");
+                        source.log("updates are received again");
                     }
-                    source.publish(news, watch.index());
+                    source.publish(update, watch.index());
                 }
             }
         }
--- a/crates/herondock/src/endpoint_sources/inspect.rs
+++ b/crates/herondock/src/endpoint_sources/inspect.rs
@@ -1,4 +1,4 @@
-//! `herondock members`: the endpoints of a running instance, or of the sources themselves, as a table or JSON.
+//! `herondock endpoints`: shows the endpoints of a running instance, or those that the sources report, as a table or JSON.
 use super::aggregator::{EndpointAggregator, NameIndex};
 use super::sources::Sources;
 use super::{EndpointSubscriber, EndpointUpdate};
@@ -15,20 +15,20 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Time that the sources have for their first response.
+/// Maximum time to wait for the first response of each source.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Ignores all changes.
+/// Subscriber that ignores all changes.
 struct NoSubscriber;
 
 impl EndpointSubscriber for NoSubscriber {
     fn endpoints_changed(&self, _: &EndpointUpdate) {}
 }
 
-/// The view of the instance that listens at this Unix socket.
+/// Queries the instance that listens at this Unix socket for the status of its sources and endpoints.
 ///
 /// # Errors
-/// None does, or it does not say.
+/// No instance listens there, or its answer is invalid.
 pub fn query_instance(socket: &Path) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let answer = runtime
@@ -38,10 +38,11 @@
     serde_json::from_slice(&answer).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
-/// The view of the sources themselves, asked once.
+/// Queries the sources once, without an instance, and returns their status and endpoints. Sources that have not responded within
+/// [`QUERY_TIMEOUT`] are included without endpoints.
 ///
 /// # Errors
-/// No runtime could be had.
+/// The asynchronous runtime can't be built.
 pub fn query_sources(config: NodeConfig, operator: &OperatorConfig) -> Result<Value, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
@@ -49,13 +50,13 @@
         let random = Pcg64Mcg::seed_from_u64(config.seed);
         let names = NameIndex::new(&config.deployment);
         let aggregator = EndpointAggregator::new(NoSubscriber, names, operator.registry.last_resort, random);
-        // The source stops when the sender is dropped.
-        let (_address, addresses) = watch::channel(config.discovery);
+        // The platform's source stops when the sender is dropped.
+        let (_address_sender, addresses) = watch::channel(config.discovery);
         let limits = LiveConfig::new(operator.limits.clone());
-        let terms = node_config::staleness_settings(&config.deployment);
-        Sources::new(&aggregator, operator, &limits).spawn(addresses, &limits, &terms);
-        // Until each source has responded or failed.
-        let said = async {
+        let staleness = node_config::staleness_settings(&config.deployment);
+        Sources::new(&aggregator, operator, &limits).spawn(addresses, &limits, &staleness);
+        // Completes once each source has responded or failed.
+        let all_responded = async {
             while aggregator.status()["sources"]
                 .as_array()
                 .is_some_and(|all| all.iter().any(|s| s["age_ms"].is_null() && s["trouble"].is_null()))
@@ -63,50 +64,54 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = timeout(QUERY_TIMEOUT, said).await;
+        let _ = timeout(QUERY_TIMEOUT, all_responded).await;
         Ok(aggregator.status())
     })
 }
 
 /// Formats the status as text tables.
-pub fn format_table(view: &Value) -> String {
-    let ms = |v: &Value| v.as_u64().map_or("-".into(), |ms| format!("{:.1}s", ms as f64 / 1000.0));
-    let cell = |v: &Value| match v {
+pub fn format_table(status: &Value) -> String {
+    let seconds =
+        |value: &Value| value.as_u64().map_or("-".into(), |ms| format!("{:.1}s", ms as f64 / 1000.0));
+    let cell = |value: &Value| match value {
         Value::Null => "-".to_string(),
         Value::String(text) if text.is_empty() => "-".into(),
         Value::String(text) => text.clone(),
         other => other.to_string(),
     };
     let mut rows = vec![["source", "members", "age", "index", "trouble"].map(String::from).to_vec()];
-    rows.extend(view["sources"].as_array().into_iter().flatten().map(|s| {
+    rows.extend(status["sources"].as_array().into_iter().flatten().map(|source| {
         vec![
-            cell(&s["source"]),
-            cell(&s["members"]),
-            ms(&s["age_ms"]),
-            cell(&s["index"]),
-            cell(&s["trouble"]),
+            cell(&source["source"]),
+            cell(&source["members"]),
+            seconds(&source["age_ms"]),
+            cell(&source["index"]),
+            cell(&source["trouble"]),
         ]
     }));
     let sources = format_rows(&rows);
     let mut rows = vec![["member", "address", "zone", "kind", "cell", "standing", "takes", "up", "why"]
         .map(String::from)
         .to_vec()];
-    rows.extend(view["members"].as_array().into_iter().flatten().map(|m| {
-        let takes = if m["takes"].as_bool() == Some(true) { "yes" } else { "no" };
-        // Marks a first-seen time.
-        let up =
-            format!("{}{}", ms(&m["up_ms"]), if m["stated"].as_bool() == Some(false) { "?" } else { "" });
-        let [zone, kind, cells] = [cell(&m["zone"]), cell(&m["kind"]), cell(&m["cell"])];
+    rows.extend(status["members"].as_array().into_iter().flatten().map(|endpoint| {
+        let takes = if endpoint["takes"].as_bool() == Some(true) { "yes" } else { "no" };
+        // `?` marks an uptime since the endpoint was first seen, as its start time is not reported.
+        let up = format!(
+            "{}{}",
+            seconds(&endpoint["up_ms"]),
+            if endpoint["stated"].as_bool() == Some(false) { "?" } else { "" }
+        );
+        let [zone, kind, group] = [cell(&endpoint["zone"]), cell(&endpoint["kind"]), cell(&endpoint["cell"])];
         vec![
-            cell(&m["member"]),
-            cell(&m["addr"]),
+            cell(&endpoint["member"]),
+            cell(&endpoint["addr"]),
             zone,
             kind,
-            cells,
-            cell(&m["standing"]),
+            group,
+            cell(&endpoint["standing"]),
             takes.into(),
             up,
-            cell(&m["why"]),
+            cell(&endpoint["why"]),
         ]
     }));
     format!("{sources}\n{}", format_rows(&rows))
--- a/crates/herondock/src/endpoint_sources/mod.rs
+++ b/crates/herondock/src/endpoint_sources/mod.rs
@@ -4,14 +4,14 @@
 //! | --- | --- |
 //! | [`aggregator`] | merges all sources and passes changes to the [`EndpointSubscriber`] |
 //! | [`cache`] | the endpoint cache on disk |
-//! | `client` | HTTP client of registries |
+//! | `client` | HTTP client for registries |
 //! | [`consul`] | services of Consul as sources |
 //! | [`discovery`] | the platform's discovery service as a source |
-//! | [`inspect`] | `herondock members` |
+//! | [`inspect`] | `herondock endpoints` |
 //! | [`registration`] | registration of this instance at its Consul agent |
 //! | [`sources`] | all sources that the operator's file names |
 //!
-//! The crate `discovery` defines requests, the meaning of responses, and how reports are merged.
+//! The crate `discovery` defines the requests, interprets the responses, and merges the reports.
 pub mod aggregator;
 pub mod cache;
 mod client;
@@ -35,29 +35,29 @@
     FastCgi,
 }
 
-/// An endpoint as the balancer and the driver know it.
+/// An endpoint in the form that the balancer and the driver use.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// The endpoint as the balancer knows it.
+    /// The endpoint in the form that the balancer uses.
     pub member: Member,
-    /// Address at which it listens, as seen by this instance.
+    /// Address of the endpoint, as reachable from this instance.
     pub addr: SocketAddr,
-    /// Protocol that it speaks.
+    /// Protocol of the endpoint.
     pub protocol: Protocol,
-    /// Further attributes, by which pools select endpoints.
+    /// Attributes by which pools select endpoints.
     pub attributes: Arc<EndpointAttributes>,
 }
 
 /// Attributes of an endpoint, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointAttributes {
-    /// Name of its zone.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// Name of its machine kind.
+    /// Name of the machine kind.
     pub kind: Arc<str>,
-    /// Labels of the sources that report it.
+    /// Labels of the sources that report the endpoint.
     pub sources: Vec<Arc<str>>,
-    /// Metadata of its owner.
+    /// Metadata that the endpoint was registered with.
     pub meta: Meta,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl EndpointUpdate {
-    /// The endpoints as the balancer knows them.
+    /// The endpoints in the form that the balancer uses.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         self.endpoints.iter().map(|e| e.member.clone())
     }
@@ -77,6 +77,6 @@
 
 /// Receives the changes of the endpoint set.
 pub trait EndpointSubscriber {
-    /// The set has changed. The update is empty at the first response of a source without changes.
+    /// Called when the set has changed, and with an empty update at the first response of a source that changes nothing.
     fn endpoints_changed(&self, update: &EndpointUpdate);
 }
--- a/crates/herondock/src/endpoint_sources/registration.rs
+++ b/crates/herondock/src/endpoint_sources/registration.rs
@@ -1,4 +1,4 @@
-//! Registration of this instance at its Consul agents: sends the requests of `discovery::consul::registration`.
+//! Registers this instance at its Consul agents: sends the requests of `discovery::consul::registration`.
 use super::client::{ApiRequest, Client};
 use super::consul::{AclToken, QueryError, TOKEN_HEADER};
 use crate::live_config::LiveConfig;
@@ -16,9 +16,9 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::info;
 
-/// Timeout of a request.
+/// Timeout of a request to an agent.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that the exit of the process waits for the deregistration.
+/// Maximum time that the exit of the process waits for the deregistration.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// All registrations of this instance.
@@ -28,7 +28,7 @@
 }
 
 impl Registrations {
-    /// Starts the registrations of these services, for an instance of this name at this address.
+    /// Starts a task for each service with registration settings. `name` and `addr` are those of this instance.
     pub fn spawn(
         services: &[ConsulConfig],
         name: &str,
@@ -37,21 +37,21 @@
         random: &Pcg64Mcg,
     ) -> Registrations {
         let (desired_state, desired_states) = watch::channel(DesiredState::Absent);
-        let spawn = |s: &ConsulConfig| {
-            let r = s.registration.as_ref()?;
+        let spawn = |service: &ConsulConfig| {
+            let settings = service.registration.as_ref()?;
             let registration = Registration {
-                service: r.service.clone(),
-                id: r.id.clone().unwrap_or_else(|| format!("{}-{name}", r.service)),
+                service: settings.service.clone(),
+                id: settings.id.clone().unwrap_or_else(|| format!("{}-{name}", settings.service)),
                 addr,
-                tags: r.tags.clone(),
-                meta: r.meta.clone(),
-                ttl: r.ttl,
-                deregister_after: r.deregister_after,
+                tags: settings.tags.clone(),
+                meta: settings.meta.clone(),
+                ttl: settings.ttl,
+                deregister_after: settings.deregister_after,
             };
             let task = RegistrationTask {
                 client: Client::new(limits.clone()),
-                agent: *s.agents.first()?,
-                token: AclToken::new(s.token_file.clone()),
+                agent: *service.agents.first()?,
+                token: AclToken::new(service.token_file.clone()),
                 random: random.clone(),
             };
             Some(tokio::task::spawn_local(task.run(Registrar::new(registration), desired_states.clone())))
@@ -64,15 +64,15 @@
         self.set_desired_state.send_replace(desired_state);
     }
 
-    /// Deregisters all services, and waits for that up to [`DEREGISTER_TIMEOUT`].
+    /// Deregisters all services; waits for at most [`DEREGISTER_TIMEOUT`].
     pub async fn deregister(&mut self) {
         self.set_desired_state(DesiredState::Deregistered);
-        let all = async {
+        let all_tasks = async {
             for task in &mut self.tasks {
                 let _ = task.await;
             }
         };
-        let _ = timeout(DEREGISTER_TIMEOUT, all).await;
+        let _ = timeout(DEREGISTER_TIMEOUT, all_tasks).await;
     }
 }
 
@@ -84,7 +84,7 @@
 
 struct RegistrationTask {
     client: Client,
-    /// Registrations are local to an agent, so that only the first one is used.
+    /// The first agent of the settings. Registrations are local to an agent, so the others are not used.
     agent: SocketAddr,
     token: AclToken,
     random: Pcg64Mcg,
@@ -105,19 +105,19 @@
                     }
                 }
                 NextStep::Call(call) => {
-                    let done = self.send(&call.path, call.body).await;
+                    let result = self.send(&call.path, call.body).await;
                     let (now, draw) = (start.elapsed(), self.random.gen());
-                    let why = match done {
+                    let problem = match result {
                         Ok(status) => registrar.on_response(now, status, draw),
                         Err(error) => {
                             registrar.on_failure(now, draw);
                             Some(error.to_string())
                         }
                     };
-                    if why.is_some() && why != last_error {
-                        info!("consul registrar: {}", why.as_deref().unwrap_or(""));
+                    if problem.is_some() && problem != last_error {
+                        info!("consul: a registration request failed: {}", problem.as_deref().unwrap_or(""));
                     }
-                    last_error = why;
+                    last_error = problem;
                 }
             }
         }
--- a/crates/herondock/src/endpoint_sources/sources.rs
+++ b/crates/herondock/src/endpoint_sources/sources.rs
@@ -1,4 +1,4 @@
-//! All sources of endpoints that the operator's file names.
+//! Creates and starts all sources of endpoints that the operator's file names.
 use super::aggregator::{EndpointAggregator, SourceHandle};
 use super::consul::ConsulSource;
 use super::discovery::PlatformSource;
@@ -11,14 +11,14 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// Label of the platform's discovery service.
+/// Label of the source for the platform's discovery service.
 pub const PLATFORM_LABEL: &str = "discovery";
 
 /// All sources that the operator's file names, in its order, before they are started.
 pub struct Sources<A> {
     platform: Option<(EndpointProtocol, SourceHandle<A>)>,
     consul: Vec<(ConsulSource, SourceHandle<A>)>,
-    fixed: Option<(Vec<EndpointReport>, SourceHandle<A>)>,
+    static_reports: Option<(Vec<EndpointReport>, SourceHandle<A>)>,
 }
 
 impl<A: EndpointSubscriber + 'static> Sources<A> {
@@ -33,48 +33,57 @@
             .platform
             .then(|| (protocol(registry.fastcgi), aggregator.add_source(0, PLATFORM_LABEL, true)));
         let mut services = Vec::new();
-        for (k, settings) in registry.consul.iter().enumerate() {
-            let rank = u16::try_from(k + 1).unwrap_or(u16::MAX);
+        for (index, settings) in registry.consul.iter().enumerate() {
+            let rank = u16::try_from(index + 1).unwrap_or(u16::MAX);
             let service = ConsulSource { settings: settings.clone(), limits: limits.clone() };
             let labels = service.labels();
-            // Added before the cache is restored, so that their reports are.
+            // Added before the cache is restored, so that the cached reports of these sources are restored.
             let mut handles: Vec<_> =
                 labels.iter().map(|label| aggregator.add_source(rank, label, false)).collect();
-            let own = format!("consul {}", settings.name);
+            let placeholder_label = format!("consul {}", settings.name);
             let handle = if handles.len() == 1 { handles.pop() } else { None };
-            services.push((service, handle.unwrap_or_else(|| aggregator.add_placeholder(rank, &own))));
+            services.push((
+                service,
+                handle.unwrap_or_else(|| aggregator.add_placeholder(rank, &placeholder_label)),
+            ));
         }
-        let fixed = (!registry.static_endpoints.is_empty()).then(|| {
+        let static_reports = (!registry.static_endpoints.is_empty()).then(|| {
             (
                 registry.static_endpoints.iter().map(static_report).collect(),
                 aggregator.add_source(u16::MAX, "static", false),
             )
         });
-        Sources { platform, consul: services, fixed }
+        Sources { platform, consul: services, static_reports }
     }
 
-    /// Starts each source in a task of its own.
+    /// Starts a task for each source, and publishes the static endpoints. `addresses` are those of the platform's discovery
+    /// service.
     pub fn spawn(
         self,
         addresses: watch::Receiver<SocketAddr>,
         limits: &LiveConfig<Limits>,
         staleness: &StalenessSettings,
     ) {
-        if let Some((speaks, handle)) = self.platform {
-            let source =
-                PlatformSource::new(addresses, limits.clone(), staleness, handle.last_index(), speaks);
+        if let Some((endpoint_protocol, handle)) = self.platform {
+            let source = PlatformSource::new(
+                addresses,
+                limits.clone(),
+                staleness,
+                handle.last_index(),
+                endpoint_protocol,
+            );
             tokio::task::spawn_local(source.run(handle));
         }
         for (service, handle) in self.consul {
             tokio::task::spawn_local(service.run(handle));
         }
-        if let Some((reports, handle)) = self.fixed {
+        if let Some((reports, handle)) = self.static_reports {
             handle.publish(SourceUpdate::Full(reports), None);
         }
     }
 }
 
-/// Protocol by the setting of the operator's file.
+/// Protocol of endpoints, by the setting `fastcgi` of the operator's file.
 pub fn protocol(fastcgi: bool) -> EndpointProtocol {
     if fastcgi {
         EndpointProtocol::FastCgi
@@ -83,17 +92,17 @@
     }
 }
 
-fn static_report(s: &StaticEndpoint) -> EndpointReport {
+fn static_report(endpoint: &StaticEndpoint) -> EndpointReport {
     EndpointReport {
-        name: s.id.as_str().into(),
-        addr: s.addr,
-        zone: s.zone.as_str().into(),
-        kind: s.kind.as_str().into(),
-        cell: s.cell,
-        protocol: protocol(s.fastcgi),
-        state: if s.draining { EndpointState::Draining } else { EndpointState::Ready },
-        reason: if s.draining { "so the operator's file says".into() } else { "".into() },
-        // An endpoint in a file has not just been started.
+        name: endpoint.id.as_str().into(),
+        addr: endpoint.addr,
+        zone: endpoint.zone.as_str().into(),
+        kind: endpoint.kind.as_str().into(),
+        cell: endpoint.cell,
+        protocol: protocol(endpoint.fastcgi),
+        state: if endpoint.draining { EndpointState::Draining } else { EndpointState::Ready },
+        reason: if endpoint.draining { "so the operator's file says".into() } else { "".into() },
+        // A static endpoint is not considered to have just started, so it is not warmed up.
         started_ms: Some(0.0),
         registration_index: 0,
         meta: Meta::default(),
--- a/crates/herondock/tests/consul.rs
+++ b/crates/herondock/tests/consul.rs
@@ -359,7 +359,7 @@
     bytes[middle] ^= 1;
     std::fs::write(&file, bytes).expect("writes");
     let node = run(&own, &socket);
-    node.wait_for_log("its checksum differs; passed over");
+    node.wait_for_log("its checksum differs; ignored");
     assert!(!is_ready(&node));
     agent.fault(Fault::None);
     until("told again", || is_ready(&node));
--- a/crates/herondock/tests/sockets.rs
+++ b/crates/herondock/tests/sockets.rs
@@ -244,7 +244,7 @@
     // An address that does not come up, and right after it one that does: nothing waits for the first.
     let (nowhere, moved) = (Unreachable::start(), Discovery::start());
     node.reload(&config(nowhere.addr, 1024, "null"));
-    node.wait_for_log(&format!("now at {}", nowhere.addr));
+    node.wait_for_log(&format!("address changed to {}", nowhere.addr));
     let mut other = node.client();
     assert_eq!(other.call(&get("r2", "5000m")).body, b"old", "the list holds until there is another");
     node.reload(&config(moved.addr, 1024, "null"));
