--- a/crates/herondock/src/check.rs
+++ b/crates/herondock/src/check.rs
@@ -1,4 +1,4 @@
-//! `herondock check`: reads files as `run` would, and opens no socket.
+//! `herondock check`: validates files as `run` would, without opening a socket.
 use crate::node_config::{self, NodeConfigError};
 use crate::run::{read_table, RunError};
 use balancer::{Balancer, SettingsError};
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use tracing::info;
 
-/// Some files can't be used.
+/// Number of files that can't be used.
 #[derive(Debug, thiserror::Error)]
 #[error("{faulty} of {total} files can't be used")]
 pub struct FaultyFiles {
@@ -16,10 +16,10 @@
     total: usize,
 }
 
-/// Why a file can't be used.
+/// Reason why a file can't be used.
 #[derive(Debug, thiserror::Error)]
 enum FileError {
-    /// It can't be read or parsed.
+    /// The file can't be read or parsed.
     #[error(transparent)]
     Config(#[from] ConfigFileError),
     #[error("{}: {source}", .path.display())]
@@ -39,22 +39,22 @@
     WithoutNodeConfig { path: PathBuf },
 }
 
-/// Checks files: `.json` is a platform configuration; of the others, tables say whether a file is a fleet's (with all files that
-/// it refers to), a voter's, of disruption budgets, of a rollout, or an operator's. Each fault is logged. Routes are checked and
-/// expectations proved with the names of the platform configuration among the files, or else of the one that NODE_CONFIG
-/// names.
+/// Checks files and logs the error of each invalid one. A `.json` file is a platform configuration. The tables in any other file
+/// determine whether it is the file of a fleet (checked with all files that it refers to), of a voter, of disruption budgets, of a
+/// rollout, or an operator's file. Routes and their expectations are checked with the names in the platform configuration among
+/// the files, or else in the one that `NODE_CONFIG` names.
 ///
 /// # Errors
-/// How many files can't be used.
+/// At least one file can't be used.
 pub fn check(files: &[PathBuf]) -> Result<(), FaultyFiles> {
     let config = match files.iter().find(|path| is_node_config(path)) {
         Some(path) => node_config::read(path).ok(),
         None => node_config::load().ok(),
     };
-    let world = config.map(|config| routing::world(&config.deployment));
+    let known_names = config.map(|config| routing::world(&config.deployment));
     let mut faulty = 0;
     for path in files {
-        if let Err(error) = check_file(path, world.as_ref()) {
+        if let Err(error) = check_file(path, known_names.as_ref()) {
             info!("{error}");
             faulty += 1;
         }
@@ -69,7 +69,7 @@
     path.extension().is_some_and(|extension| extension == "json")
 }
 
-fn check_file(path: &Path, world: Option<&KnownNames>) -> Result<(), FileError> {
+fn check_file(path: &Path, known_names: Option<&KnownNames>) -> Result<(), FileError> {
     if is_node_config(path) {
         check_node_config(path)?;
     } else if coordination::is_coordination_file(path) {
@@ -81,7 +81,7 @@
     } else if supervisor::is_fleet_file(path) {
         check_fleet(path)?;
     } else {
-        check_operator(path, world)?;
+        check_operator(path, known_names)?;
     }
     Ok(())
 }
@@ -106,8 +106,8 @@
     Ok(())
 }
 
-/// A supervisor that requests disruption leases needs balancers that report their state: the lease of one that is never seen
-/// in service is kept.
+/// Checks that each instance of a supervisor that requests disruption leases reports its state. The lease of a balancer is not
+/// released before the balancer is reported in service, so the lease of one that is never reported in service is kept.
 fn check_coordination(path: &Path, fleet: &supervisor::FleetConfig) -> Result<(), FileError> {
     if fleet.coordination.is_none() {
         return Ok(());
@@ -124,12 +124,12 @@
     Ok(())
 }
 
-fn check_operator(path: &Path, world: Option<&KnownNames>) -> Result<(), FileError> {
+fn check_operator(path: &Path, known_names: Option<&KnownNames>) -> Result<(), FileError> {
     let operator = operator::read(path)?;
     if operator.routing.table.is_none() {
         return Ok(());
     }
-    let world = world.ok_or_else(|| FileError::WithoutNodeConfig { path: path.into() })?;
-    read_table(Some(path), &operator, world)?;
+    let known_names = known_names.ok_or_else(|| FileError::WithoutNodeConfig { path: path.into() })?;
+    read_table(Some(path), &operator, known_names)?;
     Ok(())
 }
--- a/crates/herondock/src/clock.rs
+++ b/crates/herondock/src/clock.rs
@@ -1,8 +1,9 @@
-//! The wall clock.
+//! Wall clock.
 use balancer::Millis;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970, the module's clock, so that start times of upstreams need no conversion.
+/// Current Unix time in milliseconds. The decision module uses the same clock, so that start times of upstreams need no
+/// conversion. Returns 0 if the system clock is set before 1970.
 pub fn unix_ms() -> Millis {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |elapsed| elapsed.as_secs_f64() * 1000.0)
 }
--- a/crates/herondock/src/descriptor_budget.rs
+++ b/crates/herondock/src/descriptor_budget.rs
@@ -1,11 +1,11 @@
-//! The budget of file descriptors that clients and upstream connections share.
+//! Budget of file descriptors that clients and upstream connections share.
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Descriptors reserved for everything else: listeners, discovery, the runtime, sockets that are closing.
+/// Number of descriptors reserved for other uses: listeners, discovery, the runtime, and sockets that are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Descriptors in use and available. Clones share the budget.
+/// Descriptors in use and available. Clones share one budget.
 #[derive(Clone)]
 pub struct DescriptorBudget {
     all: Arc<Semaphore>,
@@ -13,36 +13,40 @@
     max_callers: u32,
 }
 
-/// A client's descriptor, returned when dropped.
+/// Permit for the descriptor of a client, returned when dropped.
 pub struct CallerPermit {
     _all: OwnedSemaphorePermit,
     _caller: OwnedSemaphorePermit,
 }
 
 impl DescriptorBudget {
-    /// A budget for a process with this many descriptors. Clients may hold three quarters of it, so that upstreams can always be
-    /// reached; upstream connections may hold all that clients leave.
+    /// Creates the budget of a process that may open this many descriptors. Clients may hold three quarters of it, so that
+    /// connections to upstreams are always possible; upstream connections may hold all that clients leave.
     pub fn new(descriptors: usize) -> DescriptorBudget {
         let budget =
             u32::try_from(descriptors.saturating_sub(RESERVED_DESCRIPTORS)).unwrap_or(u32::MAX).min(1 << 20);
-        let callers_most = budget / 4 * 3;
-        let places = |n: u32| Arc::new(Semaphore::new(n as usize));
-        DescriptorBudget { all: places(budget), callers: places(callers_most), max_callers: callers_most }
+        let caller_limit = budget / 4 * 3;
+        let semaphore = |permits: u32| Arc::new(Semaphore::new(permits as usize));
+        DescriptorBudget {
+            all: semaphore(budget),
+            callers: semaphore(caller_limit),
+            max_callers: caller_limit,
+        }
     }
 
-    /// A permit for a client, if one is available.
+    /// Returns a permit for a client, if one is available.
     pub fn try_caller(&self) -> Option<CallerPermit> {
         let _caller = self.callers.clone().try_acquire_owned().ok()?;
         Some(CallerPermit { _caller, _all: self.try_upstream()? })
     }
 
-    /// A permit for a client, once one is available.
+    /// Waits for a permit for a client.
     pub async fn acquire_caller(&self) -> Option<CallerPermit> {
         let _caller = self.callers.clone().acquire_owned().await.ok()?;
         Some(CallerPermit { _caller, _all: self.all.clone().acquire_owned().await.ok()? })
     }
 
-    /// A permit for an upstream connection, if one is available.
+    /// Returns a permit for an upstream connection, if one is available.
     pub fn try_upstream(&self) -> Option<OwnedSemaphorePermit> {
         self.all.clone().try_acquire_owned().ok()
     }
@@ -57,12 +61,12 @@
         self.max_callers as usize
     }
 
-    /// Number of clients.
+    /// Number of clients that hold a permit.
     pub fn callers(&self) -> usize {
         self.max_callers as usize - self.callers.available_permits().min(self.max_callers as usize)
     }
 
-    /// Waits until no client is connected.
+    /// Waits until no client holds a permit.
     pub async fn wait_for_no_callers(&self) {
         let _all = self.callers.acquire_many(self.max_callers).await;
     }
--- a/crates/herondock/src/disruption_reporting.rs
+++ b/crates/herondock/src/disruption_reporting.rs
@@ -1,4 +1,5 @@
-//! This instance towards the fleet's disruption budgets: what its reporter learns about its upstreams, and how drains are applied.
+//! Connects this instance to the fleet's disruption budgets: provides observations of its upstreams to the reporter, and applies
+//! drains.
 use crate::clock::unix_ms;
 use crate::endpoint_sources::aggregator::{self, EndpointAggregator};
 use crate::request_counters::{self, RequestCounters};
@@ -19,27 +20,28 @@
 
 /// Kind under which a balancer announces its presence to the coordination service.
 const PRESENCE_KIND: &str = "balancer";
-/// How long the start waits for the drains in force, so that a new process does not send requests to a drained upstream. The
-/// process serves without them after that.
+/// Maximum time that the start waits for the drains in force, so that a new process does not send requests to a drained upstream.
+/// After that the process starts without them.
 const DRAINS_TIMEOUT: Duration = Duration::from_millis(300);
 /// Environment variable in which a supervisor passes the build id to the processes that it starts.
 pub const BUILD: &str = "HERONDOCK_BUILD";
-/// Name of the pool of all endpoints.
+/// Name of the default pool, which contains all endpoints, in stored values.
 const DEFAULT_POOL_NAME: &str = "all";
 
-/// The balancer of this process as the reporter sees it.
+/// Access of the reporter to the balancer of this process.
 pub struct LocalBalancer {
-    /// Endpoints.
+    /// Endpoints of all sources.
     pub endpoints: EndpointAggregator<Pools>,
-    /// Pools.
+    /// Pools with their drivers.
     pub pools: Pools,
-    /// Time after its start during which an upstream is warming up, in milliseconds.
+    /// Time for which an upstream is warming up after its start, in milliseconds.
     pub slow_start_ms: f64,
-    /// Counters of requests.
+    /// Request counters of the process.
     pub counters: Rc<RequestCounters>,
 }
 
-/// Spawns the reporter and the metrics sampler, and waits for the drains in force, for [`DRAINS_TIMEOUT`] at most.
+/// Spawns the reporter and the metrics sampler, then waits for the drains in force for at most [`DRAINS_TIMEOUT`]. Returns the
+/// client of the coordination service.
 pub async fn begin(
     config: &CoordinationClientConfig,
     name: &str,
@@ -54,9 +56,9 @@
         warm_up: config.warm,
         build: std::env::var(BUILD).unwrap_or_default(),
     };
-    let mut known = reporter::spawn(client.clone(), reporter_config, Rc::new(balancer), states);
-    if tokio::time::timeout(DRAINS_TIMEOUT, known.wait_for(|known| *known)).await.is_err() {
-        info!("outage: the council has not said which upstreams are drained, and {name} begins without");
+    let mut drains_known = reporter::spawn(client.clone(), reporter_config, Rc::new(balancer), states);
+    if tokio::time::timeout(DRAINS_TIMEOUT, drains_known.wait_for(|known| *known)).await.is_err() {
+        info!("outage: {name} starts without the drains in force, as the coordination service has not answered yet");
     }
     client
 }
@@ -77,10 +79,10 @@
 }
 
 impl LocalBalancer {
-    /// Condition of an endpoint; `None` if it is in service.
+    /// Condition of an endpoint; `None` if it is in service, or counts as drained by the fleet.
     fn condition(&self, endpoint: &Endpoint, is_ejected: bool, now_ms: f64) -> Option<EndpointCondition> {
         match endpoint.state {
-            // A drain of this fleet already counts as the lease that is granted for it.
+            // A drain by this fleet already counts through the lease that was granted for it.
             EndpointState::Draining if self.endpoints.is_held_out(&endpoint.name) => None,
             EndpointState::Draining => Some(EndpointCondition::Draining),
             EndpointState::Unhealthy => Some(EndpointCondition::Unhealthy),
--- a/crates/herondock/src/main.rs
+++ b/crates/herondock/src/main.rs
@@ -1,4 +1,4 @@
-//! herondock: a load balancer on real sockets; see the README, and `docs/architecture.md` for the way of a request.
+//! herondock: a load balancer. See the README for its use, and `docs/architecture.md` for the path of a request.
 mod check;
 mod cli;
 mod clock;
--- a/crates/herondock/src/node_config.rs
+++ b/crates/herondock/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of one balancer (`NODE_CONFIG`, JSON) as typed values.
+//! Parses the platform's configuration of one balancer, the JSON file that `NODE_CONFIG` names.
 use config::operator::{read_consistent, ReadFileError};
 use config::Deployment;
 use discovery::platform::staleness::StalenessSettings;
@@ -9,21 +9,21 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Environment variable that names the file.
+/// Environment variable that contains the path of the file.
 const VARIABLE: &str = "NODE_CONFIG";
-/// Largest configuration that is read, in bytes; its endpoint list is most of it.
+/// Maximum size of a configuration, in bytes. Most of it is the endpoint list.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// Limit on descriptors where the configuration states none.
+/// Limit on file descriptors if the configuration contains none.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// Fewer descriptors than this are not enough for clients and upstreams.
+/// Minimum limit on file descriptors; fewer are not enough for clients and upstreams.
 const MIN_DESCRIPTORS: usize = 64;
-/// Longest grace of drains that is taken, in milliseconds.
+/// Maximum grace period of drains, in milliseconds; longer ones are reduced to it.
 const MAX_DRAIN_GRACE_MS: f64 = 60_000.0;
 
-/// Why a configuration can't be used.
+/// Reason why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigError {
-    /// The environment variable is not set, or is no text.
+    /// The environment variable is not set, or is not valid Unicode.
     #[error("{VARIABLE}: {0}")]
     Variable(std::env::VarError),
     /// The file that the environment variable names can't be used.
@@ -32,33 +32,33 @@
     /// The file can't be read.
     #[error("{}: {reason}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Reason why it can't be read.
         reason: ReadFileError,
     },
     /// The content of the file is not valid.
     #[error("{}: {source}", .path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Reason why it is invalid.
         source: InvalidNodeConfig,
     },
 }
 
-/// What is wrong with the content of a configuration.
+/// Reason why the content of a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidNodeConfig {
-    /// It is not valid JSON, or more follows.
+    /// It is not valid JSON, or data follows the JSON value.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A field has a value that it can't have.
+    /// A field has an invalid value.
     #[error("{field}: {reason}")]
     Field {
         /// Path of the field.
         field: String,
-        /// What is wrong with it.
+        /// Reason why the value is invalid.
         reason: String,
     },
 }
@@ -88,37 +88,37 @@
 
 /// The configuration of one balancer.
 pub struct NodeConfig {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// The address that clients connect to.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// The address of service discovery.
+    /// Address of service discovery.
     pub discovery: SocketAddr,
-    /// Seed of random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
     /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The endpoint list as this balancer last had it; its age is unknown.
+    /// Last endpoint list of this balancer that the platform saved; its age is unknown.
     pub cached_endpoints: Option<EndpointListResponse>,
-    /// Settings of the decision module and of the sockets.
+    /// Settings of the decision module and of connections.
     pub deployment: Deployment,
-    /// Hash of the settings' text: equal for equal settings.
+    /// Hash of the settings as JSON text.
     pub fingerprint: u64,
 }
 
 /// Reads the file that `NODE_CONFIG` names.
 ///
 /// # Errors
-/// The variable is not set, or its file can't be used.
+/// The variable is not set, or the file can't be used.
 pub fn load() -> Result<NodeConfig, NodeConfigError> {
     let path = std::env::var(VARIABLE).map_err(NodeConfigError::Variable)?;
     read(Path::new(&path)).map_err(|e| NodeConfigError::NamedFile(Box::new(e)))
 }
 
-/// Reads a file.
+/// Reads a configuration from a file.
 ///
 /// # Errors
-/// It can't be read, or is not valid.
+/// The file can't be read, or its content is not valid.
 pub fn read(path: &Path) -> Result<NodeConfig, NodeConfigError> {
     let unreadable = |reason| NodeConfigError::Unreadable { path: path.into(), reason };
     let text = read_consistent(path, MAX_FILE_BYTES).map_err(unreadable)?;
@@ -129,19 +129,19 @@
     /// Parses a configuration.
     ///
     /// # Errors
-    /// The field at fault, and what is wrong with it.
+    /// The JSON or the value of a field is invalid; the message names the field.
     pub fn parse(json: &[u8]) -> Result<NodeConfig, InvalidNodeConfig> {
         let raw = parse_raw(json)?;
         let deployment = config::deployment(raw.settings.get().as_bytes())
             .map_err(|e| InvalidNodeConfig::field("settings", e))?;
-        if let Some(i) = deployment.classes.iter().position(String::is_empty) {
-            return Err(InvalidNodeConfig::field(format!("settings.classes[{i}].name"), "missing"));
+        if let Some(index) = deployment.classes.iter().position(String::is_empty) {
+            return Err(InvalidNodeConfig::field(format!("settings.classes[{index}].name"), "missing"));
         }
-        if let Some(i) = deployment.tenants.iter().position(String::is_empty) {
-            return Err(InvalidNodeConfig::field(format!("settings.tenants[{i}].name"), "missing"));
+        if let Some(index) = deployment.tenants.iter().position(String::is_empty) {
+            return Err(InvalidNodeConfig::field(format!("settings.tenants[{index}].name"), "missing"));
         }
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|_| {
-            InvalidNodeConfig::field("seed", format!("{:?} is no hexadecimal number of 64 bits", raw.seed))
+            InvalidNodeConfig::field("seed", format!("{:?} is not a hexadecimal number of 64 bits", raw.seed))
         })?;
         let max_descriptors = raw.limits.sockets.unwrap_or(DEFAULT_DESCRIPTORS);
         if max_descriptors < MIN_DESCRIPTORS {
@@ -173,7 +173,7 @@
     Ok(raw)
 }
 
-/// What the settings say of notifications by service discovery.
+/// Settings that determine after which time an endpoint list counts as stale.
 pub fn staleness_settings(deployment: &Deployment) -> StalenessSettings {
     let drain_grace = deployment.drain_grace.clamp(0.0, MAX_DRAIN_GRACE_MS);
     StalenessSettings {
