--- a/crates/herondock/src/cli/coordination.rs
+++ b/crates/herondock/src/cli/coordination.rs
@@ -10,7 +10,7 @@
     Run {
         /// The voter's file
         file: PathBuf,
-        /// For tests: the step of its disk at which it is killed
+        /// For tests: the disk operation at which the voter is killed
         #[arg(long, hide = true, value_name = "KIND:COUNT")]
         halt_at: Option<CrashPoint>,
     },
@@ -24,15 +24,15 @@
     Status {
         /// The voter's file
         file: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show the members, as the leader knows them
+    /// Show the members, as known to the leader
     Members {
         /// The voter's file
         file: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
@@ -49,7 +49,7 @@
     },
     /// Show changes of keys as they happen
     Watch {
-        /// Only of keys with this prefix
+        /// Show only changes of keys with this prefix
         #[arg(long, alias = "under", default_value = "")]
         prefix: String,
         /// The voter's file
@@ -73,7 +73,7 @@
     },
     /// Remove a voter, for instance one whose disk is lost; with an empty folder it joins again
     Remove {
-        /// Its name
+        /// Name of the voter
         #[arg(long)]
         name: String,
         /// The voter's file
@@ -81,7 +81,7 @@
     },
     /// Transfer leadership to another voter
     Transfer {
-        /// Its name
+        /// Name of the voter
         #[arg(long)]
         name: String,
         /// The voter's file
--- a/crates/herondock/src/cli/disruption.rs
+++ b/crates/herondock/src/cli/disruption.rs
@@ -15,11 +15,11 @@
     Status {
         /// The file of disruption budgets
         file: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Remove a balancer that the fleet has no more, when its supervisor is gone for good
+    /// Remove a balancer that no longer belongs to the fleet and whose supervisor will not return
     Forget {
         /// The file of disruption budgets
         file: PathBuf,
@@ -44,29 +44,29 @@
     file: PathBuf,
     /// POOL/UPSTREAM, or the upstream alone
     unit: String,
-    /// The drain ends by itself after this, such as 10m
+    /// Time after which the drain ends by itself, such as 10m
     #[arg(long = "for", value_name = "TIME", value_parser = config::duration)]
-    ends: Option<Duration>,
-    /// Reason
+    duration: Option<Duration>,
+    /// Reason for the drain
     #[arg(long, default_value = "")]
     why: String,
-    /// Wait this long where budgets do not allow it now, instead of being rejected
+    /// Time to wait if budgets do not allow the drain now, instead of being rejected
     #[arg(long, value_name = "TIME", value_parser = config::duration)]
     wait: Option<Duration>,
-    /// Wait this long until every balancer has confirmed that nothing is in flight there
+    /// Time to wait until every balancer has confirmed that no request is in flight at the upstream
     #[arg(long, value_name = "TIME", value_parser = config::duration)]
     until_drained: Option<Duration>,
-    /// A reason to exceed what budgets allow; floors hold all the same
+    /// Reason to exceed what budgets allow; floors are still enforced
     #[arg(long = "override", value_name = "REASON")]
     overrides: Option<String>,
 }
 
 impl DrainArgs {
     pub fn run(self) -> anyhow::Result<()> {
-        let DrainArgs { file, unit, ends, why, wait, until_drained, overrides } = self;
+        let DrainArgs { file, unit, duration, why, wait, until_drained, overrides } = self;
         let command = Command::Drain(DrainOptions {
             endpoint: unit,
-            duration_ms: ends.map(|ends| u64::try_from(ends.as_millis()).unwrap_or(u64::MAX)),
+            duration_ms: duration.map(|duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)),
             reason: why,
             wait,
             until_drained,
@@ -81,7 +81,7 @@
     run(file, Command::Undrain { endpoint: unit })
 }
 
-/// Shows the drains.
+/// Shows the drains in force.
 pub fn drains(file: &Path, json: bool) -> anyhow::Result<()> {
     run(file, Command::Drains { json })
 }
--- a/crates/herondock/src/cli/endpoints.rs
+++ b/crates/herondock/src/cli/endpoints.rs
@@ -1,4 +1,4 @@
-//! `herondock endpoints`: the endpoints that an instance has, or that its sources say.
+//! `herondock endpoints`: shows the endpoints of an instance, or those that its sources report.
 use crate::endpoint_sources::inspect;
 use crate::{node_config, run};
 use anyhow::Context;
@@ -10,13 +10,13 @@
     /// The operator's file, which names the instance's Unix socket (daemon.takeover) and its sources
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// The instance's Unix socket, in place of daemon.takeover
+    /// The instance's Unix socket; overrides daemon.takeover
     #[arg(long, value_name = "PATH")]
     takeover: Option<PathBuf>,
-    /// Ask the sources themselves, with the platform's configuration in the file that NODE_CONFIG names
+    /// Query the sources themselves, with the platform's configuration in the file that NODE_CONFIG names
     #[arg(long)]
     once: bool,
-    /// As JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
@@ -24,18 +24,18 @@
 impl EndpointsArgs {
     pub fn run(self) -> anyhow::Result<()> {
         let operator = run::read_operator(self.operator.as_deref()).map_err(anyhow::Error::msg)?;
-        let view = if self.once {
+        let status = if self.once {
             let config = node_config::load().map_err(anyhow::Error::msg)?;
             inspect::query_sources(config, &operator)
         } else {
             let socket = self.takeover.or_else(|| operator.daemon.takeover.clone());
             let socket = socket.context(
-                "members: name the instance's socket with --takeover or in --operator, or ask with --once",
+                "members: name the instance's socket with --takeover or in --operator, or query the sources with --once",
             )?;
             inspect::query_instance(&socket)
         };
-        let view = view.map_err(anyhow::Error::msg)?;
-        let text = if self.json { format!("{view}\n") } else { inspect::format_table(&view) };
+        let status = status.map_err(anyhow::Error::msg)?;
+        let text = if self.json { format!("{status}\n") } else { inspect::format_table(&status) };
         super::print(&text)
     }
 }
--- a/crates/herondock/src/cli/fleet.rs
+++ b/crates/herondock/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! `herondock fleet`: a supervisor of many instances, and commands to a running one.
+//! `herondock fleet`: runs a supervisor of several instances, or sends a command to a running one.
 use crate::supervise;
 use clap::{Args, Subcommand};
 use config::supervisor::read;
@@ -20,7 +20,7 @@
     Status {
         /// The fleet's file
         file: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
@@ -46,13 +46,13 @@
 struct RollingArgs {
     /// The fleet's file
     file: PathBuf,
-    /// A reason to exceed what disruption budgets allow; floors hold all the same
+    /// Reason to exceed what disruption budgets allow; floors are still enforced
     #[arg(long = "override", value_name = "REASON")]
     overrides: Option<String>,
 }
 
 impl RollingArgs {
-    /// Sends the command to the supervisor, with the reason to exceed budgets behind it.
+    /// Sends the command to the supervisor, followed by the reason to exceed budgets.
     fn send(self, command: &str) -> anyhow::Result<()> {
         let command = match self.overrides {
             Some(reason) => format!("{command} override {}", reason.replace(['\n', '\r'], " ")),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Sends a command to the supervisor of a fleet and prints its answer as it comes.
+/// Sends a command to the supervisor of a fleet and prints each line of its answer as it arrives.
 fn send(file: &Path, command: &str) -> anyhow::Result<()> {
     let config = read(file).map_err(anyhow::Error::msg)?;
     let print = |line: &str| drop(writeln!(std::io::stdout(), "{line}"));
--- a/crates/herondock/src/cli/mod.rs
+++ b/crates/herondock/src/cli/mod.rs
@@ -1,6 +1,7 @@
 //! The command line: the commands, their arguments and exit codes (0: success, 1: failure, 2: wrong usage).
 //!
-//! Each group of commands has a module; what a command does is the matter of the crate or module that it calls.
+//! Each group of commands has a module that parses its arguments. The commands are implemented by the crates and modules that
+//! it calls.
 mod coordination;
 mod disruption;
 mod endpoints;
@@ -20,8 +21,7 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct CommandLine {
-    /// Log level: info, or debug as well: each call to discovery, each choice of an upstream and each first byte, one line
-    /// each
+    /// Log level: info, or debug, which adds a line for each call to discovery, each choice of an upstream and each first byte
     #[arg(long, global = true, value_name = "LEVEL", default_value = "info", value_parser = level)]
     log: Level,
     #[command(subcommand)]
@@ -43,10 +43,10 @@
         /// The operator's file (TOML); see deploy/herondock.example.toml
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
-        /// The pid file, in place of daemon.pid_file
+        /// The pid file; overrides daemon.pid_file
         #[arg(long, value_name = "FILE")]
         pid_file: Option<PathBuf>,
-        /// The Unix socket for handing the listener to a successor, in place of daemon.takeover
+        /// The Unix socket for handing the listener off to a successor; overrides daemon.takeover
         #[arg(long, value_name = "PATH")]
         takeover: Option<PathBuf>,
         /// Exit when standard input ends: for programs that start instances and must not leave one behind
@@ -88,14 +88,14 @@
     Drains {
         /// The file of disruption budgets
         file: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Show the endpoints of a running instance, or what its endpoint sources say
+    /// Show the endpoints of a running instance, or those that its sources report
     #[command(alias = "members")]
     Endpoints(endpoints::EndpointsArgs),
-    /// Show what a routing table does, with the names of the platform's configuration that NODE_CONFIG names
+    /// Show how a routing table routes requests, with the names in the platform configuration that NODE_CONFIG names
     #[command(subcommand)]
     Routes(routes::RoutesArgs),
     /// Check operator's files (TOML) and platform configurations (.json); opens no socket
@@ -145,11 +145,11 @@
 
 /// Parses the command line and runs its command.
 pub fn main() -> ExitCode {
-    // Wrong usage ends in here with 2, help and version with 0.
+    // Exits the process on wrong usage with status 2, and after printing the help or version with status 0.
     let line = CommandLine::parse();
     daemon::log::init(line.log);
     for (former, name) in former_names::used(std::env::args()) {
-        info!("herondock: {former} is called {name} now; the former name goes on working");
+        info!("herondock: {former} has been renamed to {name}; the former name remains valid");
     }
     match line.command.unwrap_or_default().run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/herondock/src/cli/rollout.rs
+++ b/crates/herondock/src/cli/rollout.rs
@@ -1,4 +1,4 @@
-//! `herondock rollout`: rolling a new build out over the fleet.
+//! `herondock rollout`: rolls a new build out to the fleet.
 use clap::Subcommand;
 use rollout::OperatorCommand;
 use rollout_agent::command::{run, Command};
@@ -11,15 +11,15 @@
         /// The rollout's file
         file: PathBuf,
     },
-    /// Show its progress, what it waits for, and each balancer
+    /// Show the progress of the rollout, what it waits for, and the state of each balancer
     Status {
         /// The rollout's file
         file: PathBuf,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Pause it: nothing more is moved, and what runs stays as it is
+    /// Pause the rollout: no further instance is replaced, and running instances stay as they are
     #[command(alias = "halt")]
     Pause {
         /// The rollout's file
@@ -28,7 +28,7 @@
         #[arg(long, default_value = "halted by an operator")]
         why: String,
     },
-    /// Go on from where it was paused
+    /// Resume a paused rollout
     Resume {
         /// The rollout's file
         file: PathBuf,
--- a/crates/herondock/src/cli/routes.rs
+++ b/crates/herondock/src/cli/routes.rs
@@ -1,45 +1,46 @@
-//! `herondock routes`: what a routing table does with a request, and what a change of the table moves.
+//! `herondock routes`: explains how a routing table routes a request, and shows the differences between two tables.
 use crate::routing::inspect::{diff_tables, explain, RequestDescription};
 use clap::Subcommand;
 use std::path::PathBuf;
 
 #[derive(Subcommand)]
 pub enum RoutesArgs {
-    /// Show which route and pool a request gets, and why
+    /// Show the route and pool that a request is assigned to, and the reasons
     Explain {
         /// The operator's file, which names the table
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
-        /// Its club; the first one if it is not given
+        /// Tenant of the request; by default the first one
         #[arg(long)]
         club: Option<String>,
-        /// Its class; the first one if it is not given
+        /// Class of the request; by default the first one
         #[arg(long)]
         class: Option<String>,
-        /// Its path, with a query or without
+        /// Path of the request, with or without a query
         #[arg(long, default_value = "/api")]
         path: String,
-        /// Its host
+        /// Host of the request
         #[arg(long, default_value = "")]
         host: String,
-        /// Its method
+        /// Method of the request
         #[arg(long, default_value = "GET")]
         method: String,
-        /// The front that it comes in by
+        /// Front that receives the request
         #[arg(long, default_value = "http")]
         front: String,
-        /// Its idempotency key
+        /// Idempotency key of the request
         #[arg(long)]
         key: Option<String>,
-        /// A header of it; may be given several times
+        /// Header of the request; may be given several times
         #[arg(long, value_name = "NAME=VALUE", value_parser = header)]
         header: Vec<(String, String)>,
     },
-    /// Show who moves between the tables of two operator's files, and which expectations change their answer
+    /// Show the requests that are routed differently by the tables of two operator's files, and the expectations whose result
+    /// changes
     Diff {
-        /// The operator's file with the table in use
+        /// Operator's file with the current table
         old: PathBuf,
-        /// The one with the table to come
+        /// Operator's file with the new table
         new: PathBuf,
     },
 }
