--- a/crates/herondock/src/supervise/commands.rs
+++ b/crates/herondock/src/supervise/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators: the supervisor's side.
+//! Handling of operator commands in the supervisor.
 use super::coordination_clients::Coordination;
 use super::driver::{action_name, Driver};
 use config::supervisor::InstanceConfig;
@@ -11,7 +11,7 @@
 /// Separates a command from the operator's reason to exceed disruption budgets.
 const OVERRIDE_SEPARATOR: &str = " override ";
 
-/// A command line, parsed.
+/// A parsed command.
 enum Request {
     /// Report the state of the fleet.
     Status,
@@ -38,7 +38,7 @@
 }
 
 impl Driver<'_> {
-    /// An operator sent a command line; `reply` receives the reply lines.
+    /// Handles a command line of an operator; `reply` receives the reply lines. Returns the event for the state machine.
     pub fn command(&mut self, line: &str, reply: mpsc::Sender<String>) -> Event {
         let (command, override_reason) = match line.split_once(OVERRIDE_SEPARATOR) {
             Some((command, reason)) => (command, Some(reason.to_string())),
@@ -69,7 +69,7 @@
             }
             Request::Stop => {}
         }
-        info!("fleet: {command}");
+        info!("fleet: received the operator command {command:?}");
         let command = match request {
             Request::Roll(action) => Command::Roll(action),
             _ => {
@@ -81,7 +81,7 @@
         Event::Command(command)
     }
 
-    /// Why a rollout does not allow a rolling operation to begin; `None` if it does.
+    /// Reason why a rollout prevents a rolling operation from starting; `None` if it does not.
     fn roll_blocked_by_rollout(&self) -> Option<String> {
         self.coordination.as_ref()?.rollouts.blocking_reason()
     }
@@ -105,7 +105,7 @@
             InstanceState::CrashLoop(reason) => Some(reason),
             _ => instance.process.and_then(|id| self.status_texts.get(&id)),
         };
-        let ready_ms = instance.time_to_ready.map(|took| u64::try_from(took.as_millis()).unwrap_or(u64::MAX));
+        let ready_ms = instance.time_to_ready.map(|time| u64::try_from(time.as_millis()).unwrap_or(u64::MAX));
         json!({
             "name": config.name,
             "state": instance.state.to_string(),
@@ -119,7 +119,7 @@
         })
     }
 
-    /// What the lease requests of this supervisor wait for.
+    /// Descriptions of what the lease requests of this supervisor wait for.
     fn pending_leases(&self) -> Vec<String> {
         let Some(Coordination { lease_agent, .. }) = &self.coordination else { return Vec::new() };
         let snapshot = lease_agent.snapshot();
--- a/crates/herondock/src/supervise/control.rs
+++ b/crates/herondock/src/supervise/control.rs
@@ -1,4 +1,4 @@
-//! Commands to a supervisor: the client's side.
+//! Client for the commands of a supervisor.
 use super::error::CommandError;
 use super::FleetPaths;
 use config::supervisor::{FleetConfig, InstanceConfig};
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum time between two reply lines of the supervisor: a rolling operation reports each instance.
+/// Maximum time between two reply lines of the supervisor. A rolling operation sends a line for each instance.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(600);
 /// Header of the status table.
 const STATUS_COLUMNS: [&str; 8] =
@@ -35,10 +35,10 @@
     })
 }
 
-/// Status of the fleet, as a table or as JSON. Without a supervisor it shows which instances run.
+/// Status of the fleet, as a table or as JSON. If no supervisor runs, it only shows which instances run.
 ///
 /// # Errors
-/// The supervisor does not answer.
+/// The supervisor does not answer, or its answer is invalid.
 pub fn status(fleet: &FleetConfig, json: bool) -> Result<String, CommandError> {
     let mut answer = String::new();
     let state = match send_command(fleet, "status", |line| answer.push_str(line)) {
--- a/crates/herondock/src/supervise/coordination_clients.rs
+++ b/crates/herondock/src/supervise/coordination_clients.rs
@@ -24,8 +24,8 @@
 }
 
 impl Coordination {
-    /// Connects to the coordination service that the fleet's file names; `None` if it names none. To be called within
-    /// a [`tokio::task::LocalSet`].
+    /// Connects to the coordination service that the fleet's file names; returns `None` if it names none. To be called
+    /// within a [`tokio::task::LocalSet`].
     ///
     /// # Errors
     /// The supervisor's own build cannot be identified.
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Interval at which the rollout has to be advanced; `None` if there never was one.
+    /// Interval at which the rollout has to be advanced; `None` if there has never been one.
     pub fn rollout_poll_interval(&self) -> Option<Duration> {
         self.rollouts.poll_interval()
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Name of an instance in the coordination service: the one that its own configuration gives it.
+/// Name of an instance in the coordination service: the name in its own configuration, or else the one in the fleet's file.
 fn balancer_name(instance: &InstanceConfig) -> String {
     node_config::read(&instance.config).map_or_else(|_| instance.name.clone(), |config| config.name)
 }
--- a/crates/herondock/src/supervise/driver.rs
+++ b/crates/herondock/src/supervise/driver.rs
@@ -15,23 +15,23 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Timeout of connecting to an adopted instance, and of its answer to the readiness request.
+/// Timeout of connecting to an adopted instance, and of each read of its answer to the readiness request.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Readiness request to an adopted instance.
 const READINESS_REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n";
-/// Beginning of the answer of an instance that is ready.
+/// First bytes of the answer of an instance that is ready.
 const READY_RESPONSE: &[u8; 12] = b"HTTP/1.1 200";
 
-/// Whether the supervisor goes on.
+/// Whether the supervisor continues to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It goes on.
+    /// The supervisor continues to run.
     Running,
     /// All instances were stopped by command.
     Stopped,
 }
 
-/// The supervisor's state machine and all that it controls.
+/// The supervisor's state machine and the resources that it controls.
 pub struct Driver<'a> {
     pub(super) config: &'a FleetConfig,
     pub(super) supervisor: Supervisor,
@@ -39,18 +39,18 @@
     pub(super) processes: HashMap<ProcessId, InstanceProcess>,
     /// Last status text of each process.
     pub(super) status_texts: HashMap<ProcessId, String>,
-    /// Receives the processes that exit.
+    /// Sends the ids of processes that have exited to the event loop.
     exits: mpsc::Sender<ProcessId>,
     /// Clients that wait for the end of a rolling operation, or of the stop.
     pub(super) waiting_clients: Vec<mpsc::Sender<String>>,
     /// The coordination service, if the fleet uses one.
     pub(super) coordination: Option<Coordination>,
-    /// The operator's reason to exceed disruption budgets in the present rolling operation.
+    /// The operator's reason to exceed disruption budgets in the current rolling operation.
     pub(super) override_reason: Option<String>,
 }
 
 impl<'a> Driver<'a> {
-    /// A driver of instances of which none is known to run. `exits` receives the processes that exit.
+    /// Creates a driver without known processes. The ids of processes that exit are sent to `exits`.
     pub fn new(
         config: &'a FleetConfig,
         coordination: Option<Coordination>,
@@ -74,7 +74,7 @@
         self.processes.len()
     }
 
-    /// Adopts the instances that already run, by the pid files that they hold.
+    /// Adopts the instances that already run; they are found by the pid files that they lock.
     pub fn adopt_running(&mut self) {
         for (index, instance) in self.config.instances.iter().enumerate() {
             let Some(pid) = pid_file::holder(&FleetPaths(self.config).pid_file(instance)) else { continue };
@@ -84,7 +84,7 @@
                     let id = self.supervisor.adopt(now, index, is_adopted_ready(instance));
                     self.track(id, process);
                 }
-                Err(e) => info!("fleet: {}: process {pid}: {e}", instance.name),
+                Err(e) => info!("fleet: {}: process {pid} is not adopted: {e}", instance.name),
             }
         }
     }
@@ -118,7 +118,7 @@
                     }
                 }
                 Action::Stopped => {
-                    info!("fleet: all are stopped");
+                    info!("fleet: all instances are stopped");
                     self.reply_to_all("ok");
                     return Progress::Stopped;
                 }
@@ -148,16 +148,19 @@
                 }
             }
             Action::RollFinished(action) => {
-                info!("fleet: {} done", action_name(action));
+                info!("fleet: rolling {} finished", action_name(action));
                 self.reply_to_all("ok");
             }
             Action::RollAborted { instance, reason } => {
                 let line = format!("halted at {}: {reason}", self.instance_name(instance));
-                info!("fleet: {line}");
+                info!("fleet: rolling operation {line}");
                 self.reply_to_all(&format!("failed {line}"));
             }
             Action::CrashLoop { instance, reason } => {
-                info!("fleet: {} is given up: {reason}", self.instance_name(instance));
+                info!(
+                    "fleet: {} is in a crash loop and is not restarted: {reason}",
+                    self.instance_name(instance)
+                );
             }
             // Carried out by `handle`.
             Action::Start { .. } | Action::Stopped => {}
@@ -176,20 +179,20 @@
         Ok(())
     }
 
-    /// Has the exit of a process reported.
+    /// Adds a process and watches for its exit.
     fn track(&mut self, id: ProcessId, process: InstanceProcess) {
         let exits = self.exits.clone();
         let notify = move || {
-            // The event loop may have ended; then nobody needs to know.
+            // Fails if the event loop has ended, when the exit is of no interest.
             let _ = exits.blocking_send(id);
         };
         if let Err(e) = process.on_exit(notify) {
-            info!("fleet: process {}: its end will not be noticed: {e}", process.pid);
+            info!("fleet: process {}: its exit is not watched: {e}", process.pid);
         }
         self.processes.insert(id, process);
     }
 
-    /// A process exited.
+    /// Handles the exit of a process.
     pub fn process_exited(&mut self, process: ProcessId) -> Event {
         let exited = self.processes.remove(&process);
         self.status_texts.remove(&process);
@@ -197,7 +200,7 @@
         Event::Exited { process, clean: report.clean, status: report.status }
     }
 
-    /// An instance sent a notification.
+    /// Handles a notification of an instance.
     pub fn notified(&mut self, notification: Notification) -> Event {
         let Notification { pid, ready, status } = notification;
         let sender = self.processes.iter().find(|(_, process)| process.pid == pid);
@@ -248,7 +251,7 @@
     }
 }
 
-/// Whether an instance that was found running is ready. Without a known address it counts as ready.
+/// Whether an adopted instance is ready. It counts as ready if its address is not known.
 fn is_adopted_ready(instance: &InstanceConfig) -> bool {
     let listen = node_config::read(&instance.config).ok().map(|config| config.listen);
     listen.filter(|listen| listen.port() != 0).is_none_or(|listen| is_ready(listen).unwrap_or(false))
--- a/crates/herondock/src/supervise/error.rs
+++ b/crates/herondock/src/supervise/error.rs
@@ -46,10 +46,10 @@
     Connection {
         /// Path of the control socket.
         socket: PathBuf,
-        /// Description of the failure.
+        /// Error of the connection.
         source: ControlError,
     },
     /// The status is not valid JSON.
-    #[error("the supervisor's answer: {0}")]
+    #[error("the supervisor's answer is not valid JSON: {0}")]
     InvalidStatus(#[from] serde_json::Error),
 }
--- a/crates/herondock/src/supervise/event_loop.rs
+++ b/crates/herondock/src/supervise/event_loop.rs
@@ -16,9 +16,9 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Process exits that are queued for the event loop.
+/// Maximum number of process exits that are queued for the event loop.
 const MAX_QUEUED_EXITS: usize = 64;
-/// Mode of the fleet's folder: pid files and sockets are for its owner only.
+/// Mode of the fleet's folder: only its owner may access the pid files and sockets.
 const FOLDER_MODE: u32 = 0o700;
 
 /// Runs a supervisor until SIGTERM, which leaves the instances running, or until all instances were stopped by command.
@@ -55,7 +55,7 @@
         create_folder(config).map_err(folder_error)?;
         let lock = PidFile::acquire(&paths.lock())?;
         if let Some(reason) = lock.write_error() {
-            info!("fleet: {reason}");
+            info!("fleet: lock file {reason}");
         }
         let notify_socket = NotifySocket::bind(&paths.notify()).map_err(folder_error)?;
         let control_socket = ControlSocket::bind(&paths.control()).map_err(folder_error)?;
@@ -68,7 +68,7 @@
 
     async fn run(mut self) {
         let (instances, adopted) = (self.config.instances.len(), self.driver.process_count());
-        info!("fleet: supervisor of {instances} instances, {adopted} found running");
+        info!("fleet: started the supervisor of {instances} instances, {adopted} were already running");
         let mut event = Event::Timeout;
         loop {
             if self.driver.handle(event) == Progress::Stopped {
@@ -84,7 +84,7 @@
                 loop_event => self.dispatch(loop_event),
             };
         }
-        info!("fleet: the supervisor ends, {} processes run on", self.driver.process_count());
+        info!("fleet: the supervisor exits, {} instance processes keep running", self.driver.process_count());
     }
 
     /// Waits for the next event, until `wake_at` at most.
@@ -108,12 +108,15 @@
     /// Handles an event; returns the resulting event of the state machine.
     fn dispatch(&mut self, event: LoopEvent) -> Event {
         match event {
-            // Instances are reloaded by the command `fleet reload` only.
+            // SIGHUP has no effect: instances are reloaded by the command `fleet reload` only.
             LoopEvent::Signal(_) | LoopEvent::RolloutChanged | LoopEvent::Timeout => Event::Timeout,
             LoopEvent::ProcessExited(process) => self.driver.process_exited(process),
             LoopEvent::Notification(Ok(notification)) => self.driver.notified(notification),
             LoopEvent::Notification(Err(error)) => {
-                info!("fleet: {}: {error}", FleetPaths(self.config).notify().display());
+                info!(
+                    "fleet: {}: can't receive notifications of instances: {error}",
+                    FleetPaths(self.config).notify().display()
+                );
                 Event::Timeout
             }
             LoopEvent::LeaseGranted(lease) => self.driver.lease_granted(&lease),
--- a/crates/herondock/src/supervise/leases.rs
+++ b/crates/herondock/src/supervise/leases.rs
@@ -1,4 +1,4 @@
-//! Disruption leases and rollouts: what the supervisor does with the coordination service.
+//! Disruption leases and rollouts: the supervisor's interaction with the coordination service.
 use super::driver::{action_name, Driver};
 use super::rollouts::ReplaceDecision;
 use config::supervisor::InstanceConfig;
@@ -55,24 +55,24 @@
         }
     }
 
-    /// A lease was granted. It may have arrived late, and be another's by now.
+    /// Handles a granted lease. A lease that arrives late may no longer be held by this supervisor.
     pub fn lease_granted(&mut self, lease: &GrantedLease) -> Event {
         let Some(coordination) = &self.coordination else { return Event::Timeout };
         let Some(instance) = coordination.instance_of(&lease.balancer) else { return Event::Timeout };
         let (unit, number) = (&lease.balancer, lease.fencing_token);
         if !coordination.lease_agent.is_active(lease) {
-            info!(unit, number, "outage: the leave came too late, and nothing is done by it");
+            info!(unit, number, "outage: the disruption lease arrived too late and is not used");
             coordination.lease_agent.mark_unused(unit);
             return Event::Timeout;
         }
-        info!(unit, number, "outage: has leave to {}", lease.kind.as_str());
+        info!(unit, number, "outage: holds a disruption lease to {}", lease.kind.as_str());
         if coordination.rollouts.on_lease_granted(lease) {
             return Event::Timeout;
         }
         Event::LeaseGranted(instance)
     }
 
-    /// A lease for a rollout was confirmed (`usable`), or could not be.
+    /// Handles the confirmation of a lease for a rollout; the lease is used only if `usable`.
     pub fn lease_confirmed(&mut self, lease: &GrantedLease, usable: bool) -> Event {
         let Some(coordination) = &mut self.coordination else { return Event::Timeout };
         if !usable || !coordination.lease_agent.is_active(lease) {
@@ -84,7 +84,7 @@
         action.map_or(Event::Timeout, |action| self.execute_rollout_action(action))
     }
 
-    /// Does what the present rollout requires of this machine's instances.
+    /// Carries out the actions that the current rollout requires for the instances of this machine.
     pub fn advance_rollout(&mut self) {
         for action in self.next_rollout_actions() {
             let event = self.execute_rollout_action(action);
@@ -99,7 +99,7 @@
         if coordination.rollouts.poll_interval().is_none() {
             return Vec::new();
         }
-        // While a rolling operation is in progress the rollout must not disrupt further instances.
+        // The rollout must not disrupt further instances while a rolling operation is in progress.
         let rolling = self.supervisor.rolling().is_some();
         let max_parallel = if rolling { 0 } else { self.config.policy.max_parallel };
         let snapshot = coordination.lease_agent.subscribe();
@@ -108,7 +108,7 @@
         actions
     }
 
-    /// The instances as the rollout executor sees them.
+    /// State of the instances for the rollout executor.
     fn local_instances(&self) -> Vec<LocalInstance> {
         let Some(coordination) = &self.coordination else { return Vec::new() };
         let now = self.started.elapsed();
@@ -143,14 +143,18 @@
         Event::Timeout
     }
 
-    /// Has the next process of a balancer started from another build.
+    /// Replaces the process of a balancer by one of another build, if the rollout allows it.
     fn replace_build(&mut self, balancer: &str, build: &BuildId) -> Event {
         let Some(coordination) = &mut self.coordination else { return Event::Timeout };
         let Some(index) = coordination.instance_of(balancer) else { return Event::Timeout };
         let Some(instance) = self.config.instances.get(index) else { return Event::Timeout };
         match coordination.rollouts.replace(&instance.name, balancer, build) {
             ReplaceDecision::Replace => {
-                info!(unit = balancer, "release: goes over to build {}", build_id::short(build));
+                info!(
+                    unit = balancer,
+                    "release: the next process is started from build {}",
+                    build_id::short(build)
+                );
                 Event::Command(Command::Replace(index))
             }
             ReplaceDecision::Refuse {
--- a/crates/herondock/src/supervise/loop_event.rs
+++ b/crates/herondock/src/supervise/loop_event.rs
@@ -1,4 +1,4 @@
-//! What the event loop of the supervisor waits for.
+//! Events that the event loop of the supervisor waits for.
 use super::process::Notification;
 use daemon::control::ControlRequest;
 use daemon::signals::ProcessSignal;
@@ -16,7 +16,7 @@
     Notification(io::Result<Notification>),
     /// A disruption lease was granted.
     LeaseGranted(GrantedLease),
-    /// A lease for a rollout can be used now (`usable`), or not any more.
+    /// The confirmation of a lease for a rollout has completed; the lease may be used only if `usable`.
     LeaseConfirmed {
         /// The lease.
         lease: GrantedLease,
@@ -27,6 +27,6 @@
     RolloutChanged,
     /// An operator sent a command.
     Command(ControlRequest),
-    /// The time at which the driver wanted to be called has come.
+    /// The driver's next timeout is due.
     Timeout,
 }
--- a/crates/herondock/src/supervise/mod.rs
+++ b/crates/herondock/src/supervise/mod.rs
@@ -1,7 +1,7 @@
 //! `herondock fleet`: supervisor of several instances on one machine, and the commands to it.
 //!
-//! Decisions are made by the crate `supervisor`; here its actions are carried out. Instances are processes of their own
-//! that outlive the supervisor: the next one finds them by their pid files, which are locked while they run.
+//! The crate `supervisor` makes the decisions; this module carries out its actions. Instances are separate processes that
+//! outlive the supervisor: the next supervisor finds them by their pid files, which are locked while they run.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -9,9 +9,9 @@
 //! | `driver` | passes events to the state machine and carries out its actions |
 //! | `loop_event` | events of the supervisor's loop |
 //! | `coordination_clients` | clients of the coordination service |
-//! | `leases` | leases that are taken before a disruption, and what is published for them |
-//! | `commands` | commands of operators, the supervisor's side |
-//! | `control` | commands of operators, the client's side |
+//! | `leases` | disruption leases, the published balancers, and the rollout's actions |
+//! | `commands` | handling of operator commands |
+//! | `control` | client for operator commands |
 //! | `process` | processes of instances and their notifications |
 //! | `rollouts` | builds that instances are started from |
 //! | `error` | errors |
--- a/crates/herondock/src/supervise/process.rs
+++ b/crates/herondock/src/supervise/process.rs
@@ -22,9 +22,9 @@
 
 /// Stack size of a thread that waits for the exit of a process.
 const WAITER_STACK_BYTES: usize = 64 << 10;
-/// Longest notification, in bytes.
+/// Maximum length of a notification, in bytes.
 const MAX_NOTIFICATION_BYTES: usize = 4096;
-/// Variables of a service manager's own protocol, which are not meant for the instances.
+/// Environment variables of the service manager's protocol, which are for the supervisor and not for its instances.
 const SERVICE_MANAGER_VARIABLES: [&str; 5] =
     ["LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES", "WATCHDOG_USEC", "WATCHDOG_PID"];
 
@@ -47,13 +47,13 @@
 }
 
 impl ExitReport {
-    /// Of a process whose exit status is not known.
+    /// Report of a process whose exit status is not known.
     pub fn unknown() -> ExitReport {
         ExitReport { clean: false, status: "it ended".into() }
     }
 }
 
-/// Resources that a process uses; 0 where the system does not tell.
+/// Resources that a process uses; 0 where the system does not report them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceUsage {
     /// Resident memory, in bytes.
@@ -62,7 +62,7 @@
     pub descriptors: usize,
 }
 
-/// A process of an instance, which runs or has exited and was not waited for yet.
+/// A process of an instance that is running, or has exited and was not reaped yet.
 pub struct InstanceProcess {
     /// Process id.
     pub pid: u32,
@@ -91,7 +91,7 @@
         match open_pidfd(child.id()) {
             Ok(pidfd) => Ok(InstanceProcess { pid: child.id(), child: Some(child), pidfd }),
             Err(e) => {
-                // Its exit would not be noticed.
+                // Killed, since its exit could not be noticed.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(e)
@@ -107,7 +107,7 @@
         Ok(InstanceProcess { pid, child: None, pidfd: open_pidfd(pid)? })
     }
 
-    /// Sends a signal; ignored by a process that has exited.
+    /// Sends a signal; has no effect if the process has exited.
     pub fn signal(&self, signal: Signal) {
         let signal = match signal {
             Signal::Reload => rustix::process::Signal::HUP,
@@ -136,7 +136,7 @@
         match self.child.as_mut().map(Child::wait) {
             Some(Ok(status)) => ExitReport { clean: status.success(), status: status.to_string() },
             Some(Err(e)) => ExitReport { clean: false, status: e.to_string() },
-            // Only the parent process can learn the status, and it was another supervisor.
+            // Only the parent process can obtain the exit status, and the parent was another supervisor.
             None => ExitReport::unknown(),
         }
     }
--- a/crates/herondock/src/supervise/rollouts/assigned_builds.rs
+++ b/crates/herondock/src/supervise/rollouts/assigned_builds.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tracing::info;
 
-/// Name of the file in the supervisor's folder, and kind of its content.
+/// Name of the file in the supervisor's folder, and kind stated in its header.
 const FILE_NAME: &str = "builds";
 /// Version of the file's format.
 const FILE_VERSION: u32 = 1;
@@ -38,7 +38,7 @@
 /// The assignments cannot be stored.
 #[derive(Debug, Error)]
 pub(super) enum SaveError {
-    /// They cannot be encoded.
+    /// The assignments cannot be encoded.
     #[error("which build an instance is of can't be kept: {0}")]
     Encode(#[from] serde_json::Error),
     /// The file cannot be written.
@@ -46,7 +46,7 @@
     Write {
         /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
@@ -65,11 +65,11 @@
         let builds = match file.load() {
             Ok(None) => BTreeMap::new(),
             Ok(Some(stored)) => serde_json::from_slice(&stored.content).unwrap_or_else(|error| {
-                info!("release: {}: {error}", file.path().display());
+                info!("release: {}: the assigned builds are ignored: {error}", file.path().display());
                 BTreeMap::new()
             }),
             Err(error) => {
-                info!("release: {}: {error}", file.path().display());
+                info!("release: {}: the assigned builds are ignored: {error}", file.path().display());
                 BTreeMap::new()
             }
         };
@@ -81,12 +81,12 @@
         self.builds.get(instance)
     }
 
-    /// Assigns a build, without storing that. Returns the former one.
+    /// Assigns a build without storing the assignment. Returns the former one.
     pub fn assign(&mut self, instance: &str, assigned: AssignedBuild) -> Option<AssignedBuild> {
         self.builds.insert(instance.into(), assigned)
     }
 
-    /// Restores a former assignment, without storing that.
+    /// Restores a former assignment without storing it.
     pub fn restore(&mut self, instance: &str, former: Option<AssignedBuild>) {
         match former {
             Some(former) => drop(self.builds.insert(instance.into(), former)),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Stores the assignments.
+    /// Stores the assignments on disk.
     pub fn save(&self) -> Result<(), SaveError> {
         let content = serde_json::to_vec(&self.builds)?;
         let path = || self.file.path().to_path_buf();
--- a/crates/herondock/src/supervise/rollouts/build_check.rs
+++ b/crates/herondock/src/supervise/rollouts/build_check.rs
@@ -1,4 +1,4 @@
-//! Verification that the builds of a rollout lie on this machine.
+//! Verification that the builds of a rollout are installed on this machine.
 use rollout::BuildId;
 use rollout_agent::build_id::{self, BuildError};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 /// Interval at which a missing build is looked for again.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reason why a build cannot be started here.
+/// Reason why a build cannot be started on this machine.
 #[derive(Debug, Error)]
 pub(super) enum BuildProblem {
     /// The file is not the build.
@@ -73,8 +73,8 @@
         BuildCheck { key, checked_at: Instant::now(), files }
     }
 
-    /// Whether the check still holds for a state. A failed one is repeated for each state, and after [`RETRY_INTERVAL`]: a
-    /// missing build may have been installed meanwhile.
+    /// Whether the check is still valid for a state. A failed check is repeated for each new state and after
+    /// [`RETRY_INTERVAL`], since a missing build may have been installed meanwhile.
     pub fn is_current(&self, key: CheckKey) -> bool {
         let may_repeat = self.key != key || self.checked_at.elapsed() >= RETRY_INTERVAL;
         let succeeded = self.files.values().all(Result::is_ok);
--- a/crates/herondock/src/supervise/rollouts/mod.rs
+++ b/crates/herondock/src/supervise/rollouts/mod.rs
@@ -21,11 +21,11 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
-/// Executable of this process, wherever its file is by now.
+/// Executable of this process, even if its file has been moved or replaced.
 const OWN_EXECUTABLE: &str = "/proc/self/exe";
-/// Interval at which a rollout in progress is advanced: the agent of the fleet's state has its own changes.
+/// Interval at which a rollout in progress is advanced, since the agent of the fleet's state signals changes separately.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The same after the rollout has ended.
+/// Interval at which a rollout is advanced after it has ended.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Whether an instance may be replaced.
@@ -35,7 +35,7 @@
     Replace,
     /// It must not be replaced.
     Refuse {
-        /// What is to be done instead, if anything.
+        /// Action to carry out instead, if any.
         follow_up: Option<ExecutorAction>,
     },
 }
@@ -48,10 +48,10 @@
     /// Build of the supervisor itself, for instances that no rollout has replaced.
     own_build: BuildId,
     assigned: AssignedBuilds,
-    /// Why the assignments could not be stored.
+    /// Error of the last attempt to store the assignments, if it failed.
     save_error: Option<SaveError>,
     check: Option<BuildCheck>,
-    /// State whose check is running.
+    /// State whose check is in progress.
     running_check: Option<CheckKey>,
     check_sender: mpsc::Sender<BuildCheck>,
     checks: mpsc::Receiver<BuildCheck>,
@@ -83,12 +83,12 @@
         self.assigned.get(instance).map_or(&self.own_build, |assigned| &assigned.build)
     }
 
-    /// Executable of that build; `None` for the supervisor's own.
+    /// Executable of the build that the next process of an instance is started from; `None` for the supervisor's own.
     pub fn path(&self, instance: &str) -> Option<&Path> {
         self.assigned.get(instance).map(|assigned| assigned.path.as_path())
     }
 
-    /// Why no rolling operation may start now, for operators; `None` if one may.
+    /// Reason, for operators, why no rolling operation may start now; `None` if one may.
     pub fn blocking_reason(&self) -> Option<String> {
         let snapshot = self.agent.snapshot();
         match snapshot.unfinished() {
@@ -108,7 +108,7 @@
         Some(if is_active { POLL_INTERVAL } else { IDLE_POLL_INTERVAL })
     }
 
-    /// Waits for a change; `None` if it is no confirmation of a lease. Cancel safe.
+    /// Waits for a change; returns `None` unless it is the confirmation of a lease. Cancel safe.
     pub async fn next_event(&mut self) -> Option<LeaseConfirmation> {
         tokio::select! {
             event = self.agent.next_event() => match event {
@@ -117,7 +117,7 @@
             },
             check = self.checks.recv() => if let Some(check) = check {
                 for (build, problem) in check.problems() {
-                    info!("release: build {}: {problem}", build_id::short(build));
+                    info!("release: build {} can't be started here: {problem}", build_id::short(build));
                 }
                 self.running_check = None;
                 self.check = Some(check);
@@ -140,7 +140,7 @@
         });
     }
 
-    /// Builds that cannot be started here, with the reason.
+    /// Builds that cannot be started on this machine, with the reasons.
     fn build_faults(&self) -> BTreeMap<BuildId, String> {
         let problems = self.check.iter().flat_map(BuildCheck::problems);
         let mut faults: BTreeMap<BuildId, String> =
@@ -183,12 +183,12 @@
         self.executor.next_actions(context, local)
     }
 
-    /// Whether a granted lease belongs to a rollout. Then it is confirmed first, by a read of the rollout from a majority.
+    /// Whether a granted lease belongs to a rollout. Such a lease is first confirmed by a read of the rollout from a majority.
     pub fn on_lease_granted(&self, lease: &GrantedLease) -> bool {
         self.executor.is_waiting_for_lease(&lease.balancer) && self.agent.confirm_lease(lease)
     }
 
-    /// Returns what to do under a confirmed lease.
+    /// Returns the action to carry out under a confirmed lease.
     pub fn on_lease_confirmed(&mut self, balancer: &str, fleet: &FleetSnapshot) -> Option<ExecutorAction> {
         let rollout = self.agent.snapshot();
         let context = RolloutContext { machine: &self.machine, fleet, rollout: &rollout, now_ms: unix_ms() };
@@ -207,7 +207,7 @@
         let path = match self.verified_path(build) {
             Ok(path) => path,
             Err(problem) => {
-                info!("release: {balancer} is not replaced: {problem}");
+                info!("release: balancer {balancer} is not replaced: {problem}");
                 if let Some(check) = &mut self.check {
                     check.set_problem(build, problem);
                 }
@@ -217,7 +217,7 @@
         let former = self.assigned.assign(instance, AssignedBuild { build: build.clone(), path });
         self.save_error = self.assigned.save().err();
         if let Some(error) = &self.save_error {
-            info!("release: {balancer}: {error}");
+            info!("release: balancer {balancer}: {error}");
         }
         let is_rollback = self.agent.snapshot().current().is_some_and(|(plan, _)| plan.spec.old == *build);
         if self.save_error.is_none() || is_rollback {
--- a/crates/herondock/tests/outage.rs
+++ b/crates/herondock/tests/outage.rs
@@ -93,14 +93,14 @@
     // A caller whose balancer is killed can't know whether a charge has run, and these here would send it again.
     let ((), served, _) = under_load_of(&CLASSES[..2], &ledger, &addrs, || {
         let first = roll(&site, 0, "restart");
-        logs(&site, 0, 0, "has leave to restart");
+        logs(&site, 0, 0, "holds a disruption lease to restart");
         watcher.exclude(&site.machines[0].addrs);
         site.kill(0);
         assert!(!first.wait_with_output().expect("ends").status.success());
         site.until("the lost ones count", |s| units_out(s).iter().filter(|u| u.contains("m1b")).count() == 3);
         // One more may be out beside the three that are lost.
         let mut second = roll(&site, 1, "restart");
-        logs(&site, 1, 0, "has leave to restart");
+        logs(&site, 1, 0, "holds a disruption lease to restart");
         watcher.exclude(&site.machines[1].addrs);
         site.kill(1);
         let _ = second.kill();
@@ -135,7 +135,7 @@
         let before = pids(&site, 0);
         let from = lines(&site, 0);
         let first = roll(&site, 0, "restart");
-        logs(&site, 0, from, "has leave to restart");
+        logs(&site, 0, from, "holds a disruption lease to restart");
         site.set_link_rule(0, false, rule);
         logs(&site, 0, from, "could not renew its session in time");
         // The one step is finished: one has another process, and serves.
@@ -193,7 +193,7 @@
     let mut site = site(Size { machines: 2, balancers_per_machine: 3, upstreams: 2 }, &budget(1));
     let watcher = Watcher::begin(&site.addrs());
     let first = roll(&site, 0, "restart");
-    logs(&site, 0, 0, "has leave to restart");
+    logs(&site, 0, 0, "holds a disruption lease to restart");
     site.machines[0].supervisor.kill();
     assert!(!first.wait_with_output().expect("ends").status.success());
     let second = roll(&site, 1, "restart");
--- a/crates/herondock/tests/release.rs
+++ b/crates/herondock/tests/release.rs
@@ -132,7 +132,7 @@
         let status = status(&file);
         assert_eq!(of_build(&site, &status["old"]), all(&site), "{build}: {status:#} {:#?}", site.logs());
         assert!(watcher.max_unavailable().len() <= 1, "{build}: {:?}", watcher.max_unavailable());
-        let touched = site.logs().iter().flatten().filter(|l| l.contains("goes over to build")).count();
+        let touched = site.logs().iter().flatten().filter(|l| l.contains("started from build")).count();
         assert_eq!(touched, 2, "{build}: there and back: {:#?}", site.logs());
         assert_eq!(site.ledger.check(&figures()), [], "{build}");
         assert!(served > 50, "{served}");
@@ -155,7 +155,7 @@
         println!("{}", back["says"]);
         until_release(&site, &file, "back", says("back"));
     });
-    let touched = site.logs().iter().flatten().filter(|l| l.contains("goes over to build")).count();
+    let touched = site.logs().iter().flatten().filter(|l| l.contains("started from build")).count();
     assert!(touched <= all(&site), "half of them at the most, there and back: {touched}");
     assert_eq!(of_build(&site, &status(&file)["old"]), all(&site));
     assert_eq!(site.ledger.check(&figures()), []);
@@ -221,7 +221,7 @@
         good(&release(&file, "start", &[]));
         let new = status(&file)["new"].clone();
         let of =
-            |site: &Site, m: usize| site.machines[m].log().iter().any(|l| l.contains("goes over to build"));
+            |site: &Site, m: usize| site.machines[m].log().iter().any(|l| l.contains("started from build"));
         until_release(&site, &file, "begun", |_| of(&site, 0) || of(&site, 1));
         let lost = usize::from(!of(&site, 0));
         watcher.exclude(&site.machines[lost].addrs);
@@ -257,7 +257,7 @@
         assert!(status["says"].as_str().is_some_and(|s| s.contains("can't be kept")), "{status:#}");
     });
     let touched =
-        |m: usize| site.machines[m].log().iter().filter(|l| l.contains("goes over to build")).count();
+        |m: usize| site.machines[m].log().iter().filter(|l| l.contains("started from build")).count();
     assert_eq!(touched(0), 0, "{:#?}", site.logs());
     assert_eq!(of_build(&site, &status(&file)["old"]), all(&site), "{:#?}", site.logs());
     assert!(watcher.max_unavailable().len() <= 1, "{:?}", watcher.max_unavailable());
