--- a/crates/herondock/src/demo/mod.rs
+++ b/crates/herondock/src/demo/mod.rs
@@ -1,8 +1,8 @@
-//! `herondock demo`: the balancer at work, for a newcomer with no configuration at all.
+//! `herondock demo`: demonstrates the balancer without any configuration.
 //!
-//! Real instances of this program, as processes of their own, between stand-ins in this one: discovery, six upstreams
-//! in two groups, and the traffic of five clubs in two classes, all on ephemeral loopback ports. One upstream drains
-//! and comes back cold, one dies, one instance is restarted; a ledger checks the four rules over all of it.
+//! Instances of this program run as separate processes. This process provides stand-ins for discovery, for six upstreams in two
+//! groups, and for the clients of five tenants with two classes of requests, all on ephemeral loopback ports. One upstream drains
+//! and returns cold, one is killed, and one instance is restarted; a ledger checks the four rules during the whole run.
 mod instance;
 mod plan;
 mod report;
@@ -18,65 +18,65 @@
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 use world::World;
 
-/// How often the screen is drawn.
-const FRAME: Duration = Duration::from_millis(250);
+/// Interval at which the screen is drawn.
+const FRAME_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the command line asks for.
+/// Options of the command line.
 pub struct Options {
-    /// How long the traffic lasts, in seconds.
+    /// Duration of the traffic, in seconds.
     pub seconds: u64,
-    /// The report as JSON, and nothing else on standard output.
+    /// Prints the report as JSON, and nothing else, to standard output.
     pub json: bool,
 }
 
 /// Runs the demo.
 ///
 /// # Errors
-/// A rule was broken, it was interrupted, nobody reads standard output any more, or it could not be set up.
+/// A rule was violated, the demo was interrupted or could not be set up, or standard output is closed.
 pub fn demo(options: &Options) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let report = runtime.map_err(|e| e.to_string())?.block_on(play(options))?;
+    let report = runtime.map_err(|e| e.to_string())?.block_on(run_demo(options))?;
     let text = if options.json { report.json() } else { report.text() };
     screen::print(&text).map_err(|e| format!("standard output: {e}"))?;
-    if report.broken() {
-        return Err("a rule was broken".into());
+    if report.has_violations() {
+        return Err("a rule was violated".into());
     }
     Ok(())
 }
 
-async fn play(options: &Options) -> Result<Report, String> {
+async fn run_demo(options: &Options) -> Result<Report, String> {
     let caught = |kind| signal(kind).map_err(|e| e.to_string());
     let (mut int, mut term) = (caught(SignalKind::interrupt())?, caught(SignalKind::terminate())?);
     let mut hup = caught(SignalKind::hangup())?;
     let length = Duration::from_secs(options.seconds);
     let mut screen = Screen::new(options.json, length);
-    // Whatever ends this function ends the world with it, its processes first.
+    // Dropped whenever this function returns, which stops the instances first.
     let mut world = World::new().map_err(|e| format!("the demo can't be set up: {e}"))?;
     let mut plan = Plan::new(length);
-    let mut frames = interval(FRAME);
+    let mut frames = interval(FRAME_INTERVAL);
     frames.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
-        let at = begun.elapsed();
-        for event in plan.take_events_until(at) {
-            let line = world.happen(event).map_err(|e| format!("{event:?}: {e}"))?;
-            screen.event(at, &line);
+        let elapsed = started.elapsed();
+        for event in plan.take_events_until(elapsed) {
+            let line = world.apply(event).map_err(|e| format!("{event:?}: {e}"))?;
+            screen.event(elapsed, &line);
         }
-        if at >= length {
+        if elapsed >= length {
             break;
         }
         let next = plan.next().map_or(length, |next| next.min(length));
         tokio::select! {
             biased;
             _ = int.recv() => return Err("interrupted".into()),
-            _ = term.recv() => return Err("told to end".into()),
-            _ = hup.recv() => return Err("the terminal is gone".into()),
-            () = sleep_until(begun + next) => {}
+            _ = term.recv() => return Err("stopped by SIGTERM".into()),
+            _ = hup.recv() => return Err("the terminal was closed".into()),
+            () = sleep_until(started + next) => {}
             _ = frames.tick() => {
                 for line in world.tick().map_err(|e| format!("an instance: {e}"))? {
-                    screen.event(begun.elapsed(), &line);
+                    screen.event(started.elapsed(), &line);
                 }
-                screen.draw(begun.elapsed(), &world.view()).map_err(|e| format!("standard output: {e}"))?;
+                screen.draw(started.elapsed(), &world.view()).map_err(|e| format!("standard output: {e}"))?;
             }
         }
     }
@@ -84,7 +84,7 @@
     let report = tokio::select! {
         biased;
         _ = int.recv() => return Err("interrupted".into()),
-        _ = term.recv() => return Err("told to end".into()),
+        _ = term.recv() => return Err("stopped by SIGTERM".into()),
         report = stopping => report.map_err(|e| e.to_string())?,
     };
     screen.draw(length, &report.view).map_err(|e| format!("standard output: {e}"))?;
--- a/crates/herondock/src/demo/plan.rs
+++ b/crates/herondock/src/demo/plan.rs
@@ -1,22 +1,22 @@
-//! What happens when in the demo.
+//! Schedule of the demo's events.
 use std::time::Duration;
 
-/// Something that happens to the fleet.
+/// An event in the demo.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// An upstream is told to drain, and so are the balancers.
+    /// An upstream begins to drain, and discovery reports that to the balancers.
     Drain,
-    /// An upstream dies, unknown to discovery.
+    /// An upstream is killed; discovery does not notice yet.
     Die,
-    /// Discovery notices that.
+    /// Discovery notices that the killed upstream is gone.
     Noticed,
-    /// An instance is told to end, and is started again once it has.
+    /// An instance is stopped, and started again once it has exited.
     Restart,
-    /// The upstream that drained comes back as a new process, cold.
+    /// The drained upstream returns as a new, cold process.
     Return,
 }
 
-/// Parts of the whole length, in order.
+/// Events in order, each with its time as a fraction of the demo's length.
 const PLAN: [(f64, Event); 5] = [
     (0.15, Event::Drain),
     (0.30, Event::Die),
@@ -25,27 +25,27 @@
     (0.70, Event::Return),
 ];
 
-/// The plan of one run: each event comes due once.
+/// Schedule of one run; each event is due once.
 pub struct Plan {
     length: Duration,
     done: usize,
 }
 
 impl Plan {
-    /// The plan of a run of this length.
+    /// Creates the schedule of a run of this length.
     pub fn new(length: Duration) -> Plan {
         Plan { length, done: 0 }
     }
 
-    /// When the next event is due.
+    /// Time of the next event, since the start; `None` if there is none left.
     pub fn next(&self) -> Option<Duration> {
-        PLAN.get(self.done).map(|&(part, _)| self.length.mul_f64(part))
+        PLAN.get(self.done).map(|&(fraction, _)| self.length.mul_f64(fraction))
     }
 
-    /// The events that are due by now.
-    pub fn take_events_until(&mut self, at: Duration) -> Vec<Event> {
+    /// Takes the events that are due at `elapsed` after the start.
+    pub fn take_events_until(&mut self, elapsed: Duration) -> Vec<Event> {
         let mut due = Vec::new();
-        while self.next().is_some_and(|next| next <= at) {
+        while self.next().is_some_and(|next| next <= elapsed) {
             due.push(PLAN[self.done].1);
             self.done += 1;
         }
--- a/crates/herondock/src/demo/report.rs
+++ b/crates/herondock/src/demo/report.rs
@@ -1,33 +1,33 @@
-//! The demo's report: for people, and as JSON.
+//! Report of the demo, as text and as JSON.
 use super::screen::View;
 use super::tally::Count;
 use std::fmt::Write;
 use std::time::Duration;
 use testkit::ledger::{Breach, Rule, Violation};
 
-/// The memory of an instance, in bytes.
+/// Memory of an instance.
 pub struct Memory {
-    /// Whose.
+    /// Name of the instance.
     pub balancer: String,
-    /// At the end.
+    /// Memory at the end, in bytes.
     pub now: u64,
-    /// The most of all its processes.
+    /// Peak memory of all processes of the instance, in bytes.
     pub peak: u64,
-    /// How often it was restarted.
+    /// Number of restarts.
     pub restarts: u32,
 }
 
-/// What came of a run.
+/// Results of a run.
 pub struct Report {
-    /// How long the traffic lasted.
+    /// Duration of the traffic.
     pub length: Duration,
-    /// How things stood at the end.
+    /// State at the end of the run.
     pub view: View,
-    /// Of each instance.
+    /// Memory of each instance.
     pub memory: Vec<Memory>,
-    /// Milliseconds from the first try to the answer: at 50, 90, 99 and 99.9 of 100.
+    /// Latency from the first attempt to the answer, in milliseconds, at the percentiles 50, 90, 99 and 99.9.
     pub percentiles: [f64; 4],
-    /// Rules that were broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
 }
 
@@ -38,28 +38,28 @@
     (Rule::ColdNotPushedOver, "no cold upstream is pushed over"),
 ];
 
-/// Violations that are told one by one.
-const REPORTED: usize = 10;
+/// Maximum number of violations that are listed one by one.
+const MAX_LISTED_VIOLATIONS: usize = 10;
 
 impl Report {
-    /// Whether a rule was broken, or that can't be told.
-    pub fn broken(&self) -> bool {
+    /// Whether there are violations, including the finding that the rules can't be checked.
+    pub fn has_violations(&self) -> bool {
         !self.violations.is_empty()
     }
 
-    fn of(&self, faults: &[Breach]) -> usize {
-        self.violations.iter().filter(|v| faults.contains(&v.breach)).count()
+    fn count_breaches(&self, breaches: &[Breach]) -> usize {
+        self.violations.iter().filter(|v| breaches.contains(&v.breach)).count()
     }
 
     fn lost(&self) -> usize {
-        self.of(&[Breach::AnswerLost])
+        self.count_breaches(&[Breach::AnswerLost])
     }
 
-    fn twice(&self) -> usize {
-        self.of(&[Breach::UnsafeRepeated, Breach::KeyedOutsideGroup, Breach::KeyedOutsideWindow])
+    fn run_twice(&self) -> usize {
+        self.count_breaches(&[Breach::UnsafeRepeated, Breach::KeyedOutsideGroup, Breach::KeyedOutsideWindow])
     }
 
-    fn against(&self, rule: Rule) -> usize {
+    fn violations_of(&self, rule: Rule) -> usize {
         self.violations.iter().filter(|v| v.breach.rule() == Some(rule)).count()
     }
 
@@ -71,7 +71,7 @@
         self.view.clubs.iter().map(|c| c.served + c.refused + c.failed).sum()
     }
 
-    /// For people; no line is wider than 79 characters but those of violations.
+    /// Report as text. No line is wider than 79 characters, except those of violations.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let count = self.requests();
@@ -93,32 +93,32 @@
             count.refused,
             count.failed,
             self.lost(),
-            self.twice()
+            self.run_twice()
         ));
         line(format_args!(
             "  latency    p50 {p50:.0} ms  p90 {p90:.0} ms  p99 {p99:.0} ms  p99.9 {p999:.0} ms"
         ));
         let memory: Vec<String> =
-            self.memory.iter().map(|m| format!("{} {:.1} MB", m.balancer, mb(m.peak))).collect();
+            self.memory.iter().map(|m| format!("{} {:.1} MB", m.balancer, megabytes(m.peak))).collect();
         line(format_args!("  memory     {} at most", memory.join("  ")));
         for (rule, name) in RULES {
-            let verdict = match self.against(rule) {
+            let verdict = match self.violations_of(rule) {
                 0 => "kept".into(),
                 n => format!("BROKEN {n} times"),
             };
             line(format_args!("  rule       {name}: {verdict}"));
         }
-        for violation in self.violations.iter().take(REPORTED) {
+        for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
             line(format_args!("  {violation}"));
         }
         text
     }
 
-    /// For programs.
+    /// Report as one line of JSON.
     pub fn json(&self) -> String {
         let count = self.requests();
         let [p50, p90, p99, p999] = self.percentiles;
-        let rules = RULES.map(|(rule, _)| (format!("{rule:?}"), self.against(rule)));
+        let rules = RULES.map(|(rule, _)| (format!("{rule:?}"), self.violations_of(rule)));
         let clubs = self.view.clubs.iter().map(|c| {
             serde_json::json!({"club": c.name, "served": c.served, "refused": c.refused, "failed": c.failed,
                 "p50_ms": c.percentiles[0], "p99_ms": c.percentiles[1]})
@@ -130,18 +130,18 @@
             "seconds": self.length.as_secs_f64(),
             "operations": self.operations(),
             "requests": {"served": count.served, "refused": count.refused, "failed": count.failed,
-                "lost": self.lost(), "run_twice": self.twice()},
+                "lost": self.lost(), "run_twice": self.run_twice()},
             "latency_ms": {"p50": p50, "p90": p90, "p99": p99, "p99.9": p999},
             "clubs": clubs.collect::<Vec<_>>(),
             "memory": memory.collect::<Vec<_>>(),
             "violations": rules.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
-            "faults": self.violations.iter().take(REPORTED).map(ToString::to_string).collect::<Vec<_>>(),
+            "faults": self.violations.iter().take(MAX_LISTED_VIOLATIONS).map(ToString::to_string).collect::<Vec<_>>(),
         });
         format!("{report}\n")
     }
 }
 
-fn mb(bytes: u64) -> f64 {
+fn megabytes(bytes: u64) -> f64 {
     bytes as f64 / 1e6
 }
 
--- a/crates/herondock/src/demo/report/tests.rs
+++ b/crates/herondock/src/demo/report/tests.rs
@@ -5,19 +5,19 @@
     Report { length, view, memory: Vec::new(), percentiles: [1.0; 4], violations }
 }
 
-/// Guards against a demo that shows a broken rule and ends as if none were.
+/// Guards against a violation that the exit status or one form of the report does not show.
 #[test]
-fn a_broken_rule_shows_in_every_form() {
+fn a_violation_is_shown_in_text_json_and_status() {
     let fault =
         Violation { breach: Breach::UnsafeRepeated, time: Duration::ZERO, subject: "request r".into() };
     let bad = report(vec![fault]);
-    assert!(bad.broken() && bad.text().contains("no effect twice: BROKEN 1 times"));
+    assert!(bad.has_violations() && bad.text().contains("no effect twice: BROKEN 1 times"));
     let json: serde_json::Value = serde_json::from_str(&bad.json()).expect("JSON");
     assert_eq!(
         (&json["requests"]["run_twice"], &json["violations"]["NoEffectTwice"]),
         (&1.into(), &1.into())
     );
     let good = report(Vec::new());
-    assert!(!good.broken() && !good.text().contains("BROKEN"));
+    assert!(!good.has_violations() && !good.text().contains("BROKEN"));
     assert!(good.text().lines().all(|line| line.chars().count() < 80));
 }
--- a/crates/herondock/src/demo/screen.rs
+++ b/crates/herondock/src/demo/screen.rs
@@ -1,85 +1,85 @@
-//! What the demo shows while it runs: a live table on a terminal, plain lines elsewhere.
+//! Output of the demo while it runs: a live table on a terminal, plain lines elsewhere.
 use super::tally::Count;
 use std::collections::VecDeque;
 use std::fmt::Write as _;
 use std::io::{self, IsTerminal, Write};
 use std::time::Duration;
 
-/// A row for each balancer.
+/// Row of a balancer.
 pub struct BalancerRow {
-    /// Its name.
+    /// Name shown in the row.
     pub name: String,
-    /// What it does.
+    /// State shown in the row.
     pub state: &'static str,
-    /// What came of the requests that it took.
+    /// Outcomes of the requests that the balancer received.
     pub count: Count,
-    /// Bytes that it holds.
+    /// Resident memory, in bytes.
     pub memory: u64,
 }
 
-/// A row for each upstream.
+/// Row of an upstream.
 pub struct UpstreamRow {
-    /// Its name.
+    /// Name shown in the row.
     pub name: String,
-    /// Its group.
+    /// Group of the upstream.
     pub group: u32,
-    /// What it does.
+    /// State shown in the row.
     pub state: &'static str,
-    /// Requests that it holds.
+    /// Number of requests in progress.
     pub busy: usize,
-    /// Requests that it began.
+    /// Number of requests that the upstream has started to execute.
     pub executed: u64,
 }
 
-/// A row for each club, in operations.
+/// Row of a tenant; counts are of operations.
 pub struct ClubRow {
-    /// Its name.
+    /// Name shown in the row.
     pub name: &'static str,
-    /// Served in the end.
+    /// Operations whose final outcome was an answer.
     pub served: u64,
-    /// Refused in the end.
+    /// Operations whose final outcome was a refusal.
     pub refused: u64,
-    /// Failed in the end.
+    /// Operations whose final outcome was a failure.
     pub failed: u64,
-    /// Milliseconds at 50 and at 99 of 100.
+    /// Latency at the percentiles 50 and 99, in milliseconds.
     pub percentiles: [f64; 2],
 }
 
-/// How things stand.
+/// State of the demo.
 #[derive(Default)]
 pub struct View {
-    /// The balancers.
+    /// Balancers.
     pub balancers: Vec<BalancerRow>,
-    /// The upstreams.
+    /// Upstreams.
     pub upstreams: Vec<UpstreamRow>,
-    /// The clubs.
+    /// Tenants.
     pub clubs: Vec<ClubRow>,
 }
 
-/// Events that the table shows.
-const EVENTS: usize = 8;
-/// How often a plain line tells how things stand.
-const PLAIN: Duration = Duration::from_secs(2);
+/// Number of the latest events that the table shows.
+const MAX_EVENTS: usize = 8;
+/// Interval between plain status lines.
+const PLAIN_INTERVAL: Duration = Duration::from_secs(2);
 
 enum Form {
-    /// Nothing but the report.
+    /// No output but the report.
     Silent,
     Plain,
-    /// A table of so many lines stands on the terminal.
+    /// A table on the terminal, with the number of lines that it has now.
     Table(usize),
 }
 
-/// Where the demo is shown.
+/// Output of the running demo.
 pub struct Screen {
     form: Form,
     length: Duration,
     events: VecDeque<String>,
-    /// Plain lines that wait for the next drawing.
+    /// Plain lines to print at the next call of `draw`.
     lines: Vec<String>,
-    told: Duration,
+    last_status: Duration,
 }
 
-/// Writes to standard output; `println!` would panic when nobody reads it.
+/// Writes to standard output. `println!` would panic if standard output is closed.
 pub fn print(text: &str) -> io::Result<()> {
     let mut out = io::stdout().lock();
     out.write_all(text.as_bytes())?;
@@ -87,46 +87,49 @@
 }
 
 impl Screen {
-    /// A screen for a run of this length.
+    /// Creates the output of a run of this length.
     pub fn new(json: bool, length: Duration) -> Screen {
         let form = match (json, io::stdout().is_terminal()) {
             (true, _) => Form::Silent,
             (_, true) => Form::Table(0),
             _ => Form::Plain,
         };
-        Screen { form, length, events: VecDeque::new(), lines: Vec::new(), told: Duration::ZERO }
+        Screen { form, length, events: VecDeque::new(), lines: Vec::new(), last_status: Duration::ZERO }
     }
 
-    /// Notes that something happened.
-    pub fn event(&mut self, at: Duration, line: &str) {
-        let line = format!("{:5.1} s  {line}", at.as_secs_f64());
+    /// Adds an event.
+    pub fn event(&mut self, elapsed: Duration, line: &str) {
+        let line = format!("{:5.1} s  {line}", elapsed.as_secs_f64());
         match self.form {
             Form::Silent => {}
             Form::Plain => self.lines.push(line),
             Form::Table(_) => {
                 self.events.push_back(line);
-                if self.events.len() > EVENTS {
+                if self.events.len() > MAX_EVENTS {
                     self.events.pop_front();
                 }
             }
         }
     }
 
-    /// Shows how things stand.
-    pub fn draw(&mut self, at: Duration, view: &View) -> io::Result<()> {
+    /// Shows the current state.
+    pub fn draw(&mut self, elapsed: Duration, view: &View) -> io::Result<()> {
         match &mut self.form {
             Form::Silent => Ok(()),
             Form::Plain => {
-                if self.told.is_zero() || at >= self.told + PLAIN || at >= self.length {
-                    self.told = at.max(Duration::from_millis(1));
-                    self.lines.push(plain(at, view));
+                if self.last_status.is_zero()
+                    || elapsed >= self.last_status + PLAIN_INTERVAL
+                    || elapsed >= self.length
+                {
+                    self.last_status = elapsed.max(Duration::from_millis(1));
+                    self.lines.push(plain(elapsed, view));
                 }
                 let text: String = self.lines.drain(..).map(|line| line + "\n").collect();
                 print(&text)
             }
             Form::Table(lines) => {
-                let table = table(at, self.length, view, &self.events);
-                // Up to where the last table began, and clear from there.
+                let table = table(elapsed, self.length, view, &self.events);
+                // Moves the cursor to the first line of the last table and clears the screen from there.
                 let up = if *lines > 0 { format!("\x1b[{lines}A\r\x1b[J") } else { String::new() };
                 *lines = table.lines().count();
                 print(&format!("{up}{table}"))
@@ -135,12 +138,12 @@
     }
 }
 
-fn plain(at: Duration, view: &View) -> String {
+fn plain(elapsed: Duration, view: &View) -> String {
     let count = view.balancers.iter().fold(Count::default(), |sum, b| sum.plus(b.count));
     let up = view.balancers.iter().filter(|b| b.state == "serving").count();
     format!(
         "{:5.1} s  served {} refused {} failed {} open {}, {up} of {} balancers serve",
-        at.as_secs_f64(),
+        elapsed.as_secs_f64(),
         count.served,
         count.refused,
         count.failed,
@@ -150,14 +153,14 @@
 }
 
 /// The table; no line is wider than 79 characters.
-fn table(at: Duration, length: Duration, view: &View, events: &VecDeque<String>) -> String {
+fn table(elapsed: Duration, length: Duration, view: &View, events: &VecDeque<String>) -> String {
     let mut text = String::new();
     let mut line = |line: std::fmt::Arguments| {
         let line: String = line.to_string().chars().take(79).collect();
         // Writing to a string can't fail.
         let _ = writeln!(text, "{}", line.trim_end());
     };
-    line(format_args!("herondock demo, {:.0} s of {:.0} s", at.as_secs_f64(), length.as_secs_f64()));
+    line(format_args!("herondock demo, {:.0} s of {:.0} s", elapsed.as_secs_f64(), length.as_secs_f64()));
     line(format_args!(""));
     line(format_args!("balancer  state       served  refused  failed    open   memory"));
     for b in &view.balancers {
--- a/crates/herondock/src/demo/tally.rs
+++ b/crates/herondock/src/demo/tally.rs
@@ -1,22 +1,22 @@
-//! Counts over the ledger, kept up while it grows.
+//! Counts of the ledger's records, updated while the ledger grows.
 use std::collections::{BTreeMap, HashMap};
 use testkit::ledger::{Entry, Record};
 
-/// What came of requests.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Sent and not answered yet, or never.
+    /// Sent and not answered.
     pub open: u64,
     /// Answered with 200.
     pub served: u64,
     /// Answered with 429 or 503.
     pub refused: u64,
-    /// Answered with anything else.
+    /// Answered with any other status.
     pub failed: u64,
 }
 
 impl Count {
-    /// Both together.
+    /// Sum of two counts.
     pub fn plus(self, other: Count) -> Count {
         Count {
             open: self.open + other.open,
@@ -27,19 +27,19 @@
     }
 }
 
-/// Requests by balancer, executions by upstream.
+/// Numbers of requests by balancer, and of executions by upstream.
 #[derive(Default)]
 pub struct Tally {
     read: usize,
     open: HashMap<String, String>,
-    /// What came of the requests that each balancer took.
+    /// Outcomes of requests, by the balancer that received them last.
     pub balancers: BTreeMap<String, Count>,
-    /// How often each upstream began to work on a request.
+    /// Number of executions that each upstream has started.
     pub executed: BTreeMap<String, u64>,
 }
 
 impl Tally {
-    /// How many records it has counted: the next is the first that it has not.
+    /// Number of records counted so far, which is the index of the next one.
     pub fn read(&self) -> usize {
         self.read
     }
@@ -51,9 +51,9 @@
             match record.entry {
                 Entry::Sent { request, balancer, .. } => {
                     self.balancers.entry(balancer.clone()).or_default().open += 1;
-                    // Sent once more, elsewhere, since its connection closed: the newest holds it.
-                    if let Some(before) = self.open.insert(request, balancer) {
-                        self.balancers.entry(before).or_default().open -= 1;
+                    // A request is sent again, to another balancer, if its connection closed; it counts for the latest balancer.
+                    if let Some(former) = self.open.insert(request, balancer) {
+                        self.balancers.entry(former).or_default().open -= 1;
                     }
                 }
                 Entry::Answered { request, status } => {
--- a/crates/herondock/src/demo/tally/tests.rs
+++ b/crates/herondock/src/demo/tally/tests.rs
@@ -3,7 +3,7 @@
 use testkit::ledger::{Effect, Ledger};
 
 #[test]
-fn requests_are_counted_where_they_were_taken_last() {
+fn requests_are_counted_at_the_balancer_that_received_them_last() {
     let ledger = Ledger::new();
     let sent = |request: &str, balancer: &str| {
         let (request, balancer) = (request.into(), balancer.into());
--- a/crates/herondock/src/demo/world.rs
+++ b/crates/herondock/src/demo/world.rs
@@ -1,4 +1,4 @@
-//! The demo's world: stand-ins in this process, instances in theirs, and the threads of the clubs' callers.
+//! Environment of the demo: stand-ins in this process, instances in processes of their own, and a thread for each caller.
 use super::instance::Instance;
 use super::plan::Event;
 use super::report::{Memory, Report};
@@ -20,13 +20,13 @@
 use testkit::message::{ok_response, Message};
 use testkit::upstream::{Step, Upstream, UpstreamOptions};
 
-/// Any free port.
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Loopback address with any free port.
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const INSTANCES: usize = 3;
 const UPSTREAMS: usize = 6;
 const GROUPS: u32 = 2;
 const CORES: usize = 2;
-/// Each club's callers; the first club, as in life, has more than its share.
+/// Tenants with their numbers of callers. As in practice, one tenant has more callers than each of the others.
 const CLUBS: [(&str, usize); 5] = [
     ("club-ribera", 8),
     ("club-los-alamos", 4),
@@ -34,17 +34,17 @@
     ("club-san-anselmo", 4),
     ("club-el-ceibo", 4),
 ];
-/// The mean pause of a caller between two operations.
-const THINK: Duration = Duration::from_millis(200);
-/// How an upstream that has just started warms up.
+/// Mean pause of a caller between two operations.
+const MEAN_PAUSE: Duration = Duration::from_millis(200);
+/// Warm-up of an upstream that has just started: initial fraction of its capacity, and time until it is fully warm.
 const COLD: Cold = Cold { cores: CORES as f64, from: 0.32, ramp: Duration::from_secs(4) };
-/// The platform's limit; half of what a shell with few descriptors gives.
-const SOCKETS: usize = 192;
-/// How long a caller learns of an instance that leaves only by its connections, as the front notices late.
-const UNNOTICED: Duration = Duration::from_millis(300);
-/// Callers end within this time after they were told: the longest deadline and some room.
-const LAST: Duration = Duration::from_secs(7);
-/// The instance and the upstreams that the plan is about.
+/// Limit on descriptors in the platform configuration; half of the limit of a shell with few descriptors.
+const MAX_DESCRIPTORS: usize = 192;
+/// Time for which callers notice only by their connections that an instance is stopping, as a front would notice late.
+const NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// Maximum time to wait for callers to stop: the longest deadline plus a margin.
+const STOP_TIMEOUT: Duration = Duration::from_secs(7);
+/// Indices of the instance and the upstreams that the events of the plan concern.
 const RESTARTED: usize = 1;
 const DRAINED: usize = 1;
 const KILLED: usize = 4;
@@ -66,18 +66,18 @@
     Class { name: "pago-cuota", effect: Effect::Unsafe, deadline: Duration::from_secs(6), work: (30, 70) },
 ];
 
-/// What the callers of a club have met, by operation.
+/// Outcomes of the operations of a tenant.
 struct Club {
     served: u64,
     refused: u64,
     failed: u64,
-    /// Microseconds from the first try to the answer of those that were served.
-    took: Histogram<u64>,
+    /// Time from the first attempt to the answer of served operations, in microseconds.
+    latency: Histogram<u64>,
 }
 
-/// What callers share with the world.
+/// State shared by the callers and the world.
 struct Shared {
-    /// Where the balancers are that take new connections.
+    /// Names and addresses of the balancers that accept new connections.
     balancers: Mutex<Vec<(String, SocketAddr)>>,
     clubs: Mutex<BTreeMap<&'static str, Club>>,
     stop: AtomicBool,
@@ -89,8 +89,8 @@
 
 enum Leaving {
     No,
-    /// Told to end at that time; still in the callers' list or not.
-    Told(Instant, bool),
+    /// SIGTERM was sent at this time; the flag tells whether the callers still know the balancer.
+    Stopping(Instant, bool),
 }
 
 struct Balancer {
@@ -98,7 +98,7 @@
     config: PathBuf,
     instance: Instance,
     leaving: Leaving,
-    /// Listens, but is not ready yet.
+    /// Whether the instance listens but is not ready yet.
     joining: bool,
     restarts: u32,
     peak: u64,
@@ -111,7 +111,7 @@
     upstream: Upstream,
 }
 
-/// Everything; what it started ends with it.
+/// Environment of the demo; everything that it has started stops when it is dropped.
 pub struct World {
     ledger: Arc<Ledger>,
     tally: Tally,
@@ -121,23 +121,24 @@
     shared: Arc<Shared>,
     callers: Vec<JoinHandle<()>>,
     folder: PathBuf,
-    begun: Instant,
+    started: Instant,
 }
 
 impl World {
-    /// Sets everything up and lets the callers begin.
+    /// Starts the stand-ins, the instances and the callers.
     pub fn new() -> io::Result<World> {
         let ledger = Arc::new(Ledger::new());
         let registry = Registry::new(Some(ledger.clone()));
         let mut servers = Vec::new();
         for k in 0..UPSTREAMS {
             let (name, group) = (format!("u-{}", k + 1), k as u32 % GROUPS + 1);
-            let upstream = Upstream::at(ANY, options(&name, group, &ledger, None), works(k as u64))?;
+            let upstream =
+                Upstream::at(ANY_PORT, options(&name, group, &ledger, None), work_handler(k as u64))?;
             registry
                 .set(&name, ListedUpstream { addr: upstream.addr, group, state: "active", started_ms: 0 });
             servers.push(Server { name, group, state: "active", upstream });
         }
-        let folder = folder()?;
+        let folder = create_folder()?;
         let clubs = CLUBS.iter().map(|&(name, _)| Ok((name, Club::new()?))).collect::<io::Result<_>>()?;
         let shared =
             Shared { balancers: Mutex::default(), clubs: Mutex::new(clubs), stop: AtomicBool::new(false) };
@@ -150,7 +151,7 @@
             shared: Arc::new(shared),
             callers: Vec::new(),
             folder,
-            begun: Instant::now(),
+            started: Instant::now(),
         };
         for k in 0..INSTANCES {
             let name = format!("n{}", k + 1);
@@ -171,12 +172,12 @@
         }
         let limit = Instant::now() + Duration::from_secs(10);
         while world.balancers.iter().any(|b| b.joining) {
-            world.join();
+            world.add_ready_balancers();
             if Instant::now() > limit {
-                return Err(io::Error::other("the instances do not learn of the upstreams"));
+                return Err(io::Error::other("the instances did not become ready"));
             }
         }
-        world.begun = Instant::now();
+        world.started = Instant::now();
         for (club, callers) in CLUBS {
             for k in 0..callers {
                 let seed = 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(world.callers.len() as u64 + 1);
@@ -184,17 +185,17 @@
                 let caller = std::thread::Builder::new().name(format!("{club}-{k}"));
                 world
                     .callers
-                    .push(caller.spawn(move || calls(club, Caller::new(ledger, seed), seed, &shared))?);
+                    .push(caller.spawn(move || run_caller(club, Caller::new(ledger, seed), seed, &shared))?);
             }
         }
         Ok(world)
     }
 
-    /// Takes in the instances that have become ready.
-    fn join(&mut self) -> Vec<String> {
+    /// Adds the instances that have become ready to the callers' list; returns the events.
+    fn add_ready_balancers(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         for b in self.balancers.iter_mut().filter(|b| b.joining) {
-            if ready(b.instance.addr) {
+            if is_ready(b.instance.addr) {
                 b.joining = false;
                 let mut known = lock(&self.shared.balancers);
                 known.retain(|(name, _)| *name != b.name);
@@ -207,14 +208,14 @@
         lines
     }
 
-    /// Lets something happen; the line tells of it.
-    pub fn happen(&mut self, event: Event) -> io::Result<String> {
+    /// Carries out an event; returns its description.
+    pub fn apply(&mut self, event: Event) -> io::Result<String> {
         Ok(match event {
             Event::Drain => {
                 let server = &mut self.servers[DRAINED];
                 server.state = "leaving";
                 self.registry.state(&server.name, "leaving");
-                format!("upstream {} drains: nothing new after 1 s", server.name)
+                format!("upstream {} drains: no new requests after 1 s", server.name)
             }
             Event::Die => {
                 let server = &mut self.servers[KILLED];
@@ -231,13 +232,13 @@
             Event::Restart => {
                 let b = &mut self.balancers[RESTARTED];
                 b.instance.terminate()?;
-                b.leaving = Leaving::Told(Instant::now(), true);
-                format!("balancer {} is told to end (SIGTERM)", b.name)
+                b.leaving = Leaving::Stopping(Instant::now(), true);
+                format!("balancer {} receives SIGTERM", b.name)
             }
             Event::Return => {
                 let server = &mut self.servers[DRAINED];
                 let options = options(&server.name, server.group, &self.ledger, Some(COLD));
-                server.upstream = Upstream::at(ANY, options, works(99))?;
+                server.upstream = Upstream::at(ANY_PORT, options, work_handler(99))?;
                 server.state = "cold";
                 let started_ms =
                     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
@@ -251,25 +252,25 @@
         })
     }
 
-    /// Looks after the instances; the lines tell what happened to them.
+    /// Updates the state of the instances and restarts the one that was stopped; returns descriptions of what happened.
     pub fn tick(&mut self) -> io::Result<Vec<String>> {
         let mut lines = Vec::new();
         for b in &mut self.balancers {
             b.peak = b.peak.max(b.instance.memory().1);
-            let ended = b.instance.ended()?;
+            let ended = b.instance.has_exited()?;
             match b.leaving {
                 Leaving::No if ended => {
-                    return Err(io::Error::other(format!("{} has ended, untold", b.name)));
+                    return Err(io::Error::other(format!("{} has exited without being stopped", b.name)));
                 }
-                Leaving::Told(at, true) if at.elapsed() >= UNNOTICED => {
+                Leaving::Stopping(at, true) if at.elapsed() >= NOTICE_DELAY => {
                     lock(&self.shared.balancers).retain(|(name, _)| *name != b.name);
-                    b.leaving = Leaving::Told(at, false);
+                    b.leaving = Leaving::Stopping(at, false);
                 }
-                Leaving::Told(at, _) if ended => {
+                Leaving::Stopping(at, _) if ended => {
                     b.instance = Instance::start(&b.config)?;
                     (b.leaving, b.joining, b.restarts) = (Leaving::No, true, b.restarts + 1);
                     lines.push(format!(
-                        "balancer {} ended after {:.1} s, started again",
+                        "balancer {} exited after {:.1} s and was restarted",
                         b.name,
                         at.elapsed().as_secs_f64()
                     ));
@@ -277,17 +278,17 @@
                 _ => {}
             }
         }
-        lines.extend(self.join());
+        lines.extend(self.add_ready_balancers());
         Ok(lines)
     }
 
-    /// How things stand.
+    /// Current state of the demo.
     pub fn view(&mut self) -> View {
         self.tally.add(self.ledger.since(self.tally.read()));
         let balancers = self.balancers.iter().map(|b| BalancerRow {
             name: b.name.clone(),
             state: match (&b.leaving, b.joining) {
-                (Leaving::Told(..), _) => "leaving",
+                (Leaving::Stopping(..), _) => "leaving",
                 (_, true) => "starting",
                 _ => "serving",
             },
@@ -308,16 +309,16 @@
                 served: club.served,
                 refused: club.refused,
                 failed: club.failed,
-                percentiles: [0.5, 0.99].map(|q| millis(&club.took, q)),
+                percentiles: [0.5, 0.99].map(|q| quantile_ms(&club.latency, q)),
             });
         View { balancers: balancers.collect(), upstreams: upstreams.collect(), clubs: clubs.collect() }
     }
 
-    /// Lets the callers finish, and reports.
+    /// Stops the callers, waits for them and creates the report.
     pub fn finish(mut self) -> Report {
-        let length = self.begun.elapsed();
+        let length = self.started.elapsed();
         self.shared.stop.store(true, Ordering::SeqCst);
-        let limit = Instant::now() + LAST;
+        let limit = Instant::now() + STOP_TIMEOUT;
         for caller in self.callers.drain(..) {
             while !caller.is_finished() && Instant::now() < limit {
                 std::thread::sleep(Duration::from_millis(5));
@@ -338,11 +339,12 @@
         for club in lock(&self.shared.clubs).values() {
             if let Some(all) = &mut took {
                 // Both have the same bounds and precision.
-                let _ = all.add(&club.took);
+                let _ = all.add(&club.latency);
             }
         }
-        let percentiles = [0.5, 0.9, 0.99, 0.999].map(|q| took.as_ref().map_or(0.0, |took| millis(took, q)));
-        let violations = self.ledger.check(&figures());
+        let percentiles =
+            [0.5, 0.9, 0.99, 0.999].map(|q| took.as_ref().map_or(0.0, |took| quantile_ms(took, q)));
+        let violations = self.ledger.check(&rule_parameters());
         Report { length, view, memory, percentiles, violations }
     }
 }
@@ -351,42 +353,42 @@
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
         self.balancers.clear();
-        // Nothing of it is needed; a folder that stays behind does no harm.
+        // A folder that can't be removed does no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A new folder that nobody else may read or has prepared.
-fn folder() -> io::Result<PathBuf> {
+/// Creates a new folder that only this user may access.
+fn create_folder() -> io::Result<PathBuf> {
     let base = std::env::temp_dir();
     for n in 0..100 {
         let folder = base.join(format!("herondock-demo-{}-{n}", std::process::id()));
         match std::fs::DirBuilder::new().mode(0o700).create(&folder) {
             Ok(()) => return Ok(folder),
-            // Left behind by a demo that was killed and had the same number.
+            // Left behind by a killed demo that had the same process id.
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {}
             Err(e) => return Err(io::Error::other(format!("{}: {e}", folder.display()))),
         }
     }
-    Err(io::Error::other(format!("{}: no name is free", base.display())))
+    Err(io::Error::other(format!("{}: no unused folder name was found", base.display())))
 }
 
-/// The rules in the demo's figures, which are those of [`configuration`].
-fn figures() -> RuleParameters {
+/// Parameters of the rules, which [`configuration`] uses as well.
+fn rule_parameters() -> RuleParameters {
     RuleParameters::default()
 }
 
 impl Club {
     fn new() -> io::Result<Club> {
-        // Up to a minute, in microseconds, to three digits.
-        let took =
+        // From 1 microsecond to one minute, with three significant digits.
+        let latency =
             Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Club { served: 0, refused: 0, failed: 0, took })
+        Ok(Club { served: 0, refused: 0, failed: 0, latency })
     }
 }
 
-fn millis(took: &Histogram<u64>, quantile: f64) -> f64 {
-    took.value_at_quantile(quantile) as f64 / 1000.0
+fn quantile_ms(latency: &Histogram<u64>, quantile: f64) -> f64 {
+    latency.value_at_quantile(quantile) as f64 / 1000.0
 }
 
 fn options(name: &str, group: u32, ledger: &Arc<Ledger>, cold: Option<Cold>) -> UpstreamOptions {
@@ -394,7 +396,7 @@
     UpstreamOptions { group, ledger, cores: CORES, queue: 32, cold, ..UpstreamOptions::named(name) }
 }
 
-/// xorshift64: enough for work that varies.
+/// Next random number of an xorshift64 generator, which is good enough to vary the work.
 fn draw(state: &mut u64) -> u64 {
     *state ^= *state << 13;
     *state ^= *state >> 7;
@@ -402,8 +404,8 @@
     *state
 }
 
-/// What an upstream does with a request: work that depends on its class, and varies.
-fn works(seed: u64) -> impl Fn(&Message) -> Step + Send + Sync + 'static {
+/// Returns the handler of an upstream: work whose random duration depends on the class of the request.
+fn work_handler(seed: u64) -> impl Fn(&Message) -> Step + Send + Sync + 'static {
     let state = Mutex::new(seed.wrapping_mul(0x2545_f491_4f6c_dd1d) | 1);
     move |request| {
         let kind = request.header("req-kind");
@@ -414,8 +416,8 @@
     }
 }
 
-/// Whether an instance says that it is ready.
-fn ready(addr: SocketAddr) -> bool {
+/// Whether the readiness check of an instance succeeds.
+fn is_ready(addr: SocketAddr) -> bool {
     let client = testkit::caller::Client::connect(addr);
     client.is_some_and(|mut client| {
         client.send("GET /-/ready HTTP/1.1\r\nHost: demo\r\nConnection: close\r\n\r\n");
@@ -423,12 +425,12 @@
     })
 }
 
-/// One caller's life: an operation, a pause, and so on.
-fn calls(club: &'static str, mut caller: Caller, seed: u64, shared: &Shared) {
+/// Runs a caller until it is stopped: operations with pauses between them.
+fn run_caller(club: &'static str, mut caller: Caller, seed: u64, shared: &Shared) {
     let mut state = seed | 1;
     while !shared.stop.load(Ordering::SeqCst) {
         caller.set_balancers(&lock(&shared.balancers));
-        // 55 of 100 are sign-ups.
+        // 55 % of the operations are of the first class, sign-ups.
         let class = &CLASSES[usize::from(draw(&mut state) % 100 >= 55)];
         let operation = Operation {
             class: class.name.into(),
@@ -442,20 +444,20 @@
             match done.outcome {
                 Outcome::Served { took } => {
                     club.served += 1;
-                    club.took.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
+                    club.latency.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
                 }
                 Outcome::Refused | Outcome::Unreached => club.refused += 1,
                 Outcome::Failed | Outcome::Unanswered => club.failed += 1,
             }
         }
-        // Exponential, so that arrivals come by chance.
+        // Pauses are exponentially distributed, so that operations arrive at random times.
         let unit = (draw(&mut state) >> 11) as f64 / (1u64 << 53) as f64;
-        std::thread::sleep(THINK.mul_f64(-(1.0 - unit).max(1e-9).ln()).min(THINK * 5));
+        std::thread::sleep(MEAN_PAUSE.mul_f64(-(1.0 - unit).max(1e-9).ln()).min(MEAN_PAUSE * 5));
     }
 }
 
-/// The platform configuration of an instance, with the figures of the service that herondock was made for; only the
-/// ramp of a cold upstream is shorter, so that it shows.
+/// Platform configuration of an instance, with the parameters of the service that herondock was made for. Only the ramp of a cold
+/// upstream is shorter, so that it is visible during the demo.
 fn configuration(name: &str, index: usize, discovery: SocketAddr) -> String {
     let tenants = CLUBS.map(
         |(club, callers)| serde_json::json!({"name": club, "share": callers, "quota_per_s": callers * 4}),
@@ -464,20 +466,20 @@
         let effect = if c.effect == Effect::Unsafe { "single_shot" } else { "guarded" };
         let deadline = c.deadline.as_millis() as u64;
         serde_json::json!({"name": c.name, "objective": deadline * 2 / 5, "deadline": deadline, "effect": effect,
-            "dedup_scope": "cell", "repeat_window": figures().window.as_millis() as u64, "late_worth": 0.4})
+            "dedup_scope": "cell", "repeat_window": rule_parameters().window.as_millis() as u64, "late_worth": 0.4})
     });
     let seed = format!("{:016x}", u64::from(std::process::id()) << 8 | index as u64);
-    let figures = figures();
+    let rules = rule_parameters();
     serde_json::json!({
         "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": seed,
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS}, "known": null,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_DESCRIPTORS}, "known": null,
         "settings": {
             "balancers": INSTANCES, "index": index, "membership_mode": "on_request", "dcs": ["a"], "kinds": ["m"],
             "classes": classes, "tenants": tenants,
             "permissions": {"attempts_cap": 5, "cancel": true, "retry_after": true, "max_retry_after": 2000,
                 "idle_close": 15000},
             "invariants": {"cold_from": COLD.from, "ramp_time": COLD.ramp.as_millis() as u64,
-                "tip_multiple": figures.cold_multiple, "drain_grace": figures.grace.as_millis() as u64}
+                "tip_multiple": rules.cold_multiple, "drain_grace": rules.grace.as_millis() as u64}
         }
     })
     .to_string()
