--- a/crates/herondock/tests/common/mod.rs
+++ b/crates/herondock/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program under test, and all stand-ins that surround it.
-#![allow(dead_code, unused_imports)] // each test file uses its own part
+//! Shared helpers of the process tests: the program under test, its callers and the stand-ins around it.
+#![allow(dead_code, unused_imports)] // each test file uses a part of the helpers
 use std::ffi::OsStr;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,39 +18,39 @@
 pub use testkit::upstream::{ok, refusing, status, Step, Unreachable, Upstream, UpstreamOptions};
 pub use testkit::TEST_TIMEOUT;
 
-/// The program as it was built for this test.
+/// Returns the program as it was built for this test.
 pub fn program() -> Program {
     Program::new(env!("CARGO_BIN_EXE_herondock"), env!("CARGO_TARGET_TMPDIR"))
 }
 
-/// A balancer that starts with this list.
+/// Starts a balancer with this endpoint list and a limit of `sockets` sockets; its discovery gives prepared answers.
 pub fn start(sockets: usize, known: &str) -> Node {
     program().start(sockets, known)
 }
 
-/// A balancer that knows these upstreams, and whose discovery is silent.
+/// Starts a balancer that knows these upstreams and whose discovery never answers.
 pub fn with(upstreams: &[SocketAddr]) -> Node {
     program().with(upstreams)
 }
 
-/// The balancer with this configuration.
+/// Returns the command that starts the balancer with this configuration.
 pub fn command(config: &str) -> Command {
     program().command(config)
 }
 
-/// A path in a folder that tests may write to.
+/// Returns an unused path with this ending in a folder that tests may write to.
 pub fn path(ending: &str) -> PathBuf {
     let path = program().file(ending, "");
     std::fs::remove_file(&path).expect("removes");
     path
 }
 
-/// A list with this upstream.
+/// Returns an endpoint list with this upstream.
 pub fn known(upstream: &Upstream) -> String {
     upstream_list(1, true, &[(0, upstream.addr, "active")])
 }
 
-/// A balancer with further arguments; discovery is silent.
+/// Starts a balancer with additional arguments for `run`; its discovery never answers.
 pub fn started(args: &[&OsStr], known: &str) -> Node {
     let discovery = Discovery::start();
     let mut command = command(&config(discovery.addr, 1024, known));
@@ -58,36 +58,38 @@
     Node::run(command, discovery)
 }
 
-/// The rules in the figures of [`config`]: all upstreams drop repeats, for 20 s.
+/// Parameters of the ledger rules that match [`config`]: all upstreams share one deduplication scope and drop duplicates for
+/// 20 s.
 pub fn figures() -> RuleParameters {
     RuleParameters { scope: Scope::All, window: Duration::from_secs(20), ..RuleParameters::default() }
 }
 
-/// An operation of this class with time enough.
+/// Returns an operation of this class with a deadline of 20 s, which is enough for every test.
 pub fn operation(class: &str, effect: Effect) -> Operation {
     Operation { class: class.into(), effect, deadline: Duration::from_secs(20), ..Operation::default() }
 }
 
-/// A class of each effect.
+/// One class of requests for each effect.
 pub const CLASSES: [(&str, Effect); 3] =
     [("read", Effect::Safe), ("order", Effect::Keyed), ("pay", Effect::Unsafe)];
 
-/// What callers and upstreams speak.
+/// Protocols of callers and upstreams.
 #[derive(Clone, Copy, Debug)]
 pub struct Pairing {
     /// Whether callers speak FastCGI.
     pub front: bool,
-    /// Whether upstreams do.
+    /// Whether upstreams speak FastCGI.
     pub upstream: bool,
-    /// Requests at once on a connection to an upstream.
-    pub at_once: usize,
+    /// Maximum number of concurrent requests on a connection to an upstream.
+    pub max_concurrent: usize,
 }
 
-const fn pairing(front: bool, upstream: bool, at_once: usize) -> Pairing {
-    Pairing { front, upstream, at_once }
+const fn pairing(front: bool, upstream: bool, max_concurrent: usize) -> Pairing {
+    Pairing { front, upstream, max_concurrent }
 }
 
-/// All four, and with several requests at once on a connection to an upstream.
+/// All four combinations of protocols, and FastCGI on both sides with several concurrent requests on a connection to an
+/// upstream.
 pub const PAIRINGS: [Pairing; 5] = [
     pairing(false, false, 1),
     pairing(false, true, 1),
@@ -97,25 +99,25 @@
 ];
 
 impl Pairing {
-    /// An upstream's options.
+    /// Returns the options of an upstream that speaks the protocol of this pairing.
     pub fn options(self, name: &str) -> UpstreamOptions {
         UpstreamOptions {
             fastcgi: self.upstream,
-            max_concurrent: self.at_once,
+            max_concurrent: self.max_concurrent,
             ..UpstreamOptions::named(name)
         }
     }
 
-    /// The operator's file that goes with it.
+    /// Writes the operator's file for this pairing and returns its path.
     pub fn operator(self) -> PathBuf {
-        let speaks = if self.upstream { "fastcgi" } else { "http" };
+        let protocol = if self.upstream { "fastcgi" } else { "http" };
         let listen = if self.front { "listen = [\"127.0.0.1:0\"]" } else { "" };
-        let (fastcgi, at_once) =
-            (format!("[registry]\nspeaks = \"{speaks}\"\n[fastcgi]\n{listen}"), self.at_once);
-        program().file(".toml", &format!("{fastcgi}\nmultiplex = {at_once}\n"))
+        let (fastcgi, max_concurrent) =
+            (format!("[registry]\nspeaks = \"{protocol}\"\n[fastcgi]\n{listen}"), self.max_concurrent);
+        program().file(".toml", &format!("{fastcgi}\nmultiplex = {max_concurrent}\n"))
     }
 
-    /// Where its callers connect to this instance.
+    /// Returns the address to which callers of this pairing connect.
     pub fn addr(self, node: &Node) -> SocketAddr {
         let line = node
             .log()
@@ -128,7 +130,7 @@
         }
     }
 
-    /// A caller that speaks its front's protocol.
+    /// Returns a caller that speaks the protocol of this pairing.
     pub fn caller(self, ledger: &Arc<Ledger>, seed: u64) -> Caller {
         let caller = Caller::new(ledger.clone(), seed);
         if self.front {
@@ -139,13 +141,14 @@
     }
 }
 
-/// Callers in threads, each with so many operations of every class, through all balancers. How many were served.
+/// Runs `callers` threads, each with `operations` operations of every class, through all balancers. Returns the number of
+/// operations that were served.
 pub fn load(ledger: &Arc<Ledger>, nodes: &[SocketAddr], callers: u64, operations: usize) -> usize {
-    load_by(PAIRINGS[0], ledger, nodes, callers, operations)
+    load_with_pairing(PAIRINGS[0], ledger, nodes, callers, operations)
 }
 
-/// The same by callers of this pairing.
-pub fn load_by(
+/// Like [`load`], with callers of this pairing.
+pub fn load_with_pairing(
     pairing: Pairing,
     ledger: &Arc<Ledger>,
     nodes: &[SocketAddr],
@@ -153,25 +156,26 @@
     operations: usize,
 ) -> usize {
     let addrs: Vec<_> = nodes.iter().enumerate().map(|(k, &addr)| (format!("n{k}"), addr)).collect();
-    let one = |seed: u64| {
+    let run_caller = |seed: u64| {
         let mut caller = pairing.caller(ledger, seed);
         caller.set_balancers(&addrs);
-        let all = (0..operations).flat_map(|_| CLASSES);
-        all.filter(|(class, effect)| {
-            matches!(caller.call(&operation(class, *effect)).outcome, Outcome::Served { .. })
-        })
-        .count()
+        let requests = (0..operations).flat_map(|_| CLASSES);
+        requests
+            .filter(|(class, effect)| {
+                matches!(caller.call(&operation(class, *effect)).outcome, Outcome::Served { .. })
+            })
+            .count()
     };
     thread::scope(|scope| {
         let threads: Vec<_> = (1..=callers)
-            .map(|seed| (seed, &one))
-            .map(|(seed, one)| scope.spawn(move || one(seed)))
+            .map(|seed| (seed, &run_caller))
+            .map(|(seed, run_caller)| scope.spawn(move || run_caller(seed)))
             .collect();
         threads.into_iter().map(|t| t.join().expect("no panic")).sum()
     })
 }
 
-/// Waits until this holds.
+/// Waits until the condition `holds`. Panics with `what` after [`TEST_TIMEOUT`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
@@ -180,35 +184,36 @@
     }
 }
 
-/// Ends the callers, also when what was done meanwhile has failed: nothing would end the test otherwise.
-struct Stop<'a>(&'a AtomicBool);
+/// Stops the callers when it is dropped, also after a panic; otherwise the scope would wait for them for ever.
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Stop<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// Callers of all classes over all instances while something is done; how many operations were served, and how many not.
+/// Runs `action` while six callers send operations of all classes to all instances. Returns the result of `action`, the
+/// number of operations that were served and the number of those that were not.
 pub fn under_load<T>(
     ledger: &Arc<Ledger>,
     addrs: &[(String, SocketAddr)],
-    act: impl FnOnce() -> T,
+    action: impl FnOnce() -> T,
 ) -> (T, usize, usize) {
-    under_load_of(&CLASSES, ledger, addrs, act)
+    under_load_of(&CLASSES, ledger, addrs, action)
 }
 
-/// The same with callers of these classes.
+/// Like [`under_load`], with operations of these classes only.
 pub fn under_load_of<T>(
     classes: &[(&str, Effect)],
     ledger: &Arc<Ledger>,
     addrs: &[(String, SocketAddr)],
-    act: impl FnOnce() -> T,
+    action: impl FnOnce() -> T,
 ) -> (T, usize, usize) {
-    let (stop, served, other) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
-    let done = thread::scope(|scope| {
+    let (stop, served, not_served) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
+    let result = thread::scope(|scope| {
         for seed in 1..=6 {
-            let (stop, served, other) = (&stop, &served, &other);
+            let (stop, served, not_served) = (&stop, &served, &not_served);
             scope.spawn(move || {
                 let mut caller = Caller::new(ledger.clone(), seed).with_readiness_check();
                 caller.set_balancers(addrs);
@@ -221,13 +226,13 @@
                         Operation { class: class.into(), effect, deadline, ..Operation::default() };
                     match caller.call(&operation).outcome {
                         Outcome::Served { .. } => served.fetch_add(1, Ordering::SeqCst),
-                        _ => other.fetch_add(1, Ordering::SeqCst),
+                        _ => not_served.fetch_add(1, Ordering::SeqCst),
                     };
                 }
             });
         }
-        let _stop = Stop(&stop);
-        act()
+        let _stop = StopOnDrop(&stop);
+        action()
     });
-    (done, served.into_inner(), other.into_inner())
+    (result, served.into_inner(), not_served.into_inner())
 }
--- a/crates/herondock/tests/rules.rs
+++ b/crates/herondock/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The four rules under trouble, judged by the ledger: real instances between stand-ins that fail by script, over the
-//! four pairings of what callers and upstreams speak.
+//! The four rules of the ledger under faults: real instances between stand-ins that fail by script, for every pairing of the
+//! protocols of callers and upstreams.
 mod common;
 use common::*;
 use std::sync::Arc;
@@ -10,25 +10,25 @@
 use testkit::script::Script;
 use testkit::upstream::UpstreamOptions;
 
-/// Where callers of this pairing connect.
+/// Addresses to which callers of this pairing connect, one per instance.
 fn addrs(pairing: Pairing, nodes: &[Node]) -> Vec<std::net::SocketAddr> {
     nodes.iter().map(|node| pairing.addr(node)).collect()
 }
 
-/// Instances that ask this registry.
+/// Starts `size` instances that discover their upstreams from `registry`, and waits until all are ready.
 fn fleet(pairing: Pairing, size: usize, registry: &Registry) -> Vec<Node> {
     let operator = pairing.operator();
     let start = |k: usize| {
-        let asked = registry.open_endpoint(&format!("n{k}")).expect("a port");
-        let config = config(asked, 1024, "null")
+        let discovery_addr = registry.open_endpoint(&format!("n{k}")).expect("a port");
+        let config = config(discovery_addr, 1024, "null")
             .replace("\"balancers\":1,\"index\":0", &format!("\"balancers\":{size},\"index\":{k}"));
         let mut command = command(&config);
         command.arg("run").arg("--operator").arg(&operator);
         let node = Node::run(command, Discovery::start());
-        // It is ready once it has been told of the list.
+        // An instance becomes ready once it has received the endpoint list.
         let started = std::time::Instant::now();
         while node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
-            assert!(started.elapsed() < TEST_TIMEOUT, "never ready");
+            assert!(started.elapsed() < TEST_TIMEOUT, "the instance does not become ready");
             thread::yield_now();
         }
         node
@@ -36,21 +36,22 @@
     (0..size).map(start).collect()
 }
 
-/// Guards against any repeat, loss or false promise when upstreams break off, turn away, fail, garble or close.
+/// Guards against operations that run twice, lost answers and false promises of no effect when upstreams close a
+/// connection without an answer or after one, decline, answer 500, or cut an answer short.
 #[test]
-fn resets_errors_and_refusals_of_upstreams_break_no_rule() {
-    // At one time: they mostly wait for deadlines.
+fn upstream_resets_errors_and_refusals_violate_no_rule() {
+    // The pairings run in parallel because they mostly wait for deadlines.
     thread::scope(|scope| {
         for pairing in PAIRINGS {
-            scope.spawn(move || resets_errors_and_refusals_of_upstreams_break_no_rule_in(pairing));
+            scope.spawn(move || upstream_resets_errors_and_refusals_violate_no_rule_in(pairing));
         }
     });
 }
 
-fn resets_errors_and_refusals_of_upstreams_break_no_rule_in(pairing: Pairing) {
+fn upstream_resets_errors_and_refusals_violate_no_rule_in(pairing: Pairing) {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
-    let trouble = || {
+    let faulty_script = || {
         let mut script = Script::new();
         for _ in 0..20 {
             script = script
@@ -68,7 +69,7 @@
         .map(|k| {
             let options =
                 UpstreamOptions { ledger: Some(ledger.clone()), ..pairing.options(&format!("u{k}")) };
-            let upstream = Upstream::with(options, trouble().into_behaviour());
+            let upstream = Upstream::with(options, faulty_script().into_behaviour());
             registry.set(
                 &format!("u{k}"),
                 ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 },
@@ -77,19 +78,20 @@
         })
         .collect();
     let nodes = fleet(pairing, 2, &registry);
-    let served = load_by(pairing, &ledger, &addrs(pairing, &nodes), 8, 20);
+    let served = load_with_pairing(pairing, &ledger, &addrs(pairing, &nodes), 8, 20);
     assert_eq!(ledger.check(&figures()), []);
-    assert!(served > 8 * 20 * 3 / 2, "most are served: {served}");
+    assert!(served > 8 * 20 * 3 / 2, "more than half of the operations are served: {served}");
     drop(upstreams);
 }
 
-/// Guards against news of a drain that is taken in but not kept, under load; and against losing what was under way.
+/// Guards against new requests to an upstream after a balancer was notified that it drains or has left, and against the
+/// loss of requests in flight there, under load.
 #[test]
-fn an_upstream_that_drains_under_load_gets_nothing_new() {
-    PAIRINGS.into_iter().for_each(an_upstream_that_drains_under_load_gets_nothing_new_in);
+fn draining_upstream_gets_no_new_requests_under_load() {
+    PAIRINGS.into_iter().for_each(draining_upstream_gets_no_new_requests_under_load_in);
 }
 
-fn an_upstream_that_drains_under_load_gets_nothing_new_in(pairing: Pairing) {
+fn draining_upstream_gets_no_new_requests_under_load_in(pairing: Pairing) {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
     let start = |name: &str| {
@@ -102,41 +104,43 @@
     };
     let upstreams = ["u0", "u1", "u2"].map(start);
     let nodes = fleet(pairing, 2, &registry);
-    // No grace at all here: what begins after a balancer was told is a fault, but for what crossed the news.
-    let strict = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(500), ..figures() };
-    load_by(pairing, &ledger, &addrs(pairing, &nodes), 4, 10);
+    // Without a grace period, an attempt that begins after a balancer was notified is a violation; the slack of 500 ms covers
+    // attempts that were sent while the notification was on its way.
+    let no_grace = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(500), ..figures() };
+    load_with_pairing(pairing, &ledger, &addrs(pairing, &nodes), 4, 10);
     registry.state("u0", "leaving");
     registry.state("u1", "left");
-    let told = |upstream: &str| {
-        let closed = |e: &Entry| matches!(e, Entry::Notified { upstream: u, state: State::Closed, .. } if u == upstream);
+    let notified = |upstream: &str| {
+        let closed = |e: &Entry| matches!(e, Entry::Notified { upstream: name, state: State::Closed, .. } if name == upstream);
         ledger.since(0).iter().filter(|r| closed(&r.entry)).count()
     };
     let started = std::time::Instant::now();
-    while told("u0") < nodes.len() || told("u1") < nodes.len() {
-        assert!(started.elapsed() < TEST_TIMEOUT, "the news does not arrive");
+    while notified("u0") < nodes.len() || notified("u1") < nodes.len() {
+        assert!(started.elapsed() < TEST_TIMEOUT, "the balancers are not notified of the new states");
         thread::yield_now();
     }
     let (before, served) =
-        (executed(&ledger, "u2"), load_by(pairing, &ledger, &addrs(pairing, &nodes), 4, 50));
+        (count_executed(&ledger, "u2"), load_with_pairing(pairing, &ledger, &addrs(pairing, &nodes), 4, 50));
     assert!(served > 300, "{served}");
-    assert_eq!(ledger.check(&strict), []);
-    assert!(executed(&ledger, "u2") - before >= served - 20, "the one that is left does the work");
+    assert_eq!(ledger.check(&no_grace), []);
+    assert!(count_executed(&ledger, "u2") - before >= served - 20, "the remaining upstream serves the load");
     drop(upstreams);
 }
 
-fn executed(ledger: &Ledger, name: &str) -> usize {
-    let at = |e: &Entry| matches!(e, Entry::Executed { upstream, .. } if upstream == name);
-    ledger.since(0).iter().filter(|r| at(&r.entry)).count()
+/// Number of executions that the ledger records for the upstream `name`.
+fn count_executed(ledger: &Ledger, name: &str) -> usize {
+    let is_execution_there = |e: &Entry| matches!(e, Entry::Executed { upstream, .. } if upstream == name);
+    ledger.since(0).iter().filter(|r| is_execution_there(&r.entry)).count()
 }
 
-/// Guards against a restart that loses or repeats anything: every instance is told to end in the middle of the load,
-/// one after the other, while callers go on with what they have.
+/// Guards against lost answers and operations that run twice when instances are stopped: two of three instances receive
+/// SIGTERM under load, one after the other, while callers continue on their connections.
 #[test]
-fn instances_told_to_end_under_load_break_no_rule() {
-    PAIRINGS.into_iter().for_each(instances_told_to_end_under_load_break_no_rule_in);
+fn stopping_instances_under_load_violates_no_rule() {
+    PAIRINGS.into_iter().for_each(stopping_instances_under_load_violates_no_rule_in);
 }
 
-fn instances_told_to_end_under_load_break_no_rule_in(pairing: Pairing) {
+fn stopping_instances_under_load_violates_no_rule_in(pairing: Pairing) {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
     let options = UpstreamOptions { ledger: Some(ledger.clone()), cores: 8, ..pairing.options("u0") };
@@ -153,9 +157,9 @@
             scope.spawn(move || {
                 let mut caller = pairing.caller(ledger, seed);
                 caller.set_balancers(addrs);
-                let mut all = CLASSES.iter().cycle();
+                let mut classes = CLASSES.iter().cycle();
                 while !stop.load(std::sync::atomic::Ordering::SeqCst) {
-                    let Some((class, effect)) = all.next() else { return };
+                    let Some((class, effect)) = classes.next() else { return };
                     caller.call(&operation(class, *effect));
                 }
             });
@@ -168,5 +172,5 @@
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
     });
     assert_eq!(ledger.check(&figures()), []);
-    assert!(executed(&ledger, "u0") > 100);
+    assert!(count_executed(&ledger, "u0") > 100);
 }
