--- a/crates/herondock/tests/discovery.rs
+++ b/crates/herondock/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Lists that go quiet: what upstreams see of a balancer whose discovery has fallen silent, judged by the first bytes that
-//! reach them and the time at which the news counts as told.
+//! Discovery that stops answering: a balancer must stop using a draining upstream by the time at which it is considered
+//! notified of the drain, even if no answer has arrived.
 mod common;
 use common::*;
 use std::net::SocketAddr;
@@ -7,37 +7,41 @@
 use testkit::discovery::{DiscoveryFault, ListedUpstream, Registry};
 use testkit::faults::machine::CpuThrottle;
 
-/// What a silent watch missed counts as told so long after it fell silent; sends then end within the grace of
-/// [`config`] and the slack on sockets.
-const LAST: Duration = Duration::from_millis(6000 + 1000 + 50);
-/// Requests that show whether an upstream is still used.
-const MANY: usize = 200;
-/// Processes that lose their watches together: what a busy machine with two cores bears.
-const MANY_NODES: u32 = 24;
+/// Maximum time from the moment at which a watch falls silent to the last send to an upstream that drained meanwhile: the
+/// balancer is considered notified after 6 s, sends end within the grace period of 1 s in [`config`], and sockets have a slack of
+/// 50 ms.
+const MAX_DELAY: Duration = Duration::from_millis(6000 + 1000 + 50);
+/// Number of requests that show whether an upstream is still used.
+const PROBE_REQUESTS: usize = 200;
+/// Number of instances that lose their watches at the same time: what a busy machine with two cores sustains.
+const INSTANCE_COUNT: u32 = 24;
 
-/// Asks until this upstream has been told of as draining, as the log has it, and then more; `late` is when nothing may reach
-/// it any more. Returns when it was told of.
-fn until_left(node: &Node, leaves: SocketAddr, late: Instant) -> Instant {
+/// Sends requests until the log reports the upstream `leaves` as draining, and then [`PROBE_REQUESTS`] more, none of which
+/// may reach it. No request may reach it after `last_send` either. Returns when the drain was known.
+fn wait_for_drain(node: &Node, leaves: SocketAddr, last_send: Instant) -> Instant {
     let (mut client, news) = (node.client(), format!("list: {leaves} is Draining"));
-    let mut told = None;
-    let mut left = MANY;
-    while left > 0 {
-        let asked = Instant::now();
-        let body = client.call(&get(&format!("q{left}"), "5000m")).body;
-        assert!(body != b"leaves" || told.is_none(), "used after it was told that it drains");
+    let mut notified_at = None;
+    let mut remaining = PROBE_REQUESTS;
+    while remaining > 0 {
+        let sent_at = Instant::now();
+        let body = client.call(&get(&format!("q{remaining}"), "5000m")).body;
         assert!(
-            body != b"leaves" || asked < late,
-            "used {:?} after what it missed counts as told",
-            asked - late
+            body != b"leaves" || notified_at.is_none(),
+            "used after the balancer was notified of the drain"
         );
-        if told.is_none() && node.log().contains(&news) {
-            told = Some(asked);
+        assert!(
+            body != b"leaves" || sent_at < last_send,
+            "used {:?} after the last time at which it may be used",
+            sent_at - last_send
+        );
+        if notified_at.is_none() && node.log().contains(&news) {
+            notified_at = Some(sent_at);
         }
-        // Without the news it goes on until the last moment, and then until it is shown whether it is used.
-        left -= usize::from(told.is_some() || asked >= late);
+        // Without a notification, requests continue until `last_send`; the probe requests follow after that.
+        remaining -= usize::from(notified_at.is_some() || sent_at >= last_send);
     }
-    told.unwrap_or_else(|| {
-        // Its log is read by another thread, which may be behind.
+    notified_at.unwrap_or_else(|| {
+        // The log is read by another thread, which may be behind.
         node.wait_for_log(&news);
         Instant::now()
     })
@@ -47,8 +51,8 @@
     ListedUpstream { addr: upstream.addr, group: 1, state, started_ms: 0 }
 }
 
-/// Two upstreams, and a registry that lists them.
-fn pair() -> (Upstream, Upstream, Registry) {
+/// Starts two upstreams and a registry that lists them.
+fn start_pair() -> (Upstream, Upstream, Registry) {
     let (stays, leaves) = (Upstream::start(|_| ok("stays")), Upstream::start(|_| ok("leaves")));
     let registry = Registry::new(None);
     registry.set("s-0", listed(&stays, "active"));
@@ -56,63 +60,65 @@
     (stays, leaves, registry)
 }
 
-/// A balancer that asks there, and logs what it is told.
-fn asking(registry: &Registry, known: &str, alter: impl Fn(String) -> String) -> Node {
+/// Starts a balancer that discovers its upstreams from `registry` and logs each change of its endpoint list.
+fn start_node(registry: &Registry, known: &str, alter: impl Fn(String) -> String) -> Node {
     let addr = registry.open_endpoint("n1").expect("a port");
     let mut command = command(&alter(config(addr, 1024, known)));
     command.args(["run", "--log", "debug"]);
-    // Callers that ask as fast as they are answered fill a log of every request before the news comes.
+    // The log has a line per request; clients in a tight loop would fill it before the list changes.
     Node::run_filtered(command, Discovery::start(), |line| line.contains("list: "))
 }
 
 /// Waits until both upstreams are known and used.
-fn both_used(node: &Node) {
+fn wait_until_both_used(node: &Node) {
     let mut client = node.client();
-    let mut met = [false; 2];
+    let mut used = [false; 2];
     for number in 0.. {
         let answer = client.call(&get(&format!("p{number}"), "5000m"));
-        met = [met[0] || answer.body == b"stays", met[1] || answer.body == b"leaves"];
-        if met == [true; 2] {
+        used = [used[0] || answer.body == b"stays", used[1] || answer.body == b"leaves"];
+        if used == [true; 2] {
             return;
         }
-        assert!(number < 100_000, "one of two is never used");
+        assert!(number < 100_000, "one of the two upstreams is not used");
     }
 }
 
-/// Guards against a watch that stays silent until what it missed counts as told: an upstream that drains right after, and
-/// stays up, must get nothing from then on. Where discovery is asked, and where lists are pushed.
+/// Guards against a watch that gets no answer and is kept past the time at which the balancer is considered notified of what
+/// it missed: an upstream that drains right after the last answer, and stays up, must get no request from then on. Covers
+/// lists on request and pushed lists.
 #[test]
-fn a_watch_that_falls_silent_is_opened_again_before_what_it_missed_counts_as_told() {
+fn silent_watch_is_reopened_before_the_balancer_is_considered_notified() {
     for mode in ["on_request", "pushed"] {
-        let (_stays, leaves, registry) = pair();
-        let node = asking(&registry, "null", |c| c.replace("on_request", mode));
-        both_used(&node);
-        let silent = registry.silence_pending();
+        let (_stays, leaves, registry) = start_pair();
+        let node = start_node(&registry, "null", |c| c.replace("on_request", mode));
+        wait_until_both_used(&node);
+        let silent_at = registry.silence_pending();
         registry.state("s-1", "leaving");
-        let told = until_left(&node, leaves.addr, silent + LAST);
-        println!("{mode}: told of {:?} after the silence", told - silent);
+        let notified_at = wait_for_drain(&node, leaves.addr, silent_at + MAX_DELAY);
+        println!("{mode}: notified {:?} after the silence", notified_at - silent_at);
     }
 }
 
-/// The same with a tenth of a core, in pieces of 10 ms: timers are late, and answers wait unread.
+/// Guards against a silent watch that is reopened too late when the process gets a tenth of a core, in slices of 10 ms: timers
+/// fire late, and answers wait unread.
 #[test]
-fn with_a_tenth_of_a_core_a_silent_watch_is_opened_again_in_time() {
-    let (_stays, leaves, registry) = pair();
-    let node = asking(&registry, "null", |c| c);
-    both_used(&node);
-    let slow = CpuThrottle::begin(node.pid(), Duration::from_millis(10), Duration::from_millis(100));
-    let silent = registry.silence_pending();
+fn silent_watch_is_reopened_in_time_with_a_tenth_of_a_core() {
+    let (_stays, leaves, registry) = start_pair();
+    let node = start_node(&registry, "null", |c| c);
+    wait_until_both_used(&node);
+    let throttle = CpuThrottle::begin(node.pid(), Duration::from_millis(10), Duration::from_millis(100));
+    let silent_at = registry.silence_pending();
     registry.state("s-1", "leaving");
-    let told = until_left(&node, leaves.addr, silent + LAST);
-    println!("told of {:?} after the silence", told - silent);
-    drop(slow);
+    let notified_at = wait_for_drain(&node, leaves.addr, silent_at + MAX_DELAY);
+    println!("notified {:?} after the silence", notified_at - silent_at);
+    drop(throttle);
 }
 
-/// The same for a call that opens a watch, where nothing has been answered yet, and for answers that never end.
+/// Guards against a call that opens a watch and waits too long for an answer that never arrives or never ends.
 #[test]
-fn a_first_answer_that_never_comes_whole_is_given_up_in_time() {
+fn incomplete_first_answer_is_abandoned_in_time() {
     std::thread::scope(|scope| {
-        for ill in [
+        for fault in [
             DiscoveryFault::Silent,
             DiscoveryFault::Half,
             DiscoveryFault::Trickle,
@@ -120,108 +126,110 @@
             DiscoveryFault::Reset,
         ] {
             scope.spawn(move || {
-                let (stays, leaves, registry) = pair();
-                // The list that the platform kept has everything but the news.
+                let (stays, leaves, registry) = start_pair();
+                // The initial list of the platform has every change but the drain.
                 let known = upstream_list(2, true, &[(0, stays.addr, "active"), (1, leaves.addr, "active")]);
-                registry.inject_fault(ill);
+                registry.inject_fault(fault);
                 registry.state("s-1", "leaving");
-                let begun = Instant::now();
-                let node = asking(&registry, &known, |c| c);
-                let told = until_left(&node, leaves.addr, begun + LAST);
-                println!("{ill:?}: told of after {:?}", told - begun);
+                let started = Instant::now();
+                let node = start_node(&registry, &known, |c| c);
+                let notified_at = wait_for_drain(&node, leaves.addr, started + MAX_DELAY);
+                println!("{fault:?}: notified after {:?}", notified_at - started);
             });
         }
     });
 }
 
-/// Guards against an agent that was silent while discovery was down, and whose news count from its return: the call that
-/// was open then is never answered.
+/// Guards against a drain that is noticed too late after an outage of discovery: the grace period counts from the time at
+/// which the agent responds again, but calls that were pending at that time are never answered.
 #[test]
-fn what_an_agent_has_at_its_return_is_heard_within_the_grace() {
-    let (_stays, leaves, registry) = pair();
-    // The plan is the same with any grace above 1 s; a busy machine may be a little late.
+fn changes_are_applied_within_the_grace_period_after_an_agent_outage() {
+    let (_stays, leaves, registry) = start_pair();
+    // The behaviour is the same with any grace period above 1 s; 4 s leave room for delays of a busy machine.
     let grace = Duration::from_secs(4);
-    let node = asking(&registry, "null", |c| {
+    let node = start_node(&registry, "null", |c| {
         c.replace("on_request", "pushed").replace("\"drain_grace\":1000", "\"drain_grace\":4000")
     });
-    both_used(&node);
+    wait_until_both_used(&node);
     registry.set_unresponsive(true);
     let (calls, _) = registry.calls();
     registry.state("s-1", "leaving");
-    // It has called in vain at least twice.
+    // At least two calls have failed.
     let started = Instant::now();
     while registry.calls().0 < calls + 2 {
-        assert!(started.elapsed() < LAST, "it does not call again");
+        assert!(started.elapsed() < MAX_DELAY, "the balancer does not call again");
         std::thread::yield_now();
     }
-    let back = registry.set_unresponsive(false);
-    let told = until_left(&node, leaves.addr, back + grace + Duration::from_millis(50));
-    println!("told of {:?} after the return", told - back);
+    let responsive_at = registry.set_unresponsive(false);
+    let notified_at = wait_for_drain(&node, leaves.addr, responsive_at + grace + Duration::from_millis(50));
+    println!("notified {:?} after the return", notified_at - responsive_at);
 }
 
-/// Guards against a move of discovery that waits for the old watch, which says nothing any more.
+/// Guards against a changed discovery address that takes effect only after an answer to the old watch, which never comes.
 #[test]
-fn a_move_while_the_watch_is_silent_is_followed_at_once() {
-    let (stays, leaves, registry) = pair();
-    let node = asking(&registry, "null", |c| c);
-    both_used(&node);
+fn new_discovery_address_is_used_while_the_old_watch_is_silent() {
+    let (stays, leaves, registry) = start_pair();
+    let node = start_node(&registry, "null", |c| c);
+    wait_until_both_used(&node);
     registry.set_unresponsive(true);
-    let moved = Registry::new(None);
-    moved.set("s-0", listed(&stays, "active"));
-    moved.set("s-1", listed(&leaves, "leaving"));
-    // Its first answer never comes.
-    moved.inject_fault(DiscoveryFault::Silent);
-    let addr = moved.open_endpoint("n1").expect("a port");
-    let begun = Instant::now();
+    let new_registry = Registry::new(None);
+    new_registry.set("s-0", listed(&stays, "active"));
+    new_registry.set("s-1", listed(&leaves, "leaving"));
+    // The new discovery never answers its first call.
+    new_registry.inject_fault(DiscoveryFault::Silent);
+    let addr = new_registry.open_endpoint("n1").expect("a port");
+    let started = Instant::now();
     node.reload(&config(addr, 1024, "null"));
-    // What the new place has counts as told 4 s later; a call for the whole list that is silent, 6 s.
-    let told = until_left(&node, leaves.addr, begun + LAST);
-    println!("told of {:?} after the move", told - begun);
+    // The balancer is considered notified of the list at the new address 4 s later, and 6 s after a call for the full list that
+    // gets no answer.
+    let notified_at = wait_for_drain(&node, leaves.addr, started + MAX_DELAY);
+    println!("notified {:?} after the move", notified_at - started);
 }
 
-/// Guards against one entry that costs a whole answer: what says that an upstream leaves binds without the rest.
+/// Guards against a malformed entry that discards a whole answer: another entry, which marks an upstream as leaving, must
+/// still take effect.
 #[test]
-fn a_bad_entry_keeps_nobody_from_leaving() {
+fn malformed_entry_does_not_hide_a_leaving_upstream() {
     let (stays, leaves) = (Upstream::start(|_| ok("stays")), Upstream::start(|_| ok("leaves")));
     let node = start(1024, &upstream_list(5, true, &[(0, stays.addr, "active"), (1, leaves.addr, "active")]));
     assert!(node.discovery.next_path().contains("since=5&"));
-    both_used(&node);
+    wait_until_both_used(&node);
     node.discovery.answer(
         r#"{"version":6,"full":false,"servers":[{"id":"s-1","state":"leaving"},{"id":"s-0","addr":"nowhere","state":"active"}]}"#,
     );
-    // Asked for again from where it was, which shows that the rest has been taken in.
+    // The next call asks for changes since the same version, which shows that the answer has been processed.
     assert!(node.discovery.next_path().contains("since=5&"));
     let mut client = node.client();
-    for number in 0..MANY {
+    for number in 0..PROBE_REQUESTS {
         assert_eq!(client.call(&get(&format!("b{number}"), "5000m")).body, b"stays");
     }
 }
 
-/// Guards against instances that lose their watches in one moment, and then keep each other waiting at discovery for longer
-/// than the old list may be used.
+/// Guards against instances that lose their watches at the same time and then delay each other at discovery for longer than
+/// the old list may be used.
 #[test]
-fn many_processes_that_lose_their_watches_together_all_learn_in_time() {
-    let (_stays, leaves, registry) = pair();
-    let nodes: Vec<Node> = (0..MANY_NODES)
+fn instances_that_lose_their_watches_together_are_all_notified_in_time() {
+    let (_stays, leaves, registry) = start_pair();
+    let nodes: Vec<Node> = (0..INSTANCE_COUNT)
         .map(|k| {
-            asking(&registry, "null", |c| c.replace("8c1f30d27a5be964", &format!("{:016x}", 977 * k + 1)))
+            start_node(&registry, "null", |c| c.replace("8c1f30d27a5be964", &format!("{:016x}", 977 * k + 1)))
         })
         .collect();
-    nodes.iter().for_each(both_used);
-    // Discovery takes a call from each within 3 s.
-    registry.set_processing_time(Duration::from_secs(3) / MANY_NODES);
+    nodes.iter().for_each(wait_until_both_used);
+    // Discovery processes one call of each instance within 3 s.
+    registry.set_processing_time(Duration::from_secs(3) / INSTANCE_COUNT);
     let before = registry.calls();
-    let silent = registry.silence_pending();
+    let silent_at = registry.silence_pending();
     registry.state("s-1", "leaving");
-    let told: Vec<Duration> = std::thread::scope(|scope| {
+    let delays: Vec<Duration> = std::thread::scope(|scope| {
         let addr = leaves.addr;
-        let each = nodes
+        let threads = nodes
             .into_iter()
-            .map(|node| scope.spawn(move || until_left(&node, addr, silent + LAST) - silent));
-        let each: Vec<_> = each.collect();
-        each.into_iter().map(|t| t.join().expect("learned in time")).collect()
+            .map(|node| scope.spawn(move || wait_for_drain(&node, addr, silent_at + MAX_DELAY) - silent_at));
+        let threads: Vec<_> = threads.collect();
+        threads.into_iter().map(|t| t.join().expect("notified in time")).collect()
     });
     let calls = registry.calls();
-    println!("told of {:?} to {:?} after the silence", told.iter().min(), told.iter().max());
-    println!("calls meanwhile: {}, of new watches {}", calls.0 - before.0, calls.1 - before.1);
+    println!("notified {:?} to {:?} after the silence", delays.iter().min(), delays.iter().max());
+    println!("calls meanwhile: {}, of which {} opened a watch", calls.0 - before.0, calls.1 - before.1);
 }
--- a/crates/herondock/tests/upstreams.rs
+++ b/crates/herondock/tests/upstreams.rs
@@ -1,9 +1,10 @@
-//! Answers of upstreams that can't be trusted: each test stands for one way to mix up or misjudge them.
+//! Malformed or unexpected answers of upstreams. Each test guards against one way to assign or judge them wrongly.
 mod common;
 use common::*;
 
-/// An attempt that may have run is not repeated for what must not run twice: the caller is told of a failure.
-fn is_a_reset(answer: &str) {
+/// Asserts that this answer counts as a failed attempt that may have run: a request that must not run twice is not retried,
+/// its caller gets 502, and the connection to the upstream is closed.
+fn assert_failed_attempt(answer: &str) {
     let text = answer.to_string();
     let upstream = Upstream::start(move |m| match m.header("req-id") {
         Some("bad") => Step::Answer(text.clone()),
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn answers_without_one_certain_end_are_failed_attempts() {
+fn answers_without_an_unambiguous_end_are_failed_attempts() {
     for answer in [
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxx\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n2\r\nxx\r\n0\r\n\r\n",
@@ -31,17 +32,17 @@
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         "\u{1}\u{2} noise \r\n\r\n",
     ] {
-        is_a_reset(answer);
+        assert_failed_attempt(answer);
     }
-    is_a_reset(&format!("HTTP/1.1 200 OK\r\n{}", "X-A: b\r\n".repeat(5000)));
-    is_a_reset(&format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(40_000)));
+    assert_failed_attempt(&format!("HTTP/1.1 200 OK\r\n{}", "X-A: b\r\n".repeat(5000)));
+    assert_failed_attempt(&format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(40_000)));
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_no_answer_to_the_next_request() {
-    let twice = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
+fn bytes_after_an_answer_do_not_answer_the_next_request() {
+    let doubled = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
     let upstream = Upstream::start(move |m| match m.header("req-id") {
-        Some("r1") => Step::Answer(twice.clone()),
+        Some("r1") => Step::Answer(doubled.clone()),
         _ => ok("two"),
     });
     let node = with(&[upstream.addr]);
@@ -51,10 +52,10 @@
 }
 
 #[test]
-fn news_ahead_of_an_answer_is_passed_over() {
-    let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(3);
+fn interim_responses_are_skipped() {
+    let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(3);
     let upstream = Upstream::start(move |_| {
-        Step::Answer(format!("{ahead}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"))
+        Step::Answer(format!("{interim}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"))
     });
     let node = with(&[upstream.addr]);
     let mut client = node.client();
@@ -64,14 +65,14 @@
 }
 
 #[test]
-fn what_an_upstream_cannot_use_is_the_callers_fault() {
+fn status_404_of_an_upstream_is_passed_on_without_retry() {
     let upstream = Upstream::start(|m| match m.header("req-id") {
         Some("odd") => status("404 Not Found"),
         _ => ok("good"),
     });
     let node = with(&[upstream.addr]);
     let mut client = node.client();
-    // It is not sent again, though it may be repeated, and its caller is told.
+    // The request is not retried, although it is safe to run twice, and its caller gets the answer.
     assert_eq!(client.call(&get("odd", "15000m")).status(), 404);
     assert_eq!(node.client().call(&get("next", "15000m")).body, b"good");
     assert_eq!(upstream.next_request().header("req-id"), Some("odd"));
