--- a/crates/herondock/tests/consul.rs
+++ b/crates/herondock/tests/consul.rs
@@ -1,4 +1,5 @@
-//! Members from Consul: told, in trouble and lost, against a stand-in, with the ledger over all that is sent.
+//! Discovery from a stand-in for Consul: changes of services, faults of the registry and lost data. The ledger checks every
+//! request that is sent.
 mod common;
 use common::*;
 use serde_json::Value;
@@ -11,8 +12,8 @@
 use testkit::ledger::{Entry, Ledger, RuleParameters};
 use testkit::upstream::UpstreamOptions;
 
-/// A Consul with upstreams, and an instance whose one source it is.
-struct World {
+/// A stand-in for Consul with upstreams, and an instance whose only source it is.
+struct Setup {
     ledger: Arc<Ledger>,
     consul: Consul,
     upstreams: Vec<Upstream>,
@@ -27,17 +28,18 @@
     Upstream::with(options, |_: &Message| ok("x"))
 }
 
-fn operator(agents: &[SocketAddr], more: &str) -> PathBuf {
+/// Writes an operator's file with these agents as the only source; `more_settings` follows the settings of the source.
+fn operator_file(agents: &[SocketAddr], more_settings: &str) -> PathBuf {
     let agents: Vec<String> = agents.iter().map(|a| format!("\"{a}\"")).collect();
     let text = format!(
         "[registry]\ndiscovery = false\n[[consul]]\nname = \"portal\"\nservice = \"portal\"\nagents = [{}]\nwait = \"200ms\"\n\
-         pace = \"10ms\"\npause = \"10ms\"\npause_most = \"100ms\"\n{more}\n",
+         pace = \"10ms\"\npause = \"10ms\"\npause_most = \"100ms\"\n{more_settings}\n",
         agents.join(", ")
     );
     program().file(".toml", &text)
 }
 
-fn run(operator: &std::path::Path, socket: &std::path::Path) -> Node {
+fn start_instance(operator: &std::path::Path, socket: &std::path::Path) -> Node {
     let args: [&OsStr; 4] =
         ["--operator".as_ref(), operator.as_os_str(), "--takeover".as_ref(), socket.as_os_str()];
     started(&args, "null")
@@ -47,22 +49,22 @@
     node.client().call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
 }
 
-impl World {
-    fn new(size: usize, more: &str) -> World {
+impl Setup {
+    fn new(size: usize, more_settings: &str) -> Setup {
         let ledger = Arc::new(Ledger::new());
         let consul = Consul::new(Some(ledger.clone()));
         let upstreams: Vec<Upstream> = (0..size).map(|k| upstream(&ledger, &format!("u{k}"))).collect();
-        for (k, u) in upstreams.iter().enumerate() {
-            consul.set("dc1", "portal", Service::new(&format!("u{k}"), u.addr));
+        for (k, upstream) in upstreams.iter().enumerate() {
+            consul.set("dc1", "portal", Service::new(&format!("u{k}"), upstream.addr));
         }
         let agent = consul.agent("n0");
-        let (operator, socket) = (operator(&[agent.addr], more), path(".sock"));
-        let node = run(&operator, &socket);
-        until("never ready", || is_ready(&node));
-        World { ledger, consul, upstreams, agent, operator, socket, node }
+        let (operator, socket) = (operator_file(&[agent.addr], more_settings), path(".sock"));
+        let node = start_instance(&operator, &socket);
+        until("the instance becomes ready", || is_ready(&node));
+        Setup { ledger, consul, upstreams, agent, operator, socket, node }
     }
 
-    /// The instance's view.
+    /// Returns the instance's view of its sources and members.
     fn view(&self) -> Value {
         let output = std::process::Command::new(program().path)
             .args(["members", "--json", "--operator"])
@@ -75,78 +77,88 @@
         serde_json::from_slice(&output.stdout).expect("JSON")
     }
 
+    /// Returns the entry of a member in the instance's view.
     fn member(&self, id: &str) -> Option<Value> {
         let view = self.view();
-        let all = view["members"].as_array().expect("members").clone();
-        all.into_iter().find(|m| m["member"].as_str().is_some_and(|name| name.ends_with(id)))
+        let members = view["members"].as_array().expect("members").clone();
+        members.into_iter().find(|m| m["member"].as_str().is_some_and(|name| name.ends_with(id)))
     }
 
-    fn takes(&self, id: &str) -> bool {
+    /// Whether the instance sends new requests to the member.
+    fn uses(&self, id: &str) -> bool {
         self.member(id).is_some_and(|m| m["takes"] == true)
     }
 
-    fn trouble(&self) -> Option<String> {
+    /// Returns the current fault of the source.
+    fn fault(&self) -> Option<String> {
         self.view()["sources"][0]["trouble"].as_str().map(String::from)
     }
 
-    fn serves(&self, times: usize) {
+    /// Asserts that all of these requests are served.
+    fn assert_served(&self, times: usize) {
         let mut client = self.node.client();
         for k in 0..times {
-            let answer = client.call(&get(&format!("{}-{k}", fresh()), "5000m"));
+            let answer = client.call(&get(&format!("{}-{k}", next_number()), "5000m"));
             assert_eq!(answer.status(), 200, "{:?}", self.node.log());
         }
     }
 
-    /// The same with a member that counts as cold: some may be refused, and none fails.
-    fn serves_some(&self, times: usize) {
+    /// Asserts that these requests are served or refused, but none fails, while a member is cold.
+    fn assert_served_or_refused(&self, times: usize) {
         let mut client = self.node.client();
-        let all = (0..times).map(|k| client.call(&get(&format!("{}-cold-{k}", fresh()), "5000m")).status());
-        let all: Vec<u16> = all.collect();
-        assert!(all.iter().all(|s| matches!(s, 200 | 503)), "{all:?}");
+        let statuses =
+            (0..times).map(|k| client.call(&get(&format!("{}-cold-{k}", next_number()), "5000m")).status());
+        let statuses: Vec<u16> = statuses.collect();
+        assert!(statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
     }
 
-    fn executed(&self, id: &str) -> usize {
-        let at = |e: &Entry| matches!(e, Entry::Executed { upstream, .. } if upstream == id);
-        self.ledger.since(0).iter().filter(|r| at(&r.entry)).count()
+    /// Number of executions that the ledger records for the upstream `id`.
+    fn count_executed(&self, id: &str) -> usize {
+        let is_execution_there = |e: &Entry| matches!(e, Entry::Executed { upstream, .. } if upstream == id);
+        self.ledger.since(0).iter().filter(|r| is_execution_there(&r.entry)).count()
     }
 
-    /// Nothing at all may begin at whom the instance was told to leave alone, but for what crossed the news.
-    fn kept(&self) {
-        let strict = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(300), ..figures() };
-        assert_eq!(self.ledger.check(&strict), [], "{:?}", self.node.log());
+    /// Asserts the ledger rules without a grace period: no attempt begins at an upstream after the instance was notified to
+    /// stop using it. The slack of 300 ms covers attempts that were sent while the notification was on its way.
+    fn assert_rules_hold(&self) {
+        let no_grace =
+            RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(300), ..figures() };
+        assert_eq!(self.ledger.check(&no_grace), [], "{:?}", self.node.log());
     }
 }
 
-fn fresh() -> usize {
+/// Returns a number that no other request of this process has in its id.
+fn next_number() -> usize {
     static NUMBER: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     NUMBER.fetch_add(1, std::sync::atomic::Ordering::SeqCst)
 }
 
 #[test]
-fn drains_and_removals_are_obeyed_under_load() {
-    let w = World::new(4, "");
-    let (ledger, addrs) = (&w.ledger, [w.node.addr]);
+fn drained_and_removed_upstreams_get_no_requests_under_load() {
+    let setup = Setup::new(4, "");
+    let (ledger, addrs) = (&setup.ledger, [setup.node.addr]);
     std::thread::scope(|scope| {
         let loading = scope.spawn(move || load(ledger, &addrs, 4, 100));
-        until("some load", || w.executed("u3") > 20);
-        w.consul.maintenance("portal", "u0", true);
-        w.consul.remove("dc1", "portal", "u1");
-        w.consul.update("dc1", "portal", "u2", |s| s.weight = 0);
+        until("the load has started", || setup.count_executed("u3") > 20);
+        setup.consul.maintenance("portal", "u0", true);
+        setup.consul.remove("dc1", "portal", "u1");
+        setup.consul.update("dc1", "portal", "u2", |s| s.weight = 0);
         assert!(loading.join().expect("no panic") > 1000);
     });
-    until("told", || !w.takes("u0") && !w.takes("u2") && w.member("u1").is_none());
-    let before = ["u0", "u1", "u2"].map(|id| w.executed(id));
-    w.serves(50);
-    assert_eq!(["u0", "u1", "u2"].map(|id| w.executed(id)), before);
-    w.consul.maintenance("portal", "u0", false);
-    until("back", || w.takes("u0"));
-    w.kept();
+    until("change applied", || !setup.uses("u0") && !setup.uses("u2") && setup.member("u1").is_none());
+    let before = ["u0", "u1", "u2"].map(|id| setup.count_executed(id));
+    setup.assert_served(50);
+    assert_eq!(["u0", "u1", "u2"].map(|id| setup.count_executed(id)), before);
+    setup.consul.maintenance("portal", "u0", false);
+    until("the upstream is used again", || setup.uses("u0"));
+    setup.assert_rules_hold();
 }
 
-/// Guards against a registry in trouble that empties the pool, stops the traffic, or is not asked again.
+/// Guards against a fault of the registry that empties the pool or stops the traffic, and against a registry that is not
+/// queried again after a fault.
 #[test]
-fn whatever_happens_to_consul_the_last_list_stands_and_traffic_goes_on() {
-    let w = World::new(2, "consistency = \"stale\"");
+fn last_list_stays_in_use_during_every_fault_of_consul() {
+    let setup = Setup::new(2, "consistency = \"stale\"");
     for fault in [
         Fault::Status(500, 0),
         Fault::Status(429, 1),
@@ -158,172 +170,174 @@
         Fault::ClosesConnections,
         Fault::Hung,
     ] {
-        w.agent.fault(fault);
-        // What changes meanwhile is not told.
-        w.consul.maintenance("portal", "u0", true);
-        until(&format!("{fault:?} is noticed"), || w.trouble().is_some());
-        w.serves(20);
-        assert!(w.takes("u0") && w.takes("u1"), "{fault:?}: {}", w.view());
-        w.consul.maintenance("portal", "u0", false);
-        w.agent.fault(Fault::None);
-        until("it answers again", || w.trouble().is_none());
+        setup.agent.fault(fault);
+        // A change during the fault must not reach the instance.
+        setup.consul.maintenance("portal", "u0", true);
+        until(&format!("{fault:?} is noticed"), || setup.fault().is_some());
+        setup.assert_served(20);
+        assert!(setup.uses("u0") && setup.uses("u1"), "{fault:?}: {}", setup.view());
+        setup.consul.maintenance("portal", "u0", false);
+        setup.agent.fault(Fault::None);
+        until("the fault is cleared", || setup.fault().is_none());
     }
-    // Slow, or without an index, it is still told of everything.
+    // A registry that is slow or sends no index still reports every change.
     for fault in [Fault::Slow(Duration::from_millis(300)), Fault::NoIndex] {
-        w.agent.fault(fault);
-        w.consul.maintenance("portal", "u0", true);
-        until("told all the same", || !w.takes("u0"));
-        w.serves(20);
-        w.consul.maintenance("portal", "u0", false);
-        until("and back", || w.takes("u0"));
+        setup.agent.fault(fault);
+        setup.consul.maintenance("portal", "u0", true);
+        until("the drain is applied despite the fault", || !setup.uses("u0"));
+        setup.assert_served(20);
+        setup.consul.maintenance("portal", "u0", false);
+        until("the upstream is used again", || setup.uses("u0"));
     }
-    w.kept();
+    setup.assert_rules_hold();
 }
 
-/// Guards against a query that falls silent and is waited for as if nothing had changed: it is given up a sixteenth of its wait
-/// and 2 s after that wait, and the next one tells.
+/// Guards against a query that gets no answer and is taken for one without changes: it is abandoned a sixteenth of its wait
+/// time plus 2 s after that wait time, and the next query returns the change.
 #[test]
-fn a_query_that_falls_silent_is_given_up_and_asked_again() {
-    let w = World::new(2, "");
-    w.serves(20);
-    let asked = w.agent.queries();
-    // The one that waits is of after the last answer.
-    until("a query waits", || w.agent.queries() > asked);
-    let silent = w.agent.silence_pending();
-    w.consul.maintenance("portal", "u0", true);
-    until("told", || !w.takes("u0"));
-    // Wait and its sixteenth, the time for the answer, a pause, and what a busy machine adds.
-    let most = Duration::from_millis(200 + 13 + 2000 + 100 + 1000);
-    println!("told {:?} after the silence", silent.elapsed());
-    assert!(silent.elapsed() < most, "{:?}", silent.elapsed());
-    let before = w.executed("u0");
-    w.serves(50);
-    assert_eq!(w.executed("u0"), before);
-    w.kept();
+fn silent_query_is_abandoned_and_sent_again() {
+    let setup = Setup::new(2, "");
+    setup.assert_served(20);
+    let queries_before = setup.agent.queries();
+    // The pending query was sent after the last answer.
+    until("a query is pending", || setup.agent.queries() > queries_before);
+    let silent_since = setup.agent.silence_pending();
+    setup.consul.maintenance("portal", "u0", true);
+    until("change applied", || !setup.uses("u0"));
+    // Wait time, a sixteenth of it, response timeout, retry pause, and the delays of a busy machine.
+    let max_time = Duration::from_millis(200 + 13 + 2000 + 100 + 1000);
+    println!("drain applied {:?} after the silence", silent_since.elapsed());
+    assert!(silent_since.elapsed() < max_time, "{:?}", silent_since.elapsed());
+    let before = setup.count_executed("u0");
+    setup.assert_served(50);
+    assert_eq!(setup.count_executed("u0"), before);
+    setup.assert_rules_hold();
 }
 
 #[test]
-fn the_next_agent_is_asked_where_the_first_is_gone() {
+fn next_agent_is_queried_if_the_first_is_down() {
     let ledger = Arc::new(Ledger::new());
     let consul = Consul::new(None);
     let upstream = upstream(&ledger, "u0");
     consul.set("dc1", "portal", Service::new("u0", upstream.addr));
     let (second, socket) = (consul.agent("n0"), path(".sock"));
-    let node = run(&operator(&[refusing(), second.addr], ""), &socket);
-    until("never ready", || is_ready(&node));
+    let node = start_instance(&operator_file(&[refusing(), second.addr], ""), &socket);
+    until("the instance becomes ready", || is_ready(&node));
     assert!(second.queries() > 0);
 }
 
-/// Guards against a server that lost its data and takes the pool with it; and against a drain that it then tells.
+/// Guards against an empty pool after a Consul server lost its data, and against ignoring a drain that this server reports
+/// afterwards.
 #[test]
-fn lost_data_takes_nobody_out_and_what_it_says_binds() {
-    let w = World::new(3, "regrow = \"10m\"");
-    w.consul.lose_data();
-    until("its index went back", || w.view()["sources"][0]["index"].as_u64().is_some_and(|i| i < 10));
-    w.serves(30);
-    assert!(["u0", "u1", "u2"].into_iter().all(|id| w.takes(id)), "{}", w.view());
-    let mut drains = Service::new("u1", w.upstreams[1].addr);
-    drains.checks.insert("_node_maintenance".into(), "critical");
-    w.consul.set("dc1", "portal", drains);
-    until("told", || !w.takes("u1"));
-    let before = w.executed("u1");
-    w.serves(30);
-    assert_eq!(w.executed("u1"), before);
-    assert!(w.takes("u0") && w.takes("u2"));
-    w.kept();
+fn lost_data_removes_no_member_and_reported_drains_still_apply() {
+    let setup = Setup::new(3, "regrow = \"10m\"");
+    setup.consul.lose_data();
+    until("lower index", || setup.view()["sources"][0]["index"].as_u64().is_some_and(|i| i < 10));
+    setup.assert_served(30);
+    assert!(["u0", "u1", "u2"].into_iter().all(|id| setup.uses(id)), "{}", setup.view());
+    let mut draining = Service::new("u1", setup.upstreams[1].addr);
+    draining.checks.insert("_node_maintenance".into(), "critical");
+    setup.consul.set("dc1", "portal", draining);
+    until("change applied", || !setup.uses("u1"));
+    let before = setup.count_executed("u1");
+    setup.assert_served(30);
+    assert_eq!(setup.count_executed("u1"), before);
+    assert!(setup.uses("u0") && setup.uses("u2"));
+    setup.assert_rules_hold();
 }
 
-/// Guards against believing the registry more than what happens: a dead process that passes its checks costs little, and
-/// nobody has to tell that it is back.
+/// Guards against relying on checks alone: an upstream whose process is dead but whose checks pass must cost few attempts,
+/// and must be used again after its restart without a change in the registry.
 #[test]
-fn a_member_that_passes_while_its_process_is_dead_is_left_out_and_comes_back() {
-    let mut w = World::new(3, "");
-    w.serves(30);
-    let dead = w.upstreams.remove(0);
+fn dead_member_with_passing_checks_is_avoided_and_used_again_after_its_restart() {
+    let mut setup = Setup::new(3, "");
+    setup.assert_served(30);
+    let dead = setup.upstreams.remove(0);
     let addr = dead.addr;
     dead.kill();
-    w.serves(100);
-    assert!(w.takes("u0"), "so Consul says");
-    let options = UpstreamOptions { ledger: Some(w.ledger.clone()), ..UpstreamOptions::named("u0") };
-    let before = w.executed("u0");
-    let back = Upstream::at(addr, options, |_: &Message| ok("x"));
-    // Its port may have been taken meanwhile; then there is nothing to come back.
-    if back.is_ok() {
-        until("it gets work again", || {
-            w.serves(5);
-            w.executed("u0") > before
+    setup.assert_served(100);
+    assert!(setup.uses("u0"), "Consul still reports it as passing");
+    let options = UpstreamOptions { ledger: Some(setup.ledger.clone()), ..UpstreamOptions::named("u0") };
+    let before = setup.count_executed("u0");
+    let restarted = Upstream::at(addr, options, |_: &Message| ok("x"));
+    // If another process has taken the port meanwhile, the upstream can't be started again.
+    if restarted.is_ok() {
+        until("it gets requests again", || {
+            setup.assert_served(5);
+            setup.count_executed("u0") > before
         });
     }
-    w.kept();
+    setup.assert_rules_hold();
 }
 
-/// Guards against a registry that flaps and makes a member cold each time, and against an empty pool when the last one
-/// fails its check.
+/// Guards against a flapping check that makes a member cold each time, and against an empty pool when the last member fails
+/// its check.
 #[test]
-fn a_flapping_check_is_no_restart_and_the_last_member_is_used_until_it_drains() {
-    let w = World::new(1, "");
-    w.consul.update("dc1", "portal", "u0", |s| drop(s.meta.remove("started_ms")));
-    let up = |w: &World| w.member("u0").map_or(Value::Null, |m| m["stated"].clone());
-    until("its start is no longer stated", || up(&w) == false);
-    let since = |w: &World| {
-        let m = w.member("u0").expect("listed");
-        std::time::SystemTime::now() - Duration::from_millis(m["up_ms"].as_u64().expect("an age"))
+fn flapping_check_is_no_restart_and_the_last_member_is_used_until_it_drains() {
+    let setup = Setup::new(1, "");
+    setup.consul.update("dc1", "portal", "u0", |s| drop(s.meta.remove("started_ms")));
+    let stated = |setup: &Setup| setup.member("u0").map_or(Value::Null, |m| m["stated"].clone());
+    until("its start is no longer stated", || stated(&setup) == false);
+    let started_at = |setup: &Setup| {
+        let member = setup.member("u0").expect("listed");
+        std::time::SystemTime::now() - Duration::from_millis(member["up_ms"].as_u64().expect("an age"))
     };
-    let first = since(&w);
+    let first_start = started_at(&setup);
     for state in ["critical", "passing", "critical"] {
-        w.consul.check("portal", "u0", state);
-        let standing = if state == "passing" { "ready" } else { state };
-        until("told", || w.member("u0").is_some_and(|m| m["standing"] == standing));
-        w.serves_some(3);
+        setup.consul.check("portal", "u0", state);
+        let expected = if state == "passing" { "ready" } else { state };
+        until("change applied", || setup.member("u0").is_some_and(|m| m["standing"] == expected));
+        setup.assert_served_or_refused(3);
     }
-    let moved = since(&w).duration_since(first).unwrap_or_default();
-    assert!(moved < Duration::from_millis(200), "it counts as started anew: {moved:?}");
-    w.consul.maintenance("portal", "u0", true);
-    until("told", || !w.takes("u0"));
-    let answer = w.node.client().call(&get("none", "5000m"));
-    assert_eq!(answer.status(), 503, "refused at once: nobody takes work");
-    w.kept();
+    let start_shift = started_at(&setup).duration_since(first_start).unwrap_or_default();
+    assert!(start_shift < Duration::from_millis(200), "it counts as restarted: {start_shift:?}");
+    setup.consul.maintenance("portal", "u0", true);
+    until("change applied", || !setup.uses("u0"));
+    let answer = setup.node.client().call(&get("none", "5000m"));
+    assert_eq!(answer.status(), 503, "refused immediately: no member accepts requests");
+    setup.assert_rules_hold();
 }
 
-/// Guards against a restart that is taken for a warm process: the same id elsewhere, and another id at its address.
+/// Guards against a restarted process that counts as warm: the same id at another address, and another id at the same
+/// address.
 #[test]
-fn another_process_under_an_old_id_or_address_is_cold() {
-    let w = World::new(1, "");
-    let unstated = |id: &str, addr| {
+fn new_process_with_a_known_id_or_address_is_cold() {
+    let setup = Setup::new(1, "");
+    let service_without_start_time = |id: &str, addr| {
         let mut service = Service::new(id, addr);
         service.meta.remove("started_ms");
         service
     };
-    let second = upstream(&w.ledger, "u0");
-    w.consul.set("dc1", "portal", unstated("u0", second.addr));
+    let second = upstream(&setup.ledger, "u0");
+    setup.consul.set("dc1", "portal", service_without_start_time("u0", second.addr));
     let cold = |id: &str, addr: SocketAddr| {
-        w.member(id).is_some_and(|m| {
-            let up = m["up_ms"].as_u64();
-            m["addr"] == addr.to_string() && m["stated"] == false && up.is_some_and(|ms| ms < 9000)
+        setup.member(id).is_some_and(|m| {
+            let age_ms = m["up_ms"].as_u64();
+            m["addr"] == addr.to_string() && m["stated"] == false && age_ms.is_some_and(|ms| ms < 9000)
         })
     };
-    until("the same id elsewhere is cold", || cold("u0", second.addr));
-    w.serves_some(5);
-    w.consul.set("dc1", "portal", unstated("v0", second.addr));
-    until("another id at its address is cold", || cold("v0", second.addr) && w.member("u0").is_none());
-    w.serves_some(5);
+    until("same id at another address is cold", || cold("u0", second.addr));
+    setup.assert_served_or_refused(5);
+    setup.consul.set("dc1", "portal", service_without_start_time("v0", second.addr));
+    until("another id at its address is cold", || cold("v0", second.addr) && setup.member("u0").is_none());
+    setup.assert_served_or_refused(5);
 }
 
 #[test]
-fn a_drain_in_one_datacentre_counts_though_another_says_it_passes() {
-    let w = World::new(2, "datacentres = [\"dc1\", \"dc2\"]");
-    let mut far = Service::new("u0", w.upstreams[0].addr);
-    far.checks.insert("_service_maintenance:u0".into(), "critical");
-    w.consul.set("dc2", "portal", far);
-    until("told", || !w.takes("u0"));
-    let before = w.executed("u0");
-    w.serves(30);
-    assert_eq!(w.executed("u0"), before);
-    // All that the catalogue names are found.
-    let all = operator(&[w.agent.addr], "datacentres = [\"*\"]");
+fn drain_in_one_datacentre_applies_although_another_reports_passing() {
+    let setup = Setup::new(2, "datacentres = [\"dc1\", \"dc2\"]");
+    let mut draining = Service::new("u0", setup.upstreams[0].addr);
+    draining.checks.insert("_service_maintenance:u0".into(), "critical");
+    setup.consul.set("dc2", "portal", draining);
+    until("change applied", || !setup.uses("u0"));
+    let before = setup.count_executed("u0");
+    setup.assert_served(30);
+    assert_eq!(setup.count_executed("u0"), before);
+    // The wildcard `*` finds every datacentre of the catalogue.
+    let all_datacentres = operator_file(&[setup.agent.addr], "datacentres = [\"*\"]");
     let output = command(&config(refusing(), 1024, "null"))
         .args(["members", "--once", "--operator"])
-        .arg(&all)
+        .arg(&all_datacentres)
         .stdout(std::process::Stdio::piped())
         .output()
         .expect("runs");
@@ -331,9 +345,10 @@
     assert!(output.status.success() && table.starts_with("source"), "{table}");
 }
 
-/// Guards against a start that finds nobody because Consul is down just then, and against a damaged file.
+/// Guards against an instance that starts without upstreams because Consul is down at that time, and against a corrupt file
+/// of saved members.
 #[test]
-fn a_restart_while_consul_is_down_goes_on_from_the_last_view() {
+fn restart_while_consul_is_down_uses_the_saved_members() {
     let file = path(".members");
     let saved = format!("[consul.meta]\n[registry]\nsaved = {:?}\nsaved_every = \"100ms\"\n", file);
     let ledger = Arc::new(Ledger::new());
@@ -341,16 +356,17 @@
     let upstream = upstream(&ledger, "u0");
     consul.set("dc1", "portal", Service::new("u0", upstream.addr));
     let (agent, socket) = (consul.agent("n0"), path(".sock"));
-    let plain = operator(&[agent.addr], "");
-    let text = std::fs::read_to_string(&plain).expect("reads");
-    let keys = saved.split("[registry]\n").nth(1).expect("keys");
-    let own = program().file(".toml", &text.replace("[registry]\n", &format!("[registry]\n{keys}")));
-    let mut node = run(&own, &socket);
-    until("kept", || std::fs::read(&file).is_ok_and(|b| b.windows(2).any(|w| w == b"u0")));
+    let without_cache = operator_file(&[agent.addr], "");
+    let text = std::fs::read_to_string(&without_cache).expect("reads");
+    let cache_settings = saved.split("[registry]\n").nth(1).expect("keys");
+    let with_cache =
+        program().file(".toml", &text.replace("[registry]\n", &format!("[registry]\n{cache_settings}")));
+    let mut node = start_instance(&with_cache, &socket);
+    until("saved", || std::fs::read(&file).is_ok_and(|b| b.windows(2).any(|window| window == b"u0")));
     node.terminate();
     assert!(node.wait().success());
     agent.fault(Fault::ClosesConnections);
-    let mut node = run(&own, &socket);
+    let mut node = start_instance(&with_cache, &socket);
     assert_eq!(node.client().call(&get("r", "5000m")).status(), 200, "{:?}", node.log());
     node.terminate();
     assert!(node.wait().success());
@@ -358,45 +374,45 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&file, bytes).expect("writes");
-    let node = run(&own, &socket);
+    let node = start_instance(&with_cache, &socket);
     node.wait_for_log("its checksum differs; passed over");
     assert!(!is_ready(&node));
     agent.fault(Fault::None);
-    until("told again", || is_ready(&node));
+    until("the instance is ready again", || is_ready(&node));
 }
 
 #[test]
-fn it_registers_itself_and_takes_that_back() {
-    let more =
+fn instance_registers_itself_and_deregisters_at_its_exit() {
+    let register_settings =
         "[consul.register]\nservice = \"herondock\"\nttl = \"1s\"\n[consul.register.meta]\ncell = \"4\"\n";
-    let mut w = World::new(1, more);
-    let state = |w: &World| w.consul.registered("herondock-n1").map(|r| r.state);
-    until("registered", || state(&w).as_deref() == Some("passing"));
-    let body = w.consul.registered("herondock-n1").expect("registered").body;
+    let mut setup = Setup::new(1, register_settings);
+    let state = |setup: &Setup| setup.consul.registered("herondock-n1").map(|r| r.state);
+    until("registered", || state(&setup).as_deref() == Some("passing"));
+    let body = setup.consul.registered("herondock-n1").expect("registered").body;
     assert!(
-        body.contains(&format!("\"Port\":{}", w.node.addr.port())) && body.contains("\"cell\":\"4\""),
+        body.contains(&format!("\"Port\":{}", setup.node.addr.port())) && body.contains("\"cell\":\"4\""),
         "{body}"
     );
-    until("renewed", || w.consul.registered("herondock-n1").is_some_and(|r| r.passes > 1));
-    w.consul.forget_registrations();
-    until("registered again", || state(&w).as_deref() == Some("passing"));
-    w.node.terminate();
-    until("critical while it leaves", || state(&w).as_deref() == Some("critical"));
-    assert!(w.node.wait().success());
-    assert_eq!(state(&w), None, "and gone at its end");
+    until("the check is renewed", || setup.consul.registered("herondock-n1").is_some_and(|r| r.passes > 1));
+    setup.consul.forget_registrations();
+    until("registered again", || state(&setup).as_deref() == Some("passing"));
+    setup.node.terminate();
+    until("critical while it stops", || state(&setup).as_deref() == Some("critical"));
+    assert!(setup.node.wait().success());
+    assert_eq!(state(&setup), None, "deregistered at its exit");
 }
 
 #[test]
-fn the_token_is_read_again_before_each_query() {
+fn token_file_is_read_again_before_each_query() {
     let token = program().file(".token", "old\n");
-    let more = format!("token_file = {token:?}");
-    let w = World::new(1, &more);
-    w.agent.require_token("new");
-    until("refused", || w.trouble().is_some_and(|t| t.contains("answered 403: Permission denied")));
-    w.serves(3);
+    let token_setting = format!("token_file = {token:?}");
+    let setup = Setup::new(1, &token_setting);
+    setup.agent.require_token("new");
+    until("rejected", || setup.fault().is_some_and(|t| t.contains("answered 403: Permission denied")));
+    setup.assert_served(3);
     std::fs::write(&token, "new\n").expect("writes");
-    until("answered", || w.trouble().is_none());
+    until("the new token is accepted", || setup.fault().is_none());
     std::fs::write(&token, "").expect("writes");
-    until("named", || w.trouble().is_some_and(|t| t.contains("holds no token")));
-    w.serves(3);
+    until("reported", || setup.fault().is_some_and(|t| t.contains("holds no token")));
+    setup.assert_served(3);
 }
