--- a/crates/herondock/tests/coordination_compatibility.rs
+++ b/crates/herondock/tests/coordination_compatibility.rs
@@ -19,7 +19,7 @@
 const FRAMES: &str = include_str!("fixtures/coordination/frames.txt");
 /// Address of the voter that was recorded.
 const RECORDED_ADDRESS: &str = "127.0.0.1:17801";
-/// What the recorded journal holds, apart from its last transaction.
+/// Keys in the recorded journal, without those of its last transaction.
 const KEYS_BEFORE_LAST: [(&str, &str); 6] = [
     ("after/snapshot", "kept"),
     ("before/ephemeral", "of the session"),
@@ -28,11 +28,11 @@
     ("counter", "last"),
     ("pad", "11"),
 ];
-/// The key that its last transaction wrote.
+/// The key that the last transaction of the recorded journal wrote.
 const LAST_KEY: (&str, &str) = ("after/last", "written last");
 
-/// A voter that was started with a copy of this journal.
-fn start_with(journal: &str) -> Voters {
+/// Starts a voter with a copy of this journal.
+fn start_voter_with_journal(journal: &str) -> Voters {
     let mut voters = Voters::prepare(&program(), 1, TICK);
     let folder = voters.machines[0].disk().to_path_buf();
     std::fs::create_dir_all(&folder).expect("creates the folder");
@@ -51,14 +51,14 @@
 /// Guards against a change of the stored form: of a record, the snapshot, the log entries or the identity of a voter.
 #[test]
 fn a_journal_of_an_earlier_build_is_served() {
-    let mut voters = start_with("journal");
+    let mut voters = start_voter_with_journal("journal");
     let mut expected = owned(&KEYS_BEFORE_LAST);
     expected.extend(owned(&[LAST_KEY]));
     expected.sort();
     assert_eq!(voters.list(""), expected);
     let output = voters.command(&["get", "--key", "after/last"]);
     assert_eq!(String::from_utf8_lossy(&output.stdout), "written last\n", "{output:?}");
-    // It goes on from there, also after another start.
+    // The voter accepts further writes and still has them after a restart.
     assert!(is_committed(&voters.put("new", "1")));
     voters.machines[0].kill();
     voters.machines[0].start();
@@ -66,10 +66,11 @@
     assert_eq!(voters.get(LAST_KEY.0).as_deref(), Some(LAST_KEY.1));
 }
 
-/// Guards against a voter that rejects, or misreads, what a crash of an earlier build left: all but the torn record is there.
+/// Guards against a voter that rejects or misreads the journal that a crash of an earlier build left: all records but the torn
+/// one are kept.
 #[test]
 fn a_torn_last_record_of_an_earlier_build_is_dropped() {
-    let mut voters = start_with("journal-torn-record");
+    let mut voters = start_voter_with_journal("journal-torn-record");
     assert_eq!(voters.list(""), owned(&KEYS_BEFORE_LAST));
     assert!(is_committed(&voters.put("new", "1")));
     voters.machines[0].kill();
@@ -78,22 +79,22 @@
     assert_eq!(voters.get(LAST_KEY.0), None);
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u32> =
         hex.chars().map(|digit| digit.to_digit(16).expect("a hexadecimal digit")).collect();
     digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect()
 }
 
-fn framed(payload: &str) -> Vec<u8> {
+fn encode_frame(payload: &str) -> Vec<u8> {
     let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
     frame.extend_from_slice(payload.as_bytes());
     frame
 }
 
-/// The same frame from a voter at another address.
+/// Replaces the address of the recorded voter in a frame.
 fn with_address(frame: Vec<u8>, address: &str) -> Vec<u8> {
     let payload = String::from_utf8(frame[4..].to_vec()).expect("text");
-    framed(&payload.replace(RECORDED_ADDRESS, address))
+    encode_frame(&payload.replace(RECORDED_ADDRESS, address))
 }
 
 fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
@@ -109,14 +110,14 @@
 /// answers that it got then.
 #[test]
 fn recorded_calls_of_an_earlier_build_get_the_recorded_replies() {
-    let voters = start_with("journal");
+    let voters = start_voter_with_journal("journal");
     let own_address = voters.addrs[0].to_string();
     let mut stream = TcpStream::connect(voters.listen_addrs[0]).expect("connects");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
     let mut handshaken = false;
     for (number, line) in FRAMES.lines().enumerate() {
         let (side, hex) = line.split_once(' ').expect("a side and its bytes");
-        let recorded = bytes_of(hex);
+        let recorded = decode_hex(hex);
         if side == "client" {
             stream.write_all(&recorded).expect("writes");
             continue;
