--- a/crates/herondock/tests/consul.rs
+++ b/crates/herondock/tests/consul.rs
@@ -23,7 +23,7 @@
     node: Node,
 }
 
-fn upstream(ledger: &Arc<Ledger>, name: &str) -> Upstream {
+fn start_upstream(ledger: &Arc<Ledger>, name: &str) -> Upstream {
     let options = UpstreamOptions { ledger: Some(ledger.clone()), ..UpstreamOptions::named(name) };
     Upstream::with(options, |_: &Message| ok("x"))
 }
@@ -53,7 +53,7 @@
     fn new(size: usize, more_settings: &str) -> Setup {
         let ledger = Arc::new(Ledger::new());
         let consul = Consul::new(Some(ledger.clone()));
-        let upstreams: Vec<Upstream> = (0..size).map(|k| upstream(&ledger, &format!("u{k}"))).collect();
+        let upstreams: Vec<Upstream> = (0..size).map(|k| start_upstream(&ledger, &format!("u{k}"))).collect();
         for (k, upstream) in upstreams.iter().enumerate() {
             consul.set("dc1", "portal", Service::new(&format!("u{k}"), upstream.addr));
         }
@@ -218,7 +218,7 @@
 fn next_agent_is_queried_if_the_first_is_down() {
     let ledger = Arc::new(Ledger::new());
     let consul = Consul::new(None);
-    let upstream = upstream(&ledger, "u0");
+    let upstream = start_upstream(&ledger, "u0");
     consul.set("dc1", "portal", Service::new("u0", upstream.addr));
     let (second, socket) = (consul.agent("n0"), path(".sock"));
     let node = start_instance(&operator_file(&[refusing(), second.addr], ""), &socket);
@@ -308,7 +308,7 @@
         service.meta.remove("started_ms");
         service
     };
-    let second = upstream(&setup.ledger, "u0");
+    let second = start_upstream(&setup.ledger, "u0");
     setup.consul.set("dc1", "portal", service_without_start_time("u0", second.addr));
     let cold = |id: &str, addr: SocketAddr| {
         setup.member(id).is_some_and(|m| {
@@ -353,7 +353,7 @@
     let saved = format!("[consul.meta]\n[registry]\nsaved = {:?}\nsaved_every = \"100ms\"\n", file);
     let ledger = Arc::new(Ledger::new());
     let consul = Consul::new(None);
-    let upstream = upstream(&ledger, "u0");
+    let upstream = start_upstream(&ledger, "u0");
     consul.set("dc1", "portal", Service::new("u0", upstream.addr));
     let (agent, socket) = (consul.agent("n0"), path(".sock"));
     let without_cache = operator_file(&[agent.addr], "");
--- a/crates/herondock/tests/fleet.rs
+++ b/crates/herondock/tests/fleet.rs
@@ -24,7 +24,7 @@
     fleet
 }
 
-fn upstream(name: &str, ledger: &Arc<Ledger>, registry: &Registry) -> Upstream {
+fn start_upstream(name: &str, ledger: &Arc<Ledger>, registry: &Registry) -> Upstream {
     let options = UpstreamOptions { ledger: Some(ledger.clone()), cores: 8, ..UpstreamOptions::named(name) };
     let upstream =
         Upstream::with(options, |_: &Message| Step::Work(Duration::from_millis(3), ok_response("x")));
@@ -43,7 +43,7 @@
 fn thirty_instances_are_rolled_through_under_load_and_no_rule_breaks() {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
-    let upstreams = ["u0", "u1", "u2", "u3"].map(|name| upstream(name, &ledger, &registry));
+    let upstreams = ["u0", "u1", "u2", "u3"].map(|name| start_upstream(name, &ledger, &registry));
     let fleet = start_fleet(30, "", &registry);
     let before: Vec<_> = fleet.status().into_iter().map(|(_, pid)| pid).collect();
     let (output, served, _) = under_load(&ledger, &fleet.addrs, || {
@@ -96,7 +96,7 @@
 fn roll_halts_at_instance_that_fails_to_restart() {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
-    let _upstream = upstream("u0", &ledger, &registry);
+    let _upstream = start_upstream("u0", &ledger, &registry);
     let mut fleet = start_fleet(4, "pause = \"10ms\"\ncrashes = 3", &registry);
     let before = fleet.status();
     // The second instance can't start again: its configuration is malformed.
@@ -139,7 +139,7 @@
 fn instances_outlive_supervisor_and_are_adopted_by_the_next() {
     let ledger = Arc::new(Ledger::new());
     let registry = Registry::new(Some(ledger.clone()));
-    let _upstream = upstream("u0", &ledger, &registry);
+    let _upstream = start_upstream("u0", &ledger, &registry);
     let mut fleet = start_fleet(5, "", &registry);
     let before = fleet.status();
     // A second supervisor of the same fleet is refused; the error names the process id of the first.
--- a/crates/herondock/tests/rules.rs
+++ b/crates/herondock/tests/rules.rs
@@ -16,7 +16,7 @@
 }
 
 /// Starts `size` instances that discover their upstreams from `registry`, and waits until all are ready.
-fn fleet(pairing: Pairing, size: usize, registry: &Registry) -> Vec<Node> {
+fn start_instances(pairing: Pairing, size: usize, registry: &Registry) -> Vec<Node> {
     let operator = pairing.operator();
     let start = |k: usize| {
         let discovery_addr = registry.open_endpoint(&format!("n{k}")).expect("a port");
@@ -77,7 +77,7 @@
             upstream
         })
         .collect();
-    let nodes = fleet(pairing, 2, &registry);
+    let nodes = start_instances(pairing, 2, &registry);
     let served = load_with_pairing(pairing, &ledger, &addrs(pairing, &nodes), 8, 20);
     assert_eq!(ledger.check(&figures()), []);
     assert!(served > 8 * 20 * 3 / 2, "more than half of the operations are served: {served}");
@@ -103,7 +103,7 @@
         upstream
     };
     let upstreams = ["u0", "u1", "u2"].map(start);
-    let nodes = fleet(pairing, 2, &registry);
+    let nodes = start_instances(pairing, 2, &registry);
     // Without a grace period, an attempt that begins after a balancer was notified is a violation; the slack of 500 ms covers
     // attempts that were sent while the notification was on its way.
     let no_grace = RuleParameters { grace: Duration::ZERO, slack: Duration::from_millis(500), ..figures() };
@@ -148,7 +148,7 @@
         Step::Work(Duration::from_millis(2), testkit::message::ok_response("x"))
     });
     registry.set("u0", ListedUpstream { addr: upstream.addr, group: 1, state: "active", started_ms: 0 });
-    let mut nodes = fleet(pairing, 3, &registry);
+    let mut nodes = start_instances(pairing, 3, &registry);
     let addrs: Vec<_> = nodes.iter().enumerate().map(|(k, n)| (format!("n{k}"), pairing.addr(n))).collect();
     let stop = std::sync::atomic::AtomicBool::new(false);
     thread::scope(|scope| {
