--- a/crates/herondock/benches/fleet.rs
+++ b/crates/herondock/benches/fleet.rs
@@ -99,16 +99,9 @@
     );
 }
 
-fn main() {
-    let args: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
-    let size: usize = args.first().map_or(30, |a| a.parse().expect("a number"));
-    let folder: PathBuf =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-bench-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let program = Program::new(env!("CARGO_BIN_EXE_herondock"), &folder);
-    let ledger = Arc::new(Ledger::with_capacity(8 << 20));
-    let registry = Registry::new(Some(ledger.clone()));
-    let upstreams: Vec<Upstream> = (0..4)
+/// Starts four upstreams that record in the ledger, and lists them in the registry.
+fn start_upstreams(ledger: &Arc<Ledger>, registry: &Registry) -> Vec<Upstream> {
+    (0..4)
         .map(|k| {
             let options = UpstreamOptions {
                 ledger: Some(ledger.clone()),
@@ -123,7 +116,19 @@
             );
             upstream
         })
-        .collect();
+        .collect()
+}
+
+fn main() {
+    let args: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
+    let size: usize = args.first().map_or(30, |a| a.parse().expect("a number"));
+    let folder: PathBuf =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-bench-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let program = Program::new(env!("CARGO_BIN_EXE_herondock"), &folder);
+    let ledger = Arc::new(Ledger::with_capacity(8 << 20));
+    let registry = Registry::new(Some(ledger.clone()));
+    let upstreams = start_upstreams(&ledger, &registry);
     let mut text = String::from("[fleet]\nfolder = \"run\"\nspread = \"10ms\"\n");
     let mut addrs = Vec::new();
     for k in 0..size {
