--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -1,4 +1,5 @@
-//! The coordination service as real processes, with faults of processes, disks and links, judged by its clients' histories.
+//! Tests of the coordination service as real processes under faults of processes, disks and links; the histories that
+//! its clients record are checked for consistency.
 mod common;
 use common::program;
 use coordination::client::RequestOutcome;
@@ -22,7 +23,7 @@
 use testkit::process::Process;
 use testkit::TEST_TIMEOUT;
 
-/// Starts this many voters, each on a machine of its own, connected by links.
+/// Starts `size` voters, each on a machine of its own, connected by links.
 fn start(size: usize) -> Voters {
     Voters::start(&program(), size)
 }
@@ -42,50 +43,50 @@
     u64::try_from(boottime_now().as_nanos()).unwrap_or(u64::MAX)
 }
 
-fn as_nanos(at: Duration) -> u64 {
-    u64::try_from(at.as_nanos()).unwrap_or(u64::MAX)
+fn as_nanos(time: Duration) -> u64 {
+    u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
 async fn run_worker(config: ClientConfig, number: u64, stop: &AtomicBool, done: &AtomicUsize) -> Histories {
     let mut random = Pcg64Mcg::seed_from_u64(number);
-    let (mut worker, mut all) = (Worker::new(number), Histories::default());
+    let (mut worker, mut histories) = (Worker::new(number), Histories::default());
     let handle = ClientHandle::spawn(config);
     let mut last: Option<(SessionId, Duration)> = None;
     while !stop.load(Ordering::SeqCst) {
         let held = handle.active_session();
-        // Its session has ended, by its own clock, at the time that it knew of last.
+        // By the client's own clock the session ended at the last deadline that it knew.
         if let Some((_, until)) = last.take_if(|(id, _)| held.is_none_or(|(now, _)| now != *id)) {
-            worker.release_lock(as_nanos(until), &mut all);
+            worker.release_lock(as_nanos(until), &mut histories);
         }
         last = handle.last_session().filter(|_| held.is_some());
         let next = worker.next_request(now_nanos(), held.map(|(id, _)| id), &mut random);
         if worker.is_releasing_lock() {
-            worker.release_lock(now_nanos(), &mut all);
+            worker.release_lock(now_nanos(), &mut histories);
         }
-        let Some((ask, timeout)) = next else {
+        let Some((request, timeout)) = next else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let outcome = handle.request(ask, timeout).await;
+        let outcome = handle.request(request, timeout).await;
         done.fetch_add(1, Ordering::SeqCst);
         let session = handle.active_session().map(|(id, _)| id);
-        worker.complete(now_nanos(), outcome, session, &mut all);
+        worker.complete(now_nanos(), outcome, session, &mut histories);
         tokio::time::sleep(Duration::from_millis(random.gen_range(1..15))).await;
     }
     let end = handle.last_session().map_or(now_nanos(), |(_, until)| as_nanos(until).min(now_nanos()));
-    worker.finish(end, &mut all);
-    all
+    worker.finish(end, &mut histories);
+    histories
 }
 
 impl Workload {
     fn spawn(voters: &Voters, clients: u64) -> Workload {
         let (stop, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let one = |number: u64| {
+        let spawn_client = |number: u64| {
             let config = voters.client(&format!("load-{number}"), true);
             let (stop, done) = (stop.clone(), done.clone());
             thread::spawn(move || run(run_worker(config, number, &stop, &done)))
         };
-        let threads = (1..=clients).map(one).collect();
+        let threads = (1..=clients).map(spawn_client).collect();
         Workload { stop, done, threads }
     }
 
@@ -94,7 +95,7 @@
         let from = self.done.load(Ordering::SeqCst);
         let started = Instant::now();
         while self.done.load(Ordering::SeqCst) < from + more {
-            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "nothing is done: {:#?}", voters.logs());
+            assert!(started.elapsed() < 2 * TEST_TIMEOUT, "no operation completes: {:#?}", voters.logs());
             thread::yield_now();
         }
     }
@@ -102,33 +103,33 @@
     /// Stops the clients and checks their histories.
     fn stop_and_check(self) -> Histories {
         self.stop.store(true, Ordering::SeqCst);
-        let mut all = Histories::default();
+        let mut histories = Histories::default();
         for thread in self.threads {
-            let one = thread.join().expect("no panic");
-            all.operations.extend(one.operations);
-            all.holdings.extend(one.holdings);
-            all.guard_reads.extend(one.guard_reads);
-            all.acquisitions.extend(one.acquisitions);
-            all.known += one.known;
-            all.unknown += one.unknown;
+            let client_histories = thread.join().expect("no panic");
+            histories.operations.extend(client_histories.operations);
+            histories.holdings.extend(client_histories.holdings);
+            histories.guard_reads.extend(client_histories.guard_reads);
+            histories.acquisitions.extend(client_histories.acquisitions);
+            histories.known += client_histories.known;
+            histories.unknown += client_histories.unknown;
         }
-        assert_eq!(judge(&all), [] as [String; 0]);
-        assert!(all.known > 20, "{} known, {} unknown", all.known, all.unknown);
-        all
+        assert_eq!(judge(&histories), [] as [String; 0]);
+        assert!(histories.known > 20, "{} known, {} unknown", histories.known, histories.unknown);
+        histories
     }
 }
 
-/// Guards against a leader that wakes after others have elected another, and answers or grants what is no longer its own:
-/// stopped for longer than the election and than sessions live, again and again.
+/// Guards against stale answers or grants by a deposed leader: it is paused, several times, for longer than an election
+/// and the session lifetime, and resumes after the others have elected a new leader.
 #[test]
-fn a_leader_that_was_stopped_answers_nothing_stale() {
+fn a_resumed_leader_gives_no_stale_answers() {
     let mut voters = start(3);
     let workload = Workload::spawn(&voters, 5);
     workload.wait_for_operations(&voters, 60);
     for _ in 0..3 {
         let old = voters.leader();
         voters.machines[old].pause();
-        voters.until("led by another", |all| {
+        voters.until("new leader", |all| {
             all.iter().any(|s| s.role == "leader" && s.name != voters.names[old] && s.leader.is_some())
         });
         workload.wait_for_operations(&voters, 60);
@@ -139,41 +140,41 @@
     voters.wait_until_converged();
 }
 
-/// Guards against two leaders that both answer, a minority that does, and a voter that calls elections because it alone
-/// hears nobody: links cut by direction, in parts, and with one that talks to both.
+/// Guards against two leaders that both answer, against answers by a minority, and against disruptive elections by a voter
+/// that alone cannot reach the others: links are cut in one direction, into partitions, and with one voter bridging two.
 #[test]
-fn links_that_work_in_one_direction_or_in_parts_break_nothing() {
+fn asymmetric_and_partial_partitions_preserve_consistency() {
     let voters = start(5);
     let names: Vec<&str> = voters.names.iter().map(String::as_str).collect();
     let workload = Workload::spawn(&voters, 5);
     workload.wait_for_operations(&voters, 40);
     for rule in [Rule::Blackhole, Rule::Cut] {
-        // The leader's words arrive nowhere, but it hears the others; clients reach it.
-        let l = voters.leader();
-        let others: Vec<&str> = names.iter().copied().filter(|n| *n != names[l]).collect();
-        others.iter().for_each(|o| voters.network.set(names[l], o, rule));
-        voters.until("led by another", |all| all.iter().any(|s| s.role == "leader" && s.name != names[l]));
+        // The leader's messages reach no other voter, but it receives theirs, and clients reach it.
+        let leader = voters.leader();
+        let others: Vec<&str> = names.iter().copied().filter(|n| *n != names[leader]).collect();
+        others.iter().for_each(|o| voters.network.set(names[leader], o, rule));
+        voters.until("new leader", |all| all.iter().any(|s| s.role == "leader" && s.name != names[leader]));
         workload.wait_for_operations(&voters, 20);
         voters.network.heal();
-        // One that hears the leader alone must not unseat it.
+        // A voter that can reach only the leader must not depose it.
         voters.wait_until_converged();
-        let l = voters.leader();
+        let leader = voters.leader();
         let term = voters.statuses().iter().map(|s| s.term).max();
-        let lonely = others.iter().copied().find(|n| *n != names[l]).expect("another");
+        let isolated = others.iter().copied().find(|n| *n != names[leader]).expect("another");
         names
             .iter()
-            .filter(|n| **n != lonely && **n != names[l])
-            .for_each(|o| voters.network.set_both_ways(lonely, o, rule));
+            .filter(|n| **n != isolated && **n != names[leader])
+            .for_each(|o| voters.network.set_both_ways(isolated, o, rule));
         workload.wait_for_operations(&voters, 60);
-        assert_eq!(voters.statuses().iter().map(|s| s.term).max(), term, "it unseats nobody");
+        assert_eq!(voters.statuses().iter().map(|s| s.term).max(), term, "the leader keeps its term");
         voters.network.heal();
-        // 2-2-1, and a bridge between them.
+        // First one voter bridges two pairs that cannot reach each other, then it is cut off as well (2-2-1).
         let (a, b, bridge) = (&names[..2], &names[2..4], names[4]);
         voters.network.split(a, b, rule);
         workload.wait_for_operations(&voters, 20);
         voters.network.split(&[bridge], a, rule);
         voters.network.split(&[bridge], b, rule);
-        voters.until("led by nobody who knows", |all| !all.is_empty());
+        voters.until("any status", |all| !all.is_empty());
         voters.network.heal();
         workload.wait_for_operations(&voters, 20);
     }
@@ -181,23 +182,23 @@
     voters.wait_until_converged();
 }
 
-/// Guards against a charge of the record that is made twice: its answer is lost, and it is sent again to the next leader.
+/// Guards against applying a write twice: its response is lost, and the client resends it to the next leader.
 #[test]
-fn a_write_whose_answer_was_lost_happens_once() {
+fn a_write_with_a_lost_response_is_applied_once() {
     let mut voters = start(3);
     for k in 0..3 {
-        let l = voters.leader();
+        let leader = voters.leader();
         let config = voters.client("writer", true);
         let (ready, is_ready) = std::sync::mpsc::channel();
-        let (go, gone) = tokio::sync::oneshot::channel::<()>();
+        let (send_write, write_allowed) = tokio::sync::oneshot::channel::<()>();
         let writer = thread::spawn(move || {
             run(async move {
                 let handle = ClientHandle::spawn(config);
                 ready
                     .send(is_committed(&handle.transact(vec![], vec![], REQUEST_TIMEOUT).await))
                     .expect("heard");
-                gone.await.expect("told");
-                // A second time it would differ: there is such a key then.
+                write_allowed.await.expect("told");
+                // A second application would fail the comparison, because the key exists then.
                 let key = format!("once/{k}");
                 let absent = vec![Compare::Absent(key.clone())];
                 let put = vec![Op::Put { key, value: k.to_string(), ephemeral: false }];
@@ -205,45 +206,46 @@
             })
         });
         assert!(is_ready.recv_timeout(TEST_TIMEOUT).expect("ready"), "{:#?}", voters.logs());
-        // From here on its answers are held back, and then its leader dies.
+        // From here on the writer gets no responses; then the leader is killed.
         voters.names.iter().for_each(|n| voters.network.set(n, "writer", Rule::Blackhole));
-        go.send(()).expect("heard");
+        send_write.send(()).expect("heard");
         voters.until("written by all", |all| all.iter().all(|s| s.size.0 > k));
         assert!(!writer.is_finished(), "nothing gets through");
-        voters.machines[l].kill();
+        voters.machines[leader].kill();
         voters.network.heal();
         let outcome = writer.join().expect("no panic");
         assert!(is_committed(&outcome), "{outcome:?}");
-        voters.machines[l].start();
+        voters.machines[leader].start();
         voters.wait_until_converged();
     }
 }
 
-/// Guards against a process that goes on as a holder after another has its name: the older is fenced, and stays so.
+/// Guards against two processes that hold one session name: the older one is fenced, and stays fenced.
 #[test]
-fn a_second_process_under_a_name_fences_the_first() {
+fn a_second_session_of_a_name_fences_the_first() {
     let voters = start(3);
     run(async {
         let first = ClientHandle::spawn(voters.client("twin", true));
         let bound = |value: &str| vec![Op::Put { key: "twin".into(), value: value.into(), ephemeral: true }];
         assert!(is_committed(&first.transact(vec![], bound("first"), REQUEST_TIMEOUT).await));
-        let (one, _) = first.active_session().expect("held");
-        // Cut off, it believes on until its time is up; the second takes its name meanwhile.
+        let (first_id, _) = first.active_session().expect("held");
+        // The first keeps its session by its own clock until the session ends; the second takes the name meanwhile.
         let second =
             ClientHandle::spawn(ClientConfig { name: "twin-2".into(), ..voters.client("twin", true) });
         assert!(is_committed(
-            &second.transact(vec![Compare::SessionEnded(one)], bound("second"), REQUEST_TIMEOUT).await
+            &second.transact(vec![Compare::SessionEnded(first_id)], bound("second"), REQUEST_TIMEOUT).await
         ));
-        let (two, _) = second.active_session().expect("held");
-        assert!(two > one, "a number that grows: {one}, {two}");
+        let (second_id, _) = second.active_session().expect("held");
+        assert!(second_id > first_id, "session numbers grow: {first_id}, {second_id}");
         let outcome = first.transact(vec![], bound("first again"), REQUEST_TIMEOUT).await;
         assert!(
             matches!(outcome, RequestOutcome::NotExecuted(_) | RequestOutcome::Indeterminate(_)),
             "{outcome:?}"
         );
-        let mut standing = first.session_state();
-        standing.wait_for(|s| *s == SessionState::Fenced(two)).await.expect("it hears of it");
-        let outcome = second.transact(vec![Compare::SessionAlive(one)], bound("x"), REQUEST_TIMEOUT).await;
+        let mut state = first.session_state();
+        state.wait_for(|s| *s == SessionState::Fenced(second_id)).await.expect("it learns of the fencing");
+        let outcome =
+            second.transact(vec![Compare::SessionAlive(first_id)], bound("x"), REQUEST_TIMEOUT).await;
         assert!(
             matches!(
                 outcome,
@@ -256,37 +258,40 @@
     assert_eq!(voters.get("twin"), None, "it ended with its session");
 }
 
-/// Guards against a voter that votes or acknowledges on a full disk, one that loses what it promised there, and one that
-/// does not come back: a follower's disk, the leader's, and two of three.
+/// Guards against a voter that votes or acknowledges on a full disk, loses what it acknowledged, or does not recover. The
+/// full disk is a follower's, then the leader's, then those of two voters of three.
 #[test]
-fn full_disks_stop_what_needs_them_and_nothing_is_lost() {
+fn full_disks_lose_no_acknowledged_write() {
     let voters = start(3);
     let pid = |k: usize| voters.machines[k].process(0).pid();
     let workload = Workload::spawn(&voters, 4);
     workload.wait_for_operations(&voters, 30);
-    let l = voters.leader();
-    let f = (l + 1) % 3;
-    disk::limit_file_size(pid(f), 10).expect("runs");
-    voters.machines[f].process(0).wait_for_log("neither votes nor acknowledges entries: storage failed");
+    let leader = voters.leader();
+    let follower = (leader + 1) % 3;
+    disk::limit_file_size(pid(follower), 10).expect("runs");
+    voters.machines[follower]
+        .process(0)
+        .wait_for_log("neither votes nor acknowledges entries: storage failed");
     workload.wait_for_operations(&voters, 40);
-    disk::remove_limit(pid(f)).expect("runs");
-    voters.machines[f].process(0).wait_for_log("votes again: its storage has recovered");
+    disk::remove_limit(pid(follower)).expect("runs");
+    voters.machines[follower].process(0).wait_for_log("votes again: its storage has recovered");
     voters.wait_until_converged();
 
-    let l = voters.leader();
-    disk::limit_file_size(pid(l), 10).expect("runs");
-    voters.until("led by another", |all| all.iter().any(|s| s.role == "leader" && s.name != voters.names[l]));
+    let leader = voters.leader();
+    disk::limit_file_size(pid(leader), 10).expect("runs");
+    voters
+        .until("new leader", |all| all.iter().any(|s| s.role == "leader" && s.name != voters.names[leader]));
     workload.wait_for_operations(&voters, 40);
     let seen = voters.statuses();
-    let aside = seen.iter().find(|s| s.name == voters.names[l]).expect("it still answers");
+    let aside = seen.iter().find(|s| s.name == voters.names[leader]).expect("it still answers");
     assert_eq!(aside.role, "aside");
     assert!(aside.storage_error.as_ref().is_some_and(|why| why.contains("too large")), "{aside:?}");
-    disk::remove_limit(pid(l)).expect("runs");
+    disk::remove_limit(pid(leader)).expect("runs");
     voters.wait_until_converged();
 
-    // Two of three: nothing is agreed any more, and what was asked for is not said to be done.
-    let l = voters.leader();
-    let two = [l, (l + 1) % 3];
+    // With two of three disks full nothing is committed, and no write is reported as committed.
+    let leader = voters.leader();
+    let two = [leader, (leader + 1) % 3];
     two.iter().for_each(|&k| disk::limit_file_size(pid(k), 10).expect("runs"));
     voters.until("two aside", |all| all.iter().filter(|s| s.role == "aside").count() == 2);
     let config = voters.client("late", true);
@@ -303,10 +308,10 @@
     workload.stop_and_check();
 }
 
-/// Guards against a promise that a crash undoes: a single voter is killed at every step of its disk, one after the other,
-/// and each write that it acknowledged is there afterwards.
+/// Guards against losing an acknowledged write in a crash: a single voter is killed at each disk operation in turn, and
+/// every write that it acknowledged is present after the restart.
 #[test]
-fn killed_at_every_step_of_its_disk_it_keeps_what_it_acknowledged() {
+fn acknowledged_writes_survive_a_crash_at_every_disk_operation() {
     let mut voters = prepare(1);
     voters.form_cluster();
     let config = voters.client("writer", true);
@@ -315,7 +320,7 @@
         for at in 0..40 {
             let halt = format!("{kind}:{at}");
             let mut process = Process::start(voters.process(0, &["run", "--halt-at", &halt]));
-            // Until it dies, or has done more than any of its steps takes.
+            // Runs until the process dies, or has written more often than reaching the disk operation takes.
             let acknowledged = run(async {
                 let handle = ClientHandle::spawn(config.clone());
                 let mut last = None;
@@ -359,14 +364,14 @@
     voters.machines.clear();
 }
 
-/// Guards against a voter with an empty disk that votes under its old name as if nothing had been, one of another council
-/// at an old address, and a damaged disk that is taken as it is.
+/// Guards against a voter that votes under its old name with an empty disk, a voter of another council at a known address,
+/// and a damaged disk that is accepted.
 #[test]
-fn a_lost_or_foreign_disk_takes_no_part_until_an_operator_says_so() {
+fn a_lost_foreign_or_damaged_disk_does_not_vote() {
     let mut voters = start(3);
     assert!(is_committed(&voters.put("k", "v")));
-    let l = voters.leader();
-    let lost = (l + 1) % 3;
+    let leader = voters.leader();
+    let lost = (leader + 1) % 3;
     let name = voters.names[lost].clone();
     voters.machines[lost].kill();
     voters.machines[lost].wipe();
@@ -379,38 +384,42 @@
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.wait_until_converged();
 
-    // Damage in the middle: refused with file and place, and nothing is voted by it.
+    // A journal with damage in the middle is refused, naming the file and the position, and the voter does not vote.
     voters.machines[lost].process_mut(0).signal(Signal::TERM);
     assert!(voters.machines[lost].process_mut(0).wait().success());
     let journal = voters.machines[lost].disk().join("journal");
-    let whole = std::fs::read(&journal).expect("reads");
-    let mut bad = whole.clone();
-    bad[whole.len() / 2] ^= 0x10;
-    std::fs::write(&journal, &bad).expect("writes");
+    let intact = std::fs::read(&journal).expect("reads");
+    let mut damaged = intact.clone();
+    damaged[intact.len() / 2] ^= 0x10;
+    std::fs::write(&journal, &damaged).expect("writes");
     let output = voters.process(lost, &["run"]).output().expect("runs");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success() && text.contains("journal: damaged at byte"), "{text}");
-    std::fs::write(&journal, &whole).expect("writes");
+    std::fs::write(&journal, &intact).expect("writes");
 
-    // Another council's voter at the address of the first.
+    // A voter of another council at the address of this one.
     let other = prepare(1);
     other.form_cluster();
     let text = std::fs::read_to_string(other.file(0)).expect("reads");
     let text = text.replace(&other.listen_addrs[0].to_string(), &voters.listen_addrs[lost].to_string());
     std::fs::write(other.file(0), text).expect("writes");
-    let stranger = Process::start(other.process(0, &["run"]));
-    stranger.wait_for_log("listens on");
-    stranger.wait_for_log("connection rejected: c");
-    assert!(stranger.log().iter().any(|l| l.contains("belongs to council")), "{:?}", stranger.log());
-    assert!(is_committed(&voters.put("k", "w")), "the majority goes on");
-    drop(stranger);
+    let foreign_voter = Process::start(other.process(0, &["run"]));
+    foreign_voter.wait_for_log("listens on");
+    foreign_voter.wait_for_log("connection rejected: c");
+    assert!(
+        foreign_voter.log().iter().any(|l| l.contains("belongs to council")),
+        "{:?}",
+        foreign_voter.log()
+    );
+    assert!(is_committed(&voters.put("k", "w")), "the majority still commits");
+    drop(foreign_voter);
     voters.machines[lost].start();
     voters.wait_until_converged();
     assert_eq!(voters.get("k").as_deref(), Some("w"));
 }
 
-/// Guards against a change of voters that leaves too few: one is down while others are replaced, and in the end the last
-/// two of the first three.
+/// Guards against a membership change that leaves too few voters: one is down while the others are replaced, until none of
+/// the first three disks is left.
 #[test]
 fn voters_are_replaced_one_by_one_while_one_is_down() {
     let mut voters = start(3);
@@ -423,48 +432,48 @@
         assert!(output.status.success(), "{output:?} {:#?}", voters.statuses());
         voters.machines[k].start();
     };
-    let l = voters.leader();
-    let (down, other) = ((l + 1) % 3, (l + 2) % 3);
+    let leader = voters.leader();
+    let (down, other) = ((leader + 1) % 3, (leader + 2) % 3);
     voters.machines[down].kill();
     voters.until("missed", |all| {
         let missed =
             |s: &Status| s.members.iter().any(|m| m.name == voters.names[down] && m.active == Some(false));
         all.iter().any(|s| s.role == "leader" && missed(s))
     });
-    // With one down, the other must not go: one of two that would be left could not agree on anything.
+    // With one voter down the other must not be removed: of the two voters left, only one would run, which is no majority.
     let output = voters.command(&["remove", "--name", &voters.names[other]]);
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success() && text.contains("are needed"), "{text}");
     replace(&mut voters, down);
     voters
         .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
-    // And now the two that were there from the start, the leader last.
+    // Then the two initial voters are replaced, the leader last.
     replace(&mut voters, other);
     voters
         .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.wait_until_converged();
-    let output = voters.command(&["remove", "--name", &voters.names[l]]);
-    assert!(output.status.success(), "it hands over first: {output:?}");
-    assert!(voters.machines[l].process_mut(0).wait().success(), "it ends by itself");
-    voters.machines[l].wipe();
-    voters.machines[l].start();
+    let output = voters.command(&["remove", "--name", &voters.names[leader]]);
+    assert!(output.status.success(), "it transfers leadership first: {output:?}");
+    assert!(voters.machines[leader].process_mut(0).wait().success(), "it exits by itself");
+    voters.machines[leader].wipe();
+    voters.machines[leader].start();
     voters
         .until("three vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.wait_until_converged();
     assert_eq!((voters.get("k").as_deref(), voters.voter_count()), (Some("v"), 3));
 }
 
-/// Guards against a snapshot that is broken off while it is sent, and is taken for a whole one or never sent again.
+/// Guards against an interrupted snapshot transfer that counts as complete or is never restarted.
 #[test]
-fn a_snapshot_that_is_broken_off_is_sent_again() {
+fn an_interrupted_snapshot_transfer_is_restarted() {
     let mut voters = start(3);
-    let l = voters.leader();
-    let away = (l + 1) % 3;
-    voters.machines[away].kill();
-    voters.machines[away].wipe();
-    let name = voters.names[away].clone();
+    let leader = voters.leader();
+    let receiver = (leader + 1) % 3;
+    voters.machines[receiver].kill();
+    voters.machines[receiver].wipe();
+    let name = voters.names[receiver].clone();
     assert!(voters.command(&["remove", "--name", &name]).status.success());
-    // Two megabytes of record.
+    // Two megabytes of stored data.
     let big = "x".repeat(60 << 10);
     run(async {
         let handle = ClientHandle::spawn(voters.client("filler", true));
@@ -473,26 +482,26 @@
             assert!(is_committed(&handle.transact(vec![], then, REQUEST_TIMEOUT).await));
         }
     });
-    let l = voters.leader();
-    voters.network.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
-    voters.machines[away].start();
-    voters.machines[away].process(0).wait_for_log("has joined council");
-    // It has begun, and takes ten seconds at this pace: broken off by a reset, and by the death of who takes it.
+    let leader = voters.leader();
+    voters.network.set(&voters.names[leader], &name, Rule::Trickle(2 << 10));
+    voters.machines[receiver].start();
+    voters.machines[receiver].process(0).wait_for_log("has joined council");
+    // The transfer has begun and takes ten seconds at this rate. It is interrupted by a reset, then by killing the receiver.
     voters.until("a learner", |all| {
         all.iter().any(|s| s.members.iter().any(|m| m.name == name && !m.is_voter))
     });
-    voters.network.set(&voters.names[l], &name, Rule::Cut);
-    voters.network.set(&voters.names[l], &name, Rule::Trickle(2 << 10));
-    voters.machines[away].kill();
-    voters.machines[away].start();
+    voters.network.set(&voters.names[leader], &name, Rule::Cut);
+    voters.network.set(&voters.names[leader], &name, Rule::Trickle(2 << 10));
+    voters.machines[receiver].kill();
+    voters.machines[receiver].start();
     voters.network.heal();
     voters.wait_until_converged();
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
 }
 
-/// Guards against an election after which hundreds of clients come at once, and are turned away or lose their sessions.
+/// Guards against rejected clients and lost sessions when hundreds of clients reconnect at once after an election.
 #[test]
-fn three_hundred_clients_come_to_the_next_leader() {
+fn three_hundred_clients_reconnect_to_the_next_leader() {
     let mut voters = start(3);
     let reached = voters.client_addrs();
     let (completed, completions) = std::sync::mpsc::channel();
@@ -538,17 +547,17 @@
     });
     let wait = Duration::from_secs(60);
     assert_eq!(completions.recv_timeout(wait).expect("first"), 300);
-    let l = voters.leader();
-    voters.machines[l].kill();
+    let leader = voters.leader();
+    voters.machines[leader].kill();
     leave.send(()).expect("heard");
     assert_eq!(completions.recv_timeout(wait).expect("second"), 300, "{:#?}", voters.logs());
     clients.join().expect("no panic");
 }
 
-/// The commands as an operator uses them: status, members, get, backup, and a council that is formed anew from a backup
-/// when the majority is lost for good; no number is given a second time.
+/// Checks the operator commands status, members, get, backup and restore: a council whose majority is lost for good is
+/// formed anew from a backup, and no session number is issued twice.
 #[test]
-fn a_backup_brings_the_record_back_when_the_majority_is_lost() {
+fn a_backup_restores_the_data_after_the_majority_is_lost() {
     let mut voters = start(3);
     assert!(is_committed(&voters.put("policy/limit", "7")));
     let text = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
@@ -583,7 +592,7 @@
         handle.active_session().map(|(id, _)| id)
     });
     assert!(after > before, "{before:?}, {after:?}");
-    // A session of before the loss is over, whatever it believes.
+    // A session from before the loss has ended, even if its client still holds it.
     let outcome = run(async {
         let handle = ClientHandle::spawn(voters.client("judge", true));
         handle.transact(vec![Compare::SessionAlive(before.expect("held"))], vec![], REQUEST_TIMEOUT).await
@@ -594,48 +603,50 @@
     );
 }
 
-/// Guards against a voter whose disk was put back to an older copy, and that votes as if it had promised nothing since: it
-/// stands aside for good and says why, and what was acknowledged meanwhile stays.
+/// Guards against votes by a voter whose disk was reset to an older copy, which lacks its later acknowledgements: it stays
+/// aside and logs the reason, and writes acknowledged since the copy remain.
 #[test]
-fn a_disk_that_was_put_back_does_not_vote() {
+fn a_voter_with_an_older_disk_copy_does_not_vote() {
     let mut voters = start(3);
     assert!(is_committed(&voters.put("k", "old")));
     voters.wait_until_converged();
-    let l = voters.leader();
-    let f = (l + 1) % 3;
-    voters.machines[f].kill();
-    let copy = std::fs::read(voters.machines[f].disk().join("journal")).expect("reads");
-    voters.machines[f].start();
+    let leader = voters.leader();
+    let follower = (leader + 1) % 3;
+    voters.machines[follower].kill();
+    let copy = std::fs::read(voters.machines[follower].disk().join("journal")).expect("reads");
+    voters.machines[follower].start();
     voters.wait_until_converged();
-    // What it acknowledges now is not on the copy.
+    // The copy does not contain what the voter acknowledges now.
     assert!(is_committed(&voters.put("k", "new")));
     voters.wait_until_converged();
-    voters.machines[f].kill();
-    std::fs::write(voters.machines[f].disk().join("journal"), copy).expect("writes");
-    voters.machines[f].start();
-    voters.machines[f].process(0).wait_for_log("neither votes nor acknowledges entries: storage failed");
-    voters.until("aside", |all| all.iter().any(|s| s.name == voters.names[f] && s.role == "aside"));
+    voters.machines[follower].kill();
+    std::fs::write(voters.machines[follower].disk().join("journal"), copy).expect("writes");
+    voters.machines[follower].start();
+    voters.machines[follower]
+        .process(0)
+        .wait_for_log("neither votes nor acknowledges entries: storage failed");
+    voters.until("aside", |all| all.iter().any(|s| s.name == voters.names[follower] && s.role == "aside"));
     assert_eq!(voters.get("k").as_deref(), Some("new"));
     assert!(is_committed(&voters.put("k", "newer")), "two are a majority");
-    let output = voters.command(&["remove", "--name", &voters.names[f].clone()]);
+    let output = voters.command(&["remove", "--name", &voters.names[follower].clone()]);
     assert!(output.status.success(), "{output:?}");
-    voters.machines[f].kill();
-    voters.machines[f].wipe();
-    voters.machines[f].start();
+    voters.machines[follower].kill();
+    voters.machines[follower].wipe();
+    voters.machines[follower].start();
     voters.until("all vote", |all| all.iter().any(|s| s.members.iter().filter(|m| m.is_voter).count() == 3));
     voters.wait_until_converged();
     assert_eq!(voters.get("k").as_deref(), Some("newer"));
 }
 
-/// Guards against a slow disk that holds up more than what waits for it: the voters with fast ones go on, and the slow one
-/// says so and keeps up.
+/// Guards against a slow disk that delays the whole council: the voters with fast disks go on, and the slow one logs its
+/// slow saves and keeps up.
 #[test]
-fn a_slow_disk_holds_up_nobody_else() {
+fn a_slow_disk_does_not_delay_other_voters() {
     let mut voters = start(3);
-    let l = voters.leader();
-    let f = (l + 1) % 3;
-    voters.machines[f].kill();
-    let mut slow = Process::start(voters.process(f, &["run", "--halt-at", "slow:600"]));
+    let leader = voters.leader();
+    let follower = (leader + 1) % 3;
+    voters.machines[follower].kill();
+    let mut slow = Process::start(voters.process(follower, &["run", "--halt-at", "slow:600"]));
     let workload = Workload::spawn(&voters, 4);
     workload.wait_for_operations(&voters, 300);
     slow.wait_for_log("ms for a save");
@@ -644,24 +655,24 @@
     slow.kill();
 }
 
-/// Guards against a watch without a session that stays on a link on which nothing comes any more, and tells of nothing: a
-/// watch of a voter that was stopped goes on at another.
+/// Guards against a watch without a session that stays on a dead link and reports no events: when its voter is paused, the
+/// watch moves to another voter.
 #[test]
-fn a_watch_does_not_stay_with_a_voter_that_has_gone_silent() {
+fn a_watch_moves_away_from_a_silent_voter() {
     let mut voters = start(3);
-    let l = voters.leader();
+    let leader = voters.leader();
     run(async {
         let watcher = ClientHandle::spawn(voters.client("watcher", false));
         let mut answers = watcher.watch("k", None).await;
         assert!(matches!(answers.recv().await, Some(Answer::Watching { .. })));
-        voters.machines[l].pause();
+        voters.machines[leader].pause();
         let writer = ClientHandle::spawn(voters.client("writer", true));
         let put = vec![Op::Put { key: "k".into(), value: "v".into(), ephemeral: false }];
         assert!(is_committed(&writer.transact(vec![], put, REQUEST_TIMEOUT).await));
         let next = tokio::time::timeout(TEST_TIMEOUT, answers.recv()).await;
         assert!(matches!(next, Ok(Some(Answer::Events { .. }))), "{next:?}");
     });
-    voters.machines[l].resume();
+    voters.machines[leader].resume();
 }
 
 /// A step of a fault script.
@@ -696,20 +707,20 @@
     steps
 }
 
-/// Guards against what nobody thought of: faults drawn from one seed, on top of one another, while clients work; the
-/// record is judged, and all is whole in the end. `COUNCIL_SEED` plays another, `COUNCIL_SCRIPTS` so many.
+/// Guards against unforeseen combinations of faults: faults drawn from a seed overlap while clients work, then the histories
+/// are checked and all voters converge. `COUNCIL_SEED` sets the first seed, `COUNCIL_SCRIPTS` the number of scripts.
 #[test]
-fn faults_from_a_seed_break_nothing() {
+fn seeded_fault_scripts_preserve_consistency() {
     let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
     let first = number("COUNCIL_SEED").unwrap_or(7);
     for seed in first..first + number("COUNCIL_SCRIPTS").unwrap_or(1) {
         let steps = draw_steps(seed, 12);
-        let _told = testkit::faults::script::ReportOnPanic { seed, steps: &steps };
-        play(&steps);
+        let _report = testkit::faults::script::ReportOnPanic { seed, steps: &steps };
+        run_fault_script(&steps);
     }
 }
 
-fn play(steps: &[Step]) {
+fn run_fault_script(steps: &[Step]) {
     let mut voters = start(3);
     let workload = Workload::spawn(&voters, 4);
     workload.wait_for_operations(&voters, 30);
@@ -727,7 +738,7 @@
             Step::Kill(k) => voters.machines[k].kill(),
             Step::Pause(k) => voters.machines[k].pause(),
             Step::Full(k) => {
-                // One that was killed has no disk to fill.
+                // A killed voter has no process whose file size could be limited.
                 let _ = disk::limit_file_size(voters.machines[k].process(0).pid(), 10);
             }
             Step::OneWay(a, b, rule) => voters.network.set(&names[a], &names[b], rule),
@@ -742,11 +753,12 @@
                 workload.wait_for_operations(&voters, 20);
             }
         }
-        // Each is looked at before the next fault: those that are stopped take a while, and elections begin meanwhile.
+        // All voters are queried before the next fault. A paused voter delays the query, and elections start meanwhile.
         let leaders: Vec<(u64, String)> =
             voters.statuses().into_iter().filter(|s| s.role == "leader").map(|s| (s.term, s.name)).collect();
-        let twice = leaders.iter().any(|(t, n)| leaders.iter().any(|(other, name)| t == other && n != name));
-        assert!(!twice, "two lead in one term: {leaders:?}");
+        let duplicate =
+            leaders.iter().any(|(t, n)| leaders.iter().any(|(other, name)| t == other && n != name));
+        assert!(!duplicate, "two leaders in one term: {leaders:?}");
     }
     heal(&mut voters);
     workload.wait_for_operations(&voters, 20);
