--- a/crates/herondock/tests/sockets.rs
+++ b/crates/herondock/tests/sockets.rs
@@ -1,18 +1,19 @@
-//! The balancer on loopback sockets: each test stands for one way in which it could fail.
+//! Tests of the balancer process on loopback sockets; each test covers one failure.
 mod common;
 use common::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 
-/// The first request is met with `first`, all later ones with an answer, whichever upstream they reach.
+/// Returns a handler that takes the step `first` for the first request and answers 200 to all later ones, counted over all
+/// upstreams that share the handler.
 fn first_then_ok(first: fn() -> Step) -> impl Fn(&Message) -> Step + Clone + Send + Sync {
     let seen = Arc::new(AtomicUsize::new(0));
     move |_| if seen.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok("served") }
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let upstream = Upstream::start(|_| ok("the answer"));
     let node = with(&[upstream.addr]);
     let mut client = node.client();
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn requests_one_after_another_share_one_connection() {
+fn sequential_requests_share_one_upstream_connection() {
     let upstream = Upstream::start(|_| ok("x"));
     let node = with(&[upstream.addr]);
     let mut client = node.client();
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_here_and_hurts_nobody_else() {
+fn malformed_requests_are_rejected_and_not_forwarded() {
     let upstream = Upstream::start(|_| ok("x"));
     let node = with(&[upstream.addr]);
     let good = get("r1", "5000m");
@@ -60,14 +61,14 @@
         ("/api/x", "/apix", 404),
     ] {
         assert_eq!(client.call(&good.replace(from, to)).status(), status, "{to:?} for {from:?}");
-        // Nothing more is read behind it.
+        // The connection closes after the error response.
         assert!(client.answer().is_none());
         client = node.client();
     }
     let mut large = node.client();
     let head = pay("r2", "5000m").replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65537\r\n\r\n");
     assert_eq!(large.call(&head).status(), 413);
-    // Not stated but streamed: counted while it comes.
+    // A chunked body states no length, so its bytes are counted as they arrive.
     let mut large = node.client();
     let head =
         pay("r3", "5000m").replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n");
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn only_a_marked_refusal_proves_that_nothing_ran() {
+fn only_a_declined_request_is_retried_after_it_was_sent() {
     let behave = first_then_ok(|| status("503 Service Unavailable\r\nSrv-Declined: 1"));
     let (a, b) = (Upstream::start(behave.clone()), Upstream::start(behave));
     let node = with(&[a.addr, b.addr]);
@@ -98,14 +99,14 @@
         let behave = first_then_ok(first);
         let (a, b) = (Upstream::start(behave.clone()), Upstream::start(behave));
         let node = with(&[a.addr, b.addr]);
-        // It may have run: neither another attempt nor a refusal, which would invite one.
+        // The request may have taken effect, so there is neither a retry nor a refusal, after which the client would retry.
         assert_eq!(node.client().call(&pay("r1", "5000m")).status(), 502);
         assert_eq!(a.count_new_requests() + b.count_new_requests(), 1);
     }
 }
 
 #[test]
-fn a_refused_connection_is_no_attempt() {
+fn a_refused_connection_does_not_count_as_an_attempt() {
     let upstream = Upstream::start(|_| ok("x"));
     let node = with(&[refusing(), upstream.addr]);
     let mut client = node.client();
@@ -116,24 +117,24 @@
 }
 
 #[test]
-fn a_connection_closed_while_it_rested_costs_no_request() {
+fn a_closed_idle_upstream_connection_fails_no_request() {
     let upstream =
         Upstream::start(|_| Step::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
     let node = with(&[upstream.addr]);
     let mut client = node.client();
     node.discovery.next_path();
     assert_eq!(client.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    let without = node.descriptors();
+    let baseline = node.descriptors();
     for i in 0..20 {
         assert_eq!(client.call(&pay(&format!("r{i}"), "5000m")).status(), 200);
         assert_eq!(upstream.next_request().header("req-id"), Some(format!("r{i}").as_str()));
-        node.wait_for_descriptors(|n| n <= without, "the closed connection is still held");
+        node.wait_for_descriptors(|n| n <= baseline, "the closed connection is still held");
     }
     assert_eq!(upstream.count_new_requests(), 0);
 }
 
 #[test]
-fn silence_until_the_deadline_gets_one_answer_and_closes_the_connection() {
+fn an_unanswered_request_gets_502_at_the_deadline_and_closes_its_connection() {
     let silent =
         || Upstream::start(|m| if m.header("req-id") == Some("late") { Step::Silent } else { ok("x") });
     let upstream = silent();
@@ -142,13 +143,13 @@
     assert_eq!(client.call(&pay("late", "300m")).status(), 502);
     upstream.next_request();
     upstream.wait_for_close();
-    // The next answer on the connection belongs to the next request: nothing more came for the first.
+    // The next response on the connection belongs to the next request: the first one got exactly one response.
     assert_eq!(client.call(&pay("next", "5000m")).status(), 200);
     assert_eq!(upstream.next_request().header("req-id"), Some("next"));
 }
 
 #[test]
-fn an_attempt_is_called_off_when_its_client_has_gone() {
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let upstream =
         Upstream::start(|m| if m.header("req-id") == Some("gone") { Step::Silent } else { ok("x") });
     let node = with(&[upstream.addr]);
@@ -161,8 +162,8 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_return() {
-    // Nobody is known to serve it, and its deadline is far off.
+fn a_refusal_is_immediate_and_carries_retry_after() {
+    // No upstream is known, and the deadline is a day away.
     let node = start(1024, "null");
     let mut client = node.client();
     assert_eq!(client.call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
@@ -175,20 +176,20 @@
 }
 
 #[test]
-fn the_watch_follows_versions_and_bad_answers_change_nothing() {
+fn the_discovery_watch_follows_versions_and_ignores_bad_responses() {
     let (old, new) = (Upstream::start(|_| ok("old")), Upstream::start(|_| ok("new")));
     let node = start(1024, &upstream_list(5, true, &[(0, old.addr, "active")]));
     let discovery = &node.discovery;
     let mut client = node.client();
-    let mut ask = |id: &str| String::from_utf8(client.call(&get(id, "5000m")).body).expect("text");
+    let mut request = |id: &str| String::from_utf8(client.call(&get(id, "5000m")).body).expect("text");
     assert!(discovery.next_path().starts_with("/api/targets?since=5&timeout_ms="));
-    assert_eq!(ask("r1"), "old");
+    assert_eq!(request("r1"), "old");
     let changes = [(0, old.addr, "leaving"), (1, new.addr, "active")];
     discovery.answer(&upstream_list(7, false, &changes));
-    // The watch is armed again, which shows that the news has been taken in.
+    // The next long poll shows that the update has been applied.
     assert!(discovery.next_path().starts_with("/api/targets?since=7&"));
     for i in 0..10 {
-        assert_eq!(ask(&format!("n{i}")), "new");
+        assert_eq!(request(&format!("n{i}")), "new");
     }
     for bad in [
         "{\"version\":8,\"full\":true,\"servers\":[{\"id\":\"s-0\"}]}".to_string(),
@@ -196,40 +197,40 @@
         "not even".to_string(),
     ] {
         discovery.answer(&bad);
-        assert!(discovery.next_path().starts_with("/api/targets?since=7&"), "asked again after {bad}");
-        assert_eq!(ask("r"), "new");
+        assert!(discovery.next_path().starts_with("/api/targets?since=7&"), "polled again after {bad}");
+        assert_eq!(request("r"), "new");
     }
     discovery.fail();
     assert!(discovery.next_path().starts_with("/api/targets?since=7&"));
-    assert_eq!(ask("r"), "new");
+    assert_eq!(request("r"), "new");
     discovery.answer(&upstream_list(9, true, &[(0, old.addr, "active")]));
     assert!(discovery.next_path().starts_with("/api/targets?since=9&"));
-    assert_eq!(ask("r"), "old", "a whole list without an upstream ends it");
-    // Guards against asking for ever for what follows a version that a discovery begun anew has never had.
+    assert_eq!(request("r"), "old", "a full list removes the upstreams that it omits");
+    // Guards against polling for ever for changes after a version that a restarted discovery service never had.
     discovery.answer(&upstream_list(2, false, &[(1, new.addr, "active")]));
     assert_eq!(
         discovery.next_path(),
         "/api/targets",
-        "changes that do not follow: the whole list is asked for"
+        "changes with an older version cause a request for the full list"
     );
-    assert_eq!(ask("r"), "old");
+    assert_eq!(request("r"), "old");
     discovery.answer(&upstream_list(2, true, &[(1, new.addr, "active")]));
     assert!(discovery.next_path().starts_with("/api/targets?since=2&"));
-    assert_eq!(ask("r"), "new");
+    assert_eq!(request("r"), "new");
     discovery.answer(&upstream_list(1, true, &[(0, old.addr, "active")]));
     assert!(
         discovery.next_path().starts_with("/api/targets?since=1&"),
-        "a whole list holds, whatever its version"
+        "a full list applies whatever its version"
     );
-    assert_eq!(ask("r"), "old");
+    assert_eq!(request("r"), "old");
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_keeps_what_is_under_way() {
-    let (go, held) = channel();
-    let held = Mutex::new(Some(held));
-    let old = Upstream::start(move |_| match held.lock().expect("no panic").take() {
-        Some(word) => Step::Hold(word, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into()),
+fn a_reload_changes_the_discovery_address_and_keeps_requests_in_flight() {
+    let (release, hold) = channel();
+    let hold = Mutex::new(Some(hold));
+    let old = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
+        Some(receiver) => Step::Hold(receiver, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold".into()),
         None => ok("old"),
     });
     let new = Upstream::start(|_| ok("new"));
@@ -238,24 +239,25 @@
     let mut client = node.client();
     client.send(&get("r1", "15000m"));
     old.next_request();
-    // Guards against SIGHUP ending the program, and against a bad file changing anything: one line, no call.
+    // Guards against SIGHUP terminating the program and against a bad file taking effect: it is logged in one line, without
+    // a call to discovery.
     node.reload("{");
     node.wait_for_log("not reloaded");
-    // An address that does not come up, and right after it one that does: nothing waits for the first.
-    let (nowhere, moved) = (Unreachable::start(), Discovery::start());
-    node.reload(&config(nowhere.addr, 1024, "null"));
-    node.wait_for_log(&format!("address changed to {}", nowhere.addr));
+    // An unreachable address, then a reachable one: the second does not wait for the first.
+    let (unreachable, moved) = (Unreachable::start(), Discovery::start());
+    node.reload(&config(unreachable.addr, 1024, "null"));
+    node.wait_for_log(&format!("address changed to {}", unreachable.addr));
     let mut other = node.client();
-    assert_eq!(other.call(&get("r2", "5000m")).body, b"old", "the list holds until there is another");
+    assert_eq!(other.call(&get("r2", "5000m")).body, b"old", "the list stays in use until the next one");
     node.reload(&config(moved.addr, 1024, "null"));
-    // The versions of the old address mean nothing here.
+    // The versions of the old address do not apply to the new one.
     assert_eq!(moved.next_path(), "/api/targets");
     moved.answer(&upstream_list(3, true, &[(1, new.addr, "active")]));
     assert!(moved.next_path().starts_with("/api/targets?since=3&"));
     assert_eq!(other.call(&get("r3", "5000m")).body, b"new");
-    go.send(()).expect("the upstream waits");
-    assert_eq!(client.answer().expect("an answer").body, b"old", "what was under way goes on");
-    // And again while the watch waits.
+    release.send(()).expect("the upstream waits");
+    assert_eq!(client.answer().expect("an answer").body, b"old", "the request in flight completes");
+    // The address changes once more while a long poll is pending.
     let third = Discovery::start();
     node.reload(&config(third.addr, 1024, "null"));
     assert_eq!(third.next_path(), "/api/targets");
@@ -267,11 +269,11 @@
 }
 
 #[test]
-fn idle_callers_make_way_for_new_ones() {
+fn idle_client_connections_are_closed_for_new_ones() {
     let upstream = Upstream::start(|_| ok("x"));
     let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let node = start(64, &known);
-    // Far more kept connections than descriptors: the one that rested longest is closed for the next.
+    // Far more kept-alive connections than descriptors: the one idle for longest is closed for the next.
     let mut clients: Vec<Client> = Vec::new();
     for i in 0..100 {
         let mut client = node.client();
@@ -282,18 +284,18 @@
 }
 
 #[test]
-fn running_out_of_descriptors_ends_nothing() {
+fn the_balancer_recovers_from_running_out_of_descriptors() {
     let upstream = Upstream::start(|_| ok("x"));
     let known = upstream_list(1, true, &[(0, upstream.addr, "active")]);
     let discovery = Discovery::start();
-    // The configuration promises more than the system gives: accepting fails, and goes on.
+    // The configuration allows more sockets than the process limit, so accept fails and is retried.
     let limited = program().limited_command(&config(discovery.addr, 1024, &known), 32);
     let node = Node::run(limited, discovery);
     let mut clients: Vec<Client> = Vec::new();
     for i in 0..60 {
         let mut client = node.client();
         let status = client.call(&get(&format!("r{i}"), "10000m")).status();
-        // With no descriptor left for the upstream nothing has run.
+        // Without a descriptor for the upstream connection nothing was sent, so the request is refused.
         assert!(status == 200 || status == 503, "{status}");
         clients.push(client);
     }
@@ -305,64 +307,65 @@
 }
 
 #[test]
-fn a_connection_that_never_comes_up_is_no_attempt() {
+fn a_connection_that_is_never_established_does_not_count_as_an_attempt() {
     let full = Unreachable::start();
     let node = with(&[full.addr]);
-    // Nothing went out, so another try does no harm: a refusal, also for what must not run twice.
+    // Nothing was sent, so a retry is safe: even a non-idempotent request is refused rather than failed.
     assert_eq!(node.client().call(&pay("r1", "20000m")).status(), 503);
 }
 
-/// A balancer with one upstream that does not come up yet, though dialling it has not been given up either.
-fn dialling(more: impl Fn(String) -> String) -> (Node, Unreachable) {
+/// Starts a balancer whose connect to its only upstream stays pending; `adjust_config` edits the configuration.
+fn start_dialling(adjust_config: impl Fn(String) -> String) -> (Node, Unreachable) {
     let full = Unreachable::start();
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, &upstream_list(1, true, &[(0, full.addr, "active")]))
         .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
-    let node = Node::run(command(&more(config)), discovery);
+    let node = Node::run(command(&adjust_config(config)), discovery);
     node.discovery.next_path();
     (node, full)
 }
 
-/// A grace that is not over when the connection comes up after all: only a gate that closes with the news keeps it shut.
-fn long_grace(config: String) -> String {
+/// Sets a drain grace that is still running when the connection is established, so that only the check against the updated
+/// endpoint list can stop the write.
+fn with_long_drain_grace(config: String) -> String {
     config.replace("\"drain_grace\":1000", "\"drain_grace\":20000")
 }
 
 #[test]
-fn nothing_is_written_for_a_request_that_ended_while_dialling() {
-    let (node, full) = dialling(|c| c.replace("\"cancel\":true", "\"cancel\":false"));
-    let without = node.descriptors();
+fn nothing_is_sent_for_a_request_that_ended_during_connect() {
+    let (node, full) = start_dialling(|c| c.replace("\"cancel\":true", "\"cancel\":false"));
+    let baseline = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    // The caller's socket and the one that dials.
-    node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+    // The client's socket and the connecting one.
+    node.wait_for_descriptors(|n| n >= baseline + 2, "it does not dial");
     drop(client);
-    node.wait_for_descriptors(|n| n <= without + 1, "it does not see that the client left");
+    node.wait_for_descriptors(|n| n <= baseline + 1, "it does not see that the client left");
     assert!(read(&mut full.accept_connection()).is_none());
 }
 
 #[test]
-fn nothing_is_written_after_the_grace_of_an_upstream_that_drains() {
-    let (node, full) = dialling(long_grace);
-    let without = node.descriptors();
+fn nothing_is_sent_to_a_draining_upstream_after_connect() {
+    let (node, full) = start_dialling(with_long_drain_grace);
+    let baseline = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= baseline + 2, "it does not dial");
     node.discovery.answer(&upstream_list(2, false, &[(0, full.addr, "leaving")]));
     assert!(node.discovery.next_path().contains("since=2&"));
     assert!(read(&mut full.accept_connection()).is_none());
-    // Nothing ran, and nobody else is there to serve it.
+    // Nothing was sent, and no other upstream exists.
     assert_eq!(client.answer().expect("an answer").status(), 503);
 }
 
-/// Guards against a return in between that opens the way for what was chosen before.
+/// Guards against a return to active in between that lets an earlier choice of the upstream through.
 #[test]
-fn nothing_is_written_where_an_upstream_drains_returns_and_drains_again() {
-    let (node, full) = dialling(long_grace);
-    let without = node.descriptors();
+fn nothing_is_sent_to_an_upstream_that_drains_returns_and_drains_again() {
+    let (node, full) = start_dialling(with_long_drain_grace);
+    let baseline = node.descriptors();
     let mut client = node.client();
     client.send(&pay("r1", "20000m"));
-    node.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+    node.wait_for_descriptors(|n| n >= baseline + 2, "it does not dial");
     for (version, state) in [(2, "leaving"), (3, "active"), (4, "leaving")] {
         node.discovery.answer(&upstream_list(version, false, &[(0, full.addr, state)]));
         assert!(node.discovery.next_path().contains(&format!("since={version}&")));
@@ -371,10 +374,10 @@
     assert_eq!(client.answer().expect("an answer").status(), 503);
 }
 
-/// Guards against waits at the end that suppose longer deadlines than there are: the platform kills a process 0.7 s and the
-/// longest deadline after it told it to end, and what is taken too late can't be answered.
+/// Guards against shutdown periods longer than the configured deadlines allow: the platform kills a process 0.7 s plus the
+/// longest deadline after SIGTERM, and requests accepted too late cannot be answered before that.
 #[test]
-fn with_short_deadlines_the_end_comes_earlier() {
+fn short_deadlines_shorten_the_shutdown() {
     let upstream = Upstream::start(|_| ok("x"));
     let discovery = Discovery::start();
     let config = config(discovery.addr, 1024, &known(&upstream))
@@ -382,11 +385,11 @@
     let mut node = Node::run(command(&config), discovery);
     let mut kept = node.client();
     assert_eq!(kept.call(&get("kept", "900m")).status(), 200);
-    let told = std::time::Instant::now();
+    let stopped_at = std::time::Instant::now();
     node.terminate();
-    // It rests until the balancer closes it: by default after 2.4 s.
+    // The connection is idle until the balancer closes it: by default after 2.4 s.
     assert!(kept.answer().is_none());
-    assert!(told.elapsed() < std::time::Duration::from_millis(2000), "{:?}", told.elapsed());
+    assert!(stopped_at.elapsed() < std::time::Duration::from_millis(2000), "{:?}", stopped_at.elapsed());
     assert!(node.wait().success());
 }
 
@@ -403,12 +406,12 @@
     }
     assert!(node.discovery.next_path().contains("since=5&"));
     let log = node.log();
-    assert!(log.len() == 1 && log[0].contains("serving on"), "no call counted as failed: {log:?}");
+    assert!(log.len() == 1 && log[0].contains("serving on"), "a call counted as failed: {log:?}");
 }
 
 #[test]
-fn told_to_end_it_answers_what_it_has_and_what_still_comes() {
-    let (word, hold) = channel();
+fn a_stopping_process_answers_accepted_and_late_requests() {
+    let (release, hold) = channel();
     let hold = std::sync::Mutex::new(Some(hold));
     let upstream = Upstream::start(move |_| match hold.lock().expect("no panic").take() {
         Some(hold) => Step::Hold(hold, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld".into()),
@@ -419,42 +422,42 @@
     early.send(&pay("early", "20000m"));
     upstream.next_request();
     assert_eq!(kept.call(&get("kept", "5000m")).status(), 200);
-    let told = std::time::Instant::now();
+    let stopped_at = std::time::Instant::now();
     node.terminate();
-    // It promises to go on for as long as this; a slow machine that takes longer over the test proves nothing.
-    let within = |ms| told.elapsed() < std::time::Duration::from_millis(ms);
+    // The process keeps serving for at least these periods. Beyond them the checks are void, as on a slow machine.
+    let is_within = |ms| stopped_at.elapsed() < std::time::Duration::from_millis(ms);
     match node.try_client() {
         Some(mut late) => {
             late.send(&get("late", "5000m"));
             let status = late.answer().map(|a| a.status());
-            assert!(status == Some(200) || !within(400), "{status:?}");
+            assert!(status == Some(200) || !is_within(400), "{status:?}");
         }
-        None => assert!(!within(400), "not accepted"),
+        None => assert!(!is_within(400), "not accepted"),
     }
-    // Guards against kept connections ending with the accepting of new ones: their callers may find no other
-    // balancer. They are served on, and closed between two requests in the end.
+    // Guards against closing kept-alive connections as soon as accepting stops, when their callers may find no other
+    // balancer: they are still served, and are closed between two requests at the end.
     while node.try_client().is_some() {
-        assert!(within(20_000), "it goes on accepting");
+        assert!(is_within(20_000), "it still accepts connections");
         std::thread::yield_now();
     }
     let mut served = 0;
     loop {
         kept.send(&get("again", "5000m"));
         match kept.answer() {
-            // So many at once may be refused, like at any other time.
+            // Requests at this rate may be refused, as at any other time.
             Some(answer) => assert!(matches!(answer.status(), 200 | 503), "{answer:?}"),
             None => break,
         }
         served += 1;
     }
-    assert!(served > 0 || !within(2300), "closed too early");
-    word.send(()).expect("the upstream waits");
+    assert!(served > 0 || !is_within(2300), "closed too early");
+    release.send(()).expect("the upstream waits");
     assert_eq!(early.answer().expect("the held answer").body, b"held");
     assert_eq!(node.wait().code(), Some(0));
 }
 
 #[test]
-fn callers_that_say_nothing_do_not_hold_up_the_end() {
+fn silent_connections_do_not_delay_shutdown() {
     let upstream = Upstream::start(|_| ok("x"));
     let mut node = with(&[upstream.addr]);
     let _silent = node.client();
@@ -465,11 +468,11 @@
     assert_eq!(node.wait().code(), Some(0));
     let log = node.log();
     assert!(log.iter().any(|l| l.contains("received a stop signal")), "{log:?}");
-    assert!(!log.iter().any(|l| l.contains("at the end")), "it was held up: {log:?}");
+    assert!(!log.iter().any(|l| l.contains("at the end")), "shutdown was held up: {log:?}");
 }
 
 #[test]
-fn a_broken_configuration_is_named_on_one_line() {
+fn a_configuration_error_is_reported_on_one_line() {
     let good = config(refusing(), 1024, "null");
     for (from, to, field) in [
         ("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":5", "seed"),
