--- a/crates/herondock/tests/council.rs
+++ b/crates/herondock/tests/council.rs
@@ -649,7 +649,7 @@
     let mut slow = Process::start(voters.process(follower, &["run", "--halt-at", "slow:600"]));
     let workload = Workload::spawn(&voters, 4);
     workload.wait_for_operations(&voters, 300);
-    slow.wait_for_log("ms for a save");
+    slow.wait_for_log("writing to the journal took ");
     workload.stop_and_check();
     voters.wait_until_converged();
     slow.kill();
